--- a/crates/stepspur-council/src/member.rs
+++ b/crates/stepspur-consensus/src/member.rs
@@ -5,15 +5,15 @@
 
 use bytes::{BufMut, Bytes, BytesMut};
 
-use crate::core::{Change, Core, Effect, Refused, Stored};
-use crate::duty::{Command, Duties, DutyName, Token};
+use crate::core::{Effect, MembershipChange, PersistentState, RaftNode, RequestError};
+use crate::duty::{FencingToken, RoleCommand, RoleName, RoleTable};
 use crate::ids::{Index, LogPosition, MemberId, Micros};
-use crate::lease::{Holder, Keeper};
+use crate::lease::{LeaseGrantor, LeaseHolder};
 use crate::log::{Entry, Payload, Voters};
-use crate::peer::{Out, Peer, Waiting};
-use crate::rendezvous::best;
+use crate::peer::{Output, PeerMessage, Waiting};
+use crate::rendezvous::highest_random_weight;
 use crate::settings::Settings;
-use crate::state::{SHARED, State};
+use crate::state::{SHARED, StateMachine};
 
 mod follow;
 
@@ -38,19 +38,19 @@
 /// A conductor of the council.
 #[derive(Clone, Debug)]
 pub struct Member<S = ()> {
-    core: Core,
+    core: RaftNode,
     state: S,
     /// Why it applies no more: an entry that this program does not know.
     stopped: Option<String>,
     set: Settings,
     voters: Voters,
-    duties: Duties,
-    keeper: Option<Keeper>,
+    duties: RoleTable,
+    keeper: Option<LeaseGrantor>,
     applicants: BTreeMap<MemberId, Applicant>,
     /// Duties whose grant is written and not applied yet.
-    proposed: BTreeMap<DutyName, Index>,
+    proposed: BTreeMap<RoleName, Index>,
     waiting: VecDeque<Waiting>,
-    holder: Holder,
+    holder: LeaseHolder,
     weight: f64,
     wants: Vec<String>,
     /// Who is asked, and fetched from, next.
@@ -62,22 +62,29 @@
     /// Reads asked for so far.
     reads: u64,
     now: Micros,
-    out: Vec<Out>,
+    out: Vec<Output>,
 }
 
 impl Member {
     /// A conductor as its disk has it; `voters` are those it is told of, for one whose log names none yet. Nothing is
     /// agreed beside duties.
-    pub fn new(id: MemberId, stored: Stored, voters: Voters, set: Settings, seed: u64, now: Micros) -> Self {
+    pub fn new(
+        id: MemberId,
+        stored: PersistentState,
+        voters: Voters,
+        set: Settings,
+        seed: u64,
+        now: Micros,
+    ) -> Self {
         Self::with_state(id, stored, voters, set, seed, now, ())
     }
 }
 
-impl<S: State> Member<S> {
+impl<S: StateMachine> Member<S> {
     /// As [`Member::new`], with a state as it is at the founding, which is agreed on beside the duties.
     pub fn with_state(
         id: MemberId,
-        stored: Stored,
+        stored: PersistentState,
         voters: Voters,
         set: Settings,
         seed: u64,
@@ -85,17 +92,17 @@
         state: S,
     ) -> Self {
         let mut member = Self {
-            core: Core::new(id, stored, set.clone(), seed, now),
+            core: RaftNode::new(id, stored, set.clone(), seed, now),
             state,
             stopped: None,
             set,
             voters,
-            duties: Duties::default(),
+            duties: RoleTable::default(),
             keeper: None,
             applicants: BTreeMap::new(),
             proposed: BTreeMap::new(),
             waiting: VecDeque::new(),
-            holder: Holder::default(),
+            holder: LeaseHolder::default(),
             weight: 0.0,
             wants: Vec::new(),
             turn: id.0 as usize,
@@ -118,7 +125,7 @@
     }
 
     /// The log below.
-    pub fn core(&self) -> &Core {
+    pub fn core(&self) -> &RaftNode {
         &self.core
     }
 
@@ -133,7 +140,7 @@
     }
 
     /// What is agreed.
-    pub fn duties(&self) -> &Duties {
+    pub fn duties(&self) -> &RoleTable {
         &self.duties
     }
 
@@ -144,13 +151,13 @@
 
     /// The token by which it may act on a duty now; none if it may not. To be asked right before each act, and told
     /// with it: a receiver refuses a token lower than one that it has seen ([`crate::Fence`]).
-    pub fn token(&self, duty: &DutyName, now: Micros) -> Option<Token> {
+    pub fn token(&self, duty: &RoleName, now: Micros) -> Option<FencingToken> {
         let (until, token) = self.holder.until(self.core.id(), duty, &self.duties, &self.set)?;
         (now < until).then_some(token)
     }
 
     /// The duties that it holds, until when it may act on each by its own clock, and with which token.
-    pub fn leases(&self) -> impl Iterator<Item = (&DutyName, Micros, Token)> {
+    pub fn leases(&self) -> impl Iterator<Item = (&RoleName, Micros, FencingToken)> {
         let mine = |(name, _)| {
             let (until, token) = self.holder.until(self.core.id(), name, &self.duties, &self.set)?;
             Some((name, until, token))
@@ -166,7 +173,7 @@
     }
 
     /// Time passes.
-    pub fn tick(&mut self, now: Micros) -> Vec<Out> {
+    pub fn tick(&mut self, now: Micros) -> Vec<Output> {
         self.now = self.now.max(now);
         self.core.tick(self.now);
         self.act();
@@ -177,58 +184,60 @@
     }
 
     /// Something has come from a conductor.
-    pub fn receive(&mut self, now: Micros, from: MemberId, message: Peer) -> Vec<Out> {
+    pub fn receive(&mut self, now: Micros, from: MemberId, message: PeerMessage) -> Vec<Output> {
         self.now = self.now.max(now);
         match message {
-            Peer::Log(message) => {
+            PeerMessage::Log(message) => {
                 self.core.receive(self.now, from, message);
                 self.act();
             }
-            Peer::Renew { number, heard, weight, wants } => {
+            PeerMessage::Renew { number, heard, weight, wants } => {
                 if number.saturating_sub(heard) > self.unheard_most() {
                     // It would keep its duties by asking for ever, and act on none: no answer reaches it. One that
                     // does, as this may, lets its next request count.
                     let leader = self.core.leader();
-                    self.out.push(Out::Send(from, Peer::Elsewhere { number, leader }));
+                    self.out.push(Output::Send(from, PeerMessage::Elsewhere { number, leader }));
                 } else {
                     self.asked_to_renew(from, number, weight, wants);
                 }
             }
-            Peer::Renewed { number, applied } => {
+            PeerMessage::Renewed { number, applied } => {
                 self.leader = Some(from);
                 self.holder.granted(number, applied);
             }
-            Peer::Order { number, command } => {
+            PeerMessage::Order { number, command } => {
                 if self.core.propose(self.now, command).is_err() {
                     let leader = self.core.leader();
-                    self.out.push(Out::Send(from, Peer::Elsewhere { number, leader }));
+                    self.out.push(Output::Send(from, PeerMessage::Elsewhere { number, leader }));
                 }
                 self.act();
             }
-            Peer::Elsewhere { number, leader } => {
+            PeerMessage::Elsewhere { number, leader } => {
                 // Numbers of reads are above those of renewals.
                 match number >= READS {
-                    true => self.out.push(Out::Read(number, None)),
+                    true => self.out.push(Output::Read(number, None)),
                     false => self.holder.answered(number),
                 }
                 self.leader = leader;
                 // Once at once, else at the next turn: two that point at each other must not spin.
                 self.renew_at = self.renew_at.min(self.now + self.set.heartbeat);
             }
-            Peer::Read { number } => self.asked_to_read(from, number),
-            Peer::ReadAt { number, index } => {
+            PeerMessage::Read { number } => self.asked_to_read(from, number),
+            PeerMessage::ReadAt { number, index } => {
                 self.leader = Some(from);
-                self.out.push(Out::Read(number, Some(index)));
+                self.out.push(Output::Read(number, Some(index)));
+            }
+            PeerMessage::Fetch { from: index } => self.fetched_from(from, index),
+            PeerMessage::Fetched { entries, leader } => self.entries_fetched(from, entries, leader),
+            PeerMessage::FetchedState { index, state, leader } => {
+                self.state_fetched(from, index, &state, leader)
             }
-            Peer::Fetch { from: index } => self.fetched_from(from, index),
-            Peer::Fetched { entries, leader } => self.entries_fetched(from, entries, leader),
-            Peer::FetchedState { index, state, leader } => self.state_fetched(from, index, &state, leader),
         }
         std::mem::take(&mut self.out)
     }
 
     /// The disk has all saves up to this number.
-    pub fn saved(&mut self, now: Micros, number: u64) -> Vec<Out> {
+    pub fn saved(&mut self, now: Micros, number: u64) -> Vec<Output> {
         self.now = self.now.max(now);
         self.core.saved(self.now, number);
         self.act();
@@ -236,65 +245,65 @@
     }
 
     /// The disk has failed.
-    pub fn disk_failed(&mut self, why: impl Into<String>) -> Vec<Out> {
+    pub fn disk_failed(&mut self, why: impl Into<String>) -> Vec<Output> {
         self.core.disk_failed(why);
         self.act();
         std::mem::take(&mut self.out)
     }
 
-    /// Agrees on a command, by the leader: what became of it shows in [`Out::Changed`]. A holder that gives a duty up
+    /// Agrees on a command, by the leader: what became of it shows in [`Output::Changed`]. A holder that gives a duty up
     /// or hands it on must have stopped before.
-    pub fn order(&mut self, now: Micros, command: &Command) -> Vec<Out> {
+    pub fn order(&mut self, now: Micros, command: &RoleCommand) -> Vec<Output> {
         self.bring(now, command.encode())
     }
 
     /// Agrees on a command for the state beside the duties, by the leader: that it was applied shows there.
-    pub fn command(&mut self, now: Micros, command: &[u8]) -> Vec<Out> {
+    pub fn command(&mut self, now: Micros, command: &[u8]) -> Vec<Output> {
         let mut tagged = BytesMut::with_capacity(command.len() + 1);
         tagged.put_u8(SHARED);
         tagged.put_slice(command);
         self.bring(now, tagged.freeze())
     }
 
-    /// Asks the leader what has been agreed by now (thesis 6.4): [`Out::Read`] tells, with this number.
-    pub fn read(&mut self, now: Micros) -> (u64, Vec<Out>) {
+    /// Asks the leader what has been agreed by now (thesis 6.4): [`Output::Read`] tells, with this number.
+    pub fn read(&mut self, now: Micros) -> (u64, Vec<Output>) {
         self.now = self.now.max(now);
         self.reads += 1;
         let number = READS + self.reads;
-        match self.core.leads() {
+        match self.core.is_leader() {
             true => self.asked_to_read(self.core.id(), number),
-            false => self.write_leader(Peer::Read { number }),
+            false => self.write_leader(PeerMessage::Read { number }),
         }
         (number, std::mem::take(&mut self.out))
     }
 
-    fn bring(&mut self, now: Micros, command: Bytes) -> Vec<Out> {
+    fn bring(&mut self, now: Micros, command: Bytes) -> Vec<Output> {
         self.now = self.now.max(now);
-        if self.core.leads() {
+        if self.core.is_leader() {
             let _ = self.core.propose(self.now, command);
             self.act();
         } else {
-            self.write_leader(Peer::Order { number: 0, command });
+            self.write_leader(PeerMessage::Order { number: 0, command });
         }
         std::mem::take(&mut self.out)
     }
 
-    /// Changes who votes: see [`Core::change`].
+    /// Changes who votes: see [`RaftNode::change`].
     ///
     /// # Errors
-    /// Those of [`Core::change`].
-    pub fn change(&mut self, now: Micros, change: Change) -> Result<Vec<Out>, Refused> {
+    /// Those of [`RaftNode::change`].
+    pub fn change(&mut self, now: Micros, change: MembershipChange) -> Result<Vec<Output>, RequestError> {
         self.core.change(now, change)?;
         self.act();
         Ok(std::mem::take(&mut self.out))
     }
 
-    /// Hands the lead over: see [`Core::hand_over`].
+    /// Hands the lead over: see [`RaftNode::hand_over`].
     ///
     /// # Errors
-    /// Those of [`Core::hand_over`].
-    pub fn hand_over(&mut self, now: Micros, to: MemberId) -> Result<Vec<Out>, Refused> {
-        self.core.hand_over(now, to)?;
+    /// Those of [`RaftNode::hand_over`].
+    pub fn transfer_leadership(&mut self, now: Micros, to: MemberId) -> Result<Vec<Output>, RequestError> {
+        self.core.transfer_leadership(now, to)?;
         self.act();
         Ok(std::mem::take(&mut self.out))
     }
@@ -321,8 +330,8 @@
     fn act(&mut self) {
         for effect in self.core.take() {
             match effect {
-                Effect::Send(to, message) => self.out.push(Out::Send(to, Peer::Log(message))),
-                Effect::Save(save) => self.out.push(Out::Save(save)),
+                Effect::Send(to, message) => self.out.push(Output::Send(to, PeerMessage::Log(message))),
+                Effect::Save(save) => self.out.push(Output::Save(save)),
                 Effect::Apply(entry) => self.apply(entry),
                 Effect::Restore(snapshot) => self.restore(&snapshot.state, snapshot.index),
                 Effect::Confirmed(question, _) => {
@@ -335,17 +344,17 @@
                     {
                         let leader = self.core.leader();
                         if from != self.core.id() {
-                            self.out.push(Out::Send(from, Peer::Elsewhere { number, leader }));
+                            self.out.push(Output::Send(from, PeerMessage::Elsewhere { number, leader }));
                         } else if reads {
-                            self.out.push(Out::Read(number, None));
+                            self.out.push(Output::Read(number, None));
                         }
                     }
                 }
-                Effect::Note(note) => self.out.push(Out::Note(note)),
+                Effect::Note(note) => self.out.push(Output::Note(note)),
             }
         }
-        match (self.core.leads(), &self.keeper) {
-            (true, None) => self.keeper = Some(Keeper::new(self.now)),
+        match (self.core.is_leader(), &self.keeper) {
+            (true, None) => self.keeper = Some(LeaseGrantor::new(self.now)),
             (false, Some(_)) => {
                 self.keeper = None;
                 self.applicants.clear();
@@ -360,7 +369,7 @@
             // What is to be saved of it goes out with this step.
             let more = self.core.take();
             self.out.extend(more.into_iter().filter_map(|effect| match effect {
-                Effect::Save(save) => Some(Out::Save(save)),
+                Effect::Save(save) => Some(Output::Save(save)),
                 _ => None,
             }));
         }
@@ -391,7 +400,7 @@
             if let Some(keeper) = &mut self.keeper {
                 keeper.note(&change, self.now);
             }
-            self.out.push(Out::Changed(change));
+            self.out.push(Output::Changed(change));
         }
     }
 
@@ -437,7 +446,7 @@
             }
             _ => (bytes, &[][..]),
         };
-        let duties = Duties::decode(duties, index).map_err(|cause| cause.to_string())?;
+        let duties = RoleTable::decode(duties, index).map_err(|cause| cause.to_string())?;
         self.state.restore(index, state)?;
         self.duties = duties;
         Ok(())
@@ -458,9 +467,9 @@
             }
             Err(_) if from != self.core.id() => {
                 let leader = self.core.leader();
-                self.out.push(Out::Send(from, Peer::Elsewhere { number, leader }));
+                self.out.push(Output::Send(from, PeerMessage::Elsewhere { number, leader }));
             }
-            Err(_) => self.out.push(Out::Read(number, None)),
+            Err(_) => self.out.push(Output::Read(number, None)),
         }
         self.act();
     }
@@ -479,7 +488,7 @@
             }
             Err(_) if from != self.core.id() => {
                 let leader = self.core.leader();
-                self.out.push(Out::Send(from, Peer::Elsewhere { number, leader }));
+                self.out.push(Output::Send(from, PeerMessage::Elsewhere { number, leader }));
             }
             Err(_) => {}
         }
@@ -494,13 +503,13 @@
         self.waiting = wait;
         for Waiting { from, number, reads, upto, .. } in ready {
             if reads && from == self.core.id() {
-                self.out.push(Out::Read(number, Some(upto)));
+                self.out.push(Output::Read(number, Some(upto)));
             } else if reads {
-                self.out.push(Out::Send(from, Peer::ReadAt { number, index: upto }));
+                self.out.push(Output::Send(from, PeerMessage::ReadAt { number, index: upto }));
             } else if from == self.core.id() {
                 self.holder.granted(number, applied);
             } else {
-                self.out.push(Out::Send(from, Peer::Renewed { number, applied }));
+                self.out.push(Output::Send(from, PeerMessage::Renewed { number, applied }));
             }
         }
     }
@@ -522,15 +531,15 @@
             }
             let wants = |a: &Applicant| a.wants.iter().any(|w| name.as_str().starts_with(w.as_str()));
             let members = able.iter().filter(|(_, a)| wants(a)).map(|(m, a)| (*m, a.weight));
-            if let Some(to) = best(name, members) {
+            if let Some(to) = highest_random_weight(name, members) {
                 grants.push((name.clone(), duty.token, to));
             }
         }
         if grants.is_empty() {
             return;
         }
-        let names: Vec<DutyName> = grants.iter().map(|(name, ..)| name.clone()).collect();
-        if let Ok(index) = self.core.propose(self.now, Command::Grant { grants }.encode()) {
+        let names: Vec<RoleName> = grants.iter().map(|(name, ..)| name.clone()).collect();
+        if let Ok(index) = self.core.propose(self.now, RoleCommand::Grant { grants }.encode()) {
             self.proposed.extend(names.into_iter().map(|name| (name, index)));
         }
         self.act();
@@ -550,29 +559,29 @@
         }
         let number = self.holder.ask(self.now);
         let (weight, wants) = (self.weight, self.wants.clone());
-        if self.core.leads() {
+        if self.core.is_leader() {
             self.asked_to_renew(me, number, weight, wants);
         } else {
             let heard = self.holder.heard();
-            self.write_leader(Peer::Renew { number, heard, weight, wants });
+            self.write_leader(PeerMessage::Renew { number, heard, weight, wants });
         }
     }
 
-    fn write_leader(&mut self, message: Peer) {
+    fn write_leader(&mut self, message: PeerMessage) {
         match self.leader().filter(|l| *l != self.core.id()) {
             Some(leader) => {
                 // If it does not answer, the next is asked; a fetch tells who leads.
                 self.leader = None;
                 self.fetching.due_at = self.fetching.due_at.min(self.now + self.set.heartbeat);
-                self.out.push(Out::Send(leader, message));
+                self.out.push(Output::Send(leader, message));
             }
             None => self.write_any(message),
         }
     }
 
-    fn write_any(&mut self, message: Peer) {
+    fn write_any(&mut self, message: PeerMessage) {
         if let Some(other) = self.next_other() {
-            self.out.push(Out::Send(other, message));
+            self.out.push(Output::Send(other, message));
         }
     }
 }
--- a/crates/stepspur-council/src/member/follow.rs
+++ b/crates/stepspur-consensus/src/member/follow.rs
@@ -13,9 +13,9 @@
 use super::Member;
 use crate::ids::{Index, MemberId, Micros};
 use crate::log::Entry;
-use crate::peer::{Out, Peer};
+use crate::peer::{Output, PeerMessage};
 use crate::settings::Settings;
-use crate::state::State;
+use crate::state::StateMachine;
 
 /// Subscribers of one member at most; further ones get what is agreed by their fetches alone.
 const SUBSCRIBERS_MAX: usize = 1_024;
@@ -64,7 +64,7 @@
     }
 }
 
-impl<S: State> Member<S> {
+impl<S: StateMachine> Member<S> {
     /// True: it has to fetch what is agreed.
     pub(super) fn fetches(&self) -> bool {
         !self.is_written_to() && self.stopped.is_none()
@@ -80,7 +80,7 @@
         let Some(to) = self.fetching.source.take().or_else(|| self.next_other()) else { return };
         self.fetching.asked = Some(to);
         let from = self.duties.applied().next();
-        self.out.push(Out::Send(to, Peer::Fetch { from }));
+        self.out.push(Output::Send(to, PeerMessage::Fetch { from }));
     }
 
     /// Entries have come, by a fetch or as a subscriber.
@@ -142,12 +142,12 @@
         let (next, answer) = if from > base {
             let entries = self.agreed_from(from);
             let next = Index(from.0 + entries.len() as u64);
-            (next, Peer::Fetched { entries, leader })
+            (next, PeerMessage::Fetched { entries, leader })
         } else {
             let index = self.duties.applied();
-            (index.next(), Peer::FetchedState { index, state: self.encode(), leader })
+            (index.next(), PeerMessage::FetchedState { index, state: self.encode(), leader })
         };
-        self.out.push(Out::Send(to, answer));
+        self.out.push(Output::Send(to, answer));
         // One without a leader learns of nothing that it could tell, and the follower asks another.
         if leader.is_some() {
             self.subscribers.keep(to, next, self.now, &self.set);
@@ -171,7 +171,7 @@
             }
             let entries = self.agreed_from(subscriber.next);
             subscriber.next = Index(subscriber.next.0 + entries.len() as u64);
-            self.out.push(Out::Send(*to, Peer::Fetched { entries, leader }));
+            self.out.push(Output::Send(*to, PeerMessage::Fetched { entries, leader }));
         }
         self.subscribers.all = all;
     }
--- a/crates/stepspur-council/src/peer.rs
+++ b/crates/stepspur-consensus/src/peer.rs
@@ -2,15 +2,15 @@
 
 use bytes::Bytes;
 
-use crate::core::{Question, Save};
-use crate::duty::Changed;
+use crate::core::{ReadRequestId, WriteRequest};
+use crate::duty::RoleChange;
 use crate::ids::{Index, MemberId};
 use crate::log::Entry;
 use crate::message::{Message, Note};
 
 /// What conductors of a council write to each other.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Peer {
+pub enum PeerMessage {
     /// Between members that vote.
     Log(Message),
     /// To the leader: I hold duties, or would. One message for all of them.
@@ -82,13 +82,13 @@
 
 /// Something to do.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Out {
+pub enum Output {
     /// Write to a conductor.
-    Send(MemberId, Peer),
+    Send(MemberId, PeerMessage),
     /// Bring to disk, and tell [`Member::saved`].
-    Save(Save),
+    Save(WriteRequest),
     /// A duty has another holder, none, or one that must stop.
-    Changed(Changed),
+    Changed(RoleChange),
     /// A read that was asked for by [`Member::read`] counts once the entry is applied here; none: ask again.
     Read(u64, Option<Index>),
     /// For the log.
@@ -98,7 +98,7 @@
 /// A request that waits until it is sure that its leader leads.
 #[derive(Clone, Debug)]
 pub(crate) struct Waiting {
-    pub question: Question,
+    pub question: ReadRequestId,
     pub confirmed: bool,
     /// What was written before it was asked counts in its answer.
     pub upto: Index,
--- a/crates/stepspur-council/src/rendezvous/tests.rs
+++ b/crates/stepspur-consensus/src/rendezvous/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-fn duties() -> impl Iterator<Item = DutyName> {
-    (0..10_000).map(|k| DutyName::new(&format!("duty/{k}")).unwrap())
+fn duties() -> impl Iterator<Item = RoleName> {
+    (0..10_000).map(|k| RoleName::new(&format!("duty/{k}")).unwrap())
 }
 
 /// Ten thousand duties on five members of weights 1, 1, 1, 1 and 2: shares by weight, within four deviations.
@@ -11,8 +11,8 @@
 fn shares_go_by_weight_and_only_what_a_member_held_moves_when_it_goes() {
     let members: Vec<(MemberId, f64)> =
         (1..=5).map(|k| (MemberId(k), if k == 5 { 2.0 } else { 1.0 })).collect();
-    let placed = |members: &[(MemberId, f64)]| -> BTreeMap<DutyName, MemberId> {
-        duties().map(|d| (d.clone(), best(&d, members.iter().copied()).unwrap())).collect()
+    let placed = |members: &[(MemberId, f64)]| -> BTreeMap<RoleName, MemberId> {
+        duties().map(|d| (d.clone(), highest_random_weight(&d, members.iter().copied()).unwrap())).collect()
     };
     let before = placed(&members);
     for (member, weight) in &members {
@@ -29,7 +29,7 @@
 
 #[test]
 fn nobody_is_best_of_none_or_of_no_weight() {
-    let duty = DutyName::new("d").unwrap();
-    assert_eq!(best(&duty, []), None);
-    assert_eq!(best(&duty, [(MemberId(1), 0.0), (MemberId(2), f64::NAN)]), None);
+    let duty = RoleName::new("d").unwrap();
+    assert_eq!(highest_random_weight(&duty, []), None);
+    assert_eq!(highest_random_weight(&duty, [(MemberId(1), 0.0), (MemberId(2), f64::NAN)]), None);
 }
--- a/crates/stepspur-council/src/replicate.rs
+++ b/crates/stepspur-consensus/src/replicate.rs
@@ -4,34 +4,34 @@
 
 use bytes::{Bytes, BytesMut};
 
-use crate::core::{Change, Core, Effect, Refused, Role};
+use crate::core::{Effect, MembershipChange, RaftNode, RequestError, Role};
 use crate::ids::{Index, MemberId, Micros, Term};
-use crate::leading::{Joining, Leading, Peer};
+use crate::leading::{Joining, Leading, PeerMessage};
 use crate::log::{Entry, Payload, Snapshot, Voters};
 use crate::message::{Message, Note};
 
 /// Rounds in which one that is to vote must have caught up (thesis 4.2.1).
 const CATCH_UP_ROUNDS: u32 = 10;
 
-impl Core {
+impl RaftNode {
     /// Writes a command to the log of a leader; its entry is applied once it is agreed.
     ///
     /// # Errors
-    /// [`Refused::NotLeader`], [`Refused::Full`], [`Refused::TooLarge`], and [`Refused::Busy`] while it hands its place
+    /// [`RequestError::NotLeader`], [`RequestError::Full`], [`RequestError::TooLarge`], and [`RequestError::Busy`] while it hands its place
     /// over.
-    pub fn propose(&mut self, now: Micros, command: Bytes) -> Result<Index, Refused> {
+    pub fn propose(&mut self, now: Micros, command: Bytes) -> Result<Index, RequestError> {
         self.now = self.now.max(now);
-        if !self.leads() {
-            return Err(Refused::NotLeader(self.leader()));
+        if !self.is_leader() {
+            return Err(RequestError::NotLeader(self.leader()));
         }
         if command.len() > self.set.command_max {
-            return Err(Refused::TooLarge);
+            return Err(RequestError::TooLarge);
         }
         if self.log.last_index().0 - self.commit.0 >= self.set.waiting_max as u64 {
-            return Err(Refused::Full);
+            return Err(RequestError::Full);
         }
         if matches!(&self.role, Role::Leader(Leading { hand_to: Some(_), .. })) {
-            return Err(Refused::Busy);
+            return Err(RequestError::Busy);
         }
         let index = self.write(Payload::Command(command));
         self.spread();
@@ -41,32 +41,32 @@
     /// Changes who votes, one member at a time (thesis 4.1).
     ///
     /// # Errors
-    /// [`Refused::NotLeader`]; [`Refused::Busy`] while another change, a hand-over or the term's first entry is not
-    /// agreed; [`Refused::Senseless`] for a member that votes already, one that does not, or the last.
-    pub fn change(&mut self, now: Micros, change: Change) -> Result<(), Refused> {
+    /// [`RequestError::NotLeader`]; [`RequestError::Busy`] while another change, a hand-over or the term's first entry is not
+    /// agreed; [`RequestError::Senseless`] for a member that votes already, one that does not, or the last.
+    pub fn change(&mut self, now: Micros, change: MembershipChange) -> Result<(), RequestError> {
         self.now = self.now.max(now);
         // Before its first entry is agreed another leader's change may be under way unseen (the thesis' erratum).
-        if !self.leads() {
-            return Err(Refused::NotLeader(self.leader()));
+        if !self.is_leader() {
+            return Err(RequestError::NotLeader(self.leader()));
         }
         let (voters, at) = self.log.voters();
         let (mut voters, agreed) = (voters.clone(), at <= self.commit);
         let (now, last) = (self.now, self.log.last_index());
-        let Role::Leader(leading) = &mut self.role else { return Err(Refused::NotLeader(None)) };
+        let Role::Leader(leading) = &mut self.role else { return Err(RequestError::NotLeader(None)) };
         if !agreed || leading.joining.is_some() || leading.hand_to.is_some() {
-            return Err(Refused::Busy);
+            return Err(RequestError::Busy);
         }
         match change {
-            Change::Add(member) if !voters.contains(&member) => {
+            MembershipChange::Add(member) if !voters.contains(&member) => {
                 leading.joining = Some(Joining { member, target: last, began: now, rounds: 1 });
-                let peer = Peer { next: last.next(), heard_at: now, ..Peer::default() };
+                let peer = PeerMessage { next: last.next(), heard_at: now, ..PeerMessage::default() };
                 leading.peers.insert(member, peer);
             }
-            Change::Remove(member) if voters.contains(&member) && voters.len() > 1 => {
+            MembershipChange::Remove(member) if voters.contains(&member) && voters.len() > 1 => {
                 voters.remove(&member);
                 self.write(Payload::Members(voters));
             }
-            Change::Add(_) | Change::Remove(_) => return Err(Refused::Senseless),
+            MembershipChange::Add(_) | MembershipChange::Remove(_) => return Err(RequestError::Senseless),
         }
         self.spread();
         Ok(())
@@ -75,20 +75,20 @@
     /// Hands the lead over to a member that votes: it stands at once when it has all entries (thesis 3.10).
     ///
     /// # Errors
-    /// [`Refused::NotLeader`], [`Refused::Busy`], [`Refused::Senseless`].
-    pub fn hand_over(&mut self, now: Micros, to: MemberId) -> Result<(), Refused> {
+    /// [`RequestError::NotLeader`], [`RequestError::Busy`], [`RequestError::Senseless`].
+    pub fn transfer_leadership(&mut self, now: Micros, to: MemberId) -> Result<(), RequestError> {
         self.now = self.now.max(now);
-        if !self.leads() {
-            return Err(Refused::NotLeader(self.leader()));
+        if !self.is_leader() {
+            return Err(RequestError::NotLeader(self.leader()));
         }
         let votes = to != self.id && self.log.voters().0.contains(&to);
         let until = self.now + self.set.election;
-        let Role::Leader(leading) = &mut self.role else { return Err(Refused::NotLeader(None)) };
+        let Role::Leader(leading) = &mut self.role else { return Err(RequestError::NotLeader(None)) };
         if leading.hand_to.is_some() || leading.joining.is_some() {
-            return Err(Refused::Busy);
+            return Err(RequestError::Busy);
         }
         if !votes {
-            return Err(Refused::Senseless);
+            return Err(RequestError::Senseless);
         }
         leading.hand_to = Some((to, until));
         self.spread();
@@ -103,7 +103,7 @@
             return;
         }
         let voters = self.log.voters_at(index).clone();
-        self.log.cover(Arc::new(Snapshot { index, term, voters, state }));
+        self.log.compact_to(Arc::new(Snapshot { index, term, voters, state }));
         self.touch_base();
     }
 
@@ -424,7 +424,7 @@
         if covers.0 > self.commit {
             let snapshot = Snapshot { index: covers.0, term: covers.1, voters, state: part.2.freeze() };
             let snapshot = Arc::new(snapshot);
-            self.log.cover(Arc::clone(&snapshot));
+            self.log.compact_to(Arc::clone(&snapshot));
             self.touch_base();
             self.touch(covers.0.next());
             self.kept = self.kept.min(covers.0);
--- a/crates/stepspur-council/src/settings.rs
+++ b/crates/stepspur-consensus/src/settings.rs
@@ -50,7 +50,7 @@
 /// A setting that is out of bounds.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{key}: {what}")]
-pub struct SettingsFault {
+pub struct InvalidSetting {
     /// Its name.
     pub key: &'static str,
     /// What is wrong.
@@ -59,11 +59,11 @@
 
 impl Settings {
     /// All settings that are out of bounds.
-    pub fn faults(&self) -> Vec<SettingsFault> {
+    pub fn faults(&self) -> Vec<InvalidSetting> {
         let mut faults = Vec::new();
         let mut need = |holds: bool, key, what: &str| {
             if !holds {
-                faults.push(SettingsFault { key, what: what.to_owned() });
+                faults.push(InvalidSetting { key, what: what.to_owned() });
             }
         };
         need((10_000..=600_000_000).contains(&self.election), "election", "10 ms to 10 minutes");
@@ -81,12 +81,12 @@
     }
 
     /// The longest that a span of a member's clock may really last, by another's clock: both may be off.
-    pub fn with_drift(&self, span: Micros) -> Micros {
+    pub fn extended_by_drift(&self, span: Micros) -> Micros {
         span + span * u64::from(self.drift_ppm) / 1_000_000 + 1
     }
 
     /// The least that a span of a member's clock may really last.
-    pub fn less_drift(&self, span: Micros) -> Micros {
+    pub fn reduced_by_drift(&self, span: Micros) -> Micros {
         span.saturating_sub(span * u64::from(self.drift_ppm) / 1_000_000 + 1)
     }
 }
--- a/crates/stepspur-council/src/state.rs
+++ b/crates/stepspur-consensus/src/state.rs
@@ -8,7 +8,7 @@
 pub(crate) const SHARED: u8 = 1;
 
 /// A state that every member comes to by the same entries: no clock, chance, float or hash order decides in it.
-pub trait State {
+pub trait StateMachine {
     /// Applies the command of the entry at this position.
     ///
     /// # Errors
@@ -26,7 +26,7 @@
 }
 
 /// Nothing is agreed beside duties.
-impl State for () {
+impl StateMachine for () {
     fn apply(&mut self, _: LogPosition, _: &[u8]) -> Result<(), String> {
         Err("a command of books, and this program keeps none".to_owned())
     }
--- a/crates/stepspur-council/tests/deaf.rs
+++ b/crates/stepspur-consensus/tests/deaf.rs
@@ -1,19 +1,21 @@
 //! A holder whose requests arrive and who hears no answers: it may not act, so it must not keep others from acting.
 
-use stepspur_council::{Changed, Command, Core, DutyName, Member, MemberId, Out, Peer, Settings};
+use stepspur_consensus::{
+    Member, MemberId, Output, PeerMessage, RaftNode, RoleChange, RoleCommand, RoleName, Settings,
+};
 
 const ONE: MemberId = MemberId(1);
 const DEAF: MemberId = MemberId(2);
 const OTHER: MemberId = MemberId(3);
 
 /// Lets a step's saves be on disk at once; gives the new holders.
-fn step(member: &mut Member, now: u64, mut out: Vec<Out>, held: &mut Vec<MemberId>) {
+fn step(member: &mut Member, now: u64, mut out: Vec<Output>, held: &mut Vec<MemberId>) {
     while !out.is_empty() {
         let mut saved = None;
         for what in std::mem::take(&mut out) {
             match what {
-                Out::Save(save) => saved = Some(save.number),
-                Out::Changed(Changed::Held { holder, .. }) => held.push(holder),
+                Output::Save(save) => saved = Some(save.number),
+                Output::Changed(RoleChange::Held { holder, .. }) => held.push(holder),
                 _ => {}
             }
         }
@@ -24,22 +26,22 @@
 #[test]
 fn a_holder_that_hears_no_answers_is_followed() {
     let set = Settings::default();
-    let duty = DutyName::new("probe/a").expect("a name");
-    let mut member = Member::new(ONE, Core::founding([ONE].into()), [ONE].into(), set.clone(), 1, 0);
+    let duty = RoleName::new("probe/a").expect("a name");
+    let mut member = Member::new(ONE, RaftNode::bootstrap([ONE].into()), [ONE].into(), set.clone(), 1, 0);
     let mut held = Vec::new();
     let (mut now, mut declared) = (0, false);
     for number in 1..60 {
         now += set.renew;
         let out = member.tick(now);
         step(&mut member, now, out, &mut held);
-        if member.core().leads() && !declared {
+        if member.core().is_leader() && !declared {
             declared = true;
-            let out = member.order(now, &Command::Declare { duty: duty.clone(), lease: 2_000_000 });
+            let out = member.order(now, &RoleCommand::Declare { duty: duty.clone(), lease: 2_000_000 });
             step(&mut member, now, out, &mut held);
         }
         let wants = vec!["probe/".to_owned()];
         // The deaf one is first, and alone until it holds; the other hears all.
-        let renew = |heard| Peer::Renew { number, heard, weight: 1.0, wants: wants.clone() };
+        let renew = |heard| PeerMessage::Renew { number, heard, weight: 1.0, wants: wants.clone() };
         let out = member.receive(now, DEAF, renew(if held.is_empty() { number } else { 0 }));
         step(&mut member, now, out, &mut held);
         if !held.is_empty() {
--- a/crates/stepspur-council/tests/follow.rs
+++ b/crates/stepspur-consensus/tests/follow.rs
@@ -3,8 +3,9 @@
 use std::collections::BTreeMap;
 
 use bytes::Bytes;
-use stepspur_council::{
-    Command, Core, DutyName, Index, LogPosition, Member, MemberId, Micros, Out, Peer, Settings, State, Stored,
+use stepspur_consensus::{
+    Index, LogPosition, Member, MemberId, Micros, Output, PeerMessage, PersistentState, RaftNode,
+    RoleCommand, RoleName, Settings, StateMachine,
 };
 
 /// A member that has something to do at once is asked again after this time, as in service.
@@ -20,7 +21,7 @@
     later: bool,
 }
 
-impl State for Knows {
+impl StateMachine for Knows {
     fn apply(&mut self, _: LogPosition, command: &[u8]) -> Result<(), String> {
         let known = match command {
             [letter @ b'a'..=b'z'] => letter,
@@ -51,7 +52,7 @@
 }
 
 enum Due {
-    Message(MemberId, MemberId, Peer),
+    Message(MemberId, MemberId, PeerMessage),
     Saved(MemberId, u64),
 }
 
@@ -62,18 +63,18 @@
     due: BTreeMap<(Micros, u64), Due>,
     number: u64,
     /// Messages from one to another that are lost.
-    lost: fn(MemberId, MemberId, &Peer) -> bool,
+    lost: fn(MemberId, MemberId, &PeerMessage) -> bool,
 }
 
 impl Council {
     /// Voters 1 to 3, of which some have no disk, and followers after them.
     fn new(voters: u64, without_disk: &[u64], followers: u64) -> Self {
         let all: Vec<MemberId> = (1..=voters + followers).map(MemberId).collect();
-        let founded = Core::founding(all.iter().copied().take(voters as usize).collect());
+        let founded = RaftNode::bootstrap(all.iter().copied().take(voters as usize).collect());
         let mut nodes = BTreeMap::new();
         for id in &all {
             let disk = id.0 <= voters && !without_disk.contains(&id.0);
-            let stored = if disk { founded.clone() } else { Stored::default() };
+            let stored = if disk { founded.clone() } else { PersistentState::default() };
             let named = all.iter().copied().collect();
             let state = Knows { later: id.0 <= voters, ..Knows::default() };
             let member = Member::with_state(*id, stored, named, Settings::default(), id.0, 0, state);
@@ -91,21 +92,21 @@
         self.due.insert((self.now + DELAY, self.number), due);
     }
 
-    fn with(&mut self, id: MemberId, act: impl FnOnce(&mut Member<Knows>, Micros) -> Vec<Out>) {
+    fn with(&mut self, id: MemberId, act: impl FnOnce(&mut Member<Knows>, Micros) -> Vec<Output>) {
         let now = self.now;
         let node = self.nodes.get_mut(&id).expect("a member");
         let mut out = act(&mut node.member, now);
         while let Some(next) = (!out.is_empty()).then(|| out.remove(0)) {
             let node = self.nodes.get_mut(&id).expect("a member");
             match next {
-                Out::Send(to, message) => {
-                    node.fetches += u64::from(matches!(message, Peer::Fetch { .. }));
+                Output::Send(to, message) => {
+                    node.fetches += u64::from(matches!(message, PeerMessage::Fetch { .. }));
                     if !(self.lost)(id, to, &message) {
                         self.later(Due::Message(id, to, message));
                     }
                 }
-                Out::Save(save) if node.disk => self.later(Due::Saved(id, save.number)),
-                Out::Save(_) => out.extend(node.member.disk_failed("it has no disk")),
+                Output::Save(save) if node.disk => self.later(Due::Saved(id, save.number)),
+                Output::Save(_) => out.extend(node.member.disk_failed("it has no disk")),
                 _ => {}
             }
         }
@@ -154,7 +155,7 @@
     /// Runs until somebody leads.
     fn leader(&mut self) -> MemberId {
         for _ in 0..600 {
-            if let Some((id, _)) = self.nodes.iter().find(|(_, node)| node.member.core().leads()) {
+            if let Some((id, _)) = self.nodes.iter().find(|(_, node)| node.member.core().is_leader()) {
                 return *id;
             }
             self.run(SECOND / 10);
@@ -234,7 +235,7 @@
         council.run(SECOND / 7);
     }
     // What they are told of one entry is lost: the next one shows the gap, and all comes with one answer.
-    council.lost = |_, to, message| to.0 > 3 && matches!(message, Peer::Fetched { .. });
+    council.lost = |_, to, message| to.0 > 3 && matches!(message, PeerMessage::Fetched { .. });
     council.command(b"k");
     council.run(LEAST_WAIT * 5);
     council.lost = |_, _, _| false;
@@ -248,7 +249,7 @@
         assert!(took <= 20 * DELAY, "{id} had it after {took} us");
     }
     // No other entry follows the lost one: the next fetch finds out.
-    council.lost = |_, to, message| to.0 > 3 && matches!(message, Peer::Fetched { .. });
+    council.lost = |_, to, message| to.0 > 3 && matches!(message, PeerMessage::Fetched { .. });
     council.command(b"m");
     council.run(LEAST_WAIT * 5);
     council.lost = |_, _, _| false;
@@ -292,12 +293,12 @@
     let mut council = Council::new(3, &[], 0);
     let leader = council.leader();
     let other = MemberId(leader.0 % 3 + 1);
-    let duty = DutyName::new("probe/a").expect("a name");
+    let duty = RoleName::new("probe/a").expect("a name");
     council.with(other, |member, _| {
         member.want(["probe/".to_owned()], 1.0);
         Vec::new()
     });
-    let declare = Command::Declare { duty: duty.clone(), lease: 2 * SECOND };
+    let declare = RoleCommand::Declare { duty: duty.clone(), lease: 2 * SECOND };
     council.with(leader, |member, now| member.order(now, &declare));
     council.run(3 * SECOND);
     let now = council.now;
--- a/crates/stepspur-council/tests/search.rs
+++ b/crates/stepspur-consensus/tests/search.rs
@@ -1,12 +1,14 @@
 //! All courses of three members within bounds: messages in any order, lost or twice, crashes, time-outs.
 //!
-//! `DEPTH=13 STATES=4000000 cargo test --release -p stepspur-council --test search -- --nocapture` goes further than CI.
+//! `DEPTH=13 STATES=4000000 cargo test --release -p stepspur-consensus --test search -- --nocapture` goes further than CI.
 
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use bytes::Bytes;
-use stepspur_council::{Core, Effect, Entry, Index, MemberId, Message, Note, Settings, Stored, Term, Voters};
+use stepspur_consensus::{
+    Effect, Entry, Index, MemberId, Message, Note, PersistentState, RaftNode, Settings, Term, Voters,
+};
 
 /// Bounds of the search.
 #[derive(Clone, Copy)]
@@ -22,8 +24,8 @@
 
 #[derive(Clone)]
 struct State {
-    cores: Vec<Core>,
-    disks: Vec<Stored>,
+    cores: Vec<RaftNode>,
+    disks: Vec<PersistentState>,
     /// Under way; a set, so that order plays no part.
     messages: BTreeSet<(usize, usize, Message)>,
     commands: u8,
@@ -52,8 +54,8 @@
 impl State {
     fn first() -> Self {
         let voters: Voters = (0..3).map(id).collect();
-        let disk = Core::founding(voters);
-        let cores = (0..3).map(|k| Core::new(id(k), disk.clone(), settings(), k as u64, 0)).collect();
+        let disk = RaftNode::bootstrap(voters);
+        let cores = (0..3).map(|k| RaftNode::new(id(k), disk.clone(), settings(), k as u64, 0)).collect();
         let mut state = Self {
             cores,
             disks: vec![disk; 3],
@@ -79,7 +81,7 @@
     fn steps(&self, bounds: &Bounds) -> Vec<Step> {
         let mut steps = Vec::new();
         for k in 0..3 {
-            if self.cores[k].leads() && self.commands < bounds.commands {
+            if self.cores[k].is_leader() && self.commands < bounds.commands {
                 steps.push(Step::Command(k));
             }
             if self.cores[k].leader() == Some(id(k)) {
@@ -104,7 +106,7 @@
 
     fn after(&self, step: &Step, bounds: &Bounds) -> Result<Self, String> {
         let mut next = self.clone();
-        let now = |core: &Core| core.next_at();
+        let now = |core: &RaftNode| core.next_at();
         match step {
             Step::TimeOut(k) => {
                 // Long enough for a leader's word to be old, too.
@@ -134,7 +136,7 @@
             }
             Step::Crash(k) => {
                 next.crashes += 1;
-                next.cores[*k] = Core::new(id(*k), next.disks[*k].clone(), settings(), *k as u64, 0);
+                next.cores[*k] = RaftNode::new(id(*k), next.disks[*k].clone(), settings(), *k as u64, 0);
                 next.act(*k, bounds.under_way)?;
             }
         }
@@ -261,7 +263,7 @@
         let Some((from, to, message)) = next else { break };
         state = state.after(&Step::Deliver(from, to, message, false), &bounds).unwrap();
     }
-    assert!(state.cores[0].leads(), "{}", state.cores[0].fingerprint());
+    assert!(state.cores[0].is_leader(), "{}", state.cores[0].fingerprint());
     state = state.after(&Step::Command(0), &bounds).unwrap();
     state.messages.retain(|(from, to, _)| *from != 2 && *to != 2);
     let (states, _) = search(state, bounds);
--- a/crates/stepspur-council/tests/sim.rs
+++ b/crates/stepspur-consensus/tests/sim.rs
@@ -1,6 +1,6 @@
 //! Councils in virtual time: drifting clocks, slow disks, lost and late messages, cuts, stalls, crashes.
 //!
-//! `SEEDS=10000 cargo test --release -p stepspur-council --test sim` plays more than CI does.
+//! `SEEDS=10000 cargo test --release -p stepspur-consensus --test sim` plays more than CI does.
 
 mod world;
 
--- a/crates/stepspur-council/tests/world/mod.rs
+++ b/crates/stepspur-consensus/tests/world/mod.rs
@@ -6,9 +6,9 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use stepspur_council::{
-    Change, Changed, Command, Core, DutyName, Index, Member, MemberId, Micros, Note, Out, Peer, Settings,
-    Stored, Term, Token, Voters,
+use stepspur_consensus::{
+    FencingToken, Index, Member, MemberId, MembershipChange, Micros, Note, Output, PeerMessage,
+    PersistentState, RaftNode, RoleChange, RoleCommand, RoleName, Settings, Term, Voters,
 };
 
 /// What is played.
@@ -42,8 +42,8 @@
     wake_at: Micros,
     rate: f64,
     offset: f64,
-    stored: Stored,
-    saves: Vec<stepspur_council::Save>,
+    stored: PersistentState,
+    saves: Vec<stepspur_consensus::WriteRequest>,
     /// How long a save takes; none: it does not answer.
     disk: Option<Micros>,
     stalled_until: Micros,
@@ -67,7 +67,7 @@
 #[derive(Clone, Debug, PartialEq)]
 enum Due {
     Wake(usize, u64),
-    Deliver(usize, MemberId, Box<Peer>),
+    Deliver(usize, MemberId, Box<PeerMessage>),
     Saved(usize, u64, u64),
     Fault,
 }
@@ -86,8 +86,8 @@
     faults_until: Micros,
     leaders: BTreeMap<Term, usize>,
     states: BTreeMap<Index, Vec<u8>>,
-    highest: BTreeMap<DutyName, Token>,
-    names: Vec<DutyName>,
+    highest: BTreeMap<RoleName, FencingToken>,
+    names: Vec<RoleName>,
     changes: u64,
     looks: u64,
     faults: Vec<String>,
@@ -112,7 +112,11 @@
                     wake_at: Micros::MAX,
                     rate: 1.0 + rng.random_range(-off..=off),
                     offset: rng.random_range(0.0..1e9),
-                    stored: if k < plan.voters { Core::founding(voters.clone()) } else { Stored::default() },
+                    stored: if k < plan.voters {
+                        RaftNode::bootstrap(voters.clone())
+                    } else {
+                        PersistentState::default()
+                    },
                     saves: Vec::new(),
                     disk: Some(2_000),
                     stalled_until: 0,
@@ -120,7 +124,7 @@
                 }
             })
             .collect();
-        let names = (0..plan.duties).map(|k| DutyName::new(&format!("duty/{k}")).unwrap()).collect();
+        let names = (0..plan.duties).map(|k| RoleName::new(&format!("duty/{k}")).unwrap()).collect();
         let mut world = Self {
             plan,
             set,
@@ -255,21 +259,21 @@
     }
 
     pub fn declare(&mut self, name: &str) {
-        let name = DutyName::new(name).unwrap();
+        let name = RoleName::new(name).unwrap();
         self.names.push(name.clone());
         self.declare_duty(name);
     }
 
-    fn declare_duty(&mut self, duty: DutyName) {
+    fn declare_duty(&mut self, duty: RoleName) {
         let Some(leader) = self.leader() else { return };
-        let command = Command::Declare { duty, lease: LEASE };
+        let command = RoleCommand::Declare { duty, lease: LEASE };
         self.step(leader, |member, now| member.order(now, &command));
     }
 
     /// Tries to change who votes; it may be refused.
     pub fn change(&mut self, add: bool, k: usize) -> bool {
         let Some(leader) = self.leader() else { return false };
-        let change = if add { Change::Add(id(k)) } else { Change::Remove(id(k)) };
+        let change = if add { MembershipChange::Add(id(k)) } else { MembershipChange::Remove(id(k)) };
         let mut taken = false;
         self.step(leader, |member, now| match member.change(now, change) {
             Ok(out) => {
@@ -296,7 +300,7 @@
     // ---- what may be asked of it
 
     pub fn leader(&self) -> Option<usize> {
-        let leads = |k: &usize| self.nodes[*k].member.as_ref().is_some_and(|m| m.core().leads());
+        let leads = |k: &usize| self.nodes[*k].member.as_ref().is_some_and(|m| m.core().is_leader());
         (0..self.nodes.len())
             .filter(leads)
             .max_by_key(|k| self.nodes[*k].member.as_ref().unwrap().core().term())
@@ -321,7 +325,7 @@
         self.states.keys().next_back().copied().unwrap_or_default()
     }
 
-    pub fn highest_token(&self) -> Token {
+    pub fn highest_token(&self) -> FencingToken {
         self.highest.values().copied().max().unwrap_or_default()
     }
 
@@ -346,7 +350,7 @@
         assert!(states.len() <= 2, "{} states after a while of peace", states.len());
     }
 
-    fn token(&self, k: usize, name: &DutyName) -> Option<Token> {
+    fn token(&self, k: usize, name: &RoleName) -> Option<FencingToken> {
         let node = &self.nodes[k];
         node.member.as_ref()?.token(name, node.local(self.now))
     }
@@ -400,7 +404,7 @@
         true
     }
 
-    fn step(&mut self, k: usize, act: impl FnOnce(&mut Member, Micros) -> Vec<Out>) {
+    fn step(&mut self, k: usize, act: impl FnOnce(&mut Member, Micros) -> Vec<Output>) {
         let now = self.now;
         let node = &mut self.nodes[k];
         let local = node.local(now);
@@ -416,8 +420,8 @@
         }
         for out in outs {
             match out {
-                Out::Send(to, message) => self.send(k, to, message),
-                Out::Save(save) => {
+                Output::Send(to, message) => self.send(k, to, message),
+                Output::Save(save) => {
                     let number = save.number;
                     self.nodes[k].saves.push(save);
                     if let Some(takes) = self.nodes[k].disk {
@@ -425,24 +429,24 @@
                         self.put(at, Due::Saved(k, life, number));
                     }
                 }
-                Out::Changed(Changed::Held { .. })
-                    if self.nodes[k].member.as_ref().unwrap().core().leads() =>
+                Output::Changed(RoleChange::Held { .. })
+                    if self.nodes[k].member.as_ref().unwrap().core().is_leader() =>
                 {
                     self.changes += 1;
                 }
-                Out::Read(..) => {}
-                Out::Note(Note::Leads { term }) => {
+                Output::Read(..) => {}
+                Output::Note(Note::Leads { term }) => {
                     let first = *self.leaders.entry(term).or_insert(k);
                     self.need(first == k, || format!("{first} and {k} lead in term {term}"));
                 }
-                Out::Changed(_) | Out::Note(_) => {}
+                Output::Changed(_) | Output::Note(_) => {}
             }
         }
         self.judge_state(k);
         self.judge();
     }
 
-    fn send(&mut self, from: usize, to: MemberId, message: Peer) {
+    fn send(&mut self, from: usize, to: MemberId, message: PeerMessage) {
         let Some(at) = self.nodes.iter().position(|n| n.id == to) else { return };
         if self.cut.contains(&(from, at)) {
             return;
@@ -525,7 +529,7 @@
         }
         for place in 0..self.names.len() {
             let name = self.names[place].clone();
-            let may: Vec<(usize, Token)> =
+            let may: Vec<(usize, FencingToken)> =
                 (0..self.nodes.len()).filter_map(|k| Some((k, self.token(k, &name)?))).collect();
             self.need(may.len() <= 1, || format!("{name} is held by {may:?}"));
             for (k, token) in may {
--- a/crates/stepspur-gate/tests/gate.rs
+++ b/crates/stepspur-disruption-budget/tests/gate.rs
@@ -4,7 +4,7 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use stepspur_gate::{Gate, Permit, PermitId, Refused, Server, Settings, Told};
+use stepspur_disruption_budget::{Gate, Permit, PermitId, Refused, Server, Settings, Told};
 
 const SECOND: u64 = 1_000_000;
 
--- a/crates/stepspur-distribution/src/book.rs
+++ b/crates/stepspur-distribution/src/book.rs
@@ -2,7 +2,7 @@
 //!
 //! Members come to the same book by the same entries, so nothing here knows a clock, chance or hash order. A delta from
 //! a version holds, of each document that changed after it, the last change: it is computed from the changes kept in
-//! [`RECENT_MOST`]. Whoever asks from an earlier version needs a snapshot.
+//! [`MAX_RECENT_CHANGES`]. Whoever asks from an earlier version needs a snapshot.
 
 mod command;
 mod query;
@@ -11,12 +11,12 @@
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
-use stepspur_council::LogPosition;
-use stepspur_shared::{Book, BookId, Refusal};
+use stepspur_consensus::LogPosition;
+use stepspur_replication::{Rejection, ReplicatedStateMachine, StateMachineId};
 
 pub use self::command::{
-    CHANGES_MOST, Command, CommandFault, REGISTRATION_BYTES_MOST, REGISTRATIONS_MOST, Registration,
-    RegistrationFault,
+    Command, CommandError, MAX_CHANGES, MAX_REGISTRATION_BYTES, MAX_REGISTRATIONS, Registration,
+    RegistrationError,
 };
 pub(crate) use self::query::document_bytes;
 pub use self::query::{Delta, Next};
@@ -24,17 +24,17 @@
 use crate::version::Version;
 
 /// The number of the book of configuration.
-pub const CONFIGURATION: BookId = BookId(10);
+pub const CONFIGURATION: StateMachineId = StateMachineId(10);
 /// Changes that are kept for deltas at most; beyond that the oldest versions go.
-pub const RECENT_MOST: usize = 16_384;
+pub const MAX_RECENT_CHANGES: usize = 16_384;
 /// Documents that stand at most.
-pub const DOCUMENTS_MOST: usize = 250_000;
+pub const MAX_DOCUMENTS: usize = 250_000;
 /// Subscribers in the register at most.
-pub const SUBSCRIBERS_MOST: usize = 10_000;
+pub const MAX_SUBSCRIBERS: usize = 10_000;
 
 /// A document's setting and the version that changed it last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Standing {
+struct RolloutStatus {
     setting: Setting,
     version: Version,
 }
@@ -48,13 +48,13 @@
 
 /// The book: documents, recent changes, the register.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct ConfigurationBook {
+pub struct ConfigurationState {
     /// The last version.
     head: Version,
     /// Deltas reach back to this version, and no further.
     oldest: Version,
     /// What stands, in the order of service, tenant, region, target.
-    documents: BTreeMap<Key, Standing>,
+    documents: BTreeMap<Key, RolloutStatus>,
     /// Versions after `oldest`, rising. What was lifted stands here alone.
     recent: VecDeque<Recent>,
     /// Changes in `recent`.
@@ -73,22 +73,22 @@
     register: Vec<Registration>,
 }
 
-impl ConfigurationBook {
-    fn change(&mut self, version: Version, changes: Vec<Change>) -> Result<(), CommandFault> {
+impl ConfigurationState {
+    fn change(&mut self, version: Version, changes: Vec<Change>) -> Result<(), CommandError> {
         let raised = changes.iter().filter(|change| change.setting.is_some()).count();
-        if self.documents.len() + raised > DOCUMENTS_MOST {
-            return Err(CommandFault::Documents);
+        if self.documents.len() + raised > MAX_DOCUMENTS {
+            return Err(CommandError::Documents);
         }
         for change in &changes {
             match change.setting {
-                Some(setting) => self.documents.insert(change.key(), Standing { setting, version }),
+                Some(setting) => self.documents.insert(change.key(), RolloutStatus { setting, version }),
                 None => self.documents.remove(&change.key()),
             };
         }
         self.head = version;
         self.recent_changes += changes.len();
         self.recent.push_back(Recent { version, changes });
-        while self.recent_changes > RECENT_MOST
+        while self.recent_changes > MAX_RECENT_CHANGES
             && let Some(gone) = self.recent.pop_front()
         {
             self.recent_changes -= gone.changes.len();
@@ -97,10 +97,10 @@
         Ok(())
     }
 
-    fn register(&mut self, registrations: Vec<Registration>) -> Result<(), CommandFault> {
+    fn register(&mut self, registrations: Vec<Registration>) -> Result<(), CommandError> {
         let new = registrations.iter().filter(|r| !self.register.contains_key(&r.name)).count();
-        if self.register.len() + new > SUBSCRIBERS_MOST {
-            return Err(CommandFault::Subscribers);
+        if self.register.len() + new > MAX_SUBSCRIBERS {
+            return Err(CommandError::Subscribers);
         }
         for registration in registrations {
             self.register.insert(registration.name.clone(), registration);
@@ -126,7 +126,7 @@
             if document.version > head {
                 return Err(format!("a document of version {}, after the head {head}", document.version));
             }
-            book.documents.insert(document.key, Standing { setting, version: document.version });
+            book.documents.insert(document.key, RolloutStatus { setting, version: document.version });
         }
         let versions = std::iter::once(oldest).chain(recent.iter().map(|recent| recent.version));
         let versions: Vec<Version> = versions.collect();
@@ -140,8 +140,8 @@
     }
 }
 
-impl Book for ConfigurationBook {
-    fn id(&self) -> BookId {
+impl ReplicatedStateMachine for ConfigurationState {
+    fn id(&self) -> StateMachineId {
         CONFIGURATION
     }
 
@@ -150,8 +150,8 @@
     }
 
     /// A change answers with its version, a removal with whether the name was registered.
-    fn apply(&mut self, position: LogPosition, _: u16, body: &[u8]) -> Result<Bytes, Refusal> {
-        let refused = |fault: CommandFault| Refusal(fault.to_string());
+    fn apply(&mut self, position: LogPosition, _: u16, body: &[u8]) -> Result<Bytes, Rejection> {
+        let refused = |fault: CommandError| Rejection(fault.to_string());
         let answer = match Command::decode(body).map_err(refused)? {
             Command::Change { changes } => {
                 let version = Version::from(position);
--- a/crates/stepspur-distribution/src/book/command.rs
+++ b/crates/stepspur-distribution/src/book/command.rs
@@ -4,14 +4,14 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::document::{Change, DocumentFault, Interest, NAME_MOST, Scope};
+use crate::document::{Change, DocumentError, Interest, MAX_NAME_BYTES, Scope};
 
 /// Changes in a command at most.
-pub const CHANGES_MOST: usize = 64;
+pub const MAX_CHANGES: usize = 64;
 /// Registrations in a command at most.
-pub const REGISTRATIONS_MOST: usize = 64;
+pub const MAX_REGISTRATIONS: usize = 64;
 /// Bytes of a registration at most. An interest that is larger by its tenants is registered without them.
-pub const REGISTRATION_BYTES_MOST: usize = 24 << 10;
+pub const MAX_REGISTRATION_BYTES: usize = 24 << 10;
 /// Bytes of a registration that names its tenants at most.
 const WITH_TENANTS_BYTES_MOST: usize = 2 << 10;
 /// Bytes that a name has beside its letters.
@@ -20,12 +20,12 @@
 /// A command of the book.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// Makes a version: all of these changes or, if any is faulty, none. One to [`CHANGES_MOST`], each key once.
+    /// Makes a version: all of these changes or, if any is faulty, none. One to [`MAX_CHANGES`], each key once.
     Change {
         /// The changes.
         changes: Vec<Change>,
     },
-    /// Registers subscribers, or their new interests. One to [`REGISTRATIONS_MOST`].
+    /// Registers subscribers, or their new interests. One to [`MAX_REGISTRATIONS`].
     Register {
         /// The subscribers.
         registrations: Vec<Registration>,
@@ -50,7 +50,7 @@
 
 /// What is wrong with a command.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum CommandFault {
+pub enum CommandError {
     /// It cannot be read.
     #[error("the command cannot be read")]
     Unreadable,
@@ -68,7 +68,7 @@
         /// Which, from 0.
         place: usize,
         /// What is wrong.
-        fault: DocumentFault,
+        fault: DocumentError,
     },
     /// Two changes have one key.
     #[error("change {place} is for the same target in the same scope as an earlier one")]
@@ -82,30 +82,30 @@
         /// Which, from 0.
         place: usize,
         /// What is wrong.
-        fault: RegistrationFault,
+        fault: RegistrationError,
     },
     /// More documents than may stand.
-    #[error("{} documents may stand at once", super::DOCUMENTS_MOST)]
+    #[error("{} documents may stand at once", super::MAX_DOCUMENTS)]
     Documents,
     /// More subscribers than may be registered.
-    #[error("{} subscribers may be registered", super::SUBSCRIBERS_MOST)]
+    #[error("{} subscribers may be registered", super::MAX_SUBSCRIBERS)]
     Subscribers,
 }
 
 /// What is wrong with a registration.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum RegistrationFault {
+pub enum RegistrationError {
     /// The name.
-    #[error("a subscriber's name must have 1 to {NAME_MOST} bytes and no control characters")]
+    #[error("a subscriber's name must have 1 to {MAX_NAME_BYTES} bytes and no control characters")]
     Name,
     /// The interest.
     #[error(transparent)]
-    Interest(#[from] DocumentFault),
+    Interest(#[from] DocumentError),
     /// The interest's services or tenants are not sorted.
     #[error("services and tenants must be sorted, each once")]
     Unsorted,
     /// It is too large.
-    #[error("{0} bytes of names are too many: {REGISTRATION_BYTES_MOST} may be registered")]
+    #[error("{0} bytes of names are too many: {MAX_REGISTRATION_BYTES} may be registered")]
     TooLarge(usize),
 }
 
@@ -120,8 +120,8 @@
     ///
     /// # Errors
     /// The first fault.
-    pub fn decode(body: &[u8]) -> Result<Self, CommandFault> {
-        let command: Self = postcard::from_bytes(body).map_err(|_| CommandFault::Unreadable)?;
+    pub fn decode(body: &[u8]) -> Result<Self, CommandError> {
+        let command: Self = postcard::from_bytes(body).map_err(|_| CommandError::Unreadable)?;
         command.check()?;
         Ok(command)
     }
@@ -130,7 +130,7 @@
     ///
     /// # Errors
     /// The first fault.
-    pub fn check(&self) -> Result<(), CommandFault> {
+    pub fn check(&self) -> Result<(), CommandError> {
         match self {
             Self::Change { changes } => check_changes(changes),
             Self::Register { registrations } => check_registrations(registrations),
@@ -139,26 +139,26 @@
     }
 }
 
-fn check_count(count: usize, most: usize) -> Result<(), CommandFault> {
-    if (1..=most).contains(&count) { Ok(()) } else { Err(CommandFault::Count { count, most }) }
+fn check_count(count: usize, most: usize) -> Result<(), CommandError> {
+    if (1..=most).contains(&count) { Ok(()) } else { Err(CommandError::Count { count, most }) }
 }
 
-fn check_changes(changes: &[Change]) -> Result<(), CommandFault> {
-    check_count(changes.len(), CHANGES_MOST)?;
+fn check_changes(changes: &[Change]) -> Result<(), CommandError> {
+    check_count(changes.len(), MAX_CHANGES)?;
     let mut keys = BTreeSet::new();
     for (place, change) in changes.iter().enumerate() {
-        change.check().map_err(|fault| CommandFault::Change { place, fault })?;
+        change.check().map_err(|fault| CommandError::Change { place, fault })?;
         if !keys.insert(change.key()) {
-            return Err(CommandFault::Twice { place });
+            return Err(CommandError::Twice { place });
         }
     }
     Ok(())
 }
 
-fn check_registrations(registrations: &[Registration]) -> Result<(), CommandFault> {
-    check_count(registrations.len(), REGISTRATIONS_MOST)?;
+fn check_registrations(registrations: &[Registration]) -> Result<(), CommandError> {
+    check_count(registrations.len(), MAX_REGISTRATIONS)?;
     for (place, registration) in registrations.iter().enumerate() {
-        registration.check().map_err(|fault| CommandFault::Registration { place, fault })?;
+        registration.check().map_err(|fault| CommandError::Registration { place, fault })?;
     }
     Ok(())
 }
@@ -168,7 +168,7 @@
     ///
     /// # Errors
     /// The first fault.
-    pub fn new(name: &str, interest: &Interest) -> Result<Self, RegistrationFault> {
+    pub fn new(name: &str, interest: &Interest) -> Result<Self, RegistrationError> {
         let mut registration = Self { name: name.to_owned(), interest: interest.clone(), all_tenants: false };
         if registration.size() > WITH_TENANTS_BYTES_MOST {
             registration.all_tenants = true;
@@ -194,16 +194,17 @@
         self.interest.covers(scope)
     }
 
-    fn check(&self) -> Result<(), RegistrationFault> {
-        let sound = (1..=NAME_MOST).contains(&self.name.len()) && !self.name.chars().any(char::is_control);
+    fn check(&self) -> Result<(), RegistrationError> {
+        let sound =
+            (1..=MAX_NAME_BYTES).contains(&self.name.len()) && !self.name.chars().any(char::is_control);
         if !sound {
-            return Err(RegistrationFault::Name);
+            return Err(RegistrationError::Name);
         }
         if self.interest.clone().sorted()? != self.interest {
-            return Err(RegistrationFault::Unsorted);
+            return Err(RegistrationError::Unsorted);
         }
         match self.size() {
-            size if size > REGISTRATION_BYTES_MOST => Err(RegistrationFault::TooLarge(size)),
+            size if size > MAX_REGISTRATION_BYTES => Err(RegistrationError::TooLarge(size)),
             _ => Ok(()),
         }
     }
--- a/crates/stepspur-distribution/src/book/query.rs
+++ b/crates/stepspur-distribution/src/book/query.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
 
-use super::{ConfigurationBook, Recent, Registration, Standing};
+use super::{ConfigurationState, Recent, Registration, RolloutStatus};
 use crate::document::{Change, Document, Interest, Key, Scope, Setting, Target};
 use crate::version::Version;
 
@@ -30,7 +30,7 @@
     Snapshot,
 }
 
-impl ConfigurationBook {
+impl ConfigurationState {
     /// The last version.
     pub fn head(&self) -> Version {
         self.head
@@ -129,7 +129,10 @@
         self.recent.range(start..)
     }
 
-    fn of_interest<'a>(&'a self, interest: &'a Interest) -> impl Iterator<Item = (&'a Key, &'a Standing)> {
+    fn of_interest<'a>(
+        &'a self,
+        interest: &'a Interest,
+    ) -> impl Iterator<Item = (&'a Key, &'a RolloutStatus)> {
         let every = self.of_scope(None, None);
         let services = interest.services.iter().flat_map(|one| {
             let tenants = one.tenants.iter().map(|tenant| Some(tenant.as_str()));
@@ -144,7 +147,7 @@
         &self,
         service: Option<&str>,
         tenant: Option<&str>,
-    ) -> impl Iterator<Item = (&Key, &Standing)> {
+    ) -> impl Iterator<Item = (&Key, &RolloutStatus)> {
         let scope =
             Scope { service: service.map(str::to_owned), tenant: tenant.map(str::to_owned), region: None };
         // The least target: IPv4 comes before IPv6, servers before classes.
@@ -170,7 +173,7 @@
     names + class + DOCUMENT_BYTES
 }
 
-fn document((key, standing): (&Key, &Standing)) -> Document {
+fn document((key, standing): (&Key, &RolloutStatus)) -> Document {
     Document { key: key.clone(), setting: Some(standing.setting), version: standing.version }
 }
 
--- a/crates/stepspur-distribution/src/book/tests.rs
+++ b/crates/stepspur-distribution/src/book/tests.rs
@@ -2,7 +2,7 @@
 
 use proptest::collection::vec;
 use proptest::prelude::*;
-use stepspur_council::{Index, Term};
+use stepspur_consensus::{Index, Term};
 
 use super::*;
 use crate::document::{Interest, Scope, ServiceInterest, Target};
@@ -36,16 +36,16 @@
     Interest { region: region.to_owned(), services: services.collect() }.sorted().unwrap()
 }
 
-fn apply(book: &mut ConfigurationBook, index: u64, command: Command) -> Result<Bytes, Refusal> {
+fn apply(book: &mut ConfigurationState, index: u64, command: Command) -> Result<Bytes, Rejection> {
     book.apply(position(index), 1, &command.encode())
 }
 
-fn change(book: &mut ConfigurationBook, index: u64, changes: Vec<Change>) -> Version {
+fn change(book: &mut ConfigurationState, index: u64, changes: Vec<Change>) -> Version {
     let answer = apply(book, index, Command::Change { changes }).unwrap();
     postcard::from_bytes(&answer).unwrap()
 }
 
-fn delta(book: &ConfigurationBook, from: Version, interest: &Interest, bytes: usize) -> Delta {
+fn delta(book: &ConfigurationState, from: Version, interest: &Interest, bytes: usize) -> Delta {
     match book.next(from, interest, bytes) {
         Next::Delta(delta) => delta,
         next => panic!("no delta from {from}: {next:?}"),
@@ -54,7 +54,7 @@
 
 #[test]
 fn a_change_answers_with_its_position_and_is_the_head_and_the_last_one_of_a_key_stands() {
-    let mut book = ConfigurationBook::default();
+    let mut book = ConfigurationState::default();
     let everyone = interest("north", &[("shop", &[])]);
     let first = level(scope(Some("shop"), None, None), "bulk", 7);
     assert_eq!(change(&mut book, 5, vec![first.clone()]), version(5));
@@ -69,7 +69,7 @@
 
 #[test]
 fn a_faulty_command_names_its_place_and_leaves_nothing_changed() {
-    let mut book = ConfigurationBook::default();
+    let mut book = ConfigurationState::default();
     let sound = level(scope(Some("shop"), None, None), "bulk", 7);
     change(&mut book, 5, vec![sound.clone()]);
     let other = |n: u32| level(scope(Some("shop"), None, None), &format!("class {n}"), 1);
@@ -107,7 +107,7 @@
 
 #[test]
 fn what_was_lifted_is_in_deltas_and_in_no_snapshot() {
-    let mut book = ConfigurationBook::default();
+    let mut book = ConfigurationState::default();
     let shop = interest("north", &[("shop", &[])]);
     let held = level(scope(Some("shop"), None, None), "bulk", 7);
     change(&mut book, 1, vec![held.clone()]);
@@ -121,7 +121,7 @@
 /// A delta that ends before the head tells what stood at its end, not what was changed after.
 #[test]
 fn a_delta_that_is_cut_tells_what_stood_at_its_end() {
-    let mut book = ConfigurationBook::default();
+    let mut book = ConfigurationState::default();
     let shop = interest("north", &[("shop", &[])]);
     let a = level(scope(Some("shop"), None, None), "a", 1);
     let b = level(scope(Some("shop"), None, None), "b", 1);
@@ -142,13 +142,13 @@
 
 #[test]
 fn deltas_reach_back_by_so_many_changes_and_a_snapshot_is_due_beyond() {
-    let mut book = ConfigurationBook::default();
+    let mut book = ConfigurationState::default();
     let shop = interest("north", &[("shop", &[])]);
     let changes = |n: u64| {
         let class = |c: usize| level(scope(Some("shop"), None, None), &format!("{c}"), n as u32);
-        (0..CHANGES_MOST).map(class).collect::<Vec<_>>()
+        (0..MAX_CHANGES).map(class).collect::<Vec<_>>()
     };
-    let fit = (RECENT_MOST / CHANGES_MOST) as u64;
+    let fit = (MAX_RECENT_CHANGES / MAX_CHANGES) as u64;
     for index in 1..=fit {
         change(&mut book, index, changes(index));
     }
@@ -159,14 +159,14 @@
     assert_eq!(book.last_concerning(Version::NONE, &shop), Some(version(fit + 1)));
     assert!(book.scopes_after(Version::NONE).is_none());
     assert_eq!(delta(&book, version(1), &shop, usize::MAX).to, version(fit + 1));
-    assert_eq!(book.snapshot(&shop).len(), CHANGES_MOST);
+    assert_eq!(book.snapshot(&shop).len(), MAX_CHANGES);
     assert_eq!(book.concerned(version(1)), None);
     assert_eq!(book.concerned(version(2)), Some(vec![]));
 }
 
 #[test]
 fn the_register_makes_no_version_and_names_whom_a_version_must_reach() {
-    let mut book = ConfigurationBook::default();
+    let mut book = ConfigurationState::default();
     let of = |name: &str, interest: &Interest| Registration::new(name, interest).unwrap();
     let registrations = vec![
         of("shop north", &interest("north", &[("shop", &["t"])])),
@@ -211,12 +211,12 @@
     let services: Vec<String> = (0..1_000).map(|n| format!("{n}{}", "x".repeat(100))).collect();
     let services: Vec<(&str, &[&str])> = services.iter().map(|name| (name.as_str(), &[][..])).collect();
     let refused = Registration::new("a", &interest("north", &services)).unwrap_err();
-    assert!(matches!(refused, RegistrationFault::TooLarge(_)));
+    assert!(matches!(refused, RegistrationError::TooLarge(_)));
 }
 
 #[test]
 fn a_part_that_is_no_book_is_refused_and_leaves_nothing_changed() {
-    let mut book = ConfigurationBook::default();
+    let mut book = ConfigurationState::default();
     change(&mut book, 3, vec![level(scope(None, None, None), "bulk", 1)]);
     let before = book.clone();
     let mut later = before.whole();
@@ -231,7 +231,7 @@
         assert_eq!(book, before);
     }
     book.restore(1, &[]).unwrap();
-    assert_eq!(book, ConfigurationBook::default());
+    assert_eq!(book, ConfigurationState::default());
 }
 
 fn some_scope() -> impl Strategy<Value = Scope> {
@@ -278,8 +278,8 @@
 fn course(
     commands: &[Command],
     interest: &Interest,
-) -> (ConfigurationBook, BTreeMap<Version, BTreeMap<Key, Document>>) {
-    let mut book = ConfigurationBook::default();
+) -> (ConfigurationState, BTreeMap<Version, BTreeMap<Key, Document>>) {
+    let mut book = ConfigurationState::default();
     let mut stood = BTreeMap::from([(Version::NONE, BTreeMap::new())]);
     for (index, command) in (1..).zip(commands) {
         let _ = apply(&mut book, index, command.clone());
@@ -295,7 +295,7 @@
     #[test]
     fn a_restored_book_is_the_same(commands in vec(some_command(), 0..40)) {
         let (book, _) = course(&commands, &Interest::default());
-        let mut restored = ConfigurationBook::default();
+        let mut restored = ConfigurationState::default();
         restored.restore(1, &book.encode()).unwrap();
         prop_assert_eq!(&restored, &book);
         prop_assert_eq!(restored.encode(), book.encode());
--- a/crates/stepspur-distribution/src/config.rs
+++ b/crates/stepspur-distribution/src/config.rs
@@ -7,14 +7,14 @@
 
 use garde::Validate;
 use serde::{Deserialize, Serialize};
-use stepspur_peers::Council;
+use stepspur_consensus_node::ConsensusConfig;
 
-use crate::document::{DocumentFault, Interest, NAME_MOST, SERVICES_MOST, ServiceInterest, TENANTS_MOST};
+use crate::document::{DocumentError, Interest, MAX_NAME_BYTES, MAX_SERVICES, MAX_TENANTS, ServiceInterest};
 
 /// Control members that settings may name.
-pub const CONTROL_MEMBERS_MOST: usize = 1_000;
+pub const MAX_CONTROL_MEMBERS: usize = 1_000;
 /// Subscribers that one control member may have at once.
-pub const SUBSCRIBERS_MOST: u32 = 100_000;
+pub const MAX_SUBSCRIBERS: u32 = 100_000;
 
 const HOUR: Duration = Duration::from_secs(3_600);
 /// The least that a control member may spend on snapshots, in bytes a second: one part each second.
@@ -41,15 +41,15 @@
 #[serde(deny_unknown_fields)]
 pub struct ControlConfig {
     /// All control members, this one too, alike in all their settings; each is a conductor of the council.
-    #[garde(dive, length(min = 1, max = CONTROL_MEMBERS_MOST), custom(ids_once))]
-    pub members: Vec<ControlPlace>,
+    #[garde(dive, length(min = 1, max = MAX_CONTROL_MEMBERS), custom(ids_once))]
+    pub members: Vec<ControlMemberAddress>,
     /// Bytes a second that it spends on snapshots, over all subscribers. Deltas do not wait for them.
     #[serde(default = "snapshot_bytes_per_s")]
     #[garde(range(min = SNAPSHOT_BYTES_PER_S_LEAST, max = SNAPSHOT_BYTES_PER_S_MOST))]
     pub snapshot_bytes_per_s: u32,
     /// Subscribers at once; another is refused and goes to the next control member.
     #[serde(default = "subscribers_max")]
-    #[garde(range(min = 1, max = SUBSCRIBERS_MOST))]
+    #[garde(range(min = 1, max = MAX_SUBSCRIBERS))]
     pub subscribers_max: u32,
     /// A subscriber that nothing concerns is told so often to which version it is covered.
     #[serde(default = "keep_alive", with = "humantime_serde")]
@@ -60,7 +60,7 @@
 /// Where a control member listens to subscribers.
 #[derive(Clone, Debug, Deserialize, Serialize, Validate)]
 #[serde(deny_unknown_fields)]
-pub struct ControlPlace {
+pub struct ControlMemberAddress {
     /// Its number in the council.
     #[garde(range(min = 1))]
     pub id: u64,
@@ -86,10 +86,10 @@
     #[garde(custom(file))]
     pub state: PathBuf,
     /// Addresses of control members to begin with, in any order; the rest are learned from them.
-    #[garde(length(min = 1, max = CONTROL_MEMBERS_MOST), inner(custom(loopback)))]
+    #[garde(length(min = 1, max = MAX_CONTROL_MEMBERS), inner(custom(loopback)))]
     pub control: Vec<SocketAddr>,
     /// Services whose documents concern it.
-    #[garde(dive, length(min = 1, max = SERVICES_MOST), custom(services_once))]
+    #[garde(dive, length(min = 1, max = MAX_SERVICES), custom(services_once))]
     pub services: Vec<ServiceConfig>,
     /// Dialling a control member, and its first answer, are due in this time.
     #[serde(default = "dial_timeout", with = "humantime_serde")]
@@ -133,7 +133,7 @@
 impl Distribution {
     /// What is wrong with it beside the rest of a conductor's settings: keys, as `distribution.control`, and faults.
     /// Bounds of single values are checked by [`Validate`].
-    pub fn faults_beside(&self, council: Option<&Council>) -> Vec<(String, String)> {
+    pub fn faults_beside(&self, council: Option<&ConsensusConfig>) -> Vec<(String, String)> {
         let fault = |key: &str, what: &str| (format!("distribution{key}"), what.to_owned());
         if self.control.is_none() && self.subscriber.is_none() {
             return vec![fault("", "needs `control`, `subscriber` or both")];
@@ -150,7 +150,7 @@
 }
 
 impl ControlConfig {
-    fn faults_beside(&self, council: &Council) -> Vec<(String, String)> {
+    fn faults_beside(&self, council: &ConsensusConfig) -> Vec<(String, String)> {
         let members = "distribution.control.members";
         let mut faults = Vec::new();
         if self.place(council.id).is_none() {
@@ -172,7 +172,7 @@
     }
 
     /// Where the control member of this number listens.
-    pub fn place(&self, id: u64) -> Option<&ControlPlace> {
+    pub fn place(&self, id: u64) -> Option<&ControlMemberAddress> {
         self.members.iter().find(|member| member.id == id)
     }
 }
@@ -182,7 +182,7 @@
     ///
     /// # Errors
     /// The first fault; settings that [`Validate`] accepts have none.
-    pub fn interest(&self) -> Result<Interest, DocumentFault> {
+    pub fn interest(&self) -> Result<Interest, DocumentError> {
         let read =
             |s: &ServiceConfig| ServiceInterest { service: s.service.clone(), tenants: s.tenants.clone() };
         let services = self.services.iter().map(read).collect();
@@ -196,11 +196,11 @@
 }
 
 fn sound_name(name: &str, (): &()) -> garde::Result {
-    let sound = (1..=NAME_MOST).contains(&name.len()) && !name.chars().any(char::is_control);
+    let sound = (1..=MAX_NAME_BYTES).contains(&name.len()) && !name.chars().any(char::is_control);
     match sound {
         true => Ok(()),
         false => {
-            Err(garde::Error::new(format!("must have 1 to {NAME_MOST} bytes and no control characters")))
+            Err(garde::Error::new(format!("must have 1 to {MAX_NAME_BYTES} bytes and no control characters")))
         }
     }
 }
@@ -219,7 +219,7 @@
     }
 }
 
-fn ids_once(members: &[ControlPlace], (): &()) -> garde::Result {
+fn ids_once(members: &[ControlMemberAddress], (): &()) -> garde::Result {
     let ids: BTreeSet<u64> = members.iter().map(|member| member.id).collect();
     match ids.len() == members.len() {
         true => Ok(()),
@@ -233,9 +233,9 @@
         return Err(garde::Error::new("name a service twice"));
     }
     let tenants: usize = services.iter().map(|service| service.tenants.len()).sum();
-    match tenants <= TENANTS_MOST {
+    match tenants <= MAX_TENANTS {
         true => Ok(()),
-        false => Err(garde::Error::new(format!("name {tenants} tenants, {TENANTS_MOST} at most"))),
+        false => Err(garde::Error::new(format!("name {tenants} tenants, {MAX_TENANTS} at most"))),
     }
 }
 
--- a/crates/stepspur-distribution/src/control/collector.rs
+++ b/crates/stepspur-distribution/src/control/collector.rs
@@ -8,11 +8,11 @@
 use tokio::time::Instant;
 
 use super::registry::{Lag, Place};
-use crate::book::SUBSCRIBERS_MOST;
+use crate::book::MAX_SUBSCRIBERS;
 use crate::version::{Version, version_of};
 
 /// Names that one member may tell, over all it has told.
-const NAMES_MOST: usize = 2 * SUBSCRIBERS_MOST;
+const NAMES_MOST: usize = 2 * MAX_SUBSCRIBERS;
 
 /// What is wrong with a summary.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
--- a/crates/stepspur-distribution/src/control/connection.rs
+++ b/crates/stepspur-distribution/src/control/connection.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use futures_util::StreamExt;
-use stepspur_peers::Stream;
+use stepspur_consensus_node::Stream;
 use stepspur_proto::v1::{FromControl, FromSubscriber};
 use stepspur_proto::{FrameError, Frames, frame};
 use tokio::io::{AsyncReadExt, AsyncWriteExt, ReadHalf, WriteHalf};
--- a/crates/stepspur-distribution/src/control/listener.rs
+++ b/crates/stepspur-distribution/src/control/listener.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use stepspur_peers::{Listen, Stream};
+use stepspur_consensus_node::{Listen, Stream};
 use stepspur_proto::from_subscriber;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio::time::sleep;
--- a/crates/stepspur-distribution/src/control/messages.rs
+++ b/crates/stepspur-distribution/src/control/messages.rs
@@ -9,9 +9,9 @@
 use crate::version::Version;
 
 /// Bytes of a delta's documents, but for those of one version, which always go together.
-pub const DELTA_BYTES_MOST: usize = 64 << 10;
+pub const MAX_DELTA_BYTES: usize = 64 << 10;
 /// Bytes of the documents of a snapshot's part.
-pub const PART_BYTES_MOST: usize = 16 << 10;
+pub const MAX_PART_BYTES: usize = 16 << 10;
 /// Bytes of a first frame at most: an interest may name as many services and tenants as it may have.
 pub(crate) const FIRST_FRAME_MOST: usize = 2 << 20;
 /// Bytes of any later frame of a subscriber or control member.
--- a/crates/stepspur-distribution/src/control/mod.rs
+++ b/crates/stepspur-distribution/src/control/mod.rs
@@ -27,21 +27,23 @@
 use std::time::Duration;
 
 use serde::Serialize;
-use stepspur_peers::Net;
-use stepspur_shared::{OpId, Shared};
+use stepspur_consensus_node::Net;
+use stepspur_replication::{OperationId, ReplicationClient};
 use tokio::time::Instant;
 use tokio_util::sync::{CancellationToken, DropGuard};
 use tokio_util::task::TaskTracker;
 
 use self::admission::Admission;
 use self::collector::Collector;
-pub use self::messages::{DELTA_BYTES_MOST, PART_BYTES_MOST};
+pub use self::messages::{MAX_DELTA_BYTES, MAX_PART_BYTES};
 pub use self::propose::ProposeError;
 use self::registry::{Counts, Registry};
-pub use self::reporter::SUMMARY_EVERY;
+pub use self::reporter::SUMMARY_INTERVAL;
 pub use self::settings::{ControlMember, ControlSettings, ControlStartError, KEEP_ALIVE};
-pub use self::standing::{MISSING_MOST, Missing, SUMMARY_FRESH, Standing, StandingError};
-use crate::book::{CONFIGURATION, ConfigurationBook};
+pub use self::standing::{
+    MAX_PENDING_LISTED, PendingSubscriber, RolloutStatus, RolloutStatusError, SUMMARY_MAX_AGE,
+};
+use crate::book::{CONFIGURATION, ConfigurationState};
 use crate::document::{Change, Document};
 use crate::version::Version;
 
@@ -53,7 +55,7 @@
     settings: ControlSettings,
     /// All members but this one.
     others: Vec<ControlMember>,
-    shared: Shared,
+    shared: ReplicationClient,
     net: Arc<dyn Net>,
     registry: Registry,
     admission: Admission,
@@ -104,13 +106,13 @@
 }
 
 impl Control {
-    /// Starts a control member on a member of the council whose books hold [`ConfigurationBook`].
+    /// Starts a control member on a member of the council whose books hold [`ConfigurationState`].
     ///
     /// # Errors
     /// See [`ControlStartError`].
     pub async fn start(
         settings: ControlSettings,
-        shared: Shared,
+        shared: ReplicationClient,
         net: Arc<dyn Net>,
     ) -> Result<Self, ControlStartError> {
         settings.check()?;
@@ -142,7 +144,7 @@
     /// See [`ProposeError`].
     pub async fn propose(
         &self,
-        id: Option<OpId>,
+        id: Option<OperationId>,
         changes: Vec<Change>,
         within: Duration,
     ) -> Result<Version, ProposeError> {
@@ -161,16 +163,16 @@
     /// Where a version is in force. The register is read as it stands now; only the leader answers.
     ///
     /// # Errors
-    /// See [`StandingError`].
-    pub async fn standing(&self, version: Version) -> Result<Standing, StandingError> {
+    /// See [`RolloutStatusError`].
+    pub async fn rollout_status(&self, version: Version) -> Result<RolloutStatus, RolloutStatusError> {
         let member = &self.member;
         let leader = reporter::leader_of(member).await;
         if leader != Some(member.settings.id) {
-            return Err(StandingError::NotLeader { leader });
+            return Err(RolloutStatusError::NotLeader { leader });
         }
-        let read = |book: &ConfigurationBook| (book.concerned(version), book.head(), book.oldest());
+        let read = |book: &ConfigurationState| (book.concerned(version), book.head(), book.oldest());
         let (expected, head, oldest) = member.shared.read(CONFIGURATION, READ_WITHIN, read).await?;
-        let expected = expected.ok_or(StandingError::UnknownVersion { head, oldest })?;
+        let expected = expected.ok_or(RolloutStatusError::UnknownVersion { head, oldest })?;
         let (now, runs_for) = (Instant::now(), member.began.elapsed());
         let answer =
             member.collector.look(|tables| standing::answer(version, &expected, tables, runs_for, now));
@@ -179,14 +181,14 @@
 
     /// What stands, as far as this member has applied, sorted by key.
     pub fn documents(&self) -> Vec<Document> {
-        self.member.registry.look(ConfigurationBook::documents)
+        self.member.registry.look(ConfigurationState::documents)
     }
 
     /// How this member stands.
     pub fn status(&self) -> ControlStatus {
         let member = &self.member;
         let Counts { attached, behind, detached } = member.registry.counts();
-        let book = |book: &ConfigurationBook| (book.head(), book.oldest(), book.len(), book.registered());
+        let book = |book: &ConfigurationState| (book.head(), book.oldest(), book.len(), book.registered());
         let (head, oldest, documents, registered) = member.registry.look(book);
         let leader = Some(member.leader.load(Ordering::Relaxed)).filter(|leader| *leader != 0);
         ControlStatus {
@@ -214,7 +216,7 @@
 }
 
 impl Member {
-    fn new(settings: ControlSettings, shared: Shared, net: Arc<dyn Net>) -> Self {
+    fn new(settings: ControlSettings, shared: ReplicationClient, net: Arc<dyn Net>) -> Self {
         let others = settings.members.iter().filter(|other| other.id != settings.id).cloned().collect();
         let ids = settings.members.iter().map(|member| member.id).chain([settings.id]).collect();
         Self {
--- a/crates/stepspur-distribution/src/control/propose.rs
+++ b/crates/stepspur-distribution/src/control/propose.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use stepspur_shared::{Failed, OpId, Shared};
+use stepspur_replication::{OperationId, ReplicationClient, ReplicationError};
 
-use crate::book::{CONFIGURATION, Command, CommandFault};
+use crate::book::{CONFIGURATION, Command, CommandError};
 use crate::document::Change;
 use crate::version::Version;
 
@@ -18,7 +18,7 @@
 pub enum ProposeError {
     /// It is faulty: nothing was proposed.
     #[error(transparent)]
-    Faulty(#[from] CommandFault),
+    Faulty(#[from] CommandError),
     /// It is too large for one command: nothing was proposed.
     #[error("too large: {0}")]
     TooLarge(String),
@@ -35,37 +35,37 @@
     #[error("the outcome of {id} is unknown")]
     Unknown {
         /// The operation.
-        id: OpId,
+        id: OperationId,
     },
     /// It came so late that whether it took effect before is forgotten; it did not now.
     #[error("{id} is too old to be told from what was forgotten")]
     TooOld {
         /// The operation.
-        id: OpId,
+        id: OperationId,
     },
     /// This member applies no more.
     #[error("this member has stopped: {0}")]
     Stopped(String),
 }
 
-impl From<Failed> for ProposeError {
-    fn from(failed: Failed) -> Self {
+impl From<ReplicationError> for ProposeError {
+    fn from(failed: ReplicationError) -> Self {
         match failed {
-            Failed::Full { after } => Self::Full { after },
-            Failed::Senseless(why) => Self::TooLarge(why),
-            Failed::Refused(refusal) => Self::Refused(refusal.0),
-            Failed::Unknown(id) => Self::Unknown { id },
-            Failed::TooOld(id) => Self::TooOld { id },
-            Failed::NoLeader => Self::Stopped("no leader answered".to_owned()),
-            Failed::Stopped(why) => Self::Stopped(why),
+            ReplicationError::Full { after } => Self::Full { after },
+            ReplicationError::Senseless(why) => Self::TooLarge(why),
+            ReplicationError::Refused(refusal) => Self::Refused(refusal.0),
+            ReplicationError::Unknown(id) => Self::Unknown { id },
+            ReplicationError::TooOld(id) => Self::TooOld { id },
+            ReplicationError::NoLeader => Self::Stopped("no leader answered".to_owned()),
+            ReplicationError::Stopped(why) => Self::Stopped(why),
         }
     }
 }
 
 /// Has the council agree on changes: the version that they made.
 pub(super) async fn change(
-    shared: &Shared,
-    id: Option<OpId>,
+    shared: &ReplicationClient,
+    id: Option<OperationId>,
     changes: Vec<Change>,
     within: Duration,
 ) -> Result<Version, ProposeError> {
@@ -75,7 +75,11 @@
 }
 
 /// Has the council take a subscriber out of the register: true, if it was in it.
-pub(super) async fn remove(shared: &Shared, name: &str, within: Duration) -> Result<bool, ProposeError> {
+pub(super) async fn remove(
+    shared: &ReplicationClient,
+    name: &str,
+    within: Duration,
+) -> Result<bool, ProposeError> {
     let command = Command::Remove { name: name.to_owned() };
     let (id, answer) = bring(shared, None, OPERATORS, &command, within).await?;
     postcard::from_bytes(&answer).map_err(|_| ProposeError::Unknown { id })
@@ -83,7 +87,7 @@
 
 /// Has the council agree on registrations.
 pub(super) async fn register(
-    shared: &Shared,
+    shared: &ReplicationClient,
     registrations: Vec<crate::book::Registration>,
     within: Duration,
 ) -> Result<(), ProposeError> {
@@ -92,12 +96,12 @@
 }
 
 async fn bring(
-    shared: &Shared,
-    id: Option<OpId>,
+    shared: &ReplicationClient,
+    id: Option<OperationId>,
     whose: &str,
     command: &Command,
     within: Duration,
-) -> Result<(OpId, Vec<u8>), ProposeError> {
+) -> Result<(OperationId, Vec<u8>), ProposeError> {
     command.check()?;
     let id = id.unwrap_or_else(|| shared.new_id());
     let answer = shared.propose(id, CONFIGURATION, whose, &command.encode(), within).await?;
--- a/crates/stepspur-distribution/src/control/registration.rs
+++ b/crates/stepspur-distribution/src/control/registration.rs
@@ -7,7 +7,7 @@
 use tokio_util::sync::CancellationToken;
 
 use super::{Member, propose};
-use crate::book::{REGISTRATION_BYTES_MOST, REGISTRATIONS_MOST};
+use crate::book::{MAX_REGISTRATION_BYTES, MAX_REGISTRATIONS};
 
 /// The span between two looks for subscribers that are not registered.
 const LOOK_EVERY: Duration = Duration::from_millis(250);
@@ -25,7 +25,7 @@
             () = stop.cancelled() => return,
             _ = looks.tick() => {}
         }
-        let missing = member.registry.unregistered(REGISTRATIONS_MOST, REGISTRATION_BYTES_MOST);
+        let missing = member.registry.unregistered(MAX_REGISTRATIONS, MAX_REGISTRATION_BYTES);
         if missing.is_empty() {
             continue;
         }
--- a/crates/stepspur-distribution/src/control/registry.rs
+++ b/crates/stepspur-distribution/src/control/registry.rs
@@ -3,12 +3,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use stepspur_shared::Shared;
+use stepspur_replication::ReplicationClient;
 use tokio::sync::Notify;
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-use crate::book::{CONFIGURATION, ConfigurationBook, Registration, SUBSCRIBERS_MOST};
+use crate::book::{CONFIGURATION, ConfigurationState, MAX_SUBSCRIBERS, Registration};
 use crate::document::{Interest, Scope};
 use crate::version::Version;
 
@@ -178,7 +178,7 @@
 
 /// Who is attached, and what each is owed.
 pub(crate) struct Registry {
-    shared: Shared,
+    shared: ReplicationClient,
     members: usize,
     subscribers_max: usize,
     inner: Mutex<Inner>,
@@ -196,7 +196,7 @@
 
 impl Registry {
     /// The registry of one of so many members.
-    pub(crate) fn new(shared: Shared, members: usize, subscribers_max: usize) -> Self {
+    pub(crate) fn new(shared: ReplicationClient, members: usize, subscribers_max: usize) -> Self {
         Self { shared, members: members.max(1), subscribers_max, inner: Mutex::default() }
     }
 
@@ -205,8 +205,8 @@
     }
 
     /// Looks at the book as it stands here.
-    pub(crate) fn look<T: Default>(&self, look: impl FnOnce(&ConfigurationBook) -> T) -> T {
-        self.shared.books().look(CONFIGURATION, look).unwrap_or_default()
+    pub(crate) fn look<T: Default>(&self, look: impl FnOnce(&ConfigurationState) -> T) -> T {
+        self.shared.books().inspect(CONFIGURATION, look).unwrap_or_default()
     }
 
     /// Takes a subscriber. A newer connection ends an older one of the same name.
@@ -237,7 +237,7 @@
     }
 
     fn has_room(&self, attached: usize, insists: bool) -> Result<(), Full> {
-        let registered = self.look(ConfigurationBook::registered);
+        let registered = self.look(ConfigurationState::registered);
         let share = (registered * LOAD_PERCENT).div_ceil(self.members * 100).max(LOAD_LEAST);
         let most = if insists { self.subscribers_max } else { share.min(self.subscribers_max) };
         if attached < most { Ok(()) } else { Err(Full { attached, most }) }
@@ -255,7 +255,7 @@
         let (in_force, since) = (progress.in_force, progress.heard);
         let reason = reason.chars().take(REASON_MOST / 4).collect();
         inner.detached.insert(gone.name().to_owned(), Lag { in_force, since, reason });
-        if inner.detached.len() > SUBSCRIBERS_MOST {
+        if inner.detached.len() > MAX_SUBSCRIBERS {
             let oldest = inner.detached.iter().min_by_key(|(_, lag)| lag.since);
             let oldest = oldest.map(|(name, _)| name.clone());
             oldest.and_then(|name| inner.detached.remove(&name));
@@ -350,7 +350,7 @@
     }
 
     /// What was applied reaches further back than what the book keeps: each is looked at anew.
-    fn owe_by(&self, book: &ConfigurationBook) {
+    fn owe_by(&self, book: &ConfigurationState) {
         for one in self.attached.values() {
             let mut progress = one.progress();
             if let Some(version) = book.last_concerning(progress.in_force, &one.interest) {
@@ -361,11 +361,11 @@
     }
 }
 
-fn is_registered(one: &Attached, book: &ConfigurationBook) -> bool {
+fn is_registered(one: &Attached, book: &ConfigurationState) -> bool {
     book.registration(one.name()) == Some(&one.registration)
 }
 
-fn place(one: &Attached, book: &ConfigurationBook) -> Place {
+fn place(one: &Attached, book: &ConfigurationState) -> Place {
     let progress = one.progress();
     let lag = |in_force, reason: &str| {
         Place::Behind(Lag { in_force, since: progress.behind_since, reason: reason.to_owned() })
--- a/crates/stepspur-distribution/src/control/reporter.rs
+++ b/crates/stepspur-distribution/src/control/reporter.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use stepspur_peers::Stream;
+use stepspur_consensus_node::Stream;
 use stepspur_proto::v1::{ControlSummary, FromSubscriber};
 use stepspur_proto::{frame, from_subscriber};
 use tokio::io::AsyncWriteExt;
@@ -18,7 +18,7 @@
 use super::summary::Teller;
 
 /// The span between two summaries.
-pub const SUMMARY_EVERY: Duration = Duration::from_secs(1);
+pub const SUMMARY_INTERVAL: Duration = Duration::from_secs(1);
 /// Asking who leads, dialling the leader and writing a summary may take so long.
 const WITHIN: Duration = Duration::from_secs(1);
 
@@ -39,7 +39,7 @@
 
 /// Reports until stopped.
 pub(crate) async fn run(member: Arc<Member>, stop: CancellationToken) {
-    let mut ticks = interval(SUMMARY_EVERY);
+    let mut ticks = interval(SUMMARY_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut report = None;
     loop {
--- a/crates/stepspur-distribution/src/control/session.rs
+++ b/crates/stepspur-distribution/src/control/session.rs
@@ -9,9 +9,9 @@
 
 use super::Member;
 use super::connection::{ConnectionFault, Reader, Writer, close_with};
-use super::messages::{self, DELTA_BYTES_MOST, PART_BYTES_MOST};
+use super::messages::{self, MAX_DELTA_BYTES, MAX_PART_BYTES};
 use super::registry::{Attached, Newcomer};
-use crate::book::{ConfigurationBook, Next, Registration, document_bytes};
+use crate::book::{ConfigurationState, Next, Registration, document_bytes};
 use crate::document::{Document, interest_of};
 use crate::version::{Version, version_of};
 
@@ -56,7 +56,7 @@
     greeted();
     let keep_alive = member.settings.keep_alive;
     let served = async {
-        let head = member.registry.look(ConfigurationBook::head);
+        let head = member.registry.look(ConfigurationState::head);
         writer.write(&messages::welcome(&member.settings.members, head, keep_alive)).await?;
         let mut session = Session::new(member, &attached, holds, writer);
         tokio::select! {
@@ -98,7 +98,7 @@
     let mut progress = member.shared.peers().applied();
     loop {
         progress.mark_unchanged();
-        let head = member.registry.look(ConfigurationBook::head);
+        let head = member.registry.look(ConfigurationState::head);
         if version <= head {
             return Ok(());
         }
@@ -174,7 +174,8 @@
     /// A session of a subscriber that holds all up to this version.
     fn new(member: &'a Member, attached: &'a Attached, holds: Version, writer: Writer) -> Self {
         // A newcomer has its documents at the pace of snapshots, also where deltas reach back to the founding.
-        let is_new = holds == Version::NONE && member.registry.look(ConfigurationBook::head) != Version::NONE;
+        let is_new =
+            holds == Version::NONE && member.registry.look(ConfigurationState::head) != Version::NONE;
         Self { member, attached, writer, told: holds, looked: (!is_new).then_some(holds) }
     }
 
@@ -206,7 +207,7 @@
     fn next(&self) -> Next {
         let interest = &self.attached.interest;
         let next = |from| {
-            let next = self.member.registry.look(|book| Some(book.next(from, interest, DELTA_BYTES_MOST)));
+            let next = self.member.registry.look(|book| Some(book.next(from, interest, MAX_DELTA_BYTES)));
             next.unwrap_or(Next::Covered(from))
         };
         self.looked.map_or(Next::Snapshot, next)
@@ -274,7 +275,7 @@
     let (mut parts, mut bytes) = (vec![Vec::new()], 0);
     for document in documents {
         bytes += document_bytes(&document);
-        if bytes > PART_BYTES_MOST && parts.last().is_some_and(|part| !part.is_empty()) {
+        if bytes > MAX_PART_BYTES && parts.last().is_some_and(|part| !part.is_empty()) {
             bytes = document_bytes(&document);
             parts.push(Vec::new());
         }
--- a/crates/stepspur-distribution/src/control/standing.rs
+++ b/crates/stepspur-distribution/src/control/standing.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use serde::Serialize;
-use stepspur_shared::Failed;
+use stepspur_replication::ReplicationError;
 use tokio::time::Instant;
 
 use super::collector::Table;
@@ -12,13 +12,13 @@
 use crate::version::Version;
 
 /// A summary that is older proves nothing. The age counts from when its last part came to the leader.
-pub const SUMMARY_FRESH: Duration = Duration::from_secs(3);
+pub const SUMMARY_MAX_AGE: Duration = Duration::from_secs(3);
 /// Subscribers that an answer names as missing, at most.
-pub const MISSING_MOST: usize = 256;
+pub const MAX_PENDING_LISTED: usize = 256;
 
 /// Where a version is in force.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Standing {
+pub struct RolloutStatus {
     /// The version.
     pub version: Version,
     /// Registered subscribers that it concerns.
@@ -27,15 +27,15 @@
     pub in_force: usize,
     /// True: all of them.
     pub everywhere: bool,
-    /// The others, sorted by name, [`MISSING_MOST`] at most.
-    pub missing: Vec<Missing>,
+    /// The others, sorted by name, [`MAX_PENDING_LISTED`] at most.
+    pub missing: Vec<PendingSubscriber>,
     /// So many more are missing.
     pub missing_unnamed: usize,
 }
 
 /// A subscriber where a version is not known to be in force.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Missing {
+pub struct PendingSubscriber {
     /// Its name.
     pub name: String,
     /// All that concerns it up to here is in force, as far as known.
@@ -48,7 +48,7 @@
 
 /// Why there is no answer.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum StandingError {
+pub enum RolloutStatusError {
     /// Another member leads, or none: only the leader knows.
     #[error("this control member does not lead; {}", .leader.map_or("nobody that it knows of does".to_owned(), |id| format!("member {id} does")))]
     NotLeader {
@@ -65,7 +65,7 @@
     },
     /// The council does not answer.
     #[error(transparent)]
-    NoAnswer(#[from] Failed),
+    NoAnswer(#[from] ReplicationError),
 }
 
 /// What the summaries show of one subscriber, the worst of all.
@@ -82,19 +82,31 @@
     tables: &BTreeMap<u64, &Table>,
     leads_for: Duration,
     now: Instant,
-) -> Standing {
+) -> RolloutStatus {
     let (mut in_force, mut missing, mut unnamed) = (0, Vec::new(), 0);
     for name in expected {
         match shown(name, version, tables, leads_for, now) {
             Shown::InForce => in_force += 1,
-            Shown::Missing { in_force, since, reason } if missing.len() < MISSING_MOST => {
-                missing.push(Missing { name: name.clone(), in_force, since_s: since.as_secs_f64(), reason });
+            Shown::Missing { in_force, since, reason } if missing.len() < MAX_PENDING_LISTED => {
+                missing.push(PendingSubscriber {
+                    name: name.clone(),
+                    in_force,
+                    since_s: since.as_secs_f64(),
+                    reason,
+                });
             }
             Shown::Missing { .. } => unnamed += 1,
         }
     }
     let everywhere = in_force == expected.len();
-    Standing { version, expected: expected.len(), in_force, everywhere, missing, missing_unnamed: unnamed }
+    RolloutStatus {
+        version,
+        expected: expected.len(),
+        in_force,
+        everywhere,
+        missing,
+        missing_unnamed: unnamed,
+    }
 }
 
 /// What is shown of a subscriber. Where several members name it as attached, all of them must prove the version; a
@@ -110,7 +122,7 @@
     for (control, table) in tables {
         let Some(place) = table.places.get(name) else { continue };
         let age = now.saturating_duration_since(table.heard);
-        let fresh = age <= SUMMARY_FRESH;
+        let fresh = age <= SUMMARY_MAX_AGE;
         match place {
             Place::Detached(lag) => gone = later(gone, detached(*control, lag, now)),
             _ if !fresh => gone = later(gone, silent(*control, place, age)),
--- a/crates/stepspur-distribution/src/control/standing/tests.rs
+++ b/crates/stepspur-distribution/src/control/standing/tests.rs
@@ -53,8 +53,8 @@
 #[tokio::test(start_paused = true)]
 async fn a_stale_summary_proves_nothing() {
     let at = |age| missing_one(&[table(5, age, &[("a", Place::Attached)])]);
-    assert_eq!(at(SUMMARY_FRESH), None);
-    let late = SUMMARY_FRESH + Duration::from_millis(1);
+    assert_eq!(at(SUMMARY_MAX_AGE), None);
+    let late = SUMMARY_MAX_AGE + Duration::from_millis(1);
     assert_eq!(at(late), Some((Version::NONE, 3.001, "control member 1 does not report".to_owned())));
 }
 
@@ -115,8 +115,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn so_many_are_named_and_the_rest_counted() {
-    let names: Vec<String> = (0..MISSING_MOST + 3).map(|n| format!("{n:04}")).collect();
+    let names: Vec<String> = (0..MAX_PENDING_LISTED + 3).map(|n| format!("{n:04}")).collect();
     let told = answer(version(5), &names, &BTreeMap::new(), LEADS_FOR, Instant::now());
-    assert_eq!((told.missing.len(), told.missing_unnamed, told.in_force), (MISSING_MOST, 3, 0));
+    assert_eq!((told.missing.len(), told.missing_unnamed, told.in_force), (MAX_PENDING_LISTED, 3, 0));
     assert!(!told.everywhere && told.missing.is_sorted_by(|a, b| a.name < b.name));
 }
--- a/crates/stepspur-distribution/src/document.rs
+++ b/crates/stepspur-distribution/src/document.rs
@@ -8,11 +8,11 @@
 use crate::version::{Version, version_of};
 
 /// Bytes of a name at most: of a service, tenant, region, class or subscriber.
-pub const NAME_MOST: usize = 128;
+pub const MAX_NAME_BYTES: usize = 128;
 /// Services that a subscriber may name, and tenants over all of them.
-pub const SERVICES_MOST: usize = 1_000;
+pub const MAX_SERVICES: usize = 1_000;
 /// Tenants that a subscriber may name over all its services.
-pub const TENANTS_MOST: usize = 10_000;
+pub const MAX_TENANTS: usize = 10_000;
 /// Millionths of a whole.
 pub const WHOLE_PPM: u32 = 1_000_000;
 
@@ -106,9 +106,9 @@
 
 /// What is wrong with a change, an interest or a message that holds one.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum DocumentFault {
+pub enum DocumentError {
     /// A name is empty, too long or has control characters.
-    #[error("{what} must have 1 to {NAME_MOST} bytes and no control characters")]
+    #[error("{what} must have 1 to {MAX_NAME_BYTES} bytes and no control characters")]
     Name {
         /// Which name.
         what: &'static str,
@@ -130,15 +130,15 @@
     TooMany(usize),
 }
 
-fn check_name(what: &'static str, name: &str) -> Result<(), DocumentFault> {
-    let sound = (1..=NAME_MOST).contains(&name.len()) && !name.chars().any(char::is_control);
-    if sound { Ok(()) } else { Err(DocumentFault::Name { what }) }
+fn check_name(what: &'static str, name: &str) -> Result<(), DocumentError> {
+    let sound = (1..=MAX_NAME_BYTES).contains(&name.len()) && !name.chars().any(char::is_control);
+    if sound { Ok(()) } else { Err(DocumentError::Name { what }) }
 }
 
 impl Scope {
-    fn check(&self) -> Result<(), DocumentFault> {
+    fn check(&self) -> Result<(), DocumentError> {
         if self.tenant.is_some() && self.service.is_none() {
-            return Err(DocumentFault::TenantAlone);
+            return Err(DocumentError::TenantAlone);
         }
         let names = [("a service", &self.service), ("a tenant", &self.tenant), ("a region", &self.region)];
         names.into_iter().try_for_each(|(what, name)| name.iter().try_for_each(|name| check_name(what, name)))
@@ -150,7 +150,7 @@
     ///
     /// # Errors
     /// The first fault.
-    pub fn check(&self) -> Result<(), DocumentFault> {
+    pub fn check(&self) -> Result<(), DocumentError> {
         self.scope.check()?;
         if let Target::Class(name) = &self.target {
             check_name("a class", name)?;
@@ -158,8 +158,8 @@
         match (&self.target, self.setting) {
             (_, None) | (Target::Server(_), Some(Setting::Draining | Setting::Withdrawn)) => Ok(()),
             (Target::Class(_), Some(Setting::LevelPpm(ppm))) if ppm <= WHOLE_PPM => Ok(()),
-            (Target::Class(_), Some(Setting::LevelPpm(_))) => Err(DocumentFault::Level),
-            _ => Err(DocumentFault::Mismatch),
+            (Target::Class(_), Some(Setting::LevelPpm(_))) => Err(DocumentError::Level),
+            _ => Err(DocumentError::Mismatch),
         }
     }
 
@@ -174,10 +174,10 @@
     ///
     /// # Errors
     /// The first fault.
-    pub fn sorted(mut self) -> Result<Self, DocumentFault> {
+    pub fn sorted(mut self) -> Result<Self, DocumentError> {
         let tenants: usize = self.services.iter().map(|service| service.tenants.len()).sum();
-        if self.services.len() > SERVICES_MOST || tenants > TENANTS_MOST {
-            return Err(DocumentFault::TooMany(self.services.len() + tenants));
+        if self.services.len() > MAX_SERVICES || tenants > MAX_TENANTS {
+            return Err(DocumentError::TooMany(self.services.len() + tenants));
         }
         check_name("a region", &self.region)?;
         for interest in &mut self.services {
@@ -219,7 +219,7 @@
 ///
 /// # Errors
 /// The first fault.
-pub fn interest_of(region: String, services: Vec<v1::ServiceInterest>) -> Result<Interest, DocumentFault> {
+pub fn interest_of(region: String, services: Vec<v1::ServiceInterest>) -> Result<Interest, DocumentError> {
     let read = |m: v1::ServiceInterest| ServiceInterest { service: m.service, tenants: m.tenants };
     Interest { region, services: services.into_iter().map(read).collect() }.sorted()
 }
@@ -246,14 +246,14 @@
 }
 
 impl TryFrom<v1::ConfigDocument> for Document {
-    type Error = DocumentFault;
+    type Error = DocumentError;
 
-    fn try_from(message: v1::ConfigDocument) -> Result<Self, DocumentFault> {
-        let scope = message.scope.ok_or(DocumentFault::Unreadable("a scope"))?;
+    fn try_from(message: v1::ConfigDocument) -> Result<Self, DocumentError> {
+        let scope = message.scope.ok_or(DocumentError::Unreadable("a scope"))?;
         let scope = Scope { service: scope.service, tenant: scope.tenant, region: scope.region };
-        let target = match message.target.ok_or(DocumentFault::Unreadable("a target"))? {
+        let target = match message.target.ok_or(DocumentError::Unreadable("a target"))? {
             v1::config_document::Target::Server(server) => {
-                Target::Server(server.parse().map_err(|_| DocumentFault::Unreadable("a server's address"))?)
+                Target::Server(server.parse().map_err(|_| DocumentError::Unreadable("a server's address"))?)
             }
             v1::config_document::Target::Class(class) => Target::Class(class),
         };
--- a/crates/stepspur-distribution/src/placement.rs
+++ b/crates/stepspur-distribution/src/placement.rs
@@ -8,7 +8,7 @@
 use stepspur_proto::v1;
 
 /// Control members that a subscriber remembers at most.
-pub const MEMBERS_MOST: usize = 256;
+pub const MAX_MEMBERS: usize = 256;
 
 /// A control member that subscribers may dial.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -24,7 +24,7 @@
 /// An address that is none.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("control member {id} has no address that can be read")]
-pub struct BadControlAddress {
+pub struct InvalidControlAddress {
     /// The member.
     pub id: u64,
 }
@@ -36,10 +36,10 @@
 }
 
 impl TryFrom<v1::ControlAddress> for ControlMember {
-    type Error = BadControlAddress;
+    type Error = InvalidControlAddress;
 
-    fn try_from(message: v1::ControlAddress) -> Result<Self, BadControlAddress> {
-        let address = message.address.parse().map_err(|_| BadControlAddress { id: message.id })?;
+    fn try_from(message: v1::ControlAddress) -> Result<Self, InvalidControlAddress> {
+        let address = message.address.parse().map_err(|_| InvalidControlAddress { id: message.id })?;
         Ok(Self { id: message.id, address, region: message.region })
     }
 }
--- a/crates/stepspur-distribution/src/placement/tests.rs
+++ b/crates/stepspur-distribution/src/placement/tests.rs
@@ -102,5 +102,5 @@
     let message = v1::ControlAddress::from(member.clone());
     assert_eq!(ControlMember::try_from(message.clone()), Ok(member));
     let bad = v1::ControlAddress { address: "nowhere".to_owned(), ..message };
-    assert_eq!(ControlMember::try_from(bad), Err(BadControlAddress { id: 1 }));
+    assert_eq!(ControlMember::try_from(bad), Err(InvalidControlAddress { id: 1 }));
 }
--- a/crates/stepspur-distribution/src/store.rs
+++ b/crates/stepspur-distribution/src/store.rs
@@ -7,17 +7,17 @@
 use std::sync::Arc;
 use std::time::SystemTime;
 
-use stepspur_peers::Later;
+use stepspur_consensus_node::BoxFuture;
 
-use crate::document::{Document, DocumentFault};
+use crate::document::{Document, DocumentError};
 use crate::version::Version;
 
 pub use memory::MemoryStore;
-pub use redb_store::{FILE_BYTES_MOST, FORMAT, RedbStore};
+pub use redb_store::{FORMAT_VERSION, MAX_FILE_BYTES, RedbStore};
 
 /// What a store holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Kept {
+pub struct StoredScope {
     /// All of the interest up to here is among the documents; [`Version::NONE`]: that is not sure, ask for all.
     pub version: Version,
     /// The documents that stand, each key once. None was lifted.
@@ -52,7 +52,7 @@
 
 /// Why a store cannot be opened, or keeps no more.
 #[derive(Debug, thiserror::Error)]
-pub enum StoreFault {
+pub enum StoreError {
     /// Another process, or another store of this one, has the file.
     #[error("{}: in use", .path.display())]
     InUse {
@@ -89,7 +89,7 @@
     },
     /// The interest by which it is opened is not sound.
     #[error("interest: {0}")]
-    Interest(#[from] DocumentFault),
+    Interest(#[from] DocumentError),
     /// A store in memory was told to refuse.
     #[error("the store refuses: {0}")]
     Refused(String),
@@ -100,15 +100,15 @@
     /// What is kept; none: nothing ever was. It may block.
     ///
     /// # Errors
-    /// See [`StoreFault`].
-    fn load(&mut self) -> Result<Option<Kept>, StoreFault>;
+    /// See [`StoreError`].
+    fn load(&mut self) -> Result<Option<StoredScope>, StoreError>;
 
     /// Keeps a change: it is on disk when this ends well. Given up on the way it may still come to be kept, before any
     /// later one.
     ///
     /// # Errors
-    /// See [`StoreFault`]; then nothing has changed.
-    fn save<'a>(&'a mut self, update: &'a Update) -> Later<'a, Result<(), StoreFault>>;
+    /// See [`StoreError`]; then nothing has changed.
+    fn save<'a>(&'a mut self, update: &'a Update) -> BoxFuture<'a, Result<(), StoreError>>;
 }
 
 #[cfg(test)]
--- a/crates/stepspur-distribution/src/store/memory.rs
+++ b/crates/stepspur-distribution/src/store/memory.rs
@@ -4,14 +4,14 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::SystemTime;
 
-use stepspur_peers::Later;
+use stepspur_consensus_node::BoxFuture;
 
-use super::{Kept, ScopeStore, StoreFault, Update};
+use super::{ScopeStore, StoreError, StoredScope, Update};
 use crate::document::{Document, Key};
 
 #[derive(Debug, Default)]
 struct State {
-    kept: Option<Kept>,
+    kept: Option<StoredScope>,
     refuses: Option<String>,
 }
 
@@ -30,12 +30,12 @@
     }
 
     /// What it keeps now.
-    pub fn kept(&self) -> Option<Kept> {
+    pub fn kept(&self) -> Option<StoredScope> {
         self.state().kept.clone()
     }
 
     /// Has it keep this from now on, whatever it kept before: a disk that is put back.
-    pub fn put_back(&self, kept: Option<Kept>) {
+    pub fn put_back(&self, kept: Option<StoredScope>) {
         self.state().kept = kept;
     }
 
@@ -44,10 +44,10 @@
         self.state().refuses = why;
     }
 
-    fn keep(&self, update: &Update) -> Result<(), StoreFault> {
+    fn keep(&self, update: &Update) -> Result<(), StoreError> {
         let mut state = self.state();
         if let Some(why) = &state.refuses {
-            return Err(StoreFault::Refused(why.clone()));
+            return Err(StoreError::Refused(why.clone()));
         }
         let before = state.kept.take().map_or_else(Vec::new, |kept| kept.documents);
         let (version, documents) = match update {
@@ -57,7 +57,7 @@
             }
             Update::Covered { version } => (*version, before),
         };
-        state.kept = Some(Kept { version, documents, kept_at: SystemTime::now() });
+        state.kept = Some(StoredScope { version, documents, kept_at: SystemTime::now() });
         Ok(())
     }
 }
@@ -69,11 +69,11 @@
 }
 
 impl ScopeStore for MemoryStore {
-    fn load(&mut self) -> Result<Option<Kept>, StoreFault> {
+    fn load(&mut self) -> Result<Option<StoredScope>, StoreError> {
         Ok(self.kept())
     }
 
-    fn save<'a>(&'a mut self, update: &'a Update) -> Later<'a, Result<(), StoreFault>> {
+    fn save<'a>(&'a mut self, update: &'a Update) -> BoxFuture<'a, Result<(), StoreError>> {
         Box::pin(async move { self.keep(update) })
     }
 }
--- a/crates/stepspur-distribution/src/store/redb_store.rs
+++ b/crates/stepspur-distribution/src/store/redb_store.rs
@@ -12,17 +12,17 @@
 use redb::{Database, Durability, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
-use stepspur_peers::Later;
+use stepspur_consensus_node::BoxFuture;
 use tokio::task::JoinHandle;
 
-use super::{Kept, ScopeStore, StoreFault, Update};
+use super::{ScopeStore, StoreError, StoredScope, Update};
 use crate::document::{Document, Interest, Key, ServiceInterest};
 use crate::version::Version;
 
 /// The format that this version writes. A later one is refused.
-pub const FORMAT: u32 = 1;
+pub const FORMAT_VERSION: u32 = 1;
 /// The largest file that is opened, in bytes: one beyond it is none of ours. It is read into memory once.
-pub const FILE_BYTES_MOST: u64 = 128 << 20;
+pub const MAX_FILE_BYTES: u64 = 128 << 20;
 
 const FACTS: TableDefinition<&str, &[u8]> = TableDefinition::new("facts");
 const DOCUMENTS: TableDefinition<&[u8], &[u8]> = TableDefinition::new("documents");
@@ -42,7 +42,7 @@
     database: Arc<Database>,
     path: PathBuf,
     /// A write that nobody waits for any more. The next one waits for its end, so that they come in order.
-    left: Option<JoinHandle<Result<(), StoreFault>>>,
+    left: Option<JoinHandle<Result<(), StoreError>>>,
 }
 
 impl RedbStore {
@@ -51,8 +51,8 @@
     /// and if it covers more than before the version goes to [`Version::NONE`], so that all is asked for. It blocks.
     ///
     /// # Errors
-    /// See [`StoreFault`].
-    pub fn open(path: &Path, interest: &Interest) -> Result<Self, StoreFault> {
+    /// See [`StoreError`].
+    pub fn open(path: &Path, interest: &Interest) -> Result<Self, StoreError> {
         let interest = &interest.clone().sorted()?;
         let disk = |what| move |cause: io::Error| disk_fault(path, what, &cause);
         if !path.try_exists().map_err(disk("looking for the file"))? {
@@ -67,7 +67,7 @@
     }
 
     /// Fits what is kept to the interest.
-    fn fit(&self, interest: &Interest) -> Result<(), StoreFault> {
+    fn fit(&self, interest: &Interest) -> Result<(), StoreError> {
         let found = read(&self.path, &self.database)?;
         if found.interest == *interest {
             return Ok(());
@@ -86,10 +86,10 @@
 }
 
 impl ScopeStore for RedbStore {
-    fn load(&mut self) -> Result<Option<Kept>, StoreFault> {
+    fn load(&mut self) -> Result<Option<StoredScope>, StoreError> {
         let found = read(&self.path, &self.database)?;
         let documents = found.documents;
-        let kept = |(version, micros)| Kept {
+        let kept = |(version, micros)| StoredScope {
             version,
             documents,
             kept_at: UNIX_EPOCH + Duration::from_micros(micros),
@@ -97,7 +97,7 @@
         Ok(found.position.map(kept))
     }
 
-    fn save<'a>(&'a mut self, update: &'a Update) -> Later<'a, Result<(), StoreFault>> {
+    fn save<'a>(&'a mut self, update: &'a Update) -> BoxFuture<'a, Result<(), StoreError>> {
         Box::pin(async move {
             if let Some(left) = &mut self.left {
                 // Whatever became of it was told to nobody: what is kept now goes on from before it, or repeats it.
@@ -113,7 +113,7 @@
     }
 }
 
-fn keep(path: &Path, database: &Database, update: &Update) -> Result<(), StoreFault> {
+fn keep(path: &Path, database: &Database, update: &Update) -> Result<(), StoreError> {
     let (version, whole, changed) = match update {
         Update::Whole { version, documents } => (*version, true, &documents[..]),
         Update::Changes { version, documents } => (*version, false, &documents[..]),
@@ -152,7 +152,7 @@
     documents: Vec<Document>,
 }
 
-fn read(path: &Path, database: &Database) -> Result<Found, StoreFault> {
+fn read(path: &Path, database: &Database) -> Result<Found, StoreError> {
     let broken = |cause: redb::Error| damaged(path, &cause);
     let begun = database.begin_read().map_err(|cause| broken(cause.into()))?;
     let facts = begun.open_table(FACTS).map_err(|cause| broken(cause.into()))?;
@@ -161,8 +161,8 @@
         value.ok_or_else(|| damaged(path, &format!("{name} is missing")))
     };
     let found: u32 = decode(path, FORMAT_AT, fact(FORMAT_AT)?.value())?;
-    if found != FORMAT {
-        return Err(StoreFault::Newer { path: path.to_owned(), found, known: FORMAT });
+    if found != FORMAT_VERSION {
+        return Err(StoreError::Newer { path: path.to_owned(), found, known: FORMAT_VERSION });
     }
     let interest = decode(path, INTEREST, fact(INTEREST)?.value())?;
     let position = decode(path, POSITION, fact(POSITION)?.value())?;
@@ -186,7 +186,7 @@
     path: &Path,
     database: &Database,
     change: impl FnOnce(&mut FactsTable<'_>, &mut DocumentsTable<'_>) -> Result<(), redb::Error>,
-) -> Result<(), StoreFault> {
+) -> Result<(), StoreError> {
     let transact = || -> Result<(), redb::Error> {
         let mut write = database.begin_write()?;
         write.set_durability(Durability::Immediate)?;
@@ -197,13 +197,13 @@
 }
 
 /// Makes the file under another name first, so that a crash on the way leaves none under its own.
-fn make(path: &Path, interest: &Interest) -> Result<(), StoreFault> {
+fn make(path: &Path, interest: &Interest) -> Result<(), StoreError> {
     let disk = |what| move |cause: io::Error| disk_fault(path, what, &cause);
     let unfinished = unfinished(path);
     let file = OpenOptions::new().read(true).write(true).create(true).truncate(true).open(&unfinished);
     let database = start(path, lock(path, file.map_err(disk("making the file"))?)?)?;
     write(path, &database, |facts, _| {
-        put(facts, FORMAT_AT, &FORMAT)?;
+        put(facts, FORMAT_AT, &FORMAT_VERSION)?;
         put(facts, INTEREST, interest)?;
         put(facts, POSITION, &Position::None)
     })?;
@@ -224,18 +224,18 @@
     PathBuf::from(name)
 }
 
-fn lock(path: &Path, file: File) -> Result<FileBackend, StoreFault> {
+fn lock(path: &Path, file: File) -> Result<FileBackend, StoreError> {
     FileBackend::new(file).map_err(|cause| match cause {
-        redb::DatabaseError::DatabaseAlreadyOpen => StoreFault::InUse { path: path.to_owned() },
+        redb::DatabaseError::DatabaseAlreadyOpen => StoreError::InUse { path: path.to_owned() },
         other => disk_fault(path, "locking the file", &other),
     })
 }
 
 /// Reads the file whole on a copy: opening it would repair what was not closed, and what cannot be read is not touched.
-fn check(path: &Path, backend: &FileBackend) -> Result<(), StoreFault> {
+fn check(path: &Path, backend: &FileBackend) -> Result<(), StoreError> {
     let disk = |cause: io::Error| disk_fault(path, "reading the file", &cause);
     let length = backend.len().map_err(disk)?;
-    if length == 0 || length > FILE_BYTES_MOST {
+    if length == 0 || length > MAX_FILE_BYTES {
         return Err(damaged(path, &format!("it has {length} bytes")));
     }
     let copy = copy_of(backend, length).map_err(disk)?;
@@ -258,9 +258,9 @@
     Ok(copy)
 }
 
-fn start(path: &Path, backend: impl StorageBackend) -> Result<Database, StoreFault> {
+fn start(path: &Path, backend: impl StorageBackend) -> Result<Database, StoreError> {
     redb::Builder::new().create_with_backend(backend).map_err(|cause| match cause {
-        redb::DatabaseError::DatabaseAlreadyOpen => StoreFault::InUse { path: path.to_owned() },
+        redb::DatabaseError::DatabaseAlreadyOpen => StoreError::InUse { path: path.to_owned() },
         redb::DatabaseError::Storage(redb::StorageError::Io(cause))
             if cause.kind() != io::ErrorKind::InvalidData =>
         {
@@ -270,12 +270,12 @@
     })
 }
 
-fn disk_fault(path: &Path, what: &'static str, cause: &dyn std::fmt::Display) -> StoreFault {
-    StoreFault::Disk { path: path.to_owned(), what, cause: cause.to_string() }
+fn disk_fault(path: &Path, what: &'static str, cause: &dyn std::fmt::Display) -> StoreError {
+    StoreError::Disk { path: path.to_owned(), what, cause: cause.to_string() }
 }
 
-fn damaged(path: &Path, cause: &dyn std::fmt::Display) -> StoreFault {
-    StoreFault::Damaged { path: path.to_owned(), cause: cause.to_string() }
+fn damaged(path: &Path, cause: &dyn std::fmt::Display) -> StoreError {
+    StoreError::Damaged { path: path.to_owned(), cause: cause.to_string() }
 }
 
 fn encode(value: &impl Serialize) -> Result<Vec<u8>, redb::Error> {
@@ -292,7 +292,7 @@
     Ok(())
 }
 
-fn decode<T: DeserializeOwned>(path: &Path, what: &str, bytes: &[u8]) -> Result<T, StoreFault> {
+fn decode<T: DeserializeOwned>(path: &Path, what: &str, bytes: &[u8]) -> Result<T, StoreError> {
     postcard::from_bytes_crc32(bytes, SUM.digest())
         .map_err(|cause| damaged(path, &format!("{what}: {cause}")))
 }
--- a/crates/stepspur-distribution/src/store/tests.rs
+++ b/crates/stepspur-distribution/src/store/tests.rs
@@ -24,13 +24,13 @@
     Document { key, setting: level.map(Setting::LevelPpm), version: version(index) }
 }
 
-fn open(path: &std::path::Path, interest: &Interest) -> (RedbStore, Option<Kept>) {
+fn open(path: &std::path::Path, interest: &Interest) -> (RedbStore, Option<StoredScope>) {
     let mut store = RedbStore::open(path, interest).expect("it opens");
     let kept = store.load().expect("it loads");
     (store, kept)
 }
 
-fn held(kept: Option<Kept>) -> (Version, Vec<Document>) {
+fn held(kept: Option<StoredScope>) -> (Version, Vec<Document>) {
     let kept = kept.expect("something is kept");
     (kept.version, kept.documents)
 }
@@ -131,7 +131,7 @@
     let (_directory, path) = place();
     let (_store, _) = open(&path, &interest("north", &["a"]));
     let second = RedbStore::open(&path, &interest("north", &["a"]));
-    assert!(matches!(&second, Err(StoreFault::InUse { path: named }) if *named == path), "{second:?}");
+    assert!(matches!(&second, Err(StoreError::InUse { path: named }) if *named == path), "{second:?}");
 }
 
 /// A file with a hundred documents, closed.
@@ -206,7 +206,7 @@
     let (interest, _) = filled(&path).await;
     let database = redb::Database::open(&path).expect("it opens");
     let write = database.begin_write().expect("it is written");
-    let later = postcard::to_stdvec_crc32(&(FORMAT + 1), Crc::<u32>::new(&CRC_32_ISCSI).digest());
+    let later = postcard::to_stdvec_crc32(&(FORMAT_VERSION + 1), Crc::<u32>::new(&CRC_32_ISCSI).digest());
     {
         let facts = TableDefinition::<&str, &[u8]>::new("facts");
         let mut facts = write.open_table(facts).expect("it is there");
@@ -215,7 +215,7 @@
     write.commit().expect("it is written");
     drop(database);
     let opened = RedbStore::open(&path, &interest);
-    assert!(matches!(opened, Err(StoreFault::Newer { found, .. }) if found == FORMAT + 1));
+    assert!(matches!(opened, Err(StoreError::Newer { found, .. }) if found == FORMAT_VERSION + 1));
 }
 
 #[tokio::test]
@@ -229,7 +229,7 @@
     shared.put_back(older);
     assert_eq!(held(store.load().expect("it loads")), (version(3), vec![document("a", 1, 3, Some(5))]));
     shared.refuse(Some("full".to_owned()));
-    assert!(matches!(store.save(&changes(5, vec![])).await, Err(StoreFault::Refused(_))));
+    assert!(matches!(store.save(&changes(5, vec![])).await, Err(StoreError::Refused(_))));
     assert_eq!(store.kept().map(|kept| kept.version), Some(version(3)));
 }
 
@@ -264,7 +264,7 @@
             runtime.block_on(file.save(&update)).expect("it is kept");
         }
         drop(file);
-        let sorted = |kept: Option<Kept>| {
+        let sorted = |kept: Option<StoredScope>| {
             let (version, mut documents) = held(kept);
             documents.sort_by(|a, b| a.key.cmp(&b.key));
             (version, documents)
--- a/crates/stepspur-distribution/src/subscriber.rs
+++ b/crates/stepspur-distribution/src/subscriber.rs
@@ -20,30 +20,30 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use stepspur_peers::{Later, Net};
+use stepspur_consensus_node::{BoxFuture, Net};
 use stepspur_proto::{FrameError, FromSubscriber};
 use tokio::sync::{mpsc, watch};
 use tokio_util::sync::{CancellationToken, DropGuard};
 use tokio_util::task::TaskTracker;
 
-use crate::document::{Document, DocumentFault, Interest, NAME_MOST};
-use crate::store::{ScopeStore, StoreFault};
+use crate::document::{Document, DocumentError, Interest, MAX_NAME_BYTES};
+use crate::store::{ScopeStore, StoreError};
 use crate::version::Version;
 
-pub use status::{SubscriberStatus, UNAPPLIED_TOLD, Unapplied};
+pub use status::{MAX_UNAPPLIED_LISTED, SubscriberStatus, Unapplied};
 
 use board::Board;
 use keeper::Keeper;
 use link::Link;
 
 /// The engine's side: what makes documents take effect.
-pub trait Apply: Send + Sync + 'static {
+pub trait DocumentApplier: Send + Sync + 'static {
     /// Makes one document take effect; one without a setting lifts what stood there. The same document may come again.
     /// An answer that does not come within two seconds counts as a failure.
     ///
     /// # Errors
     /// Why not; then what was in force before stays. It is tried again each second.
-    fn apply<'a>(&'a self, document: &'a Document) -> Later<'a, Result<(), String>>;
+    fn apply<'a>(&'a self, document: &'a Document) -> BoxFuture<'a, Result<(), String>>;
 }
 
 /// A subscriber's settings.
@@ -67,20 +67,20 @@
 #[derive(Debug, thiserror::Error)]
 pub enum SubscriberStartError {
     /// No name, or none that is sound.
-    #[error("name: must have 1 to {NAME_MOST} bytes and no control characters")]
+    #[error("name: must have 1 to {MAX_NAME_BYTES} bytes and no control characters")]
     Name,
     /// No control member is named.
     #[error("control: must name at least one address")]
     NoControl,
     /// The interest is not sound.
     #[error("interest: {0}")]
-    Interest(#[from] DocumentFault),
+    Interest(#[from] DocumentError),
     /// The interest does not fit in a frame.
     #[error("interest: {0}")]
     InterestTooLarge(#[from] FrameError),
     /// What is kept cannot be read.
     #[error(transparent)]
-    Store(#[from] StoreFault),
+    Store(#[from] StoreError),
     /// The task that reads what is kept ended without an answer.
     #[error("reading what is kept: {0}")]
     Load(String),
@@ -103,7 +103,7 @@
     pub async fn start(
         settings: SubscriberSettings,
         store: Box<dyn ScopeStore>,
-        apply: Arc<dyn Apply>,
+        apply: Arc<dyn DocumentApplier>,
         net: Arc<dyn Net>,
     ) -> Result<Self, SubscriberStartError> {
         let settings = checked(settings)?;
@@ -143,7 +143,7 @@
 
 fn checked(mut settings: SubscriberSettings) -> Result<SubscriberSettings, SubscriberStartError> {
     let name = &settings.name;
-    if !(1..=NAME_MOST).contains(&name.len()) || name.chars().any(char::is_control) {
+    if !(1..=MAX_NAME_BYTES).contains(&name.len()) || name.chars().any(char::is_control) {
         return Err(SubscriberStartError::Name);
     }
     if settings.control.is_empty() {
--- a/crates/stepspur-distribution/src/subscriber/applier.rs
+++ b/crates/stepspur-distribution/src/subscriber/applier.rs
@@ -8,8 +8,8 @@
 use tokio::task::yield_now;
 use tokio::time::timeout;
 
-use super::Apply;
-use super::status::{REASON_MOST, UNAPPLIED_TOLD, Unapplied, shortened};
+use super::DocumentApplier;
+use super::status::{MAX_UNAPPLIED_LISTED, REASON_MOST, Unapplied, shortened};
 use crate::document::{Document, Key};
 
 /// The engine must answer within this time. One that does not is not asked for more until the next round.
@@ -26,14 +26,14 @@
 
 /// The engine, and what it does not act by.
 pub(crate) struct Applier {
-    apply: Arc<dyn Apply>,
+    apply: Arc<dyn DocumentApplier>,
     failed: BTreeMap<Key, Failed>,
     /// The last one that was tried again.
     retried: Option<Key>,
 }
 
 impl Applier {
-    pub(crate) fn new(apply: Arc<dyn Apply>) -> Self {
+    pub(crate) fn new(apply: Arc<dyn DocumentApplier>) -> Self {
         Self { apply, failed: BTreeMap::new(), retried: None }
     }
 
@@ -54,7 +54,7 @@
             version: failed.document.version,
             reason: failed.reason.clone(),
         };
-        self.failed.iter().take(UNAPPLIED_TOLD).map(told).collect()
+        self.failed.iter().take(MAX_UNAPPLIED_LISTED).map(told).collect()
     }
 
     /// Hands all of them to the engine. Once an answer does not come in time the rest counts as failed as well.
--- a/crates/stepspur-distribution/src/subscriber/candidates.rs
+++ b/crates/stepspur-distribution/src/subscriber/candidates.rs
@@ -7,7 +7,7 @@
 use stepspur_proto::v1;
 use tokio::time::Instant;
 
-use crate::placement::{ControlMember, MEMBERS_MOST, order, order_addresses};
+use crate::placement::{ControlMember, MAX_MEMBERS, order, order_addresses};
 
 /// A control member that sends a subscriber on is heeded for so long at most.
 pub(crate) const RETRY_AFTER_MOST: Duration = Duration::from_secs(60);
@@ -95,7 +95,7 @@
     /// out; of nothing that can be read nothing changes. The configured addresses always stay, behind them.
     pub(crate) fn learn(&mut self, members: Vec<v1::ControlAddress>) {
         let mut learned: Vec<ControlMember> = Vec::new();
-        for member in members.into_iter().take(MEMBERS_MOST) {
+        for member in members.into_iter().take(MAX_MEMBERS) {
             match member.try_into() {
                 Ok(member) => learned.push(member),
                 Err(cause) => tracing::warn!(event = "control_member_unreadable", %cause),
--- a/crates/stepspur-distribution/src/subscriber/connection.rs
+++ b/crates/stepspur-distribution/src/subscriber/connection.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use futures_util::{SinkExt, StreamExt};
-use stepspur_peers::Stream;
+use stepspur_consensus_node::Stream;
 use stepspur_proto::{FrameError, Frames, FromControl, FromSubscriber, from_control, from_subscriber, v1};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::timeout;
--- a/crates/stepspur-distribution/src/subscriber/keeper.rs
+++ b/crates/stepspur-distribution/src/subscriber/keeper.rs
@@ -9,13 +9,13 @@
 use tokio::time::{Instant, MissedTickBehavior, interval, timeout};
 use tokio_util::sync::CancellationToken;
 
-use super::Apply;
+use super::DocumentApplier;
 use super::applier::Applier;
 use super::board::Board;
 use super::snapshot::Snapshot;
 use super::status::{REASON_MOST, Unapplied, shortened};
 use crate::document::{Document, Interest, Key};
-use crate::store::{Kept, ScopeStore, StoreFault, Update};
+use crate::store::{ScopeStore, StoreError, StoredScope, Update};
 use crate::version::Version;
 
 /// What failed is tried again, and the age in the status renewed, so often.
@@ -47,7 +47,7 @@
     #[error("a document of version {found} in an update up to {upto}")]
     Beyond { found: Version, upto: Version },
     #[error(transparent)]
-    Store(#[from] StoreFault),
+    Store(#[from] StoreError),
     #[error("the store did not answer within {SAVE_TIMEOUT:?}")]
     Stalled,
 }
@@ -84,8 +84,8 @@
     pub(crate) fn new(
         interest: Interest,
         store: Box<dyn ScopeStore>,
-        apply: Arc<dyn Apply>,
-        kept: Option<Kept>,
+        apply: Arc<dyn DocumentApplier>,
+        kept: Option<StoredScope>,
         board: Arc<Board>,
     ) -> Self {
         let (holds, documents) =
--- a/crates/stepspur-distribution/src/subscriber/keeper/tests.rs
+++ b/crates/stepspur-distribution/src/subscriber/keeper/tests.rs
@@ -2,7 +2,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use proptest::prelude::*;
-use stepspur_peers::Later;
+use stepspur_consensus_node::BoxFuture;
 
 use super::*;
 use crate::document::{Scope, ServiceInterest, Setting, Target};
@@ -17,8 +17,8 @@
     stalls: AtomicBool,
 }
 
-impl Apply for Engine {
-    fn apply<'a>(&'a self, document: &'a Document) -> Later<'a, Result<(), String>> {
+impl DocumentApplier for Engine {
+    fn apply<'a>(&'a self, document: &'a Document) -> BoxFuture<'a, Result<(), String>> {
         Box::pin(async move {
             self.asked.lock().expect("asked").push(document.clone());
             if self.stalls.load(Ordering::Relaxed) {
@@ -72,7 +72,7 @@
     let engine = Arc::new(Engine::default());
     let kept = store.kept();
     let board = Arc::new(Board::new(None).0);
-    let apply = Arc::clone(&engine) as Arc<dyn Apply>;
+    let apply = Arc::clone(&engine) as Arc<dyn DocumentApplier>;
     let mut keeper = Keeper::new(interest(), Box::new(store.clone()), apply, kept, board);
     keeper.apply_kept().await;
     Rig { keeper, engine, store }
@@ -267,7 +267,7 @@
     assert_eq!(rig.engine.asked(), 1);
     let progress = rig.progress();
     assert_eq!((progress.holds, progress.in_force), (version(3), Version::NONE));
-    assert_eq!(progress.unapplied.len(), super::super::UNAPPLIED_TOLD);
+    assert_eq!(progress.unapplied.len(), super::super::MAX_UNAPPLIED_LISTED);
     rig.keeper.round().await;
     assert_eq!(rig.engine.asked(), 2);
     rig.engine.stalls.store(false, Ordering::Relaxed);
@@ -320,7 +320,7 @@
     let mut first = rig().await;
     let newest = [document(1, 9, Some(9)), document(2, 2, Some(2)), document(4, 8, Some(4))];
     first.whole(9, newest.to_vec()).await.expect("taken");
-    let kept = first.store.kept().map(|kept| Kept { version: Version::NONE, ..kept });
+    let kept = first.store.kept().map(|kept| StoredScope { version: Version::NONE, ..kept });
     first.store.put_back(kept);
     let mut rig = rig_on(first.store).await;
     assert_eq!(rig.progress().in_force, Version::NONE);
--- a/crates/stepspur-distribution/src/subscriber/link.rs
+++ b/crates/stepspur-distribution/src/subscriber/link.rs
@@ -7,7 +7,7 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use stepspur_peers::Net;
+use stepspur_consensus_node::Net;
 use stepspur_proto::{from_control, v1};
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{Instant, sleep, sleep_until, timeout};
--- a/crates/stepspur-distribution/src/subscriber/snapshot.rs
+++ b/crates/stepspur-distribution/src/subscriber/snapshot.rs
@@ -2,7 +2,7 @@
 
 use stepspur_proto::v1;
 
-use crate::document::{Document, DocumentFault};
+use crate::document::{Document, DocumentError};
 use crate::version::{Version, version_of};
 
 /// Documents of a snapshot at most.
@@ -16,7 +16,7 @@
     #[error("a snapshot of more than {SNAPSHOT_DOCUMENTS_MOST} documents")]
     TooLarge,
     #[error("a document of a snapshot: {0}")]
-    Document(#[from] DocumentFault),
+    Document(#[from] DocumentError),
 }
 
 /// A whole snapshot.
--- a/crates/stepspur-distribution/src/subscriber/status.rs
+++ b/crates/stepspur-distribution/src/subscriber/status.rs
@@ -8,7 +8,7 @@
 use crate::version::Version;
 
 /// Documents that could not be applied, and are told one by one, at most.
-pub const UNAPPLIED_TOLD: usize = 16;
+pub const MAX_UNAPPLIED_LISTED: usize = 16;
 /// Bytes of a reason at most.
 pub(crate) const REASON_MOST: usize = 256;
 
@@ -34,7 +34,7 @@
     pub control: Option<SocketAddr>,
     /// Seconds since a control member was last heard of, over restarts too; none: never.
     pub age_s: Option<f64>,
-    /// Documents that are not in force, [`UNAPPLIED_TOLD`] of them at most.
+    /// Documents that are not in force, [`MAX_UNAPPLIED_LISTED`] of them at most.
     pub unapplied: Vec<Unapplied>,
     /// As many are not in force.
     pub unapplied_count: usize,
--- a/crates/stepspur-distribution/src/version.rs
+++ b/crates/stepspur-distribution/src/version.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
-use stepspur_council::LogPosition;
+use stepspur_consensus::LogPosition;
 use stepspur_proto::v1;
 
 /// A version of the configuration: the position of the entry that made it. Versions compare by term, then by index, so
@@ -30,13 +30,13 @@
 /// A text is not `TERM.INDEX`.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("`{0}` is no version: expected TERM.INDEX")]
-pub struct BadVersion(String);
+pub struct InvalidVersion(String);
 
 impl std::str::FromStr for Version {
-    type Err = BadVersion;
+    type Err = InvalidVersion;
 
-    fn from_str(text: &str) -> Result<Self, BadVersion> {
-        let bad = || BadVersion(text.chars().take(64).collect());
+    fn from_str(text: &str) -> Result<Self, InvalidVersion> {
+        let bad = || InvalidVersion(text.chars().take(64).collect());
         let (term, index) = text.split_once('.').ok_or_else(bad)?;
         Ok(Self { term: term.parse().map_err(|_| bad())?, index: index.parse().map_err(|_| bad())? })
     }
--- a/crates/stepspur-distribution/tests/control/admission.rs
+++ b/crates/stepspur-distribution/tests/control/admission.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use stepspur_distribution::book::CHANGES_MOST;
-use stepspur_distribution::control::PART_BYTES_MOST;
+use stepspur_distribution::book::MAX_CHANGES;
+use stepspur_distribution::control::MAX_PART_BYTES;
 use stepspur_distribution::version::Version;
 use tokio::time::Instant;
 
@@ -11,7 +11,7 @@
 
 /// A part every second.
 const PACE: Shape =
-    Shape { voters: 1, members: 1, snapshot_bytes_per_s: PART_BYTES_MOST as u32, subscribers_max: 100 };
+    Shape { voters: 1, members: 1, snapshot_bytes_per_s: MAX_PART_BYTES as u32, subscribers_max: 100 };
 
 #[tokio::test(start_paused = true)]
 async fn parts_come_at_the_pace_while_a_delta_to_another_passes_at_once() {
@@ -19,7 +19,7 @@
     let mut head = Version::NONE;
     for n in 0..10 {
         let class = |m: usize| level("shop", &format!("{n} {m}"), 1);
-        head = rig.change((0..CHANGES_MOST).map(class).collect()).await;
+        head = rig.change((0..MAX_CHANGES).map(class).collect()).await;
     }
     let mut other = rig.attach(1, first("other", "mail", head)).await;
     let began = Instant::now();
@@ -37,7 +37,7 @@
     let mut times = Vec::new();
     for (name, (told, parts)) in [("a", a), ("b", b)] {
         assert!(told >= head);
-        assert_eq!(parts.iter().map(|part| part.1.len()).sum::<usize>(), 10 * CHANGES_MOST);
+        assert_eq!(parts.iter().map(|part| part.1.len()).sum::<usize>(), 10 * MAX_CHANGES);
         times.extend(parts.iter().map(|part| (part.0 - began, name)));
     }
     times.sort();
@@ -55,7 +55,7 @@
 async fn whoever_waits_for_a_snapshot_hears_keep_alives() {
     let rig = Rig::start(PACE).await;
     let class = |m: usize| level("shop", &format!("{m}"), 1);
-    let head = rig.change((0..CHANGES_MOST).map(class).collect()).await;
+    let head = rig.change((0..MAX_CHANGES).map(class).collect()).await;
     let mut newcomers = tokio::task::JoinSet::new();
     let began = Instant::now();
     for n in 0..20 {
--- a/crates/stepspur-distribution/tests/control/sessions.rs
+++ b/crates/stepspur-distribution/tests/control/sessions.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use stepspur_distribution::book::{CHANGES_MOST, RECENT_MOST};
-use stepspur_distribution::control::DELTA_BYTES_MOST;
-use stepspur_distribution::document::{Change, Document, NAME_MOST, Scope};
+use stepspur_distribution::book::{MAX_CHANGES, MAX_RECENT_CHANGES};
+use stepspur_distribution::control::MAX_DELTA_BYTES;
+use stepspur_distribution::document::{Change, Document, MAX_NAME_BYTES, Scope};
 use stepspur_distribution::version::Version;
 use stepspur_proto::{from_control, from_subscriber, v1};
 use tokio::time::{Instant, sleep, timeout};
@@ -72,10 +72,10 @@
     let head = rig.control(1).status().head;
     let mut slow = rig.attach(1, first("slow", "shop", head)).await;
     let mut quick = rig.attach(1, first("quick", "shop", head)).await;
-    let (long, mut last, mut told) = ("x".repeat(NAME_MOST - 2), head, Vec::new());
+    let (long, mut last, mut told) = ("x".repeat(MAX_NAME_BYTES - 2), head, Vec::new());
     for round in 0..4 {
         let class = |n: usize| level("shop", &format!("{n:02}{long}"), round);
-        let changes: Vec<Change> = (0..CHANGES_MOST).map(class).collect();
+        let changes: Vec<Change> = (0..MAX_CHANGES).map(class).collect();
         let asked = Instant::now();
         let version = rig.change(changes.clone()).await;
         assert_eq!(
@@ -105,11 +105,11 @@
     let rig = Rig::start(Shape::default()).await;
     let head = rig.control(1).status().head;
     let mut slow = rig.attach(1, first("slow", "shop", head)).await;
-    let long = "x".repeat(NAME_MOST - 2);
+    let long = "x".repeat(MAX_NAME_BYTES - 2);
     let began = Instant::now();
     for round in 0..6 {
         let class = |n: usize| level("shop", &format!("{n:02}{long}"), round);
-        rig.change((0..CHANGES_MOST).map(class).collect()).await;
+        rig.change((0..MAX_CHANGES).map(class).collect()).await;
     }
     // It is not silent meanwhile.
     while rig.control(1).status().attached == 1 && began.elapsed() < PATIENCE {
@@ -136,20 +136,20 @@
 async fn what_is_more_than_a_delta_holds_comes_as_several_each_from_where_the_last_ended() {
     let rig = Rig::start(Shape::default()).await;
     let held = rig.control(1).status().head;
-    let (long, mut head) = ("x".repeat(NAME_MOST - 4), held);
+    let (long, mut head) = ("x".repeat(MAX_NAME_BYTES - 4), held);
     for n in 0..20 {
         let class = |m: usize| level("shop", &format!("{n:02}{m:02}{long}"), 1);
-        head = rig.change((0..CHANGES_MOST).map(class).collect()).await;
+        head = rig.change((0..MAX_CHANGES).map(class).collect()).await;
     }
     let mut subscriber = rig.attach(1, first("a", "shop", held)).await;
     let (mut at, mut frames, mut count) = (held, 0, 0);
     while at < head {
         let (from, to, documents) = subscriber.delta().await;
         assert_eq!(from, at);
-        assert!(documents.len() * NAME_MOST <= DELTA_BYTES_MOST, "{} documents", documents.len());
+        assert!(documents.len() * MAX_NAME_BYTES <= MAX_DELTA_BYTES, "{} documents", documents.len());
         (at, frames, count) = (to, frames + 1, count + documents.len());
     }
-    assert_eq!((at, count), (head, 20 * CHANGES_MOST));
+    assert_eq!((at, count), (head, 20 * MAX_CHANGES));
     assert!(frames > 3, "{frames}");
 }
 
@@ -175,14 +175,14 @@
     let rig = Rig::start(Shape::default()).await;
     let held = rig.control(1).status().head;
     let mut version = held;
-    for round in 0..=(RECENT_MOST / CHANGES_MOST) as u32 {
+    for round in 0..=(MAX_RECENT_CHANGES / MAX_CHANGES) as u32 {
         let class = |n: usize| level("shop", &format!("{n}"), round);
-        version = rig.change((0..CHANGES_MOST).map(class).collect()).await;
+        version = rig.change((0..MAX_CHANGES).map(class).collect()).await;
     }
     assert!(rig.control(1).status().oldest > held);
     let mut subscriber = rig.attach(1, first("a", "shop", held)).await;
     let (told, parts) = subscriber.snapshot().await;
-    assert_eq!((told, parts.iter().map(|part| part.1.len()).sum::<usize>()), (version, CHANGES_MOST));
+    assert_eq!((told, parts.iter().map(|part| part.1.len()).sum::<usize>()), (version, MAX_CHANGES));
     let next = rig.change(vec![level("shop", "bulk", 7)]).await;
     let (from, to, _) = subscriber.delta().await;
     assert_eq!((from, to), (version, next));
@@ -220,7 +220,7 @@
         (v1::ConfigSubscribe { name: String::new(), ..sound() }, "a subscriber's name"),
         (v1::ConfigSubscribe { name: "a\nb".to_owned(), ..sound() }, "a subscriber's name"),
         (v1::ConfigSubscribe { region: String::new(), ..sound() }, "a region must have"),
-        (first("a", &"x".repeat(NAME_MOST + 1), Version::NONE), "a service must have"),
+        (first("a", &"x".repeat(MAX_NAME_BYTES + 1), Version::NONE), "a service must have"),
     ];
     for (first, why) in unsound {
         let mut refused = rig.subscribe(1, first).await;
--- a/crates/stepspur-distribution/tests/control/standings.rs
+++ b/crates/stepspur-distribution/tests/control/standings.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use stepspur_council::MemberId;
-use stepspur_distribution::control::{SUMMARY_FRESH, Standing, StandingError};
+use stepspur_consensus::MemberId;
+use stepspur_distribution::control::{RolloutStatus, RolloutStatusError, SUMMARY_MAX_AGE};
 use stepspur_distribution::version::Version;
 use stepspur_proto::v1;
 use tokio::time::sleep;
@@ -54,7 +54,7 @@
     }
 }
 
-fn names(standing: &Standing) -> Vec<&str> {
+fn names(standing: &RolloutStatus) -> Vec<&str> {
     standing.missing.iter().map(|missing| missing.name.as_str()).collect()
 }
 
@@ -94,7 +94,7 @@
     };
     let unapplied = v1::UnappliedDocument { document: Some(document), reason: "no such class".to_owned() };
     subscribers[1].unapplied(held, vec![unapplied]).await;
-    let wanted = |told: &Standing| told.in_force == 1 && told.missing[0].reason.contains("applied");
+    let wanted = |told: &RolloutStatus| told.in_force == 1 && told.missing[0].reason.contains("applied");
     let told = rig.standing(version, wanted).await;
     assert_eq!(names(&told), ["at 2"]);
     assert_eq!(told.missing[0].reason, "class bulk not applied: no such class");
@@ -108,7 +108,7 @@
     drop(subscribers.pop());
     let here = Obedient::serve(subscribers.remove(0));
     let version = rig.change(vec![level("shop", "bulk", 7)]).await;
-    let wanted = |told: &Standing| told.in_force == 1 && told.missing[0].reason.starts_with("detached");
+    let wanted = |told: &RolloutStatus| told.in_force == 1 && told.missing[0].reason.starts_with("detached");
     let told = rig.standing(version, wanted).await;
     assert_eq!((told.expected, names(&told)), (2, vec!["at 2"]));
     assert!(told.missing[0].reason.starts_with("detached from control member 2"), "{told:?}");
@@ -151,7 +151,7 @@
     rig.end(2).await;
     let told = rig.standing(version, |told| !told.everywhere).await;
     assert_eq!(names(&told), ["at 2"]);
-    let wanted = |told: &Standing| told.missing[0].reason == "control member 2 does not report";
+    let wanted = |told: &RolloutStatus| told.missing[0].reason == "control member 2 does not report";
     rig.standing(version, wanted).await;
     served.into_iter().for_each(Obedient::end);
 }
@@ -165,8 +165,8 @@
     cut_off(&rig, 2);
     let version = rig.change(vec![level("shop", "bulk", 7)]).await;
     // Long after what it told before has become stale, too.
-    sleep(SUMMARY_FRESH * 3).await;
-    let wanted = |told: &Standing| told.missing[0].reason == "control member 2 is not at this version";
+    sleep(SUMMARY_MAX_AGE * 3).await;
+    let wanted = |told: &RolloutStatus| told.missing[0].reason == "control member 2 is not at this version";
     let told = rig.standing(version, wanted).await;
     assert_eq!((told.expected, names(&told)), (1, vec!["at 2"]));
     assert_eq!((told.missing[0].in_force, rig.control(2).status().head), (held, held));
@@ -187,7 +187,7 @@
     let mut other = first("at 1", "mail", version);
     other.services.extend(first("at 1", "shop", version).services);
     subscribers.push(rig.attach(2, other).await);
-    let wanted = |told: &Standing| told.in_force == 0;
+    let wanted = |told: &RolloutStatus| told.in_force == 0;
     let told = rig.standing(version, wanted).await;
     assert_eq!(told.missing[0].reason, "attached, not registered yet");
     assert_eq!(told.missing[0].in_force, Version::NONE);
@@ -225,7 +225,10 @@
     let next = rig.change(vec![level("shop", "bulk", 8)]).await;
     let told = rig.standing(next, |told| told.everywhere).await;
     assert_eq!((told.expected, rig.leader().await), (4, to));
-    assert_eq!(rig.control(from).standing(next).await, Err(StandingError::NotLeader { leader: Some(to) }));
+    assert_eq!(
+        rig.control(from).rollout_status(next).await,
+        Err(RolloutStatusError::NotLeader { leader: Some(to) })
+    );
     served.into_iter().for_each(Obedient::end);
 }
 
@@ -252,12 +255,12 @@
     let rig = Rig::start(THREE).await;
     let head = rig.control(1).status().head;
     rig.standing(head, |_| true).await;
-    let other = rig.control(2).standing(head).await;
-    assert!(matches!(other, Err(StandingError::NotLeader { leader: Some(1) | None })), "{other:?}");
+    let other = rig.control(2).rollout_status(head).await;
+    assert!(matches!(other, Err(RolloutStatusError::NotLeader { leader: Some(1) | None })), "{other:?}");
     let oldest = Version::NONE;
     for unknown in [Version::NONE, Version { term: head.term, index: head.index + 1 }] {
-        let told = rig.control(1).standing(unknown).await;
-        assert_eq!(told, Err(StandingError::UnknownVersion { head, oldest }));
+        let told = rig.control(1).rollout_status(unknown).await;
+        assert_eq!(told, Err(RolloutStatusError::UnknownVersion { head, oldest }));
     }
 }
 
--- a/crates/stepspur-distribution/tests/control/support.rs
+++ b/crates/stepspur-distribution/tests/control/support.rs
@@ -7,16 +7,16 @@
 use std::time::Duration;
 
 use futures_util::{SinkExt, StreamExt};
-use stepspur_council::{Core, MemberId};
-use stepspur_distribution::book::ConfigurationBook;
-use stepspur_distribution::control::{Control, ControlMember, ControlSettings, Standing};
+use stepspur_consensus::{MemberId, RaftNode};
+use stepspur_consensus_node::{BoxFuture, Listen, Net, NodeHandle, Settings, Stream};
+use stepspur_distribution::book::ConfigurationState;
+use stepspur_distribution::control::{Control, ControlMember, ControlSettings, RolloutStatus};
 use stepspur_distribution::document::{Change, Document, Scope, Setting, Target};
 use stepspur_distribution::version::{Version, version_of};
-use stepspur_peers::{Later, Listen, Net, Peers, Settings, Stream};
+use stepspur_fault_tests::{Image, Wire};
 use stepspur_proto::v1::{self, FromControl, FromSubscriber};
 use stepspur_proto::{Frames, from_control, from_subscriber};
-use stepspur_shared::{Book, Books, Limits, Shared};
-use stepspur_stories::{Image, Wire};
+use stepspur_replication::{ProposalLimits, ReplicatedStateMachine, ReplicationClient, StateMachineRegistry};
 use tokio::io::{DuplexStream, duplex};
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep, timeout};
@@ -38,13 +38,13 @@
 struct Door(SocketAddr, mpsc::Receiver<DuplexStream>);
 
 impl Net for Pipes {
-    fn listen(&self, at: SocketAddr) -> Later<'_, io::Result<Box<dyn Listen>>> {
+    fn listen(&self, at: SocketAddr) -> BoxFuture<'_, io::Result<Box<dyn Listen>>> {
         let (calls, door) = mpsc::channel(64);
         self.0.lock().unwrap().insert(at, calls);
         Box::pin(async move { Ok(Box::new(Door(at, door)) as Box<dyn Listen>) })
     }
 
-    fn dial(&self, to: SocketAddr) -> Later<'_, io::Result<Box<dyn Stream>>> {
+    fn dial(&self, to: SocketAddr) -> BoxFuture<'_, io::Result<Box<dyn Stream>>> {
         let door = self.0.lock().unwrap().get(&to).cloned();
         Box::pin(async move {
             let (near, far) = duplex(PIPE);
@@ -60,7 +60,7 @@
         self.0
     }
 
-    fn accept(&mut self) -> Later<'_, io::Result<Box<dyn Stream>>> {
+    fn accept(&mut self) -> BoxFuture<'_, io::Result<Box<dyn Stream>>> {
         Box::pin(async {
             let call = self.1.recv().await.ok_or(io::ErrorKind::ConnectionAborted)?;
             Ok(Box::new(call) as Box<dyn Stream>)
@@ -73,7 +73,7 @@
     pub pipes: Pipes,
     pub wire: Wire,
     pub controls: BTreeMap<u64, Control>,
-    shared: BTreeMap<u64, Shared>,
+    shared: BTreeMap<u64, ReplicationClient>,
     shape: Shape,
 }
 
@@ -96,24 +96,26 @@
     SocketAddr::from(([127, 0, 0, 1], 20_000 + id as u16))
 }
 
-async fn shared(wire: &Wire, id: u64, shape: Shape) -> Shared {
+async fn shared(wire: &Wire, id: u64, shape: Shape) -> ReplicationClient {
     let member = MemberId(id);
     let settings = Settings {
         id: member,
         listen: Wire::address(member),
         peers: (1..=shape.members).map(MemberId).map(|id| (id, Wire::address(id))).collect(),
-        council: stepspur_council::Settings::default(),
+        council: stepspur_consensus::Settings::default(),
         wants: Vec::new(),
         weight: 1.0,
         within: Duration::from_secs(2),
         largest_frame: 16 << 20,
     };
-    let books = Books::new([Box::new(ConfigurationBook::default()) as Box<dyn Book>]);
+    let books = StateMachineRegistry::new([
+        Box::new(ConfigurationState::default()) as Box<dyn ReplicatedStateMachine>
+    ]);
     let voters: BTreeSet<_> = (1..=shape.voters).map(MemberId).collect();
     let disk = (id <= shape.voters)
-        .then(|| Image::new(member, Core::founding(voters), Duration::from_millis(2)).open());
-    let peers = Peers::start_on(wire.of(member), settings, disk, id, books.clone()).await.unwrap();
-    Shared::new(Arc::new(peers), books, Limits::default(), id)
+        .then(|| Image::new(member, RaftNode::bootstrap(voters), Duration::from_millis(2)).open());
+    let peers = NodeHandle::start_on(wire.of(member), settings, disk, id, books.clone()).await.unwrap();
+    ReplicationClient::new(Arc::new(peers), books, ProposalLimits::default(), id)
 }
 
 impl Rig {
@@ -157,7 +159,7 @@
     /// The leader hands the lead over, and lives on.
     pub async fn hand_over(&self, from: u64, to: u64) {
         let waits = Instant::now() + PATIENCE;
-        while self.shared[&from].peers().hand_over(MemberId(to)).await.unwrap().is_err() {
+        while self.shared[&from].peers().transfer_leadership(MemberId(to)).await.unwrap().is_err() {
             assert!(Instant::now() < waits, "it hands nothing over");
             sleep(Duration::from_millis(100)).await;
         }
@@ -193,10 +195,10 @@
     }
 
     /// Waits for an answer of the leader that is as it should be.
-    pub async fn standing(&self, version: Version, wanted: impl Fn(&Standing) -> bool) -> Standing {
+    pub async fn standing(&self, version: Version, wanted: impl Fn(&RolloutStatus) -> bool) -> RolloutStatus {
         let waits = Instant::now() + PATIENCE;
         loop {
-            let told = self.control(self.leader().await).standing(version).await;
+            let told = self.control(self.leader().await).rollout_status(version).await;
             if let Some(standing) = told.as_ref().ok().filter(|standing| wanted(standing)) {
                 return standing.clone();
             }
--- a/crates/stepspur-distribution/tests/subscriber.rs
+++ b/crates/stepspur-distribution/tests/subscriber.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
 
-use stepspur_distribution::store::{Kept, MemoryStore, RedbStore, StoreFault};
+use stepspur_distribution::store::{MemoryStore, RedbStore, StoreError, StoredScope};
 use stepspur_distribution::subscriber::{Subscriber, SubscriberStartError};
 use stepspur_distribution::version::Version;
 use stepspur_proto::{from_control, from_subscriber, v1};
@@ -194,7 +194,7 @@
     let store = MemoryStore::new();
     let kept_at = SystemTime::now() - Duration::from_secs(100);
     let documents = vec![document(1, 3, Some(5))];
-    store.put_back(Some(Kept { version: version(3), documents: documents.clone(), kept_at }));
+    store.put_back(Some(StoredScope { version: version(3), documents: documents.clone(), kept_at }));
     let pipes = Pipes::default();
     let rig = Rig::start_on(&pipes, &[1], store).await;
     assert_eq!(rig.engine.acts_by(), documents);
@@ -430,7 +430,7 @@
     let path = directory.path().join("scopes");
     std::fs::write(&path, b"not a database").expect("it is written");
     let opened = RedbStore::open(&path, &settings(&[1]).interest);
-    assert!(matches!(&opened, Err(StoreFault::Damaged { path: named, .. }) if *named == path), "{opened:?}");
+    assert!(matches!(&opened, Err(StoreError::Damaged { path: named, .. }) if *named == path), "{opened:?}");
 }
 
 #[tokio::test]
--- a/crates/stepspur-distribution/tests/subscriber_rig/mod.rs
+++ b/crates/stepspur-distribution/tests/subscriber_rig/mod.rs
@@ -7,11 +7,11 @@
 use std::time::Duration;
 
 use futures_util::{SinkExt, StreamExt};
+use stepspur_consensus_node::{BoxFuture, Listen, Net, Stream};
 use stepspur_distribution::document::{Document, Interest, Key, Scope, ServiceInterest, Setting, Target};
 use stepspur_distribution::store::MemoryStore;
-use stepspur_distribution::subscriber::{Apply, Subscriber, SubscriberSettings, SubscriberStatus};
+use stepspur_distribution::subscriber::{DocumentApplier, Subscriber, SubscriberSettings, SubscriberStatus};
 use stepspur_distribution::version::{Version, version_of};
-use stepspur_peers::{Later, Listen, Net, Stream};
 use stepspur_proto::{Frames, FromControl, FromSubscriber, LARGEST_FRAME, from_control, from_subscriber, v1};
 use tokio::io::{DuplexStream, duplex};
 use tokio::sync::{mpsc, watch};
@@ -69,11 +69,11 @@
 }
 
 impl Net for Pipes {
-    fn listen(&self, _: SocketAddr) -> Later<'_, io::Result<Box<dyn Listen>>> {
+    fn listen(&self, _: SocketAddr) -> BoxFuture<'_, io::Result<Box<dyn Listen>>> {
         Box::pin(async { Err(io::ErrorKind::Unsupported.into()) })
     }
 
-    fn dial(&self, to: SocketAddr) -> Later<'_, io::Result<Box<dyn Stream>>> {
+    fn dial(&self, to: SocketAddr) -> BoxFuture<'_, io::Result<Box<dyn Stream>>> {
         Box::pin(async move {
             self.dials.lock().expect("dials").push((to, Instant::now()));
             let door = self.doors.lock().expect("doors").get(&to).cloned();
@@ -218,8 +218,8 @@
     }
 }
 
-impl Apply for Engine {
-    fn apply<'a>(&'a self, document: &'a Document) -> Later<'a, Result<(), String>> {
+impl DocumentApplier for Engine {
+    fn apply<'a>(&'a self, document: &'a Document) -> BoxFuture<'a, Result<(), String>> {
         Box::pin(async move {
             let _ = self.held_up.subscribe().wait_for(|held_up| !held_up).await;
             let mut state = self.state.lock().expect("state");
--- a/crates/stepspur-rehearsal/tests/days.rs
+++ b/crates/stepspur-emulator/tests/days.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 
 use stepspur_conductor::config::EffectConfig;
-use stepspur_rehearsal::judge::Rule;
-use stepspur_rehearsal::plan::{Plan, Strike, Trouble};
-use stepspur_rehearsal::scenario::{self, BAD_DAY, Scenario};
-use stepspur_rehearsal::{Launcher, Report, play, replay};
+use stepspur_emulator::judge::Rule;
+use stepspur_emulator::plan::{Plan, Strike, Trouble};
+use stepspur_emulator::scenario::{self, BAD_DAY, Scenario};
+use stepspur_emulator::{Launcher, Report, play, replay};
 
 const SMALL: &str = include_str!("data/small.toml");
 
--- a/crates/stepspur-rehearsal/tests/emulator.rs
+++ b/crates/stepspur-emulator/tests/emulator.rs
@@ -6,16 +6,16 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
+use stepspur_emulator::judge::Rule;
+use stepspur_emulator::links::Links;
+use stepspur_emulator::node::{Memories, Node, header};
+use stepspur_emulator::plan::Plan;
+use stepspur_emulator::relay::{Dial, carry, source};
+use stepspur_emulator::scenario::Scenario;
+use stepspur_emulator::trace::{Came, Event, Trace};
+use stepspur_emulator::{Launcher, Report, play, report};
 use stepspur_model::server::{Ask, Job, Server, Spec};
 use stepspur_model::work::{Form, Work};
-use stepspur_rehearsal::judge::Rule;
-use stepspur_rehearsal::links::Links;
-use stepspur_rehearsal::node::{Memories, Node, header};
-use stepspur_rehearsal::plan::Plan;
-use stepspur_rehearsal::relay::{Dial, carry, source};
-use stepspur_rehearsal::scenario::Scenario;
-use stepspur_rehearsal::trace::{Came, Event, Trace};
-use stepspur_rehearsal::{Launcher, Report, play, report};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::{Instant, timeout};
 use tokio_util::sync::CancellationToken;
@@ -173,8 +173,8 @@
     let ran = events.iter().filter(|(_, e)| matches!(e, Event::Ran { .. })).count();
     assert_eq!(ran, 2, "{events:?}");
     let zones = [(node.address, "a".to_owned())].into();
-    let figures = stepspur_rehearsal::judge::Figures::new(&plan(""), zones);
-    let breaks = stepspur_rehearsal::judge::judge(&figures, 0, &events);
+    let figures = stepspur_emulator::judge::Figures::new(&plan(""), zones);
+    let breaks = stepspur_emulator::judge::judge(&figures, 0, &events);
     assert!(breaks.iter().any(|b| b.rule == Rule::Once), "{breaks:?}");
 }
 
--- a/crates/stepspur-rehearsal/tests/judge.rs
+++ b/crates/stepspur-emulator/tests/judge.rs
@@ -6,11 +6,11 @@
 
 use stepspur_conductor::config::{EffectConfig, GroupConfig};
 use stepspur_conductor::source::{NodeRecord, NodeState};
+use stepspur_emulator::judge::{Figures, Rule, judge};
+use stepspur_emulator::plan::Plan;
+use stepspur_emulator::scenario::Scenario;
+use stepspur_emulator::trace::{Arrival, Came, Event, RequestId};
 use stepspur_proto::v1;
-use stepspur_rehearsal::judge::{Figures, Rule, judge};
-use stepspur_rehearsal::plan::Plan;
-use stepspur_rehearsal::scenario::Scenario;
-use stepspur_rehearsal::trace::{Arrival, Came, Event, RequestId};
 
 const MS: u64 = 1000;
 /// A day's begin; servers have been up for long.
--- a/crates/stepspur-rehearsal/tests/registry.rs
+++ b/crates/stepspur-emulator/tests/registry.rs
@@ -6,8 +6,8 @@
 
 use stepspur_conductor::http;
 use stepspur_conductor::source::{ListAnswer, NodeRecord, NodeState};
-use stepspur_rehearsal::registry::Registry;
-use stepspur_rehearsal::trace::Trace;
+use stepspur_emulator::registry::Registry;
+use stepspur_emulator::trace::Trace;
 use tokio::net::TcpListener;
 use tokio::time::timeout;
 use tokio_util::sync::CancellationToken;
--- a/crates/stepspur-rehearsal/tests/tenants.rs
+++ b/crates/stepspur-emulator/tests/tenants.rs
@@ -4,7 +4,7 @@
 
 use stepspur_conductor::config::Tenant;
 use stepspur_conductor::{Conductor, Config, source};
-use stepspur_rehearsal::identity::DayKeys;
+use stepspur_emulator::identity::DayKeys;
 
 const EXAMPLE: &str = include_str!("../../../examples/conductor.toml");
 /// Resident bytes that one more tenant with nobody joined may cost.
--- a/crates/stepspur-stories/src/disk.rs
+++ b/crates/stepspur-fault-tests/src/disk.rs
@@ -4,8 +4,8 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use stepspur_council::{MemberId, Save, Stored};
-use stepspur_peers::{Disk, Later, Saves, Tell};
+use stepspur_consensus::{MemberId, PersistentState, WriteRequest};
+use stepspur_consensus_node::{BoxFuture, Disk, Saves, WriteCallback};
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
@@ -14,11 +14,11 @@
 const SAVES: usize = 1_024;
 
 /// What a disk holds at a moment.
-pub type Moment = Stored;
+pub type Moment = PersistentState;
 
 #[derive(Debug)]
 struct State {
-    stored: Stored,
+    stored: PersistentState,
     takes: Duration,
     fails: Option<String>,
     /// Rises when its member is killed: what an earlier life still writes is lost.
@@ -34,7 +34,7 @@
 
 impl Image {
     /// A disk that holds this.
-    pub fn new(member: MemberId, stored: Stored, takes: Duration) -> Self {
+    pub fn new(member: MemberId, stored: PersistentState, takes: Duration) -> Self {
         Self { member, state: Arc::new(Mutex::new(State { stored, takes, fails: None, life: 0 })) }
     }
 
@@ -63,12 +63,12 @@
     }
 
     /// Opens it: as a member takes it, and what it holds.
-    pub fn open(&self) -> (Box<dyn Disk>, Stored) {
+    pub fn open(&self) -> (Box<dyn Disk>, PersistentState) {
         let stored = self.moment();
         (Box::new(Opened { image: self.clone(), life: self.state().life }), stored)
     }
 
-    fn save(&self, life: u64, save: &Save) -> Option<Result<u64, String>> {
+    fn save(&self, life: u64, save: &WriteRequest) -> Option<Result<u64, String>> {
         let mut state = self.state();
         if state.life != life {
             return None;
@@ -91,8 +91,8 @@
         self.image.member
     }
 
-    fn serve(self: Box<Self>, mut tell: Tell) -> io::Result<Box<dyn Saves>> {
-        let (to, mut saves) = mpsc::channel::<Save>(SAVES);
+    fn serve(self: Box<Self>, mut tell: WriteCallback) -> io::Result<Box<dyn Saves>> {
+        let (to, mut saves) = mpsc::channel::<WriteRequest>(SAVES);
         let task = tokio::spawn(async move {
             while let Some(save) = saves.recv().await {
                 let takes = self.image.state().takes;
@@ -109,16 +109,16 @@
 }
 
 struct Serving {
-    to: mpsc::Sender<Save>,
+    to: mpsc::Sender<WriteRequest>,
     task: JoinHandle<()>,
 }
 
 impl Saves for Serving {
-    fn save(&self, save: Save) -> Result<(), String> {
+    fn save(&self, save: WriteRequest) -> Result<(), String> {
         self.to.try_send(save).map_err(|cause| format!("the disk takes no more: {cause}"))
     }
 
-    fn close(self: Box<Self>) -> Later<'static, ()> {
+    fn close(self: Box<Self>) -> BoxFuture<'static, ()> {
         Box::pin(async {
             drop(self.to);
             let _ = self.task.await;
--- a/crates/stepspur-stories/src/distribution/engine.rs
+++ b/crates/stepspur-fault-tests/src/distribution/engine.rs
@@ -4,9 +4,9 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
+use stepspur_consensus_node::BoxFuture;
 use stepspur_distribution::document::{Document, Key};
-use stepspur_distribution::subscriber::Apply;
-use stepspur_peers::Later;
+use stepspur_distribution::subscriber::DocumentApplier;
 use tokio::time::{Instant, sleep};
 
 /// An engine acted by a document.
@@ -128,8 +128,8 @@
     }
 }
 
-impl Apply for Engine {
-    fn apply<'a>(&'a self, document: &'a Document) -> Later<'a, Result<(), String>> {
+impl DocumentApplier for Engine {
+    fn apply<'a>(&'a self, document: &'a Document) -> BoxFuture<'a, Result<(), String>> {
         Box::pin(async move {
             let (planted, takes) = {
                 let state = self.state();
--- a/crates/stepspur-stories/src/distribution/fleet.rs
+++ b/crates/stepspur-fault-tests/src/distribution/fleet.rs
@@ -7,13 +7,13 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use stepspur_council::MemberId;
+use stepspur_consensus::MemberId;
 use stepspur_distribution::control::{Control, ControlMember, ProposeError};
 use stepspur_distribution::document::{Change, Interest, Scope, ServiceInterest, Setting, Target};
-use stepspur_distribution::store::Kept;
+use stepspur_distribution::store::StoredScope;
 use stepspur_distribution::subscriber::SubscriberStatus;
 use stepspur_distribution::version::Version;
-use stepspur_shared::OpId;
+use stepspur_replication::OperationId;
 use tokio::time::{Instant, sleep, timeout};
 
 use super::checker::{Broken, Checker, Claim};
@@ -142,7 +142,7 @@
     }
 
     /// What a subscriber's disk holds.
-    pub fn kept(&self, name: &str) -> Option<Kept> {
+    pub fn kept(&self, name: &str) -> Option<StoredScope> {
         self.subscribers[name].store.kept()
     }
 
@@ -194,7 +194,7 @@
     }
 
     /// Ends a subscriber's process, puts an older disk in it, and starts it.
-    pub async fn put_back(&mut self, name: &str, older: Option<Kept>) {
+    pub async fn put_back(&mut self, name: &str, older: Option<StoredScope>) {
         self.end_subscriber(name).await;
         self.subscribers[name].store.put_back(older);
         self.begin_subscriber(name).await;
@@ -252,7 +252,7 @@
         self.propose_as(None, changes).await
     }
 
-    async fn propose_as(&mut self, mut id: Option<OpId>, changes: Vec<Change>) -> Version {
+    async fn propose_as(&mut self, mut id: Option<OperationId>, changes: Vec<Change>) -> Version {
         let until = Instant::now() + PATIENCE;
         loop {
             let asked = self.control_ids()[self.draw(CONTROL_REGIONS.len() as u64) as usize];
@@ -324,7 +324,9 @@
         let versions: Vec<Version> = self.asked.iter().rev().take(ASKED_VERSIONS).copied().collect();
         for control in self.running() {
             for version in &versions {
-                let Ok(Ok(standing)) = timeout(ASK_WITHIN, control.standing(*version)).await else { break };
+                let Ok(Ok(standing)) = timeout(ASK_WITHIN, control.rollout_status(*version)).await else {
+                    break;
+                };
                 if standing.missing_unnamed == 0 {
                     let missing = standing.missing.into_iter().map(|missing| missing.name).collect();
                     self.claim(*version, &missing);
@@ -410,7 +412,7 @@
         let began = Instant::now();
         loop {
             for control in self.running() {
-                if let Ok(Ok(standing)) = timeout(ASK_WITHIN, control.standing(version)).await
+                if let Ok(Ok(standing)) = timeout(ASK_WITHIN, control.rollout_status(version)).await
                     && standing.everywhere
                 {
                     return began.elapsed();
--- a/crates/stepspur-stories/src/distribution/network.rs
+++ b/crates/stepspur-fault-tests/src/distribution/network.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use stepspur_peers::{Later, Listen, Net, Stream};
+use stepspur_consensus_node::{BoxFuture, Listen, Net, Stream};
 use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream, ReadHalf, WriteHalf, duplex, split};
 use tokio::sync::{mpsc, watch};
 use tokio::time::sleep;
@@ -130,13 +130,13 @@
 }
 
 impl Net for Place {
-    fn listen(&self, at: SocketAddr) -> Later<'_, io::Result<Box<dyn Listen>>> {
+    fn listen(&self, at: SocketAddr) -> BoxFuture<'_, io::Result<Box<dyn Listen>>> {
         let (calls, door) = mpsc::channel(CALLS);
         self.network.doors().insert(at, Doorway { host: self.host.clone(), calls });
         Box::pin(async move { Ok(Box::new(Door { at, door }) as Box<dyn Listen>) })
     }
 
-    fn dial(&self, to: SocketAddr) -> Later<'_, io::Result<Box<dyn Stream>>> {
+    fn dial(&self, to: SocketAddr) -> BoxFuture<'_, io::Result<Box<dyn Stream>>> {
         Box::pin(async move {
             let refused = || io::Error::from(io::ErrorKind::ConnectionRefused);
             let host = self.network.doors().get(&to).map(|door| door.host.clone()).ok_or_else(refused)?;
@@ -166,7 +166,7 @@
         self.at
     }
 
-    fn accept(&mut self) -> Later<'_, io::Result<Box<dyn Stream>>> {
+    fn accept(&mut self) -> BoxFuture<'_, io::Result<Box<dyn Stream>>> {
         Box::pin(async {
             let call = self.door.recv().await.ok_or(io::ErrorKind::ConnectionAborted)?;
             Ok(Box::new(call) as Box<dyn Stream>)
--- a/crates/stepspur-stories/src/distribution/node.rs
+++ b/crates/stepspur-fault-tests/src/distribution/node.rs
@@ -5,14 +5,14 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use stepspur_council::{Core, MemberId};
-use stepspur_distribution::book::ConfigurationBook;
+use stepspur_consensus::{MemberId, RaftNode};
+use stepspur_consensus_node::{NodeHandle, Settings};
+use stepspur_distribution::book::ConfigurationState;
 use stepspur_distribution::control::{Control, ControlMember, ControlSettings};
 use stepspur_distribution::document::Interest;
 use stepspur_distribution::store::MemoryStore;
 use stepspur_distribution::subscriber::{Subscriber, SubscriberSettings, SubscriberStatus};
-use stepspur_peers::{Peers, Settings};
-use stepspur_shared::{Book, Books, Limits, Shared};
+use stepspur_replication::{ProposalLimits, ReplicatedStateMachine, ReplicationClient, StateMachineRegistry};
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
@@ -38,7 +38,7 @@
     pub(crate) host: Host,
     /// None: it only follows.
     pub(crate) image: Option<Image>,
-    pub(crate) running: Option<(Shared, Control)>,
+    pub(crate) running: Option<(ReplicationClient, Control)>,
 }
 
 /// Where a member's peers dial in.
@@ -54,7 +54,7 @@
 impl ControlNode {
     /// A member that does not run yet.
     pub(crate) fn new(id: u64, region: &str, voters: &BTreeSet<MemberId>) -> Self {
-        let image = || Image::new(MemberId(id), Core::founding(voters.clone()), DISK);
+        let image = || Image::new(MemberId(id), RaftNode::bootstrap(voters.clone()), DISK);
         Self {
             id,
             host: Host { region: region.to_owned(), name: format!("control-{id}") },
@@ -66,22 +66,22 @@
     /// Starts it, with its disk as it is.
     pub(crate) async fn begin(&mut self, network: &Network, members: &[ControlMember], seed: u64) {
         let net = network.of(&self.host);
-        let book: Box<dyn Book> = Box::new(ConfigurationBook::default());
-        let books = Books::new([book]);
+        let book: Box<dyn ReplicatedStateMachine> = Box::new(ConfigurationState::default());
+        let books = StateMachineRegistry::new([book]);
         let settings = Settings {
             id: MemberId(self.id),
             listen: peer_address(self.id),
             peers: members.iter().map(|member| (MemberId(member.id), peer_address(member.id))).collect(),
-            council: stepspur_council::Settings { log_max: LOG_MOST, ..Default::default() },
+            council: stepspur_consensus::Settings { log_max: LOG_MOST, ..Default::default() },
             wants: Vec::new(),
             weight: 1.0,
             within: WITHIN,
             largest_frame: PEER_FRAME_MOST,
         };
         let disk = self.image.as_ref().map(Image::open);
-        let peers = Peers::start_on(Arc::clone(&net), settings, disk, seed, books.clone()).await;
+        let peers = NodeHandle::start_on(Arc::clone(&net), settings, disk, seed, books.clone()).await;
         let peers = Arc::new(peers.expect("the member starts"));
-        let shared = Shared::new(peers, books, Limits::default(), seed);
+        let shared = ReplicationClient::new(peers, books, ProposalLimits::default(), seed);
         let settings = ControlSettings {
             id: self.id,
             listen: control_address(self.id),
--- a/crates/stepspur-stories/src/fleet.rs
+++ b/crates/stepspur-fault-tests/src/fleet.rs
@@ -6,9 +6,12 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use stepspur_council::{Core, MemberId};
-use stepspur_peers::{Peers, Settings};
-use stepspur_shared::{Book, Books, Failed, Limits, OpId, Shared};
+use stepspur_consensus::{MemberId, RaftNode};
+use stepspur_consensus_node::{NodeHandle, Settings};
+use stepspur_replication::{
+    OperationId, ProposalLimits, ReplicatedStateMachine, ReplicationClient, ReplicationError,
+    StateMachineRegistry,
+};
 use tokio::time::{Instant, sleep};
 
 use crate::disk::Image;
@@ -37,7 +40,7 @@
 
 struct Node {
     image: Option<Image>,
-    running: Option<Shared>,
+    running: Option<ReplicationClient>,
     version: u16,
 }
 
@@ -50,7 +53,7 @@
     began: Instant,
     history: History,
     /// Where operations stand in the history, for those that are asked for again.
-    places: BTreeMap<OpId, usize>,
+    places: BTreeMap<OperationId, usize>,
 }
 
 /// A disk's time for a save, and how long a test waits for what must come.
@@ -63,7 +66,7 @@
         let ids = (1..=shape.voters + shape.learners).map(MemberId);
         let voters: std::collections::BTreeSet<_> = ids.clone().take(shape.voters as usize).collect();
         let node = |id| {
-            let founding = || Image::new(id, Core::founding(voters.clone()), DISK);
+            let founding = || Image::new(id, RaftNode::bootstrap(voters.clone()), DISK);
             Node { image: voters.contains(&id).then(founding), running: None, version: 1 }
         };
         let nodes = ids.map(|id| (id, node(id))).collect();
@@ -105,7 +108,7 @@
     ///
     /// # Panics
     /// If it does not run: a test that asks for it is wrong.
-    pub fn shared(&self, id: MemberId) -> Shared {
+    pub fn shared(&self, id: MemberId) -> ReplicationClient {
         self.nodes[&id].running.clone().expect("it runs")
     }
 
@@ -127,7 +130,7 @@
     /// # Panics
     /// If it cannot start.
     pub async fn begin(&mut self, id: MemberId) {
-        let council = stepspur_council::Settings {
+        let council = stepspur_consensus::Settings {
             log_max: self.shape.log_max,
             chunk: self.shape.chunk,
             ..Default::default()
@@ -144,11 +147,14 @@
         };
         let [seed, life] = [self.rng.random(), self.rng.random()];
         let node = &self.nodes[&id];
-        let books = Books::new([Box::new(Tally::new(node.version)) as Box<dyn Book>]);
+        let books =
+            StateMachineRegistry::new(
+                [Box::new(Tally::new(node.version)) as Box<dyn ReplicatedStateMachine>],
+            );
         let disk = node.image.as_ref().map(Image::open);
-        let peers = Peers::start_on(self.wire.of(id), set, disk, seed, books.clone()).await;
+        let peers = NodeHandle::start_on(self.wire.of(id), set, disk, seed, books.clone()).await;
         let peers = Arc::new(peers.expect("it starts"));
-        let shared = Shared::new(peers, books, Limits::default(), life);
+        let shared = ReplicationClient::new(peers, books, ProposalLimits::default(), life);
         self.nodes.entry(id).and_modify(|n| n.running = Some(shared));
     }
 
@@ -222,7 +228,7 @@
         name: &str,
         more: u32,
         within: Duration,
-    ) -> Result<u32, Failed> {
+    ) -> Result<u32, ReplicationError> {
         let id = self.shared(at).new_id();
         self.add_as(id, at, name, more, within).await
     }
@@ -233,12 +239,12 @@
     /// See [`Failed`].
     pub async fn add_as(
         &mut self,
-        id: OpId,
+        id: OperationId,
         at: MemberId,
         name: &str,
         more: u32,
         within: Duration,
-    ) -> Result<u32, Failed> {
+    ) -> Result<u32, ReplicationError> {
         let from = self.began.elapsed();
         let told = add(&self.shared(at), id, name, more, within).await;
         match (self.places.get(&id).copied(), &told) {
@@ -258,12 +264,12 @@
         name: &str,
         op: Op,
         from: Duration,
-        told: &Result<u32, Failed>,
+        told: &Result<u32, ReplicationError>,
         at: Instant,
     ) -> Option<usize> {
         let answer = told.as_ref().ok().map(|sum| (at - self.began, *sum));
         // What was surely not applied, and a read without an answer, tell nothing.
-        let counts = answer.is_some() || matches!(told, Err(Failed::Unknown(_)));
+        let counts = answer.is_some() || matches!(told, Err(ReplicationError::Unknown(_)));
         counts.then(|| self.history.add(name, Asked { op, from, answer }))
     }
 
@@ -276,7 +282,12 @@
     ///
     /// # Errors
     /// See [`Failed`].
-    pub async fn read(&mut self, at: MemberId, name: &str, within: Duration) -> Result<u32, Failed> {
+    pub async fn read(
+        &mut self,
+        at: MemberId,
+        name: &str,
+        within: Duration,
+    ) -> Result<u32, ReplicationError> {
         let from = self.began.elapsed();
         let told = read(&self.shared(at), name, within).await;
         self.keep_at(name, Op::Read, from, &told, Instant::now());
@@ -306,17 +317,23 @@
 ///
 /// # Errors
 /// See [`Failed`].
-pub async fn add(shared: &Shared, id: OpId, name: &str, more: u32, within: Duration) -> Result<u32, Failed> {
+pub async fn add(
+    shared: &ReplicationClient,
+    id: OperationId,
+    name: &str,
+    more: u32,
+    within: Duration,
+) -> Result<u32, ReplicationError> {
     let body = postcard::to_stdvec(&Add(name.to_owned(), more)).unwrap_or_default();
     let answer = shared.propose(id, TALLY, "tests", &body, within).await?;
     let sum = answer.as_slice().try_into().map(u32::from_be_bytes);
-    sum.map_err(|_| Failed::Senseless("an answer that is no sum".to_owned()))
+    sum.map_err(|_| ReplicationError::Senseless("an answer that is no sum".to_owned()))
 }
 
 /// Reads the sum under a name by a member's handle, linearizably.
 ///
 /// # Errors
 /// See [`Failed`].
-pub async fn read(shared: &Shared, name: &str, within: Duration) -> Result<u32, Failed> {
+pub async fn read(shared: &ReplicationClient, name: &str, within: Duration) -> Result<u32, ReplicationError> {
     shared.read(TALLY, within, |tally: &Tally| tally.sum(name)).await
 }
--- a/crates/stepspur-stories/src/net.rs
+++ b/crates/stepspur-fault-tests/src/net.rs
@@ -6,8 +6,8 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use stepspur_council::MemberId;
-use stepspur_peers::{Later, Listen, Net, Stream};
+use stepspur_consensus::MemberId;
+use stepspur_consensus_node::{BoxFuture, Listen, Net, Stream};
 use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream, duplex};
 use tokio::sync::{mpsc, watch};
 use tokio::time::sleep;
@@ -86,13 +86,13 @@
 }
 
 impl Net for Place {
-    fn listen(&self, at: SocketAddr) -> Later<'_, io::Result<Box<dyn Listen>>> {
+    fn listen(&self, at: SocketAddr) -> BoxFuture<'_, io::Result<Box<dyn Listen>>> {
         let (calls, door) = mpsc::channel(CALLS);
         self.wire.wires().doors.insert(at, calls);
         Box::pin(async move { Ok(Box::new(Door { at, door }) as Box<dyn Listen>) })
     }
 
-    fn dial(&self, to: SocketAddr) -> Later<'_, io::Result<Box<dyn Stream>>> {
+    fn dial(&self, to: SocketAddr) -> BoxFuture<'_, io::Result<Box<dyn Stream>>> {
         Box::pin(async move {
             let other = MemberId(u64::from(to.port()).saturating_sub(10_000));
             let mut way = self.wire.watch(self.member, other);
@@ -118,7 +118,7 @@
         self.at
     }
 
-    fn accept(&mut self) -> Later<'_, io::Result<Box<dyn Stream>>> {
+    fn accept(&mut self) -> BoxFuture<'_, io::Result<Box<dyn Stream>>> {
         Box::pin(async {
             let call = self.door.recv().await.ok_or(io::ErrorKind::ConnectionAborted)?;
             Ok(Box::new(call) as Box<dyn Stream>)
--- a/crates/stepspur-stories/src/tally.rs
+++ b/crates/stepspur-fault-tests/src/tally.rs
@@ -4,11 +4,11 @@
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
-use stepspur_council::LogPosition;
-use stepspur_shared::{Book, BookId, Refusal};
+use stepspur_consensus::LogPosition;
+use stepspur_replication::{Rejection, ReplicatedStateMachine, StateMachineId};
 
 /// The number of the book of sums.
-pub const TALLY: BookId = BookId(9_000);
+pub const TALLY: StateMachineId = StateMachineId(9_000);
 
 /// Sums by name. Adding answers with the new sum; beyond `u32` it is refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -33,8 +33,8 @@
     }
 }
 
-impl Book for Tally {
-    fn id(&self) -> BookId {
+impl ReplicatedStateMachine for Tally {
+    fn id(&self) -> StateMachineId {
         TALLY
     }
 
@@ -42,9 +42,10 @@
         self.version
     }
 
-    fn apply(&mut self, _: LogPosition, _: u16, body: &[u8]) -> Result<Bytes, Refusal> {
-        let Add(name, more) = postcard::from_bytes(body).map_err(|cause| Refusal(cause.to_string()))?;
-        let sum = self.sum(&name).checked_add(more).ok_or_else(|| Refusal("beyond what fits".to_owned()))?;
+    fn apply(&mut self, _: LogPosition, _: u16, body: &[u8]) -> Result<Bytes, Rejection> {
+        let Add(name, more) = postcard::from_bytes(body).map_err(|cause| Rejection(cause.to_string()))?;
+        let sum =
+            self.sum(&name).checked_add(more).ok_or_else(|| Rejection("beyond what fits".to_owned()))?;
         self.sums.insert(name, sum);
         Ok(Bytes::copy_from_slice(&sum.to_be_bytes()))
     }
--- a/crates/stepspur-stories/tests/distribution.rs
+++ b/crates/stepspur-fault-tests/tests/distribution.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 
 use stepspur_distribution::document::{Change, Key};
-use stepspur_distribution::store::Kept;
+use stepspur_distribution::store::StoredScope;
 use stepspur_distribution::subscriber::SubscriberStatus;
 use stepspur_distribution::version::Version;
-use stepspur_stories::distribution::{ControlFleet, REGIONS};
+use stepspur_fault_tests::distribution::{ControlFleet, REGIONS};
 
 const SUBSCRIBERS: usize = 40;
 /// A change is in force everywhere within this time.
@@ -240,7 +240,7 @@
     fleet.put_back(&name, None).await;
     fleet.settles(IN_FORCE, &[]).await;
     // As after its interest has grown: old documents are in force, and all is asked for.
-    let older = older.map(|kept| Kept { version: Version::NONE, ..kept });
+    let older = older.map(|kept| StoredScope { version: Version::NONE, ..kept });
     fleet.put_back(&name, older).await;
     fleet.settles(IN_FORCE, &[]).await;
     fleet.propose_drawn(3).await;
--- a/crates/stepspur-stories/tests/distribution_planted.rs
+++ b/crates/stepspur-fault-tests/tests/distribution_planted.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use stepspur_stories::distribution::{Broken, ControlFleet, Planted};
+use stepspur_fault_tests::distribution::{Broken, ControlFleet, Planted};
 
 /// A small fleet, one of whose engines errs while some versions are agreed on.
 async fn with_planted(planted: Planted) -> (ControlFleet, String) {
--- a/crates/stepspur-stories/tests/idle.rs
+++ b/crates/stepspur-fault-tests/tests/idle.rs
@@ -6,8 +6,8 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-use stepspur_council::MemberId;
-use stepspur_stories::{Fleet, Shape};
+use stepspur_consensus::MemberId;
+use stepspur_fault_tests::{Fleet, Shape};
 use tokio::time::{Instant, sleep};
 
 const SETTLING: Duration = Duration::from_secs(5);
@@ -37,7 +37,12 @@
 }
 
 /// Nobody may wait in vain for a member's state.
-async fn until(fleet: &Fleet, id: MemberId, what: &str, wanted: impl Fn(&stepspur_peers::Status) -> bool) {
+async fn until(
+    fleet: &Fleet,
+    id: MemberId,
+    what: &str,
+    wanted: impl Fn(&stepspur_consensus_node::Status) -> bool,
+) {
     let end = Instant::now() + Duration::from_secs(60);
     loop {
         let status = fleet.shared(id).peers().status().await.expect("it runs");
--- a/crates/stepspur-stories/tests/processes.rs
+++ b/crates/stepspur-fault-tests/tests/processes.rs
@@ -9,15 +9,18 @@
 use std::time::{Duration, Instant};
 
 use serde::{Deserialize, Serialize};
-use stepspur_council::MemberId;
-use stepspur_peers::{Disk, Peers, Settings, Tcp};
-use stepspur_shared::{Book, Books, Failed, Limits, OpId, Shared};
-use stepspur_state::Store;
-use stepspur_stories::{Asked, History, Op, Tally};
+use stepspur_consensus::MemberId;
+use stepspur_consensus_node::{Disk, NodeHandle, Settings, Tcp};
+use stepspur_consensus_storage::Store;
+use stepspur_fault_tests::{Asked, History, Op, Tally};
+use stepspur_replication::{
+    OperationId, ProposalLimits, ReplicatedStateMachine, ReplicationClient, ReplicationError,
+    StateMachineRegistry,
+};
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt};
 
 #[allow(dead_code, reason = "of the peers' own rig, of which this test needs a part")]
-#[path = "../../stepspur-peers/tests/rig/mod.rs"]
+#[path = "../../stepspur-consensus-node/tests/rig/mod.rs"]
 mod rig;
 use rig::{CHILD, Mode, PATIENCE, Rig, Told};
 
@@ -32,14 +35,14 @@
 #[derive(Debug, Serialize, Deserialize)]
 enum Request {
     Id,
-    Add(OpId, String, u32),
+    Add(OperationId, String, u32),
     Read(String),
     Leader,
 }
 
 #[derive(Debug, Serialize, Deserialize)]
 enum Answer {
-    Id(OpId),
+    Id(OperationId),
     Sum(u32),
     Leader(Option<u64>),
     /// Nothing is known: ask again, under the same id.
@@ -56,7 +59,7 @@
         id: MemberId(told.id),
         listen: "127.0.0.1:0".parse().expect("an address"),
         peers: told.peers.iter().map(|(m, at)| (MemberId(*m), *at)).collect(),
-        council: stepspur_council::Settings {
+        council: stepspur_consensus::Settings {
             election: 300_000,
             heartbeat: 60_000,
             renew: 120_000,
@@ -71,11 +74,11 @@
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
     runtime.expect("a runtime").block_on(async {
         let life = told.id << 32 | u64::from(std::process::id());
-        let books = Books::new([Box::new(Tally::new(1)) as Box<dyn Book>]);
+        let books = StateMachineRegistry::new([Box::new(Tally::new(1)) as Box<dyn ReplicatedStateMachine>]);
         let disk: (Box<dyn Disk>, _) = (Box::new(store), stored);
-        let peers = Peers::start_on(Arc::new(Tcp), set, Some(disk), life, books.clone()).await;
+        let peers = NodeHandle::start_on(Arc::new(Tcp), set, Some(disk), life, books.clone()).await;
         let peers = Arc::new(peers.expect("starts"));
-        let shared = Shared::new(Arc::clone(&peers), books, Limits::default(), life);
+        let shared = ReplicationClient::new(Arc::clone(&peers), books, ProposalLimits::default(), life);
         let clients = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
         println!("serving {}", clients.local_addr().expect("bound"));
         println!("listening {}", peers.address());
@@ -85,17 +88,17 @@
     });
 }
 
-async fn serve(shared: Shared, client: tokio::net::TcpStream) {
+async fn serve(shared: ReplicationClient, client: tokio::net::TcpStream) {
     let (from, mut to) = client.into_split();
     let mut lines = tokio::io::BufReader::new(from).lines();
     while let Ok(Some(line)) = lines.next_line().await {
-        let sum = |told: Result<u32, Failed>| told.map_or(Answer::Unknown, Answer::Sum);
+        let sum = |told: Result<u32, ReplicationError>| told.map_or(Answer::Unknown, Answer::Sum);
         let answer = match serde_json::from_str(&line).expect("a request") {
             Request::Id => Answer::Id(shared.new_id()),
             Request::Add(id, name, more) => {
-                sum(stepspur_stories::add(&shared, id, &name, more, WITHIN).await)
+                sum(stepspur_fault_tests::add(&shared, id, &name, more, WITHIN).await)
             }
-            Request::Read(name) => sum(stepspur_stories::read(&shared, &name, WITHIN).await),
+            Request::Read(name) => sum(stepspur_fault_tests::read(&shared, &name, WITHIN).await),
             Request::Leader => {
                 let status = shared.peers().status().await.expect("it runs");
                 Answer::Leader(status.leader.filter(|_| status.votes).map(|m| m.0))
--- a/crates/stepspur-stories/tests/random.rs
+++ b/crates/stepspur-fault-tests/tests/random.rs
@@ -1,9 +1,9 @@
-//! Random faults over whole members, by seed: `SEEDS=5000 cargo test --release -p stepspur-stories --test random`.
+//! Random faults over whole members, by seed: `SEEDS=5000 cargo test --release -p stepspur-fault-tests --test random`.
 
 use std::time::Duration;
 
-use stepspur_council::MemberId;
-use stepspur_stories::{Fleet, Op, Shape};
+use stepspur_consensus::MemberId;
+use stepspur_fault_tests::{Fleet, Op, Shape};
 use tokio::time::sleep;
 
 /// A course of ten faults under three clients; gives what was asked and answered, and the books at the end.
@@ -41,8 +41,10 @@
         let asked = clients.into_iter().map(|(shared, name, more)| {
             tokio::spawn(async move {
                 let told = match more {
-                    Some(more) => stepspur_stories::add(&shared, shared.new_id(), name, more, within).await,
-                    None => stepspur_stories::read(&shared, name, within).await,
+                    Some(more) => {
+                        stepspur_fault_tests::add(&shared, shared.new_id(), name, more, within).await
+                    }
+                    None => stepspur_fault_tests::read(&shared, name, within).await,
                 };
                 (name, more.map_or(Op::Read, Op::Add), told, tokio::time::Instant::now())
             })
