--- a/crates/stepspur-stories/tests/stories.rs
+++ b/crates/stepspur-fault-tests/tests/stories.rs
@@ -4,13 +4,13 @@
 use std::time::Duration;
 
 use cucumber::{World, given, then, when};
-use stepspur_council::MemberId;
-use stepspur_shared::{Failed, OpId};
-use stepspur_stories::{Fleet, Shape};
+use stepspur_consensus::MemberId;
+use stepspur_fault_tests::{Fleet, Shape};
+use stepspur_replication::{OperationId, ReplicationError};
 use tokio::time::{Instant, timeout_at};
 
 /// An operation, where it was proposed, under which name and how much, and what became of it.
-type Proposed = (OpId, MemberId, String, u32, Result<u32, Failed>);
+type Proposed = (OperationId, MemberId, String, u32, Result<u32, ReplicationError>);
 
 /// How long a client of a story waits for an answer.
 const WITHIN: Duration = Duration::from_secs(2);
@@ -67,7 +67,7 @@
         member
     }
 
-    async fn add(&mut self, id: OpId, at: MemberId, name: &str, more: u32) {
+    async fn add(&mut self, id: OperationId, at: MemberId, name: &str, more: u32) {
         let told = self.fleet().add_as(id, at, name, more, WITHIN).await;
         self.last = Some((id, at, name.to_owned(), more, told));
     }
@@ -113,7 +113,7 @@
     let leader = story.fleet().leader(&[]).await;
     let shared = story.fleet().shared(leader);
     for _ in JUDGED..times {
-        let told = stepspur_stories::add(&shared, shared.new_id(), &name, more, WITHIN).await;
+        let told = stepspur_fault_tests::add(&shared, shared.new_id(), &name, more, WITHIN).await;
         told.expect("it is taken");
     }
 }
@@ -203,7 +203,7 @@
 #[then(regex = r"^the outcome is unknown$")]
 async fn unknown(story: &mut Story) {
     let (id, .., told) = story.last.as_ref().expect("something was proposed");
-    assert_eq!(*told, Err(Failed::Unknown(*id)));
+    assert_eq!(*told, Err(ReplicationError::Unknown(*id)));
 }
 
 #[then(regex = r"^it is refused, as (.+)$")]
@@ -234,9 +234,9 @@
 #[then(regex = r"^(.+) can read `(\w+)` no more, but tells that what it holds is old$")]
 async fn only_stale(story: &mut Story, who: String, name: String) {
     let who = story.who(&who).await;
-    assert_eq!(story.fleet().read(who, &name, WITHIN).await, Err(Failed::NoLeader));
+    assert_eq!(story.fleet().read(who, &name, WITHIN).await, Err(ReplicationError::NoLeader));
     let shared = story.fleet().shared(who);
-    let held = shared.read_stale(stepspur_stories::TALLY, |t: &stepspur_stories::Tally| t.sum(&name));
+    let held = shared.read_stale(stepspur_fault_tests::TALLY, |t: &stepspur_fault_tests::Tally| t.sum(&name));
     let (_, stale) = held.expect("the book is there");
     assert!(stale.since >= WITHIN, "{stale:?}");
 }
--- a/crates/stepspur-platform/src/config.rs
+++ b/crates/stepspur-platform/src/config.rs
@@ -9,7 +9,7 @@
 use serde::Deserialize;
 use serde_json::Value;
 use serde_json::value::RawValue;
-use stepspur::interface::{Admit, Settings};
+use stepspur::interface::{AdmissionMode, Settings};
 use stepspur_conductor::Config;
 use stepspur_conductor::config::{
     Channel, ClassConfig, Doubt, EffectConfig, Fleet, Listen, Probes, Reports, Source,
@@ -158,9 +158,9 @@
         let settings = |cause| ConfigError::Settings { path: path.clone(), cause };
         let raw = file.settings.get();
         let names: Names = serde_json::from_str(raw).map_err(settings)?;
-        let mut settings = stepspur_wire::parse_settings(raw.as_bytes()).map_err(settings)?;
+        let mut settings = stepspur_simulator_protocol::parse_settings(raw.as_bytes()).map_err(settings)?;
         // On sockets no list comes unasked, whatever the simulator does at this site.
-        settings.list_on_request = true;
+        settings.poll_discovery = true;
         let value = |key, what: &str| ConfigError::Value { path: path.clone(), key, what: what.to_owned() };
         let seed = match file.seed.as_str() {
             "" => 0,
@@ -170,11 +170,12 @@
         let catalog = Catalog {
             zones: names.zones.into(),
             classes: names.request_classes.into_iter().map(|class| class.name).collect(),
-            proxies: settings.proxies.min(u32::from(u16::MAX)),
+            proxies: settings.proxy_count.min(u32::from(u16::MAX)),
             columns: settings.load_columns.iter().cloned().collect(),
         };
         let zones = catalog.zones.len();
-        let budget = Budget::of(file.limits.sockets, conductor.probes.concurrency, settings.proxies, zones);
+        let budget =
+            Budget::of(file.limits.sockets, conductor.probes.concurrency, settings.proxy_count, zones);
         let budget = budget.ok_or_else(|| value("limits.sockets", "leaves no descriptor for connections"))?;
         let name = file.name.or_else(|| env("LB_NAME")).ok_or(ConfigError::Missing("LB_NAME"))?;
         let (known, discovery) = (file.known, discovery);
@@ -255,31 +256,31 @@
         name: named.name.clone(),
         // The decisions are told the whole class by the platform's own settings; here its name counts.
         effect: EffectConfig::NonIdempotent,
-        aim: Duration::from_micros(class.aim),
+        aim: Duration::from_micros(class.latency_objective),
         deadline: Duration::from_micros(class.deadline),
-        worth: class.worth,
+        worth: class.priority_weight,
         group: Default::default(),
         window: Duration::ZERO,
-        own_zone: class.own_zone,
+        own_zone: class.zone_local,
     });
     let fleet = Fleet {
         zones: names.zones.clone(),
-        my_zone: names.zones.get(usize::from(settings.my_zone.0)).cloned(),
-        conductors: settings.conductors,
-        proxies: settings.proxies,
+        my_zone: names.zones.get(usize::from(settings.local_zone.0)).cloned(),
+        conductors: settings.conductor_count,
+        proxies: settings.proxy_count,
         classes: classes.collect(),
-        admit: match settings.admit {
-            Admit::Ratio => stepspur_conductor::config::AdmitConfig::Share,
-            Admit::Rps => stepspur_conductor::config::AdmitConfig::Rate,
-            Admit::Silent => stepspur_conductor::config::AdmitConfig::Silent,
+        admit: match settings.admission_mode {
+            AdmissionMode::Ratio => stepspur_conductor::config::AdmitConfig::Share,
+            AdmissionMode::RequestsPerSecond => stepspur_conductor::config::AdmitConfig::Rate,
+            AdmissionMode::Ignored => stepspur_conductor::config::AdmitConfig::Silent,
         },
         connections_min: 0,
-        cold: Duration::from_micros(settings.cold),
-        start_capacity: settings.start_capacity,
-        fall_multiple: settings.fall_multiple,
+        cold: Duration::from_micros(settings.warm_up),
+        start_capacity: settings.initial_capacity_ratio,
+        fall_multiple: settings.collapse_ratio,
         drain_grace: Duration::ZERO,
         unserved_max: Duration::ZERO,
-        drain_binds_alone: settings.drain_binds_alone,
+        drain_binds_alone: settings.absence_is_advisory,
     };
     let path = if settings.load_columns.is_empty() { "/health" } else { "/status/load" };
     let doubt = Doubt { loss_max: 1.0, confirm_after: Duration::ZERO, empty_allowed: true };
@@ -288,16 +289,16 @@
         listen: Listen { address: listen, ..Listen::default() },
         channel: Channel {
             lines_per_s: f64::INFINITY,
-            message_head: settings.message_head,
-            waiting_max: settings.pending_max,
-            messages_max: settings.messages_max,
+            message_head: settings.message_overhead_lines,
+            waiting_max: settings.max_pending_lines,
+            messages_max: settings.max_messages,
             message_window: Duration::from_micros(settings.message_window),
             mark_timeout: Duration::MAX,
             ..Channel::default()
         },
         reports: Reports { load_columns: settings.load_columns.clone(), ..Reports::default() },
         probes: Probes {
-            enabled: settings.probing,
+            enabled: settings.health_checks,
             path: path.to_owned(),
             concurrency: PROBES,
             ..Probes::default()
--- a/crates/stepspur-platform/src/dialect.rs
+++ b/crates/stepspur-platform/src/dialect.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use serde::Serialize;
-use stepspur::interface::{Resend, ServerId};
+use stepspur::interface::{RetryPolicy, ServerId};
 use stepspur_conductor::engine::{Admitted, Dialect, Farewell, Level, Order, ServerIds, Stamp};
 use stepspur_proto::FrameError;
 
@@ -133,12 +133,12 @@
     }
 }
 
-fn way(resend: Resend) -> u8 {
+fn way(resend: RetryPolicy) -> u8 {
     match resend {
-        Resend::Never => 0,
-        Resend::Unsent => 1,
-        Resend::Once => 2,
-        Resend::Twice => 3,
+        RetryPolicy::Never => 0,
+        RetryPolicy::IfNeverStarted => 1,
+        RetryPolicy::Once => 2,
+        RetryPolicy::Twice => 3,
     }
 }
 
--- a/crates/stepspur-platform/src/discovery.rs
+++ b/crates/stepspur-platform/src/discovery.rs
@@ -15,7 +15,7 @@
 use hyper_util::rt::TokioIo;
 use serde::{Deserialize, Deserializer};
 use serde_json::Value;
-use stepspur::interface::{ListHow, ListState, Micros};
+use stepspur::interface::{EndpointState, ListUpdate, Micros};
 use stepspur_conductor::engine::NodeEntry;
 use stepspur_conductor::http::get;
 use stepspur_conductor::source::{Ask, Feed, NodeSource, Running};
@@ -106,9 +106,9 @@
             address: self.address,
             zone: self.zone,
             state: match self.status {
-                Status::Ready => ListState::Ready,
-                Status::Draining => ListState::Draining,
-                Status::Gone => ListState::Gone,
+                Status::Ready => EndpointState::Ready,
+                Status::Draining => EndpointState::Draining,
+                Status::Gone => EndpointState::Removed,
             },
             weight: self.weight,
             // A conversion of what is no time gives 0: long ago.
@@ -296,11 +296,11 @@
             Said::List(answer) if self.is_overtaken(&answer, address, seen) => {
                 tracing::debug!(event = "overtaken", index = answer.index, known = self.index);
                 if looked || opened {
-                    feed.news.list(ListHow::Delta, Vec::new()).await;
+                    feed.news.list(ListUpdate::Delta, Vec::new()).await;
                 }
             }
             Said::List(answer) => self.tell(answer, address, feed).await,
-            Said::Unchanged => feed.news.list(ListHow::Delta, Vec::new()).await,
+            Said::Unchanged => feed.news.list(ListUpdate::Delta, Vec::new()).await,
             Said::Quiet => {
                 tracing::warn!(event = "watch_quiet", %address);
                 return self.open(calls);
@@ -346,11 +346,11 @@
         for entry in &entries {
             let Some(name) = &entry.name else { continue };
             match entry.state {
-                ListState::Gone => self.told.remove(name),
+                EndpointState::Removed => self.told.remove(name),
                 _ => self.told.insert(name.clone(), entry.clone()),
             };
         }
-        feed.news.list(if whole { ListHow::Full } else { ListHow::Delta }, entries).await;
+        feed.news.list(if whole { ListUpdate::Full } else { ListUpdate::Delta }, entries).await;
     }
 }
 
--- a/crates/stepspur-platform/tests/discovery.rs
+++ b/crates/stepspur-platform/tests/discovery.rs
@@ -6,7 +6,7 @@
 
 use common::{Call, SOON, Script, list, node};
 use serde_json::Value;
-use stepspur::interface::{ListHow, ListState};
+use stepspur::interface::{EndpointState, ListUpdate};
 use stepspur_conductor::engine::Input;
 use stepspur_conductor::source::{Ask, Feed, NodeSource};
 use stepspur_platform::discovery::{Answer, Discovery};
@@ -41,12 +41,12 @@
         driven.ask.send(Ask::Track).await.unwrap();
         let mut watch = script.next().await.begin().await;
         watch.line(first).await;
-        assert_eq!(driven.told().await.0, ListHow::Full);
+        assert_eq!(driven.told().await.0, ListUpdate::Full);
         (driven, watch)
     }
 
     /// The next piece of news: how it builds on the list before, and the names with their states.
-    async fn told(&mut self) -> (ListHow, Vec<(String, ListState)>) {
+    async fn told(&mut self) -> (ListUpdate, Vec<(String, EndpointState)>) {
         let input = timeout(SOON, self.told.recv()).await.expect("news in time").expect("the source lives");
         let Input::List { how, entries } = input else { panic!("{input:?}") };
         (how, entries.into_iter().map(|entry| (entry.name.unwrap(), entry.state)).collect())
@@ -60,11 +60,11 @@
     }
 }
 
-fn named(entries: &[(usize, ListState)]) -> Vec<(String, ListState)> {
+fn named(entries: &[(usize, EndpointState)]) -> Vec<(String, EndpointState)> {
     entries.iter().map(|(k, state)| (format!("s-{k:04}"), *state)).collect()
 }
 
-use ListState::{Draining, Gone, Ready};
+use EndpointState::{Draining, Ready, Removed};
 
 /// The list was read by discovery before a change that the watch has told since.
 #[tokio::test]
@@ -74,11 +74,11 @@
     let (mut driven, mut watch) = Driven::standing(&script, &list(1, true, &two)).await;
     let held = driven.look_up(&script).await;
     watch.line(&list(2, false, &[node(0, "gone", 0)])).await;
-    assert_eq!(driven.told().await, (ListHow::Delta, named(&[(0, Gone)])));
+    assert_eq!(driven.told().await, (ListUpdate::Delta, named(&[(0, Removed)])));
     held.answer(&list(1, true, &two)).await;
-    assert_eq!(driven.told().await, (ListHow::Delta, Vec::new()), "answered, and nothing of it counts");
+    assert_eq!(driven.told().await, (ListUpdate::Delta, Vec::new()), "answered, and nothing of it counts");
     driven.look_up(&script).await.answer(&list(2, true, &two[1..])).await;
-    assert_eq!(driven.told().await, (ListHow::Full, named(&[(1, Ready)])));
+    assert_eq!(driven.told().await, (ListUpdate::Full, named(&[(1, Ready)])));
 }
 
 /// A look-up was ahead of the watch, whose lines up to there come later.
@@ -87,12 +87,12 @@
     let script = Script::start().await;
     let (mut driven, mut watch) = Driven::standing(&script, &list(1, true, &[node(0, "ready", 0)])).await;
     driven.look_up(&script).await.answer(&list(3, true, &[node(0, "draining", 0)])).await;
-    assert_eq!(driven.told().await, (ListHow::Full, named(&[(0, Draining)])));
+    assert_eq!(driven.told().await, (ListUpdate::Full, named(&[(0, Draining)])));
     watch.line(&list(2, false, &[node(0, "ready", 0)])).await;
     watch.line(&list(3, false, &[node(0, "draining", 0)])).await;
     watch.line(&list(4, false, &[node(1, "ready", 0)])).await;
-    assert_eq!(driven.told().await, (ListHow::Delta, named(&[(0, Draining)])));
-    assert_eq!(driven.told().await, (ListHow::Delta, named(&[(1, Ready)])));
+    assert_eq!(driven.told().await, (ListUpdate::Delta, named(&[(0, Draining)])));
+    assert_eq!(driven.told().await, (ListUpdate::Delta, named(&[(1, Ready)])));
 }
 
 #[tokio::test]
@@ -100,15 +100,15 @@
     let script = Script::start().await;
     let (mut driven, watch) = Driven::standing(&script, &list(40, true, &[node(0, "ready", 0)])).await;
     driven.look_up(&script).await.answer(&list(3, true, &[node(1, "ready", 0)])).await;
-    assert_eq!(driven.told().await, (ListHow::Full, named(&[(1, Ready)])));
+    assert_eq!(driven.told().await, (ListUpdate::Full, named(&[(1, Ready)])));
     drop(watch);
-    assert_eq!(driven.told().await.0, ListHow::Failed);
+    assert_eq!(driven.told().await.0, ListUpdate::Failed);
     driven.ask.send(Ask::Track).await.unwrap();
     let mut watch = script.next().await.begin().await;
     watch.line(&list(2, true, &[node(2, "ready", 0)])).await;
-    assert_eq!(driven.told().await, (ListHow::Full, named(&[(2, Ready)])));
+    assert_eq!(driven.told().await, (ListUpdate::Full, named(&[(2, Ready)])));
     watch.line(&list(3, false, &[node(3, "ready", 0)])).await;
-    assert_eq!(driven.told().await, (ListHow::Delta, named(&[(3, Ready)])));
+    assert_eq!(driven.told().await, (ListUpdate::Delta, named(&[(3, Ready)])));
 }
 
 /// SIGHUP comes while the first watch, or one that has found no change, is all there is.
@@ -134,7 +134,7 @@
         } else {
             call.answer(&whole).await;
         }
-        assert_eq!(driven.told().await, (ListHow::Full, named(&[(0, Ready)])));
+        assert_eq!(driven.told().await, (ListUpdate::Full, named(&[(0, Ready)])));
     }
     assert_eq!(watches.len(), 1);
 }
@@ -148,13 +148,13 @@
     let mut watch = old.next().await.begin().await;
     assert!(watch.path.ends_with("after=41"));
     watch.chunk("\n").await;
-    assert_eq!(driven.told().await, (ListHow::Delta, Vec::new()), "the ask is answered");
+    assert_eq!(driven.told().await, (ListUpdate::Delta, Vec::new()), "the ask is answered");
     driven.address.send_replace(new.address);
     let mut moved = new.next().await.begin().await;
     watch.line(&list(42, false, &[node(0, "draining", 0)])).await;
-    assert_eq!(driven.told().await, (ListHow::Delta, named(&[(0, Draining)])), "the old one goes on");
+    assert_eq!(driven.told().await, (ListUpdate::Delta, named(&[(0, Draining)])), "the old one goes on");
     moved.line(&list(42, false, &[node(0, "draining", 0)])).await;
-    assert_eq!(driven.told().await, (ListHow::Delta, named(&[(0, Draining)])));
+    assert_eq!(driven.told().await, (ListUpdate::Delta, named(&[(0, Draining)])));
     watch.ended().await;
 }
 
@@ -165,13 +165,13 @@
     let (mut driven, mut quiet) = Driven::standing(&script, &list(1, true, &[node(0, "ready", 0)])).await;
     let mut second = script.next().await.begin().await;
     quiet.line(&list(2, false, &[node(0, "draining", 0)])).await;
-    assert_eq!(driven.told().await, (ListHow::Delta, named(&[(0, Draining)])));
+    assert_eq!(driven.told().await, (ListUpdate::Delta, named(&[(0, Draining)])));
     // The second goes on from version 1: what it tells first is known by now, what follows is not.
     second.line(&list(2, false, &[node(0, "draining", 0)])).await;
-    assert_eq!(driven.told().await, (ListHow::Delta, named(&[(0, Draining)])));
+    assert_eq!(driven.told().await, (ListUpdate::Delta, named(&[(0, Draining)])));
     quiet.ended().await;
     second.line(&list(3, false, &[node(0, "gone", 0)])).await;
-    assert_eq!(driven.told().await, (ListHow::Delta, named(&[(0, Gone)])));
+    assert_eq!(driven.told().await, (ListUpdate::Delta, named(&[(0, Removed)])));
 }
 
 /// Bytes of a line that never ends are no sign of life.
@@ -183,7 +183,7 @@
     trickle.spawn(watch.trickle());
     let mut second = script.next().await.begin().await;
     second.line(&list(2, false, &[node(0, "draining", 0)])).await;
-    assert_eq!(driven.told().await, (ListHow::Delta, named(&[(0, Draining)])));
+    assert_eq!(driven.told().await, (ListUpdate::Delta, named(&[(0, Draining)])));
     timeout(SOON, trickle.join_next()).await.expect("the first is given up");
 }
 
@@ -206,7 +206,7 @@
         };
         let ready = timeout(SOON, driven.ready.wait_for(|ready| *ready)).await.is_ok();
         assert!(ready, "stage {stage}");
-        assert_eq!(driven.told().await.0, ListHow::Failed, "stage {stage}");
+        assert_eq!(driven.told().await.0, ListUpdate::Failed, "stage {stage}");
     };
     tokio::join!(hang(0), hang(1), hang(2));
 }
--- a/crates/stepspur-platform/tests/messages.rs
+++ b/crates/stepspur-platform/tests/messages.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 use serde_json::{Value, json};
-use stepspur::interface::{ClassId, ListHow, ListState, ProxyId, ZoneId};
+use stepspur::interface::{ClassId, EndpointState, ListUpdate, ProxyId, ZoneId};
 use stepspur_conductor::engine::{Engine, Input, NodeEntry, Note, Output, StreamId, named_id};
 use stepspur_platform::config::ConfigError;
 use stepspur_platform::dialect::{self, PARTS};
@@ -176,7 +176,7 @@
         Self { engine, now: START, notes: Vec::new() }
     }
 
-    fn list(&mut self, how: ListHow, nodes: &[Value]) {
+    fn list(&mut self, how: ListUpdate, nodes: &[Value]) {
         let answer: Answer = serde_json::from_value(common::list(1, true, nodes)).unwrap();
         self.engine.handle(self.now, Input::List { how, entries: answer.entries });
     }
@@ -220,7 +220,7 @@
 #[test]
 fn a_joining_gets_one_message_with_its_whole_table() {
     let mut day = Day::new(4);
-    day.list(ListHow::Full, &nodes(2));
+    day.list(ListUpdate::Full, &nodes(2));
     day.join(1, 0, true);
     let sent = day.run(100_000);
     // One message: its table for all classes, then the level of each that differs, the mark at the very end.
@@ -244,7 +244,7 @@
     let mut list = nodes(4);
     // Long warm, but it has restarted once: it was out.
     list[2] = common::node(2, "ready", START / 1000 - 500_000);
-    day.list(ListHow::Full, &list);
+    day.list(ListUpdate::Full, &list);
     day.join(1, 0, false);
     let sent = day.run(100_000);
     let parts = parts(&sent[0].1);
@@ -252,13 +252,13 @@
     assert!(parts.iter().all(|part| part["eject"].is_null()));
     // Its weight alone changes nothing of that, a drain and a return do.
     list[1] = common::node(1, "draining", 0);
-    day.list(ListHow::Full, &list);
+    day.list(ListUpdate::Full, &list);
     let drained: Vec<_> =
         day.run(1_000_000).into_iter().flat_map(|(_, message)| self::parts(&message)).collect();
     assert!(drained.iter().any(|part| part["endpoints"] == json!([["s-0001", 0.0]])), "{drained:?}");
     assert!(drained.iter().all(|part| part["restore"].is_null()), "{drained:?}");
     list[1] = common::node(1, "ready", 0);
-    day.list(ListHow::Full, &list);
+    day.list(ListUpdate::Full, &list);
     let back: Vec<_> =
         day.run(3_000_000).into_iter().flat_map(|(_, message)| self::parts(&message)).collect();
     assert!(back.iter().any(|part| part["restore"] == json!(["s-0001"])), "{back:?}");
@@ -268,7 +268,7 @@
 #[test]
 fn a_large_table_goes_out_in_continued_parts() {
     let mut day = Day::new(2);
-    day.list(ListHow::Full, &nodes(8000));
+    day.list(ListUpdate::Full, &nodes(8000));
     day.join(1, 0, true);
     let sent = day.run(100_000);
     let parts = parts(&sent[0].1);
@@ -287,7 +287,7 @@
 #[test]
 fn marks_that_are_not_owed_are_passed_over_and_late_ones_cost_no_stream() {
     let mut day = Day::new(4);
-    day.list(ListHow::Full, &nodes(2));
+    day.list(ListUpdate::Full, &nodes(2));
     day.join(1, 0, true);
     day.run(100_000);
     assert_eq!(day.engine.stats().marks, 1);
@@ -303,7 +303,7 @@
 #[test]
 fn a_newer_stream_replaces_the_old_and_its_late_end_changes_nothing() {
     let mut day = Day::new(4);
-    day.list(ListHow::Full, &nodes(2));
+    day.list(ListUpdate::Full, &nodes(2));
     day.join(1, 0, true);
     day.run(100_000);
     day.join(2, 0, false);
@@ -318,10 +318,10 @@
 #[test]
 fn servers_are_known_by_name() {
     let mut day = Day::new(4);
-    day.list(ListHow::Full, &nodes(2));
+    day.list(ListUpdate::Full, &nodes(2));
     let mut moved = nodes(2);
     moved[0]["address"] = json!("127.0.0.9:9");
-    day.list(ListHow::Full, &moved);
+    day.list(ListUpdate::Full, &moved);
     assert_eq!(day.engine.stats().servers, [2, 0, 2]);
     let odd: Answer = serde_json::from_value(common::list(
         3,
@@ -331,14 +331,14 @@
     .unwrap();
     assert_eq!((odd.entries.len(), odd.spoilt.len(), odd.nameless), (1, 1, 2));
     let entry = NodeEntry { zone: "none".into(), name: Some("s-8".into()), ..odd.entries[0].clone() };
-    day.engine.handle(day.now, Input::List { how: ListHow::Delta, entries: vec![entry] });
+    day.engine.handle(day.now, Input::List { how: ListUpdate::Delta, entries: vec![entry] });
     day.run(1000);
     assert!(
         matches!(&day.notes[..], [.., Note::BadEntry { server, .. }] if server == "s-8"),
         "{:?}",
         day.notes
     );
-    assert_eq!(odd.entries[0].state, ListState::Ready);
+    assert_eq!(odd.entries[0].state, EndpointState::Ready);
 }
 
 #[test]
--- a/crates/stepspur-platform/tests/rules.rs
+++ b/crates/stepspur-platform/tests/rules.rs
@@ -11,7 +11,7 @@
 
 use rules::Rules;
 use serde_json::Value;
-use stepspur::interface::{ListHow, ProxyId, ZoneId};
+use stepspur::interface::{ListUpdate, ProxyId, ZoneId};
 use stepspur_conductor::Config;
 use stepspur_conductor::config::EffectConfig;
 use stepspur_conductor::engine::{Engine, Input, Output, StreamId};
@@ -53,7 +53,7 @@
         Self { engine: engine(&config, now), config, now, rules, addresses, out, restored: 0 }
     }
 
-    fn list(&mut self, how: ListHow, nodes: &[Value]) {
+    fn list(&mut self, how: ListUpdate, nodes: &[Value]) {
         let answer: Answer = serde_json::from_value(common::list(1, true, nodes)).unwrap();
         for entry in &answer.entries {
             self.addresses.insert(entry.name.clone().unwrap(), entry.address);
@@ -140,7 +140,7 @@
         (0..u64::from(PROXIES)).for_each(|stream| self.rules.left(stream));
         self.now += SECOND;
         self.engine = engine(&self.config, self.now);
-        self.list(ListHow::Cached, known);
+        self.list(ListUpdate::Cached, known);
         self.join_all(false);
     }
 }
@@ -149,15 +149,15 @@
 fn the_five_rules_hold_through_a_release_a_drain_and_a_restart() {
     let mut day = Day::new();
     let mut nodes: Vec<Value> = (0..12).map(|k| common::node(k, "ready", 0)).collect();
-    day.list(ListHow::Full, &nodes);
+    day.list(ListUpdate::Full, &nodes);
     day.join_all(true);
     day.run(3 * SECOND);
     for k in [0, 3, 4] {
         nodes[k] = common::node(k, "draining", 0);
-        day.list(ListHow::Full, &nodes);
+        day.list(ListUpdate::Full, &nodes);
         day.run(3 * SECOND);
         nodes[k] = common::node(k, "ready", day.now / 1000);
-        day.list(ListHow::Full, &nodes);
+        day.list(ListUpdate::Full, &nodes);
         day.run(2 * SECOND);
     }
     // Drains that the new start is told of while nobody is bound: proxies that wait shut those servers out.
--- a/crates/stepspur-shared/src/book.rs
+++ b/crates/stepspur-replication/src/book.rs
@@ -5,13 +5,13 @@
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
-use stepspur_council::LogPosition;
+use stepspur_consensus::LogPosition;
 
 /// A book's number. It is never given to another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct BookId(pub u16);
+pub struct StateMachineId(pub u16);
 
-impl fmt::Display for BookId {
+impl fmt::Display for StateMachineId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.fmt(f)
     }
@@ -20,16 +20,16 @@
 /// A command was understood, and the book's rules refuse it. That is agreed as well: every member refuses it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[error("{0}")]
-pub struct Refusal(pub String);
+pub struct Rejection(pub String);
 
 /// One kind of agreed state. Every member comes to the same by the same entries, so that `apply` knows no clock, no
 /// chance, no float and no hash order.
-pub trait Book: Any + Send + Sync {
+pub trait ReplicatedStateMachine: Any + Send + Sync {
     /// Its number.
-    fn id(&self) -> BookId;
+    fn id(&self) -> StateMachineId;
 
     /// The version of its commands and its snapshot that this program writes. It knows this and the versions from
-    /// [`Book::oldest`] on.
+    /// [`ReplicatedStateMachine::oldest`] on.
     fn version(&self) -> u16;
 
     /// The oldest version that it still knows.
@@ -38,11 +38,11 @@
     }
 
     /// Applies a command of a known version, of the entry at this position. What it gives is the proposer's answer, of
-    /// [`crate::OUTCOME_MOST`] bytes at most.
+    /// [`crate::MAX_OUTCOME_BYTES`] bytes at most.
     ///
     /// # Errors
-    /// [`Refusal`], and then nothing has changed.
-    fn apply(&mut self, position: LogPosition, version: u16, body: &[u8]) -> Result<Bytes, Refusal>;
+    /// [`Rejection`], and then nothing has changed.
+    fn apply(&mut self, position: LogPosition, version: u16, body: &[u8]) -> Result<Bytes, Rejection>;
 
     /// Its part of a snapshot: the same bytes at every member that has applied the same entries.
     fn encode(&self) -> Vec<u8>;
--- a/crates/stepspur-shared/src/books.rs
+++ b/crates/stepspur-replication/src/books.rs
@@ -6,37 +6,37 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
-use stepspur_council::{Index, LogPosition, State};
+use stepspur_consensus::{Index, LogPosition, StateMachine};
 use tokio::sync::oneshot;
 
-use crate::book::{Book, BookId, Refusal};
-use crate::command::{BODY_MOST, Command, OpId, Outcome};
+use crate::book::{Rejection, ReplicatedStateMachine, StateMachineId};
+use crate::command::{Command, MAX_BODY_BYTES, OperationId, Outcome};
 
 /// Ids of operations are kept for so many entries: a repeat within them is known, and one that was first proposed
 /// before them is refused, as it might have been applied and forgotten.
-pub const KEPT: u64 = 16_384;
+pub const MAX_OUTCOMES: u64 = 16_384;
 /// Bytes of a book's answer at most; a longer one is cut, as it is kept with its id.
-pub const OUTCOME_MOST: usize = 1_024;
+pub const MAX_OUTCOME_BYTES: usize = 1_024;
 
 /// The books, as the member's task and its readers hold them.
 #[derive(Clone)]
-pub struct Books(Arc<RwLock<Inner>>);
+pub struct StateMachineRegistry(Arc<RwLock<Inner>>);
 
 struct Inner {
-    books: BTreeMap<BookId, Box<dyn Book>>,
+    books: BTreeMap<StateMachineId, Box<dyn ReplicatedStateMachine>>,
     /// Operations that took effect, by entry; they are forgotten in that order.
-    order: VecDeque<(Index, OpId)>,
-    done: BTreeMap<OpId, Outcome>,
+    order: VecDeque<(Index, OperationId)>,
+    done: BTreeMap<OperationId, Outcome>,
     applied: Index,
     /// Those who wait for an operation here, each by a number of its own. It is no part of what is agreed.
-    waiting: BTreeMap<(OpId, u64), oneshot::Sender<Outcome>>,
+    waiting: BTreeMap<(OperationId, u64), oneshot::Sender<Outcome>>,
     waits: u64,
 }
 
 /// Someone waits for an operation, until this is dropped.
 pub(crate) struct Wait {
-    books: Books,
-    place: (OpId, u64),
+    books: StateMachineRegistry,
+    place: (OperationId, u64),
     told: oneshot::Receiver<Outcome>,
 }
 
@@ -58,13 +58,13 @@
 struct Whole {
     applied: Index,
     /// Each book's number, version and part.
-    books: Vec<(BookId, u16, Vec<u8>)>,
-    done: Vec<(Index, OpId, Outcome)>,
+    books: Vec<(StateMachineId, u16, Vec<u8>)>,
+    done: Vec<(Index, OperationId, Outcome)>,
 }
 
-impl Books {
+impl StateMachineRegistry {
     /// The books as they are at the founding. Of two with one number the later counts.
-    pub fn new(books: impl IntoIterator<Item = Box<dyn Book>>) -> Self {
+    pub fn new(books: impl IntoIterator<Item = Box<dyn ReplicatedStateMachine>>) -> Self {
         let books = books.into_iter().map(|book| (book.id(), book)).collect();
         Self(Arc::new(RwLock::new(Inner {
             books,
@@ -90,25 +90,29 @@
     }
 
     /// Looks at a book; none if there is no such book of this type.
-    pub fn look<B: Book, T>(&self, id: BookId, look: impl FnOnce(&B) -> T) -> Option<T> {
+    pub fn inspect<B: ReplicatedStateMachine, T>(
+        &self,
+        id: StateMachineId,
+        look: impl FnOnce(&B) -> T,
+    ) -> Option<T> {
         let inner = self.inner();
         let book: &dyn std::any::Any = inner.books.get(&id)?.as_ref();
         book.downcast_ref::<B>().map(look)
     }
 
     /// The version of a book's commands that this program writes.
-    pub fn version(&self, id: BookId) -> Option<u16> {
+    pub fn version(&self, id: StateMachineId) -> Option<u16> {
         self.inner().books.get(&id).map(|book| book.version())
     }
 
     /// Each book's digest: the same at every member that has applied the same entries.
-    pub fn digests(&self) -> BTreeMap<BookId, [u8; 32]> {
+    pub fn digests(&self) -> BTreeMap<StateMachineId, [u8; 32]> {
         let inner = self.inner();
         inner.books.iter().map(|(id, book)| (*id, Sha256::digest(book.encode()).into())).collect()
     }
 
     /// Tells of this operation once it is applied here; at once if it was. Several may wait for the same.
-    pub(crate) fn wait(&self, id: OpId) -> Wait {
+    pub(crate) fn wait(&self, id: OperationId) -> Wait {
         let (tell, told) = oneshot::channel();
         let place = self.change(|inner| {
             inner.waits += 1;
@@ -139,19 +143,21 @@
         let id = command.id;
         let outcome = if let Some(before) = self.done.get(&id) {
             before.clone()
-        } else if index.0 > id.since.0 + KEPT {
+        } else if index.0 > id.since.0 + MAX_OUTCOMES {
             Outcome::TooOld
         } else {
             let outcome = match book.apply(position, command.version, &command.body) {
-                Ok(answer) => Outcome::Done(answer.iter().copied().take(OUTCOME_MOST).collect()),
-                Err(Refusal(why)) => Outcome::Refused(Refusal(why.chars().take(OUTCOME_MOST / 4).collect())),
+                Ok(answer) => Outcome::Done(answer.iter().copied().take(MAX_OUTCOME_BYTES).collect()),
+                Err(Rejection(why)) => {
+                    Outcome::Refused(Rejection(why.chars().take(MAX_OUTCOME_BYTES / 4).collect()))
+                }
             };
             self.done.insert(id, outcome.clone());
             self.order.push_back((index, id));
             outcome
         };
         // An operation of `since` S is refused after S + KEPT, and its entry lies after S: it can be forgotten then.
-        while let Some((_, id)) = self.order.pop_front_if(|(at, _)| at.0 + KEPT < index.0) {
+        while let Some((_, id)) = self.order.pop_front_if(|(at, _)| at.0 + MAX_OUTCOMES < index.0) {
             self.done.remove(&id);
         }
         self.tell(id, &outcome);
@@ -159,7 +165,7 @@
     }
 
     /// Tells all who wait for an operation.
-    fn tell(&mut self, id: OpId, outcome: &Outcome) {
+    fn tell(&mut self, id: OperationId, outcome: &Outcome) {
         let places: Vec<_> = self.waiting.range((id, 0)..=(id, u64::MAX)).map(|(place, _)| *place).collect();
         for tell in places.iter().filter_map(|place| self.waiting.remove(place)).collect::<Vec<_>>() {
             let _ = tell.send(outcome.clone());
@@ -193,7 +199,7 @@
         self.applied = whole.applied;
         self.order = whole.done.iter().map(|(at, id, _)| (*at, *id)).collect();
         self.done = whole.done.into_iter().map(|(_, id, outcome)| (id, outcome)).collect();
-        let told: BTreeSet<OpId> = self.waiting.keys().map(|(id, _)| *id).collect();
+        let told: BTreeSet<OperationId> = self.waiting.keys().map(|(id, _)| *id).collect();
         for id in told {
             if let Some(outcome) = self.done.get(&id).cloned() {
                 self.tell(id, &outcome);
@@ -203,9 +209,9 @@
     }
 }
 
-impl State for Books {
+impl StateMachine for StateMachineRegistry {
     fn apply(&mut self, position: LogPosition, command: &[u8]) -> Result<(), String> {
-        if command.len() > 2 * BODY_MOST {
+        if command.len() > 2 * MAX_BODY_BYTES {
             return Err(format!("a command of {} bytes", command.len()));
         }
         self.change(|inner| inner.apply(position, command))
--- a/crates/stepspur-shared/src/books/tests.rs
+++ b/crates/stepspur-replication/src/books/tests.rs
@@ -1,20 +1,20 @@
-use stepspur_council::{MemberId, Term};
+use stepspur_consensus::{MemberId, Term};
 
 use super::*;
 
 /// A book that answers with what it was told.
 struct Echo;
 
-impl Book for Echo {
-    fn id(&self) -> BookId {
-        BookId(1)
+impl ReplicatedStateMachine for Echo {
+    fn id(&self) -> StateMachineId {
+        StateMachineId(1)
     }
 
     fn version(&self) -> u16 {
         1
     }
 
-    fn apply(&mut self, _: LogPosition, _: u16, body: &[u8]) -> Result<Bytes, Refusal> {
+    fn apply(&mut self, _: LogPosition, _: u16, body: &[u8]) -> Result<Bytes, Rejection> {
         Ok(Bytes::copy_from_slice(body))
     }
 
@@ -31,22 +31,22 @@
     LogPosition { term: Term(1), index: Index(index) }
 }
 
-fn command(id: OpId) -> Vec<u8> {
-    Command { id, book: BookId(1), version: 1, body: b"x".to_vec() }.encode().to_vec()
+fn command(id: OperationId) -> Vec<u8> {
+    Command { id, book: StateMachineId(1), version: 1, body: b"x".to_vec() }.encode().to_vec()
 }
 
 /// A caller gives up while another waits for the same operation, as after a lost answer: the other's outcome is still
 /// owed, whether it comes by an entry or by a snapshot. Whoever gave up leaves nothing behind.
 #[tokio::test]
 async fn one_who_gives_up_takes_nobody_elses_outcome_and_leaves_nothing() {
-    let id = |number| OpId { member: MemberId(1), life: 7, number, since: Index(0) };
-    let mut books = Books::new([Box::new(Echo) as Box<dyn Book>]);
+    let id = |number| OperationId { member: MemberId(1), life: 7, number, since: Index(0) };
+    let mut books = StateMachineRegistry::new([Box::new(Echo) as Box<dyn ReplicatedStateMachine>]);
     for by_snapshot in [false, true] {
         let id = id(u64::from(by_snapshot));
         let (first, mut second) = (books.wait(id), books.wait(id));
         drop(first);
         if by_snapshot {
-            let mut other = Books::new([Box::new(Echo) as Box<dyn Book>]);
+            let mut other = StateMachineRegistry::new([Box::new(Echo) as Box<dyn ReplicatedStateMachine>]);
             other.apply(position(2), &command(id)).unwrap();
             books.restore(Index(2), &other.encode()).unwrap();
         } else {
--- a/crates/stepspur-shared/src/command.rs
+++ b/crates/stepspur-replication/src/command.rs
@@ -4,18 +4,18 @@
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
-use stepspur_council::{Index, MemberId};
+use stepspur_consensus::{Index, MemberId};
 
-use crate::book::{BookId, Refusal};
+use crate::book::{Rejection, StateMachineId};
 
 /// Bytes of a command's body at most.
-pub const BODY_MOST: usize = 32 << 10;
+pub const MAX_BODY_BYTES: usize = 32 << 10;
 /// The form of the envelope. A later one stops this program's member.
 const FORM: u8 = 1;
 
 /// An operation's identity: a repeat of the operation bears the same, so that it takes effect once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct OpId {
+pub struct OperationId {
     /// Who proposed it first.
     pub member: MemberId,
     /// Drawn at that member's start: a number that it gave in an earlier life is another's.
@@ -27,21 +27,21 @@
     pub since: Index,
 }
 
-impl fmt::Display for OpId {
+impl fmt::Display for OperationId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}-{:x}-{}@{}", self.member, self.life, self.number, self.since)
     }
 }
 
-/// A text is not an operation's id as [`OpId`] is written.
+/// A text is not an operation's id as [`OperationId`] is written.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("`{0}` is no operation: expected m-MEMBER-LIFE-NUMBER@ENTRY")]
-pub struct BadOpId(String);
+pub struct InvalidOperationId(String);
 
-impl std::str::FromStr for OpId {
-    type Err = BadOpId;
+impl std::str::FromStr for OperationId {
+    type Err = InvalidOperationId;
 
-    fn from_str(text: &str) -> Result<Self, BadOpId> {
+    fn from_str(text: &str) -> Result<Self, InvalidOperationId> {
         let read = || {
             let (operation, since) = text.strip_prefix("m-")?.split_once('@')?;
             let (member, rest) = operation.split_once('-')?;
@@ -54,7 +54,7 @@
                 since: Index(since.parse().ok()?),
             })
         };
-        read().ok_or_else(|| BadOpId(text.chars().take(64).collect()))
+        read().ok_or_else(|| InvalidOperationId(text.chars().take(64).collect()))
     }
 }
 
@@ -62,9 +62,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Command {
     /// The operation.
-    pub id: OpId,
+    pub id: OperationId,
     /// The book.
-    pub book: BookId,
+    pub book: StateMachineId,
     /// The version of the book's commands.
     pub version: u16,
     /// The command, in the book's own form.
@@ -77,7 +77,7 @@
     /// It was applied, with this answer.
     Done(Vec<u8>),
     /// The book's rules refuse it; nothing has changed.
-    Refused(Refusal),
+    Refused(Rejection),
     /// It came so late that it might have been applied before and forgotten; it was not applied now.
     TooOld,
 }
--- a/crates/stepspur-shared/src/turns.rs
+++ b/crates/stepspur-replication/src/turns.rs
@@ -3,29 +3,35 @@
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
 
-use crate::book::BookId;
+use crate::book::StateMachineId;
 
 /// Proposals under way.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Turns(Arc<Mutex<Counts>>);
+pub(crate) struct ProposalLimiter(Arc<Mutex<Counts>>);
 
 #[derive(Debug, Default)]
 struct Counts {
-    books: BTreeMap<BookId, usize>,
-    tenants: BTreeMap<(BookId, String), usize>,
+    books: BTreeMap<StateMachineId, usize>,
+    tenants: BTreeMap<(StateMachineId, String), usize>,
 }
 
 /// A proposal under way; it ends with this.
 #[derive(Debug)]
-pub(crate) struct Turn {
-    of: Turns,
-    book: BookId,
+pub(crate) struct ProposalPermit {
+    of: ProposalLimiter,
+    book: StateMachineId,
     tenant: String,
 }
 
-impl Turns {
+impl ProposalLimiter {
     /// A turn, if the book and the tenant have room.
-    pub(crate) fn take(&self, book: BookId, tenant: &str, by_book: usize, by_tenant: usize) -> Option<Turn> {
+    pub(crate) fn take(
+        &self,
+        book: StateMachineId,
+        tenant: &str,
+        by_book: usize,
+        by_tenant: usize,
+    ) -> Option<ProposalPermit> {
         let mut counts = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let of = (book, tenant.to_owned());
         let [all, own] = [counts.books.get(&book), counts.tenants.get(&of)].map(|n| n.copied().unwrap_or(0));
@@ -34,11 +40,11 @@
         }
         counts.books.insert(book, all + 1);
         counts.tenants.insert(of, own + 1);
-        Some(Turn { of: self.clone(), book, tenant: tenant.to_owned() })
+        Some(ProposalPermit { of: self.clone(), book, tenant: tenant.to_owned() })
     }
 }
 
-impl Drop for Turn {
+impl Drop for ProposalPermit {
     fn drop(&mut self) {
         let mut counts = self.of.0.lock().unwrap_or_else(PoisonError::into_inner);
         let of = (self.book, std::mem::take(&mut self.tenant));
--- a/crates/stepspur-scale/src/drains/control.rs
+++ b/crates/stepspur-scale/src/drains/control.rs
@@ -93,6 +93,6 @@
     std::fs::write(&nodes, "servers = 1\n[[node]]\naddress = \"127.0.0.1:9\"\nzone = \"a\"\n")?;
     std::fs::write(&settings, fleet.settings(place, &own, keys.folder(), &nodes))?;
     let council = fleet.founding(id, &own.join("council.redb"));
-    tokio::task::spawn_blocking(move || council.found()).await??;
+    tokio::task::spawn_blocking(move || council.bootstrap()).await??;
     Ok(settings)
 }
--- a/crates/stepspur-scale/src/drains/round.rs
+++ b/crates/stepspur-scale/src/drains/round.rs
@@ -10,7 +10,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use stepspur_conductor::source::NodeState;
-use stepspur_rehearsal::launch::Running;
+use stepspur_emulator::launch::Running;
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep, timeout};
 
--- a/crates/stepspur-scale/src/fleet/cluster.rs
+++ b/crates/stepspur-scale/src/fleet/cluster.rs
@@ -131,7 +131,7 @@
             std::fs::write(&settings, self.control.settings(place, &own, self.keys.folder(), &nodes))?;
             if member.votes {
                 let council = self.control.founding(member.id, &own.join("council.redb"));
-                tokio::task::spawn_blocking(move || council.found()).await??;
+                tokio::task::spawn_blocking(move || council.bootstrap()).await??;
             }
             let log = own.join("log");
             self.controls.push(ControlProcess { settings, log, process: None });
--- a/crates/stepspur-scale/src/fleet/mod.rs
+++ b/crates/stepspur-scale/src/fleet/mod.rs
@@ -158,7 +158,7 @@
 /// A run with an end: by its time, or by a signal. Whatever was started ends with it.
 async fn bounded(args: &FleetArgs) -> anyhow::Result<Report> {
     let (mut interrupt, mut terminate) = (signal(SignalKind::interrupt())?, signal(SignalKind::terminate())?);
-    let folder = tempfile::Builder::new().prefix("stepspur-fleet-").tempdir()?;
+    let folder = tempfile::Builder::new().prefix("stepspur-simulation-").tempdir()?;
     let path = match &args.keep {
         Some(path) => {
             std::fs::create_dir_all(path)?;
--- a/crates/stepspur-scale/src/fleet/processes.rs
+++ b/crates/stepspur-scale/src/fleet/processes.rs
@@ -7,7 +7,7 @@
 
 use anyhow::{Context, bail, ensure};
 use rustix::process::{Pid, Signal, kill_process};
-use stepspur_rehearsal::Announcement;
+use stepspur_emulator::Announcement;
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::process::{Child, ChildStdin, ChildStdout, Command};
 use tokio::sync::mpsc;
--- a/crates/stepspur-scale/src/fleet/settings.rs
+++ b/crates/stepspur-scale/src/fleet/settings.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use stepspur_peers::{Council, Place};
+use stepspur_consensus_node::{ConsensusConfig, MemberAddress};
 
 use super::operators::TENANT;
 use super::plan::{Conductor, ControlMember, Plan, ROUTES_MOST, route};
@@ -61,13 +61,13 @@
     }
 
     /// The council as its first voters found it.
-    pub fn founding(&self, id: u64, state: &Path) -> Council {
+    pub fn founding(&self, id: u64, state: &Path) -> ConsensusConfig {
         let voters = self.members.iter().filter(|(member, _)| member.votes);
-        let place = |(member, addresses): &(ControlMember, ControlAddresses)| Place {
+        let place = |(member, addresses): &(ControlMember, ControlAddresses)| MemberAddress {
             id: member.id,
             address: addresses.council,
         };
-        Council {
+        ConsensusConfig {
             id,
             state: state.to_owned(),
             conductors: voters.map(place).collect(),
--- a/crates/stepspur-scale/src/hollow/tests.rs
+++ b/crates/stepspur-scale/src/hollow/tests.rs
@@ -4,9 +4,9 @@
 use stepspur_conductor::config::Source;
 use stepspur_conductor::http;
 use stepspur_conductor::source::{NodeRecord, NodeState};
-use stepspur_rehearsal::Launcher;
-use stepspur_rehearsal::registry::Registry;
-use stepspur_rehearsal::trace::Trace;
+use stepspur_emulator::Launcher;
+use stepspur_emulator::registry::Registry;
+use stepspur_emulator::trace::Trace;
 use tokio::net::TcpListener;
 use tokio_util::sync::CancellationToken;
 
--- a/crates/stepspur-scale/src/hollow_conductors/mod.rs
+++ b/crates/stepspur-scale/src/hollow_conductors/mod.rs
@@ -10,11 +10,11 @@
 use std::time::Duration;
 
 use anyhow::Context;
+use stepspur_consensus_node::BoxFuture;
 use stepspur_distribution::document::Document;
 use stepspur_distribution::store::MemoryStore;
-use stepspur_distribution::subscriber::{Apply, Subscriber, SubscriberSettings, SubscriberStatus};
+use stepspur_distribution::subscriber::{DocumentApplier, Subscriber, SubscriberSettings, SubscriberStatus};
 use stepspur_distribution::version::Version;
-use stepspur_peers::Later;
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader, BufWriter};
 use tokio::sync::{mpsc, watch};
 use tokio_util::sync::CancellationToken;
@@ -139,7 +139,7 @@
             write_timeout: WRITE_TIMEOUT,
             seed: u64::from(id.0) ^ now(),
         };
-        let apply: Arc<dyn Apply> = Arc::clone(&engine) as Arc<dyn Apply>;
+        let apply: Arc<dyn DocumentApplier> = Arc::clone(&engine) as Arc<dyn DocumentApplier>;
         let subscriber =
             match Subscriber::start(settings, Box::new(store.clone()), apply, Arc::new(net)).await {
                 Ok(subscriber) => subscriber,
@@ -245,8 +245,8 @@
     }
 }
 
-impl Apply for Engine {
-    fn apply<'a>(&'a self, document: &'a Document) -> Later<'a, Result<(), String>> {
+impl DocumentApplier for Engine {
+    fn apply<'a>(&'a self, document: &'a Document) -> BoxFuture<'a, Result<(), String>> {
         Box::pin(self.take(document))
     }
 }
--- a/crates/stepspur-scale/src/hollow_conductors/net.rs
+++ b/crates/stepspur-scale/src/hollow_conductors/net.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::task::{Context, Poll};
 
-use stepspur_peers::{Later, Listen, Net, Stream, Tcp};
+use stepspur_consensus_node::{BoxFuture, Listen, Net, Stream, Tcp};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
 use super::message::Bytes;
@@ -57,11 +57,11 @@
 }
 
 impl Net for GatedNet {
-    fn listen(&self, _: SocketAddr) -> Later<'_, io::Result<Box<dyn Listen>>> {
+    fn listen(&self, _: SocketAddr) -> BoxFuture<'_, io::Result<Box<dyn Listen>>> {
         Box::pin(async { Err(io::Error::from(io::ErrorKind::Unsupported)) })
     }
 
-    fn dial(&self, to: SocketAddr) -> Later<'_, io::Result<Box<dyn Stream>>> {
+    fn dial(&self, to: SocketAddr) -> BoxFuture<'_, io::Result<Box<dyn Stream>>> {
         Box::pin(async move {
             self.gate.opened().await;
             let stream = Gated::new(Tcp.dial(to).await?, Arc::clone(&self.gate));
--- a/crates/stepspur-scale/src/slopes/council.rs
+++ b/crates/stepspur-scale/src/slopes/council.rs
@@ -9,8 +9,8 @@
 use serde::Deserialize;
 use stepspur_conductor::config::Source;
 use stepspur_conductor::http;
-use stepspur_peers::Council;
-use stepspur_rehearsal::Launcher;
+use stepspur_consensus_node::ConsensusConfig;
+use stepspur_emulator::Launcher;
 use tokio::io::{AsyncBufReadExt, BufReader, Lines};
 use tokio::process::{Child, ChildStdout, Command};
 use tokio::time::{Instant, sleep, timeout};
@@ -63,11 +63,11 @@
 }
 
 /// Settings of the council for each of so many members, the first three of them voters; their states are founded.
-pub fn councils(members: usize, folder: &Path) -> anyhow::Result<Vec<Council>> {
-    let place = |id: u64| Ok(stepspur_peers::Place { id, address: free_address(id)? });
+pub fn councils(members: usize, folder: &Path) -> anyhow::Result<Vec<ConsensusConfig>> {
+    let place = |id: u64| Ok(stepspur_consensus_node::MemberAddress { id, address: free_address(id)? });
     let places: Vec<_> = (1..=members as u64).map(place).collect::<std::io::Result<_>>()?;
-    let of = |id: u64| -> anyhow::Result<Council> {
-        let mut council: Council = toml::from_str(&format!(
+    let of = |id: u64| -> anyhow::Result<ConsensusConfig> {
+        let mut council: ConsensusConfig = toml::from_str(&format!(
             "id = {id}\nstate = {:?}\nconductors = [{{ id = {id}, address = \"127.0.0.1:1\" }}]",
             folder.join(format!("council-{id}.redb"))
         ))?;
@@ -76,8 +76,8 @@
     };
     let councils = (1..=members as u64).map(of).collect::<anyhow::Result<Vec<_>>>()?;
     for council in councils.iter().take(VOTERS) {
-        let first = Council { conductors: places[..VOTERS].to_vec(), ..council.clone() };
-        first.found()?;
+        let first = ConsensusConfig { conductors: places[..VOTERS].to_vec(), ..council.clone() };
+        first.bootstrap()?;
     }
     Ok(councils)
 }
@@ -241,7 +241,7 @@
     Ok(serde_json::from_str(&line.context("a member has ended")?)?)
 }
 
-fn start_member(council: &Council, folder: &Path, per_s: u32) -> anyhow::Result<Member> {
+fn start_member(council: &ConsensusConfig, folder: &Path, per_s: u32) -> anyhow::Result<Member> {
     let settings = folder.join(format!("member-{}.toml", council.id));
     std::fs::write(&settings, toml::to_string(council)?)?;
     let mut child = Command::new(std::env::current_exe()?)
--- a/crates/stepspur-scale/src/slopes/member.rs
+++ b/crates/stepspur-scale/src/slopes/member.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use anyhow::Context;
-use stepspur_council::{Command, DutyName};
-use stepspur_peers::{Council, Peers};
+use stepspur_consensus::{RoleCommand, RoleName};
+use stepspur_consensus_node::{ConsensusConfig, NodeHandle};
 use tokio::time::{MissedTickBehavior, interval, timeout};
 
 use super::council::MemberLine;
@@ -33,7 +33,7 @@
 /// If it does not start.
 pub async fn run(args: MemberArgs) -> anyhow::Result<()> {
     let text = std::fs::read_to_string(&args.settings).context("the member's settings")?;
-    let council: Council = toml::from_str(&text).context("the member's settings")?;
+    let council: ConsensusConfig = toml::from_str(&text).context("the member's settings")?;
     let peers = council.start(1).await?;
     let served = async {
         tokio::try_join!(tell(&peers), command(&peers, args.commands_per_s))?;
@@ -49,7 +49,7 @@
 }
 
 /// Says who leads and how far it has come, as long as somebody listens.
-async fn tell(peers: &Peers) -> anyhow::Result<()> {
+async fn tell(peers: &NodeHandle) -> anyhow::Result<()> {
     let mut turns = interval(TELL_EVERY);
     loop {
         turns.tick().await;
@@ -61,11 +61,11 @@
     }
 }
 
-async fn command(peers: &Peers, per_s: u32) -> anyhow::Result<()> {
+async fn command(peers: &NodeHandle, per_s: u32) -> anyhow::Result<()> {
     if per_s == 0 {
         return Ok(());
     }
-    let command = Command::Drop { duty: DutyName::new(&"x".repeat(DUTY_BYTES))? };
+    let command = RoleCommand::Drop { duty: RoleName::new(&"x".repeat(DUTY_BYTES))? };
     let mut turns = interval(Duration::from_secs(1) / per_s);
     turns.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
--- a/crates/stepspur-scale/src/slopes/tenants.rs
+++ b/crates/stepspur-scale/src/slopes/tenants.rs
@@ -5,10 +5,10 @@
 
 use anyhow::Context;
 use stepspur_conductor::config::{Source, Tenant};
+use stepspur_emulator::Launcher;
+use stepspur_emulator::identity::DayKeys;
 use stepspur_identity::keys::{Manifest, OperatorEntry, write_manifest};
 use stepspur_identity::rights::Right;
-use stepspur_rehearsal::Launcher;
-use stepspur_rehearsal::identity::DayKeys;
 use tokio::time::{Instant, sleep};
 
 use super::conductor::settings;
--- a/crates/stepspur-fleet/examples/day.rs
+++ b/crates/stepspur-simulation/examples/day.rs
@@ -1,9 +1,9 @@
-//! Plays scenario files in virtual time: `cargo run --release -p stepspur-fleet --example day -- rehearsals/*.toml`.
+//! Plays scenario files in virtual time: `cargo run --release -p stepspur-simulation --example day -- rehearsals/*.toml`.
 
 use std::path::PathBuf;
 
-use stepspur_fleet::{Options, run};
-use stepspur_rehearsal::scenario::Scenario;
+use stepspur_emulator::scenario::Scenario;
+use stepspur_simulation::{Options, run};
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     for path in std::env::args().skip(1).map(PathBuf::from) {
--- a/crates/stepspur-fleet/src/baseline.rs
+++ b/crates/stepspur-simulation/src/baseline.rs
@@ -5,9 +5,9 @@
 
 use serde::{Deserialize, Serialize};
 use stepspur_conductor::config::EffectConfig;
+use stepspur_emulator::plan::Plan;
 use stepspur_model::proxy::Pick;
 use stepspur_proto::v1;
-use stepspur_rehearsal::plan::Plan;
 
 /// A way to choose servers without a conductor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -67,7 +67,7 @@
 
     /// Tries again as a careful operator would set them: reads once, the rest only if they never ran.
     pub(crate) fn levels(plan: &Plan) -> Vec<v1::Level> {
-        let level = |(class, c): (usize, &stepspur_rehearsal::plan::ClassPlan)| {
+        let level = |(class, c): (usize, &stepspur_emulator::plan::ClassPlan)| {
             let resend = match c.effect {
                 EffectConfig::ReadLike => v1::Resend::Once,
                 _ if plan.rules.full_may_have_run => v1::Resend::Never,
--- a/crates/stepspur-fleet/src/experiment.rs
+++ b/crates/stepspur-simulation/src/experiment.rs
@@ -17,7 +17,7 @@
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
 use statrs::distribution::{ContinuousCDF, StudentsT};
-use stepspur_rehearsal::scenario::{Scenario, ScenarioError};
+use stepspur_emulator::scenario::{Scenario, ScenarioError};
 
 use crate::baseline::Baseline;
 use crate::world::{Options, run};
--- a/crates/stepspur-fleet/src/world/attempts.rs
+++ b/crates/stepspur-simulation/src/world/attempts.rs
@@ -3,11 +3,11 @@
 use std::net::SocketAddr;
 
 use stepspur_conductor::config::{EffectConfig, GroupConfig};
+use stepspur_emulator::trace::{Arrival, Came, Event, RequestId};
 use stepspur_model::Micros;
 use stepspur_model::memory::Memory;
 use stepspur_model::proxy::Tried;
 use stepspur_model::server::{Ask, Conn, Job, Offer};
-use stepspur_rehearsal::trace::{Arrival, Came, Event, RequestId};
 
 use super::schedule::{AttemptId, Scheduled};
 use super::state::Attempt;
--- a/crates/stepspur-fleet/src/world/conductors.rs
+++ b/crates/stepspur-simulation/src/world/conductors.rs
@@ -5,9 +5,9 @@
 
 use bytes::Bytes;
 use stepspur_conductor::engine::{Engine, Input, Output, StreamId};
+use stepspur_emulator::trace::Event;
 use stepspur_model::Micros;
 use stepspur_proto::{FromConductor, split_frame};
-use stepspur_rehearsal::trace::Event;
 
 use super::World;
 use super::schedule::{ConductorLife, Scheduled};
--- a/crates/stepspur-fleet/src/world/list.rs
+++ b/crates/stepspur-simulation/src/world/list.rs
@@ -2,12 +2,12 @@
 
 use std::sync::Arc;
 
-use stepspur::interface::ListHow;
+use stepspur::interface::ListUpdate;
 use stepspur_conductor::engine::{Input, NodeEntry};
 use stepspur_conductor::source::{NodeRecord, NodeState};
+use stepspur_emulator::trace::Event;
 use stepspur_model::Micros;
 use stepspur_proto::v1;
-use stepspur_rehearsal::trace::Event;
 
 use super::schedule::{ConductorLife, Scheduled};
 use super::{World, address};
@@ -58,12 +58,13 @@
         let conductor = to.conductor;
         if self.list_down {
             self.conductors[conductor].tracking = false;
-            return self.handle_input(conductor, Input::List { how: ListHow::Failed, entries: Vec::new() });
+            return self
+                .handle_input(conductor, Input::List { how: ListUpdate::Failed, entries: Vec::new() });
         }
         records.extend((0..self.ghosts).map(|ghost| self.ghost_record(ghost)));
         let entries: Vec<NodeEntry> = records.iter().cloned().map(NodeEntry::from).collect();
         self.note(Event::Told { conductor, whole, nodes: Arc::new(records) });
-        let how = if whole { ListHow::Full } else { ListHow::Delta };
+        let how = if whole { ListUpdate::Full } else { ListUpdate::Delta };
         self.handle_input(conductor, Input::List { how, entries });
     }
 
--- a/crates/stepspur-fleet/src/world/probes.rs
+++ b/crates/stepspur-simulation/src/world/probes.rs
@@ -4,8 +4,8 @@
 
 use stepspur::interface::ProbeOutcome;
 use stepspur_conductor::engine::{Input, ProbeTarget};
+use stepspur_emulator::plan::Lie;
 use stepspur_model::server::Load;
-use stepspur_rehearsal::plan::Lie;
 
 use super::schedule::{Probe, Scheduled};
 use super::{World, micros, place};
--- a/crates/stepspur-fleet/src/world/servers.rs
+++ b/crates/stepspur-simulation/src/world/servers.rs
@@ -4,10 +4,10 @@
 
 use rand::RngExt;
 use stepspur_conductor::source::NodeState;
+use stepspur_emulator::trace::Event;
 use stepspur_model::Micros;
 use stepspur_model::proxy::Tried;
 use stepspur_model::server::{Ails, Done, Server, WarmBy};
-use stepspur_rehearsal::trace::Event;
 
 use super::schedule::{AttemptId, Scheduled};
 use super::{World, address, micros};
--- a/crates/stepspur-fleet/src/world/setup.rs
+++ b/crates/stepspur-simulation/src/world/setup.rs
@@ -8,14 +8,14 @@
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
+use stepspur_emulator::clients::Outcomes;
+use stepspur_emulator::links::Links;
+use stepspur_emulator::plan::{Plan, ProxyPlan};
+use stepspur_emulator::trace::Event;
+use stepspur_emulator::traffic::{Traffic, Weather};
 use stepspur_model::Micros;
 use stepspur_model::proxy::{Proxy, Spec};
 use stepspur_model::server::Server;
-use stepspur_rehearsal::clients::Outcomes;
-use stepspur_rehearsal::links::Links;
-use stepspur_rehearsal::plan::{Plan, ProxyPlan};
-use stepspur_rehearsal::trace::Event;
-use stepspur_rehearsal::traffic::{Traffic, Weather};
 
 use super::state::{ConductorState, Impairment, ProxyState, ServerState};
 use super::{Options, World, address};
@@ -80,7 +80,7 @@
 }
 
 fn servers(plan: &Plan, rng: &mut ChaCha8Rng) -> Vec<ServerState> {
-    let mut state = |server: &stepspur_rehearsal::plan::ServerPlan| {
+    let mut state = |server: &stepspur_emulator::plan::ServerPlan| {
         ServerState::new(Server::new(server.spec.clone(), rng.random(), BASE, true), server.up)
     };
     plan.servers.iter().map(&mut state).collect()
--- a/crates/stepspur-fleet/src/world/state.rs
+++ b/crates/stepspur-simulation/src/world/state.rs
@@ -6,14 +6,14 @@
 use rand_chacha::ChaCha8Rng;
 use stepspur_conductor::engine::{Engine, StreamId};
 use stepspur_conductor::source::NodeState;
+use stepspur_emulator::plan::Lie;
+use stepspur_emulator::trace::RequestId;
+use stepspur_emulator::traffic::Drawn;
 use stepspur_model::Micros;
 use stepspur_model::proxy::Proxy;
 use stepspur_model::serve::Serving;
 use stepspur_model::server::{Ails, Conn, Job, Load, Server};
 use stepspur_proto::FromConductor;
-use stepspur_rehearsal::plan::Lie;
-use stepspur_rehearsal::trace::RequestId;
-use stepspur_rehearsal::traffic::Drawn;
 
 use super::schedule::AttemptId;
 
--- a/crates/stepspur-fleet/src/world/streams.rs
+++ b/crates/stepspur-simulation/src/world/streams.rs
@@ -4,9 +4,9 @@
 
 use rand::RngExt;
 use stepspur_conductor::engine::{Input, StreamId};
+use stepspur_emulator::trace::Event;
 use stepspur_model::Micros;
 use stepspur_proto::{FromConductor, FromProxy, VERSION, from_conductor, from_proxy, v1};
-use stepspur_rehearsal::trace::Event;
 
 use super::schedule::Scheduled;
 use super::state::Direction;
--- a/crates/stepspur-fleet/src/world/troubles.rs
+++ b/crates/stepspur-simulation/src/world/troubles.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use stepspur_conductor::source::NodeState;
-use stepspur_rehearsal::plan::Trouble;
+use stepspur_emulator::plan::Trouble;
 
 use super::schedule::Scheduled;
 use super::{World, micros};
--- a/crates/stepspur-fleet/tests/experiment.rs
+++ b/crates/stepspur-simulation/tests/experiment.rs
@@ -3,12 +3,12 @@
 use std::path::{Path, PathBuf};
 use std::sync::Mutex;
 
-use stepspur_fleet::experiment::{ExperimentError, Finished, Lab, estimate};
+use stepspur_simulation::experiment::{ExperimentError, Finished, Lab, estimate};
 use tempfile::TempDir;
 
 fn written(arms: &str) -> (TempDir, PathBuf, PathBuf) {
     let folder = tempfile::tempdir().unwrap();
-    let scenario = include_str!("../../stepspur-rehearsal/tests/data/small.toml");
+    let scenario = include_str!("../../stepspur-emulator/tests/data/small.toml");
     std::fs::write(folder.path().join("small.toml"), scenario).unwrap();
     let file = folder.path().join("e.toml");
     let head = "name = \"e\"\nscenario = \"small.toml\"\nleast = 4\nmost = 4\n";
--- a/crates/stepspur-fleet/tests/world.rs
+++ b/crates/stepspur-simulation/tests/world.rs
@@ -2,14 +2,14 @@
 
 use std::time::Duration;
 
-use stepspur_fleet::baseline::Baseline;
-use stepspur_fleet::{Options, Outcome, run};
+use stepspur_emulator::judge::Rule;
+use stepspur_emulator::plan::Plan;
+use stepspur_emulator::scenario::Scenario;
 use stepspur_model::proxy::Pick;
 use stepspur_model::server::Spec;
 use stepspur_model::work::Form;
-use stepspur_rehearsal::judge::Rule;
-use stepspur_rehearsal::plan::Plan;
-use stepspur_rehearsal::scenario::Scenario;
+use stepspur_simulation::baseline::Baseline;
+use stepspur_simulation::{Options, Outcome, run};
 
 fn scenario(name: &str) -> Scenario {
     let path = format!("{}/../../rehearsals/{name}.toml", env!("CARGO_MANIFEST_DIR"));
--- /dev/null
+++ b/crates/stepspur-simulator-adapter/src/bin/stepspur-wirehost.rs
@@ -0,0 +1,8 @@
+//! The program's former name, for deploy files that still use it.
+#![forbid(unsafe_code)]
+
+use std::process::ExitCode;
+
+fn main() -> ExitCode {
+    stepspur_simulator_adapter::run()
+}
--- a/crates/stepspur-wirehost/src/main.rs
+++ b/crates/stepspur-simulator-adapter/src/lib.rs
@@ -3,6 +3,7 @@
 //! One [`Policy`] per instance and nothing shared. Malformed input ends the program with one plain line on
 //! standard error and exit code 2; the end of input between batches ends it with 0.
 #![forbid(unsafe_code)]
+#![warn(missing_docs)]
 
 use std::collections::BTreeMap;
 use std::io::{self, BufReader, Read, Write};
@@ -11,13 +12,14 @@
 
 use stepspur::Policy;
 use stepspur::interface::Event;
-use stepspur_wire::{Batch, Decoder, HEADER_LEN, Record, Reply, WireError, body_len};
+use stepspur_simulator_protocol::{Batch, Decoder, HEADER_LEN, Record, Reply, WireError, body_len};
 
-fn main() -> ExitCode {
+/// Serves standard input until it ends; the program's exit code.
+pub fn run() -> ExitCode {
     match serve(&mut BufReader::new(io::stdin().lock()), &mut io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(what) => {
-            eprintln!("stepspur-wirehost: {what}");
+        Err(error) => {
+            eprintln!("stepspur-simulator-adapter: {error}");
             ExitCode::from(2)
         }
     }
--- a/crates/stepspur-wirehost/tests/host.rs
+++ b/crates/stepspur-simulator-adapter/tests/host.rs
@@ -4,7 +4,7 @@
 use std::process::{Command, Output, Stdio};
 
 fn run(input: &[u8]) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_stepspur-wirehost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_stepspur-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
@@ -49,7 +49,7 @@
         assert_eq!(output.stdout.len(), 12, "the first batch's reply and nothing half-written");
         let said = String::from_utf8(output.stderr).unwrap();
         assert!(
-            said.starts_with("stepspur-wirehost: batch cut short") && said.lines().count() == 1,
+            said.starts_with("stepspur-simulator-adapter: batch cut short") && said.lines().count() == 1,
             "{said}"
         );
     }
--- a/crates/stepspur-wire/src/frame.rs
+++ b/crates/stepspur-simulator-protocol/src/frame.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use stepspur::interface::{
-    Action, ClassId, Event, ListEntry, ListHow, ListState, ProbeOutcome, ProxyId, Resend, ServerId, Settings,
-    TableId, ZoneId,
+    Action, ClassId, Endpoint, EndpointState, Event, ListUpdate, ProbeOutcome, ProxyId, RetryPolicy,
+    ServerId, Settings, TableId, ZoneId,
 };
 
 use crate::{WireError, parse_settings};
@@ -50,7 +50,7 @@
 /// Reads batches; keeps the numbered lists between them.
 #[derive(Debug, Default)]
 pub struct Decoder {
-    sheets: BTreeMap<u32, Arc<[ListEntry]>>,
+    sheets: BTreeMap<u32, Arc<[Endpoint]>>,
 }
 
 impl Decoder {
@@ -123,8 +123,8 @@
     fn event(&self, f: &mut Fields) -> Result<Event, WireError> {
         Ok(match f.code {
             2 => self.list(f)?,
-            3 => Event::Alarm { token: f.u64("nonce")? },
-            4 => Event::Probed {
+            3 => Event::Timer { token: f.u64("nonce")? },
+            4 => Event::ProbeResult {
                 server: f.server()?,
                 outcome: f.outcome()?,
                 latency: u64::from(f.u32("latencyUs")?),
@@ -134,40 +134,48 @@
                 f.u32("src")?;
                 let len = usize::from(f.u16("octets")?);
                 f.take(len, "octets")?;
-                Event::Peer
+                Event::PeerMessage
             }
             7 => {
                 let rate = f64::from(f.f32("heft")?);
-                Event::Joined { rate, proxy: f.proxy()?, zone: f.zone()?, fresh: f.flag()? }
+                Event::ProxyConnected { rate, proxy: f.proxy()?, zone: f.zone()?, fresh: f.flag()? }
             }
-            8 => Event::Left { proxy: f.proxy()? },
-            9 => Event::Applied {
+            8 => Event::ProxyDisconnected { proxy: f.proxy()? },
+            9 => Event::Acknowledged {
                 proxy: f.proxy()?,
-                mark: f.u32("gen")?,
+                nonce: f.u32("gen")?,
                 latency: u64::from(f.u32("latencyUs")?),
             },
             10 => {
                 let period = u64::from(f.u32("periodLenUs")?);
                 let (total, errors) = (f.u32("total")?, f.u32("errors")?);
                 let (zone, latency) = (f.zone()?, u64::from(f.u32("latencyUs")?));
-                Event::Tally { period, total, errors, zone, latency, server: f.server()?, load: f.load()? }
+                Event::UpstreamStats {
+                    period,
+                    total,
+                    errors,
+                    zone,
+                    latency,
+                    server: f.server()?,
+                    load: f.load()?,
+                }
             }
             11 => {
                 let period = u64::from(f.u32("periodLenUs")?);
                 let errors = f.u32("errors")?;
                 let (proxy, total) = (f.proxy()?, f.u32("total")?);
-                Event::Traffic { period, errors, proxy, total, class: ClassId(f.u8("category")?) }
+                Event::ClientStats { period, errors, proxy, total, class: ClassId(f.u8("category")?) }
             }
             12 => {
                 let (slice, class) = (TableId(f.u16("setId")?), ClassId(f.u8("category")?));
                 let total = f.u32("total")?;
                 f.u32("errors")?;
                 f.u32("periodLenUs")?;
-                Event::Heat { slice, class, total }
+                Event::ShardTraffic { shard: slice, class, total }
             }
-            13 => Event::Mandate { slice: TableId(f.u16("setId")?), given: f.flag()? },
-            _ => Event::OnRecord {
-                slice: TableId(f.u16("setId")?),
+            13 => Event::ShardAssignment { shard: TableId(f.u16("setId")?), granted: f.flag()? },
+            _ => Event::StoredLine {
+                shard: TableId(f.u16("setId")?),
                 server: f.server()?,
                 weight: f64::from(f.f32("heft")?),
             },
@@ -176,20 +184,20 @@
 
     fn list(&self, f: &mut Fields) -> Result<Event, WireError> {
         let how = match f.u8("how")? {
-            0 => ListHow::Delta,
-            1 => ListHow::Full,
-            2 => ListHow::Cached,
-            3 => ListHow::Failed,
+            0 => ListUpdate::Delta,
+            1 => ListUpdate::Full,
+            2 => ListUpdate::Cached,
+            3 => ListUpdate::Failed,
             other => return Err(f.unknown("how", u32::from(other))),
         };
         f.u32("gen")?;
         let slot = f.u32("slot")?;
-        if how == ListHow::Failed {
-            return Ok(Event::List { how, entries: Arc::from([]) });
+        if how == ListUpdate::Failed {
+            return Ok(Event::EndpointList { update: how, entries: Arc::from([]) });
         }
         let no_sheet = WireError::NoSheet { batch: f.batch, record: f.record, slot };
         let entries = self.sheets.get(&slot).cloned().ok_or(no_sheet)?;
-        Ok(Event::List { how, entries })
+        Ok(Event::EndpointList { update: how, entries })
     }
 }
 
@@ -267,7 +275,7 @@
         Ok(match self.u16("code")? {
             0 => ProbeOutcome::Ok,
             13 => ProbeOutcome::Error,
-            8 => ProbeOutcome::Full,
+            8 => ProbeOutcome::Rejected,
             4 => ProbeOutcome::Timeout,
             14 => ProbeOutcome::Unreachable,
             10 => ProbeOutcome::Reset,
@@ -275,18 +283,18 @@
         })
     }
 
-    fn entry(&mut self) -> Result<ListEntry, WireError> {
+    fn entry(&mut self) -> Result<Endpoint, WireError> {
         self.u16("type")?;
         let (born, zone) = (self.u64("bornUs")?, self.zone()?);
         let state = match self.u8("state")? {
-            0 => ListState::Ready,
-            3 => ListState::Draining,
-            1 => ListState::Gone,
+            0 => EndpointState::Ready,
+            3 => EndpointState::Draining,
+            1 => EndpointState::Removed,
             other => return Err(self.unknown("state", u32::from(other))),
         };
         let server = self.server()?;
         self.u16("block")?;
-        Ok(ListEntry { server, born, zone, state, weight: f64::from(self.f32("heft")?) })
+        Ok(Endpoint { server, started_at: born, zone, state, weight: f64::from(self.f32("heft")?) })
     }
 
     fn unknown(&self, field: &'static str, value: u32) -> WireError {
@@ -340,37 +348,37 @@
 
     fn action(&mut self, action: &Action) {
         match action {
-            Action::Line { table, server, weight } => self.record(5, |b| {
+            Action::SetWeight { table, server, weight } => self.record(5, |b| {
                 b.extend(table.0.to_be_bytes());
                 b.extend(server.0);
                 b.extend(weight.to_be_bytes());
             }),
-            Action::Bind { proxy, table } => self.record(7, |b| {
+            Action::AssignTable { proxy, table } => self.record(7, |b| {
                 b.extend(0u16.to_be_bytes());
                 b.extend(table.0.to_be_bytes());
                 b.extend(proxy.0.to_be_bytes());
             }),
-            Action::Level { table, class, resend, level } => self.record(3, |b| {
+            Action::SetAdmission { table, class, retry_policy: resend, level } => self.record(3, |b| {
                 b.extend(table.0.to_be_bytes());
                 b.extend((1u16 << class.0).to_be_bytes());
                 b.push(resend_code(*resend));
                 b.extend(level.to_be_bytes());
             }),
-            Action::Mark { mark } => self.record(12, |b| {
+            Action::RequestAck { nonce: mark } => self.record(12, |b| {
                 b.extend(u32::from(*mark).to_be_bytes());
                 b.push(0);
             }),
-            Action::Withdraw { server, out } => self.record(10, |b| {
+            Action::SetEjected { server, ejected: out } => self.record(10, |b| {
                 b.extend(server.0);
                 b.push(u8::from(*out));
             }),
-            Action::Wake { after, token } => self.record(1, |b| {
+            Action::SetTimer { after, token } => self.record(1, |b| {
                 b.extend(u32::try_from(*after).unwrap_or(u32::MAX).to_be_bytes());
                 b.extend(token.to_be_bytes());
             }),
             Action::Probe { server } => self.record(13, |b| b.extend(server.0)),
-            Action::Track => self.record(2, |b| b.push(1)),
-            Action::Lookup => self.record(11, |_| ()),
+            Action::WatchEndpoints => self.record(2, |b| b.push(1)),
+            Action::FetchEndpoints => self.record(11, |_| ()),
             Action::Log(what) => self.record(9, |b| text(b, what)),
         }
     }
@@ -386,12 +394,12 @@
     }
 }
 
-fn resend_code(resend: Resend) -> u8 {
+fn resend_code(resend: RetryPolicy) -> u8 {
     match resend {
-        Resend::Never => 0,
-        Resend::Unsent => 1,
-        Resend::Once => 2,
-        Resend::Twice => 3,
+        RetryPolicy::Never => 0,
+        RetryPolicy::IfNeverStarted => 1,
+        RetryPolicy::Once => 2,
+        RetryPolicy::Twice => 3,
     }
 }
 
--- a/crates/stepspur-wire/src/settings.rs
+++ b/crates/stepspur-simulator-protocol/src/settings.rs
@@ -1,7 +1,7 @@
 //! Settings JSON to [`Settings`]. Unknown keys are passed over; a missing needed key is an error.
 
 use serde::Deserialize;
-use stepspur::interface::{Admit, Class, Effect, Group, Settings, ZoneId};
+use stepspur::interface::{AdmissionMode, DedupScope, Idempotency, RequestClass, Settings, ZoneId};
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
@@ -117,54 +117,54 @@
     let info = raw.family_info;
     let own_zone = |k: usize| info.class_own_zone.get(k).copied().unwrap_or(false);
     Ok(Settings {
-        zones: raw.zones.len(),
-        my_zone: ZoneId(raw.my_zone),
-        conductors: raw.balancers,
+        zone_count: raw.zones.len(),
+        local_zone: ZoneId(raw.my_zone),
+        conductor_count: raw.balancers,
         classes: raw.request_classes.iter().enumerate().map(|(k, c)| class(c, own_zone(k))).collect(),
-        list_on_request: matches!(raw.membership_mode, Mode::OnRequest),
-        probing: raw.permissions.probing,
+        poll_discovery: matches!(raw.membership_mode, Mode::OnRequest),
+        health_checks: raw.permissions.probing,
         load_columns: raw.feedback.columns,
-        admit: match info.admit {
-            RawAdmit::Ratio => Admit::Ratio,
-            RawAdmit::Rps => Admit::Rps,
-            RawAdmit::Silent => Admit::Silent,
+        admission_mode: match info.admit {
+            RawAdmit::Ratio => AdmissionMode::Ratio,
+            RawAdmit::Rps => AdmissionMode::RequestsPerSecond,
+            RawAdmit::Silent => AdmissionMode::Ignored,
         },
-        proxies: info.proxies,
-        pending_max: info.pending_max,
-        lines_per_s: info.egress_per_s,
-        message_head: info.per_message,
-        messages_max: info.pushes_allowed,
+        proxy_count: info.proxies,
+        max_pending_lines: info.pending_max,
+        lines_per_second: info.egress_per_s,
+        message_overhead_lines: info.per_message,
+        max_messages: info.pushes_allowed,
         message_window: info.update_window_us as u64,
-        connections_min: info.min_conn_cap,
-        transit_max: info.push_delay_max_us as u64,
+        min_server_connections: info.min_conn_cap,
+        max_transit: info.push_delay_max_us as u64,
         report_period: info.interval_us as u64,
-        slices: info.slices,
+        shard_count: info.slices,
         single_writer: info.single_writer,
-        keeps_writing: info.keeps_writing_us as u64,
-        in_flight_max: info.in_flight_max_us as u64,
-        cold: raw.rules.cold_us as u64,
-        fall_multiple: raw.rules.fall_multiple,
-        start_capacity: raw.rules.start_capacity,
-        drain_binds_alone: raw.rules.drain_binds_alone,
+        orphan_write_period: info.keeps_writing_us as u64,
+        max_write_duration: info.in_flight_max_us as u64,
+        warm_up: raw.rules.cold_us as u64,
+        collapse_ratio: raw.rules.fall_multiple,
+        initial_capacity_ratio: raw.rules.start_capacity,
+        absence_is_advisory: raw.rules.drain_binds_alone,
     })
 }
 
-fn class(raw: &RawClass, own_zone: bool) -> Class {
-    Class {
-        effect: match raw.effect {
-            RawEffect::ReadLike => Effect::ReadLike,
-            RawEffect::IdempotencyKey => Effect::IdempotencyKey,
-            RawEffect::NonIdempotent => Effect::NonIdempotent,
+fn class(raw: &RawClass, own_zone: bool) -> RequestClass {
+    RequestClass {
+        idempotency: match raw.effect {
+            RawEffect::ReadLike => Idempotency::Safe,
+            RawEffect::IdempotencyKey => Idempotency::IdempotencyKey,
+            RawEffect::NonIdempotent => Idempotency::NonIdempotent,
         },
-        group: match raw.group {
-            RawGroup::All => Group::All,
-            RawGroup::Zone => Group::Zone,
-            RawGroup::Cell => Group::Cell,
+        dedup_scope: match raw.group {
+            RawGroup::All => DedupScope::All,
+            RawGroup::Zone => DedupScope::Zone,
+            RawGroup::Cell => DedupScope::Cell,
         },
-        window: raw.window_us as u64,
-        aim: raw.promise_us as u64,
+        dedup_window: raw.window_us as u64,
+        latency_objective: raw.promise_us as u64,
         deadline: raw.deadline_us as u64,
-        worth: raw.credit,
-        own_zone,
+        priority_weight: raw.credit,
+        zone_local: own_zone,
     }
 }
--- a/crates/stepspur-wire/tests/codec.rs
+++ b/crates/stepspur-simulator-protocol/tests/codec.rs
@@ -1,14 +1,14 @@
 //! The wire's own examples, byte for byte, and what malformed input gets.
 
 use stepspur::interface::*;
-use stepspur_wire::{Decoder, HEADER_LEN, Record, Reply, WireError, parse_settings};
+use stepspur_simulator_protocol::{Decoder, HEADER_LEN, Record, Reply, WireError, parse_settings};
 
 fn hex(text: &str) -> Vec<u8> {
     let digits: String = text.split_whitespace().collect();
     (0..digits.len()).step_by(2).map(|at| u8::from_str_radix(&digits[at..at + 2], 16).unwrap()).collect()
 }
 
-fn decode(text: &str) -> Result<stepspur_wire::Batch, WireError> {
+fn decode(text: &str) -> Result<stepspur_simulator_protocol::Batch, WireError> {
     let bytes = hex(text);
     let (header, body) = bytes.split_at(HEADER_LEN);
     Decoder::default().decode(header.try_into().unwrap(), body)
@@ -45,14 +45,14 @@
     else {
         panic!("{:?}", batch.records);
     };
-    let Event::Tally { server, zone, period, total, errors, latency, load } = tally else {
+    let Event::UpstreamStats { server, zone, period, total, errors, latency, load } = tally else {
         panic!("{tally:?}")
     };
     assert_eq!(*server, ServerId([10, 18, 74, 7, 0x23, 0x2b]));
     assert_eq!((*zone, *period, *total, *errors, *latency), (ZoneId(0), 1_000_000, 14, 1, 48_250));
     assert_eq!(load, &[3.0, 14.5]);
-    assert!(matches!(alarm, Event::Alarm { token: 77 }));
-    assert!(matches!(left, Event::Left { proxy: ProxyId(41) }));
+    assert!(matches!(alarm, Event::Timer { token: 77 }));
+    assert!(matches!(left, Event::ProxyDisconnected { proxy: ProxyId(41) }));
 }
 
 #[test]
@@ -62,8 +62,8 @@
     reply.speak(
         3,
         &[
-            Action::Line { table: TableId(0x75), server, weight: 0.75 },
-            Action::Wake { after: 500_000, token: 77 },
+            Action::SetWeight { table: TableId(0x75), server, weight: 0.75 },
+            Action::SetTimer { after: 500_000, token: 77 },
         ],
     );
     reply.speak(4, &[]);
@@ -84,13 +84,18 @@
     reply.speak(
         3,
         &[
-            Action::Bind { proxy, table },
-            Action::Level { table, class: ClassId(1), resend: Resend::Unsent, level: 1.0 },
-            Action::Mark { mark: 7 },
-            Action::Withdraw { server: ServerId([10, 18, 74, 7, 0x23, 0x2b]), out: true },
+            Action::AssignTable { proxy, table },
+            Action::SetAdmission {
+                table,
+                class: ClassId(1),
+                retry_policy: RetryPolicy::IfNeverStarted,
+                level: 1.0,
+            },
+            Action::RequestAck { nonce: 7 },
+            Action::SetEjected { server: ServerId([10, 18, 74, 7, 0x23, 0x2b]), ejected: true },
             Action::Probe { server: ServerId([10, 18, 74, 7, 0x23, 0x2b]) },
-            Action::Track,
-            Action::Lookup,
+            Action::WatchEndpoints,
+            Action::FetchEndpoints,
         ],
     );
     reply.internal_error(3, "no");
@@ -122,7 +127,9 @@
         .records
         .iter()
         .map(|(_, record)| match record {
-            Record::Event(Event::List { how: ListHow::Full, entries }) => entries[0].server.0[3],
+            Record::Event(Event::EndpointList { update: ListUpdate::Full, entries }) => {
+                entries[0].server.0[3]
+            }
             other => panic!("{other:?}"),
         })
         .collect();
@@ -146,8 +153,11 @@
     ]);
     let batch = decode(&text).unwrap();
     assert_eq!(batch.records.len(), 10);
-    assert!(matches!(&batch.records[0].1, Record::Event(Event::List { how: ListHow::Failed, .. })));
-    let Record::Event(Event::Probed { outcome: ProbeOutcome::Unreachable, latency: 16, load, .. }) =
+    assert!(matches!(
+        &batch.records[0].1,
+        Record::Event(Event::EndpointList { update: ListUpdate::Failed, .. })
+    ));
+    let Record::Event(Event::ProbeResult { outcome: ProbeOutcome::Unreachable, latency: 16, load, .. }) =
         &batch.records[1].1
     else {
         panic!()
@@ -215,11 +225,14 @@
 #[test]
 fn settings_pass_over_unknown_keys() {
     let set = parse_settings(settings_json().as_bytes()).unwrap();
-    assert_eq!((set.zones, set.my_zone, set.admit, set.messages_max), (2, ZoneId(1), Admit::Rps, 12));
-    assert!(set.list_on_request && set.probing && !set.drain_binds_alone);
-    assert_eq!(set.classes[0].effect, Effect::ReadLike);
-    assert_eq!((set.classes[1].group, set.classes[1].window), (Group::Cell, 6_000_000));
-    assert!(set.classes[1].own_zone);
+    assert_eq!(
+        (set.zone_count, set.local_zone, set.admission_mode, set.max_messages),
+        (2, ZoneId(1), AdmissionMode::RequestsPerSecond, 12)
+    );
+    assert!(set.poll_discovery && set.health_checks && !set.absence_is_advisory);
+    assert_eq!(set.classes[0].idempotency, Idempotency::Safe);
+    assert_eq!((set.classes[1].dedup_scope, set.classes[1].dedup_window), (DedupScope::Cell, 6_000_000));
+    assert!(set.classes[1].zone_local);
 }
 
 #[test]
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,11 +1,11 @@
-//! The types between the decision module and whatever feeds it: settings, events, actions. No logic.
+//! The types between the decision module and its callers: settings, events and actions. No logic.
 
 use std::sync::Arc;
 
-/// A time or a span, in whole microseconds of the batch's clock.
+/// A point in time or a duration, in whole microseconds of the caller's monotonic clock.
 pub type Micros = u64;
 
-/// A server's address and port; opaque, given back unchanged.
+/// A server's identifier: its address and port, opaque to the decisions and returned unchanged.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerId(pub [u8; 6]);
 
@@ -13,32 +13,32 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProxyId(pub u16);
 
-/// A table's number; at sites with slices the number of the slice.
+/// A routing table's number; in sharded deployments the number of the shard.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TableId(pub u16);
 
-/// A zone's place in the settings.
+/// A zone's index in the settings.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub u16);
 
-/// A request class's place in the settings.
+/// A request class's index in the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClassId(pub u8);
 
-/// What a repeat of a request may do.
+/// What repeating a request may cause (RFC 9110, section 9.2).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Safe to repeat.
-    ReadLike,
-    /// Repeats are dropped by the servers of the group, within the window.
+    Safe,
+    /// Carries an idempotency key: servers of its [`DedupScope`] drop repeats within the deduplication window.
     IdempotencyKey,
     /// Must not run twice.
     NonIdempotent,
 }
 
-/// Which servers drop the repeats of a keyed request.
+/// Which servers recognize repeats of a request by its idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupScope {
     /// All servers.
     All,
     /// The servers of one zone.
@@ -47,277 +47,277 @@
     Cell,
 }
 
-/// How levels are understood by the proxies.
+/// How proxies interpret an admission level.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Admit {
-    /// A share of the requests, 1 for all.
+pub enum AdmissionMode {
+    /// As the fraction of requests to admit, 1 for all.
     #[default]
     Ratio,
-    /// Requests a second at each proxy.
-    Rps,
-    /// Levels are not heeded.
-    Silent,
+    /// As requests per second to admit at each proxy.
+    RequestsPerSecond,
+    /// Proxies ignore levels.
+    Ignored,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug)]
-pub struct Class {
-    /// What a repeat may do.
-    pub effect: Effect,
-    /// For keyed classes: who drops repeats.
-    pub group: Group,
-    /// For keyed classes: for how long.
-    pub window: Micros,
-    /// An answer within this time earns the full worth.
-    pub aim: Micros,
-    /// How long a client waits in all.
+pub struct RequestClass {
+    /// What a repeat may cause.
+    pub idempotency: Idempotency,
+    /// For requests with an idempotency key: which servers drop repeats.
+    pub dedup_scope: DedupScope,
+    /// For requests with an idempotency key: how long repeats are dropped.
+    pub dedup_window: Micros,
+    /// Latency objective: a response within this time has its full value.
+    pub latency_objective: Micros,
+    /// How long a client waits for a response, all attempts included.
     pub deadline: Micros,
-    /// Worth of a request.
-    pub worth: f64,
-    /// True: only servers of the proxy's zone may serve it.
-    pub own_zone: bool,
+    /// Priority weight: the value of one request relative to other classes.
+    pub priority_weight: f64,
+    /// True: only servers in the proxy's own zone may serve it.
+    pub zone_local: bool,
 }
 
-/// Facts of the site that an instance is told at its start.
+/// Facts of the deployment that are fixed when an instance starts.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
-    /// Names of the zones; only their number matters.
-    pub zones: usize,
-    /// The zone in which the instance stands.
-    pub my_zone: ZoneId,
-    /// Number of instances.
-    pub conductors: u32,
+    /// Number of zones.
+    pub zone_count: usize,
+    /// The zone that this instance runs in.
+    pub local_zone: ZoneId,
+    /// Number of conductor instances.
+    pub conductor_count: u32,
     /// Request classes.
-    pub classes: Vec<Class>,
-    /// True: the list answers only when asked.
-    pub list_on_request: bool,
-    /// True: probes are allowed.
-    pub probing: bool,
-    /// Names of the values of a load report.
+    pub classes: Vec<RequestClass>,
+    /// True: discovery answers polls only and sends no watch events unasked.
+    pub poll_discovery: bool,
+    /// True: active health checks are allowed.
+    pub health_checks: bool,
+    /// Column names of a load report.
     pub load_columns: Vec<String>,
-    /// How levels are understood.
-    pub admit: Admit,
+    /// How proxies interpret admission levels.
+    pub admission_mode: AdmissionMode,
     /// Number of proxies, over all instances.
-    pub proxies: u32,
-    /// Lines that may wait in the channel.
-    pub pending_max: f64,
-    /// Lines a second that the channel sends when all is well.
-    pub lines_per_s: f64,
-    /// Lines that each message costs besides its own.
-    pub message_head: f64,
+    pub proxy_count: u32,
+    /// Capacity of the channel's queue, in lines.
+    pub max_pending_lines: f64,
+    /// The channel's nominal throughput, in lines per second.
+    pub lines_per_second: f64,
+    /// Overhead of each message in the channel, in lines.
+    pub message_overhead_lines: f64,
     /// Messages that may be written to one proxy within `message_window`; 0: no limit.
-    pub messages_max: u32,
-    /// The span for that count.
+    pub max_messages: u32,
+    /// The period that `max_messages` applies to.
     pub message_window: Micros,
-    /// Connections that the smallest servers accept; 0: not told.
-    pub connections_min: f64,
-    /// The longest way of a message from the channel to the proxy.
-    pub transit_max: Micros,
-    /// Reports are gathered so often.
+    /// Connections that the smallest servers accept; 0: unknown.
+    pub min_server_connections: f64,
+    /// Upper bound of a message's delay from the channel to the proxy.
+    pub max_transit: Micros,
+    /// Interval between load reports.
     pub report_period: Micros,
-    /// Number of slices; 0: none.
-    pub slices: u16,
-    /// True: a slice has one owner at a time.
+    /// Number of shards; 0: the deployment is not sharded.
+    pub shard_count: u16,
+    /// True: a shard has at most one owner at a time.
     pub single_writer: bool,
-    /// A proxy goes on writing so long after it lost the slice's instance.
-    pub keeps_writing: Micros,
-    /// A write is over within this time.
-    pub in_flight_max: Micros,
-    /// A server that has started is warm after this at the latest.
-    pub cold: Micros,
-    /// A cold server falls over at this many times its present capacity.
-    pub fall_multiple: f64,
-    /// A server starts at this share of its capacity or more.
-    pub start_capacity: f64,
-    /// True: the rule on draining binds only from an entry that says draining.
-    pub drain_binds_alone: bool,
+    /// How long a proxy continues to write after it lost the shard's instance.
+    pub orphan_write_period: Micros,
+    /// Upper bound of a write's duration.
+    pub max_write_duration: Micros,
+    /// Warm-up time: a restarted server has its full capacity after this at the latest.
+    pub warm_up: Micros,
+    /// A server that is warming up collapses at this multiple of its current capacity.
+    pub collapse_ratio: f64,
+    /// Least fraction of its full capacity that a server starts with.
+    pub initial_capacity_ratio: f64,
+    /// True: only a draining entry forbids the use of a server; absence from a list alone does not.
+    pub absence_is_advisory: bool,
 }
 
-/// What the list says of a server.
+/// A server's state in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum ListState {
+pub enum EndpointState {
     /// Its process runs.
     #[default]
     Ready,
-    /// Finishing its work; send nothing new.
+    /// Finishing its work; must get no new requests.
     Draining,
     /// Removed.
-    Gone,
+    Removed,
 }
 
-/// An entry of a list.
+/// One entry of the endpoint list.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct ListEntry {
+pub struct Endpoint {
     /// The server.
     pub server: ServerId,
-    /// Clock time of its last start; 0: long ago.
-    pub born: Micros,
+    /// When its process last started; 0: long ago.
+    pub started_at: Micros,
     /// Its zone.
     pub zone: ZoneId,
     /// Its state.
-    pub state: ListState,
-    /// Listed weight.
+    pub state: EndpointState,
+    /// Configured weight.
     pub weight: f64,
 }
 
-/// How a list event builds on the list before.
+/// How an update of the endpoint list relates to the list before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListHow {
+pub enum ListUpdate {
     /// Only changed entries.
     Delta,
-    /// The whole list.
+    /// The complete list.
     Full,
-    /// The whole list as last had, maybe old.
+    /// The complete list from a cache, possibly stale.
     Cached,
-    /// A call failed or the subscription broke; the old list stands.
+    /// A request failed or the watch broke; the previous list remains in use.
     Failed,
 }
 
-/// Outcome of a probe.
+/// Outcome of an active health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeOutcome {
-    /// Answered.
+    /// Success.
     Ok,
-    /// Answered with an error.
+    /// An error response.
     Error,
-    /// Turned away: draining, or too many probes at once.
-    Full,
-    /// No answer in time.
+    /// Rejected: the server drains, or too many probes arrive at once.
+    Rejected,
+    /// No response in time.
     Timeout,
-    /// Down or out of reach.
+    /// Down, or unreachable from here.
     Unreachable,
-    /// The connection broke.
+    /// The connection was reset.
     Reset,
 }
 
-/// Something that an instance is told.
+/// An input of the decision module.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// News of the list of servers.
-    List {
-        /// How it builds on the list before.
-        how: ListHow,
+    /// An update of the endpoint list.
+    EndpointList {
+        /// How it relates to the list before it.
+        update: ListUpdate,
         /// The entries.
-        entries: Arc<[ListEntry]>,
+        entries: Arc<[Endpoint]>,
     },
-    /// A timer is due.
-    Alarm {
-        /// The number given with the timer.
+    /// A timer expired.
+    Timer {
+        /// The token given with [`Action::SetTimer`].
         token: u64,
     },
-    /// The result of a probe.
-    Probed {
+    /// The result of a health check.
+    ProbeResult {
         /// The server.
         server: ServerId,
         /// The outcome.
         outcome: ProbeOutcome,
-        /// Time since it was sent.
+        /// Time since the probe was sent.
         latency: Micros,
         /// Load report, empty if none.
         load: Vec<f32>,
     },
-    /// A proxy's stream stands.
-    Joined {
+    /// A proxy has opened its stream.
+    ProxyConnected {
         /// The proxy.
         proxy: ProxyId,
         /// Its zone.
         zone: ZoneId,
-        /// Requests a second that it usually gets.
+        /// Its usual traffic, in requests per second.
         rate: f64,
-        /// True: it holds only its standing tables.
+        /// True: it has only its static tables.
         fresh: bool,
     },
-    /// A proxy's stream has broken.
-    Left {
+    /// A proxy's stream has ended.
+    ProxyDisconnected {
         /// The proxy.
         proxy: ProxyId,
     },
-    /// What the joined proxies of a zone met at a server.
-    Tally {
+    /// What the connected proxies of a zone measured at one upstream server.
+    UpstreamStats {
         /// The server.
         server: ServerId,
         /// Zone of the proxies.
         zone: ZoneId,
-        /// Time over which it was counted.
+        /// Time over which it was measured.
         period: Micros,
-        /// Tries.
+        /// Attempts.
         total: u32,
-        /// Tries with no good answer.
+        /// Failed attempts.
         errors: u32,
-        /// Mean time of the good ones, 0 if none.
+        /// Mean latency of the successful ones, 0 if none.
         latency: Micros,
         /// Load report, empty if none.
         load: Vec<f32>,
     },
-    /// Requests of a class that came to a joined proxy.
-    Traffic {
+    /// Requests of one class that clients sent to a connected proxy.
+    ClientStats {
         /// The proxy.
         proxy: ProxyId,
         /// The class.
         class: ClassId,
-        /// Time over which it was counted.
+        /// Time over which they were counted.
         period: Micros,
-        /// Requests that came.
+        /// Requests received.
         total: u32,
-        /// Requests let in that got no answer.
+        /// Requests admitted that got no response.
         errors: u32,
     },
-    /// Requests of a class that came for a slice.
-    Heat {
-        /// The slice.
-        slice: TableId,
+    /// Requests of one class for a shard.
+    ShardTraffic {
+        /// The shard.
+        shard: TableId,
         /// The class.
         class: ClassId,
-        /// Requests that came.
+        /// Requests received.
         total: u32,
     },
-    /// A slice is given into this instance's charge, or taken away.
-    Mandate {
-        /// The slice.
-        slice: TableId,
-        /// True: given.
-        given: bool,
+    /// Ownership of a shard is granted to this instance or revoked.
+    ShardAssignment {
+        /// The shard.
+        shard: TableId,
+        /// True: granted.
+        granted: bool,
     },
-    /// A line of a slice's table as the store has it.
-    OnRecord {
-        /// The slice.
-        slice: TableId,
+    /// A line of a shard's table as persisted in the store.
+    StoredLine {
+        /// The shard.
+        shard: TableId,
         /// The server.
         server: ServerId,
         /// Its weight.
         weight: f64,
     },
-    /// A proxy has applied the message that carried this mark.
-    Applied {
+    /// A proxy has applied the message that carried this nonce.
+    Acknowledged {
         /// The proxy.
         proxy: ProxyId,
-        /// The mark.
-        mark: u32,
-        /// From the order to its taking effect.
+        /// The nonce.
+        nonce: u32,
+        /// From the action to its taking effect.
         latency: Micros,
     },
     /// A message from another instance; not used.
-    Peer,
+    PeerMessage,
 }
 
-/// When proxies try a request again.
+/// When proxies retry a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Resend {
-    /// No further try.
+pub enum RetryPolicy {
+    /// Never.
     Never,
-    /// One, after proof that the first never ran.
-    Unsent,
-    /// One after any failure.
+    /// Once, only with proof that the first attempt never started.
+    IfNeverStarted,
+    /// Once after any failure.
     Once,
-    /// Two after any failure.
+    /// Twice after any failure.
     Twice,
 }
 
-/// Something that an instance orders.
+/// An output of the decision module.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Set one line of a table; weight 0 removes it.
-    Line {
+    /// Set a server's weight in a table; weight 0 removes it.
+    SetWeight {
         /// The table.
         table: TableId,
         /// The server.
@@ -325,52 +325,52 @@
         /// Its weight.
         weight: f32,
     },
-    /// Send a joined proxy a whole table, for all classes, and its changes from then on.
-    Bind {
+    /// Send a connected proxy a complete table, for all classes, and that table's changes from then on.
+    AssignTable {
         /// The proxy.
         proxy: ProxyId,
         /// The table.
         table: TableId,
     },
-    /// Set how much of a class a table's proxies let in and when they try again.
-    Level {
+    /// Set the admission level and retry policy of a class for a table's proxies.
+    SetAdmission {
         /// The table.
         table: TableId,
         /// The class.
         class: ClassId,
-        /// When they try again.
-        resend: Resend,
-        /// By the site's `admit`.
+        /// When they retry.
+        retry_policy: RetryPolicy,
+        /// The level, interpreted by [`AdmissionMode`].
         level: f32,
     },
-    /// Ask the proxies that this reply reaches to answer when it is applied.
-    Mark {
+    /// Ask the proxies that this reply is sent to for an acknowledgement once it is applied.
+    RequestAck {
         /// A number below 65536.
-        mark: u16,
+        nonce: u16,
     },
-    /// Keep joined proxies from sending to a server, whatever their tables say, or let them again.
-    Withdraw {
+    /// Eject a server at connected proxies, whatever their tables say, or end its ejection.
+    SetEjected {
         /// The server.
         server: ServerId,
-        /// True: out.
-        out: bool,
+        /// True: ejected.
+        ejected: bool,
     },
-    /// Ask for an alarm.
-    Wake {
-        /// From now.
+    /// Request a timer.
+    SetTimer {
+        /// Time from now.
         after: Micros,
-        /// Given back with the alarm.
+        /// Returned with [`Event::Timer`].
         token: u64,
     },
-    /// Probe a server.
+    /// Check a server's health.
     Probe {
         /// The server.
         server: ServerId,
     },
-    /// Ask for changes of the list from now on.
-    Track,
-    /// Ask for the whole list once.
-    Lookup,
+    /// Watch the endpoint list for changes from now on.
+    WatchEndpoints,
+    /// Fetch the complete endpoint list once.
+    FetchEndpoints,
     /// A line for the log.
     Log(String),
 }
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -142,7 +142,7 @@
 impl Policy {
     /// A conductor at its start: no list, no proxies, no tables. Nothing needs chance yet.
     pub fn new(set: Settings, _seed: u64, now: Micros) -> Self {
-        let ask_at = set.list_on_request.then_some(now);
+        let ask_at = set.poll_discovery.then_some(now);
         let fresh = Policy { pressure: SURGE, ask_at, ask_wait: ASK_AGAIN, ..Policy::default() };
         Policy { set, now, started: now, next_tick: now, ..fresh }
     }
@@ -154,14 +154,14 @@
         self.ledger.begin();
         events.iter().for_each(|event| self.learn(event));
         if self.ask_at.is_some_and(|at| now >= at) {
-            self.out.push(Action::Track);
+            self.out.push(Action::WatchEndpoints);
             self.ask_at = Some(now + ASK_MAX);
         }
         let due = now >= self.next_tick;
         if due {
             let since = now.saturating_sub(self.next_tick) + TICK;
             self.next_tick = now + TICK;
-            self.out.push(Action::Wake { after: TICK, token: 0 });
+            self.out.push(Action::SetTimer { after: TICK, token: 0 });
             self.forget();
             self.survey();
             self.judge_probes();
@@ -171,7 +171,7 @@
             self.set_shedding(since as f64 * 1e-6);
         }
         if std::mem::take(&mut self.news) || due {
-            if self.set.slices > 0 {
+            if self.set.shard_count > 0 {
                 self.place_slices();
             } else {
                 self.cut_zones();
@@ -179,27 +179,27 @@
             }
         }
         self.bind();
-        self.out.extend(self.ledger.seal().map(|mark| Action::Mark { mark }));
+        self.out.extend(self.ledger.seal().map(|mark| Action::RequestAck { nonce: mark }));
         std::mem::take(&mut self.out)
     }
 
     fn learn(&mut self, event: &Event) {
         match event {
-            Event::List { how, entries } => self.learn_list(*how, entries),
-            Event::Probed { server, outcome, load, .. } => {
+            Event::EndpointList { update: how, entries } => self.learn_list(*how, entries),
+            Event::ProbeResult { server, outcome, load, .. } => {
                 self.note_load(*server, load);
                 self.learn_probe(*server, *outcome);
             }
-            Event::Joined { proxy, zone, rate, .. } => self.learn_join(*proxy, *zone, *rate),
-            Event::Left { proxy } => self.note_left(*proxy),
-            Event::Applied { proxy, mark, .. } => self.ledger.applied(*proxy, *mark),
-            Event::Tally { server, zone, period, total, errors, latency, load } => {
+            Event::ProxyConnected { proxy, zone, rate, .. } => self.learn_join(*proxy, *zone, *rate),
+            Event::ProxyDisconnected { proxy } => self.note_left(*proxy),
+            Event::Acknowledged { proxy, nonce: mark, .. } => self.ledger.applied(*proxy, *mark),
+            Event::UpstreamStats { server, zone, period, total, errors, latency, load } => {
                 self.note_load(*server, load);
                 self.answers_tell |= !load.is_empty();
                 self.report_span += SPAN_GAIN * (*period as f64 - self.report_span);
                 self.learn_tally(*server, *zone, f64::from(*total), f64::from(*errors), *latency as f64);
             }
-            Event::Traffic { proxy, class, period, total, .. } if *period > 0 => {
+            Event::ClientStats { proxy, class, period, total, .. } if *period > 0 => {
                 let Some(p) = self.proxies.get_mut(proxy) else { return };
                 let seen = f64::from(*total) * 1e6 / *period as f64;
                 let rate = p.rates.entry(*class).or_insert(seen);
@@ -209,29 +209,29 @@
                     *usual += (1.0 - (-(*period as f64) / SURGE_SPAN).exp()) * (seen - *usual);
                 }
             }
-            Event::Mandate { slice, given } => self.note_slice(*slice, *given),
-            Event::OnRecord { slice, server, weight } => self.note_line(*slice, *server, *weight),
+            Event::ShardAssignment { shard: slice, granted: given } => self.note_slice(*slice, *given),
+            Event::StoredLine { shard: slice, server, weight } => self.note_line(*slice, *server, *weight),
             _ => {}
         }
     }
 
     /// Where only drains bind, a list that drops a server may be wrong: probes and reports judge it instead.
     /// A failed call is no empty fleet: the old list stands, and discovery is asked again, ever less often.
-    fn learn_list(&mut self, how: ListHow, entries: &[ListEntry]) {
-        if how == ListHow::Failed {
-            self.ask_at = self.set.list_on_request.then_some(self.now + self.ask_wait);
+    fn learn_list(&mut self, how: ListUpdate, entries: &[Endpoint]) {
+        if how == ListUpdate::Failed {
+            self.ask_at = self.set.poll_discovery.then_some(self.now + self.ask_wait);
             self.ask_wait = (self.ask_wait * 2).min(ASK_MAX);
             return;
         }
-        if how != ListHow::Cached {
+        if how != ListUpdate::Cached {
             (self.ask_at, self.ask_wait) = (None, ASK_AGAIN);
         }
-        if how != ListHow::Delta {
+        if how != ListUpdate::Delta {
             let named: BTreeSet<_> = entries.iter().map(|e| e.server).collect();
             for server in self.servers.values_mut().filter(|s| !named.contains(&s.listed.server)) {
                 server.dropped_at.get_or_insert(self.now);
-                if !self.set.drain_binds_alone {
-                    server.listed.state = ListState::Gone;
+                if !self.set.absence_is_advisory {
+                    server.listed.state = EndpointState::Removed;
                 }
             }
         }
@@ -241,20 +241,21 @@
         entries.iter().for_each(|entry| self.learn_entry(entry.clone(), alone, &mut pools));
     }
 
-    fn learn_entry(&mut self, mut entry: ListEntry, alone: bool, pools: &mut Pools) {
+    fn learn_entry(&mut self, mut entry: Endpoint, alone: bool, pools: &mut Pools) {
         entry.weight = if entry.weight.is_finite() && entry.weight > 0.0 { entry.weight } else { 1.0 };
-        let fresh = entry.born > 0 && entry.born + self.set.cold > self.now;
-        let ramp_from = if fresh { entry.born + (self.set.cold as f64 * HOLD_OFF) as Micros } else { 0 };
+        let fresh = entry.started_at > 0 && entry.started_at + self.set.warm_up > self.now;
+        let ramp_from =
+            if fresh { entry.started_at + (self.set.warm_up as f64 * HOLD_OFF) as Micros } else { 0 };
         let moved = self.servers.get(&entry.server).is_some_and(|s| s.listed.zone != entry.zone);
         let home = moved.then(|| self.pool_most_short(entry.zone, true, pools));
         if let Some(server) = self.servers.get_mut(&entry.server) {
             server.home = home.unwrap_or(server.home);
             let dropped_at = server.dropped_at.unwrap_or(self.now);
-            server.dropped_at = (entry.state == ListState::Gone).then_some(dropped_at);
-            if entry.born != server.listed.born {
+            server.dropped_at = (entry.state == EndpointState::Removed).then_some(dropped_at);
+            if entry.started_at != server.listed.started_at {
                 server.ramp_from = ramp_from.max(server.ramp_from);
             }
-            if entry.state != ListState::Gone || !self.set.drain_binds_alone {
+            if entry.state != EndpointState::Removed || !self.set.absence_is_advisory {
                 server.listed = entry;
             }
             return;
@@ -269,7 +270,7 @@
     fn learn_probe(&mut self, server: ServerId, outcome: ProbeOutcome) {
         let Some(s) = self.servers.get_mut(&server) else { return };
         if s.ready() {
-            let full = f64::from(u8::from(outcome == ProbeOutcome::Full));
+            let full = f64::from(u8::from(outcome == ProbeOutcome::Rejected));
             self.turned_away += TURNED_GAIN * (full - self.turned_away);
         }
         s.note_probe(outcome);
@@ -297,7 +298,7 @@
         let Some(s) = self.servers.get_mut(&server).filter(|_| total > 0.0) else { return };
         s.answered_at = if total - errors >= ANSWERS * total { self.now } else { s.answered_at };
         self.good += (total - errors).max(0.0);
-        let aim = self.set.classes.iter().map(|c| c.aim).min().unwrap_or(1).max(1) as f64;
+        let aim = self.set.classes.iter().map(|c| c.latency_objective).min().unwrap_or(1).max(1) as f64;
         let link = s.links.entry(zone).or_default();
         let keep = 0.5f64.powf((self.now - link.at) as f64 / EVIDENCE_HALF);
         let errors = errors.min(total);
@@ -310,15 +311,16 @@
         for (id, s) in &mut self.servers {
             let dropped_at = s.dropped_at.map(|at| at.max(s.answered_at));
             if dropped_at.is_some_and(|at| self.now > at + GONE_KEEPS) {
-                s.listed.state = ListState::Gone;
+                s.listed.state = EndpointState::Removed;
                 if s.masked && self.unbound.is_empty() {
                     s.masked = false;
-                    self.out.push(Action::Withdraw { server: *id, out: false });
+                    self.out.push(Action::SetEjected { server: *id, ejected: false });
                 }
             }
         }
         let laid: BTreeSet<_> = self.tables.values().flat_map(|t| t.lines.keys().copied()).collect();
-        self.servers.retain(|id, s| s.listed.state != ListState::Gone || laid.contains(id) || s.masked);
+        self.servers
+            .retain(|id, s| s.listed.state != EndpointState::Removed || laid.contains(id) || s.masked);
         self.proxies.retain(|_, p| p.joined || self.now < p.left_at + LEFT_KEEPS);
     }
 
@@ -367,7 +369,7 @@
     /// near ones too, the fault is likely on this side, and nobody is withdrawn. Harm: a zone cut off with
     /// its proxies looks dead from here; `learn_join` mends that.
     fn judge_probes(&mut self) {
-        let here = |s: &Server, near: bool| s.ready() && (!near || s.listed.zone == self.set.my_zone);
+        let here = |s: &Server, near: bool| s.ready() && (!near || s.listed.zone == self.set.local_zone);
         let of = |near: bool| self.servers.values().filter(move |s| here(s, near));
         let few_fail = |near| of(near).filter(|s| s.fails >= PROBES_OUT).count() * 2 < of(near).count();
         let trusted = few_fail(false) || few_fail(true);
@@ -427,7 +429,7 @@
     fn probe(&mut self) {
         let each = self.servers.len() as f64 / (PROBE_PART * self.good_rate).max(1e-9) * 1e6;
         let every = if self.good_rate > 0.0 { each as Micros } else { PROBE_EVERY };
-        for server in self.servers.values_mut().filter(|s| self.set.probing && s.ready()) {
+        for server in self.servers.values_mut().filter(|s| self.set.health_checks && s.ready()) {
             if self.now >= server.next_probe {
                 let every = if server.down || server.fails > 0 { PROBE_MOST } else { every };
                 server.next_probe = self.now + every.clamp(PROBE_EVERY, PROBE_MOST);
@@ -481,7 +483,7 @@
     /// against the best answer rate of late. Then they are no more spared while the fleet looks hot: spared
     /// by all conductors at once they are what keeps it so.
     fn cold_bear(&self, let_in: f64) -> bool {
-        let able = |s: &Server| if self.colder(s, 1.0) { self.set.start_capacity } else { 1.0 };
+        let able = |s: &Server| if self.colder(s, 1.0) { self.set.initial_capacity_ratio } else { 1.0 };
         let ready = self.servers.values().filter(|s| s.ready());
         let sum = |(all, able_all), s: &Server| (all + s.listed.weight, able_all + s.listed.weight * able(s));
         let (all, able): (f64, f64) = ready.fold((0.0, 0.0), sum);
@@ -491,7 +493,9 @@
 
     /// What is let in of each class: shed from the least worth for their work up; the aim stands in for that.
     fn admitted(&self) -> Vec<f64> {
-        let value = |k: &usize| self.set.classes[*k].worth / self.set.classes[*k].aim.max(1) as f64;
+        let value = |k: &usize| {
+            self.set.classes[*k].priority_weight / self.set.classes[*k].latency_objective.max(1) as f64
+        };
         let mut order: Vec<usize> = (0..self.set.classes.len()).collect();
         order.sort_by(|a, b| value(a).total_cmp(&value(b)));
         let all: f64 = self.class_load.iter().sum();
@@ -505,26 +509,30 @@
         admitted
     }
 
-    fn resend(&self, class: &Class) -> Resend {
-        let safe = match class.effect {
-            Effect::ReadLike => true,
-            Effect::IdempotencyKey => class.group == Group::All && class.deadline <= class.window,
-            Effect::NonIdempotent => false,
+    fn resend(&self, class: &RequestClass) -> RetryPolicy {
+        let safe = match class.idempotency {
+            Idempotency::Safe => true,
+            Idempotency::IdempotencyKey => {
+                class.dedup_scope == DedupScope::All && class.deadline <= class.dedup_window
+            }
+            Idempotency::NonIdempotent => false,
         };
         match self.heat {
-            heat if heat > HOT => Resend::Never,
-            heat if heat < RETRY_HEAT && safe => Resend::Once,
-            _ => Resend::Unsent,
+            heat if heat > HOT => RetryPolicy::Never,
+            heat if heat < RETRY_HEAT && safe => RetryPolicy::Once,
+            _ => RetryPolicy::IfNeverStarted,
         }
     }
 
-    fn levels(&self, admitted: &[f64], users: &BTreeSet<ProxyId>) -> BTreeMap<ClassId, (Resend, f64)> {
-        let level = |(k, class): (usize, &Class)| {
+    fn levels(&self, admitted: &[f64], users: &BTreeSet<ProxyId>) -> BTreeMap<ClassId, (RetryPolicy, f64)> {
+        let level = |(k, class): (usize, &RequestClass)| {
             let (id, admitted) = (ClassId(k as u8), admitted[k]);
             let mean = self.mean_usual(users, id);
-            let level = match self.set.admit {
-                Admit::Rps if admitted >= 1.0 || mean <= 0.0 => OPEN_RATE,
-                Admit::Rps => (admitted * mean / (1.0 - admitted).powf(1.0 / DRAWS)).min(OPEN_RATE),
+            let level = match self.set.admission_mode {
+                AdmissionMode::RequestsPerSecond if admitted >= 1.0 || mean <= 0.0 => OPEN_RATE,
+                AdmissionMode::RequestsPerSecond => {
+                    (admitted * mean / (1.0 - admitted).powf(1.0 / DRAWS)).min(OPEN_RATE)
+                }
                 _ => 1.0 - (1.0 - admitted).powf(1.0 / DRAWS),
             };
             (id, (self.resend(class), level))
@@ -553,10 +561,14 @@
 
     /// The tables of a zone: one, or as few parts as spare its servers' connections.
     fn parts_of(&self, zone: ZoneId) -> impl Iterator<Item = TableId> + use<> {
-        let zones = self.set.zones.max(1);
-        let in_zone = f64::from(self.set.proxies.min(1 << 16)) / zones as f64;
-        let most = in_zone / f64::from(self.set.conductors.max(1)) / SHARED_BY;
-        let cap = if self.set.connections_min > 0.0 { self.set.connections_min } else { f64::INFINITY };
+        let zones = self.set.zone_count.max(1);
+        let in_zone = f64::from(self.set.proxy_count.min(1 << 16)) / zones as f64;
+        let most = in_zone / f64::from(self.set.conductor_count.max(1)) / SHARED_BY;
+        let cap = if self.set.min_server_connections > 0.0 {
+            self.set.min_server_connections
+        } else {
+            f64::INFINITY
+        };
         let needed = (in_zone / (cap * FILL)).ceil().min(most).max(1.0);
         (0..needed as usize).map(move |part| TableId((part * zones) as u16 + zone.0))
     }
@@ -582,12 +594,13 @@
     }
 
     fn may_lend(&self) -> bool {
-        self.now >= self.started + SETTLE && !self.set.classes.iter().any(|c| c.own_zone)
+        self.now >= self.started + SETTLE && !self.set.classes.iter().any(|c| c.zone_local)
     }
 
     fn cut_zones(&mut self) {
         let ready = self.servers.values().filter(|s| s.ready()).count();
-        let switch = if self.zoned { ZONED_OFF * self.set.zones + 1 } else { ZONED_ON * self.set.zones };
+        let switch =
+            if self.zoned { ZONED_OFF * self.set.zone_count + 1 } else { ZONED_ON * self.set.zone_count };
         if ready > 0 && self.zoned != (ready >= switch) {
             self.zoned = ready >= switch;
             self.unbound.extend(self.proxies.iter().filter(|(_, p)| p.joined).map(|(id, _)| *id));
@@ -689,11 +702,11 @@
 
     /// How much of its cold time has passed.
     fn warmth(&self, server: &Server) -> f64 {
-        self.now.saturating_sub(server.listed.born) as f64 / self.set.cold.max(1) as f64
+        self.now.saturating_sub(server.listed.started_at) as f64 / self.set.warm_up.max(1) as f64
     }
 
     fn colder(&self, server: &Server, than: f64) -> bool {
-        server.listed.born > 0 && self.warmth(server) < than
+        server.listed.started_at > 0 && self.warmth(server) < than
     }
 
     /// Cold budget: a server's part stays under what it can take, were the fleet fully loaded. Guards against
@@ -703,14 +716,14 @@
         if !self.colder(server, 1.0) {
             return ramp;
         }
-        let capacity = self.set.start_capacity + (1.0 - self.set.start_capacity) * warmth;
-        ramp.min(COLD_MARGIN * self.set.fall_multiple * capacity / push.max(1e-9)).max(START_SHARE / 4.0)
+        let capacity = self.set.initial_capacity_ratio + (1.0 - self.set.initial_capacity_ratio) * warmth;
+        ramp.min(COLD_MARGIN * self.set.collapse_ratio * capacity / push.max(1e-9)).max(START_SHARE / 4.0)
     }
 
     fn publish(&mut self) {
         let admitted = self.admitted();
         let shares = if self.zoned { self.shares() } else { ByPool::from([(SHARED, 1.0)]) };
-        let part = |pool: TableId| if self.zoned { pool.0 / self.set.zones.max(1) as u16 } else { 0 };
+        let part = |pool: TableId| if self.zoned { pool.0 / self.set.zone_count.max(1) as u16 } else { 0 };
         let mut mates: BTreeMap<u16, Vec<&Server>> = BTreeMap::new();
         self.servers.values().for_each(|s| mates.entry(part(s.home)).or_default().push(s));
         let fleet: f64 = self.servers.values().filter(|s| s.ready()).map(|s| s.listed.weight).sum();
@@ -730,7 +743,7 @@
         let mut levels = self.levels(admitted, &users);
         let mut lines = self.changes(id, plan);
         let table = &self.tables[&id];
-        let laid = |k: &ClassId| table.levels.get(k).copied().unwrap_or((Resend::Twice, 0.0));
+        let laid = |k: &ClassId| table.levels.get(k).copied().unwrap_or((RetryPolicy::Twice, 0.0));
         levels.retain(|k, v| v.0 != laid(k).0 || (v.1 - laid(k).1).abs() > STEP * v.1);
         let least = if levels.iter().any(|(k, v)| v.1 < laid(k).1) { FAULT } else { CALM };
         // All changes in one message; where they don't fit, only those that can't wait.
@@ -745,11 +758,16 @@
         }
         self.charge(&users, lines.len() + levels.len());
         for (_, server, weight) in lines {
-            self.out.push(Action::Line { table: id, server, weight: weight as f32 });
+            self.out.push(Action::SetWeight { table: id, server, weight: weight as f32 });
             self.note_line(id, server, weight);
         }
         for (class, (resend, level)) in levels {
-            self.out.push(Action::Level { table: id, class, resend, level: level as f32 });
+            self.out.push(Action::SetAdmission {
+                table: id,
+                class,
+                retry_policy: resend,
+                level: level as f32,
+            });
             self.note_level(id, class, resend, level);
         }
     }
@@ -763,7 +781,7 @@
             if !self.may_send(FAULT, 0, &to, size) {
                 break;
             }
-            self.out.push(Action::Bind { proxy, table: id });
+            self.out.push(Action::AssignTable { proxy, table: id });
             self.charge(&to, size);
             self.note_bound(proxy, id);
         }
@@ -784,7 +802,7 @@
             for id in wrong {
                 let out = !self.servers[&id].masked;
                 self.servers.entry(id).and_modify(|s| s.masked = out);
-                self.out.push(Action::Withdraw { server: id, out });
+                self.out.push(Action::SetEjected { server: id, ejected: out });
             }
         }
     }
@@ -812,24 +830,24 @@
 
     /// Channel ledger: lines waiting and messages a proxy, with a reserve for withdrawals and drains.
     fn may_send(&self, urgency: f64, sent_at: Micros, to: &BTreeSet<ProxyId>, lines: usize) -> bool {
-        let cost = to.len() as f64 * (lines as f64 + self.set.message_head + 1.0);
-        let room = self.set.pending_max * urgency;
+        let cost = to.len() as f64 * (lines as f64 + self.set.message_overhead_lines + 1.0);
+        let room = self.set.max_pending_lines * urgency;
         let since = self.now.saturating_sub(self.set.message_window);
         let written = |p: &ProxyId| self.proxies[p].messages.iter().filter(|at| **at >= since).count() as u32;
-        let limit = (f64::from(self.set.messages_max) * urgency).max(1.0) as u32;
-        let limited = self.set.messages_max > 0;
+        let limit = (f64::from(self.set.max_messages) * urgency).max(1.0) as u32;
+        let limited = self.set.max_messages > 0;
         let full = self.ledger.waiting() + cost > room || limited && to.iter().any(|p| written(p) >= limit);
         if full && !to.is_empty() {
             return false;
         }
-        let pace = cost * self.tables.len() as f64 / (self.set.lines_per_s.max(1.0) * PACE) * 1e6;
+        let pace = cost * self.tables.len() as f64 / (self.set.lines_per_second.max(1.0) * PACE) * 1e6;
         let turn = if limited { TURN.max(self.set.message_window / u64::from(limit + 1)) } else { TURN };
         urgency > CALM || to.is_empty() || self.now >= sent_at + turn.max(pace as Micros)
     }
 
     /// A slice keeps its server until that is lost; an exclusive one waits until the last writes are over.
     fn place_slices(&mut self) {
-        let over = self.set.keeps_writing.max(self.set.in_flight_max) + self.set.transit_max;
+        let over = self.set.orphan_write_period.max(self.set.max_write_duration) + self.set.max_transit;
         let settle = if self.set.single_writer { over } else { 0 };
         let ready = |down: bool| self.servers.iter().filter(move |(_, s)| s.ready() && s.down == down);
         let ready: Vec<ServerId> = ready(false).chain(ready(true)).map(|(id, _)| *id).collect();
@@ -837,12 +855,12 @@
             let lines = &mut self.tables.entry(*slice).or_default().lines;
             for (server, _) in lines.extract_if(.., |id, _| !ready.contains(id)) {
                 *free_at = self.now;
-                self.out.push(Action::Line { table: *slice, server, weight: 0.0 });
+                self.out.push(Action::SetWeight { table: *slice, server, weight: 0.0 });
             }
             let next = ready.get(usize::from(slice.0) % ready.len().max(1)).copied();
             if let Some(server) = next.filter(|_| lines.is_empty() && self.now >= *free_at + settle) {
                 lines.insert(server, 1.0);
-                self.out.push(Action::Line { table: *slice, server, weight: 1.0 });
+                self.out.push(Action::SetWeight { table: *slice, server, weight: 1.0 });
             }
         }
     }
--- a/src/records.rs
+++ b/src/records.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::interface::{
-    ClassId, ListState, Micros, ProbeOutcome, ProxyId, Resend, ServerId, TableId, ZoneId,
+    ClassId, EndpointState, Micros, ProbeOutcome, ProxyId, RetryPolicy, ServerId, TableId, ZoneId,
 };
 use crate::state::{ByPool, Link, Policy, Pools, Proxy, Server};
 
@@ -20,14 +20,14 @@
 
 impl Server {
     pub(crate) fn ready(&self) -> bool {
-        self.listed.state == ListState::Ready
+        self.listed.state == EndpointState::Ready
     }
 
     /// Counts a probe's result: answered or failed in a row. Being turned away tells nothing.
     pub(crate) fn note_probe(&mut self, outcome: ProbeOutcome) {
         match outcome {
             ProbeOutcome::Ok => (self.oks, self.fails) = (self.oks + 1, 0),
-            ProbeOutcome::Full => {}
+            ProbeOutcome::Rejected => {}
             _ => (self.oks, self.fails) = (0, self.fails + 1),
         }
     }
@@ -109,7 +109,7 @@
     }
 
     /// A table's level and way of trying again are so.
-    pub(crate) fn note_level(&mut self, id: TableId, class: ClassId, resend: Resend, level: f64) {
+    pub(crate) fn note_level(&mut self, id: TableId, class: ClassId, resend: RetryPolicy, level: f64) {
         let table = self.tables.entry(id).or_default();
         table.sent_at = self.now;
         table.levels.insert(class, (resend, level));
@@ -131,7 +131,7 @@
             proxy.messages.retain(|at| *at >= since);
             let new = proxy.messages.last() != Some(&self.now);
             proxy.messages.extend(new.then_some(self.now));
-            let head = if new { self.set.message_head + 1.0 } else { 0.0 };
+            let head = if new { self.set.message_overhead_lines + 1.0 } else { 0.0 };
             self.ledger.charge(*id, lines as f64 + head);
         }
     }
@@ -191,7 +191,7 @@
 
     /// The zone of a table that is a zone's or a part of one: parts of the same number stand side by side.
     pub(crate) fn zone_of(&self, pool: TableId) -> ZoneId {
-        ZoneId(pool.0 % self.set.zones.max(1) as u16)
+        ZoneId(pool.0 % self.set.zone_count.max(1) as u16)
     }
 
     /// True: proxies of the table's zone are joined.
--- a/src/state.rs
+++ b/src/state.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::interface::{
-    Action, ClassId, ListEntry, Micros, ProxyId, Resend, ServerId, Settings, TableId, ZoneId,
+    Action, ClassId, Endpoint, Micros, ProxyId, RetryPolicy, ServerId, Settings, TableId, ZoneId,
 };
 use crate::ledger::Ledger;
 
@@ -11,7 +11,7 @@
 #[derive(Default)]
 pub(crate) struct Server {
     /// Its newest entry.
-    pub listed: ListEntry,
+    pub listed: Endpoint,
     /// The table that holds it while tables are by zone.
     pub home: TableId,
     /// What the proxies of each zone met there.
@@ -87,7 +87,7 @@
     /// Weights.
     pub lines: BTreeMap<ServerId, f64>,
     /// Ways of trying again, and levels.
-    pub levels: BTreeMap<ClassId, (Resend, f64)>,
+    pub levels: BTreeMap<ClassId, (RetryPolicy, f64)>,
     /// When it was last changed.
     pub sent_at: Micros,
     /// Proxies bound to it.
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -15,57 +15,57 @@
 
 /// Three zones, two classes, one conductor.
 pub fn settings() -> Settings {
-    let class = |effect, worth| Class {
-        effect,
-        group: Group::All,
-        window: 5 * SECOND,
-        aim: SECOND,
+    let class = |effect, worth| RequestClass {
+        idempotency: effect,
+        dedup_scope: DedupScope::All,
+        dedup_window: 5 * SECOND,
+        latency_objective: SECOND,
         deadline: 4 * SECOND,
-        worth,
-        own_zone: false,
+        priority_weight: worth,
+        zone_local: false,
     };
     Settings {
-        zones: 3,
-        conductors: 1,
-        classes: vec![class(Effect::ReadLike, 1.0), class(Effect::NonIdempotent, 5.0)],
-        probing: true,
-        proxies: 6,
-        pending_max: 20_000.0,
-        lines_per_s: 10_000.0,
-        message_head: 6.0,
+        zone_count: 3,
+        conductor_count: 1,
+        classes: vec![class(Idempotency::Safe, 1.0), class(Idempotency::NonIdempotent, 5.0)],
+        health_checks: true,
+        proxy_count: 6,
+        max_pending_lines: 20_000.0,
+        lines_per_second: 10_000.0,
+        message_overhead_lines: 6.0,
         message_window: 10 * SECOND,
-        transit_max: 500_000,
+        max_transit: 500_000,
         report_period: SECOND,
-        cold: 16 * SECOND,
-        fall_multiple: 3.0,
-        start_capacity: 0.3,
+        warm_up: 16 * SECOND,
+        collapse_ratio: 3.0,
+        initial_capacity_ratio: 0.3,
         ..Settings::default()
     }
 }
 
-pub fn entry(n: u8, zone: u16) -> ListEntry {
-    ListEntry { server: id(n), zone: ZoneId(zone), weight: 1.0, ..ListEntry::default() }
+pub fn entry(n: u8, zone: u16) -> Endpoint {
+    Endpoint { server: id(n), zone: ZoneId(zone), weight: 1.0, ..Endpoint::default() }
 }
 
-pub fn list(how: ListHow, entries: &[ListEntry]) -> Event {
-    Event::List { how, entries: entries.to_vec().into() }
+pub fn list(how: ListUpdate, entries: &[Endpoint]) -> Event {
+    Event::EndpointList { update: how, entries: entries.to_vec().into() }
 }
 
 pub fn joined(proxy: u16, zone: u16) -> Event {
-    Event::Joined { proxy: ProxyId(proxy), zone: ZoneId(zone), rate: 10.0, fresh: true }
+    Event::ProxyConnected { proxy: ProxyId(proxy), zone: ZoneId(zone), rate: 10.0, fresh: true }
 }
 
 pub fn tally(n: u8, zone: u16, total: u32, errors: u32, latency: Micros) -> Event {
     let load = Vec::new();
-    Event::Tally { server: id(n), zone: ZoneId(zone), period: SECOND, total, errors, latency, load }
+    Event::UpstreamStats { server: id(n), zone: ZoneId(zone), period: SECOND, total, errors, latency, load }
 }
 
 pub fn traffic(proxy: u16, total: u32) -> Event {
-    Event::Traffic { proxy: ProxyId(proxy), class: ClassId(0), period: SECOND, total, errors: 0 }
+    Event::ClientStats { proxy: ProxyId(proxy), class: ClassId(0), period: SECOND, total, errors: 0 }
 }
 
 pub fn probed(n: u8, outcome: ProbeOutcome) -> Event {
-    Event::Probed { server: id(n), outcome, latency: 5_000, load: Vec::new() }
+    Event::ProbeResult { server: id(n), outcome, latency: 5_000, load: Vec::new() }
 }
 
 /// A policy with what its orders amount to.
@@ -73,7 +73,7 @@
     pub policy: Policy,
     pub now: Micros,
     pub tables: BTreeMap<TableId, BTreeMap<ServerId, f32>>,
-    pub levels: BTreeMap<(TableId, ClassId), (Resend, f32)>,
+    pub levels: BTreeMap<(TableId, ClassId), (RetryPolicy, f32)>,
     pub bound: BTreeMap<ProxyId, TableId>,
     pub messages: BTreeMap<ProxyId, Vec<Micros>>,
     pub joined: BTreeSet<ProxyId>,
@@ -99,7 +99,7 @@
     pub fn running(set: Settings, servers: u8) -> Self {
         let mut site = Site::new(set);
         let entries: Vec<_> = (0..servers).map(|n| entry(n, u16::from(n % 3))).collect();
-        let mut events = vec![list(ListHow::Cached, &entries)];
+        let mut events = vec![list(ListUpdate::Cached, &entries)];
         events.extend((0..6).map(|p| joined(p, p % 3)));
         site.feed(&events);
         site.pass(4 * SECOND, |_| Vec::new());
@@ -110,12 +110,12 @@
     pub fn feed(&mut self, events: &[Event]) -> Vec<Action> {
         for event in events {
             match event {
-                Event::Joined { proxy, .. } => {
+                Event::ProxyConnected { proxy, .. } => {
                     self.joined.insert(*proxy);
                     self.bound.remove(proxy);
                     self.messages.remove(proxy);
                 }
-                Event::Left { proxy } => {
+                Event::ProxyDisconnected { proxy } => {
                     self.joined.remove(proxy);
                     self.bound.remove(proxy);
                 }
@@ -145,7 +145,7 @@
         let mut reached = BTreeSet::new();
         for action in actions {
             match action {
-                Action::Line { table, server, weight } => {
+                Action::SetWeight { table, server, weight } => {
                     let lines = self.tables.entry(*table).or_default();
                     if *weight > 0.0 {
                         lines.insert(*server, *weight);
@@ -154,21 +154,26 @@
                     }
                     reached.extend(self.bound.iter().filter(|(_, t)| *t == table).map(|(p, _)| *p));
                 }
-                Action::Level { table, class, resend, level } => {
+                Action::SetAdmission { table, class, retry_policy: resend, level } => {
                     self.levels.insert((*table, *class), (*resend, *level));
                     reached.extend(self.bound.iter().filter(|(_, t)| *t == table).map(|(p, _)| *p));
                 }
-                Action::Bind { proxy, table } => {
+                Action::AssignTable { proxy, table } => {
                     self.bound.insert(*proxy, *table);
                     reached.insert(*proxy);
                 }
                 _ => {}
             }
         }
-        let marks =
-            actions.iter().filter_map(|a| if let Action::Mark { mark } = a { Some(*mark) } else { None });
+        let marks = actions
+            .iter()
+            .filter_map(|a| if let Action::RequestAck { nonce: mark } = a { Some(*mark) } else { None });
         for mark in marks.map(u32::from) {
-            self.answers.extend(reached.iter().map(|p| Event::Applied { proxy: *p, mark, latency: 0 }));
+            self.answers.extend(reached.iter().map(|p| Event::Acknowledged {
+                proxy: *p,
+                nonce: mark,
+                latency: 0,
+            }));
         }
         for proxy in reached {
             self.messages.entry(proxy).or_default().push(self.now);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -11,10 +11,15 @@
 /// Fifteen warm servers and 60 proxies over three zones; servers take twenty connections, so that each zone has
 /// five parts of one server.
 fn parts() -> Site {
-    let set = Settings { proxies: 60, connections_min: 20.0, pending_max: 200_000.0, ..settings() };
+    let set = Settings {
+        proxy_count: 60,
+        min_server_connections: 20.0,
+        max_pending_lines: 200_000.0,
+        ..settings()
+    };
     let mut site = Site::new(set);
     let entries: Vec<_> = (0..15).map(|n| entry(n, u16::from(n % 3))).collect();
-    let mut events = vec![list(ListHow::Cached, &entries)];
+    let mut events = vec![list(ListUpdate::Cached, &entries)];
     events.extend((0..60).map(|p| joined(p, p % 3)));
     site.feed(&events);
     site.pass(4 * SECOND, |_| Vec::new());
@@ -37,10 +42,10 @@
     let lost: BTreeSet<u8> = like.iter().flat_map(|t| site.tables[t].keys().map(|s| s.0[3])).collect();
     let mut news: Vec<_> = lost
         .iter()
-        .map(|n| ListEntry { state: ListState::Draining, ..entry(*n, u16::from(n % 3)) })
+        .map(|n| Endpoint { state: EndpointState::Draining, ..entry(*n, u16::from(n % 3)) })
         .collect();
-    news.push(ListEntry { born: site.now - 3 * SECOND, ..entry(40, 0) });
-    site.feed(&[list(ListHow::Delta, &news)]);
+    news.push(Endpoint { started_at: site.now - 3 * SECOND, ..entry(40, 0) });
+    site.feed(&[list(ListUpdate::Delta, &news)]);
     for table in site.bound.values() {
         let lines = &site.tables[table];
         let all: f32 = lines.values().sum();
@@ -63,11 +68,11 @@
     };
     site.pass(2 * SECOND, ends);
     let gone: Vec<_> =
-        (0..6).map(|n| ListEntry { state: ListState::Gone, ..entry(n, u16::from(n % 3)) }).collect();
-    site.feed(&[list(ListHow::Delta, &gone)]);
+        (0..6).map(|n| Endpoint { state: EndpointState::Removed, ..entry(n, u16::from(n % 3)) }).collect();
+    site.feed(&[list(ListUpdate::Delta, &gone)]);
     site.pass(SECOND, |_| (6..12).map(good).collect());
     let resend = site.levels[&(site.bound[&ProxyId(0)], ClassId(0))].0;
-    assert_eq!(resend, Resend::Once, "a cool fleet tries again after any failure");
+    assert_eq!(resend, RetryPolicy::Once, "a cool fleet tries again after any failure");
 }
 
 /// Tallies of a second from servers that are jammed: half of their tries failed, the rest took so long.
@@ -98,8 +103,8 @@
 #[test]
 fn cold_servers_are_used_in_a_hot_fleet_once_little_is_let_in() {
     let mut site = busy(settings());
-    let young = |n: u8| ListEntry { born: site.now - 5 * SECOND, ..entry(n, u16::from(n % 3)) };
-    site.feed(&[list(ListHow::Delta, &[young(12), young(13), young(14)])]);
+    let young = |n: u8| Endpoint { started_at: site.now - 5 * SECOND, ..entry(n, u16::from(n % 3)) };
+    site.feed(&[list(ListUpdate::Delta, &[young(12), young(13), young(14)])]);
     let hot = |_: &Site| jam(0..12, 1_500_000);
     site.pass(SECOND, hot);
     let at_first = site.weight(0, 12);
@@ -142,7 +147,7 @@
 /// as it spaces evenly what comes by chance.
 #[test]
 fn a_rate_allows_for_requests_that_come_by_chance() {
-    let set = Settings { admit: Admit::Rps, ..settings() };
+    let set = Settings { admission_mode: AdmissionMode::RequestsPerSecond, ..settings() };
     let slow = || (0..12).map(|n| tally(n, u16::from(n % 3), 20, 0, 800_000)).collect();
     let (mut site, mut shares) = (busy(set), busy(settings()));
     site.pass(2 * SECOND, |_| slow());
@@ -171,9 +176,9 @@
 fn half_replaced() -> Site {
     let mut site = Site::running(settings(), 12);
     let mut news: Vec<_> =
-        (0..6).map(|n| ListEntry { state: ListState::Draining, ..entry(n, u16::from(n % 3)) }).collect();
-    news.extend((20..26).map(|n| ListEntry { born: site.now, ..entry(n, u16::from(n % 3)) }));
-    site.feed(&[list(ListHow::Delta, &news)]);
+        (0..6).map(|n| Endpoint { state: EndpointState::Draining, ..entry(n, u16::from(n % 3)) }).collect();
+    news.extend((20..26).map(|n| Endpoint { started_at: site.now, ..entry(n, u16::from(n % 3)) }));
+    site.feed(&[list(ListUpdate::Delta, &news)]);
     site.pass(6 * SECOND, |_| calm(12));
     site
 }
@@ -185,7 +190,7 @@
     let mut site = half_replaced();
     let used = |site: &Site| (20..26).any(|n| (0..3).any(|zone| site.weight(zone, n) > 0.0));
     assert!(used(&site), "in a cool fleet they have their part");
-    let turned = || (6..12).map(|n| probed(n, ProbeOutcome::Full)).collect::<Vec<_>>();
+    let turned = || (6..12).map(|n| probed(n, ProbeOutcome::Rejected)).collect::<Vec<_>>();
     site.feed(&turned());
     assert!(used(&site), "a few of them tell nothing yet");
     site.feed(&turned());
@@ -198,10 +203,10 @@
 #[test]
 fn a_small_cold_server_is_cut_though_the_table_has_large_ones() {
     let mut site = Site::new(settings());
-    let large = |n: u8| ListEntry { weight: 6.0, ..entry(n, u16::from(n % 3)) };
+    let large = |n: u8| Endpoint { weight: 6.0, ..entry(n, u16::from(n % 3)) };
     let mut entries: Vec<_> = (0..12).map(large).collect();
-    entries.push(ListEntry { born: site.now - 4 * SECOND, weight: 1.0, ..entry(30, 0) });
-    let mut events = vec![list(ListHow::Cached, &entries)];
+    entries.push(Endpoint { started_at: site.now - 4 * SECOND, weight: 1.0, ..entry(30, 0) });
+    let mut events = vec![list(ListUpdate::Cached, &entries)];
     events.extend((0..6).map(|p| joined(p, p % 3)));
     site.feed(&events);
     let before = site.weight(0, 30);
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -28,14 +28,14 @@
 fn below_four_servers_a_zone_all_share_one_table_and_the_switch_has_a_gap() {
     let mut site = Site::running(settings(), 11);
     assert_eq!(site.servers(0).len(), 11);
-    site.feed(&[list(ListHow::Delta, &[entry(11, 2)])]);
+    site.feed(&[list(ListUpdate::Delta, &[entry(11, 2)])]);
     site.pass(SECOND, |_| Vec::new());
     assert_eq!(site.servers(0), [0, 3, 6, 9]);
-    let gone = |n: u8| ListEntry { state: ListState::Gone, ..entry(n, u16::from(n % 3)) };
-    site.feed(&[list(ListHow::Delta, &[gone(11), gone(10), gone(9), gone(8), gone(7)])]);
+    let gone = |n: u8| Endpoint { state: EndpointState::Removed, ..entry(n, u16::from(n % 3)) };
+    site.feed(&[list(ListUpdate::Delta, &[gone(11), gone(10), gone(9), gone(8), gone(7)])]);
     site.pass(3 * SECOND, |_| Vec::new());
     assert!(site.servers(0).len() < 7, "still by zone");
-    site.feed(&[list(ListHow::Delta, &[gone(6)])]);
+    site.feed(&[list(ListUpdate::Delta, &[gone(6)])]);
     site.pass(3 * SECOND, |_| Vec::new());
     assert_eq!(site.servers(0), [0, 1, 2, 3, 4, 5]);
 }
@@ -43,9 +43,9 @@
 #[test]
 fn lines_carry_listed_weights_and_equal_ones_where_there_are_none() {
     let mut site = Site::new(settings());
-    let heavy = ListEntry { weight: 2.5, ..entry(1, 0) };
-    let odd = ListEntry { weight: f64::NAN, ..entry(2, 0) };
-    site.feed(&[list(ListHow::Cached, &[entry(0, 0), heavy, odd]), joined(0, 0)]);
+    let heavy = Endpoint { weight: 2.5, ..entry(1, 0) };
+    let odd = Endpoint { weight: f64::NAN, ..entry(2, 0) };
+    site.feed(&[list(ListUpdate::Cached, &[entry(0, 0), heavy, odd]), joined(0, 0)]);
     assert_eq!((site.weight(0, 0), site.weight(0, 1), site.weight(0, 2)), (1.0, 2.5, 1.0));
 }
 
@@ -72,8 +72,8 @@
 #[test]
 fn a_new_server_joins_its_zone_after_a_hold_off_with_a_tenth_and_ramps() {
     let mut site = Site::running(settings(), 12);
-    let new = ListEntry { born: site.now, ..entry(12, 0) };
-    site.feed(&[list(ListHow::Delta, &[new])]);
+    let new = Endpoint { started_at: site.now, ..entry(12, 0) };
+    site.feed(&[list(ListUpdate::Delta, &[new])]);
     site.pass(SECOND, |_| Vec::new());
     assert_eq!(site.weight(0, 12), 0.0, "nothing in the first part of its cold time");
     site.pass(2 * SECOND, |_| Vec::new());
@@ -89,7 +89,9 @@
 fn unchanged_days_cost_no_messages() {
     let mut site = Site::running(settings(), 12);
     let sent = site.pass(10 * SECOND, |_| good(12, 200_000));
-    let orders = |a: &Action| matches!(a, Action::Line { .. } | Action::Bind { .. } | Action::Level { .. });
+    let orders = |a: &Action| {
+        matches!(a, Action::SetWeight { .. } | Action::AssignTable { .. } | Action::SetAdmission { .. })
+    };
     assert_eq!(count(&sent, orders), 0);
 }
 
@@ -98,7 +100,7 @@
 #[test]
 fn a_join_is_answered_with_a_table_in_the_same_batch() {
     let mut site = Site::running(settings(), 12);
-    site.feed(&[Event::Left { proxy: ProxyId(1) }]);
+    site.feed(&[Event::ProxyDisconnected { proxy: ProxyId(1) }]);
     site.feed(&[joined(1, 1)]);
     assert_eq!(site.servers(1), [1, 4, 7, 10]);
 }
@@ -106,17 +108,17 @@
 #[test]
 fn nobody_is_bound_to_an_empty_table() {
     let mut site = Site::new(settings());
-    let actions = site.feed(&[list(ListHow::Cached, &[]), joined(0, 0)]);
-    assert_eq!(count(&actions, |a| matches!(a, Action::Bind { .. })), 0);
-    site.feed(&[list(ListHow::Delta, &[entry(0, 0)])]);
+    let actions = site.feed(&[list(ListUpdate::Cached, &[]), joined(0, 0)]);
+    assert_eq!(count(&actions, |a| matches!(a, Action::AssignTable { .. })), 0);
+    site.feed(&[list(ListUpdate::Delta, &[entry(0, 0)])]);
     assert_eq!(site.servers(0), [0]);
 }
 
 #[test]
 fn a_draining_server_leaves_its_table_in_the_same_batch() {
     let mut site = Site::running(settings(), 12);
-    let drain = ListEntry { state: ListState::Draining, ..entry(3, 0) };
-    site.feed(&[list(ListHow::Delta, &[drain])]);
+    let drain = Endpoint { state: EndpointState::Draining, ..entry(3, 0) };
+    site.feed(&[list(ListUpdate::Delta, &[drain])]);
     assert_eq!(site.servers(0), [0, 6, 9]);
 }
 
@@ -124,16 +126,16 @@
 fn a_whole_list_takes_out_what_it_does_not_name() {
     let mut site = Site::running(settings(), 12);
     let entries: Vec<_> = (0..12).filter(|n| *n != 6).map(|n| entry(n, u16::from(n % 3))).collect();
-    site.feed(&[list(ListHow::Full, &entries)]);
+    site.feed(&[list(ListUpdate::Full, &entries)]);
     assert_eq!(site.servers(0), [0, 3, 9]);
 }
 
 #[test]
 fn where_only_drains_bind_a_list_that_drops_a_server_does_not_withdraw_it() {
-    let mut site = Site::running(Settings { drain_binds_alone: true, ..settings() }, 12);
-    let dropped = ListEntry { state: ListState::Gone, ..entry(3, 0) };
-    site.feed(&[list(ListHow::Delta, &[dropped])]);
-    site.feed(&[list(ListHow::Full, &[entry(0, 0)])]);
+    let mut site = Site::running(Settings { absence_is_advisory: true, ..settings() }, 12);
+    let dropped = Endpoint { state: EndpointState::Removed, ..entry(3, 0) };
+    site.feed(&[list(ListUpdate::Delta, &[dropped])]);
+    site.feed(&[list(ListUpdate::Full, &[entry(0, 0)])]);
     assert_eq!(site.servers(0), [0, 3, 6, 9]);
 }
 
@@ -141,8 +143,8 @@
 fn a_zone_whose_servers_all_drain_gets_those_of_others() {
     let mut site = Site::running(settings(), 15);
     let drains: Vec<_> =
-        [0, 3, 6, 9, 12].map(|n| ListEntry { state: ListState::Draining, ..entry(n, 0) }).to_vec();
-    site.feed(&[list(ListHow::Delta, &drains)]);
+        [0, 3, 6, 9, 12].map(|n| Endpoint { state: EndpointState::Draining, ..entry(n, 0) }).to_vec();
+    site.feed(&[list(ListUpdate::Delta, &drains)]);
     let left = site.servers(0);
     assert!(!left.is_empty() && left.iter().all(|n| n % 3 != 0), "{left:?}");
 }
@@ -150,34 +152,34 @@
 #[test]
 fn repeats_follow_the_effect_of_the_class() {
     let mut set = settings();
-    set.classes[1].effect = Effect::IdempotencyKey;
+    set.classes[1].idempotency = Idempotency::IdempotencyKey;
     let level = |set: Settings, class| {
         let site = Site::running(set, 12);
         site.levels[&(site.bound[&ProxyId(0)], ClassId(class))].0
     };
-    assert_eq!(level(settings(), 0), Resend::Once);
-    assert_eq!(level(settings(), 1), Resend::Unsent);
-    assert_eq!(level(set.clone(), 1), Resend::Once);
-    set.classes[1].group = Group::Cell;
-    assert_eq!(level(set.clone(), 1), Resend::Unsent);
-    (set.classes[1].group, set.classes[1].window) = (Group::All, 2 * SECOND);
-    assert_eq!(level(set, 1), Resend::Unsent, "the window may close before the last try");
+    assert_eq!(level(settings(), 0), RetryPolicy::Once);
+    assert_eq!(level(settings(), 1), RetryPolicy::IfNeverStarted);
+    assert_eq!(level(set.clone(), 1), RetryPolicy::Once);
+    set.classes[1].dedup_scope = DedupScope::Cell;
+    assert_eq!(level(set.clone(), 1), RetryPolicy::IfNeverStarted);
+    (set.classes[1].dedup_scope, set.classes[1].dedup_window) = (DedupScope::All, 2 * SECOND);
+    assert_eq!(level(set, 1), RetryPolicy::IfNeverStarted, "the window may close before the last try");
 }
 
 #[test]
 fn queues_stop_the_repeats_that_feed_them() {
     let mut site = Site::running(settings(), 12);
     site.pass(4 * SECOND, |_| good(12, 500_000));
-    assert_eq!(site.levels[&(site.bound[&ProxyId(0)], ClassId(0))].0, Resend::Unsent);
+    assert_eq!(site.levels[&(site.bound[&ProxyId(0)], ClassId(0))].0, RetryPolicy::IfNeverStarted);
     site.pass(6 * SECOND, |_| good(12, 900_000));
-    assert_eq!(site.levels[&(site.bound[&ProxyId(0)], ClassId(0))].0, Resend::Never);
+    assert_eq!(site.levels[&(site.bound[&ProxyId(0)], ClassId(0))].0, RetryPolicy::Never);
 }
 
 #[test]
 fn a_restarted_server_is_cut_to_its_cold_part_at_once() {
     let mut site = Site::running(settings(), 12);
-    let back = ListEntry { born: site.now, ..entry(3, 0) };
-    site.feed(&[list(ListHow::Delta, &[back])]);
+    let back = Endpoint { started_at: site.now, ..entry(3, 0) };
+    site.feed(&[list(ListUpdate::Delta, &[back])]);
     assert!(site.weight(0, 3) <= 0.25, "{}", site.weight(0, 3));
 }
 
@@ -187,8 +189,8 @@
 fn a_conductor_that_starts_into_a_cold_zone_spills_over_the_warm_ones() {
     let mut site = Site::new(settings());
     let mut entries: Vec<_> = (0..12).filter(|n| n % 3 != 2).map(|n| entry(n, u16::from(n % 3))).collect();
-    entries.extend([2, 5, 8, 11].map(|n| ListEntry { born: START - SECOND, ..entry(n, 2) }));
-    let mut events = vec![list(ListHow::Cached, &entries)];
+    entries.extend([2, 5, 8, 11].map(|n| Endpoint { started_at: START - SECOND, ..entry(n, 2) }));
+    let mut events = vec![list(ListUpdate::Cached, &entries)];
     events.extend((0..6).map(|p| joined(p, p % 3)));
     site.feed(&events);
     let warm = site.servers(2).into_iter().filter(|n| n % 3 != 2).count();
@@ -202,8 +204,8 @@
 fn a_jammed_fleet_spares_its_young_servers() {
     let mut site = Site::running(settings(), 12);
     site.pass(4 * SECOND, |_| good(12, 1_500_000));
-    let young = ListEntry { born: site.now - 4 * SECOND, ..entry(12, 0) };
-    site.feed(&[list(ListHow::Delta, &[young])]);
+    let young = Endpoint { started_at: site.now - 4 * SECOND, ..entry(12, 0) };
+    site.feed(&[list(ListUpdate::Delta, &[young])]);
     site.pass(2 * SECOND, |_| good(12, 1_500_000));
     assert_eq!(site.weight(0, 12), 0.0);
     site.pass(6 * SECOND, |_| good(12, 200_000));
@@ -216,8 +218,8 @@
 fn young_servers_are_spared_after_a_gap_in_reports() {
     let mut site = Site::running(settings(), 12);
     site.pass(4 * SECOND, |_| good(12, 200_000));
-    let young = ListEntry { born: site.now, ..entry(12, 0) };
-    site.feed(&[list(ListHow::Delta, &[young])]);
+    let young = Endpoint { started_at: site.now, ..entry(12, 0) };
+    site.feed(&[list(ListUpdate::Delta, &[young])]);
     // No report for so long that the heat is not known; then some that show what was before.
     site.pass(4 * SECOND, |_| Vec::new());
     site.pass(3 * SECOND, |_| good(12, 200_000));
@@ -236,21 +238,21 @@
             .collect()
     };
     site.pass(4 * SECOND, one_zone);
-    let young = ListEntry { born: site.now - 4 * SECOND, ..entry(15, 0) };
-    site.feed(&[list(ListHow::Delta, &[young])]);
+    let young = Endpoint { started_at: site.now - 4 * SECOND, ..entry(15, 0) };
+    site.feed(&[list(ListUpdate::Delta, &[young])]);
     site.pass(2 * SECOND, one_zone);
     assert_eq!(site.weight(0, 15), 0.0);
 }
 
 #[test]
 fn no_more_messages_in_the_window_than_allowed_however_much_changes() {
-    let set = Settings { messages_max: 12, ..settings() };
+    let set = Settings { max_messages: 12, ..settings() };
     let mut site = Site::running(set, 15);
     for step in 0..160u64 {
         site.now += 250_000;
         let n = (step % 15) as u8;
-        let state = if step % 30 < 15 { ListState::Draining } else { ListState::Ready };
-        site.feed(&[list(ListHow::Delta, &[ListEntry { state, ..entry(n, u16::from(n % 3)) }])]);
+        let state = if step % 30 < 15 { EndpointState::Draining } else { EndpointState::Ready };
+        site.feed(&[list(ListUpdate::Delta, &[Endpoint { state, ..entry(n, u16::from(n % 3)) }])]);
     }
     for times in site.messages.values() {
         for at in times {
@@ -264,13 +266,13 @@
 
 #[test]
 fn a_failed_list_leaves_the_tables_and_is_asked_for_again_less_and_less_often() {
-    let mut site = Site::running(Settings { list_on_request: true, ..settings() }, 12);
-    site.feed(&[list(ListHow::Delta, &[])]);
+    let mut site = Site::running(Settings { poll_discovery: true, ..settings() }, 12);
+    site.feed(&[list(ListUpdate::Delta, &[])]);
     let mut waits = Vec::new();
     for _ in 0..6 {
-        site.feed(&[list(ListHow::Failed, &[])]);
+        site.feed(&[list(ListUpdate::Failed, &[])]);
         let failed_at = site.now;
-        while count(&site.pass(250_000, |_| Vec::new()), |a| matches!(a, Action::Track)) == 0 {}
+        while count(&site.pass(250_000, |_| Vec::new()), |a| matches!(a, Action::WatchEndpoints)) == 0 {}
         waits.push(site.now - failed_at);
     }
     assert_eq!(waits, [500_000, SECOND, 2 * SECOND, 4 * SECOND, 4 * SECOND, 4 * SECOND]);
@@ -281,7 +283,7 @@
 fn a_pushed_list_is_not_asked_for() {
     let mut site = Site::new(settings());
     let actions = site.pass(10 * SECOND, |_| Vec::new());
-    assert_eq!(count(&actions, |a| matches!(a, Action::Track | Action::Lookup)), 0);
+    assert_eq!(count(&actions, |a| matches!(a, Action::WatchEndpoints | Action::FetchEndpoints)), 0);
 }
 
 // ---- health
@@ -375,7 +377,10 @@
 #[test]
 fn a_zone_that_rejoins_after_a_cut_gets_its_own_servers() {
     let mut site = Site::running(settings(), 12);
-    site.feed(&[Event::Left { proxy: ProxyId(2) }, Event::Left { proxy: ProxyId(5) }]);
+    site.feed(&[
+        Event::ProxyDisconnected { proxy: ProxyId(2) },
+        Event::ProxyDisconnected { proxy: ProxyId(5) },
+    ]);
     site.pass(5 * SECOND, |_| [2, 5, 8, 11].map(|n| probed(n, ProbeOutcome::Unreachable)).to_vec());
     site.feed(&[joined(2, 2)]);
     assert!(site.servers(2).iter().any(|n| n % 3 == 2), "{:?}", site.servers(2));
@@ -386,7 +391,7 @@
 fn zones_without_joined_proxies_borrow_nothing() {
     let mut site = Site::running(settings(), 12);
     site.pass(2 * SECOND, |_| (0..6).map(|p| traffic(p, 30)).collect());
-    site.feed(&[1, 2, 4, 5].map(|proxy| Event::Left { proxy: ProxyId(proxy) }));
+    site.feed(&[1, 2, 4, 5].map(|proxy| Event::ProxyDisconnected { proxy: ProxyId(proxy) }));
     site.pass(6 * SECOND, |_| {
         let cut = (0..12).filter(|n| n % 3 != 0);
         cut.map(|n| probed(n, ProbeOutcome::Unreachable)).collect()
@@ -450,7 +455,8 @@
 
 #[test]
 fn rates_are_levels_where_the_site_says_so() {
-    let mut site = Site::running(Settings { admit: Admit::Rps, ..settings() }, 12);
+    let mut site =
+        Site::running(Settings { admission_mode: AdmissionMode::RequestsPerSecond, ..settings() }, 12);
     let table = site.bound[&ProxyId(0)];
     assert!(site.levels[&(table, ClassId(0))].1 >= 1e6);
     site.pass(30 * SECOND, |_| {
@@ -468,47 +474,47 @@
 fn a_restarted_conductor_binds_rejoining_proxies_before_it_cuts_anew() {
     let mut site = Site::new(settings());
     let entries: Vec<_> = (0..12).map(|n| entry(n, u16::from(n % 3))).collect();
-    site.feed(&[list(ListHow::Cached, &entries), joined(0, 0)]);
+    site.feed(&[list(ListUpdate::Cached, &entries), joined(0, 0)]);
     assert_eq!(site.servers(0), [0, 3, 6, 9], "the first to rejoin is not taken for the whole load");
 }
 
 #[test]
 fn a_slice_keeps_its_server_until_it_drains() {
-    let set = Settings { slices: 4, ..settings() };
+    let set = Settings { shard_count: 4, ..settings() };
     let mut site = Site::new(set);
     let entries: Vec<_> = (0..3).map(|n| entry(n, u16::from(n))).collect();
     let (slice, weight) = (TableId(1), 1.0);
     let kept = site.feed(&[
-        list(ListHow::Cached, &entries),
-        Event::Mandate { slice, given: true },
-        Event::OnRecord { slice, server: id(0), weight },
+        list(ListUpdate::Cached, &entries),
+        Event::ShardAssignment { shard: slice, granted: true },
+        Event::StoredLine { shard: slice, server: id(0), weight },
     ]);
-    assert_eq!(count(&kept, |a| matches!(a, Action::Line { .. })), 0);
+    assert_eq!(count(&kept, |a| matches!(a, Action::SetWeight { .. })), 0);
     let moved =
-        site.feed(&[list(ListHow::Delta, &[ListEntry { state: ListState::Draining, ..entry(0, 0) }])]);
-    let lines: Vec<_> = moved.iter().filter(|a| matches!(a, Action::Line { .. })).collect();
-    assert!(matches!(lines[0], Action::Line { server, weight: 0.0, .. } if *server == id(0)));
-    assert!(matches!(lines[1], Action::Line { server, weight: 1.0, .. } if *server != id(0)));
+        site.feed(&[list(ListUpdate::Delta, &[Endpoint { state: EndpointState::Draining, ..entry(0, 0) }])]);
+    let lines: Vec<_> = moved.iter().filter(|a| matches!(a, Action::SetWeight { .. })).collect();
+    assert!(matches!(lines[0], Action::SetWeight { server, weight: 0.0, .. } if *server == id(0)));
+    assert!(matches!(lines[1], Action::SetWeight { server, weight: 1.0, .. } if *server != id(0)));
 }
 
 #[test]
 fn an_exclusive_slice_gets_its_next_owner_after_the_last_writes_are_over() {
     let set = Settings {
-        slices: 4,
+        shard_count: 4,
         single_writer: true,
-        keeps_writing: 2 * SECOND,
-        in_flight_max: 3 * SECOND,
+        orphan_write_period: 2 * SECOND,
+        max_write_duration: 3 * SECOND,
         ..settings()
     };
     let mut site = Site::new(set);
     let (slice, weight) = (TableId(1), 1.0);
     site.feed(&[
-        list(ListHow::Cached, &[entry(0, 0), entry(1, 1)]),
-        Event::Mandate { slice, given: true },
-        Event::OnRecord { slice, server: id(0), weight },
+        list(ListUpdate::Cached, &[entry(0, 0), entry(1, 1)]),
+        Event::ShardAssignment { shard: slice, granted: true },
+        Event::StoredLine { shard: slice, server: id(0), weight },
     ]);
-    site.feed(&[list(ListHow::Delta, &[ListEntry { state: ListState::Draining, ..entry(0, 0) }])]);
-    let placed = |a: &Action| matches!(a, Action::Line { weight, .. } if *weight > 0.0);
+    site.feed(&[list(ListUpdate::Delta, &[Endpoint { state: EndpointState::Draining, ..entry(0, 0) }])]);
+    let placed = |a: &Action| matches!(a, Action::SetWeight { weight, .. } if *weight > 0.0);
     assert_eq!(count(&site.pass(3 * SECOND, |_| Vec::new()), placed), 0);
     assert_eq!(count(&site.pass(SECOND, |_| Vec::new()), placed), 1);
 }
@@ -518,20 +524,22 @@
 #[test]
 fn legal_but_odd_events_lead_to_no_order() {
     let mut site = Site::running(settings(), 12);
-    let orders = |a: &Action| matches!(a, Action::Line { .. } | Action::Bind { .. } | Action::Level { .. });
+    let orders = |a: &Action| {
+        matches!(a, Action::SetWeight { .. } | Action::AssignTable { .. } | Action::SetAdmission { .. })
+    };
     let events = [
-        Event::Alarm { token: 99 },
-        Event::Left { proxy: ProxyId(77) },
+        Event::Timer { token: 99 },
+        Event::ProxyDisconnected { proxy: ProxyId(77) },
         tally(200, 0, 10, 10, 0),
         tally(3, 9, 0, 0, 0),
         probed(200, ProbeOutcome::Timeout),
-        Event::Traffic { proxy: ProxyId(0), class: ClassId(0), period: 0, total: 9, errors: 0 },
-        Event::Traffic { proxy: ProxyId(77), class: ClassId(9), period: SECOND, total: 9, errors: 0 },
-        Event::Applied { proxy: ProxyId(77), mark: 5, latency: 1 },
-        Event::Heat { slice: TableId(3), class: ClassId(0), total: 5 },
-        list(ListHow::Failed, &[]),
-        list(ListHow::Delta, &[]),
-        Event::Peer,
+        Event::ClientStats { proxy: ProxyId(0), class: ClassId(0), period: 0, total: 9, errors: 0 },
+        Event::ClientStats { proxy: ProxyId(77), class: ClassId(9), period: SECOND, total: 9, errors: 0 },
+        Event::Acknowledged { proxy: ProxyId(77), nonce: 5, latency: 1 },
+        Event::ShardTraffic { shard: TableId(3), class: ClassId(0), total: 5 },
+        list(ListUpdate::Failed, &[]),
+        list(ListUpdate::Delta, &[]),
+        Event::PeerMessage,
     ];
     assert_eq!(count(&site.feed(&events), orders), 0);
     assert_eq!(site.servers(0), [0, 3, 6, 9]);
@@ -542,13 +550,13 @@
 /// Thirty warm servers and so many proxies, evenly over three zones; servers take twenty connections.
 fn crowd(proxies: u16) -> Site {
     let mut site = Site::new(Settings {
-        proxies: u32::from(proxies),
-        connections_min: 20.0,
-        pending_max: 200_000.0,
+        proxy_count: u32::from(proxies),
+        min_server_connections: 20.0,
+        max_pending_lines: 200_000.0,
         ..settings()
     });
     let entries: Vec<_> = (0..30).map(|n| entry(n, u16::from(n % 3))).collect();
-    let mut events = vec![list(ListHow::Cached, &entries)];
+    let mut events = vec![list(ListUpdate::Cached, &entries)];
     events.extend((0..proxies).map(|p| joined(p, p % 3)));
     site.feed(&events);
     site.pass(4 * SECOND, |_| Vec::new());
@@ -569,7 +577,7 @@
         assert_eq!(site.servers(zone).len(), 2);
     }
     let before = site.bound.clone();
-    site.feed(&[Event::Left { proxy: ProxyId(7) }]);
+    site.feed(&[Event::ProxyDisconnected { proxy: ProxyId(7) }]);
     site.feed(&[joined(7, 1)]);
     site.pass(5 * SECOND, |_| Vec::new());
     assert_eq!(site.bound, before, "parts are sticky");
@@ -581,8 +589,8 @@
     let mut site = crowd(60);
     let lost = site.servers(0);
     let drains: Vec<_> =
-        lost.iter().map(|n| ListEntry { state: ListState::Draining, ..entry(*n, 0) }).collect();
-    site.feed(&[list(ListHow::Delta, &drains)]);
+        lost.iter().map(|n| Endpoint { state: EndpointState::Draining, ..entry(*n, 0) }).collect();
+    site.feed(&[list(ListUpdate::Delta, &drains)]);
     let now = site.servers(0);
     assert!(!now.is_empty() && now.len() <= 6 && lost.iter().all(|n| !now.contains(n)), "{now:?}");
 }
@@ -590,23 +598,23 @@
 /// Proxies that wait for room in the channel go by older tables: drains reach them as withdrawals.
 #[test]
 fn proxies_not_bound_yet_are_kept_off_draining_servers() {
-    let mut site = Site::new(Settings { pending_max: 60.0, ..settings() });
+    let mut site = Site::new(Settings { max_pending_lines: 60.0, ..settings() });
     let entries: Vec<_> = (0..12).map(|n| entry(n, u16::from(n % 3))).collect();
-    let mut events = vec![list(ListHow::Cached, &entries)];
+    let mut events = vec![list(ListUpdate::Cached, &entries)];
     events.extend((0..6).map(|p| joined(p, p % 3)));
     site.policy.decide(site.now, &events);
-    let drain = ListEntry { state: ListState::Draining, ..entry(3, 0) };
+    let drain = Endpoint { state: EndpointState::Draining, ..entry(3, 0) };
     let orders = |site: &mut Site, events: &[Event]| {
         site.now += SECOND;
-        let answers = (0..6).map(|p| Event::Applied { proxy: ProxyId(p), mark: 1, latency: 0 });
+        let answers = (0..6).map(|p| Event::Acknowledged { proxy: ProxyId(p), nonce: 1, latency: 0 });
         let events: Vec<_> = answers.chain(events.iter().cloned()).collect();
         site.policy.decide(site.now, &events)
     };
-    let masked = orders(&mut site, &[list(ListHow::Delta, &[drain])]);
-    assert!(masked.contains(&Action::Withdraw { server: id(3), out: true }), "{masked:?}");
-    let back = orders(&mut site, &[list(ListHow::Delta, &[entry(3, 0)])]);
+    let masked = orders(&mut site, &[list(ListUpdate::Delta, &[drain])]);
+    assert!(masked.contains(&Action::SetEjected { server: id(3), ejected: true }), "{masked:?}");
+    let back = orders(&mut site, &[list(ListUpdate::Delta, &[entry(3, 0)])]);
     let later = orders(&mut site, &[]);
-    assert!(back.iter().chain(&later).any(|a| *a == Action::Withdraw { server: id(3), out: false }));
+    assert!(back.iter().chain(&later).any(|a| *a == Action::SetEjected { server: id(3), ejected: false }));
 }
 
 /// Found on drawn overloaded days of hobart-intake-later: a zone's warm servers restarted all at once during a
@@ -615,8 +623,8 @@
 fn a_part_with_young_servers_names_warm_ones_of_other_zones_in_part() {
     let mut site = crowd(60);
     let part = site.servers(0);
-    let young = ListEntry { born: site.now - 4 * SECOND, ..entry(part[0], 0) };
-    site.feed(&[list(ListHow::Delta, &[young])]);
+    let young = Endpoint { started_at: site.now - 4 * SECOND, ..entry(part[0], 0) };
+    site.feed(&[list(ListUpdate::Delta, &[young])]);
     let far: Vec<u8> = site.servers(0).into_iter().filter(|n| n % 3 != 0).collect();
     assert_eq!(far.len(), 2, "{:?}", site.servers(0));
     let share = site.weight(0, far[0]) / site.weight(0, part[1]);
@@ -628,7 +636,7 @@
 fn no_second_cut_before_reports_that_lag_can_show_the_first() {
     let cuts = |period| {
         let mut site = Site::running(settings(), 12);
-        let report = move |n: u8, latency| Event::Tally {
+        let report = move |n: u8, latency| Event::UpstreamStats {
             server: id(n),
             zone: ZoneId(u16::from(n % 3)),
             period,
@@ -639,7 +647,8 @@
         };
         site.pass(10 * SECOND, |_| (0..12).map(|n| report(n, 200_000)).collect());
         let sent = site.pass(9 * SECOND, |_| (0..12).map(|n| report(n, 700_000)).collect());
-        let lower = |a: &Action| matches!(a, Action::Level { table: TableId(0), level, .. } if *level < 1.0);
+        let lower =
+            |a: &Action| matches!(a, Action::SetAdmission { table: TableId(0), level, .. } if *level < 1.0);
         count(&sent, lower)
     };
     assert!(cuts(5 * SECOND) < cuts(SECOND));
@@ -667,20 +676,23 @@
 #[test]
 fn a_large_fleet_costs_few_orders() {
     let far = |n: u16| ServerId([10, 1, (n >> 8) as u8, n as u8, 0, 80]);
-    let listed = |n: u16| ListEntry { server: far(n), ..entry(0, n % 3) };
-    let set = Settings { proxies: 3_000, connections_min: 80.0, pending_max: 1e6, ..settings() };
+    let listed = |n: u16| Endpoint { server: far(n), ..entry(0, n % 3) };
+    let set =
+        Settings { proxy_count: 3_000, min_server_connections: 80.0, max_pending_lines: 1e6, ..settings() };
     let mut site = Site::new(set);
     let entries: Vec<_> = (0..1_500).map(listed).collect();
-    let mut events = vec![list(ListHow::Cached, &entries)];
+    let mut events = vec![list(ListUpdate::Cached, &entries)];
     events.extend((0..3_000).map(|p| joined(p, p % 3)));
     let first = site.feed(&events);
-    let orders = |a: &Action| matches!(a, Action::Line { .. } | Action::Bind { .. } | Action::Level { .. });
-    assert_eq!(count(&first, |a| matches!(a, Action::Bind { .. })), 3_000);
+    let orders = |a: &Action| {
+        matches!(a, Action::SetWeight { .. } | Action::AssignTable { .. } | Action::SetAdmission { .. })
+    };
+    assert_eq!(count(&first, |a| matches!(a, Action::AssignTable { .. })), 3_000);
     assert!(count(&first, orders) < 3_000 + 1_500 + 1_000, "each server stands in one table");
     assert_eq!(count(&site.pass(SECOND, |_| Vec::new()), orders), 0);
-    let drain = ListEntry { state: ListState::Draining, ..listed(7) };
-    assert_eq!(count(&site.feed(&[list(ListHow::Delta, &[drain])]), orders), 1);
-    site.feed(&[Event::Left { proxy: ProxyId(9) }]);
+    let drain = Endpoint { state: EndpointState::Draining, ..listed(7) };
+    assert_eq!(count(&site.feed(&[list(ListUpdate::Delta, &[drain])]), orders), 1);
+    site.feed(&[Event::ProxyDisconnected { proxy: ProxyId(9) }]);
     assert_eq!(count(&site.feed(&[joined(9, 0)]), orders), 1);
 }
 
@@ -690,8 +702,8 @@
 fn new_servers_of_a_zone_that_is_not_short_join_its_own_parts() {
     let mut site = crowd(60);
     let born = site.now - 30 * SECOND;
-    let new: Vec<_> = (30..42).map(|n| ListEntry { born, ..entry(n, u16::from(n % 3)) }).collect();
-    site.feed(&[list(ListHow::Delta, &new)]);
+    let new: Vec<_> = (30..42).map(|n| Endpoint { started_at: born, ..entry(n, u16::from(n % 3)) }).collect();
+    site.feed(&[list(ListUpdate::Delta, &new)]);
     site.pass(2 * SECOND, |_| Vec::new());
     for (proxy, table) in &site.bound {
         let zone = u8::try_from(proxy.0 % 3).unwrap();
@@ -706,7 +718,7 @@
     let shed = |queue: f32, errors: u32| {
         let mut site = Site::running(set.clone(), 12);
         site.pass(6 * SECOND, |_| {
-            let told = |n: u8| Event::Tally {
+            let told = |n: u8| Event::UpstreamStats {
                 server: id(n),
                 zone: ZoneId(u16::from(n % 3)),
                 period: SECOND,
@@ -731,8 +743,8 @@
     let part = |latency| {
         let mut site = Site::running(settings(), 12);
         site.pass(4 * SECOND, |_| good(12, latency));
-        let nearly = ListEntry { born: site.now - 12 * SECOND, ..entry(12, 0) };
-        site.feed(&[list(ListHow::Delta, &[nearly])]);
+        let nearly = Endpoint { started_at: site.now - 12 * SECOND, ..entry(12, 0) };
+        site.feed(&[list(ListUpdate::Delta, &[nearly])]);
         site.pass(SECOND, |_| good(12, latency));
         site.weight(0, 12)
     };
@@ -747,8 +759,8 @@
         let mut site = Site::running(settings(), 12);
         let events = |total: u32| (0..6).map(move |p| traffic(p, total));
         site.pass(8 * SECOND, |_| good(12, 200_000).into_iter().chain(events(20)).collect());
-        let young = ListEntry { born: site.now - 8 * SECOND, ..entry(12, 0) };
-        site.feed(&[list(ListHow::Delta, &[young])]);
+        let young = Endpoint { started_at: site.now - 8 * SECOND, ..entry(12, 0) };
+        site.feed(&[list(ListUpdate::Delta, &[young])]);
         site.pass(3 * SECOND, |_| good(12, 200_000).into_iter().chain(events(20 * surge)).collect());
         site.weight(0, 12)
     };
@@ -756,7 +768,7 @@
 }
 
 fn probed_load(n: u8, queue: f32) -> Event {
-    Event::Probed { server: id(n), outcome: ProbeOutcome::Ok, latency: 5_000, load: vec![queue] }
+    Event::ProbeResult { server: id(n), outcome: ProbeOutcome::Ok, latency: 5_000, load: vec![queue] }
 }
 
 /// Found on a day on sockets: where only probes bring load reports their queues were passed over, and reports that
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -41,14 +41,15 @@
 
 fn sites() -> impl Strategy<Value = Settings> {
     let class = (0u8..3, 0u8..3, 0u64..9, 0u64..9, 0u64..9, 0.0f64..6.0, prop::bool::weighted(0.1)).prop_map(
-        |(effect, group, window, aim, deadline, worth, own_zone)| Class {
-            effect: [Effect::ReadLike, Effect::IdempotencyKey, Effect::NonIdempotent][usize::from(effect)],
-            group: [Group::All, Group::Zone, Group::Cell][usize::from(group)],
-            window: window * SECOND,
-            aim: aim * 300_000,
+        |(effect, group, window, aim, deadline, worth, own_zone)| RequestClass {
+            idempotency: [Idempotency::Safe, Idempotency::IdempotencyKey, Idempotency::NonIdempotent]
+                [usize::from(effect)],
+            dedup_scope: [DedupScope::All, DedupScope::Zone, DedupScope::Cell][usize::from(group)],
+            dedup_window: window * SECOND,
+            latency_objective: aim * 300_000,
             deadline: deadline * SECOND,
-            worth,
-            own_zone,
+            priority_weight: worth,
+            zone_local: own_zone,
         },
     );
     let numbers = (1usize..6, 0u32..16, 0.0f64..30_000.0, 0u64..3_000_000, 0.0f64..5.0, 0u64..20);
@@ -56,17 +57,21 @@
         |(classes, (zones, messages_max, lines, period, fall, cold), (ask, probing, alone), admit)| {
             Settings {
                 classes,
-                zones,
-                messages_max,
-                lines_per_s: lines,
-                pending_max: lines * 1.5,
+                zone_count: zones,
+                max_messages: messages_max,
+                lines_per_second: lines,
+                max_pending_lines: lines * 1.5,
                 report_period: period,
-                fall_multiple: fall,
-                cold: cold * SECOND,
-                list_on_request: ask,
-                probing,
-                drain_binds_alone: alone,
-                admit: [Admit::Ratio, Admit::Rps, Admit::Silent][usize::from(admit)],
+                collapse_ratio: fall,
+                warm_up: cold * SECOND,
+                poll_discovery: ask,
+                health_checks: probing,
+                absence_is_advisory: alone,
+                admission_mode: [
+                    AdmissionMode::Ratio,
+                    AdmissionMode::RequestsPerSecond,
+                    AdmissionMode::Ignored,
+                ][usize::from(admit)],
                 ..settings()
             }
         },
@@ -74,33 +79,34 @@
 }
 
 fn event(step: &Step, now: Micros, zones: u16) -> Option<Event> {
-    let state = |s: u8| [ListState::Ready, ListState::Draining, ListState::Gone][usize::from(s)];
+    let state =
+        |s: u8| [EndpointState::Ready, EndpointState::Draining, EndpointState::Removed][usize::from(s)];
     Some(match step {
         Step::Wait(_) => return None,
         Step::Listed { n, state: s, fresh } => {
             let born = if *fresh { now } else { 0 };
             let listed = entry(*n, u16::from(*n) % zones);
-            list(ListHow::Delta, &[ListEntry { state: state(*s), born, ..listed }])
+            list(ListUpdate::Delta, &[Endpoint { state: state(*s), started_at: born, ..listed }])
         }
         Step::Whole(upto) => {
-            list(ListHow::Full, &(0..*upto).map(|n| entry(n, u16::from(n) % zones)).collect::<Vec<_>>())
+            list(ListUpdate::Full, &(0..*upto).map(|n| entry(n, u16::from(n) % zones)).collect::<Vec<_>>())
         }
-        Step::Failed => list(ListHow::Failed, &[]),
+        Step::Failed => list(ListUpdate::Failed, &[]),
         Step::Join(p) => joined(*p, *p % zones),
-        Step::Leave(p) => Event::Left { proxy: ProxyId(*p) },
+        Step::Leave(p) => Event::ProxyDisconnected { proxy: ProxyId(*p) },
         Step::Tally { n, zone, total, errors, latency } => tally(*n, *zone, *total, *errors, *latency),
         Step::Probed { n, outcome } => probed(
             *n,
             [
                 ProbeOutcome::Ok,
                 ProbeOutcome::Error,
-                ProbeOutcome::Full,
+                ProbeOutcome::Rejected,
                 ProbeOutcome::Timeout,
                 ProbeOutcome::Unreachable,
                 ProbeOutcome::Reset,
             ][usize::from(*outcome)],
         ),
-        Step::Traffic { proxy, class, total, period } => Event::Traffic {
+        Step::Traffic { proxy, class, total, period } => Event::ClientStats {
             proxy: ProxyId(*proxy),
             class: ClassId(*class),
             period: *period,
@@ -113,52 +119,60 @@
 /// Plays a day and checks each reply; gives all replies.
 fn play(set: &Settings, steps: &[Step]) -> Result<Vec<Vec<Action>>, TestCaseError> {
     let mut site = Site::new(set.clone());
-    let mut listed: BTreeMap<ServerId, ListState> = BTreeMap::new();
+    let mut listed: BTreeMap<ServerId, EndpointState> = BTreeMap::new();
     let mut replies = Vec::new();
     for step in steps {
         site.now += if let Step::Wait(span) = step { *span } else { 2_000 };
-        let event = event(step, site.now, set.zones as u16);
-        if let Some(Event::List { how, entries }) = &event {
-            if *how == ListHow::Full {
-                listed.values_mut().for_each(|state| *state = ListState::Gone);
+        let event = event(step, site.now, set.zone_count as u16);
+        if let Some(Event::EndpointList { update: how, entries }) = &event {
+            if *how == ListUpdate::Full {
+                listed.values_mut().for_each(|state| *state = EndpointState::Removed);
             }
             listed.extend(entries.iter().map(|e| (e.server, e.state)));
         }
         let actions = site.feed(&event.into_iter().collect::<Vec<_>>());
         for action in &actions {
             match action {
-                Action::Line { table, server, weight } => {
+                Action::SetWeight { table, server, weight } => {
                     prop_assert!(listed.contains_key(server), "a server that no list named");
                     prop_assert!(weight.is_finite() && *weight >= 0.0 && table.0 < u16::MAX);
                 }
-                Action::Bind { proxy, table } => {
+                Action::AssignTable { proxy, table } => {
                     prop_assert!(site.joined.contains(proxy), "a proxy that is not joined");
                     prop_assert!(!site.tables[table].is_empty(), "an empty table");
                 }
-                Action::Level { class, resend, level, .. } => {
+                Action::SetAdmission { class, retry_policy: resend, level, .. } => {
                     prop_assert!(level.is_finite() && *level >= 0.0);
                     let class = &set.classes[usize::from(class.0)];
-                    if class.effect == Effect::NonIdempotent {
-                        prop_assert!(matches!(resend, Resend::Never | Resend::Unsent), "a second effect");
+                    if class.idempotency == Idempotency::NonIdempotent {
+                        prop_assert!(
+                            matches!(resend, RetryPolicy::Never | RetryPolicy::IfNeverStarted),
+                            "a second effect"
+                        );
                     }
-                    if class.effect == Effect::IdempotencyKey && class.group != Group::All {
-                        prop_assert!(matches!(resend, Resend::Never | Resend::Unsent), "outside the group");
+                    if class.idempotency == Idempotency::IdempotencyKey
+                        && class.dedup_scope != DedupScope::All
+                    {
+                        prop_assert!(
+                            matches!(resend, RetryPolicy::Never | RetryPolicy::IfNeverStarted),
+                            "outside the group"
+                        );
                     }
                 }
                 Action::Probe { server } => {
-                    prop_assert!(set.probing && listed.contains_key(server));
+                    prop_assert!(set.health_checks && listed.contains_key(server));
                 }
-                Action::Track | Action::Lookup => prop_assert!(set.list_on_request),
-                Action::Wake { after, .. } => prop_assert!(*after > 0),
-                Action::Withdraw { server, .. } => prop_assert!(listed.contains_key(server)),
-                Action::Mark { mark } => prop_assert!(*mark < u16::MAX),
+                Action::WatchEndpoints | Action::FetchEndpoints => prop_assert!(set.poll_discovery),
+                Action::SetTimer { after, .. } => prop_assert!(*after > 0),
+                Action::SetEjected { server, .. } => prop_assert!(listed.contains_key(server)),
+                Action::RequestAck { nonce: mark } => prop_assert!(*mark < u16::MAX),
                 Action::Log(_) => {}
             }
         }
-        if set.messages_max > 0 {
+        if set.max_messages > 0 {
             for times in site.messages.values() {
                 let recent = times.iter().filter(|at| **at + set.message_window >= site.now).count();
-                prop_assert!(recent <= set.messages_max as usize, "{recent} messages");
+                prop_assert!(recent <= set.max_messages as usize, "{recent} messages");
             }
         }
         replies.push(actions);
@@ -195,18 +209,18 @@
         .run(&days, |steps| {
             let set = settings();
             let mut site = Site::new(set.clone());
-            let mut states: BTreeMap<ServerId, ListState> = BTreeMap::new();
+            let mut states: BTreeMap<ServerId, EndpointState> = BTreeMap::new();
             for step in &steps {
                 site.now += if let Step::Wait(span) = step { *span } else { 2_000 };
-                let event = event(step, site.now, set.zones as u16);
-                if let Some(Event::List { how, entries }) = &event {
-                    if *how == ListHow::Full {
+                let event = event(step, site.now, set.zone_count as u16);
+                if let Some(Event::EndpointList { update: how, entries }) = &event {
+                    if *how == ListUpdate::Full {
                         states.clear();
                     }
                     states.extend(entries.iter().map(|e| (e.server, e.state)));
                 }
                 site.feed(&event.into_iter().collect::<Vec<_>>());
-                let is_ready = |id: &ServerId| states.get(id) == Some(&ListState::Ready);
+                let is_ready = |id: &ServerId| states.get(id) == Some(&EndpointState::Ready);
                 for (proxy, table) in &site.bound {
                     let lines = &site.tables[table];
                     prop_assert!(
