--- a/crates/stepspur-cli/src/bench/churn.rs
+++ b/crates/stepspur-cli/src/bench/churn.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-use stepspur_conductor::source::NodeState;
+use stepspur_conductor::source::EndpointRecordState;
 use stepspur_proto::frame;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
@@ -50,9 +50,9 @@
     let mut drained = 0;
     while Instant::now() < end {
         sleep(DRAIN_EVERY).await;
-        conductor.set_states([drained % args.servers], NodeState::Ready);
+        conductor.set_states([drained % args.servers], EndpointRecordState::Ready);
         drained += 1;
-        conductor.set_states([drained % args.servers], NodeState::Draining);
+        conductor.set_states([drained % args.servers], EndpointRecordState::Draining);
         if drained.is_multiple_of(DRAINS_A_LOOK) {
             let used = usage(&running)?;
             memory.push(used.rss_kib);
--- a/crates/stepspur-cli/src/bench/conductor.rs
+++ b/crates/stepspur-cli/src/bench/conductor.rs
@@ -7,7 +7,7 @@
 use anyhow::Context;
 use stepspur_conductor::Config;
 use stepspur_conductor::config::Source;
-use stepspur_conductor::source::{NodeRecord, NodeState};
+use stepspur_conductor::source::{EndpointRecord, EndpointRecordState};
 use stepspur_emulator::Launcher;
 use stepspur_emulator::launch::Running;
 use stepspur_emulator::registry::Registry;
@@ -53,19 +53,19 @@
         let config = config(args, address)?;
         let launcher = Launcher::Program(std::env::current_exe()?);
         let conductor = Self { config, registry, launcher, stop };
-        conductor.set_states(0..args.servers, NodeState::Ready);
+        conductor.set_states(0..args.servers, EndpointRecordState::Ready);
         Ok(conductor)
     }
 
     /// Lists these servers in a state, all at once.
-    pub fn set_states(&self, servers: impl IntoIterator<Item = usize>, state: NodeState) {
+    pub fn set_states(&self, servers: impl IntoIterator<Item = usize>, state: EndpointRecordState) {
         self.registry.set(servers.into_iter().map(|number| self.node(number, state)));
     }
 
     /// Addresses that nobody dials: probes are off.
-    fn node(&self, number: usize, state: NodeState) -> NodeRecord {
+    fn node(&self, number: usize, state: EndpointRecordState) -> EndpointRecord {
         let address = SocketAddr::from(([127, 1, (number >> 8) as u8, number as u8], UNUSED_PORT));
-        NodeRecord { address, zone: self.zone(number).to_owned(), state, weight: 1.0, started_unix_ms: 0 }
+        EndpointRecord { address, zone: self.zone(number).to_owned(), state, weight: 1.0, started_unix_ms: 0 }
     }
 
     /// The zone of the server, and of the proxy, with this number.
--- a/crates/stepspur-cli/src/bench/drain.rs
+++ b/crates/stepspur-cli/src/bench/drain.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use anyhow::Context;
-use stepspur_conductor::source::NodeState;
+use stepspur_conductor::source::EndpointRecordState;
 use stepspur_emulator::launch::Running;
 use stepspur_emulator::usage::Usage;
 use tokio::sync::mpsc;
@@ -78,11 +78,11 @@
     forget(observations);
     let cpu_before = usage(running)?.cpu_s;
     let from = Instant::now();
-    conductor.set_states(picked.clone(), NodeState::Draining);
+    conductor.set_states(picked.clone(), EndpointRecordState::Draining);
     times.collect(from, observations, args.proxies).await?;
     let cpu_s = usage(running)?.cpu_s - cpu_before;
     let polls = conductor.registry.polls();
-    conductor.set_states(picked, NodeState::Ready);
+    conductor.set_states(picked, EndpointRecordState::Ready);
     wait_weighted(observations, args.proxies).await?;
     timeout(PATIENCE, conductor.registry.polled(polls)).await.context("the list is not read any more")?;
     Ok(cpu_s)
--- a/crates/stepspur-cli/src/keys.rs
+++ b/crates/stepspur-cli/src/keys.rs
@@ -7,7 +7,7 @@
 use anyhow::Context;
 use clap::{Args, Subcommand};
 use stepspur_identity::keys::{
-    AnchorEntry, KeyFault, KeyId, KeyState, ServerEntry, Signer, read_manifest, write_manifest, write_private,
+    AnchorEntry, KeyError, KeyId, KeyState, ServerEntry, Signer, read_manifest, write_manifest, write_private,
 };
 use stepspur_identity::pki::{Authority, Issued, Leaf};
 use stepspur_identity::rights::{Right, Rights};
@@ -213,7 +213,7 @@
     Ok((vec![AnchorEntry { file, state: KeyState::Active }], Some(entry)))
 }
 
-fn list(dir: &Path) -> Result<(), KeyFault> {
+fn list(dir: &Path) -> Result<(), KeyError> {
     let manifest = read_manifest(dir)?;
     println!("issuer {}, audience {}", manifest.issuer, manifest.audience);
     for key in &manifest.signing {
--- a/crates/stepspur-cli/src/main.rs
+++ b/crates/stepspur-cli/src/main.rs
@@ -7,6 +7,7 @@
 mod bench;
 mod fleet;
 mod keys;
+mod logs;
 mod model_bench;
 mod platform;
 mod play;
@@ -18,8 +19,9 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-use clap::{Args, Parser, Subcommand, ValueEnum};
-use tracing_subscriber::EnvFilter;
+use clap::{Args, Parser, Subcommand};
+
+use logs::Logs;
 
 /// Directs the traffic of a fleet of sidecar proxies.
 #[derive(Debug, Parser)]
@@ -115,7 +117,8 @@
 #[derive(Debug, Subcommand)]
 enum CouncilCommand {
     /// Make this conductor's state file, once, before the council's first start. It is never made anew over another.
-    Found {
+    #[command(alias = "found")]
+    Bootstrap {
         #[command(flatten)]
         settings: SettingsArgs,
     },
@@ -140,22 +143,6 @@
     set: Vec<String>,
 }
 
-#[derive(Debug, Args)]
-struct Logs {
-    /// What is logged: a level, or directives as `stepspur_conductor=debug`.
-    #[arg(long, default_value = "info")]
-    log: String,
-    /// How it is logged, on standard error.
-    #[arg(long, value_enum, default_value_t = LogFormat::Plain)]
-    log_format: LogFormat,
-}
-
-#[derive(Clone, Copy, Debug, ValueEnum)]
-enum LogFormat {
-    Plain,
-    Json,
-}
-
 #[derive(Debug, Args)]
 struct PlayArgs {
     /// Print as JSON.
@@ -218,11 +205,11 @@
 async fn dispatch(command: Command) -> anyhow::Result<End> {
     match command {
         Command::Run { platform: true, logs, .. } => {
-            start_logs(&logs)?;
+            logs.start()?;
             platform::run().await
         }
         Command::Run { config, set, logs, .. } => {
-            start_logs(&logs)?;
+            logs.start()?;
             // `clap` asks for one of the two.
             match settings::load(&config.unwrap_or_default(), &set) {
                 Ok(config) => run::run(config).await,
@@ -237,9 +224,9 @@
             Err(faults) => Ok(settings::show(&faults, json)),
         },
         Command::Status { address, json } => run::status(address, json).await,
-        Command::Council(CouncilCommand::Found { settings }) => {
+        Command::Council(CouncilCommand::Bootstrap { settings }) => {
             match settings::load(&settings.config, &settings.set) {
-                Ok(config) => run::found(&config),
+                Ok(config) => run::bootstrap(&config),
                 Err(faults) => Ok(settings::show(&faults, false)),
             }
         }
@@ -259,14 +246,3 @@
         Command::Bench(args) => bench::bench(args).await,
     }
 }
-
-fn start_logs(logs: &Logs) -> anyhow::Result<()> {
-    let filter = EnvFilter::try_new(&logs.log)?;
-    let subscriber = tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr);
-    let subscriber = subscriber.with_ansi(std::io::IsTerminal::is_terminal(&std::io::stderr()));
-    match logs.log_format {
-        LogFormat::Plain => subscriber.init(),
-        LogFormat::Json => subscriber.json().flatten_event(true).init(),
-    }
-    Ok(())
-}
--- a/crates/stepspur-cli/src/platform.rs
+++ b/crates/stepspur-cli/src/platform.rs
@@ -65,7 +65,7 @@
             if readings == 1 {
                 tracing::warn!(event = "reload_failed", %cause);
             } else if readings == READINGS {
-                tracing::warn!(event = "reload_waits", %cause);
+                tracing::warn!(event = "reload_incomplete", %cause);
             }
             let pause = if readings < READINGS { READ_AGAIN } else { READ_LATER };
             tokio::select! {
@@ -74,7 +74,7 @@
             }
         };
         for place in now.refused {
-            tracing::warn!(event = "reload_refused", place, cause = "it takes a restart to change this");
+            tracing::warn!(event = "reload_rejected", place, cause = "it takes a restart to change this");
         }
         let address = now.discovery;
         discovery.send_if_modified(|known| std::mem::replace(known, address) != address);
--- a/crates/stepspur-cli/src/run.rs
+++ b/crates/stepspur-cli/src/run.rs
@@ -27,7 +27,7 @@
 }
 
 /// Makes the state file of a council's first member.
-pub fn found(config: &Config) -> anyhow::Result<End> {
+pub fn bootstrap(config: &Config) -> anyhow::Result<End> {
     let Some(council) = &config.council else {
         eprintln!("stepspur: the settings name no [council]");
         return Ok(End::WrongUse);
--- a/crates/stepspur-cli/tests/council.rs
+++ b/crates/stepspur-cli/tests/council.rs
@@ -112,7 +112,7 @@
         for (config, id) in configs.iter().zip(1..) {
             let checked = stepspur(&["check"], config);
             assert!(checked.status.success(), "{}", String::from_utf8_lossy(&checked.stderr));
-            assert!(stepspur(&["council", "found"], config).status.success());
+            assert!(stepspur(&["council", "bootstrap"], config).status.success());
             let again = stepspur(&["council", "found"], config);
             assert_eq!(again.status.code(), Some(1), "the state of {id} was made anew");
         }
--- a/crates/stepspur-cli/tests/platform.rs
+++ b/crates/stepspur-cli/tests/platform.rs
@@ -72,7 +72,7 @@
     let next = configuration(new.local_addr().unwrap());
     std::fs::write(&path, &next[..next.len() / 2]).unwrap();
     running.signal("-HUP");
-    running.logs("reload_waits");
+    running.logs("reload_incomplete");
     std::fs::write(&path, &next).unwrap();
     drop(call(&new));
 }
@@ -88,7 +88,7 @@
     std::fs::write(&path, next.replace("\"sockets\":112", "\"sockets\":64")).unwrap();
     running.signal("-HUP");
     for place in ["limits.sockets", "settings.rules.coldUs", "settings.zones[0]"] {
-        assert!(running.logs("reload_refused").contains(place), "{place}");
+        assert!(running.logs("reload_rejected").contains(place), "{place}");
     }
     drop(call(&new));
     // The zone that it began with still is one.
--- a/crates/stepspur-conductor/src/config/mod.rs
+++ b/crates/stepspur-conductor/src/config/mod.rs
@@ -33,7 +33,7 @@
 pub use listen::Listen;
 pub use probes::Probes;
 pub use reports::Reports;
-pub use source::{Doubt, Source};
+pub use source::{MassRemovalGuard, Source};
 pub use status::Status;
 
 /// All settings of a conductor.
@@ -98,7 +98,7 @@
 
 /// A setting that is out of bounds.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct InvalidSetting {
     /// Its key, as `fleet.classes[0].aim`.
     pub key: String,
     /// What is wrong with it.
@@ -107,12 +107,13 @@
 
 impl Config {
     /// All settings that are out of bounds; empty if the conductor may start.
-    pub fn faults(&self) -> Vec<Fault> {
+    pub fn faults(&self) -> Vec<InvalidSetting> {
         let report = self.validate().err();
         let bounds = report.iter().flat_map(|report| report.iter());
-        let bounds = bounds.map(|(key, what)| Fault { key: key.to_string(), what: what.to_string() });
+        let bounds =
+            bounds.map(|(key, what)| InvalidSetting { key: key.to_string(), what: what.to_string() });
         let beside = self.distribution.iter().flat_map(|set| set.faults_beside(self.council.as_ref()));
-        bounds.chain(beside.map(|(key, what)| Fault { key, what })).collect()
+        bounds.chain(beside.map(|(key, what)| InvalidSetting { key, what })).collect()
     }
 }
 
--- a/crates/stepspur-conductor/src/config/source.rs
+++ b/crates/stepspur-conductor/src/config/source.rs
@@ -25,7 +25,7 @@
         /// Lists that lose much.
         #[serde(default)]
         #[garde(dive)]
-        doubt: Doubt,
+        doubt: MassRemovalGuard,
     },
     /// An HTTP node list, see `docs/node-list.md`.
     Http {
@@ -47,13 +47,13 @@
         /// Lists that lose much.
         #[serde(default)]
         #[garde(dive)]
-        doubt: Doubt,
+        doubt: MassRemovalGuard,
     },
 }
 
 impl Source {
     /// What is held of lists that lose much.
-    pub fn doubt(&self) -> &Doubt {
+    pub fn doubt(&self) -> &MassRemovalGuard {
         match self {
             Source::File { doubt, .. } | Source::Http { doubt, .. } => doubt,
         }
@@ -63,7 +63,7 @@
 /// When a whole list is not believed at once.
 #[derive(Clone, Debug, Deserialize, Serialize, Validate)]
 #[serde(deny_unknown_fields, default)]
-pub struct Doubt {
+pub struct MassRemovalGuard {
     /// A whole list that lacks more than this part of the ready servers known before is doubted: what it
     /// lacks stays as it was, what it names counts.
     #[garde(range(min = 0.0, max = 1.0))]
@@ -90,7 +90,7 @@
     Duration::from_secs(2)
 }
 
-impl Default for Doubt {
+impl Default for MassRemovalGuard {
     fn default() -> Self {
         Self { loss_max: 0.5, confirm_after: Duration::from_secs(30), empty_allowed: false }
     }
--- a/crates/stepspur-conductor/src/engine/decisions.rs
+++ b/crates/stepspur-conductor/src/engine/decisions.rs
@@ -4,9 +4,9 @@
 use stepspur_proto::v1;
 
 use super::channel::Message;
-use super::order::Stamp;
+use super::order::UpdateStamp;
 use super::tables::Addressed;
-use super::{Engine, Note, Output};
+use super::{Engine, LogEvent, Output};
 use crate::config::micros;
 
 /// Decisions come every 250 ms at least: an engine that did nothing for so long, in microseconds, stood still.
@@ -18,7 +18,7 @@
         self.extend_mark_deadlines(now);
         self.end_overdue_streams(now);
         if self.servers.is_lookup_due(now) {
-            self.out.push_back(Output::Lookup);
+            self.out.push_back(Output::FetchEndpoints);
         }
         let reports = self.intake.take(now);
         self.batch.extend(reports);
@@ -75,9 +75,9 @@
             match action {
                 Action::SetTimer { after, token } => _ = self.alarms.insert((now + after.max(&1), *token)),
                 Action::Probe { server } => self.probe(*server),
-                Action::WatchEndpoints => self.out.push_back(Output::Track),
-                Action::FetchEndpoints => self.out.push_back(Output::Lookup),
-                Action::Log(text) => self.note(Note::Decision(self.servers.ids().readable(text))),
+                Action::WatchEndpoints => self.out.push_back(Output::WatchEndpoints),
+                Action::FetchEndpoints => self.out.push_back(Output::FetchEndpoints),
+                Action::Log(text) => self.note(LogEvent::Decision(self.servers.ids().readable(text))),
                 // The tables' matter.
                 Action::SetWeight { .. }
                 | Action::SetAdmission { .. }
@@ -90,8 +90,8 @@
         self.order(now, orders);
     }
 
-    pub(super) fn stamp(&self) -> Stamp {
-        Stamp { epoch: self.epoch, sequence: self.sequence }
+    pub(super) fn stamp(&self) -> UpdateStamp {
+        UpdateStamp { epoch: self.epoch, sequence: self.sequence }
     }
 
     /// Puts the orders of one decision into the channel, under one sequence number.
--- a/crates/stepspur-conductor/src/engine/doubt.rs
+++ b/crates/stepspur-conductor/src/engine/doubt.rs
@@ -7,7 +7,7 @@
 
 use stepspur::interface::{ListUpdate, Micros, ServerId};
 
-use crate::config::{Doubt, micros};
+use crate::config::{MassRemovalGuard, micros};
 
 /// How a whole list is to be taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -23,8 +23,8 @@
 
 /// What is held of the list so far.
 #[derive(Debug)]
-pub(crate) struct Doubter {
-    set: Doubt,
+pub(crate) struct MassRemovalDetector {
+    set: MassRemovalGuard,
     /// Since when whole lists have lacked too much.
     since: Option<Micros>,
     /// When to ask for the whole list again, while a doubt stands.
@@ -34,8 +34,8 @@
 /// A list that is never believed, as it is empty, is asked for no more often than this.
 const ASK_EVERY: Micros = 1_000_000;
 
-impl Doubter {
-    pub(crate) fn new(set: Doubt) -> Self {
+impl MassRemovalDetector {
+    pub(crate) fn new(set: MassRemovalGuard) -> Self {
         Self { set, since: None, ask_at: None }
     }
 
--- a/crates/stepspur-conductor/src/engine/input.rs
+++ b/crates/stepspur-conductor/src/engine/input.rs
@@ -16,7 +16,7 @@
 
 /// A server as a list names it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct NodeEntry {
+pub struct DiscoveredEndpoint {
     /// Its name, where lists name servers: then that is what it is known by, and its address may change.
     pub name: Option<String>,
     /// Its address.
@@ -35,20 +35,20 @@
 #[derive(Clone, Debug)]
 pub enum Input {
     /// News of the list of servers.
-    List {
+    EndpointList {
         /// How it builds on the list before.
         how: ListUpdate,
         /// The servers that it names.
-        entries: Vec<NodeEntry>,
+        entries: Vec<DiscoveredEndpoint>,
     },
     /// What the machine's clock shows. Starts are told by such clocks, and it may have been set since the engine's
     /// own time, which only goes forward, was taken from it.
-    Wall {
+    WallClock {
         /// Microseconds since 1970.
         unix: Micros,
     },
     /// The result of a probe. It counts only while the list has its server at that address and with that start.
-    Probed {
+    ProbeResult {
         /// What it was sent to, as ordered.
         target: ProbeTarget,
         /// The outcome.
@@ -66,7 +66,7 @@
         frame: FromProxy,
     },
     /// A proxy whose protocol gives it its number has joined: its stream stands.
-    Joined {
+    ProxyConnected {
         /// The stream.
         stream: StreamId,
         /// The proxy's number, below the fleet's.
@@ -79,7 +79,7 @@
         fresh: bool,
     },
     /// A proxy has applied what carried this mark.
-    Applied {
+    Acknowledged {
         /// Its stream.
         stream: StreamId,
         /// The mark.
@@ -88,7 +88,7 @@
         latency: Option<Micros>,
     },
     /// What the joined proxies of a zone met at a server, summed elsewhere.
-    ZoneReport {
+    UpstreamStats {
         /// The server.
         server: ServerId,
         /// The zone.
@@ -103,7 +103,7 @@
         load: Vec<f32>,
     },
     /// Requests of a class that came to a proxy, summed elsewhere.
-    Usage {
+    ClientStats {
         /// The proxy.
         proxy: ProxyId,
         /// The class.
@@ -114,19 +114,19 @@
         requests: [u32; 2],
     },
     /// A message of a joined caller made no sense and was passed over.
-    Spoilt {
+    InvalidMessage {
         /// Who sent it.
         by: String,
         /// What was wrong.
         what: String,
     },
     /// A stream has ended.
-    Ended {
+    StreamEnded {
         /// The stream.
         stream: StreamId,
     },
     /// A stream must end: what came on it was no frame, or nothing came, or nothing was taken.
-    Broken {
+    StreamFailed {
         /// The stream.
         stream: StreamId,
         /// Why.
--- a/crates/stepspur-conductor/src/engine/intake.rs
+++ b/crates/stepspur-conductor/src/engine/intake.rs
@@ -29,7 +29,7 @@
 /// Lines that wait to be looked at, the oldest first. What comes for a line that still waits adds to it, so
 /// memory is bounded by servers times zones and proxies times classes.
 #[derive(Debug)]
-pub(crate) struct Intake {
+pub(crate) struct ReportAggregator {
     waiting: BTreeMap<Key, Counts>,
     order: VecDeque<Key>,
     per_s: f64,
@@ -40,7 +40,7 @@
     next: Micros,
 }
 
-impl Intake {
+impl ReportAggregator {
     pub(crate) fn new(per_s: f64, gather: Micros, now: Micros) -> Self {
         let (waiting, order) = (BTreeMap::new(), VecDeque::new());
         Self { waiting, order, per_s, gather, budget: 0.0, at: now, next: now + gather }
--- a/crates/stepspur-conductor/src/engine/intake/tests.rs
+++ b/crates/stepspur-conductor/src/engine/intake/tests.rs
@@ -7,7 +7,7 @@
 /// Twice what is looked at comes in: nothing is lost, memory stays bounded, and the spans tell the delay.
 #[test]
 fn what_is_not_looked_at_adds_up_and_covers_its_time() {
-    let mut intake = Intake::new(10.0, 100_000, 0);
+    let mut intake = ReportAggregator::new(10.0, 100_000, 0);
     let key = |k: u8| Key::Met(ServerId([10, 0, 0, k, 0, 80]), ZoneId(0));
     let (mut seen, mut longest) = (0, 0);
     for round in 1..=100u64 {
@@ -26,7 +26,7 @@
 
 #[test]
 fn a_proxy_that_left_is_no_news() {
-    let mut intake = Intake::new(1e6, 10, 0);
+    let mut intake = ReportAggregator::new(1e6, 10, 0);
     intake.add(Key::Came(ProxyId(1), ClassId(0)), counts(0, 5, 1));
     intake.add(Key::Came(ProxyId(2), ClassId(0)), counts(0, 5, 1));
     intake.forget(ProxyId(1));
--- a/crates/stepspur-conductor/src/engine/joins.rs
+++ b/crates/stepspur-conductor/src/engine/joins.rs
@@ -3,8 +3,8 @@
 use stepspur::interface::{Event, Micros, ProxyId, ZoneId};
 use stepspur_proto::{FromConductor, VERSION, frame, from_conductor, v1};
 
-use super::order::Farewell;
-use super::{Engine, Note, Output, StreamId};
+use super::order::GoAway;
+use super::{Engine, LogEvent, Output, StreamId};
 use crate::config::micros;
 
 /// Bytes of a proxy's name at most.
@@ -36,7 +36,7 @@
             Ok(proxy) => proxy,
             Err(full) => {
                 let (reason, detail) = (v1::Reason::Full, "no number is left");
-                return self.close(stream, Farewell { reason, detail, retry_after: full.retry_after });
+                return self.close(stream, GoAway { reason, detail, retry_after: full.retry_after });
             }
         };
         let rate = if hello.usual_rate.is_finite() { hello.usual_rate.clamp(0.0, HIGHEST_RATE) } else { 0.0 };
@@ -90,7 +90,7 @@
         self.streams.join(stream, proxy, zone);
         self.tables.join(proxy);
         self.batch.push(Event::ProxyConnected { proxy, zone, rate, fresh });
-        self.note(Note::Joined { proxy: self.proxy_name(proxy), stream });
+        self.note(LogEvent::Joined { proxy: self.proxy_name(proxy), stream });
     }
 
     /// A stream has ended.
@@ -108,22 +108,22 @@
         self.tables.leave(proxy);
         self.numbers.release(proxy, now);
         self.batch.push(Event::ProxyDisconnected { proxy });
-        self.note(Note::Left { proxy: self.proxy_name(proxy), stream });
+        self.note(LogEvent::Left { proxy: self.proxy_name(proxy), stream });
     }
 
     /// Ends a stream with a reason: its proxy has left.
     pub(super) fn terminate(&mut self, now: Micros, stream: StreamId, reason: v1::Reason, detail: &str) {
         self.leave(now, stream);
-        self.close(stream, Farewell { reason, detail, retry_after: 0 });
+        self.close(stream, GoAway { reason, detail, retry_after: 0 });
     }
 
-    fn close(&mut self, stream: StreamId, farewell: Farewell<'_>) {
-        let Farewell { reason, detail, .. } = farewell;
+    fn close(&mut self, stream: StreamId, farewell: GoAway<'_>) {
+        let GoAway { reason, detail, .. } = farewell;
         self.stats.refused += 1;
         self.streams.close(stream);
-        let frame = self.dialect.farewell(self.stamp(), farewell);
+        let frame = self.dialect.go_away(self.stamp(), farewell);
         self.out.push_back(Output::Close { stream, reason, frame });
-        self.note(Note::Refused { stream, reason, detail: detail.to_owned() });
+        self.note(LogEvent::Refused { stream, reason, detail: detail.to_owned() });
     }
 
     /// A frame that needs no turn in the channel.
--- a/crates/stepspur-conductor/src/engine/marks.rs
+++ b/crates/stepspur-conductor/src/engine/marks.rs
@@ -7,7 +7,7 @@
 
 /// Unanswered marks by proxy, the oldest first.
 #[derive(Debug, Default)]
-pub(crate) struct Marks {
+pub(crate) struct PendingAcks {
     open: BTreeMap<ProxyId, VecDeque<(u32, Micros)>>,
     /// The oldest of each proxy.
     oldest: BTreeSet<(Micros, ProxyId)>,
@@ -16,7 +16,7 @@
 /// Marks that one proxy may owe: of one that is never cut off and answers nothing, only the newest are kept.
 const MOST: usize = 512;
 
-impl Marks {
+impl PendingAcks {
     pub(crate) fn sent(&mut self, proxy: ProxyId, mark: u32, now: Micros) {
         let open = self.open.entry(proxy).or_default();
         if open.len() == MOST
--- a/crates/stepspur-conductor/src/engine/mod.rs
+++ b/crates/stepspur-conductor/src/engine/mod.rs
@@ -42,9 +42,9 @@
 use crate::config::{Config, micros};
 use channel::Channel;
 use ids::ProxyNumbers;
-use intake::Intake;
+use intake::ReportAggregator;
 use joins::Joining;
-use marks::Marks;
+use marks::PendingAcks;
 use probes::Probes;
 use reports::ZoneTally;
 use servers::ServerList;
@@ -52,10 +52,12 @@
 use tables::Tables;
 
 pub use ids::{ServerIds, named_id};
-pub use input::{Input, NodeEntry, StreamId};
+pub use input::{DiscoveredEndpoint, Input, StreamId};
 pub use operation::{HoldKind, Operation, OperationError};
-pub use order::{Admitted, Dialect, Farewell, Framed, Level, Order, Stamp};
-pub use output::{Note, Output};
+pub use order::{
+    AdmissionLevel, ClassAdmission, FramedProtocol, GoAway, ProxyProtocol, ProxyUpdate, UpdateStamp,
+};
+pub use output::{LogEvent, Output};
 pub use probes::ProbeTarget;
 pub use stats::Stats;
 
@@ -77,10 +79,10 @@
     servers: ServerList,
     probes: Probes,
     tables: Tables,
-    dialect: Box<dyn Dialect>,
+    dialect: Box<dyn ProxyProtocol>,
     channel: Channel,
-    intake: Intake,
-    marks: Marks,
+    intake: ReportAggregator,
+    marks: PendingAcks,
     /// When it last did what was due.
     ran_at: Micros,
     /// No mark's deadline lies before this, after the engine has stood still itself.
@@ -95,14 +97,14 @@
     /// before; `config` must have no faults.
     pub fn new(config: Config, epoch: u64, seed: u64, now: Micros) -> Self {
         let settings = config.settings();
-        Self::with(config, settings, Box::new(Framed), epoch, seed, now)
+        Self::with(config, settings, Box::new(FramedProtocol), epoch, seed, now)
     }
 
     /// One whose orders leave in this dialect, and whose decisions are told these settings of the fleet.
     pub fn with(
         config: Config,
         settings: Settings,
-        dialect: Box<dyn Dialect>,
+        dialect: Box<dyn ProxyProtocol>,
         epoch: u64,
         seed: u64,
         now: Micros,
@@ -111,7 +113,7 @@
         Self {
             epoch,
             sequence: 0,
-            tables: Tables::new(settings.admission_mode, dialect.keeps_withdrawals()),
+            tables: Tables::new(settings.admission_mode, dialect.ejections_persist()),
             dialect,
             policy: Policy::new(settings, seed, now),
             batch: vec![no_list],
@@ -122,8 +124,8 @@
             servers: ServerList::new(config.fleet.zones.clone(), config.source.doubt().clone(), now),
             probes: Probes::default(),
             channel: Channel::new(config.channel.lines_per_s),
-            intake: Intake::new(config.reports.intake_per_s, micros(config.reports.gather), now),
-            marks: Marks::default(),
+            intake: ReportAggregator::new(config.reports.intake_per_s, micros(config.reports.gather), now),
+            marks: PendingAcks::default(),
             ran_at: now,
             marks_extended_until: 0,
             out: VecDeque::new(),
@@ -135,27 +137,27 @@
     /// Takes what happened. Decisions come with the next [`Engine::poll`].
     pub fn handle(&mut self, now: Micros, input: Input) {
         match input {
-            Input::List { how, entries } => self.take_list(now, how, entries),
-            Input::Wall { unix } => self.servers.set_clock(now, unix),
-            Input::Probed { target, outcome, latency, load } => {
+            Input::EndpointList { how, entries } => self.take_list(now, how, entries),
+            Input::WallClock { unix } => self.servers.set_clock(now, unix),
+            Input::ProbeResult { target, outcome, latency, load } => {
                 self.take_outcome(target, outcome, latency, load);
             }
             Input::Frame { stream, frame } => self.take_frame(now, stream, frame),
-            Input::Joined { stream, proxy, zone, rate, fresh } => {
+            Input::ProxyConnected { stream, proxy, zone, rate, fresh } => {
                 self.take_join(now, stream, Joining { proxy, zone, rate, fresh });
             }
-            Input::Applied { stream, mark, latency } => {
+            Input::Acknowledged { stream, mark, latency } => {
                 self.take_acknowledgement(now, stream, mark, latency);
             }
-            Input::ZoneReport { server, zone, period, tries, latency, load } => {
+            Input::UpstreamStats { server, zone, period, tries, latency, load } => {
                 self.take_zone_report(server, ZoneTally { zone, period, tries, latency, load });
             }
-            Input::Usage { proxy, class, period, requests } => {
+            Input::ClientStats { proxy, class, period, requests } => {
                 self.take_usage(proxy, class, period, requests);
             }
-            Input::Spoilt { by, what } => self.bad_report_by(by, what),
-            Input::Ended { stream } => self.take_end(now, stream),
-            Input::Broken { stream, reason, detail } => self.terminate(now, stream, reason, &detail),
+            Input::InvalidMessage { by, what } => self.bad_report_by(by, what),
+            Input::StreamEnded { stream } => self.take_end(now, stream),
+            Input::StreamFailed { stream, reason, detail } => self.terminate(now, stream, reason, &detail),
         }
     }
 
@@ -188,25 +190,25 @@
     }
 
     /// The last frame for a stream when the conductor stops.
-    pub fn goodbye(&self, reason: v1::Reason, detail: &str) -> Bytes {
-        self.dialect.farewell(self.stamp(), Farewell { reason, detail, retry_after: 0 })
+    pub fn go_away_frame(&self, reason: v1::Reason, detail: &str) -> Bytes {
+        self.dialect.go_away(self.stamp(), GoAway { reason, detail, retry_after: 0 })
     }
 
     /// News of the list of servers.
-    fn take_list(&mut self, now: Micros, how: ListUpdate, entries: Vec<NodeEntry>) {
+    fn take_list(&mut self, now: Micros, how: ListUpdate, entries: Vec<DiscoveredEndpoint>) {
         let update = self.servers.update(now, how, entries);
         for server in update.suspects {
             self.tables.suspect(server);
         }
         for note in update.notes {
-            self.stats.nonsense += u64::from(matches!(note, Note::BadEntry { .. }));
+            self.stats.nonsense += u64::from(matches!(note, LogEvent::InvalidEntry { .. }));
             self.note(note);
         }
         self.batch.push(update.event);
     }
 
     /// A line for the log.
-    fn note(&mut self, note: Note) {
-        self.out.push_back(Output::Note(note));
+    fn note(&mut self, note: LogEvent) {
+        self.out.push_back(Output::Log(note));
     }
 }
--- a/crates/stepspur-conductor/src/engine/order.rs
+++ b/crates/stepspur-conductor/src/engine/order.rs
@@ -8,13 +8,13 @@
 
 /// What one reply orders for a proxy: one message.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Order {
+pub struct ProxyUpdate {
     /// The lines and levels make up this whole table; else they change the one that the proxy holds.
     pub whole: Option<TableId>,
     /// Servers and weights; 0 removes a line.
     pub lines: Vec<(ServerId, f32)>,
     /// What is let in, and when proxies try again.
-    pub levels: Vec<Level>,
+    pub levels: Vec<ClassAdmission>,
     /// Servers shut out (true) or let back in.
     pub withdrawals: Vec<(ServerId, bool)>,
     /// A mark to be answered once this is applied.
@@ -25,18 +25,18 @@
 
 /// How much of a class is let in, and when proxies try again.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Level {
+pub struct ClassAdmission {
     /// The class.
     pub class: ClassId,
     /// When they try again.
     pub resend: RetryPolicy,
     /// How much is let in.
-    pub admit: Admitted,
+    pub admit: AdmissionLevel,
 }
 
 /// How much of a class is let in.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Admitted {
+pub enum AdmissionLevel {
     /// Levels are not heeded.
     All,
     /// A share of the requests.
@@ -45,7 +45,7 @@
     Rate(f32),
 }
 
-impl Order {
+impl ProxyUpdate {
     /// Its lines, its message's head not among them; 0: it says nothing.
     pub fn cost(&self) -> usize {
         let changes = self.lines.len() + self.levels.len() + self.withdrawals.len();
@@ -55,7 +55,7 @@
 
 /// Why a stream is ended, as its last message tells.
 #[derive(Clone, Copy, Debug)]
-pub struct Farewell<'a> {
+pub struct GoAway<'a> {
     /// Why.
     pub reason: v1::Reason,
     /// In words.
@@ -65,31 +65,31 @@
 }
 
 /// How a protocol words what the engine orders.
-pub trait Dialect: Send + Sync {
+pub trait ProxyProtocol: Send + Sync {
     /// The bytes of one message with this order, of `largest` bytes at most where the protocol has such a bound.
     ///
     /// # Errors
     /// [`FrameError`] where the order has no form in this protocol.
     fn order(
         &self,
-        at: Stamp,
-        order: &Order,
+        at: UpdateStamp,
+        order: &ProxyUpdate,
         servers: &ServerIds,
         largest: usize,
     ) -> Result<Bytes, FrameError>;
 
     /// The last message of a stream.
-    fn farewell(&self, at: Stamp, farewell: Farewell<'_>) -> Bytes;
+    fn go_away(&self, at: UpdateStamp, farewell: GoAway<'_>) -> Bytes;
 
     /// True: proxies keep withdrawals whatever table comes, so that a line that comes must let its server back in.
-    fn keeps_withdrawals(&self) -> bool {
+    fn ejections_persist(&self) -> bool {
         false
     }
 }
 
 /// Which order of which start this is.
 #[derive(Clone, Copy, Debug)]
-pub struct Stamp {
+pub struct UpdateStamp {
     /// The conductor's epoch.
     pub epoch: u64,
     /// The newest order.
@@ -98,13 +98,13 @@
 
 /// The project's own protocol.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Framed;
+pub struct FramedProtocol;
 
-impl Dialect for Framed {
+impl ProxyProtocol for FramedProtocol {
     fn order(
         &self,
-        at: Stamp,
-        order: &Order,
+        at: UpdateStamp,
+        order: &ProxyUpdate,
         servers: &ServerIds,
         largest: usize,
     ) -> Result<Bytes, FrameError> {
@@ -125,8 +125,8 @@
         frame(&FromConductor::new(at.epoch, at.sequence, from_conductor::Kind::Order(message)), largest)
     }
 
-    fn farewell(&self, at: Stamp, farewell: Farewell<'_>) -> Bytes {
-        let Farewell { reason, detail, retry_after } = farewell;
+    fn go_away(&self, at: UpdateStamp, farewell: GoAway<'_>) -> Bytes {
+        let GoAway { reason, detail, retry_after } = farewell;
         let mut last = FromConductor::goodbye(at.epoch, at.sequence, reason, detail);
         if let Some(from_conductor::Kind::Goodbye(goodbye)) = &mut last.kind {
             goodbye.retry_after_us = retry_after;
@@ -135,7 +135,7 @@
     }
 }
 
-fn level(level: &Level) -> v1::Level {
+fn level(level: &ClassAdmission) -> v1::Level {
     let resend = match level.resend {
         RetryPolicy::Never => v1::Resend::Never,
         RetryPolicy::IfNeverStarted => v1::Resend::Unsent,
@@ -143,9 +143,9 @@
         RetryPolicy::Twice => v1::Resend::Twice,
     };
     let admit = match level.admit {
-        Admitted::All => None,
-        Admitted::Share(share) => Some(v1::level::Admit::Share(share)),
-        Admitted::Rate(rate) => Some(v1::level::Admit::Rate(rate)),
+        AdmissionLevel::All => None,
+        AdmissionLevel::Share(share) => Some(v1::level::Admit::Share(share)),
+        AdmissionLevel::Rate(rate) => Some(v1::level::Admit::Rate(rate)),
     };
     v1::Level { class: u32::from(level.class.0), resend: resend.into(), admit }
 }
--- a/crates/stepspur-conductor/src/engine/output.rs
+++ b/crates/stepspur-conductor/src/engine/output.rs
@@ -30,16 +30,16 @@
         target: ProbeTarget,
     },
     /// Ask the source for changes from now on.
-    Track,
+    WatchEndpoints,
     /// Ask the source for the whole list once.
-    Lookup,
+    FetchEndpoints,
     /// A line for the log.
-    Note(Note),
+    Log(LogEvent),
 }
 
 /// What the operators may want to know.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Note {
+pub enum LogEvent {
     /// The decision module's own line.
     Decision(String),
     /// A proxy joined.
@@ -66,33 +66,36 @@
         detail: String,
     },
     /// Part of a report made no sense and was passed over.
-    BadReport {
+    InvalidReport {
         /// The proxy.
         proxy: String,
         /// What was wrong.
         what: String,
     },
     /// Part of an entry of a list made no sense; what was known before stands, if anything.
-    BadEntry {
+    InvalidEntry {
         /// The server: its name, or its address.
         server: String,
         /// What was wrong.
         what: String,
     },
     /// A whole list lacked too many servers and is not believed yet.
-    DoubtedList {
+    MassRemovalSuspected {
         /// Ready servers that it lacks.
         lacking: usize,
         /// Servers that it names.
         named: usize,
     },
     /// The source failed; the old list stands.
-    ListFailed,
+    DiscoveryFailed,
 }
 
-impl Note {
+impl LogEvent {
     /// True: it tells of input that made no sense, of which there may be any amount.
-    pub fn is_about_nonsense(&self) -> bool {
-        matches!(self, Note::BadReport { .. } | Note::BadEntry { .. } | Note::Refused { .. })
+    pub fn is_about_invalid_input(&self) -> bool {
+        matches!(
+            self,
+            LogEvent::InvalidReport { .. } | LogEvent::InvalidEntry { .. } | LogEvent::Refused { .. }
+        )
     }
 }
--- a/crates/stepspur-conductor/src/engine/reports.rs
+++ b/crates/stepspur-conductor/src/engine/reports.rs
@@ -4,7 +4,7 @@
 use stepspur_proto::{FromProxy, address_of, from_conductor, from_proxy, v1};
 
 use super::intake::{Counts, Key};
-use super::{Engine, Note, StreamId};
+use super::{Engine, LogEvent, StreamId};
 
 /// The span of a report may begin so long ago at most, in microseconds.
 const REPORT_AGE_MAX: Micros = 600_000_000;
@@ -150,7 +150,7 @@
     /// A caller told what makes no sense.
     pub(super) fn bad_report_by(&mut self, proxy: String, what: String) {
         self.stats.nonsense += 1;
-        self.note(Note::BadReport { proxy, what });
+        self.note(LogEvent::InvalidReport { proxy, what });
     }
 }
 
--- a/crates/stepspur-conductor/src/engine/servers.rs
+++ b/crates/stepspur-conductor/src/engine/servers.rs
@@ -6,10 +6,10 @@
 
 use stepspur::interface::{Endpoint, EndpointState, Event, ListUpdate, Micros, ServerId, ZoneId};
 
-use super::doubt::{Doubter, Taken};
+use super::doubt::{MassRemovalDetector, Taken};
 use super::ids::{ServerIds, named_id};
-use super::{NodeEntry, Note, OperationError, ProbeTarget};
-use crate::config::Doubt;
+use super::{DiscoveredEndpoint, LogEvent, OperationError, ProbeTarget};
+use crate::config::MassRemovalGuard;
 
 /// Weights that lists may tell, besides 0 for none.
 const WEIGHTS: RangeInclusive<f64> = 1e-3..=1e6;
@@ -25,7 +25,7 @@
 /// A server of the list.
 #[derive(Clone, Debug)]
 struct Listed {
-    entry: NodeEntry,
+    entry: DiscoveredEndpoint,
     /// Its last start by the engine's time, or when that was first told if it lay ahead.
     born: Micros,
     /// True: its start lay ahead when it was first told.
@@ -58,7 +58,7 @@
     /// Servers that have been out or have restarted.
     pub suspects: Vec<ServerId>,
     /// What the operators may want to know.
-    pub notes: Vec<Note>,
+    pub notes: Vec<LogEvent>,
 }
 
 /// An update that is being made.
@@ -68,13 +68,13 @@
     /// Servers that the news names.
     named: BTreeSet<ServerId>,
     suspects: Vec<ServerId>,
-    notes: Vec<Note>,
+    notes: Vec<LogEvent>,
 }
 
 impl Draft {
-    fn bad_entry(&mut self, entry: &NodeEntry, what: String) {
+    fn bad_entry(&mut self, entry: &DiscoveredEndpoint, what: String) {
         let server = entry.name.clone().unwrap_or_else(|| entry.address.to_string());
-        self.notes.push(Note::BadEntry { server, what });
+        self.notes.push(LogEvent::InvalidEntry { server, what });
     }
 }
 
@@ -88,21 +88,21 @@
     overrides: BTreeMap<ServerId, EndpointState>,
     /// States of servers that no list has named yet: they count from the first list that does.
     held_unlisted: BTreeMap<SocketAddr, EndpointState>,
-    doubter: Doubter,
+    doubter: MassRemovalDetector,
     /// How far the engine's time is ahead of the machine's clock, in microseconds.
     clock_offset: i64,
     expired_at: Micros,
 }
 
 impl ServerList {
-    pub(crate) fn new(zones: Vec<String>, doubt: Doubt, now: Micros) -> Self {
+    pub(crate) fn new(zones: Vec<String>, doubt: MassRemovalGuard, now: Micros) -> Self {
         Self {
             zones,
             ids: ServerIds::default(),
             servers: BTreeMap::new(),
             overrides: BTreeMap::new(),
             held_unlisted: BTreeMap::new(),
-            doubter: Doubter::new(doubt),
+            doubter: MassRemovalDetector::new(doubt),
             clock_offset: 0,
             expired_at: now,
         }
@@ -160,10 +160,15 @@
     }
 
     /// Takes news of the list.
-    pub(crate) fn update(&mut self, now: Micros, how: ListUpdate, entries: Vec<NodeEntry>) -> ListChange {
+    pub(crate) fn update(
+        &mut self,
+        now: Micros,
+        how: ListUpdate,
+        entries: Vec<DiscoveredEndpoint>,
+    ) -> ListChange {
         if how == ListUpdate::Failed {
             let event = Event::EndpointList { update: how, entries: [].into() };
-            return ListChange { event, suspects: Vec::new(), notes: vec![Note::ListFailed] };
+            return ListChange { event, suspects: Vec::new(), notes: vec![LogEvent::DiscoveryFailed] };
         }
         let ready_before = self.ready();
         let mut draft = Draft::default();
@@ -173,7 +178,7 @@
         let how = match self.doubter.judge(how, &ready_before, &draft.named, now) {
             Taken::Whole => how,
             Taken::Named { lacking } => {
-                draft.notes.push(Note::DoubtedList { lacking, named: draft.named.len() });
+                draft.notes.push(LogEvent::MassRemovalSuspected { lacking, named: draft.named.len() });
                 ListUpdate::Delta
             }
         };
@@ -189,7 +194,7 @@
     }
 
     /// Takes one entry of the list's news.
-    fn take_entry(&mut self, now: Micros, how: ListUpdate, entry: NodeEntry, draft: &mut Draft) {
+    fn take_entry(&mut self, now: Micros, how: ListUpdate, entry: DiscoveredEndpoint, draft: &mut Draft) {
         let Some((server, entry)) = self.usable(entry, draft) else { return };
         if let Some(state) = self.held_unlisted.remove(&entry.address) {
             self.overrides.insert(server, state);
@@ -219,12 +224,12 @@
     }
 
     /// What is known of a server once this entry is taken.
-    fn listed(&self, now: Micros, server: ServerId, entry: NodeEntry) -> Listed {
+    fn listed(&self, now: Micros, server: ServerId, entry: DiscoveredEndpoint) -> Listed {
         let known = self.servers.get(&server).filter(|known| known.is_same_start(entry.started));
         let (born, ahead) = known.map_or_else(|| self.birth(now, entry.started), |k| (k.born, k.ahead));
         let started = known.map_or(entry.started, |known| known.entry.started);
         let gone_at = (entry.state == EndpointState::Removed).then_some(now);
-        Listed { entry: NodeEntry { started, ..entry }, born, ahead, gone_at }
+        Listed { entry: DiscoveredEndpoint { started, ..entry }, born, ahead, gone_at }
     }
 
     /// A start by the engine's time, and whether it lies ahead. One that does is a clock that goes wrong: the server
@@ -246,7 +251,11 @@
 
     /// An entry as it can be used, with the server that it names: what makes no sense is noted, and what was known
     /// before stands in its place. None if there is nothing to stand in.
-    fn usable(&mut self, mut entry: NodeEntry, draft: &mut Draft) -> Option<(ServerId, NodeEntry)> {
+    fn usable(
+        &mut self,
+        mut entry: DiscoveredEndpoint,
+        draft: &mut Draft,
+    ) -> Option<(ServerId, DiscoveredEndpoint)> {
         let known = self.known_as(&entry).map(|known| known.entry.clone());
         if self.zone(&entry.zone).is_none() {
             draft.bad_entry(&entry, format!("`{}` is no zone of this fleet", entry.zone));
@@ -270,7 +279,7 @@
     }
 
     /// What is known of the server that an entry names.
-    fn known_as(&self, entry: &NodeEntry) -> Option<&Listed> {
+    fn known_as(&self, entry: &DiscoveredEndpoint) -> Option<&Listed> {
         let server = match &entry.name {
             Some(name) => named_id(name),
             None => self.ids.get(entry.address)?,
--- a/crates/stepspur-conductor/src/engine/tables.rs
+++ b/crates/stepspur-conductor/src/engine/tables.rs
@@ -4,7 +4,7 @@
 
 use stepspur::interface::{Action, AdmissionMode, ClassId, ProxyId, RetryPolicy, ServerId, TableId};
 
-use super::order::{Admitted, Level, Order};
+use super::order::{AdmissionLevel, ClassAdmission, ProxyUpdate};
 
 /// A table.
 #[derive(Clone, Debug, Default)]
@@ -27,7 +27,7 @@
 #[derive(Debug)]
 pub(crate) struct Addressed {
     pub to: Vec<ProxyId>,
-    pub order: Order,
+    pub order: ProxyUpdate,
 }
 
 /// All tables, who is bound to which, and what is withdrawn.
@@ -150,7 +150,7 @@
         if !self.unbound.is_empty() {
             let withdrawals = turned.iter().map(|(id, out)| (*id, *out)).collect();
             let to = self.unbound.iter().copied().collect();
-            orders.push(Addressed { to, order: Order { withdrawals, ..Default::default() } });
+            orders.push(Addressed { to, order: ProxyUpdate { withdrawals, ..Default::default() } });
         }
         orders.retain(|o| o.order.cost() > 0);
         for Addressed { order, .. } in &mut orders {
@@ -169,13 +169,13 @@
         let used = self.tables.values().filter(|t| !t.users.is_empty());
         let order = |table: &Table| {
             let level = self.level(class, *table.levels.get(&class)?);
-            let order = Order { levels: vec![level], decided: now, ..Default::default() };
+            let order = ProxyUpdate { levels: vec![level], decided: now, ..Default::default() };
             Some(Addressed { to: table.users.iter().copied().collect(), order })
         };
         used.filter_map(order).collect()
     }
 
-    fn change(&self, table: &Table, change: &Changes, turned: &BTreeMap<ServerId, bool>) -> Order {
+    fn change(&self, table: &Table, change: &Changes, turned: &BTreeMap<ServerId, bool>) -> ProxyUpdate {
         let lines = change.lines.iter().map(|(id, weight)| (*id, *weight));
         let levels = change.levels.iter().map(|(id, level)| self.level(*id, *level));
         // A bound proxy has heard of the withdrawals that concern its table: a line that comes later brings its
@@ -185,7 +185,7 @@
         let mut out: BTreeMap<ServerId, bool> =
             settled.filter(|(id, out)| *out || change.new.contains(id)).collect();
         out.extend(turned.iter().filter(|(id, _)| table.lines.contains_key(id)));
-        Order {
+        ProxyUpdate {
             lines: lines.collect(),
             levels: levels.collect(),
             withdrawals: out.into_iter().collect(),
@@ -193,8 +193,8 @@
         }
     }
 
-    fn whole(&self, id: TableId, table: &Table) -> Order {
-        Order {
+    fn whole(&self, id: TableId, table: &Table) -> ProxyUpdate {
+        ProxyUpdate {
             whole: Some(id),
             lines: table.lines.iter().map(|(id, weight)| (*id, *weight)).collect(),
             levels: table.levels.iter().map(|(id, level)| self.level(*id, *level)).collect(),
@@ -209,12 +209,14 @@
         (out || self.keeps_withdrawals && self.suspects.contains(&id)).then_some((id, out))
     }
 
-    fn level(&self, class: ClassId, (resend, level): (RetryPolicy, f32)) -> Level {
+    fn level(&self, class: ClassId, (resend, level): (RetryPolicy, f32)) -> ClassAdmission {
         let admit = match self.admit {
-            AdmissionMode::Ratio => Admitted::Share(level.min(self.caps.get(&class).copied().unwrap_or(1.0))),
-            AdmissionMode::RequestsPerSecond => Admitted::Rate(level),
-            AdmissionMode::Ignored => Admitted::All,
+            AdmissionMode::Ratio => {
+                AdmissionLevel::Share(level.min(self.caps.get(&class).copied().unwrap_or(1.0)))
+            }
+            AdmissionMode::RequestsPerSecond => AdmissionLevel::Rate(level),
+            AdmissionMode::Ignored => AdmissionLevel::All,
         };
-        Level { class, resend, admit }
+        ClassAdmission { class, resend, admit }
     }
 }
--- a/crates/stepspur-conductor/src/service/core.rs
+++ b/crates/stepspur-conductor/src/service/core.rs
@@ -9,17 +9,19 @@
 
 use super::Clock;
 use super::identity::wall;
-use super::outbox::{Outbox, Outgoing};
-use crate::engine::{Engine, Input, Note, Operation, OperationError, Output, ProbeTarget, Stats, StreamId};
-use crate::source::Ask;
+use super::outbox::{OutboundMessage, SendQueue};
+use crate::engine::{
+    Engine, Input, LogEvent, Operation, OperationError, Output, ProbeTarget, Stats, StreamId,
+};
+use crate::source::DiscoveryRequest;
 
 /// What the engine's task is sent.
 #[derive(Debug)]
-pub(crate) enum Inbox {
+pub(crate) enum EngineCommand {
     /// Something happened.
     Input(Input),
     /// A stream has shown its first message; frames for it go here.
-    Opened { stream: StreamId, to: Outbox, cut: CancellationToken },
+    Opened { stream: StreamId, to: SendQueue, cut: CancellationToken },
     /// An operator orders.
     Operate(Operation, oneshot::Sender<Result<(), OperationError>>),
     /// Counts are asked for.
@@ -28,15 +30,15 @@
 
 /// A stream's task, as the engine's knows it.
 struct Peer {
-    to: Outbox,
+    to: SendQueue,
     cut: CancellationToken,
 }
 
-pub(crate) struct Core {
+pub(crate) struct EngineTask {
     engine: Engine,
     clock: Clock,
-    inputs: mpsc::Receiver<Inbox>,
-    ask: mpsc::Sender<Ask>,
+    inputs: mpsc::Receiver<EngineCommand>,
+    ask: mpsc::Sender<DiscoveryRequest>,
     probe: mpsc::Sender<ProbeTarget>,
     stop: CancellationToken,
     peers: BTreeMap<StreamId, Peer>,
@@ -58,7 +60,7 @@
     fn may(&mut self, now: Micros) -> bool {
         if now >= self.since + LINES_SPAN {
             if self.left_out > 0 {
-                tracing::warn!(event = "nonsense", left_out = self.left_out);
+                tracing::warn!(event = "invalid_input", left_out = self.left_out);
             }
             *self = Self { since: now, ..Self::default() };
         }
@@ -72,12 +74,12 @@
 /// Inputs taken in one go before orders are looked at.
 const GO: usize = 1024;
 
-impl Core {
+impl EngineTask {
     pub(crate) fn new(
         engine: Engine,
         clock: Clock,
-        inputs: mpsc::Receiver<Inbox>,
-        ask: mpsc::Sender<Ask>,
+        inputs: mpsc::Receiver<EngineCommand>,
+        ask: mpsc::Sender<DiscoveryRequest>,
         probe: mpsc::Sender<ProbeTarget>,
         stop: CancellationToken,
     ) -> Self {
@@ -103,30 +105,32 @@
             let now = self.clock.now();
             for item in go.drain(..) {
                 match item {
-                    Inbox::Input(input) => {
-                        if let Input::Ended { stream } = &input {
+                    EngineCommand::Input(input) => {
+                        if let Input::StreamEnded { stream } = &input {
                             self.peers.remove(stream);
                         }
-                        if matches!(input, Input::List { .. }) {
-                            self.engine.handle(now, Input::Wall { unix: wall() });
+                        if matches!(input, Input::EndpointList { .. }) {
+                            self.engine.handle(now, Input::WallClock { unix: wall() });
                         }
                         self.engine.handle(now, input);
                     }
-                    Inbox::Opened { stream, to, cut } => _ = self.peers.insert(stream, Peer { to, cut }),
-                    Inbox::Operate(operation, reply) => {
+                    EngineCommand::Opened { stream, to, cut } => {
+                        _ = self.peers.insert(stream, Peer { to, cut })
+                    }
+                    EngineCommand::Operate(operation, reply) => {
                         let _ = reply.send(self.engine.operate(now, operation));
                     }
-                    Inbox::Stats(reply) => _ = reply.send(self.engine.stats()),
+                    EngineCommand::Stats(reply) => _ = reply.send(self.engine.stats()),
                 }
             }
             while let Some(output) = self.engine.poll(self.clock.now()) {
                 self.act(output);
             }
         }
-        let last = self.engine.goodbye(Reason::Stopping, "the conductor stops");
+        let last = self.engine.go_away_frame(Reason::Stopping, "the conductor stops");
         for peer in self.peers.values() {
             // Where there is no room for it the queue's end says as much, behind what waits there.
-            let _ = peer.to.try_send(Outgoing::Last(last.clone()));
+            let _ = peer.to.try_send(OutboundMessage::Last(last.clone()));
         }
     }
 
@@ -134,16 +138,16 @@
         match output {
             Output::Send { stream, frame } => {
                 let Some(peer) = self.peers.get(&stream) else { return };
-                if peer.to.try_send(Outgoing::Frame(frame)).is_err() {
+                if peer.to.try_send(OutboundMessage::Frame(frame)).is_err() {
                     // It reads nothing: it may cost neither memory nor anybody's time.
-                    tracing::warn!(event = "stream_slow", stream = stream.0, cause = "queue is full");
+                    tracing::warn!(event = "stream_too_slow", stream = stream.0, cause = "queue is full");
                     self.drop_peer(stream);
-                    self.engine.handle(self.clock.now(), Input::Ended { stream });
+                    self.engine.handle(self.clock.now(), Input::StreamEnded { stream });
                 }
             }
             Output::Close { stream, frame, .. } => {
                 let Some(peer) = self.peers.remove(&stream) else { return };
-                if peer.to.try_send(Outgoing::Last(frame)).is_err() {
+                if peer.to.try_send(OutboundMessage::Last(frame)).is_err() {
                     peer.cut.cancel();
                 }
             }
@@ -152,11 +156,11 @@
                     tracing::warn!(event = "probe_dropped", server = %target.address, cause = "too many wait");
                 }
             }
-            Output::Track => self.ask(Ask::Track),
-            Output::Lookup => self.ask(Ask::Lookup),
-            Output::Note(note) => {
+            Output::WatchEndpoints => self.ask(DiscoveryRequest::Track),
+            Output::FetchEndpoints => self.ask(DiscoveryRequest::Lookup),
+            Output::Log(note) => {
                 let now = self.clock.now();
-                if !note.is_about_nonsense() || self.nonsense.may(now) {
+                if !note.is_about_invalid_input() || self.nonsense.may(now) {
                     log(note, &self.engine);
                 }
             }
@@ -169,20 +173,24 @@
         }
     }
 
-    fn ask(&mut self, ask: Ask) {
+    fn ask(&mut self, ask: DiscoveryRequest) {
         if self.ask.try_send(ask).is_err() {
-            tracing::warn!(event = "ask_dropped", ?ask, cause = "the source is busy");
+            tracing::warn!(event = "discovery_request_dropped", ?ask, cause = "the source is busy");
         }
     }
 }
 
-fn log(note: Note, engine: &Engine) {
+fn log(note: LogEvent, engine: &Engine) {
     let epoch = engine.epoch();
     match note {
-        Note::Decision(text) => tracing::info!(event = "decision", epoch, text),
-        Note::Joined { proxy, stream } => tracing::info!(event = "joined", epoch, proxy, stream = stream.0),
-        Note::Left { proxy, stream } => tracing::info!(event = "left", epoch, proxy, stream = stream.0),
-        Note::Refused { stream, reason, detail } => {
+        LogEvent::Decision(text) => tracing::info!(event = "decision", epoch, text),
+        LogEvent::Joined { proxy, stream } => {
+            tracing::info!(event = "proxy_connected", epoch, proxy, stream = stream.0)
+        }
+        LogEvent::Left { proxy, stream } => {
+            tracing::info!(event = "proxy_disconnected", epoch, proxy, stream = stream.0)
+        }
+        LogEvent::Refused { stream, reason, detail } => {
             tracing::warn!(
                 event = "stream_closed",
                 epoch,
@@ -191,11 +199,15 @@
                 detail
             );
         }
-        Note::BadReport { proxy, what } => tracing::warn!(event = "bad_report", epoch, proxy, cause = what),
-        Note::BadEntry { server, what } => tracing::warn!(event = "bad_entry", epoch, %server, cause = what),
-        Note::DoubtedList { lacking, named } => {
-            tracing::warn!(event = "list_doubted", epoch, lacking, named);
+        LogEvent::InvalidReport { proxy, what } => {
+            tracing::warn!(event = "invalid_report", epoch, proxy, cause = what)
+        }
+        LogEvent::InvalidEntry { server, what } => {
+            tracing::warn!(event = "invalid_list_entry", epoch, %server, cause = what)
+        }
+        LogEvent::MassRemovalSuspected { lacking, named } => {
+            tracing::warn!(event = "mass_removal_suspected", epoch, lacking, named);
         }
-        Note::ListFailed => tracing::warn!(event = "list_failed", epoch),
+        LogEvent::DiscoveryFailed => tracing::warn!(event = "discovery_failed", epoch),
     }
 }
--- a/crates/stepspur-conductor/src/service/distribution/apply.rs
+++ b/crates/stepspur-conductor/src/service/distribution/apply.rs
@@ -16,7 +16,7 @@
 use tokio::sync::{Mutex, mpsc, oneshot};
 use tokio::time::timeout;
 
-use super::super::core::Inbox;
+use super::super::core::EngineCommand;
 use crate::engine::{HoldKind, Operation, OperationError};
 
 /// An engine that has not answered after this is tried again later. The subscriber itself waits for two seconds.
@@ -29,7 +29,7 @@
 
 /// An engine with the documents in force in it.
 struct EngineDocuments {
-    inbox: mpsc::Sender<Inbox>,
+    inbox: mpsc::Sender<EngineCommand>,
     in_force: BTreeMap<Key, (Setting, Version)>,
 }
 
@@ -52,8 +52,8 @@
 
 impl TenantEngines {
     /// The engines by tenant.
-    pub(crate) fn new(engines: &BTreeMap<String, mpsc::Sender<Inbox>>) -> Arc<Self> {
-        let documents = |inbox: &mpsc::Sender<Inbox>| {
+    pub(crate) fn new(engines: &BTreeMap<String, mpsc::Sender<EngineCommand>>) -> Arc<Self> {
+        let documents = |inbox: &mpsc::Sender<EngineCommand>| {
             Mutex::new(EngineDocuments { inbox: inbox.clone(), in_force: BTreeMap::new() })
         };
         let engines = engines.iter().map(|(tenant, inbox)| (tenant.clone(), documents(inbox)));
@@ -141,7 +141,10 @@
     async fn order(&self, operation: Operation) -> Result<(), ApplyError> {
         let (reply, answer) = oneshot::channel();
         let ordered = async {
-            self.inbox.send(Inbox::Operate(operation, reply)).await.map_err(|_| ApplyError::Stopping)?;
+            self.inbox
+                .send(EngineCommand::Operate(operation, reply))
+                .await
+                .map_err(|_| ApplyError::Stopping)?;
             answer.await.map_err(|_| ApplyError::Stopping)
         };
         let answered = timeout(ENGINE_TIMEOUT, ordered).await.map_err(|_| ApplyError::Silent)?;
--- a/crates/stepspur-conductor/src/service/distribution/apply/tests.rs
+++ b/crates/stepspur-conductor/src/service/distribution/apply/tests.rs
@@ -8,7 +8,7 @@
 
 use super::TenantEngines;
 use crate::engine::{HoldKind, Operation, OperationError};
-use crate::service::core::Inbox;
+use crate::service::core::EngineCommand;
 
 /// An engine's task that writes its orders down, and refuses those for what it does not know.
 #[derive(Clone, Default)]
@@ -18,11 +18,11 @@
 }
 
 impl Engine {
-    fn start(&self) -> mpsc::Sender<Inbox> {
+    fn start(&self) -> mpsc::Sender<EngineCommand> {
         let (inbox, mut incoming) = mpsc::channel(1);
         let engine = self.clone();
         tokio::spawn(async move {
-            while let Some(Inbox::Operate(operation, reply)) = incoming.recv().await {
+            while let Some(EngineCommand::Operate(operation, reply)) = incoming.recv().await {
                 let refused = *engine.refuses.lock().unwrap();
                 if refused.is_none() {
                     engine.orders.lock().unwrap().push(operation);
--- a/crates/stepspur-conductor/src/service/distribution/mod.rs
+++ b/crates/stepspur-conductor/src/service/distribution/mod.rs
@@ -22,7 +22,7 @@
 use tokio::sync::{mpsc, watch};
 
 use super::StartError;
-use super::core::Inbox;
+use super::core::EngineCommand;
 use crate::config::Config;
 use apply::TenantEngines;
 
@@ -116,7 +116,7 @@
     pub(crate) async fn start(
         config: &Config,
         member: &Member,
-        engines: &BTreeMap<String, mpsc::Sender<Inbox>>,
+        engines: &BTreeMap<String, mpsc::Sender<EngineCommand>>,
         seed: u64,
     ) -> Result<Self, StartError> {
         let Some(Settings { control, subscriber }) = &config.distribution else { return Ok(Self::default()) };
@@ -146,7 +146,7 @@
     pub(crate) async fn stop_subscriber(&mut self) {
         let Some(RunningSubscriber { subscriber, .. }) = self.subscriber.take() else { return };
         if tokio::time::timeout(STOP_TIMEOUT, subscriber.stop()).await.is_err() {
-            tracing::error!(event = "left_behind", what = "subscriber");
+            tracing::error!(event = "shutdown_timeout", what = "subscriber");
         }
     }
 
@@ -154,7 +154,7 @@
     pub(crate) async fn stop_control(&mut self) {
         let Some(control) = self.control.take().and_then(Arc::into_inner) else { return };
         if tokio::time::timeout(STOP_TIMEOUT, control.stop()).await.is_err() {
-            tracing::error!(event = "left_behind", what = "control member");
+            tracing::error!(event = "shutdown_timeout", what = "control member");
         }
     }
 }
--- a/crates/stepspur-conductor/src/service/front.rs
+++ b/crates/stepspur-conductor/src/service/front.rs
@@ -14,17 +14,17 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-use super::core::Inbox;
+use super::core::EngineCommand;
 use super::distribution::Distribution;
-use super::outbox::{Outbox, Outgoings, Waiting};
-use super::prober::ReadLoad;
+use super::outbox::{QueuedMessage, SendQueue, SendQueueReceiver};
+use super::prober::LoadReportParser;
 use super::{Clock, Conductor, Heart, StartError, Tied, listen};
 use crate::config::Config;
-use crate::engine::{Dialect, Input, NodeEntry, Stats, StreamId};
-use crate::source::NodeSource;
+use crate::engine::{DiscoveredEndpoint, Input, ProxyProtocol, Stats, StreamId};
+use crate::source::ServiceDiscovery;
 
 /// What a protocol's package brings to a conductor.
-pub struct Front {
+pub struct ProtocolServer {
     /// What the tasks go by: fleet names, probes, bounds. The caller answers for its bounds.
     pub config: Config,
     /// The settings as the decision module takes them.
@@ -32,13 +32,13 @@
     /// For random numbers.
     pub seed: u64,
     /// How orders are worded.
-    pub dialect: Box<dyn Dialect>,
+    pub dialect: Box<dyn ProxyProtocol>,
     /// How load reports of probes are read.
-    pub read_load: ReadLoad,
+    pub read_load: LoadReportParser,
     /// The list as last had, told at the start.
-    pub known: Vec<NodeEntry>,
+    pub known: Vec<DiscoveredEndpoint>,
     /// Where the list comes from.
-    pub source: Box<dyn NodeSource>,
+    pub source: Box<dyn ServiceDiscovery>,
     /// How callers come in.
     pub listener: Box<dyn Listener>,
     /// How long tasks may take to end.
@@ -51,7 +51,7 @@
     fn run(
         self: Box<Self>,
         listener: TcpListener,
-        engine: EngineLink,
+        engine: EngineHandle,
         shutdown: Shutdown,
     ) -> Pin<Box<dyn Future<Output = ()> + Send>>;
 }
@@ -67,14 +67,14 @@
 
 /// The engine, as the tasks of a listener see it.
 #[derive(Clone, Debug)]
-pub struct EngineLink {
-    inbox: mpsc::Sender<Inbox>,
+pub struct EngineHandle {
+    inbox: mpsc::Sender<EngineCommand>,
 }
 
-impl EngineLink {
+impl EngineHandle {
     /// Tells what happened, waiting while the engine is busy; false once it has ended.
     pub async fn tell(&self, input: Input) -> bool {
-        self.inbox.send(Inbox::Input(input)).await.is_ok()
+        self.inbox.send(EngineCommand::Input(input)).await.is_ok()
     }
 
     /// Announces a stream, before its proxy joins: what the engine writes to it comes out here, so much of it waits
@@ -82,11 +82,11 @@
     pub async fn open(
         &self,
         stream: StreamId,
-        waiting: Waiting,
+        waiting: QueuedMessage,
         cut: CancellationToken,
-    ) -> Option<Outgoings> {
-        let (to, outgoing) = Outbox::new(waiting);
-        self.inbox.send(Inbox::Opened { stream, to, cut }).await.ok()?;
+    ) -> Option<SendQueueReceiver> {
+        let (to, outgoing) = SendQueue::new(waiting);
+        self.inbox.send(EngineCommand::Opened { stream, to, cut }).await.ok()?;
         Some(outgoing)
     }
 
@@ -101,9 +101,18 @@
     ///
     /// # Errors
     /// An address that cannot be listened on.
-    pub async fn start_front(front: Front) -> Result<Self, StartError> {
-        let Front { config, settings, seed, dialect, read_load, known, source, listener: callers, grace } =
-            front;
+    pub async fn start_front(front: ProtocolServer) -> Result<Self, StartError> {
+        let ProtocolServer {
+            config,
+            settings,
+            seed,
+            dialect,
+            read_load,
+            known,
+            source,
+            listener: callers,
+            grace,
+        } = front;
         let asked = config.listen.address;
         let listener = listen(asked, config.listen.queue)?;
         let address = listener.local_addr().map_err(|cause| StartError::Listen { address: asked, cause })?;
@@ -116,9 +125,9 @@
         let heart = Heart { config, settings, dialect, read_load, epoch, seed, clock };
         let inbox = heart.start(source, &tied, &mut cores);
         // Room is left for it: the queue is new.
-        let cached = Input::List { how: ListUpdate::Cached, entries: known };
-        let _ = inbox.send(Inbox::Input(cached)).await;
-        let engine = EngineLink { inbox: inbox.clone() };
+        let cached = Input::EndpointList { how: ListUpdate::Cached, entries: known };
+        let _ = inbox.send(EngineCommand::Input(cached)).await;
+        let engine = EngineHandle { inbox: inbox.clone() };
         let kill = CancellationToken::new();
         let shutdown = Shutdown { stop: stop.clone(), kill: kill.clone() };
         tasks.spawn(tied.needed("proxies' listener").task(callers.run(listener, engine, shutdown)));
--- a/crates/stepspur-conductor/src/service/identity.rs
+++ b/crates/stepspur-conductor/src/service/identity.rs
@@ -6,9 +6,9 @@
 
 use stepspur_identity::Micros;
 use stepspur_identity::cert::{self, CertCaller};
-use stepspur_identity::door::{Closed, Door, Limits, Place};
-use stepspur_identity::grant::{Denied, Grant, Standing};
-use stepspur_identity::keys::{KeyFault, KeySet, MANIFEST};
+use stepspur_identity::door::{HandshakeLimiter, HandshakeLimits, HandshakePermit, HandshakeRejected};
+use stepspur_identity::grant::{Denied, Grant, GrantStatus};
+use stepspur_identity::keys::{KeyError, KeySet, MANIFEST};
 use stepspur_identity::rights::Right;
 use stepspur_identity::tls;
 use stepspur_identity::token::{self, Terms};
@@ -35,7 +35,7 @@
     set: config::Identity,
     terms: Terms,
     loaded: watch::Sender<Arc<Loaded>>,
-    door: Mutex<Door>,
+    door: Mutex<HandshakeLimiter>,
     pub audit: Audit,
 }
 
@@ -47,7 +47,7 @@
 /// A place at the door that is given back in any case.
 pub(crate) struct Held {
     identity: Arc<Identity>,
-    place: Option<Place>,
+    place: Option<HandshakePermit>,
 }
 
 impl Held {
@@ -69,26 +69,26 @@
     }
 }
 
-fn load(set: &config::Identity) -> Result<Loaded, KeyFault> {
+fn load(set: &config::Identity) -> Result<Loaded, KeyError> {
     let keys = KeySet::load(&set.folder)?;
     let tls = tls::server(&keys, set.certificates)?;
     Ok(Loaded { keys, tls })
 }
 
 impl Identity {
-    pub(crate) fn start(set: config::Identity, audit: Audit) -> Result<Arc<Self>, KeyFault> {
+    pub(crate) fn start(set: config::Identity, audit: Audit) -> Result<Arc<Self>, KeyError> {
         let loaded = watch::Sender::new(Arc::new(load(&set)?));
         let terms = Terms { leeway: micros(set.leeway), longest_life: micros(set.longest_token_life) };
-        let limits = Limits {
+        let limits = HandshakeLimits {
             all: set.handshakes_max,
             kept: set.handshakes_kept,
             per_stranger: set.handshakes_of_source,
-            ..Limits::default()
+            ..HandshakeLimits::default()
         };
-        Ok(Arc::new(Self { set, terms, loaded, door: Mutex::new(Door::new(limits)), audit }))
+        Ok(Arc::new(Self { set, terms, loaded, door: Mutex::new(HandshakeLimiter::new(limits)), audit }))
     }
 
-    fn door(&self) -> std::sync::MutexGuard<'_, Door> {
+    fn door(&self) -> std::sync::MutexGuard<'_, HandshakeLimiter> {
         self.door.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -98,9 +98,9 @@
     }
 
     /// Reads the folder now: the new set is in force, or the old one stays and the fault is told.
-    pub(crate) fn reload(&self) -> Result<(), KeyFault> {
+    pub(crate) fn reload(&self) -> Result<(), KeyError> {
         let new = load(&self.set).inspect_err(|fault| {
-            tracing::error!(event = "keys_refused", file = fault.file, cause = fault.what);
+            tracing::error!(event = "keys_rejected", file = fault.file, cause = fault.what);
         })?;
         self.loaded.send_replace(Arc::new(new));
         tracing::info!(event = "keys_loaded");
@@ -126,7 +126,7 @@
     }
 
     /// A connection comes: it may begin a handshake, or not.
-    pub(crate) fn enter(self: &Arc<Self>, source: IpAddr) -> Result<Held, Closed> {
+    pub(crate) fn enter(self: &Arc<Self>, source: IpAddr) -> Result<Held, HandshakeRejected> {
         let place = self.door().enter(source, wall())?;
         Ok(Held { identity: Arc::clone(self), place: Some(place) })
     }
@@ -154,7 +154,7 @@
             None => Some((stream, None)),
             Some(Ok(caller)) => Some((stream, Some(caller))),
             Some(Err(error)) => {
-                tracing::warn!(event = "certificate_refused", cause = %error);
+                tracing::warn!(event = "certificate_rejected", cause = %error);
                 None
             }
         }
@@ -168,7 +168,7 @@
             token => match token::verify(token, &loaded.keys, self.terms, wall()) {
                 Ok(accepted) => Some(accepted),
                 Err(error) => {
-                    tracing::warn!(event = "token_refused", cause = %error);
+                    tracing::warn!(event = "token_rejected", cause = %error);
                     return Err(Denied::Nobody);
                 }
             },
@@ -190,7 +190,7 @@
     /// Writes a refused call down.
     pub(crate) fn refused(&self, grant: &Grant, from: SocketAddr, what: &str, why: Denied) {
         let caller = grant.caller();
-        tracing::warn!(event = "call_refused", tenant = caller.tenant, who = caller.name, what, cause = %why);
+        tracing::warn!(event = "call_rejected", tenant = caller.tenant, who = caller.name, what, cause = %why);
         self.audit.refused(entry(
             &caller.tenant,
             &caller.name,
@@ -266,15 +266,15 @@
     /// How the stream stands under the keys in force.
     pub(crate) fn look(&mut self) -> Look {
         let loaded = Arc::clone(&self.identity.loaded.borrow());
-        match self.grant.standing(&loaded.keys, wall()) {
-            Standing::Holds { .. } => Look::Well,
-            Standing::Renew { left } if !self.noticed => {
+        match self.grant.status(&loaded.keys, wall()) {
+            GrantStatus::Holds { .. } => Look::Well,
+            GrantStatus::Renew { left } if !self.noticed => {
                 self.noticed = true;
                 Look::Announce(left)
             }
-            Standing::Renew { .. } => Look::Well,
-            Standing::Over(Denied::Revoked) => Look::Revoked,
-            Standing::Over(_) => Look::Expired,
+            GrantStatus::Renew { .. } => Look::Well,
+            GrantStatus::Over(Denied::Revoked) => Look::Revoked,
+            GrantStatus::Over(_) => Look::Expired,
         }
     }
 }
--- a/crates/stepspur-conductor/src/service/mod.rs
+++ b/crates/stepspur-conductor/src/service/mod.rs
@@ -28,7 +28,7 @@
 use stepspur_distribution::document::DocumentError;
 use stepspur_distribution::store::StoreError;
 use stepspur_distribution::subscriber::SubscriberStartError;
-use stepspur_identity::keys::KeyFault;
+use stepspur_identity::keys::KeyError;
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::sync::{Semaphore, mpsc, oneshot};
 use tokio::task::JoinSet;
@@ -36,30 +36,30 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-use crate::config::{Config, Fault, micros};
-use crate::engine::{Dialect, Engine, Framed, Input, Stats, StreamId};
-use crate::source::{self, Feed, NodeSource};
+use crate::config::{Config, InvalidSetting, micros};
+use crate::engine::{Engine, FramedProtocol, Input, ProxyProtocol, Stats, StreamId};
+use crate::source::{self, EndpointFeed, ServiceDiscovery};
 use audit::Audit;
-use core::{Core, Inbox};
+use core::{EngineCommand, EngineTask};
 use distribution::{Distribution, Member};
 use identity::Identity;
-use prober::ReadLoad;
+use prober::LoadReportParser;
 use session::Session;
-use status::Shown;
+use status::StatusSnapshot;
 
-pub use front::{EngineLink, Front, Listener, Shutdown};
+pub use front::{EngineHandle, Listener, ProtocolServer, Shutdown};
 pub use linger::lingering_close;
-pub use outbox::{Outgoing, Outgoings, Waiting};
+pub use outbox::{OutboundMessage, QueuedMessage, SendQueueReceiver};
 
 /// Why a conductor did not start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// Settings are out of bounds.
     #[error("{} settings are out of bounds, the first: {}: {}", .0.len(), .0[0].key, .0[0].what)]
-    Config(Vec<Fault>),
+    Config(Vec<InvalidSetting>),
     /// The keys cannot be used.
     #[error("keys: {0}")]
-    Keys(#[from] KeyFault),
+    Keys(#[from] KeyError),
     /// The audit log cannot be written.
     #[error("audit log {path}: {cause}")]
     Audit {
@@ -97,7 +97,7 @@
 /// without its list, its listener or its probes would go on half alive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the conductor's {0} failed")]
-pub struct Failed(&'static str);
+pub struct TaskFailed(&'static str);
 
 /// A running conductor. Dropping it stops it without waiting; [`Conductor::stop`] waits.
 #[derive(Debug)]
@@ -110,8 +110,8 @@
     kill: CancellationToken,
     tasks: TaskTracker,
     cores: JoinSet<()>,
-    failed: Arc<OnceLock<Failed>>,
-    inbox: mpsc::Sender<Inbox>,
+    failed: Arc<OnceLock<TaskFailed>>,
+    inbox: mpsc::Sender<EngineCommand>,
     grace: Duration,
     council: Option<Arc<NodeHandle>>,
     distribution: Distribution,
@@ -152,7 +152,7 @@
     ///
     /// # Errors
     /// Settings out of bounds, or an address that is taken.
-    pub async fn start(config: Config, source: Box<dyn NodeSource>) -> Result<Self, StartError> {
+    pub async fn start(config: Config, source: Box<dyn ServiceDiscovery>) -> Result<Self, StartError> {
         let faults = config.faults();
         if !faults.is_empty() {
             return Err(StartError::Config(faults));
@@ -189,11 +189,11 @@
         };
         let mut cores = JoinSet::new();
         let tied = Tied { stop: stop.clone(), failed: Arc::clone(&failed), tasks: tasks.clone() };
-        let mut start = |config: Config, source: Box<dyn NodeSource>| {
+        let mut start = |config: Config, source: Box<dyn ServiceDiscovery>| {
             let heart = Heart {
                 settings: config.settings(),
                 config,
-                dialect: Box::new(Framed),
+                dialect: Box::new(FramedProtocol),
                 read_load: prober::json_load,
                 epoch,
                 seed: epoch,
@@ -226,8 +226,11 @@
             tasks.spawn(needed("operators' listener").task(run));
         }
         if let Some(listener) = status {
-            let shown =
-                Shown { inbox: inbox.clone(), council: council.clone(), distribution: distribution.view() };
+            let shown = StatusSnapshot {
+                inbox: inbox.clone(),
+                council: council.clone(),
+                distribution: distribution.view(),
+            };
             let run = status::run(listener, shown, stop.clone());
             tasks.spawn(needed("status page").task(run));
         }
@@ -289,8 +292,8 @@
     /// Waits until a tenant's engine ends: the conductor was stopped, or one of its tasks has failed.
     ///
     /// # Errors
-    /// [`Failed`] names the task.
-    pub async fn ended(&mut self) -> Result<(), Failed> {
+    /// [`TaskFailed`] names the task.
+    pub async fn ended(&mut self) -> Result<(), TaskFailed> {
         let _ = self.cores.join_next().await;
         self.failed.get().map_or(Ok(()), |failed| Err(*failed))
     }
@@ -306,7 +309,7 @@
             self.kill.cancel();
             // A disk that hangs holds the audit log's task for ever.
             if tokio::time::timeout(LEFT_BEHIND, self.tasks.wait()).await.is_err() {
-                tracing::error!(event = "left_behind", tasks = self.tasks.len());
+                tracing::error!(event = "shutdown_timeout", tasks = self.tasks.len());
             }
         }
         self.distribution.stop_control().await;
@@ -328,7 +331,7 @@
 #[derive(Clone)]
 struct Tied {
     stop: CancellationToken,
-    failed: Arc<OnceLock<Failed>>,
+    failed: Arc<OnceLock<TaskFailed>>,
     tasks: TaskTracker,
 }
 
@@ -342,8 +345,8 @@
 struct Heart {
     config: Config,
     settings: Settings,
-    dialect: Box<dyn Dialect>,
-    read_load: ReadLoad,
+    dialect: Box<dyn ProxyProtocol>,
+    read_load: LoadReportParser,
     epoch: u64,
     seed: u64,
     clock: Clock,
@@ -351,20 +354,25 @@
 
 impl Heart {
     /// Starts its tasks and gives the way in.
-    fn start(self, source: Box<dyn NodeSource>, tied: &Tied, cores: &mut JoinSet<()>) -> mpsc::Sender<Inbox> {
+    fn start(
+        self,
+        source: Box<dyn ServiceDiscovery>,
+        tied: &Tied,
+        cores: &mut JoinSet<()>,
+    ) -> mpsc::Sender<EngineCommand> {
         let Self { config, settings, dialect, read_load, epoch, seed, clock } = self;
         let stop = &tied.stop;
         let (inbox, inputs) = mpsc::channel(INBOX);
-        let (feed, ask, mut told) = Feed::new(stop.clone());
+        let (feed, ask, mut told) = EndpointFeed::new(stop.clone());
         let (probe, probes) = mpsc::channel(PROBES);
         let engine = Engine::with(config.clone(), settings, dialect, epoch, seed, clock.now());
-        let core = Core::new(engine, clock, inputs, ask, probe, stop.clone());
+        let core = EngineTask::new(engine, clock, inputs, ask, probe, stop.clone());
         cores.spawn(tied.tasks.track_future(tied.needed("engine").task(core.run())));
         tied.tasks.spawn(tied.needed("source").task(source.run(feed)));
         let to_core = inbox.clone();
         tied.tasks.spawn(async move {
             while let Some(input) = told.recv().await {
-                if to_core.send(Inbox::Input(input)).await.is_err() {
+                if to_core.send(EngineCommand::Input(input)).await.is_err() {
                     break;
                 }
             }
@@ -398,7 +406,7 @@
 struct Needed {
     name: &'static str,
     stop: CancellationToken,
-    failed: Arc<OnceLock<Failed>>,
+    failed: Arc<OnceLock<TaskFailed>>,
 }
 
 impl Needed {
@@ -411,7 +419,7 @@
     fn drop(&mut self) {
         if !self.stop.is_cancelled() {
             tracing::error!(event = "task_failed", task = self.name);
-            let _ = self.failed.set(Failed(self.name));
+            let _ = self.failed.set(TaskFailed(self.name));
             self.stop.cancel();
         }
     }
@@ -429,9 +437,9 @@
     bound().map_err(|cause| StartError::Listen { address, cause })
 }
 
-async fn stats(inbox: &mpsc::Sender<Inbox>) -> Option<Stats> {
+async fn stats(inbox: &mpsc::Sender<EngineCommand>) -> Option<Stats> {
     let (reply, answer) = oneshot::channel();
-    inbox.send(Inbox::Stats(reply)).await.ok()?;
+    inbox.send(EngineCommand::Stats(reply)).await.ok()?;
     answer.await.ok()
 }
 
@@ -439,7 +447,7 @@
 struct Accept {
     config: Arc<Config>,
     epoch: u64,
-    tenants: Arc<BTreeMap<String, mpsc::Sender<Inbox>>>,
+    tenants: Arc<BTreeMap<String, mpsc::Sender<EngineCommand>>>,
     identity: Option<Arc<Identity>>,
     stop: CancellationToken,
     kill: CancellationToken,
@@ -465,7 +473,7 @@
                 }
             };
             let Ok(place) = Arc::clone(&room).try_acquire_owned() else {
-                tracing::warn!(event = "connections_full", %peer);
+                tracing::warn!(event = "connection_limit_reached", %peer);
                 continue;
             };
             next += 1;
@@ -491,8 +499,8 @@
     }
 }
 
-impl From<Input> for Inbox {
+impl From<Input> for EngineCommand {
     fn from(input: Input) -> Self {
-        Inbox::Input(input)
+        EngineCommand::Input(input)
     }
 }
--- a/crates/stepspur-conductor/src/service/operator/mod.rs
+++ b/crates/stepspur-conductor/src/service/operator/mod.rs
@@ -37,7 +37,7 @@
 use tokio_util::task::TaskTracker;
 
 use super::audit::entry;
-use super::core::Inbox;
+use super::core::EngineCommand;
 use super::distribution::DistributionView;
 use super::front::Shutdown;
 use super::identity::{Identity, wall};
@@ -54,7 +54,7 @@
 /// What calls are answered by.
 pub(crate) struct OperatorApi {
     pub identity: Arc<Identity>,
-    pub tenants: Arc<BTreeMap<String, mpsc::Sender<Inbox>>>,
+    pub tenants: Arc<BTreeMap<String, mpsc::Sender<EngineCommand>>>,
     pub council: Option<Arc<NodeHandle>>,
     pub distribution: DistributionView,
 }
@@ -84,7 +84,7 @@
             continue;
         };
         let Ok(place) = identity.enter(peer.ip()) else {
-            tracing::warn!(event = "listener_full", %peer);
+            tracing::warn!(event = "handshake_limit_reached", %peer);
             continue;
         };
         let (identity, router) = (Arc::clone(&identity), router.clone());
@@ -127,7 +127,7 @@
         Ok(grant)
     }
 
-    fn inbox(&self, grant: &Grant) -> Result<&mpsc::Sender<Inbox>, Told> {
+    fn inbox(&self, grant: &Grant) -> Result<&mpsc::Sender<EngineCommand>, Told> {
         self.tenants.get(&grant.caller().tenant).ok_or_else(denied)
     }
 
@@ -139,7 +139,7 @@
             Err(told) => return told.into_response(),
         };
         let (reply, done) = oneshot::channel();
-        let sent = inbox.send(Inbox::Operate(operation, reply)).await.is_ok();
+        let sent = inbox.send(EngineCommand::Operate(operation, reply)).await.is_ok();
         let result = if sent { done.await.ok() } else { None };
         let (status, result) = match result {
             Some(Ok(())) => (StatusCode::OK, "done".to_owned()),
--- a/crates/stepspur-conductor/src/service/outbox.rs
+++ b/crates/stepspur-conductor/src/service/outbox.rs
@@ -9,24 +9,24 @@
 
 /// What a stream's task is sent.
 #[derive(Debug)]
-pub enum Outgoing {
+pub enum OutboundMessage {
     /// Write this frame.
     Frame(Bytes),
     /// Write this frame and end.
     Last(Bytes),
 }
 
-impl Outgoing {
+impl OutboundMessage {
     fn len(&self) -> usize {
         match self {
-            Outgoing::Frame(frame) | Outgoing::Last(frame) => frame.len(),
+            OutboundMessage::Frame(frame) | OutboundMessage::Last(frame) => frame.len(),
         }
     }
 }
 
 /// How much may wait for a stream.
 #[derive(Clone, Copy, Debug)]
-pub struct Waiting {
+pub struct QueuedMessage {
     /// Messages.
     pub messages: usize,
     /// Their bytes; one message may be larger, if nothing else waits.
@@ -39,21 +39,21 @@
 
 /// A stream's queue, as whoever writes to the stream sees it.
 #[derive(Clone, Debug)]
-pub(crate) struct Outbox {
-    to: mpsc::Sender<Outgoing>,
+pub(crate) struct SendQueue {
+    to: mpsc::Sender<OutboundMessage>,
     bytes: Arc<AtomicUsize>,
     most: usize,
 }
 
-impl Outbox {
+impl SendQueue {
     /// A queue and its end at the stream's task.
-    pub(crate) fn new(waiting: Waiting) -> (Self, Outgoings) {
+    pub(crate) fn new(waiting: QueuedMessage) -> (Self, SendQueueReceiver) {
         let (to, queue) = mpsc::channel(waiting.messages);
         let bytes = Arc::new(AtomicUsize::new(0));
-        (Self { to, bytes: Arc::clone(&bytes), most: waiting.bytes }, Outgoings { queue, bytes })
+        (Self { to, bytes: Arc::clone(&bytes), most: waiting.bytes }, SendQueueReceiver { queue, bytes })
     }
 
-    pub(crate) fn try_send(&self, outgoing: Outgoing) -> Result<(), Full> {
+    pub(crate) fn try_send(&self, outgoing: OutboundMessage) -> Result<(), Full> {
         let len = outgoing.len();
         // Others only take from it meanwhile, so that what is seen here is never too little.
         let waiting = self.bytes.fetch_add(len, Ordering::Relaxed);
@@ -66,47 +66,47 @@
     }
 
     /// A handle that does not keep the queue open.
-    pub(crate) fn downgrade(&self) -> WeakOutbox {
-        WeakOutbox { to: self.to.downgrade(), bytes: Arc::clone(&self.bytes), most: self.most }
+    pub(crate) fn downgrade(&self) -> WeakSendQueue {
+        WeakSendQueue { to: self.to.downgrade(), bytes: Arc::clone(&self.bytes), most: self.most }
     }
 }
 
 /// A queue that is closed once all other handles are gone.
 #[derive(Debug)]
-pub(crate) struct WeakOutbox {
-    to: mpsc::WeakSender<Outgoing>,
+pub(crate) struct WeakSendQueue {
+    to: mpsc::WeakSender<OutboundMessage>,
     bytes: Arc<AtomicUsize>,
     most: usize,
 }
 
-impl WeakOutbox {
-    pub(crate) fn upgrade(&self) -> Option<Outbox> {
+impl WeakSendQueue {
+    pub(crate) fn upgrade(&self) -> Option<SendQueue> {
         let to = self.to.upgrade()?;
-        Some(Outbox { to, bytes: Arc::clone(&self.bytes), most: self.most })
+        Some(SendQueue { to, bytes: Arc::clone(&self.bytes), most: self.most })
     }
 }
 
 /// A stream's queue, as the task that writes sees it.
 #[derive(Debug)]
-pub struct Outgoings {
-    queue: mpsc::Receiver<Outgoing>,
+pub struct SendQueueReceiver {
+    queue: mpsc::Receiver<OutboundMessage>,
     bytes: Arc<AtomicUsize>,
 }
 
-impl Outgoings {
+impl SendQueueReceiver {
     /// The next message; none once the engine has let go of the stream.
-    pub async fn recv(&mut self) -> Option<Outgoing> {
+    pub async fn recv(&mut self) -> Option<OutboundMessage> {
         let next = self.queue.recv().await;
         self.taken(next)
     }
 
     /// The next message, if one waits.
-    pub fn try_recv(&mut self) -> Option<Outgoing> {
+    pub fn try_recv(&mut self) -> Option<OutboundMessage> {
         let next = self.queue.try_recv().ok();
         self.taken(next)
     }
 
-    fn taken(&self, next: Option<Outgoing>) -> Option<Outgoing> {
+    fn taken(&self, next: Option<OutboundMessage>) -> Option<OutboundMessage> {
         let next = next?;
         self.bytes.fetch_sub(next.len(), Ordering::Relaxed);
         Some(next)
--- a/crates/stepspur-conductor/src/service/prober.rs
+++ b/crates/stepspur-conductor/src/service/prober.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-use super::core::Inbox;
+use super::core::EngineCommand;
 use crate::config::{Config, micros};
 use crate::engine::{Input, ProbeTarget};
 use crate::http::{HttpError, get};
@@ -18,13 +18,13 @@
 const LARGEST: usize = 16 << 10;
 
 /// Reads the values of a load report in the order of the columns; none where it holds not all of them.
-pub type ReadLoad = fn(&[String], &[u8]) -> Vec<f32>;
+pub type LoadReportParser = fn(&[String], &[u8]) -> Vec<f32>;
 
 pub(crate) async fn run(
     config: Config,
-    read_load: ReadLoad,
+    read_load: LoadReportParser,
     mut probes: mpsc::Receiver<ProbeTarget>,
-    inbox: mpsc::Sender<Inbox>,
+    inbox: mpsc::Sender<EngineCommand>,
     stop: CancellationToken,
 ) {
     let config = Arc::new(config);
@@ -52,7 +52,7 @@
     under_way.shutdown().await;
 }
 
-async fn probe(config: &Config, read_load: ReadLoad, target: ProbeTarget) -> Input {
+async fn probe(config: &Config, read_load: LoadReportParser, target: ProbeTarget) -> Input {
     let sent = Instant::now();
     let answer = get(target.address, &config.probes.path, config.probes.timeout, LARGEST).await;
     if let Ok((status, body)) = &answer {
@@ -70,7 +70,7 @@
         Err(HttpError::Timeout(_)) => (ProbeOutcome::Timeout, Vec::new()),
         Err(_) => (ProbeOutcome::Reset, Vec::new()),
     };
-    Input::Probed { target, outcome, latency: micros(sent.elapsed()), load }
+    Input::ProbeResult { target, outcome, latency: micros(sent.elapsed()), load }
 }
 
 /// A load report as a JSON object.
--- a/crates/stepspur-conductor/src/service/session.rs
+++ b/crates/stepspur-conductor/src/service/session.rs
@@ -18,10 +18,10 @@
 use tokio_util::codec::FramedRead;
 use tokio_util::sync::CancellationToken;
 
-use super::core::Inbox;
+use super::core::EngineCommand;
 use super::identity::{Guard, Held, Identity, Look, wall};
 use super::linger::{drain, lingering_close};
-use super::outbox::{Outbox, Outgoing, Outgoings, Waiting, WeakOutbox};
+use super::outbox::{OutboundMessage, QueuedMessage, SendQueue, SendQueueReceiver, WeakSendQueue};
 use crate::config::Config;
 use crate::engine::{Input, StreamId};
 
@@ -32,7 +32,7 @@
     pub config: Arc<Config>,
     pub epoch: u64,
     /// Each tenant's engine; without identity there is one, of any name.
-    pub tenants: Arc<BTreeMap<String, mpsc::Sender<Inbox>>>,
+    pub tenants: Arc<BTreeMap<String, mpsc::Sender<EngineCommand>>>,
     pub identity: Option<Arc<Identity>>,
     /// Ends streams that have shown no first message; the others get a goodbye.
     pub stop: CancellationToken,
@@ -60,7 +60,7 @@
             return self.serve(read, write, None).await;
         };
         let Ok(place) = identity.enter(self.peer.ip()) else {
-            tracing::warn!(event = "listener_full", peer = %self.peer);
+            tracing::warn!(event = "handshake_limit_reached", peer = %self.peer);
             return;
         };
         let shaken = tokio::select! {
@@ -104,10 +104,10 @@
             return self.refuse(reader, write, v1::Reason::NotAllowed, Denied::TOLD).await;
         };
         // Frames have a largest size, so that their number bounds their bytes too.
-        let waiting = Waiting { messages: config.listen.frames_waiting_max, bytes: usize::MAX };
-        let (to, outgoing) = Outbox::new(waiting);
+        let waiting = QueuedMessage { messages: config.listen.frames_waiting_max, bytes: usize::MAX };
+        let (to, outgoing) = SendQueue::new(waiting);
         let cut = self.kill.child_token();
-        let opened = Inbox::Opened { stream, to: to.clone(), cut: cut.clone() };
+        let opened = EngineCommand::Opened { stream, to: to.clone(), cut: cut.clone() };
         if inbox.send(opened).await.is_err()
             || inbox.send(Input::Frame { stream, frame: hello }.into()).await.is_err()
         {
@@ -121,8 +121,8 @@
         let end = tokio::select! {
             fault = reading => {
                 let last = match fault {
-                    Some((reason, detail)) => Input::Broken { stream, reason, detail },
-                    None => Input::Ended { stream },
+                    Some((reason, detail)) => Input::StreamFailed { stream, reason, detail },
+                    None => Input::StreamEnded { stream },
                 };
                 let _ = inbox.send(last.into()).await;
                 // The engine answers with a last frame or by dropping the queue; both end the writer.
@@ -134,7 +134,7 @@
             end = &mut writing => end,
             () = cut.cancelled() => Ok(()),
         };
-        let _ = inbox.send(Input::Ended { stream }.into()).await;
+        let _ = inbox.send(Input::StreamEnded { stream }.into()).await;
         match end {
             // Its last frame is written: it is not to be lost by a reset over bytes that lie unread.
             Ok(()) if !cut.is_cancelled() => {
@@ -144,7 +144,7 @@
                 }
             }
             Ok(()) => {}
-            Err(cause) => tracing::warn!(event = "stream_slow", epoch, stream = stream.0, cause),
+            Err(cause) => tracing::warn!(event = "stream_too_slow", epoch, stream = stream.0, cause),
         }
     }
 
@@ -153,7 +153,7 @@
         &self,
         hello: &FromProxy,
         shown: Option<(Option<CertCaller>, Held)>,
-    ) -> Option<(mpsc::Sender<Inbox>, Option<Guard>)> {
+    ) -> Option<(mpsc::Sender<EngineCommand>, Option<Guard>)> {
         let (Some(identity), Some((cert, place))) = (&self.identity, shown) else {
             return Some((self.tenants.values().next()?.clone(), None));
         };
@@ -161,7 +161,7 @@
         let grant = match identity.grant(cert.clone(), &hello.credentials) {
             Ok(grant) => grant,
             Err(why) => {
-                tracing::warn!(event = "call_refused", stream = self.stream.0, what = "join", cause = %why);
+                tracing::warn!(event = "call_rejected", stream = self.stream.0, what = "join", cause = %why);
                 return None;
             }
         };
@@ -203,11 +203,11 @@
 /// Reads until the stream ends; what is wrong with it, if it did not end by itself.
 async fn read_all<R: AsyncRead + Unpin>(
     reader: &mut Reader<R>,
-    inbox: &mpsc::Sender<Inbox>,
+    inbox: &mpsc::Sender<EngineCommand>,
     stream: StreamId,
     config: &Config,
     guard: &mut Option<Guard>,
-    to: &WeakOutbox,
+    to: &WeakSendQueue,
     epoch: u64,
 ) -> Option<(v1::Reason, String)> {
     let silence = config.listen.keepalive * 3;
@@ -269,18 +269,18 @@
 }
 
 /// Tells the proxy that its rights end; if its queue is full it has other troubles.
-fn announce(to: &WeakOutbox, epoch: u64, in_us: u64) {
+fn announce(to: &WeakSendQueue, epoch: u64, in_us: u64) {
     let expiring = from_conductor::Kind::Expiring(v1::Expiring { in_us });
     if let (Some(to), Ok(frame)) = (to.upgrade(), frame(&FromConductor::new(epoch, 0, expiring), usize::MAX))
     {
-        let _ = to.try_send(Outgoing::Frame(frame));
+        let _ = to.try_send(OutboundMessage::Frame(frame));
     }
 }
 
 /// Writes what it is sent, and pings when there is nothing to send for long.
 async fn write_all<W: AsyncWrite + Unpin>(
     mut write: W,
-    mut outgoing: Outgoings,
+    mut outgoing: SendQueueReceiver,
     config: &Config,
     epoch: u64,
 ) -> Result<(), &'static str> {
@@ -290,8 +290,8 @@
     loop {
         let mut last = false;
         match timeout(config.listen.keepalive, outgoing.recv()).await {
-            Ok(Some(Outgoing::Frame(frame))) => go.extend_from_slice(&frame),
-            Ok(Some(Outgoing::Last(frame))) => {
+            Ok(Some(OutboundMessage::Frame(frame))) => go.extend_from_slice(&frame),
+            Ok(Some(OutboundMessage::Last(frame))) => {
                 go.extend_from_slice(&frame);
                 last = true;
             }
@@ -300,8 +300,8 @@
         }
         while go.len() < GO && !last {
             match outgoing.try_recv() {
-                Some(Outgoing::Frame(frame)) => go.extend_from_slice(&frame),
-                Some(Outgoing::Last(frame)) => {
+                Some(OutboundMessage::Frame(frame)) => go.extend_from_slice(&frame),
+                Some(OutboundMessage::Last(frame)) => {
                     go.extend_from_slice(&frame);
                     last = true;
                 }
--- a/crates/stepspur-conductor/src/service/status.rs
+++ b/crates/stepspur-conductor/src/service/status.rs
@@ -13,14 +13,14 @@
 use tokio::sync::mpsc;
 use tokio_util::sync::CancellationToken;
 
-use super::core::Inbox;
+use super::core::EngineCommand;
 use super::distribution::{DistributionStatus, DistributionView};
 use crate::engine::Stats;
 
 /// What the page shows.
 #[derive(Clone)]
-pub(crate) struct Shown {
-    pub inbox: mpsc::Sender<Inbox>,
+pub(crate) struct StatusSnapshot {
+    pub inbox: mpsc::Sender<EngineCommand>,
     pub council: Option<Arc<NodeHandle>>,
     pub distribution: DistributionView,
 }
@@ -34,7 +34,7 @@
     distribution: Option<DistributionStatus>,
 }
 
-pub(crate) async fn run(listener: TcpListener, shown: Shown, stop: CancellationToken) {
+pub(crate) async fn run(listener: TcpListener, shown: StatusSnapshot, stop: CancellationToken) {
     let router = Router::new()
         .route("/v1/status", get(status))
         .route("/v1/council", get(member))
@@ -49,23 +49,25 @@
 
 /// The counts of an engine and the conductor's distribution; none once the conductor has ended.
 pub(crate) async fn conductor_status(
-    inbox: &mpsc::Sender<Inbox>,
+    inbox: &mpsc::Sender<EngineCommand>,
     distribution: &DistributionView,
 ) -> Option<ConductorStatus> {
     let counts = super::stats(inbox).await?;
     Some(ConductorStatus { counts, distribution: distribution.status() })
 }
 
-async fn status(State(shown): State<Shown>) -> Result<Json<ConductorStatus>, StatusCode> {
+async fn status(State(shown): State<StatusSnapshot>) -> Result<Json<ConductorStatus>, StatusCode> {
     let status = conductor_status(&shown.inbox, &shown.distribution).await;
     status.map(Json).ok_or(StatusCode::SERVICE_UNAVAILABLE)
 }
 
-async fn member(State(shown): State<Shown>) -> Result<Json<stepspur_consensus_node::Status>, StatusCode> {
+async fn member(
+    State(shown): State<StatusSnapshot>,
+) -> Result<Json<stepspur_consensus_node::Status>, StatusCode> {
     let council = shown.council.ok_or(StatusCode::NOT_FOUND)?;
     council.status().await.map(Json).map_err(|_| StatusCode::SERVICE_UNAVAILABLE)
 }
 
-async fn distribution(State(shown): State<Shown>) -> Result<Json<DistributionStatus>, StatusCode> {
+async fn distribution(State(shown): State<StatusSnapshot>) -> Result<Json<DistributionStatus>, StatusCode> {
     shown.distribution.status().map(Json).ok_or(StatusCode::NOT_FOUND)
 }
--- a/crates/stepspur-conductor/src/source/file.rs
+++ b/crates/stepspur-conductor/src/source/file.rs
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 use stepspur::interface::ListUpdate;
 
-use super::{Ask, Feed, NodeRecord, NodeSource, Running};
+use super::{DiscoveryFuture, DiscoveryRequest, EndpointFeed, EndpointRecord, ServiceDiscovery};
 
 /// Servers in a TOML file, one `[[node]]` each. It is looked at every so often: a change that is whole and sound is
 /// told as a whole list, one that is not is a failure, and the old list stands.
@@ -30,7 +30,7 @@
     /// How many entries there are.
     servers: Option<usize>,
     #[serde(default)]
-    node: Vec<NodeRecord>,
+    node: Vec<EndpointRecord>,
 }
 
 /// What is known of the file's text.
@@ -58,7 +58,7 @@
     }
 
     /// Looks at the file and tells its list, if it is whole and news, or asked for. False: not whole yet.
-    async fn tell(&self, feed: &Feed, texts: &mut Texts, asked: bool) -> Result<bool, String> {
+    async fn tell(&self, feed: &EndpointFeed, texts: &mut Texts, asked: bool) -> Result<bool, String> {
         let text = self.read().await?;
         if texts.seen.as_ref() != Some(&text) {
             texts.seen = Some(text);
@@ -77,7 +77,7 @@
         Ok(true)
     }
 
-    async fn serve(self, mut feed: Feed) {
+    async fn serve(self, mut feed: EndpointFeed) {
         let (mut tracking, mut asked, mut whole) = (false, false, true);
         let mut texts = Texts::default();
         loop {
@@ -92,7 +92,7 @@
             };
             // Each ask has its answer, also if nothing is new.
             asked |= ask.is_some();
-            tracking |= ask == Some(Ask::Track);
+            tracking |= ask == Some(DiscoveryRequest::Track);
             match self.tell(&feed, &mut texts, asked).await {
                 Ok(settled) => (whole, asked) = (settled, asked && !settled),
                 Err(cause) => {
@@ -104,8 +104,8 @@
     }
 }
 
-impl NodeSource for FileSource {
-    fn run(self: Box<Self>, feed: Feed) -> Running {
+impl ServiceDiscovery for FileSource {
+    fn run(self: Box<Self>, feed: EndpointFeed) -> DiscoveryFuture {
         Box::pin(self.serve(feed))
     }
 }
--- a/crates/stepspur-conductor/src/source/http.rs
+++ b/crates/stepspur-conductor/src/source/http.rs
@@ -7,7 +7,7 @@
 use stepspur::interface::ListUpdate;
 use tokio::time::{Instant, sleep_until};
 
-use super::{Ask, Feed, NodeRecord, NodeSource, Running};
+use super::{DiscoveryFuture, DiscoveryRequest, EndpointFeed, EndpointRecord, ServiceDiscovery};
 use crate::http::get;
 
 /// A node list behind HTTP.
@@ -27,15 +27,15 @@
 
 /// An answer of the list.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct ListAnswer {
+pub struct EndpointListResponse {
     /// Its version: changes are asked for since then.
     pub version: u64,
     /// The whole list.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub nodes: Option<Vec<NodeRecord>>,
+    pub nodes: Option<Vec<EndpointRecord>>,
     /// Only what has changed since the version asked for.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub changes: Option<Vec<NodeRecord>>,
+    pub changes: Option<Vec<EndpointRecord>>,
 }
 
 impl HttpSource {
@@ -45,7 +45,7 @@
     }
 
     /// One call; nothing if there was no change.
-    async fn call(&self, since: Option<u64>) -> Result<Option<ListAnswer>, String> {
+    async fn call(&self, since: Option<u64>) -> Result<Option<EndpointListResponse>, String> {
         let (path, within) = match since {
             Some(version) => {
                 let wait = self.poll.as_millis();
@@ -63,7 +63,7 @@
     }
 
     /// Calls, tells what came, and gives the version that it stands at.
-    async fn tell(&self, feed: &Feed, since: Option<u64>) -> Result<Option<u64>, String> {
+    async fn tell(&self, feed: &EndpointFeed, since: Option<u64>) -> Result<Option<u64>, String> {
         let Some(answer) = self.call(since).await? else { return Ok(since) };
         let (how, records) = match (answer.nodes, answer.changes) {
             (Some(nodes), _) => (ListUpdate::Full, nodes),
@@ -74,7 +74,7 @@
         Ok(Some(answer.version))
     }
 
-    async fn serve(self, mut feed: Feed) {
+    async fn serve(self, mut feed: EndpointFeed) {
         let stop = feed.stop.clone();
         let serve = async {
             let mut tracking = false;
@@ -92,7 +92,7 @@
                 match self.tell(&feed, since).await {
                     Ok(now) => {
                         version = now;
-                        tracking |= ask == Some(Ask::Track);
+                        tracking |= ask == Some(DiscoveryRequest::Track);
                         sleep_until(next).await;
                     }
                     Err(cause) => {
@@ -109,8 +109,8 @@
     }
 }
 
-impl NodeSource for HttpSource {
-    fn run(self: Box<Self>, feed: Feed) -> Running {
+impl ServiceDiscovery for HttpSource {
+    fn run(self: Box<Self>, feed: EndpointFeed) -> DiscoveryFuture {
         Box::pin(self.serve(feed))
     }
 }
--- a/crates/stepspur-conductor/src/source/mod.rs
+++ b/crates/stepspur-conductor/src/source/mod.rs
@@ -16,14 +16,14 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::config;
-use crate::engine::{Input, NodeEntry};
+use crate::engine::{DiscoveredEndpoint, Input};
 
 pub use file::FileSource;
-pub use http::{HttpSource, ListAnswer};
+pub use http::{EndpointListResponse, HttpSource};
 
 /// What the module asks of a source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ask {
+pub enum DiscoveryRequest {
     /// Changes from now on, what was missed first.
     Track,
     /// The whole list, once.
@@ -32,21 +32,21 @@
 
 /// A source's ends: what is asked, where to tell, and when to stop.
 #[derive(Debug)]
-pub struct Feed {
+pub struct EndpointFeed {
     /// What is asked; closed when the conductor stops.
-    pub asks: mpsc::Receiver<Ask>,
+    pub asks: mpsc::Receiver<DiscoveryRequest>,
     /// Where to tell.
-    pub news: News,
+    pub news: EndpointUpdateSender,
     /// Cancelled when the conductor stops.
     pub stop: CancellationToken,
 }
 
-impl Feed {
+impl EndpointFeed {
     /// A feed, and for whoever drives the source the other ends: where to ask, and what it tells.
-    pub fn new(stop: CancellationToken) -> (Self, mpsc::Sender<Ask>, mpsc::Receiver<Input>) {
+    pub fn new(stop: CancellationToken) -> (Self, mpsc::Sender<DiscoveryRequest>, mpsc::Receiver<Input>) {
         let (ask, asks) = mpsc::channel(WAITING);
         let (news, told) = mpsc::channel(WAITING);
-        (Self { asks, news: News(news), stop }, ask, told)
+        (Self { asks, news: EndpointUpdateSender(news), stop }, ask, told)
     }
 }
 
@@ -55,35 +55,35 @@
 
 /// Where a source tells its news. It waits while the conductor is busy.
 #[derive(Clone, Debug)]
-pub struct News(mpsc::Sender<Input>);
+pub struct EndpointUpdateSender(mpsc::Sender<Input>);
 
-impl News {
+impl EndpointUpdateSender {
     /// Tells of entries: `Delta`, `Full` or `Cached`.
-    pub async fn list(&self, how: ListUpdate, entries: Vec<NodeEntry>) {
-        let _ = self.0.send(Input::List { how, entries }).await;
+    pub async fn list(&self, how: ListUpdate, entries: Vec<DiscoveredEndpoint>) {
+        let _ = self.0.send(Input::EndpointList { how, entries }).await;
     }
 
     /// Tells that a call or the subscription failed; the old list stands.
     pub async fn failed(&self, cause: impl std::fmt::Display) {
-        tracing::warn!(event = "source_failed", %cause);
-        let _ = self.0.send(Input::List { how: ListUpdate::Failed, entries: Vec::new() }).await;
+        tracing::warn!(event = "discovery_task_failed", %cause);
+        let _ = self.0.send(Input::EndpointList { how: ListUpdate::Failed, entries: Vec::new() }).await;
     }
 }
 
 /// The future that runs a source.
-pub type Running = Pin<Box<dyn Future<Output = ()> + Send>>;
+pub type DiscoveryFuture = Pin<Box<dyn Future<Output = ()> + Send>>;
 
 /// A source of the list of servers.
 ///
-/// Every [`Ask`] is answered by one piece of news; while a track stands, changes follow by themselves. The future
+/// Every [`DiscoveryRequest`] is answered by one piece of news; while a track stands, changes follow by themselves. The future
 /// ends when `stop` is cancelled.
-pub trait NodeSource: Send + 'static {
+pub trait ServiceDiscovery: Send + 'static {
     /// Serves the feed until it is stopped.
-    fn run(self: Box<Self>, feed: Feed) -> Running;
+    fn run(self: Box<Self>, feed: EndpointFeed) -> DiscoveryFuture;
 }
 
 /// The source that the settings name.
-pub fn from_config(source: &config::Source) -> Box<dyn NodeSource> {
+pub fn from_config(source: &config::Source) -> Box<dyn ServiceDiscovery> {
     match source {
         config::Source::File { path, every, .. } => Box::new(FileSource::new(path.clone(), *every)),
         config::Source::Http { address, path, poll, timeout, .. } => {
@@ -95,14 +95,14 @@
 /// A server as files and HTTP lists word it.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields)]
-pub struct NodeRecord {
+pub struct EndpointRecord {
     /// IPv4 or IPv6 address and port.
     pub address: SocketAddr,
     /// The name of its zone.
     pub zone: String,
     /// Its state; ready where left out.
     #[serde(default)]
-    pub state: NodeState,
+    pub state: EndpointRecordState,
     /// Its weight against others; 0 or left out: none is listed.
     #[serde(default)]
     pub weight: f64,
@@ -114,7 +114,7 @@
 /// A server's state.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
-pub enum NodeState {
+pub enum EndpointRecordState {
     /// Its process runs.
     #[default]
     Ready,
@@ -124,16 +124,16 @@
     Gone,
 }
 
-impl From<NodeRecord> for NodeEntry {
-    fn from(record: NodeRecord) -> Self {
+impl From<EndpointRecord> for DiscoveredEndpoint {
+    fn from(record: EndpointRecord) -> Self {
         Self {
             name: None,
             address: record.address,
             zone: record.zone,
             state: match record.state {
-                NodeState::Ready => EndpointState::Ready,
-                NodeState::Draining => EndpointState::Draining,
-                NodeState::Gone => EndpointState::Removed,
+                EndpointRecordState::Ready => EndpointState::Ready,
+                EndpointRecordState::Draining => EndpointState::Draining,
+                EndpointRecordState::Gone => EndpointState::Removed,
             },
             weight: record.weight,
             started: record.started_unix_ms.saturating_mul(1000),
--- a/crates/stepspur-conductor/tests/common/day.rs
+++ b/crates/stepspur-conductor/tests/common/day.rs
@@ -5,7 +5,7 @@
 
 use stepspur::interface::ListUpdate;
 use stepspur_conductor::config::Config;
-use stepspur_conductor::engine::{Engine, Input, NodeEntry, Note, Output, StreamId};
+use stepspur_conductor::engine::{DiscoveredEndpoint, Engine, Input, LogEvent, Output, StreamId};
 use stepspur_proto::{FromConductor, FromProxy, from_conductor, from_proxy, split_frame, v1};
 
 use super::hello;
@@ -22,7 +22,7 @@
     pub rules: Rules,
     pub marks: Vec<(StreamId, u32)>,
     pub closed: Vec<(StreamId, v1::Reason)>,
-    pub notes: Vec<Note>,
+    pub notes: Vec<LogEvent>,
     pub outputs: Vec<Output>,
     /// False: proxies answer no marks.
     pub answers: bool,
@@ -37,14 +37,14 @@
     }
 
     /// A list that tells the truth.
-    pub fn list(&mut self, how: ListUpdate, entries: Vec<NodeEntry>) {
+    pub fn list(&mut self, how: ListUpdate, entries: Vec<DiscoveredEndpoint>) {
         self.rules.truth(self.now, &entries);
         self.say(how, entries);
     }
 
     /// A list that is late, wrong or not wholly there.
-    pub fn say(&mut self, how: ListUpdate, entries: Vec<NodeEntry>) {
-        self.engine.handle(self.now, Input::List { how, entries });
+    pub fn say(&mut self, how: ListUpdate, entries: Vec<DiscoveredEndpoint>) {
+        self.engine.handle(self.now, Input::EndpointList { how, entries });
     }
 
     pub fn frame(&mut self, stream: u64, frame: FromProxy) {
@@ -58,7 +58,7 @@
 
     pub fn end(&mut self, stream: u64) {
         self.rules.left(stream);
-        self.engine.handle(self.now, Input::Ended { stream: StreamId(stream) });
+        self.engine.handle(self.now, Input::StreamEnded { stream: StreamId(stream) });
     }
 
     /// Lets time pass, acting on all that comes out.
@@ -73,7 +73,7 @@
                         self.rules.left(stream.0);
                         self.closed.push((stream, reason));
                     }
-                    Output::Note(note) => self.notes.push(note),
+                    Output::Log(note) => self.notes.push(note),
                     _ => {}
                 }
             }
--- a/crates/stepspur-conductor/tests/common/mod.rs
+++ b/crates/stepspur-conductor/tests/common/mod.rs
@@ -12,7 +12,7 @@
 
 use stepspur::interface::{EndpointState, ServerId};
 use stepspur_conductor::config::{Channel, ClassConfig, Config, EffectConfig, Fleet, Source};
-use stepspur_conductor::engine::{NodeEntry, ProbeTarget};
+use stepspur_conductor::engine::{DiscoveredEndpoint, ProbeTarget};
 use stepspur_proto::{FromProxy, VERSION, from_proxy, v1};
 
 pub fn config() -> Config {
@@ -73,9 +73,9 @@
 }
 
 /// Servers of both zones in turn, all ready and warm.
-pub fn nodes(count: usize) -> Vec<NodeEntry> {
+pub fn nodes(count: usize) -> Vec<DiscoveredEndpoint> {
     let zone = |k: usize| ["a", "b"][k % 2].to_owned();
-    let entry = |k| NodeEntry {
+    let entry = |k| DiscoveredEndpoint {
         name: None,
         address: address(k),
         zone: zone(k),
@@ -101,7 +101,11 @@
     (0..count).map(address).collect()
 }
 
-pub fn with_state(mut entries: Vec<NodeEntry>, k: usize, state: EndpointState) -> Vec<NodeEntry> {
+pub fn with_state(
+    mut entries: Vec<DiscoveredEndpoint>,
+    k: usize,
+    state: EndpointState,
+) -> Vec<DiscoveredEndpoint> {
     entries[k].state = state;
     entries
 }
--- a/crates/stepspur-conductor/tests/common/rules.rs
+++ b/crates/stepspur-conductor/tests/common/rules.rs
@@ -6,7 +6,7 @@
 use stepspur::interface::EndpointState;
 use stepspur_conductor::Config;
 use stepspur_conductor::config::EffectConfig;
-use stepspur_conductor::engine::{NodeEntry, Stats};
+use stepspur_conductor::engine::{DiscoveredEndpoint, Stats};
 use stepspur_proto::{address_of, v1};
 
 /// Part of its servers' capacity that the fleet is taken to carry, for the rule on cold servers.
@@ -55,7 +55,7 @@
     }
 
     /// These servers are so from now on.
-    pub fn truth(&mut self, now: u64, entries: &[NodeEntry]) {
+    pub fn truth(&mut self, now: u64, entries: &[DiscoveredEndpoint]) {
         for entry in entries {
             let known = self.truth.get(&entry.address).copied();
             let out_since = known.and_then(|t| t.out_since).unwrap_or(now);
--- a/crates/stepspur-conductor/tests/engine.rs
+++ b/crates/stepspur-conductor/tests/engine.rs
@@ -8,7 +8,7 @@
 use common::{address, all, config, hello, nodes, probe_target, with_state};
 use proptest::prelude::*;
 use stepspur::interface::{EndpointState, ListUpdate, ProbeOutcome};
-use stepspur_conductor::engine::{Input, NodeEntry, Note, Output, StreamId};
+use stepspur_conductor::engine::{DiscoveredEndpoint, Input, LogEvent, Output, StreamId};
 use stepspur_proto::{FromProxy, from_proxy, split_frame, v1};
 
 #[test]
@@ -57,7 +57,7 @@
     assert_eq!(day.names(2), all(4));
     assert_eq!((day.engine.stats().joined, day.engine.stats().proxies_known), (1, 1));
     // The end of the old stream is no news of the new one.
-    day.engine.handle(day.now, Input::Ended { stream: StreamId(1) });
+    day.engine.handle(day.now, Input::StreamEnded { stream: StreamId(1) });
     day.run(SECOND);
     assert_eq!(day.engine.stats().joined, 1);
     day.close();
@@ -165,7 +165,7 @@
         day.run(SECOND);
         day.frame(1, FromProxy::new(EPOCH, sequence, from_proxy::Kind::Report(report)));
         day.run(SECOND);
-        let notes = day.notes.iter().filter(|n| matches!(n, Note::BadReport { .. })).count();
+        let notes = day.notes.iter().filter(|n| matches!(n, LogEvent::InvalidReport { .. })).count();
         assert_eq!((notes, day.engine.stats().nonsense), (passed_over, passed_over as u64), "{what}");
         assert_eq!((day.engine.stats().joined, day.closed.len()), (1, 0), "{what}: the stream stands");
     }
@@ -199,7 +199,7 @@
     day.list(ListUpdate::Full, nodes(4));
     day.join(1, "p", "a");
     day.run(5 * SECOND);
-    let restarted = NodeEntry { started: day.now, ..nodes(4)[1].clone() };
+    let restarted = DiscoveredEndpoint { started: day.now, ..nodes(4)[1].clone() };
     day.list(ListUpdate::Delta, vec![restarted]);
     day.run(SECOND / 2);
     assert!(!day.names(1).contains(&address(1)), "cold: nothing at first");
@@ -285,7 +285,7 @@
     for step in steps.iter().cloned() {
         match step {
             Step::Join(s, p) => day.join(s, &format!("p{p}"), ["a", "b"][usize::from(p) % 2]),
-            Step::End(s) => day.engine.handle(day.now, Input::Ended { stream: StreamId(s) }),
+            Step::End(s) => day.engine.handle(day.now, Input::StreamEnded { stream: StreamId(s) }),
             Step::Frame(s, bytes) => {
                 if let Ok(frame) = prost_decode(&bytes) {
                     day.frame(s, frame);
@@ -302,7 +302,7 @@
             Step::Probe(k, ok) => {
                 let outcome = if ok { ProbeOutcome::Ok } else { ProbeOutcome::Timeout };
                 let target = probe_target(k.into(), 0);
-                let probed = Input::Probed { target, outcome, latency: 5, load: vec![] };
+                let probed = Input::ProbeResult { target, outcome, latency: 5, load: vec![] };
                 day.engine.handle(day.now, probed);
             }
             Step::Wait(span) => day.run(span),
--- a/crates/stepspur-conductor/tests/faults.rs
+++ b/crates/stepspur-conductor/tests/faults.rs
@@ -10,7 +10,7 @@
 use common::{address, all, config, hello, nodes, probe_target, with_state};
 use stepspur::interface::{EndpointState, ListUpdate, ProbeOutcome};
 use stepspur_conductor::config::{Config, EffectConfig, Source};
-use stepspur_conductor::engine::{Input, NodeEntry, Note, Operation, Output, StreamId};
+use stepspur_conductor::engine::{DiscoveredEndpoint, Input, LogEvent, Operation, Output, StreamId};
 use stepspur_proto::{FromProxy, from_proxy, v1};
 
 /// Two classes more, so that the rule on effects has something to find: repeats are dropped for long enough, or not.
@@ -40,20 +40,20 @@
     all(k).into_iter().filter(|a| a.port() % 2 == 0).collect()
 }
 
-fn change(k: usize, state: EndpointState) -> Vec<NodeEntry> {
+fn change(k: usize, state: EndpointState) -> Vec<DiscoveredEndpoint> {
     vec![with_state(nodes(k + 1), k, state).swap_remove(k)]
 }
 
-fn gone(servers: impl IntoIterator<Item = usize>) -> Vec<NodeEntry> {
+fn gone(servers: impl IntoIterator<Item = usize>) -> Vec<DiscoveredEndpoint> {
     servers.into_iter().flat_map(|k| change(k, EndpointState::Removed)).collect()
 }
 
-fn restarted(k: usize, started: u64) -> NodeEntry {
-    NodeEntry { started, ..nodes(k + 1).swap_remove(k) }
+fn restarted(k: usize, started: u64) -> DiscoveredEndpoint {
+    DiscoveredEndpoint { started, ..nodes(k + 1).swap_remove(k) }
 }
 
 fn bad_entries(day: &Day) -> usize {
-    day.notes.iter().filter(|n| matches!(n, Note::BadEntry { .. })).count()
+    day.notes.iter().filter(|n| matches!(n, LogEvent::InvalidEntry { .. })).count()
 }
 
 /// A channel so slow that a few tables take a second to leave.
@@ -144,7 +144,7 @@
     // Nonsense values.
     weights_that_cannot_be_leave_every_proxy_its_table(classes()) |day| {
         for weight in [f64::NAN, f64::INFINITY, -1.0, 0.0, 1e308, 1e-300] {
-            let odd = nodes(8).into_iter().map(|node| NodeEntry { weight, ..node });
+            let odd = nodes(8).into_iter().map(|node| DiscoveredEndpoint { weight, ..node });
             day.say(ListUpdate::Full, odd.collect());
             day.run(5 * SECOND);
             assert!((1..5).all(|k| day.names(k).len() == 4), "weight {weight}: {:?}", day.names(1));
@@ -207,7 +207,7 @@
     a_start_told_after_the_machines_clock_was_set_back_is_cold(classes()) |day| {
         let back = 500 * SECOND;
         day.rules.truth(day.now, &[restarted(0, day.now)]);
-        day.engine.handle(day.now, Input::Wall { unix: day.now - back });
+        day.engine.handle(day.now, Input::WallClock { unix: day.now - back });
         // Told twice, the clock a little off: one start.
         for _ in 0..2 {
             day.say(ListUpdate::Delta, vec![restarted(0, day.now - back)]);
@@ -257,7 +257,7 @@
         for _ in 0..70 {
             day.outputs.clear();
             day.run(SECOND);
-            let asks = day.outputs.iter().filter(|o| matches!(o, Output::Lookup | Output::Track)).count();
+            let asks = day.outputs.iter().filter(|o| matches!(o, Output::FetchEndpoints | Output::WatchEndpoints)).count();
             // The list's text has not changed: it is told again only because it was asked for.
             (0..asks).for_each(|_| day.list(ListUpdate::Full, nodes(3)));
             asked += asks;
@@ -279,7 +279,7 @@
         day.run(SECOND);
         for state in [EndpointState::Ready, EndpointState::Draining, EndpointState::Removed] {
             for started in [early, 0] {
-                let old = NodeEntry { state, ..restarted(0, started) };
+                let old = DiscoveredEndpoint { state, ..restarted(0, started) };
                 // Without a start an event tells of no earlier one: its state counts.
                 if started > 0 || state == EndpointState::Ready {
                     day.say(ListUpdate::Delta, vec![old]);
@@ -353,7 +353,7 @@
         for _ in 0..2 {
             let (outcome, load) = (ProbeOutcome::Ok, vec![]);
             let target = probe_target(2, 0);
-            day.engine.handle(day.now, Input::Probed { target, outcome, latency: 1, load });
+            day.engine.handle(day.now, Input::ProbeResult { target, outcome, latency: 1, load });
             day.frame(1, FromProxy::new(EPOCH, 0, from_proxy::Kind::Report(report.clone())));
             day.say(ListUpdate::Delta, gone([2]));
             day.run(SECOND);
@@ -418,7 +418,7 @@
         assert_eq!(bad_entries(day), 2);
     };
     an_unknown_server_in_a_closed_zone_is_passed_over(classes()) |day| {
-        let odd = NodeEntry { zone: "closed".into(), ..restarted(9, 0) };
+        let odd = DiscoveredEndpoint { zone: "closed".into(), ..restarted(9, 0) };
         day.say(ListUpdate::Delta, vec![odd]);
         day.run(SECOND);
         assert_eq!((bad_entries(day), day.engine.stats().servers[2]), (1, 8));
@@ -428,7 +428,7 @@
         set.fleet.classes[0].own_zone = true;
         set
     }) |day| {
-        let moved = NodeEntry { zone: "b".into(), ..restarted(0, 0) };
+        let moved = DiscoveredEndpoint { zone: "b".into(), ..restarted(0, 0) };
         day.list(ListUpdate::Delta, vec![moved]);
         day.run(5 * SECOND);
         assert!(!day.names(1).contains(&address(0)) && day.names(2).contains(&address(0)));
@@ -493,7 +493,7 @@
         day.say(ListUpdate::Failed, vec![]);
         day.outputs.clear();
         day.run(30 * SECOND);
-        let asks = day.outputs.iter().filter(|o| matches!(o, Output::Track)).count();
+        let asks = day.outputs.iter().filter(|o| matches!(o, Output::WatchEndpoints)).count();
         assert!((5..30).contains(&asks), "nobody answers, so it asks on: {asks}");
         assert!((1..5).all(|k| day.names(k).len() == 4));
     };
@@ -529,7 +529,7 @@
                     day.list(ListUpdate::Delta, vec![world[k].clone()]);
                 }
                 4 => {
-                    let late = NodeEntry {
+                    let late = DiscoveredEndpoint {
                         started: 1 + dice.roll(100),
                         state: EndpointState::Removed,
                         ..world[k].clone()
@@ -560,7 +560,8 @@
                 10 => {
                     let outcome = [ProbeOutcome::Ok, ProbeOutcome::Rejected][dice.roll(2) as usize];
                     let target = probe_target(k, world[k].started);
-                    day.engine.handle(day.now, Input::Probed { target, outcome, latency: 1, load: vec![] });
+                    day.engine
+                        .handle(day.now, Input::ProbeResult { target, outcome, latency: 1, load: vec![] });
                 }
                 _ => day.say(ListUpdate::Failed, vec![]),
             }
--- a/crates/stepspur-conductor/tests/faults_service.rs
+++ b/crates/stepspur-conductor/tests/faults_service.rs
@@ -12,7 +12,9 @@
 use futures_util::SinkExt;
 use stepspur::interface::{EndpointState, ListUpdate};
 use stepspur_conductor::config::Source;
-use stepspur_conductor::source::{Ask, Feed, FileSource, HttpSource, NodeSource, Running};
+use stepspur_conductor::source::{
+    DiscoveryFuture, DiscoveryRequest, EndpointFeed, FileSource, HttpSource, ServiceDiscovery,
+};
 use stepspur_conductor::{Conductor, Config};
 use stepspur_proto::{FromConductor, FromProxy, from_proxy, split_frame, v1};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -220,11 +222,11 @@
 /// A source that tells four servers and then ends, or panics.
 struct Dies {
     panics: bool,
-    told: Arc<Mutex<Vec<Ask>>>,
+    told: Arc<Mutex<Vec<DiscoveryRequest>>>,
 }
 
-impl NodeSource for Dies {
-    fn run(self: Box<Self>, mut feed: Feed) -> Running {
+impl ServiceDiscovery for Dies {
+    fn run(self: Box<Self>, mut feed: EndpointFeed) -> DiscoveryFuture {
         Box::pin(async move {
             let ask = feed.asks.recv().await.unwrap();
             feed.news.list(ListUpdate::Full, nodes(4)).await;
--- a/crates/stepspur-conductor/tests/probes.rs
+++ b/crates/stepspur-conductor/tests/probes.rs
@@ -6,7 +6,7 @@
 use common::{address, config, nodes};
 use stepspur::interface::{EndpointState, ListUpdate, ProbeOutcome};
 use stepspur_conductor::config::Config;
-use stepspur_conductor::engine::{Input, NodeEntry, Note, Output, ProbeTarget, named_id};
+use stepspur_conductor::engine::{DiscoveredEndpoint, Input, LogEvent, Output, ProbeTarget, named_id};
 
 /// Failed probes in a row that take a server out.
 const FAILURES: usize = 3;
@@ -18,8 +18,8 @@
 }
 
 /// A ready server of this name at the place's address.
-fn named(name: &str, place: usize) -> NodeEntry {
-    NodeEntry { name: Some(name.into()), ..nodes(place + 1).swap_remove(place) }
+fn named(name: &str, place: usize) -> DiscoveredEndpoint {
+    DiscoveredEndpoint { name: Some(name.into()), ..nodes(place + 1).swap_remove(place) }
 }
 
 /// Four servers, and as many probes of the first as take a server out, unanswered yet.
@@ -44,18 +44,18 @@
 
 fn fail(day: &mut Day, target: ProbeTarget) {
     let outcome = ProbeOutcome::Timeout;
-    day.engine.handle(day.now, Input::Probed { target, outcome, latency: SECOND, load: vec![] });
+    day.engine.handle(day.now, Input::ProbeResult { target, outcome, latency: SECOND, load: vec![] });
 }
 
 /// True: the decisions have taken this server out.
 fn is_withdrawn(day: &Day, name: &str) -> bool {
     let text = format!("withdraw {name}: probes fail");
-    day.notes.contains(&Note::Decision(text))
+    day.notes.contains(&LogEvent::Decision(text))
 }
 
 #[test]
 fn outcomes_do_not_count_for_another_server_that_takes_the_address() {
-    let gone = NodeEntry { state: EndpointState::Removed, ..named("s0", 0) };
+    let gone = DiscoveredEndpoint { state: EndpointState::Removed, ..named("s0", 0) };
     let changes = [
         ("gone", vec![gone, named("new", 0)]),
         ("moved", vec![named("s0", 7), named("new", 0)]),
@@ -77,9 +77,9 @@
 /// A process that is gone answers for none that has its name now; the decisions are owed an outcome all the same.
 #[test]
 fn a_server_that_moved_or_restarted_is_probed_again_once() {
-    let restarted = |day: &Day| NodeEntry { started: day.now, ..named("s0", 0) };
+    let restarted = |day: &Day| DiscoveredEndpoint { started: day.now, ..named("s0", 0) };
     let moved = |_: &Day| named("s0", 7);
-    for (what, change) in [("restarted", restarted as fn(&Day) -> NodeEntry), ("moved", moved)] {
+    for (what, change) in [("restarted", restarted as fn(&Day) -> DiscoveredEndpoint), ("moved", moved)] {
         let (mut day, held) = probes_under_way();
         let change = change(&day);
         day.list(ListUpdate::Delta, vec![change.clone()]);
@@ -103,10 +103,10 @@
 fn outcomes_count_where_a_start_is_told_again_by_another_clock() {
     let (mut day, _) = probes_under_way();
     let started = day.now;
-    day.list(ListUpdate::Delta, vec![NodeEntry { started, ..named("s0", 0) }]);
+    day.list(ListUpdate::Delta, vec![DiscoveredEndpoint { started, ..named("s0", 0) }]);
     day.run(2 * SECOND);
     let target = probes_of(&day, 0).pop().unwrap();
-    day.list(ListUpdate::Delta, vec![NodeEntry { started: started + SECOND / 2, ..named("s0", 0) }]);
+    day.list(ListUpdate::Delta, vec![DiscoveredEndpoint { started: started + SECOND / 2, ..named("s0", 0) }]);
     (0..FAILURES).for_each(|_| fail(&mut day, target));
     day.run(SECOND / 2);
     assert!(is_withdrawn(&day, "s0"), "{:?}", day.notes);
@@ -116,7 +116,7 @@
 #[test]
 fn a_server_that_moved_and_is_gone_is_not_probed_again() {
     let (mut day, held) = probes_under_way();
-    day.list(ListUpdate::Delta, vec![NodeEntry { state: EndpointState::Removed, ..named("s0", 7) }]);
+    day.list(ListUpdate::Delta, vec![DiscoveredEndpoint { state: EndpointState::Removed, ..named("s0", 7) }]);
     held.into_iter().for_each(|target| fail(&mut day, target));
     day.run(2 * SECOND);
     assert_eq!(probes_of(&day, 7), []);
--- a/crates/stepspur-consensus-node/src/config.rs
+++ b/crates/stepspur-consensus-node/src/config.rs
@@ -23,7 +23,7 @@
     /// This conductor's number, never used twice: one whose disk is lost is replaced by another number.
     #[garde(range(min = 1))]
     pub id: u64,
-    /// The state file, made by `stepspur council found`. Without it this conductor only follows.
+    /// The state file, made by `stepspur council bootstrap`. Without it this conductor only follows.
     #[garde(skip)]
     pub state: PathBuf,
     /// All conductors of the council, this one too, alike in all their settings. The first council is of these.
@@ -172,11 +172,11 @@
         let disk = match opened {
             Ok(Ok((store, stored))) => Some((Box::new(store) as Box<dyn Storage>, stored)),
             Ok(Err(cause)) => {
-                tracing::error!(event = "council_without_state", member = %MemberId(self.id), %cause);
+                tracing::error!(event = "consensus_without_storage", member = %MemberId(self.id), %cause);
                 None
             }
             Err(cause) => {
-                tracing::error!(event = "council_without_state", member = %MemberId(self.id), %cause);
+                tracing::error!(event = "consensus_without_storage", member = %MemberId(self.id), %cause);
                 None
             }
         };
--- a/crates/stepspur-consensus-node/src/handle.rs
+++ b/crates/stepspur-consensus-node/src/handle.rs
@@ -128,7 +128,7 @@
             dropped: 0,
         };
         tasks.spawn(task.run(Inputs { messages, requests, saves, stop: stop.clone() }));
-        tracing::info!(event = "council_started", member = %set.id, %address);
+        tracing::info!(event = "consensus_started", member = %set.id, %address);
         let stop_on_drop = stop.clone().drop_guard();
         Ok(Self {
             address,
--- a/crates/stepspur-consensus-node/src/listener.rs
+++ b/crates/stepspur-consensus-node/src/listener.rs
@@ -82,7 +82,7 @@
                 end = read => end,
             };
             if let Err(refused) = end {
-                tracing::warn!(event = "peer_refused", why = %refused);
+                tracing::warn!(event = "peer_rejected", why = %refused);
             }
         });
     }
--- a/crates/stepspur-consensus-node/src/task.rs
+++ b/crates/stepspur-consensus-node/src/task.rs
@@ -106,7 +106,7 @@
         if let Some(storage) = self.storage.take()
             && timeout(LEFT_BEHIND, storage.close()).await.is_err()
         {
-            tracing::error!(event = "storage_left_behind", member = %self.id);
+            tracing::error!(event = "storage_shutdown_timeout", member = %self.id);
         }
     }
 
@@ -210,7 +210,7 @@
                     }
                 }
                 Output::Changed(changed) => events::duty_changed(self.id, &changed),
-                Output::Note(note) => events::council_note(self.id, &note),
+                Output::Log(note) => events::council_note(self.id, &note),
             }
         }
     }
--- a/crates/stepspur-consensus/src/member.rs
+++ b/crates/stepspur-consensus/src/member.rs
@@ -350,7 +350,7 @@
                         }
                     }
                 }
-                Effect::Note(note) => self.out.push(Output::Note(note)),
+                Effect::Note(note) => self.out.push(Output::Log(note)),
             }
         }
         match (self.core.is_leader(), &self.keeper) {
--- a/crates/stepspur-consensus/src/peer.rs
+++ b/crates/stepspur-consensus/src/peer.rs
@@ -92,7 +92,7 @@
     /// A read that was asked for by [`Member::read`] counts once the entry is applied here; none: ask again.
     Read(u64, Option<Index>),
     /// For the log.
-    Note(Note),
+    Log(Note),
 }
 
 /// A request that waits until it is sure that its leader leads.
--- a/crates/stepspur-consensus/tests/world/mod.rs
+++ b/crates/stepspur-consensus/tests/world/mod.rs
@@ -435,11 +435,11 @@
                     self.changes += 1;
                 }
                 Output::Read(..) => {}
-                Output::Note(Note::Leads { term }) => {
+                Output::Log(Note::Leads { term }) => {
                     let first = *self.leaders.entry(term).or_insert(k);
                     self.need(first == k, || format!("{first} and {k} lead in term {term}"));
                 }
-                Output::Changed(_) | Output::Note(_) => {}
+                Output::Changed(_) | Output::Log(_) => {}
             }
         }
         self.judge_state(k);
--- a/crates/stepspur-distribution/src/control/collector.rs
+++ b/crates/stepspur-distribution/src/control/collector.rs
@@ -130,7 +130,7 @@
         let count = |is: fn(&Place) -> bool| self.places.values().filter(|place| is(place)).count();
         let behind = count(|place| matches!(place, Place::Behind(_)));
         let detached = count(|place| matches!(place, Place::Detached(_)));
-        tracing::debug!(event = "config_summary_taken", control, evaluated = %self.evaluated, behind, detached);
+        tracing::debug!(event = "config_summary_received", control, evaluated = %self.evaluated, behind, detached);
     }
 }
 
--- a/crates/stepspur-distribution/src/control/reporter.rs
+++ b/crates/stepspur-distribution/src/control/reporter.rs
@@ -73,7 +73,7 @@
     match told.await {
         Ok(report) => Some(report),
         Err(cause) => {
-            tracing::warn!(event = "config_summary_not_told", leader, cause);
+            tracing::warn!(event = "config_summary_not_sent", leader, cause);
             None
         }
     }
--- a/crates/stepspur-distribution/src/control/session.rs
+++ b/crates/stepspur-distribution/src/control/session.rs
@@ -114,7 +114,7 @@
     reader: Reader,
     writer: Writer,
 ) -> Result<(), ConnectionFault> {
-    tracing::info!(event = "config_subscriber_refused", detail = refusal.detail);
+    tracing::info!(event = "config_subscriber_rejected", detail = refusal.detail);
     let frame = if refusal.elsewhere {
         messages::redirect(refusal.detail, &member.others, REDIRECT_AFTER)
     } else {
--- a/crates/stepspur-distribution/src/subscriber/keeper.rs
+++ b/crates/stepspur-distribution/src/subscriber/keeper.rs
@@ -242,7 +242,7 @@
             // Tried again after the next span: nothing is lost but the time.
             Err(cause) => {
                 self.saved_at = Instant::now();
-                tracing::warn!(event = "covered_version_not_kept", %cause);
+                tracing::warn!(event = "covered_version_not_stored", %cause);
             }
         }
     }
--- a/crates/stepspur-emulator/src/identity.rs
+++ b/crates/stepspur-emulator/src/identity.rs
@@ -6,7 +6,7 @@
 
 use stepspur_conductor::config::Identity;
 use stepspur_identity::keys::{
-    AnchorEntry, KeyFault, KeyId, KeyState, Manifest, ServerEntry, Signer, write_manifest,
+    AnchorEntry, KeyError, KeyId, KeyState, Manifest, ServerEntry, Signer, write_manifest,
 };
 use stepspur_identity::pki::{Authority, Leaf};
 use stepspur_identity::rights::Rights;
@@ -35,16 +35,16 @@
     ///
     /// # Errors
     /// A folder that cannot be written.
-    pub fn new() -> Result<Self, KeyFault> {
+    pub fn new() -> Result<Self, KeyError> {
         let nanos = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_nanos();
         let folder = std::env::temp_dir().join(format!("stepspur-keys-{}-{nanos}", std::process::id()));
-        let failed = |e: std::io::Error| KeyFault { file: folder.display().to_string(), what: e.to_string() };
+        let failed = |e: std::io::Error| KeyError { file: folder.display().to_string(), what: e.to_string() };
         std::fs::create_dir_all(&folder).map_err(failed)?;
         let (authority, _) = Authority::new("rehearsal")?;
         std::fs::write(folder.join("ca.pem"), authority.pem()).map_err(failed)?;
         let server = authority.issue(&Leaf::Server(vec![[127, 0, 0, 1].into()]), now() - 60, DAY)?;
         server.save(&folder, "server")?;
-        let id = KeyId::try_from("day".to_owned()).map_err(|what| KeyFault { file: "day".into(), what })?;
+        let id = KeyId::try_from("day".to_owned()).map_err(|what| KeyError { file: "day".into(), what })?;
         let signer = Signer::new(id);
         let mut manifest = Manifest {
             issuer: "rehearsal".into(),
@@ -81,7 +81,7 @@
     ///
     /// # Errors
     /// A name that makes no URI.
-    pub fn client(&self, zone: &str, name: &str) -> Result<Arc<ClientConfig>, KeyFault> {
+    pub fn client(&self, zone: &str, name: &str) -> Result<Arc<ClientConfig>, KeyError> {
         let uri = format!("stepspur://{TENANT}/proxy/{zone}/{name}");
         let own = self.authority.issue(&Leaf::Caller(uri), now() - 60, DAY)?;
         tls::client(&[self.authority.anchor()?], Some(own.for_tls()?))
--- a/crates/stepspur-emulator/src/judge.rs
+++ b/crates/stepspur-emulator/src/judge.rs
@@ -9,7 +9,7 @@
 
 use serde::Serialize;
 use stepspur_conductor::config::{EffectConfig, GroupConfig};
-use stepspur_conductor::source::{NodeRecord, NodeState};
+use stepspur_conductor::source::{EndpointRecord, EndpointRecordState};
 use stepspur_model::Micros;
 use stepspur_proto::{address_of, v1};
 
@@ -138,7 +138,7 @@
 /// What the conductor was told of a server.
 #[derive(Clone, Debug)]
 struct Told {
-    state: NodeState,
+    state: EndpointRecordState,
     /// When it was told of that state.
     at: Micros,
     started: Micros,
@@ -291,18 +291,18 @@
         self.look_for_bare(at);
     }
 
-    fn list(&mut self, at: Micros, conductor: usize, whole: bool, nodes: &[NodeRecord]) {
+    fn list(&mut self, at: Micros, conductor: usize, whole: bool, nodes: &[EndpointRecord]) {
         let all = self.told.entry(conductor).or_default();
         let named: BTreeSet<_> = nodes.iter().map(|n| n.address).collect();
         if whole && !self.figures.drain_binds_alone {
             let ready: Vec<_> =
-                all.iter().filter(|(_, t)| t.state == NodeState::Ready).map(|(a, _)| *a).collect();
+                all.iter().filter(|(_, t)| t.state == EndpointRecordState::Ready).map(|(a, _)| *a).collect();
             let lacking = ready.iter().filter(|a| !named.contains(a)).count();
             // A list that lacks most is not news of servers but of the list: see docs/running.md.
             if lacking as f64 <= self.figures.loss_max * ready.len() as f64 {
                 for (_, told) in all.iter_mut().filter(|(a, _)| !named.contains(a)) {
-                    if told.state != NodeState::Gone {
-                        (told.state, told.at) = (NodeState::Gone, at);
+                    if told.state != EndpointRecordState::Gone {
+                        (told.state, told.at) = (EndpointRecordState::Gone, at);
                     }
                 }
             }
@@ -325,7 +325,7 @@
         if self.empty.is_empty() {
             return;
         }
-        let warm = |t: &Told| t.state == NodeState::Ready && t.started + self.figures.cold <= at;
+        let warm = |t: &Told| t.state == EndpointRecordState::Ready && t.started + self.figures.cold <= at;
         let might = |conductor: &usize| self.told.get(conductor).is_some_and(|t| t.values().any(warm));
         let might: BTreeSet<usize> = self.told.keys().copied().filter(might).collect();
         let max = self.figures.unserved_max;
@@ -363,9 +363,9 @@
     fn drain(&mut self, at: Micros, arrival: &Arrival) {
         let Some(told) = self.told(arrival) else { return };
         let binds = match told.state {
-            NodeState::Ready => false,
-            NodeState::Draining => true,
-            NodeState::Gone => !self.figures.drain_binds_alone,
+            EndpointRecordState::Ready => false,
+            EndpointRecordState::Draining => true,
+            EndpointRecordState::Gone => !self.figures.drain_binds_alone,
         };
         let reads = self.proxies.get(&arrival.proxy).filter(|p| p.reads);
         let Some(joined) = reads.and_then(|p| p.joined) else { return };
--- a/crates/stepspur-emulator/src/proxy.rs
+++ b/crates/stepspur-emulator/src/proxy.rs
@@ -13,7 +13,7 @@
 use hyper_util::rt::TokioExecutor;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use stepspur_identity::keys::KeyFault;
+use stepspur_identity::keys::KeyError;
 use stepspur_model::proxy::{Proxy as Model, Spec, Tried};
 use stepspur_model::serve::{Answer, Next, Serving};
 use stepspur_proto::{Frames, FromConductor, FromProxy, VERSION, from_conductor, from_proxy, v1};
@@ -102,7 +102,7 @@
         standing: Vec<SocketAddr>,
         trace: Arc<Trace>,
         keys: Option<Arc<DayKeys>>,
-    ) -> Result<Self, KeyFault> {
+    ) -> Result<Self, KeyError> {
         let zone = plan.proxies[index].zone;
         let source = source(zone, index);
         let client = Client::builder(TokioExecutor::new())
--- a/crates/stepspur-emulator/src/registry.rs
+++ b/crates/stepspur-emulator/src/registry.rs
@@ -11,7 +11,7 @@
 use axum::routing::get;
 use axum::{Json, Router};
 use serde::Deserialize;
-use stepspur_conductor::source::{ListAnswer, NodeRecord, NodeState};
+use stepspur_conductor::source::{EndpointListResponse, EndpointRecord, EndpointRecordState};
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 use tokio::time::Instant;
@@ -24,7 +24,7 @@
 
 #[derive(Debug, Default)]
 struct Listed {
-    nodes: BTreeMap<SocketAddr, NodeRecord>,
+    nodes: BTreeMap<SocketAddr, EndpointRecord>,
     /// The version at which each last changed.
     changed: BTreeMap<SocketAddr, u64>,
     version: u64,
@@ -84,7 +84,7 @@
     }
 
     /// Servers are listed so from now on; told together.
-    pub fn set(&self, nodes: impl IntoIterator<Item = NodeRecord>) {
+    pub fn set(&self, nodes: impl IntoIterator<Item = EndpointRecord>) {
         self.change(|listed| {
             for node in nodes {
                 listed.changed.insert(node.address, listed.version);
@@ -129,18 +129,19 @@
         }
     }
 
-    fn whole(&self) -> Result<ListAnswer, StatusCode> {
+    fn whole(&self) -> Result<EndpointListResponse, StatusCode> {
         let listed = lock(&self.listed);
         if listed.down {
             return Err(StatusCode::SERVICE_UNAVAILABLE);
         }
-        let shown = |n: &&NodeRecord| n.state != NodeState::Gone && !listed.hidden.contains(&n.address);
+        let shown =
+            |n: &&EndpointRecord| n.state != EndpointRecordState::Gone && !listed.hidden.contains(&n.address);
         let nodes: Vec<_> = listed.nodes.values().filter(shown).cloned().collect();
-        Ok(ListAnswer { version: listed.version, nodes: Some(nodes), changes: None })
+        Ok(EndpointListResponse { version: listed.version, nodes: Some(nodes), changes: None })
     }
 
     /// What has changed since a version, if anything.
-    fn since(&self, version: u64) -> Result<Option<ListAnswer>, StatusCode> {
+    fn since(&self, version: u64) -> Result<Option<EndpointListResponse>, StatusCode> {
         let listed = lock(&self.listed);
         if listed.down {
             return Err(StatusCode::SERVICE_UNAVAILABLE);
@@ -153,12 +154,12 @@
         let shown = |address: &SocketAddr| {
             let mut node = listed.nodes.get(address).cloned()?;
             if listed.hidden.contains(address) {
-                node.state = NodeState::Gone;
+                node.state = EndpointRecordState::Gone;
             }
             Some(node)
         };
         let changes: Vec<_> = newer.filter_map(|(address, _)| shown(address)).collect();
-        let answer = ListAnswer { version: listed.version, nodes: None, changes: Some(changes) };
+        let answer = EndpointListResponse { version: listed.version, nodes: None, changes: Some(changes) };
         Ok((listed.version > version).then_some(answer))
     }
 
@@ -166,7 +167,7 @@
         self.waiting.send_modify(|waiting| *waiting = Waiting { polls: waiting.polls + 1, version });
     }
 
-    fn tell(&self, conductor: usize, answer: ListAnswer) -> Response {
+    fn tell(&self, conductor: usize, answer: EndpointListResponse) -> Response {
         let whole = answer.nodes.is_some();
         let nodes = answer.nodes.as_ref().or(answer.changes.as_ref()).cloned().unwrap_or_default();
         self.trace.note(Event::Told { conductor, whole, nodes: Arc::new(nodes) });
--- a/crates/stepspur-emulator/src/run/error.rs
+++ b/crates/stepspur-emulator/src/run/error.rs
@@ -1,6 +1,6 @@
 //! Errors of playing a day.
 
-use stepspur_identity::keys::KeyFault;
+use stepspur_identity::keys::KeyError;
 
 use crate::launch::LaunchError;
 
@@ -15,7 +15,7 @@
     Launch(#[from] LaunchError),
     /// The day's own keys cannot be made.
     #[error("the day's keys: {0}")]
-    Keys(#[from] KeyFault),
+    Keys(#[from] KeyError),
     /// The plan has more servers and proxies than one machine has sockets for.
     #[error("{0} servers and {1} proxies are too many for sockets on one machine: play it in virtual time")]
     TooLarge(usize, usize),
--- a/crates/stepspur-emulator/src/run/faults.rs
+++ b/crates/stepspur-emulator/src/run/faults.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use stepspur_conductor::source::{NodeRecord, NodeState};
+use stepspur_conductor::source::{EndpointRecord, EndpointRecordState};
 use stepspur_model::Micros;
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep_until};
@@ -197,8 +197,8 @@
 
     /// Lists servers that do not exist, or removes them from the list.
     fn list_nonexistent(&self, count: usize, listed: bool) {
-        let state = if listed { NodeState::Ready } else { NodeState::Gone };
-        let record = |index: usize| NodeRecord {
+        let state = if listed { EndpointRecordState::Ready } else { EndpointRecordState::Gone };
+        let record = |index: usize| EndpointRecord {
             address: SocketAddr::from(([127, 9, (index >> 8) as u8, index as u8], DISCARD_PORT)),
             zone: self.plan.zones[index % self.plan.zones.len()].0.clone(),
             state,
--- a/crates/stepspur-emulator/src/run/servers.rs
+++ b/crates/stepspur-emulator/src/run/servers.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use stepspur_conductor::source::{NodeRecord, NodeState};
+use stepspur_conductor::source::{EndpointRecord, EndpointRecordState};
 use stepspur_model::Micros;
 use tokio::time::sleep;
 
@@ -19,8 +19,8 @@
     }
 
     /// A server's entry in the node list.
-    pub fn record(&self, node: &Node, state: NodeState, started: Micros) -> NodeRecord {
-        NodeRecord {
+    pub fn record(&self, node: &Node, state: EndpointRecordState, started: Micros) -> EndpointRecord {
+        EndpointRecord {
             address: node.address,
             zone: self.plan.zones[node.zone].0.clone(),
             state,
@@ -30,7 +30,13 @@
     }
 
     /// Tells the node list a server's state, as late as `delays` times the plan's delay.
-    fn update_list_later(self: &Arc<Self>, server: usize, state: NodeState, started: Micros, delays: u32) {
+    fn update_list_later(
+        self: &Arc<Self>,
+        server: usize,
+        state: EndpointRecordState,
+        started: Micros,
+        delays: u32,
+    ) {
         let world = Arc::clone(self);
         let delay = self.plan.list_delay * delays;
         self.tasks.spawn(async move {
@@ -43,19 +49,19 @@
     /// Starts a server, cold.
     pub fn start_server(self: &Arc<Self>, server: usize) {
         self.nodes[server].start();
-        self.update_list_later(server, NodeState::Ready, self.trace.now(), 1);
+        self.update_list_later(server, EndpointRecordState::Ready, self.trace.now(), 1);
     }
 
     /// Stops a server at once.
     pub fn stop_server(self: &Arc<Self>, server: usize) {
         self.nodes[server].stop();
-        self.update_list_later(server, NodeState::Gone, 0, 1);
+        self.update_list_later(server, EndpointRecordState::Gone, 0, 1);
     }
 
     /// Drains a server.
     pub fn drain_server(self: &Arc<Self>, server: usize) {
         self.nodes[server].drain();
-        self.update_list_later(server, NodeState::Draining, 0, 1);
+        self.update_list_later(server, EndpointRecordState::Draining, 0, 1);
     }
 
     /// Stops servers at once, or starts them again.
@@ -70,7 +76,7 @@
         for server in servers {
             self.nodes[*server].silent(silent);
             if silent {
-                self.update_list_later(*server, NodeState::Gone, 0, SILENT_SERVER_DELAYS);
+                self.update_list_later(*server, EndpointRecordState::Gone, 0, SILENT_SERVER_DELAYS);
             } else {
                 self.nodes[*server].stop();
                 self.start_server(*server);
--- a/crates/stepspur-emulator/src/run/setup.rs
+++ b/crates/stepspur-emulator/src/run/setup.rs
@@ -9,8 +9,8 @@
 use rand_chacha::ChaCha8Rng;
 use stepspur_conductor::Config;
 use stepspur_conductor::config::Source;
-use stepspur_conductor::source::NodeState;
-use stepspur_identity::keys::KeyFault;
+use stepspur_conductor::source::EndpointRecordState;
+use stepspur_identity::keys::KeyError;
 use tokio::net::TcpListener;
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
@@ -80,7 +80,7 @@
     /// Lists the servers that run from the start as ready.
     fn list_initial_nodes(&self) {
         let running = self.nodes.iter().filter(|node| node.is_up());
-        self.registry.set(running.map(|node| self.record(node, NodeState::Ready, 0)));
+        self.registry.set(running.map(|node| self.record(node, EndpointRecordState::Ready, 0)));
     }
 }
 
@@ -140,7 +140,7 @@
         &self,
         nodes: &[Arc<Node>],
         keys: Option<Arc<DayKeys>>,
-    ) -> Result<Vec<Arc<Proxy>>, KeyFault> {
+    ) -> Result<Vec<Arc<Proxy>>, KeyError> {
         let mut rng = ChaCha8Rng::seed_from_u64(self.plan.seed ^ STANDING_TABLE_SEED);
         let make = |index: usize| {
             let zone = self.plan.proxies[index].zone;
--- a/crates/stepspur-emulator/src/trace.rs
+++ b/crates/stepspur-emulator/src/trace.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, SystemTime};
 
-use stepspur_conductor::source::NodeRecord;
+use stepspur_conductor::source::EndpointRecord;
 use stepspur_model::Micros;
 use stepspur_proto::v1;
 use tokio::time::Instant;
@@ -59,7 +59,7 @@
     /// A proxy read an order; what it cost in the channel.
     Order { proxy: usize, epoch: u64, order: Arc<v1::Order>, lines: f64 },
     /// The node list told a conductor: the whole list or changes.
-    Told { conductor: usize, whole: bool, nodes: Arc<Vec<NodeRecord>> },
+    Told { conductor: usize, whole: bool, nodes: Arc<Vec<EndpointRecord>> },
     /// A conductor has ended, or was told to start again.
     Conductor { conductor: usize, up: bool },
     /// A server started cold: its work a second when warm, in seconds.
--- a/crates/stepspur-emulator/tests/judge.rs
+++ b/crates/stepspur-emulator/tests/judge.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use stepspur_conductor::config::{EffectConfig, GroupConfig};
-use stepspur_conductor::source::{NodeRecord, NodeState};
+use stepspur_conductor::source::{EndpointRecord, EndpointRecordState};
 use stepspur_emulator::judge::{Figures, Rule, judge};
 use stepspur_emulator::plan::Plan;
 use stepspur_emulator::scenario::Scenario;
@@ -25,12 +25,12 @@
     SocketAddr::from(([127, 0, 0, k], 80))
 }
 
-fn node(k: u8, state: NodeState, started: u64) -> NodeRecord {
+fn node(k: u8, state: EndpointRecordState, started: u64) -> EndpointRecord {
     let zone = ["a", "b"][usize::from(k) % 2].to_owned();
-    NodeRecord { address: server(k), zone, state, weight: 1.0, started_unix_ms: started / 1000 }
+    EndpointRecord { address: server(k), zone, state, weight: 1.0, started_unix_ms: started / 1000 }
 }
 
-fn told(whole: bool, nodes: &[NodeRecord]) -> Event {
+fn told(whole: bool, nodes: &[EndpointRecord]) -> Event {
     Event::Told { conductor: 0, whole, nodes: Arc::new(nodes.to_vec()) }
 }
 
@@ -48,7 +48,7 @@
 
 /// Two servers known, proxy 0 with a standing table of both, joined.
 fn opening() -> Vec<(u64, Event)> {
-    let nodes = [node(1, NodeState::Ready, 0), node(2, NodeState::Ready, 0)];
+    let nodes = [node(1, EndpointRecordState::Ready, 0), node(2, EndpointRecordState::Ready, 0)];
     vec![
         (0, Event::ProxyStarted { proxy: 0, standing: vec![server(1), server(2)] }),
         (1, Event::Conductor { conductor: 0, up: true }),
@@ -90,7 +90,7 @@
         (5000, Event::Up { proxy: 9, conductor: 0 }),
     ];
     assert_eq!(broken(as_it_is, left), []);
-    let cold = [node(1, NodeState::Ready, BEGIN), node(2, NodeState::Draining, 0)];
+    let cold = [node(1, EndpointRecordState::Ready, BEGIN), node(2, EndpointRecordState::Draining, 0)];
     let mut all_cold = bare(3000);
     all_cold.insert(0, (50, told(true, &cold)));
     assert_eq!(broken(as_it_is, all_cold), []);
@@ -156,28 +156,28 @@
     let after = |state, at| {
         vec![(100, told(false, &[node(1, state, 0)])), (at, came(0, 1, (7, 0, 0), 0, 1.0, Came::Taken))]
     };
-    for state in [NodeState::Draining, NodeState::Gone] {
+    for state in [EndpointRecordState::Draining, EndpointRecordState::Gone] {
         assert_eq!(broken(as_it_is, after(state, 1100)), []);
         assert_eq!(broken(as_it_is, after(state, 1101)), [Rule::Drain]);
     }
     let alone = |p: &mut Plan| p.rules.drain_binds_alone = true;
-    assert_eq!(broken(alone, after(NodeState::Gone, 5000)), []);
-    assert_eq!(broken(alone, after(NodeState::Draining, 5000)), [Rule::Drain]);
+    assert_eq!(broken(alone, after(EndpointRecordState::Gone, 5000)), []);
+    assert_eq!(broken(alone, after(EndpointRecordState::Draining, 5000)), [Rule::Drain]);
     // Ready again; joined later than told; not joined; deaf.
     let with = |at, event| {
-        let mut events = after(NodeState::Draining, 3000);
+        let mut events = after(EndpointRecordState::Draining, 3000);
         events.insert(1, (at, event));
         events
     };
-    assert_eq!(broken(as_it_is, with(200, told(false, &[node(1, NodeState::Ready, 0)]))), []);
+    assert_eq!(broken(as_it_is, with(200, told(false, &[node(1, EndpointRecordState::Ready, 0)]))), []);
     assert_eq!(broken(as_it_is, with(2500, Event::Up { proxy: 0, conductor: 0 })), []);
     assert_eq!(broken(as_it_is, with(200, Event::Down { proxy: 0 })), []);
     assert_eq!(broken(as_it_is, with(200, Event::Reads { proxy: 0, on: false })), []);
     // A whole list that lacks one of two is news; one that lacks both is doubted.
-    let lacks = |nodes: &[NodeRecord]| {
+    let lacks = |nodes: &[EndpointRecord]| {
         vec![(100, told(true, nodes)), (3000, came(0, 1, (7, 0, 0), 0, 1.0, Came::Taken))]
     };
-    assert_eq!(broken(as_it_is, lacks(&[node(2, NodeState::Ready, 0)])), [Rule::Drain]);
+    assert_eq!(broken(as_it_is, lacks(&[node(2, EndpointRecordState::Ready, 0)])), [Rule::Drain]);
     assert_eq!(broken(as_it_is, lacks(&[])), []);
 }
 
@@ -192,7 +192,7 @@
             cold: Some(1_000_000_000),
         };
         let mut events =
-            vec![(100, cold), (101, told(false, &[node(1, NodeState::Ready, BEGIN + 100 * MS)]))];
+            vec![(100, cold), (101, told(false, &[node(1, EndpointRecordState::Ready, BEGIN + 100 * MS)]))];
         if !joined {
             events.push((102, Event::Down { proxy: 0 }));
         }
--- a/crates/stepspur-emulator/tests/registry.rs
+++ b/crates/stepspur-emulator/tests/registry.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use stepspur_conductor::http;
-use stepspur_conductor::source::{ListAnswer, NodeRecord, NodeState};
+use stepspur_conductor::source::{EndpointListResponse, EndpointRecord, EndpointRecordState};
 use stepspur_emulator::registry::Registry;
 use stepspur_emulator::trace::Trace;
 use tokio::net::TcpListener;
@@ -16,13 +16,19 @@
 const PATIENCE: Duration = Duration::from_secs(30);
 const LARGEST_ANSWER: usize = 1 << 16;
 
-fn ready(port: u16) -> NodeRecord {
+fn ready(port: u16) -> EndpointRecord {
     let address = SocketAddr::from(([127, 0, 0, 1], port));
-    NodeRecord { address, zone: "a".into(), state: NodeState::Ready, weight: 1.0, started_unix_ms: 0 }
+    EndpointRecord {
+        address,
+        zone: "a".into(),
+        state: EndpointRecordState::Ready,
+        weight: 1.0,
+        started_unix_ms: 0,
+    }
 }
 
 /// Asks for the list, or for changes since a version.
-async fn ask(list: SocketAddr, since: Option<u64>) -> ListAnswer {
+async fn ask(list: SocketAddr, since: Option<u64>) -> EndpointListResponse {
     let path = match since {
         Some(version) => format!("/v1/nodes?since={version}&wait_ms={}", PATIENCE.as_millis()),
         None => "/v1/nodes".to_owned(),
--- a/crates/stepspur-identity/src/door.rs
+++ b/crates/stepspur-identity/src/door.rs
@@ -10,7 +10,7 @@
 
 /// How many at once.
 #[derive(Clone, Copy, Debug)]
-pub struct Limits {
+pub struct HandshakeLimits {
     /// Handshakes under way.
     pub all: usize,
     /// Of them, those kept for known sources.
@@ -23,22 +23,22 @@
     pub known_most: usize,
 }
 
-impl Default for Limits {
+impl Default for HandshakeLimits {
     fn default() -> Self {
         Self { all: 512, kept: 256, per_stranger: 64, known_for: 3_600_000_000, known_most: 20_000 }
     }
 }
 
-/// A place at the door; give it back by [`Door::leave`].
+/// A place at the door; give it back by [`HandshakeLimiter::leave`].
 #[derive(Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct HandshakePermit {
     source: IpAddr,
     known: bool,
 }
 
 /// Why nobody may enter now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Closed {
+pub enum HandshakeRejected {
     /// No place is left.
     #[error("too many handshakes are under way")]
     All,
@@ -49,17 +49,17 @@
 
 /// The door.
 #[derive(Debug)]
-pub struct Door {
-    limits: Limits,
+pub struct HandshakeLimiter {
+    limits: HandshakeLimits,
     strangers: usize,
     known: usize,
     per_stranger: BTreeMap<IpAddr, usize>,
     proved: BTreeMap<IpAddr, Micros>,
 }
 
-impl Door {
+impl HandshakeLimiter {
     /// A door at which nobody stands.
-    pub fn new(limits: Limits) -> Self {
+    pub fn new(limits: HandshakeLimits) -> Self {
         let (per_stranger, proved) = (BTreeMap::new(), BTreeMap::new());
         Self { limits, strangers: 0, known: 0, per_stranger, proved }
     }
@@ -67,31 +67,31 @@
     /// A connection came.
     ///
     /// # Errors
-    /// See [`Closed`].
-    pub fn enter(&mut self, source: IpAddr, now: Micros) -> Result<Place, Closed> {
+    /// See [`HandshakeRejected`].
+    pub fn enter(&mut self, source: IpAddr, now: Micros) -> Result<HandshakePermit, HandshakeRejected> {
         let since = now.saturating_sub(self.limits.known_for);
         let known = self.proved.get(&source).is_some_and(|at| *at >= since);
         if self.strangers + self.known >= self.limits.all {
-            return Err(Closed::All);
+            return Err(HandshakeRejected::All);
         }
         if known {
             self.known += 1;
-            return Ok(Place { source, known });
+            return Ok(HandshakePermit { source, known });
         }
         if self.strangers >= self.limits.all.saturating_sub(self.limits.kept) {
-            return Err(Closed::All);
+            return Err(HandshakeRejected::All);
         }
         let of_source = self.per_stranger.entry(source).or_default();
         if *of_source >= self.limits.per_stranger {
-            return Err(Closed::Source);
+            return Err(HandshakeRejected::Source);
         }
         *of_source += 1;
         self.strangers += 1;
-        Ok(Place { source, known })
+        Ok(HandshakePermit { source, known })
     }
 
     /// A handshake ended; true: the caller proved who it is.
-    pub fn leave(&mut self, place: Place, proved: bool, now: Micros) {
+    pub fn leave(&mut self, place: HandshakePermit, proved: bool, now: Micros) {
         if place.known {
             self.known -= 1;
         } else {
--- a/crates/stepspur-identity/src/grant.rs
+++ b/crates/stepspur-identity/src/grant.rs
@@ -64,7 +64,7 @@
 
 /// How a grant stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum GrantStatus {
     /// It holds, and nothing need be done before that time.
     Holds {
         /// Look again then.
@@ -80,7 +80,7 @@
 }
 
 /// A caller is told to renew so long before the end.
-pub const NOTICE: Micros = 60_000_000;
+pub const EXPIRY_NOTICE: Micros = 60_000_000;
 
 impl Grant {
     /// What a caller may do who shows a certificate, a token, or both. A token's rights count where there is one;
@@ -168,15 +168,19 @@
 
     /// How the grant stands now, under these keys. A clock that jumps back lengthens no grant beyond its end, and
     /// one that jumps forward ends it: times are compared, never counted down.
-    pub fn standing(&self, keys: &KeySet, now: Micros) -> Standing {
+    pub fn status(&self, keys: &KeySet, now: Micros) -> GrantStatus {
         if self.revoked(keys) {
-            return Standing::Over(Denied::Revoked);
+            return GrantStatus::Over(Denied::Revoked);
         }
         if now >= self.until {
-            return Standing::Over(Denied::Ended);
+            return GrantStatus::Over(Denied::Ended);
         }
         let left = self.until - now;
-        if left <= NOTICE { Standing::Renew { left } } else { Standing::Holds { until: self.until - NOTICE } }
+        if left <= EXPIRY_NOTICE {
+            GrantStatus::Renew { left }
+        } else {
+            GrantStatus::Holds { until: self.until - EXPIRY_NOTICE }
+        }
     }
 
     /// A renewal in the stream: of the same caller, by rights that may differ.
--- a/crates/stepspur-identity/src/keys.rs
+++ b/crates/stepspur-identity/src/keys.rs
@@ -138,15 +138,15 @@
 /// Why a set was refused: where, and what.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{file}: {what}")]
-pub struct KeyFault {
+pub struct KeyError {
     /// The file.
     pub file: String,
     /// What is wrong with it.
     pub what: String,
 }
 
-fn fault(file: &Path, what: impl fmt::Display) -> KeyFault {
-    KeyFault { file: file.display().to_string(), what: what.to_string() }
+fn fault(file: &Path, what: impl fmt::Display) -> KeyError {
+    KeyError { file: file.display().to_string(), what: what.to_string() }
 }
 
 /// A whole set, checked. Cheap to ask; it never changes: a reload makes another.
@@ -168,14 +168,14 @@
     ///
     /// # Errors
     /// The first fault, with its file; nothing of the set is used then.
-    pub fn load(folder: &Path) -> Result<Self, KeyFault> {
+    pub fn load(folder: &Path) -> Result<Self, KeyError> {
         let path = folder.join(MANIFEST);
         let text = std::fs::read_to_string(&path).map_err(|e| fault(&path, e))?;
         let manifest: Manifest = toml::from_str(&text).map_err(|e| fault(&path, e.to_string().trim_end()))?;
         Self::build(folder, &manifest)
     }
 
-    fn build(folder: &Path, manifest: &Manifest) -> Result<Self, KeyFault> {
+    fn build(folder: &Path, manifest: &Manifest) -> Result<Self, KeyError> {
         let whole = folder.join(MANIFEST);
         if manifest.issuer.is_empty() || manifest.audience.is_empty() {
             return Err(fault(&whole, "`issuer` and `audience` are needed"));
@@ -253,7 +253,7 @@
 }
 
 /// A file that the manifest names: in its folder, nowhere else.
-fn inside(folder: &Path, file: &Path) -> Result<PathBuf, KeyFault> {
+fn inside(folder: &Path, file: &Path) -> Result<PathBuf, KeyError> {
     let mut parts = file.components();
     match (parts.next(), parts.next()) {
         (Some(std::path::Component::Normal(name)), None) => Ok(folder.join(name)),
@@ -261,7 +261,7 @@
     }
 }
 
-fn certificates(path: &Path) -> Result<Vec<CertificateDer<'static>>, KeyFault> {
+fn certificates(path: &Path) -> Result<Vec<CertificateDer<'static>>, KeyError> {
     let read = CertificateDer::pem_file_iter(path).map_err(|e| fault(path, e))?;
     let chain: Vec<_> = read.collect::<Result<_, _>>().map_err(|e| fault(path, e))?;
     if chain.is_empty() {
@@ -322,7 +322,7 @@
     ///
     /// # Errors
     /// The file's fault.
-    pub fn load(folder: &Path, id: KeyId) -> Result<Self, KeyFault> {
+    pub fn load(folder: &Path, id: KeyId) -> Result<Self, KeyError> {
         let path = folder.join(format!("{id}.key"));
         let text = Zeroizing::new(std::fs::read_to_string(&path).map_err(|e| fault(&path, e))?);
         let bytes = Zeroizing::new(BASE64.decode(text.trim()).map_err(|_| fault(&path, "no key"))?);
@@ -334,7 +334,7 @@
     ///
     /// # Errors
     /// The file's fault.
-    pub fn save(&self, folder: &Path) -> Result<(), KeyFault> {
+    pub fn save(&self, folder: &Path) -> Result<(), KeyError> {
         let text = Zeroizing::new(BASE64.encode(self.key.to_bytes()));
         write_private(&folder.join(format!("{}.key", self.id)), text.as_bytes())
     }
@@ -344,7 +344,7 @@
 ///
 /// # Errors
 /// The file's fault.
-pub fn write_private(path: &Path, bytes: &[u8]) -> Result<(), KeyFault> {
+pub fn write_private(path: &Path, bytes: &[u8]) -> Result<(), KeyError> {
     use std::os::unix::fs::OpenOptionsExt;
     let open = std::fs::OpenOptions::new().write(true).create_new(true).mode(0o600).open(path);
     let written = open.and_then(|mut file| {
@@ -358,7 +358,7 @@
 ///
 /// # Errors
 /// The file's fault.
-pub fn read_manifest(folder: &Path) -> Result<Manifest, KeyFault> {
+pub fn read_manifest(folder: &Path) -> Result<Manifest, KeyError> {
     let path = folder.join(MANIFEST);
     match std::fs::read_to_string(&path) {
         Ok(text) => toml::from_str(&text).map_err(|e| fault(&path, e.to_string().trim_end())),
@@ -371,7 +371,7 @@
 ///
 /// # Errors
 /// What the set would be refused for, or the file's fault.
-pub fn write_manifest(folder: &Path, manifest: &Manifest) -> Result<(), KeyFault> {
+pub fn write_manifest(folder: &Path, manifest: &Manifest) -> Result<(), KeyError> {
     KeySet::build(folder, manifest)?;
     let path = folder.join(MANIFEST);
     let beside = folder.join(format!("{MANIFEST}.new"));
--- a/crates/stepspur-identity/src/pki.rs
+++ b/crates/stepspur-identity/src/pki.rs
@@ -12,7 +12,7 @@
 use rustls::pki_types::{CertificateDer, PrivateKeyDer};
 use zeroize::Zeroizing;
 
-use crate::keys::{KeyFault, write_private};
+use crate::keys::{KeyError, write_private};
 
 /// For whom a certificate is.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -36,20 +36,20 @@
     ///
     /// # Errors
     /// The file's fault.
-    pub fn save(&self, folder: &Path, name: &str) -> Result<(), KeyFault> {
+    pub fn save(&self, folder: &Path, name: &str) -> Result<(), KeyError> {
         write_private(&folder.join(format!("{name}.key")), self.key.as_bytes())?;
         let path = folder.join(format!("{name}.pem"));
         std::fs::write(&path, &self.certificates)
-            .map_err(|e| KeyFault { file: path.display().to_string(), what: e.to_string() })
+            .map_err(|e| KeyError { file: path.display().to_string(), what: e.to_string() })
     }
 
     /// As TLS takes them.
     ///
     /// # Errors
     /// PEM that cannot be read.
-    pub fn for_tls(&self) -> Result<(Vec<CertificateDer<'static>>, PrivateKeyDer<'static>), KeyFault> {
+    pub fn for_tls(&self) -> Result<(Vec<CertificateDer<'static>>, PrivateKeyDer<'static>), KeyError> {
         let fault =
-            |e: rustls::pki_types::pem::Error| KeyFault { file: "issued".into(), what: e.to_string() };
+            |e: rustls::pki_types::pem::Error| KeyError { file: "issued".into(), what: e.to_string() };
         let chain = CertificateDer::pem_slice_iter(self.certificates.as_bytes());
         let chain = chain.collect::<Result<Vec<_>, _>>().map_err(fault)?;
         Ok((chain, PrivateKeyDer::from_pem_slice(self.key.as_bytes()).map_err(fault)?))
@@ -62,8 +62,8 @@
     issuer: Issuer<'static, KeyPair>,
 }
 
-fn fault(e: impl std::fmt::Display) -> KeyFault {
-    KeyFault { file: "certificate".into(), what: e.to_string() }
+fn fault(e: impl std::fmt::Display) -> KeyError {
+    KeyError { file: "certificate".into(), what: e.to_string() }
 }
 
 impl Authority {
@@ -71,7 +71,7 @@
     ///
     /// # Errors
     /// None that is known; the library's, if any.
-    pub fn new(name: &str) -> Result<(Self, Zeroizing<String>), KeyFault> {
+    pub fn new(name: &str) -> Result<(Self, Zeroizing<String>), KeyError> {
         let key = KeyPair::generate().map_err(fault)?;
         let mut params = CertificateParams::default();
         params.distinguished_name.push(DnType::CommonName, name);
@@ -86,7 +86,7 @@
     ///
     /// # Errors
     /// PEM that cannot be read.
-    pub fn load(pem: &str, key: &str) -> Result<Self, KeyFault> {
+    pub fn load(pem: &str, key: &str) -> Result<Self, KeyError> {
         let key = KeyPair::from_pem(key).map_err(fault)?;
         let issuer = Issuer::from_ca_cert_pem(pem, key).map_err(fault)?;
         Ok(Self { pem: pem.to_owned(), issuer })
@@ -101,7 +101,7 @@
     ///
     /// # Errors
     /// PEM that cannot be read.
-    pub fn anchor(&self) -> Result<CertificateDer<'static>, KeyFault> {
+    pub fn anchor(&self) -> Result<CertificateDer<'static>, KeyError> {
         CertificateDer::from_pem_slice(self.pem.as_bytes()).map_err(fault)
     }
 
@@ -109,7 +109,7 @@
     ///
     /// # Errors
     /// A name that is no URI.
-    pub fn issue(&self, leaf: &Leaf, from: u64, life: Duration) -> Result<Issued, KeyFault> {
+    pub fn issue(&self, leaf: &Leaf, from: u64, life: Duration) -> Result<Issued, KeyError> {
         let mut params = CertificateParams::default();
         let begin = rcgen::date_time_ymd(1970, 1, 1) + Duration::from_secs(from);
         (params.not_before, params.not_after) = (begin, begin + life);
--- a/crates/stepspur-identity/src/tls.rs
+++ b/crates/stepspur-identity/src/tls.rs
@@ -7,7 +7,7 @@
 use rustls::{ClientConfig, RootCertStore, ServerConfig};
 use serde::{Deserialize, Serialize};
 
-use crate::keys::{KeyFault, KeySet, MANIFEST};
+use crate::keys::{KeyError, KeySet, MANIFEST};
 
 /// What is asked of clients.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -25,11 +25,11 @@
 /// Sessions that may be taken up again without a whole handshake.
 const SESSIONS: usize = 32_768;
 
-fn fault(what: impl std::fmt::Display) -> KeyFault {
-    KeyFault { file: MANIFEST.into(), what: what.to_string() }
+fn fault(what: impl std::fmt::Display) -> KeyError {
+    KeyError { file: MANIFEST.into(), what: what.to_string() }
 }
 
-fn roots<'a>(anchors: impl Iterator<Item = &'a CertificateDer<'static>>) -> Result<RootCertStore, KeyFault> {
+fn roots<'a>(anchors: impl Iterator<Item = &'a CertificateDer<'static>>) -> Result<RootCertStore, KeyError> {
     let mut roots = RootCertStore::empty();
     for anchor in anchors {
         roots.add(anchor.clone()).map_err(|e| fault(format!("an anchor: {e}")))?;
@@ -41,7 +41,7 @@
 ///
 /// # Errors
 /// A certificate and key that don't fit, no anchors where certificates are asked for, or no server certificate.
-pub fn server(keys: &KeySet, clients: ClientCertificates) -> Result<Arc<ServerConfig>, KeyFault> {
+pub fn server(keys: &KeySet, clients: ClientCertificates) -> Result<Arc<ServerConfig>, KeyError> {
     let (chain, key) = keys.server().ok_or_else(|| fault("`server` is needed for TLS"))?;
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let builder = ServerConfig::builder_with_provider(Arc::clone(&provider));
@@ -71,7 +71,7 @@
 pub fn client(
     anchors: &[CertificateDer<'static>],
     own: Option<(Vec<CertificateDer<'static>>, PrivateKeyDer<'static>)>,
-) -> Result<Arc<ClientConfig>, KeyFault> {
+) -> Result<Arc<ClientConfig>, KeyError> {
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let builder = ClientConfig::builder_with_provider(provider);
     let builder = builder.with_protocol_versions(&[&rustls::version::TLS13]).map_err(fault)?;
--- a/crates/stepspur-identity/src/token.rs
+++ b/crates/stepspur-identity/src/token.rs
@@ -12,7 +12,7 @@
 use crate::rights::Rights;
 
 /// The longest token that is looked at, in bytes.
-pub const LONGEST: usize = 4096;
+pub const MAX_TOKEN_BYTES: usize = 4096;
 
 /// What a token says.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -157,7 +157,7 @@
 fn split(token: &[u8]) -> Result<Parts<'_>, TokenError> {
     let mut parts = token.split(|b| *b == b'.');
     match (parts.next(), parts.next(), parts.next(), parts.next()) {
-        (Some(header), Some(claims), Some(signature), None) if token.len() <= LONGEST => {
+        (Some(header), Some(claims), Some(signature), None) if token.len() <= MAX_TOKEN_BYTES => {
             Ok((header, claims, signature))
         }
         _ => Err(TokenError::Form),
--- a/crates/stepspur-identity/tests/identity.rs
+++ b/crates/stepspur-identity/tests/identity.rs
@@ -5,8 +5,8 @@
 use proptest::prelude::*;
 use rcgen::{BasicConstraints, CertificateParams, IsCa, Issuer, KeyPair, SanType, SerialNumber};
 use stepspur_identity::cert::{self, CertCaller, CertError, Role};
-use stepspur_identity::door::{Closed, Door, Limits};
-use stepspur_identity::grant::{Denied, Grant, NOTICE, Standing};
+use stepspur_identity::door::{HandshakeLimiter, HandshakeLimits, HandshakeRejected};
+use stepspur_identity::grant::{Denied, EXPIRY_NOTICE, Grant, GrantStatus};
 use stepspur_identity::keys::{
     KeyId, KeySet, KeyState, MANIFEST, Manifest, Signer, read_manifest, write_manifest,
 };
@@ -168,11 +168,11 @@
     );
     folder.write(&manifest);
     assert!(accepted(&old) && accepted(&new));
-    assert!(matches!(grant.standing(&folder.load(), NOW), Standing::Holds { .. }));
+    assert!(matches!(grant.status(&folder.load(), NOW), GrantStatus::Holds { .. }));
     manifest.signing[0].state = KeyState::Revoked;
     folder.write(&manifest);
     assert!(!accepted(&old) && accepted(&new));
-    assert_eq!(grant.standing(&folder.load(), NOW), Standing::Over(Denied::Revoked));
+    assert_eq!(grant.status(&folder.load(), NOW), GrantStatus::Over(Denied::Revoked));
 }
 
 #[test]
@@ -294,10 +294,10 @@
     assert_eq!(Grant::new(None, None, &keys), Err(Denied::Nobody));
     // Its end comes with notice; a clock that jumps forward ends it, one that jumps back gives nothing new.
     let end = NOW + 630 * SECOND;
-    assert_eq!(both.standing(&keys, NOW), Standing::Holds { until: end - NOTICE });
-    assert_eq!(both.standing(&keys, end - 5), Standing::Renew { left: 5 });
-    assert_eq!(both.standing(&keys, end), Standing::Over(Denied::Ended));
-    assert_eq!(both.standing(&keys, 0), Standing::Holds { until: end - NOTICE });
+    assert_eq!(both.status(&keys, NOW), GrantStatus::Holds { until: end - EXPIRY_NOTICE });
+    assert_eq!(both.status(&keys, end - 5), GrantStatus::Renew { left: 5 });
+    assert_eq!(both.status(&keys, end), GrantStatus::Over(Denied::Ended));
+    assert_eq!(both.status(&keys, 0), GrantStatus::Holds { until: end - EXPIRY_NOTICE });
     // Renewed in the stream by its own newer token alone.
     let mut renewed = both.clone();
     let later = token(&|c| c.exp += 600);
@@ -310,7 +310,7 @@
     // By serial, however it is written.
     manifest.revoked_serials = vec!["00:07".into()];
     folder.write(&manifest);
-    assert_eq!(both.standing(&folder.load(), NOW), Standing::Over(Denied::Revoked));
+    assert_eq!(both.status(&folder.load(), NOW), GrantStatus::Over(Denied::Revoked));
     assert_eq!(Grant::new(Some(of_cert("a")), None, &folder.load()), Err(Denied::Revoked));
 }
 
@@ -318,20 +318,24 @@
 #[test]
 fn strangers_never_take_the_places_of_known_sources() {
     let ip = |k: u8| std::net::IpAddr::from([127, 0, 0, k]);
-    let limits = Limits { all: 10, kept: 4, per_stranger: 3, known_for: 100, known_most: 2 };
-    let mut door = Door::new(limits);
+    let limits = HandshakeLimits { all: 10, kept: 4, per_stranger: 3, known_for: 100, known_most: 2 };
+    let mut door = HandshakeLimiter::new(limits);
     let place = door.enter(ip(1), 0).unwrap();
     door.leave(place, true, 0);
     let places: Vec<_> = (0..3).map(|_| door.enter(ip(2), 1).unwrap()).collect();
-    assert_eq!(door.enter(ip(2), 1), Err(Closed::Source));
+    assert_eq!(door.enter(ip(2), 1), Err(HandshakeRejected::Source));
     let more: Vec<_> = (3..6).map(|k| door.enter(ip(k), 1).unwrap()).collect();
-    assert_eq!(door.enter(ip(9), 1), Err(Closed::All), "strangers have six places");
+    assert_eq!(door.enter(ip(9), 1), Err(HandshakeRejected::All), "strangers have six places");
     let known: Vec<_> = (0..4).map(|_| door.enter(ip(1), 1).unwrap()).collect();
-    assert_eq!((door.under_way(), door.enter(ip(1), 1)), ((6, 4), Err(Closed::All)));
+    assert_eq!((door.under_way(), door.enter(ip(1), 1)), ((6, 4), Err(HandshakeRejected::All)));
     places.into_iter().chain(more).chain(known).for_each(|p| door.leave(p, false, 2));
     assert_eq!(door.under_way(), (0, 0));
     let late: Vec<_> = (0..3).map(|_| door.enter(ip(1), 101).unwrap()).collect();
-    assert_eq!(door.enter(ip(1), 101), Err(Closed::Source), "what was proved long ago is forgotten");
+    assert_eq!(
+        door.enter(ip(1), 101),
+        Err(HandshakeRejected::Source),
+        "what was proved long ago is forgotten"
+    );
     drop(late);
 }
 
--- a/crates/stepspur-platform/src/config.rs
+++ b/crates/stepspur-platform/src/config.rs
@@ -12,7 +12,7 @@
 use stepspur::interface::{AdmissionMode, Settings};
 use stepspur_conductor::Config;
 use stepspur_conductor::config::{
-    Channel, ClassConfig, Doubt, EffectConfig, Fleet, Listen, Probes, Reports, Source,
+    Channel, ClassConfig, EffectConfig, Fleet, Listen, MassRemovalGuard, Probes, Reports, Source,
 };
 
 use crate::connections::Budget;
@@ -283,7 +283,7 @@
         drain_binds_alone: settings.absence_is_advisory,
     };
     let path = if settings.load_columns.is_empty() { "/health" } else { "/status/load" };
-    let doubt = Doubt { loss_max: 1.0, confirm_after: Duration::ZERO, empty_allowed: true };
+    let doubt = MassRemovalGuard { loss_max: 1.0, confirm_after: Duration::ZERO, empty_allowed: true };
     Config {
         fleet,
         listen: Listen { address: listen, ..Listen::default() },
--- a/crates/stepspur-platform/src/dialect.rs
+++ b/crates/stepspur-platform/src/dialect.rs
@@ -5,7 +5,9 @@
 use bytes::Bytes;
 use serde::Serialize;
 use stepspur::interface::{RetryPolicy, ServerId};
-use stepspur_conductor::engine::{Admitted, Dialect, Farewell, Level, Order, ServerIds, Stamp};
+use stepspur_conductor::engine::{
+    AdmissionLevel, ClassAdmission, GoAway, ProxyProtocol, ProxyUpdate, ServerIds, UpdateStamp,
+};
 use stepspur_proto::FrameError;
 
 /// Parts of one message at most.
@@ -27,11 +29,11 @@
     }
 
     /// Classes that share a level and a way of trying again, each kind once.
-    fn levels(&self, levels: &[Level]) -> Vec<Part<'_>> {
-        let mut kinds: Vec<(Level, Vec<&str>)> = Vec::new();
+    fn levels(&self, levels: &[ClassAdmission]) -> Vec<Part<'_>> {
+        let mut kinds: Vec<(ClassAdmission, Vec<&str>)> = Vec::new();
         for level in levels {
             let Some(name) = self.classes.get(usize::from(level.class.0)) else { continue };
-            let alike = |(kind, _): &&mut (Level, Vec<&str>)| {
+            let alike = |(kind, _): &&mut (ClassAdmission, Vec<&str>)| {
                 kind.resend == level.resend && kind.admit == level.admit
             };
             match kinds.iter_mut().find(alike) {
@@ -39,7 +41,7 @@
                 None => kinds.push((*level, vec![name])),
             }
         }
-        let part = |(level, names): (Level, Vec<&'_ str>)| {
+        let part = |(level, names): (ClassAdmission, Vec<&'_ str>)| {
             let all = names.len() == self.classes.len();
             Part {
                 routes: if all { Vec::new() } else { names_of(&self.classes, &names) },
@@ -57,8 +59,14 @@
     classes.iter().map(String::as_str).filter(|class| names.contains(class)).collect()
 }
 
-impl Dialect for Lines {
-    fn order(&self, _: Stamp, order: &Order, servers: &ServerIds, _: usize) -> Result<Bytes, FrameError> {
+impl ProxyProtocol for Lines {
+    fn order(
+        &self,
+        _: UpdateStamp,
+        order: &ProxyUpdate,
+        servers: &ServerIds,
+        _: usize,
+    ) -> Result<Bytes, FrameError> {
         let usable = |weight: f32| weight.is_finite() && weight >= 0.0;
         let lines = order.lines.iter().filter(|(_, weight)| usable(*weight));
         let lines: Vec<(&str, f32)> =
@@ -99,11 +107,11 @@
     }
 
     /// Nothing is owed to a proxy: the stream's end says it all.
-    fn farewell(&self, _: Stamp, _: Farewell<'_>) -> Bytes {
+    fn go_away(&self, _: UpdateStamp, _: GoAway<'_>) -> Bytes {
         Bytes::new()
     }
 
-    fn keeps_withdrawals(&self) -> bool {
+    fn ejections_persist(&self) -> bool {
         true
     }
 }
@@ -124,12 +132,12 @@
     joined
 }
 
-fn admitted(admit: Admitted) -> f32 {
+fn admitted(admit: AdmissionLevel) -> f32 {
     match admit {
-        Admitted::All => 1.0,
-        Admitted::Share(level) | Admitted::Rate(level) if level.is_finite() => level.max(0.0),
+        AdmissionLevel::All => 1.0,
+        AdmissionLevel::Share(level) | AdmissionLevel::Rate(level) if level.is_finite() => level.max(0.0),
         // No level that is none may stop a proxy.
-        Admitted::Share(_) | Admitted::Rate(_) => 1.0,
+        AdmissionLevel::Share(_) | AdmissionLevel::Rate(_) => 1.0,
     }
 }
 
--- a/crates/stepspur-platform/src/discovery.rs
+++ b/crates/stepspur-platform/src/discovery.rs
@@ -16,9 +16,9 @@
 use serde::{Deserialize, Deserializer};
 use serde_json::Value;
 use stepspur::interface::{EndpointState, ListUpdate, Micros};
-use stepspur_conductor::engine::NodeEntry;
+use stepspur_conductor::engine::DiscoveredEndpoint;
 use stepspur_conductor::http::get;
-use stepspur_conductor::source::{Ask, Feed, NodeSource, Running};
+use stepspur_conductor::source::{DiscoveryFuture, DiscoveryRequest, EndpointFeed, ServiceDiscovery};
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinSet;
@@ -50,7 +50,7 @@
     /// True: the whole list.
     pub whole: bool,
     /// The servers.
-    pub entries: Vec<NodeEntry>,
+    pub entries: Vec<DiscoveredEndpoint>,
     /// Names whose entries make no sense otherwise.
     pub spoilt: Vec<String>,
     /// Entries without even a name.
@@ -100,8 +100,8 @@
 }
 
 impl Endpoint {
-    fn into_entry(self, name: String) -> NodeEntry {
-        NodeEntry {
+    fn into_entry(self, name: String) -> DiscoveredEndpoint {
+        DiscoveredEndpoint {
             name: Some(name),
             address: self.address,
             zone: self.zone,
@@ -126,7 +126,7 @@
     /// Who told that version; none if it was known at the start.
     told_by: Option<SocketAddr>,
     /// The entries that were last told, for those that come spoilt in a whole list.
-    told: BTreeMap<String, NodeEntry>,
+    told: BTreeMap<String, DiscoveredEndpoint>,
     ready: watch::Sender<bool>,
 }
 
@@ -198,13 +198,13 @@
     /// Discovery at the newest of these addresses. `known` is the list as last had; `ready` is told once a call
     /// was answered or has failed, within four seconds of the first.
     pub fn new(address: watch::Receiver<SocketAddr>, known: &Answer, ready: watch::Sender<bool>) -> Self {
-        let told = |entry: &NodeEntry| Some((entry.name.clone()?, entry.clone()));
+        let told = |entry: &DiscoveredEndpoint| Some((entry.name.clone()?, entry.clone()));
         let index = (known.whole && !known.entries.is_empty()).then_some(known.index);
         let told = known.entries.iter().filter_map(told).collect();
         Self { address, index, told_by: None, told, ready }
     }
 
-    async fn serve(mut self, mut feed: Feed) {
+    async fn serve(mut self, mut feed: EndpointFeed) {
         let stop = feed.stop.clone();
         let (say, mut said) = mpsc::channel(16);
         let tasks = JoinSet::new();
@@ -213,8 +213,8 @@
             loop {
                 tokio::select! {
                     ask = feed.asks.recv() => match ask {
-                        Some(Ask::Track) => self.open(&mut calls),
-                        Some(Ask::Lookup) => self.look_up(&mut calls),
+                        Some(DiscoveryRequest::Track) => self.open(&mut calls),
+                        Some(DiscoveryRequest::Lookup) => self.look_up(&mut calls),
                         None => return,
                     },
                     Some((number, what)) = said.recv() => self.take(number, what, &mut calls, &feed).await,
@@ -278,7 +278,7 @@
         }
     }
 
-    async fn take(&mut self, number: u64, what: Said, calls: &mut Calls, feed: &Feed) {
+    async fn take(&mut self, number: u64, what: Said, calls: &mut Calls, feed: &EndpointFeed) {
         let Some(call) = calls.call(number) else { return };
         let (address, seen) = (call.address, call.seen);
         if let Said::List(answer) = &what {
@@ -294,7 +294,7 @@
         }
         match what {
             Said::List(answer) if self.is_overtaken(&answer, address, seen) => {
-                tracing::debug!(event = "overtaken", index = answer.index, known = self.index);
+                tracing::debug!(event = "reply_superseded", index = answer.index, known = self.index);
                 if looked || opened {
                     feed.news.list(ListUpdate::Delta, Vec::new()).await;
                 }
@@ -302,7 +302,7 @@
             Said::List(answer) => self.tell(answer, address, feed).await,
             Said::Unchanged => feed.news.list(ListUpdate::Delta, Vec::new()).await,
             Said::Quiet => {
-                tracing::warn!(event = "watch_quiet", %address);
+                tracing::warn!(event = "watch_idle", %address);
                 return self.open(calls);
             }
             Said::Ended(cause) => {
@@ -328,10 +328,10 @@
         older && !(elsewhere && answer.whole)
     }
 
-    async fn tell(&mut self, answer: Answer, address: SocketAddr, feed: &Feed) {
+    async fn tell(&mut self, answer: Answer, address: SocketAddr, feed: &EndpointFeed) {
         let Answer { index, whole, mut entries, spoilt, nameless } = answer;
         if !spoilt.is_empty() || nameless > 0 {
-            tracing::warn!(event = "bad_entries", named = spoilt.len(), nameless);
+            tracing::warn!(event = "invalid_list_entries", named = spoilt.len(), nameless);
         }
         if !whole && self.index.is_none() {
             // Changes to a list that is not known are no list.
@@ -354,8 +354,8 @@
     }
 }
 
-impl NodeSource for Discovery {
-    fn run(self: Box<Self>, feed: Feed) -> Running {
+impl ServiceDiscovery for Discovery {
+    fn run(self: Box<Self>, feed: EndpointFeed) -> DiscoveryFuture {
         Box::pin(self.serve(feed))
     }
 }
--- a/crates/stepspur-platform/src/lib.rs
+++ b/crates/stepspur-platform/src/lib.rs
@@ -17,7 +17,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use stepspur_conductor::service::Front;
+use stepspur_conductor::service::ProtocolServer;
 use tokio::sync::watch;
 
 pub use config::{ConfigError, PlatformConfig};
@@ -26,11 +26,11 @@
 const GRACE: Duration = Duration::from_millis(300);
 
 /// What the conductor needs to serve the platform. Discovery is asked at the newest address of `discovery`.
-pub fn front(config: PlatformConfig, discovery: watch::Receiver<SocketAddr>) -> Front {
+pub fn front(config: PlatformConfig, discovery: watch::Receiver<SocketAddr>) -> ProtocolServer {
     let (ready, is_ready) = watch::channel(!config.known.entries.is_empty());
     let source = discovery::Discovery::new(discovery, &config.known, ready);
     let listener = listener::PlatformListener::new(config.catalog.clone(), config.budget, is_ready);
-    Front {
+    ProtocolServer {
         config: config.conductor,
         settings: config.settings,
         seed: config.seed,
--- a/crates/stepspur-platform/src/listener.rs
+++ b/crates/stepspur-platform/src/listener.rs
@@ -8,7 +8,7 @@
 use bytes::BytesMut;
 use stepspur_conductor::engine::{Input, StreamId};
 use stepspur_conductor::service::{
-    EngineLink, Listener, Outgoing, Outgoings, Shutdown, Waiting, lingering_close,
+    EngineHandle, Listener, OutboundMessage, QueuedMessage, SendQueueReceiver, Shutdown, lingering_close,
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
@@ -25,7 +25,7 @@
 /// A connection that is closed in order is closed in any case after this.
 const LINGER: Duration = Duration::from_millis(200);
 /// What may wait for a proxy that does not read. The platform itself resets whoever leaves 128 KiB unread.
-const WAITING: Waiting = Waiting { messages: 512, bytes: 256 << 10 };
+const WAITING: QueuedMessage = QueuedMessage { messages: 512, bytes: 256 << 10 };
 /// Heartbeats that may wait to be answered.
 const HEARTBEATS: usize = 64;
 /// Bytes written in one go, and kept for one connection at most.
@@ -45,7 +45,7 @@
         Self { catalog: Arc::new(catalog), budget, ready }
     }
 
-    async fn accept(self, listener: TcpListener, engine: EngineLink, shutdown: Shutdown) {
+    async fn accept(self, listener: TcpListener, engine: EngineHandle, shutdown: Shutdown) {
         let connections = Arc::new(Connections::new(self.budget));
         let (mut tasks, mut next) = (JoinSet::new(), 0);
         let accept = async {
@@ -100,7 +100,7 @@
     fn run(
         self: Box<Self>,
         listener: TcpListener,
-        engine: EngineLink,
+        engine: EngineHandle,
         shutdown: Shutdown,
     ) -> Pin<Box<dyn Future<Output = ()> + Send>> {
         Box::pin(self.accept(listener, engine, shutdown))
@@ -112,7 +112,7 @@
     stream: StreamId,
     catalog: Arc<Catalog>,
     connections: Arc<Connections>,
-    engine: EngineLink,
+    engine: EngineHandle,
     ready: watch::Receiver<bool>,
     cut: CancellationToken,
     stop: CancellationToken,
@@ -161,7 +161,9 @@
         let mut outgoing = None;
         if let Joined::Proxy { proxy, zone, rate, fresh } = joined {
             outgoing = engine.open(stream, WAITING, self.cut.clone()).await;
-            if outgoing.is_none() || !engine.tell(Input::Joined { stream, proxy, zone, rate, fresh }).await {
+            if outgoing.is_none()
+                || !engine.tell(Input::ProxyConnected { stream, proxy, zone, rate, fresh }).await
+            {
                 return self.close(read, write, b"").await;
             }
         }
@@ -175,7 +177,7 @@
             () = self.stop.cancelled(), if !is_proxy => true,
         };
         if is_proxy {
-            engine.tell(Input::Ended { stream }).await;
+            engine.tell(Input::StreamEnded { stream }).await;
         }
         if in_order {
             self.close(read, write, b"").await;
@@ -196,7 +198,7 @@
                     Ok(Some(line)) => line,
                     Ok(None) => break,
                     Err(cause) => {
-                        return tracing::debug!(event = "unreadable", stream = self.stream.0, %cause);
+                        return tracing::debug!(event = "unreadable_message", stream = self.stream.0, %cause);
                     }
                 };
                 match self.catalog.read(&line) {
@@ -209,7 +211,7 @@
                         self.tell(self.spoilt(joined, what)).await;
                     }
                     Err(cause) => {
-                        return tracing::debug!(event = "unreadable", stream = self.stream.0, %cause);
+                        return tracing::debug!(event = "unreadable_message", stream = self.stream.0, %cause);
                     }
                 }
             }
@@ -237,13 +239,13 @@
         let stream = self.stream;
         match (message, joined) {
             (Message::Done { proxy, mark, took }, Joined::Proxy { proxy: own, .. }) if proxy == own => {
-                Input::Applied { stream, mark, latency: Some(took) }
+                Input::Acknowledged { stream, mark, latency: Some(took) }
             }
             (Message::Upstream { server, zone, period, tries, latency, load }, _) => {
-                Input::ZoneReport { server, zone, period, tries, latency, load }
+                Input::UpstreamStats { server, zone, period, tries, latency, load }
             }
             (Message::Client { proxy, class, period, requests }, _) => {
-                Input::Usage { proxy, class, period, requests }
+                Input::ClientStats { proxy, class, period, requests }
             }
             (message, _) => self.spoilt(joined, format!("not on this stream: {message:?}")),
         }
@@ -254,7 +256,7 @@
             Joined::Collector => "a collector".to_owned(),
             Joined::Proxy { proxy, .. } => proxy.0.to_string(),
         };
-        Input::Spoilt { by, what }
+        Input::InvalidMessage { by, what }
     }
 }
 
@@ -262,7 +264,7 @@
 /// is written.
 async fn write_on(
     write: &mut OwnedWriteHalf,
-    mut outgoing: Option<Outgoings>,
+    mut outgoing: Option<SendQueueReceiver>,
     mut heartbeats: mpsc::Receiver<()>,
 ) -> bool {
     let mut go = BytesMut::new();
@@ -282,7 +284,7 @@
             Some(()) = heartbeats.recv() => go.extend_from_slice(HEARTBEAT),
         }
         while go.len() < GO && !last {
-            match outgoing.as_mut().and_then(Outgoings::try_recv) {
+            match outgoing.as_mut().and_then(SendQueueReceiver::try_recv) {
                 Some(next) => last = put(&mut go, next),
                 None => break,
             }
@@ -299,10 +301,10 @@
 }
 
 /// True: it is the last.
-fn put(go: &mut BytesMut, next: Outgoing) -> bool {
+fn put(go: &mut BytesMut, next: OutboundMessage) -> bool {
     match next {
-        Outgoing::Frame(frame) => go.extend_from_slice(&frame),
-        Outgoing::Last(frame) => {
+        OutboundMessage::Frame(frame) => go.extend_from_slice(&frame),
+        OutboundMessage::Last(frame) => {
             go.extend_from_slice(&frame);
             return true;
         }
--- a/crates/stepspur-platform/tests/endings.rs
+++ b/crates/stepspur-platform/tests/endings.rs
@@ -13,7 +13,7 @@
 use common::{Caller, SOON, StandIn, file, list, load, node};
 use serde_json::{Value, json};
 use stepspur_conductor::Conductor;
-use stepspur_conductor::engine::{Dialect, Farewell, Order, ServerIds, Stamp, Stats};
+use stepspur_conductor::engine::{GoAway, ProxyProtocol, ProxyUpdate, ServerIds, Stats, UpdateStamp};
 use stepspur_platform::{dialect, front};
 use stepspur_proto::FrameError;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -24,36 +24,48 @@
 /// The platform's lines, each order followed by so many bytes that mean nothing: no kernel holds them all.
 struct Padded(dialect::Lines, usize);
 
-impl Dialect for Padded {
-    fn order(&self, at: Stamp, order: &Order, servers: &ServerIds, most: usize) -> Result<Bytes, FrameError> {
+impl ProxyProtocol for Padded {
+    fn order(
+        &self,
+        at: UpdateStamp,
+        order: &ProxyUpdate,
+        servers: &ServerIds,
+        most: usize,
+    ) -> Result<Bytes, FrameError> {
         let mut line = self.0.order(at, order, servers, most)?.to_vec();
         let end = line.pop().into_iter();
         line.extend(std::iter::repeat_n(b' ', self.1).chain(end));
         Ok(line.into())
     }
 
-    fn farewell(&self, at: Stamp, farewell: Farewell<'_>) -> Bytes {
-        self.0.farewell(at, farewell)
+    fn go_away(&self, at: UpdateStamp, farewell: GoAway<'_>) -> Bytes {
+        self.0.go_away(at, farewell)
     }
 
-    fn keeps_withdrawals(&self) -> bool {
-        self.0.keeps_withdrawals()
+    fn ejections_persist(&self) -> bool {
+        self.0.ejections_persist()
     }
 }
 
 /// The platform's lines, worded only once the test has let go of the gate: until then the engine stands still.
 struct Gated(dialect::Lines, Mutex<std::sync::mpsc::Receiver<()>>, mpsc::Sender<()>);
 
-impl Dialect for Gated {
-    fn order(&self, at: Stamp, order: &Order, servers: &ServerIds, most: usize) -> Result<Bytes, FrameError> {
+impl ProxyProtocol for Gated {
+    fn order(
+        &self,
+        at: UpdateStamp,
+        order: &ProxyUpdate,
+        servers: &ServerIds,
+        most: usize,
+    ) -> Result<Bytes, FrameError> {
         let _ = self.2.try_send(());
         // The worker gives its other tasks away before it stands still.
         let _ = tokio::task::block_in_place(|| self.1.lock().unwrap().recv_timeout(SOON));
         self.0.order(at, order, servers, most)
     }
 
-    fn farewell(&self, at: Stamp, farewell: Farewell<'_>) -> Bytes {
-        self.0.farewell(at, farewell)
+    fn go_away(&self, at: UpdateStamp, farewell: GoAway<'_>) -> Bytes {
+        self.0.go_away(at, farewell)
     }
 }
 
