--- a/crates/stepspur-platform/tests/messages.rs
+++ b/crates/stepspur-platform/tests/messages.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use serde_json::{Value, json};
 use stepspur::interface::{ClassId, EndpointState, ListUpdate, ProxyId, ZoneId};
-use stepspur_conductor::engine::{Engine, Input, NodeEntry, Note, Output, StreamId, named_id};
+use stepspur_conductor::engine::{DiscoveredEndpoint, Engine, Input, LogEvent, Output, StreamId, named_id};
 use stepspur_platform::config::ConfigError;
 use stepspur_platform::dialect::{self, PARTS};
 use stepspur_platform::discovery::Answer;
@@ -164,7 +164,7 @@
 struct Day {
     engine: Engine,
     now: u64,
-    notes: Vec<Note>,
+    notes: Vec<LogEvent>,
 }
 
 impl Day {
@@ -178,12 +178,12 @@
 
     fn list(&mut self, how: ListUpdate, nodes: &[Value]) {
         let answer: Answer = serde_json::from_value(common::list(1, true, nodes)).unwrap();
-        self.engine.handle(self.now, Input::List { how, entries: answer.entries });
+        self.engine.handle(self.now, Input::EndpointList { how, entries: answer.entries });
     }
 
     fn join(&mut self, stream: u64, proxy: u16, fresh: bool) {
         let (stream, proxy, zone) = (StreamId(stream), ProxyId(proxy), ZoneId(proxy % 2));
-        self.engine.handle(self.now, Input::Joined { stream, proxy, zone, rate: 10.0, fresh });
+        self.engine.handle(self.now, Input::ProxyConnected { stream, proxy, zone, rate: 10.0, fresh });
     }
 
     /// What each stream is sent within a span.
@@ -195,7 +195,7 @@
                     Output::Send { stream, frame } => {
                         sent.push((stream.0, String::from_utf8(frame.to_vec()).unwrap()));
                     }
-                    Output::Note(note) => self.notes.push(note),
+                    Output::Log(note) => self.notes.push(note),
                     _ => {}
                 }
             }
@@ -291,7 +291,7 @@
     day.join(1, 0, true);
     day.run(100_000);
     assert_eq!(day.engine.stats().marks, 1);
-    let applied = |mark| Input::Applied { stream: StreamId(1), mark, latency: Some(5) };
+    let applied = |mark| Input::Acknowledged { stream: StreamId(1), mark, latency: Some(5) };
     day.engine.handle(day.now, applied(99));
     day.run(60_000_000);
     let stats = day.engine.stats();
@@ -309,7 +309,7 @@
     day.join(2, 0, false);
     let sent = day.run(100_000);
     assert!(sent.iter().all(|(stream, _)| *stream == 2) && sent[0].1.contains("\"full\":true"), "{sent:?}");
-    day.engine.handle(day.now, Input::Ended { stream: StreamId(1) });
+    day.engine.handle(day.now, Input::StreamEnded { stream: StreamId(1) });
     day.run(100_000);
     assert_eq!((day.engine.stats().joined, day.engine.stats().unbound), (1, 0));
 }
@@ -330,11 +330,12 @@
     ))
     .unwrap();
     assert_eq!((odd.entries.len(), odd.spoilt.len(), odd.nameless), (1, 1, 2));
-    let entry = NodeEntry { zone: "none".into(), name: Some("s-8".into()), ..odd.entries[0].clone() };
-    day.engine.handle(day.now, Input::List { how: ListUpdate::Delta, entries: vec![entry] });
+    let entry =
+        DiscoveredEndpoint { zone: "none".into(), name: Some("s-8".into()), ..odd.entries[0].clone() };
+    day.engine.handle(day.now, Input::EndpointList { how: ListUpdate::Delta, entries: vec![entry] });
     day.run(1000);
     assert!(
-        matches!(&day.notes[..], [.., Note::BadEntry { server, .. }] if server == "s-8"),
+        matches!(&day.notes[..], [.., LogEvent::InvalidEntry { server, .. }] if server == "s-8"),
         "{:?}",
         day.notes
     );
--- a/crates/stepspur-platform/tests/rules.rs
+++ b/crates/stepspur-platform/tests/rules.rs
@@ -59,14 +59,14 @@
             self.addresses.insert(entry.name.clone().unwrap(), entry.address);
         }
         self.rules.truth(self.now, &answer.entries);
-        self.engine.handle(self.now, Input::List { how, entries: answer.entries });
+        self.engine.handle(self.now, Input::EndpointList { how, entries: answer.entries });
     }
 
     fn join_all(&mut self, fresh: bool) {
         for proxy in 0..PROXIES {
             let (stream, proxy, zone) = (StreamId(proxy.into()), ProxyId(proxy), ZoneId(proxy % 2));
             self.rules.joined(stream.0, self.now);
-            self.engine.handle(self.now, Input::Joined { stream, proxy, zone, rate: 10.0, fresh });
+            self.engine.handle(self.now, Input::ProxyConnected { stream, proxy, zone, rate: 10.0, fresh });
         }
     }
 
@@ -119,7 +119,7 @@
                 order.levels.extend(classes.map(|(class, _)| v1::Level { class, resend, admit: None }));
             }
             if let Some(mark) = part["nonce_out"].as_u64() {
-                let applied = Input::Applied { stream, mark: mark as u32, latency: Some(1000) };
+                let applied = Input::Acknowledged { stream, mark: mark as u32, latency: Some(1000) };
                 self.engine.handle(self.now, applied);
             }
         }
--- a/crates/stepspur-scale/src/capacity/roles.rs
+++ b/crates/stepspur-scale/src/capacity/roles.rs
@@ -1,6 +1,6 @@
 //! What each role holds and spends on an ordinary day.
 
-use stepspur_conductor::source::{NodeRecord, NodeState};
+use stepspur_conductor::source::{EndpointRecord, EndpointRecordState};
 
 use super::cell::Cell;
 use super::figures::Figures;
@@ -59,10 +59,10 @@
 
 /// Bytes of a server in the HTTP list.
 pub fn entry_bytes() -> f64 {
-    let record = NodeRecord {
+    let record = EndpointRecord {
         address: (address_of(12_345), 8_080).into(),
         zone: "zone-42".into(),
-        state: NodeState::Ready,
+        state: EndpointRecordState::Ready,
         weight: 1.5,
         started_unix_ms: 1_764_000_000_000,
     };
--- a/crates/stepspur-scale/src/drains/round.rs
+++ b/crates/stepspur-scale/src/drains/round.rs
@@ -9,7 +9,7 @@
 use anyhow::{Context, ensure};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use stepspur_conductor::source::NodeState;
+use stepspur_conductor::source::EndpointRecordState;
 use stepspur_emulator::launch::Running;
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep, timeout};
@@ -198,7 +198,7 @@
         self.draining.extend(&picked);
         let pid = self.running.pid().context("the conductor has ended")?;
         let (polls, cpu, from) = (self.bench.registry.polls(), usage::thread_time(pid)?, Instant::now());
-        self.bench.set_states(picked.clone(), NodeState::Draining);
+        self.bench.set_states(picked.clone(), EndpointRecordState::Draining);
         let each =
             self.read_by_all(&picked, false, from).await.context("a drain did not reach all proxies")?;
         let cpu = usage::thread_time(pid)?.saturating_sub(cpu);
@@ -210,7 +210,7 @@
     async fn take_back(&mut self) -> anyhow::Result<()> {
         let draining = std::mem::take(&mut self.draining);
         let (polls, from) = (self.bench.registry.polls(), Instant::now());
-        self.bench.set_states(draining.clone(), NodeState::Ready);
+        self.bench.set_states(draining.clone(), EndpointRecordState::Ready);
         self.read_by_all(&draining, true, from).await.context("servers did not come back to all proxies")?;
         self.polled(polls).await
     }
--- a/crates/stepspur-scale/src/fleet/asking.rs
+++ b/crates/stepspur-scale/src/fleet/asking.rs
@@ -103,7 +103,7 @@
                     sleep(self.every).await;
                 }
                 Err(error) => {
-                    tracing::debug!(event = "standing_unknown", %version, %error);
+                    tracing::debug!(event = "rollout_status_unknown", %version, %error);
                     if since.elapsed() < ASKED_FOR {
                         self.pending.push_front((version, since));
                     }
--- a/crates/stepspur-scale/src/hollow/tests.rs
+++ b/crates/stepspur-scale/src/hollow/tests.rs
@@ -3,7 +3,7 @@
 
 use stepspur_conductor::config::Source;
 use stepspur_conductor::http;
-use stepspur_conductor::source::{NodeRecord, NodeState};
+use stepspur_conductor::source::{EndpointRecord, EndpointRecordState};
 use stepspur_emulator::Launcher;
 use stepspur_emulator::registry::Registry;
 use stepspur_emulator::trace::Trace;
@@ -28,14 +28,14 @@
         Source::Http { address, path: "/v1/nodes".into(), poll: PATIENCE, timeout: PATIENCE, doubt };
     let zones = config.fleet.zones.clone();
     let addresses: Arc<Vec<_>> = Arc::new((0..12).map(|number| (address_of(number), 80).into()).collect());
-    let node = |number: usize, state| NodeRecord {
+    let node = |number: usize, state| EndpointRecord {
         address: addresses[number],
         zone: zones[number % zones.len()].clone(),
         state,
         weight: 1.0,
         started_unix_ms: 0,
     };
-    registry.set((0..addresses.len()).map(|number| node(number, NodeState::Ready)));
+    registry.set((0..addresses.len()).map(|number| node(number, EndpointRecordState::Ready)));
     let conductor = Launcher::Inside.start(&config).await.unwrap();
     let settings = ProxySettings {
         count: 6,
@@ -48,7 +48,7 @@
     let mut proxies = HollowProxies::start(conductor.address, &settings).await.unwrap();
     proxies.bound(PATIENCE).await.unwrap();
     assert_eq!(proxies.removals(), 0);
-    registry.set((0..zones.len()).map(|number| node(number, NodeState::Draining)));
+    registry.set((0..zones.len()).map(|number| node(number, EndpointRecordState::Draining)));
     proxies.removed(6, PATIENCE).await.unwrap();
     proxies.stop().await;
     conductor.terminate().await;
--- a/crates/stepspur-scale/src/slopes/conductor.rs
+++ b/crates/stepspur-scale/src/slopes/conductor.rs
@@ -8,7 +8,7 @@
 use anyhow::Context;
 use stepspur_conductor::Config;
 use stepspur_conductor::config::Source;
-use stepspur_conductor::source::{NodeRecord, NodeState};
+use stepspur_conductor::source::{EndpointRecord, EndpointRecordState};
 use stepspur_emulator::Launcher;
 use stepspur_emulator::launch::Running;
 use stepspur_emulator::registry::Registry;
@@ -124,12 +124,12 @@
         let launcher = Launcher::Program(program);
         let addresses = Arc::new(addresses);
         let bench = Self { setup, config, launcher, registry, addresses, hollow, stop, tasks };
-        bench.set_states(0..setup.servers, NodeState::Ready);
+        bench.set_states(0..setup.servers, EndpointRecordState::Ready);
         Ok(bench)
     }
 
     /// Lists these servers in a state, all at once.
-    pub fn set_states(&self, servers: impl IntoIterator<Item = usize>, state: NodeState) {
+    pub fn set_states(&self, servers: impl IntoIterator<Item = usize>, state: EndpointRecordState) {
         self.registry.set(servers.into_iter().map(|number| self.node(number, state)));
     }
 
@@ -138,10 +138,10 @@
         self.addresses[server]
     }
 
-    fn node(&self, number: usize, state: NodeState) -> NodeRecord {
+    fn node(&self, number: usize, state: EndpointRecordState) -> EndpointRecord {
         let zones = &self.config.fleet.zones;
         let zone = zones[number % zones.len()].clone();
-        NodeRecord { address: self.addresses[number], zone, state, weight: 1.0, started_unix_ms: 0 }
+        EndpointRecord { address: self.addresses[number], zone, state, weight: 1.0, started_unix_ms: 0 }
     }
 
     /// Joins all proxies and waits until they have their tables; changes of these are told where that is wanted.
@@ -234,11 +234,11 @@
             let picked: Vec<usize> = (0..zones).map(|zone| round * zones + zone).collect();
             let told = proxies.removals();
             let (cpu, from) = (usage::thread_time(pid)?, Instant::now());
-            self.set_states(picked.clone(), NodeState::Draining);
+            self.set_states(picked.clone(), EndpointRecordState::Draining);
             proxies.removed(told + self.setup.proxies as u64, PATIENCE).await?;
             took += from.elapsed();
             spent += usage::thread_time(pid)?.saturating_sub(cpu);
-            self.set_states(picked, NodeState::Ready);
+            self.set_states(picked, EndpointRecordState::Ready);
             sleep(BETWEEN_DRAINS).await;
         }
         let mean = |sum: Duration| sum.as_secs_f64() * 1e3 / DRAINS as f64;
--- a/crates/stepspur-simulation/src/world/conductors.rs
+++ b/crates/stepspur-simulation/src/world/conductors.rs
@@ -98,12 +98,12 @@
                 }
             }
             Output::Probe { target } => self.send_probe(conductor, target),
-            Output::Track => {
+            Output::WatchEndpoints => {
                 self.conductors[conductor].tracking = true;
                 self.ask_list(conductor);
             }
-            Output::Lookup => self.ask_list(conductor),
-            Output::Note(_) => {}
+            Output::FetchEndpoints => self.ask_list(conductor),
+            Output::Log(_) => {}
         }
     }
 
--- a/crates/stepspur-simulation/src/world/list.rs
+++ b/crates/stepspur-simulation/src/world/list.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use stepspur::interface::ListUpdate;
-use stepspur_conductor::engine::{Input, NodeEntry};
-use stepspur_conductor::source::{NodeRecord, NodeState};
+use stepspur_conductor::engine::{DiscoveredEndpoint, Input};
+use stepspur_conductor::source::{EndpointRecord, EndpointRecordState};
 use stepspur_emulator::trace::Event;
 use stepspur_model::Micros;
 use stepspur_proto::v1;
@@ -20,7 +20,7 @@
 
 impl World {
     /// The list learns a server's state and start.
-    pub(super) fn list_learns(&mut self, server: usize, state: NodeState, started: Micros) {
+    pub(super) fn list_learns(&mut self, server: usize, state: EndpointRecordState, started: Micros) {
         self.servers[server].listed = Some((state, started));
         self.list_changed(vec![server]);
     }
@@ -39,9 +39,9 @@
 
     /// The list answers a conductor with all servers.
     pub(super) fn tell_whole_list(&mut self, to: ConductorLife) {
-        let mut records: Vec<NodeRecord> =
+        let mut records: Vec<EndpointRecord> =
             (0..self.servers.len()).filter_map(|server| self.record(server)).collect();
-        records.retain(|record| record.state != NodeState::Gone);
+        records.retain(|record| record.state != EndpointRecordState::Gone);
         self.tell_list(to, true, records);
     }
 
@@ -51,43 +51,46 @@
         self.tell_list(to, false, records);
     }
 
-    fn tell_list(&mut self, to: ConductorLife, whole: bool, mut records: Vec<NodeRecord>) {
+    fn tell_list(&mut self, to: ConductorLife, whole: bool, mut records: Vec<EndpointRecord>) {
         if !self.is_current(to) {
             return;
         }
         let conductor = to.conductor;
         if self.list_down {
             self.conductors[conductor].tracking = false;
-            return self
-                .handle_input(conductor, Input::List { how: ListUpdate::Failed, entries: Vec::new() });
+            return self.handle_input(
+                conductor,
+                Input::EndpointList { how: ListUpdate::Failed, entries: Vec::new() },
+            );
         }
         records.extend((0..self.ghosts).map(|ghost| self.ghost_record(ghost)));
-        let entries: Vec<NodeEntry> = records.iter().cloned().map(NodeEntry::from).collect();
+        let entries: Vec<DiscoveredEndpoint> =
+            records.iter().cloned().map(DiscoveredEndpoint::from).collect();
         self.note(Event::Told { conductor, whole, nodes: Arc::new(records) });
         let how = if whole { ListUpdate::Full } else { ListUpdate::Delta };
-        self.handle_input(conductor, Input::List { how, entries });
+        self.handle_input(conductor, Input::EndpointList { how, entries });
     }
 
     /// What the list says of a server, if it names it.
-    fn record(&self, server: usize) -> Option<NodeRecord> {
+    fn record(&self, server: usize) -> Option<EndpointRecord> {
         let state = &self.servers[server];
         let (listed, started) = state.listed?;
         let plan = &self.plan.servers[server];
-        Some(NodeRecord {
+        Some(EndpointRecord {
             address: address(server),
             zone: self.plan.zones[plan.zone].0.clone(),
-            state: if state.hidden { NodeState::Gone } else { listed },
+            state: if state.hidden { EndpointRecordState::Gone } else { listed },
             weight: plan.weight,
             started_unix_ms: started / 1000,
         })
     }
 
     /// What the list says of a server that does not exist.
-    fn ghost_record(&self, ghost: usize) -> NodeRecord {
-        NodeRecord {
+    fn ghost_record(&self, ghost: usize) -> EndpointRecord {
+        EndpointRecord {
             address: address(GHOST_PLACES + ghost),
             zone: self.plan.zones[ghost % self.plan.zones.len()].0.clone(),
-            state: NodeState::Ready,
+            state: EndpointRecordState::Ready,
             weight: 1.0,
             started_unix_ms: 0,
         }
--- a/crates/stepspur-simulation/src/world/probes.rs
+++ b/crates/stepspur-simulation/src/world/probes.rs
@@ -85,7 +85,7 @@
         let load = load.map(|load| self.load_columns(load)).unwrap_or_default();
         let Probe { from, target, sent } = probe;
         let latency = self.now - sent;
-        self.handle_input(from.conductor, Input::Probed { target, outcome, latency, load });
+        self.handle_input(from.conductor, Input::ProbeResult { target, outcome, latency, load });
     }
 
     /// A load report in the order of the settings' columns; none where one is unknown.
--- a/crates/stepspur-simulation/src/world/schedule.rs
+++ b/crates/stepspur-simulation/src/world/schedule.rs
@@ -4,7 +4,7 @@
 
 use stepspur::interface::ProbeOutcome;
 use stepspur_conductor::engine::{ProbeTarget, StreamId};
-use stepspur_conductor::source::NodeState;
+use stepspur_conductor::source::EndpointRecordState;
 use stepspur_model::Micros;
 use stepspur_model::proxy::Tried;
 use stepspur_model::server::Load;
@@ -68,7 +68,7 @@
     /// The list tells a conductor of changes of these servers.
     ListChanges(ConductorLife, Vec<usize>),
     /// The list learns a server's state and start.
-    ListLearns(usize, NodeState, Micros),
+    ListLearns(usize, EndpointRecordState, Micros),
     /// A trouble begins or ends.
     Trouble(usize, bool),
     /// The servers of a release's step begin to drain.
--- a/crates/stepspur-simulation/src/world/servers.rs
+++ b/crates/stepspur-simulation/src/world/servers.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use rand::RngExt;
-use stepspur_conductor::source::NodeState;
+use stepspur_conductor::source::EndpointRecordState;
 use stepspur_emulator::trace::Event;
 use stepspur_model::Micros;
 use stepspur_model::proxy::Tried;
@@ -88,16 +88,16 @@
             cold: (spec.warm_by == WarmBy::Time).then_some(spec.cold),
         };
         self.note(started);
-        self.list_learns_later(server, NodeState::Ready, now);
+        self.list_learns_later(server, EndpointRecordState::Ready, now);
     }
 
     /// A server's process stops.
     pub(super) fn stop_server(&mut self, server: usize) {
         self.stop_process(server);
-        self.list_learns_later(server, NodeState::Gone, 0);
+        self.list_learns_later(server, EndpointRecordState::Gone, 0);
     }
 
-    fn list_learns_later(&mut self, server: usize, state: NodeState, started: Micros) {
+    fn list_learns_later(&mut self, server: usize, state: EndpointRecordState, started: Micros) {
         let at = self.now + micros(self.plan.list_delay);
         self.schedule.put(at, Scheduled::ListLearns(server, state, started));
     }
@@ -124,7 +124,7 @@
     pub(super) fn drain_server(&mut self, server: usize) {
         self.servers[server].model.drain(self.now);
         self.schedule_server(server);
-        self.list_learns_later(server, NodeState::Draining, 0);
+        self.list_learns_later(server, EndpointRecordState::Draining, 0);
     }
 
     /// Changes what servers suffer from.
--- a/crates/stepspur-simulation/src/world/state.rs
+++ b/crates/stepspur-simulation/src/world/state.rs
@@ -5,7 +5,7 @@
 
 use rand_chacha::ChaCha8Rng;
 use stepspur_conductor::engine::{Engine, StreamId};
-use stepspur_conductor::source::NodeState;
+use stepspur_conductor::source::EndpointRecordState;
 use stepspur_emulator::plan::Lie;
 use stepspur_emulator::trace::RequestId;
 use stepspur_emulator::traffic::Drawn;
@@ -41,7 +41,7 @@
     /// Handshakes cost so many times more work, and take so much longer.
     pub handshakes: (f64, Micros),
     /// What the list says of it, if it names it.
-    pub listed: Option<(NodeState, Micros)>,
+    pub listed: Option<(EndpointRecordState, Micros)>,
     /// True: the list leaves it out by mistake.
     pub hidden: bool,
 }
@@ -62,14 +62,14 @@
             stuck: Load::default(),
             connections_divide: 1.0,
             handshakes: (1.0, 0),
-            listed: up.then_some((NodeState::Ready, 0)),
+            listed: up.then_some((EndpointRecordState::Ready, 0)),
             hidden: false,
         }
     }
 
     /// True: the list names it as ready.
     pub(super) fn is_listed_ready(&self) -> bool {
-        !self.hidden && self.listed.is_some_and(|(state, _)| state == NodeState::Ready)
+        !self.hidden && self.listed.is_some_and(|(state, _)| state == EndpointRecordState::Ready)
     }
 }
 
--- a/crates/stepspur-simulation/src/world/streams.rs
+++ b/crates/stepspur-simulation/src/world/streams.rs
@@ -87,7 +87,7 @@
             self.note(Event::Down { proxy });
         }
         if is_heard {
-            self.handle_input(conductor, Input::Ended { stream });
+            self.handle_input(conductor, Input::StreamEnded { stream });
         }
         self.redial(proxy, !was_welcomed);
     }
--- a/crates/stepspur-simulation/src/world/troubles.rs
+++ b/crates/stepspur-simulation/src/world/troubles.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use stepspur_conductor::source::NodeState;
+use stepspur_conductor::source::EndpointRecordState;
 use stepspur_emulator::plan::Trouble;
 
 use super::schedule::Scheduled;
@@ -92,7 +92,7 @@
         self.servers[server].silent = on;
         if on {
             let at = self.now + VANISHED_DELAYS * micros(self.plan.list_delay);
-            self.schedule.put(at, Scheduled::ListLearns(server, NodeState::Gone, 0));
+            self.schedule.put(at, Scheduled::ListLearns(server, EndpointRecordState::Gone, 0));
         } else {
             self.start_server(server);
         }
