--- a/crates/stepspur-cli/src/bench/bare_writes.rs
+++ b/crates/stepspur-cli/src/bench/bare_writes.rs
@@ -30,7 +30,7 @@
 const LARGEST_ANSWER: usize = 256;
 
 /// What bare writes took.
-pub struct BareWrites {
+pub(super) struct BareWrites {
     /// From the command to the streams' reading.
     pub times: Times,
     /// Processor time of the writer over all writes, in seconds.
@@ -53,7 +53,7 @@
 }
 
 /// Has the writer write to as many streams as there are proxies, as often as servers are drained.
-pub async fn measure(args: &BenchArgs) -> anyhow::Result<BareWrites> {
+pub(super) async fn measure(args: &BenchArgs) -> anyhow::Result<BareWrites> {
     let mut writer = Writer::start(drain_order()?.len(), args.proxies).await?;
     let (observer, mut observations) = mpsc::channel(OBSERVATIONS_WAITING_MOST);
     let mut streams = JoinSet::new();
@@ -127,7 +127,7 @@
 
 /// The writer's own process: a task a socket, all woken at once by a line on standard input; each writes the order and
 /// reads the answer.
-pub async fn write(bytes: usize, sockets: usize) -> anyhow::Result<End> {
+pub(super) async fn write(bytes: usize, sockets: usize) -> anyhow::Result<End> {
     let order = drain_order()?;
     anyhow::ensure!(order.len() == bytes, "another version of this program asks");
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
--- a/crates/stepspur-cli/src/bench/churn.rs
+++ b/crates/stepspur-cli/src/bench/churn.rs
@@ -33,7 +33,7 @@
 const DROPPED_WAITING_MOST: usize = 16;
 
 /// Runs the churn for so long, and prints the conductor's memory.
-pub async fn bench(args: &BenchArgs, length: Duration) -> anyhow::Result<End> {
+pub(super) async fn bench(args: &BenchArgs, length: Duration) -> anyhow::Result<End> {
     let mut conductor = BenchConductor::new(args).await?;
     conductor.config.channel.mark_timeout = MARK_TIMEOUT;
     let conductor = Arc::new(conductor);
--- a/crates/stepspur-cli/src/bench/conductor.rs
+++ b/crates/stepspur-cli/src/bench/conductor.rs
@@ -35,7 +35,7 @@
 const UNUSED_PORT: u16 = 80;
 
 /// The settings to start a conductor by, and the list of servers that it reads.
-pub struct BenchConductor {
+pub(super) struct BenchConductor {
     pub config: Config,
     pub registry: Arc<Registry>,
     launcher: Launcher,
@@ -44,7 +44,7 @@
 
 impl BenchConductor {
     /// Serves a list of servers that are all ready. No conductor runs yet.
-    pub async fn new(args: &BenchArgs) -> anyhow::Result<Self> {
+    pub(super) async fn new(args: &BenchArgs) -> anyhow::Result<Self> {
         let registry = Registry::new(Arc::new(Trace::default()));
         let listener = TcpListener::bind((std::net::Ipv4Addr::LOCALHOST, 0)).await?;
         let address = listener.local_addr()?;
@@ -58,7 +58,7 @@
     }
 
     /// Lists these servers in a state, all at once.
-    pub fn set_states(&self, servers: impl IntoIterator<Item = usize>, state: EndpointRecordState) {
+    pub(super) fn set_states(&self, servers: impl IntoIterator<Item = usize>, state: EndpointRecordState) {
         self.registry.set(servers.into_iter().map(|number| self.node(number, state)));
     }
 
@@ -69,13 +69,13 @@
     }
 
     /// The zone of the server, and of the proxy, with this number.
-    pub fn zone(&self, number: usize) -> &str {
+    pub(super) fn zone(&self, number: usize) -> &str {
         let zones = &self.config.fleet.zones;
         &zones[number % zones.len()]
     }
 
     /// The first frame of the proxy with this number.
-    pub fn hello(&self, number: usize) -> FromProxy {
+    pub(super) fn hello(&self, number: usize) -> FromProxy {
         let hello = v1::Hello {
             version: VERSION,
             name: proxy_name(number),
@@ -87,12 +87,12 @@
     }
 
     /// Starts the conductor and waits until it listens.
-    pub async fn start(&self) -> anyhow::Result<Running> {
+    pub(super) async fn start(&self) -> anyhow::Result<Running> {
         Ok(self.launcher.start(&self.config).await?)
     }
 
     /// Starts the conductor and waits until it has read the list of servers.
-    pub async fn start_with_list(&self) -> anyhow::Result<Running> {
+    pub(super) async fn start_with_list(&self) -> anyhow::Result<Running> {
         let polls = self.registry.polls();
         let running = self.start().await?;
         timeout(PATIENCE, self.registry.polled(polls))
@@ -102,7 +102,7 @@
     }
 
     /// Joins so many proxies' streams, each followed by a task of its own.
-    pub async fn join(
+    pub(super) async fn join(
         &self,
         address: SocketAddr,
         proxies: usize,
@@ -118,18 +118,18 @@
     }
 
     /// Ends the list of servers.
-    pub fn stop(&self) {
+    pub(super) fn stop(&self) {
         self.stop.cancel();
     }
 }
 
 /// The name of the proxy with this number.
-pub fn proxy_name(number: usize) -> String {
+pub(super) fn proxy_name(number: usize) -> String {
     format!("p{number}")
 }
 
 /// What a conductor that runs has used so far.
-pub fn usage(running: &Running) -> anyhow::Result<Usage> {
+pub(super) fn usage(running: &Running) -> anyhow::Result<Usage> {
     let pid = running.pid().context("the conductor has no process of its own")?;
     Ok(Usage::of(pid)?)
 }
--- a/crates/stepspur-cli/src/bench/drain.rs
+++ b/crates/stepspur-cli/src/bench/drain.rs
@@ -19,7 +19,7 @@
 const MEMORY_SETTLES: Duration = Duration::from_secs(3);
 
 /// What drains and a rejoin took.
-pub struct Drains {
+pub(super) struct Drains {
     /// From the list's change to the proxies' reading.
     pub times: Times,
     /// Processor time of the conductor over all drains, in seconds.
@@ -33,7 +33,7 @@
 }
 
 /// All proxies joined a conductor that was started anew.
-pub struct Rejoin {
+pub(super) struct Rejoin {
     /// From its start until all have their tables, in seconds.
     pub took_s: f64,
     /// Its processor time, in seconds.
@@ -41,7 +41,7 @@
 }
 
 /// Drains servers one round after the other, then kills the conductor and has all proxies join again.
-pub async fn measure(args: &BenchArgs) -> anyhow::Result<Drains> {
+pub(super) async fn measure(args: &BenchArgs) -> anyhow::Result<Drains> {
     let conductor = BenchConductor::new(args).await?;
     let running = conductor.start_with_list().await?;
     let before = usage(&running)?;
--- a/crates/stepspur-cli/src/bench/joins.rs
+++ b/crates/stepspur-cli/src/bench/joins.rs
@@ -46,7 +46,7 @@
 }
 
 /// Measures all ways of joining and prints a line of each.
-pub async fn bench(args: &BenchArgs) -> anyhow::Result<End> {
+pub(super) async fn bench(args: &BenchArgs) -> anyhow::Result<End> {
     println!(
         "{} servers, {} proxies: until the last has its table, s; the conductor's CPU, s; memory a stream, KiB",
         args.servers, args.proxies
--- a/crates/stepspur-cli/src/bench/mod.rs
+++ b/crates/stepspur-cli/src/bench/mod.rs
@@ -17,7 +17,7 @@
 use std::time::Duration;
 
 use crate::End;
-pub use settings::BenchArgs;
+pub(crate) use settings::BenchArgs;
 
 /// Whatever a bench waits for comes within this, or the bench fails.
 const PATIENCE: Duration = Duration::from_secs(120);
@@ -30,7 +30,7 @@
 ///
 /// # Errors
 /// A process that does not start or ends, and whatever does not come in time.
-pub async fn bench(args: BenchArgs) -> anyhow::Result<End> {
+pub(crate) async fn bench(args: BenchArgs) -> anyhow::Result<End> {
     if let Some(bytes) = args.bare_writer {
         return bare_writes::write(bytes, args.proxies).await;
     }
--- a/crates/stepspur-cli/src/bench/report.rs
+++ b/crates/stepspur-cli/src/bench/report.rs
@@ -9,7 +9,7 @@
 
 /// What was measured; times in milliseconds.
 #[derive(Debug, Serialize)]
-pub struct Measured {
+pub(super) struct Measured {
     servers: usize,
     proxies: usize,
     rounds: usize,
@@ -35,7 +35,7 @@
 
 impl Measured {
     /// Of drains and bare writes with the same arguments.
-    pub fn new(args: &BenchArgs, drains: &Drains, bare: &BareWrites) -> Self {
+    pub(super) fn new(args: &BenchArgs, drains: &Drains, bare: &BareWrites) -> Self {
         let (drain_last_ms, bare_last_ms) = (drains.times.last(), bare.times.last());
         let (before_kib, with_kib) = (drains.before.rss_kib, drains.with_proxies.rss_kib);
         let ms_a_round = |seconds: f64| seconds * 1e3 / args.rounds.max(1) as f64;
@@ -57,7 +57,7 @@
     }
 
     /// Prints it as JSON or as text.
-    pub fn print(&self, json: bool) -> anyhow::Result<()> {
+    pub(super) fn print(&self, json: bool) -> anyhow::Result<()> {
         if json {
             println!("{}", serde_json::to_string_pretty(self)?);
         } else {
--- a/crates/stepspur-cli/src/bench/rights.rs
+++ b/crates/stepspur-cli/src/bench/rights.rs
@@ -13,7 +13,7 @@
 const CHECKS: u32 = 10_000_000;
 
 /// Checks a right many times and prints the mean time of a check.
-pub fn print_cost(keys: &DayKeys) -> anyhow::Result<()> {
+pub(super) fn print_cost(keys: &DayKeys) -> anyhow::Result<()> {
     let set = KeySet::load(&keys.config().folder)?;
     let token = keys.token("north", "p0");
     let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH)?.as_micros() as u64;
--- a/crates/stepspur-cli/src/bench/settings.rs
+++ b/crates/stepspur-cli/src/bench/settings.rs
@@ -2,7 +2,7 @@
 
 /// What is measured.
 #[derive(Debug, clap::Args)]
-pub struct BenchArgs {
+pub(crate) struct BenchArgs {
     /// Servers that the list names.
     #[arg(long, default_value_t = 379)]
     pub servers: usize,
--- a/crates/stepspur-cli/src/bench/stream.rs
+++ b/crates/stepspur-cli/src/bench/stream.rs
@@ -15,7 +15,7 @@
 
 /// What a stream tells its measurer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Observation {
+pub(super) enum Observation {
     /// A whole table came.
     Bound,
     /// An order took servers out of the table; it was read at that time.
@@ -41,14 +41,14 @@
 }
 
 /// Follows a plain stream until it ends, from its first frame on.
-pub async fn follow(socket: TcpStream, hello: Bytes, observer: mpsc::Sender<Observation>) {
+pub(super) async fn follow(socket: TcpStream, hello: Bytes, observer: mpsc::Sender<Observation>) {
     // Without it answers wait for each other; the stream works all the same.
     let _ = socket.set_nodelay(true);
     follow_on(socket, hello, observer).await;
 }
 
 /// The same of any stream.
-pub async fn follow_on<S: AsyncRead + AsyncWrite + Unpin>(
+pub(super) async fn follow_on<S: AsyncRead + AsyncWrite + Unpin>(
     mut stream: S,
     hello: Bytes,
     observer: mpsc::Sender<Observation>,
@@ -102,7 +102,7 @@
 }
 
 /// Waits until so many streams have their tables.
-pub async fn wait_bound(
+pub(super) async fn wait_bound(
     observations: &mut mpsc::Receiver<Observation>,
     streams: usize,
 ) -> anyhow::Result<()> {
@@ -110,7 +110,7 @@
 }
 
 /// Waits until so many orders have given servers weights: those that were removed are back in the tables.
-pub async fn wait_weighted(
+pub(super) async fn wait_weighted(
     observations: &mut mpsc::Receiver<Observation>,
     streams: usize,
 ) -> anyhow::Result<()> {
@@ -136,6 +136,6 @@
 }
 
 /// Forgets what streams have told so far.
-pub fn forget(observations: &mut mpsc::Receiver<Observation>) {
+pub(super) fn forget(observations: &mut mpsc::Receiver<Observation>) {
     while observations.try_recv().is_ok() {}
 }
--- a/crates/stepspur-cli/src/bench/times.rs
+++ b/crates/stepspur-cli/src/bench/times.rs
@@ -14,23 +14,23 @@
 const DIGITS: u8 = 3;
 
 /// The median, the 99th in a hundred and the longest time, in milliseconds.
-pub type Quantiles = [f64; 3];
+pub(super) type Quantiles = [f64; 3];
 
 /// Times of rounds: to the last stream, and to each.
-pub struct Times {
+pub(super) struct Times {
     last: Histogram<u64>,
     each: Histogram<u64>,
 }
 
 impl Times {
     /// None yet.
-    pub fn new() -> anyhow::Result<Self> {
+    pub(super) fn new() -> anyhow::Result<Self> {
         let empty = || Histogram::new_with_bounds(1, LONGEST_US, DIGITS);
         Ok(Self { last: empty()?, each: empty()? })
     }
 
     /// Records one round: so many streams tell that a server was removed by an order made at `from`.
-    pub async fn collect(
+    pub(super) async fn collect(
         &mut self,
         from: Instant,
         observations: &mut mpsc::Receiver<Observation>,
@@ -47,12 +47,12 @@
     }
 
     /// To the last stream of each round.
-    pub fn last(&self) -> Quantiles {
+    pub(super) fn last(&self) -> Quantiles {
         quantiles(&self.last)
     }
 
     /// To each stream.
-    pub fn each(&self) -> Quantiles {
+    pub(super) fn each(&self) -> Quantiles {
         quantiles(&self.each)
     }
 }
--- a/crates/stepspur-cli/src/fleet.rs
+++ b/crates/stepspur-cli/src/fleet.rs
@@ -16,7 +16,7 @@
 
 /// What is played.
 #[derive(Debug, clap::Args)]
-pub struct ModelArgs {
+pub(crate) struct ModelArgs {
     /// A scenario (TOML) or a bench day (JSON).
     file: PathBuf,
     /// The seed, in place of the file's.
@@ -34,7 +34,7 @@
 }
 
 /// Plays a file in virtual time.
-pub fn model(args: &ModelArgs) -> anyhow::Result<End> {
+pub(crate) fn model(args: &ModelArgs) -> anyhow::Result<End> {
     let name = args.file.display().to_string();
     let mut options = Options::default();
     let plan: Result<Plan, String> = if args.file.extension().is_some_and(|e| e == "json") {
@@ -86,7 +86,7 @@
 
 /// What is tried.
 #[derive(Debug, clap::Args)]
-pub struct ExperimentArgs {
+pub(crate) struct ExperimentArgs {
     /// The experiment's file (TOML).
     file: PathBuf,
     /// Where results are kept; beside the file if not told. Finished runs are not played again.
@@ -104,7 +104,7 @@
 }
 
 /// Plays an experiment to its end.
-pub fn experiment(args: &ExperimentArgs) -> anyhow::Result<End> {
+pub(crate) fn experiment(args: &ExperimentArgs) -> anyhow::Result<End> {
     let results = args.results.clone().unwrap_or_else(|| args.file.with_extension("results.jsonl"));
     let lab = match Lab::open(&args.file, &results) {
         Ok(lab) => lab,
--- a/crates/stepspur-cli/src/keys.rs
+++ b/crates/stepspur-cli/src/keys.rs
@@ -17,14 +17,14 @@
 
 /// Where keys stand.
 #[derive(Debug, Args)]
-pub struct Folder {
+pub(crate) struct Folder {
     /// The folder of `identity.toml`.
     #[arg(long, default_value = "identity")]
     dir: PathBuf,
 }
 
 #[derive(Debug, Subcommand)]
-pub enum KeysCommand {
+pub(crate) enum KeysCommand {
     /// Make a folder with a first signing key, an authority and a server certificate.
     New {
         #[command(flatten)]
@@ -81,7 +81,7 @@
 }
 
 #[derive(Debug, Subcommand)]
-pub enum TokenCommand {
+pub(crate) enum TokenCommand {
     /// Issue a token, signed by the active key.
     Issue {
         #[command(flatten)]
@@ -125,7 +125,7 @@
 
 const YEARS: Duration = Duration::from_secs(86_400 * 365 * 2);
 
-pub fn keys(command: KeysCommand) -> anyhow::Result<End> {
+pub(crate) fn keys(command: KeysCommand) -> anyhow::Result<End> {
     match command {
         KeysCommand::New { folder, issuer, audience, address } => {
             let dir = folder.dir;
@@ -228,7 +228,7 @@
     Ok(())
 }
 
-pub fn token(command: TokenCommand) -> anyhow::Result<End> {
+pub(crate) fn token(command: TokenCommand) -> anyhow::Result<End> {
     match command {
         TokenCommand::Issue { folder, tenant, name, zone, rights, life } => {
             let manifest = read_manifest(&folder.dir)?;
--- a/crates/stepspur-cli/src/logs.rs
+++ b/crates/stepspur-cli/src/logs.rs
@@ -7,7 +7,7 @@
 
 /// Which log lines are written, and how.
 #[derive(Debug, Args)]
-pub struct Logs {
+pub(crate) struct Logs {
     /// What is logged: a level, or directives as `stepspur_conductor=debug`.
     #[arg(long, default_value = "info")]
     log: String,
@@ -41,7 +41,7 @@
     ///
     /// # Errors
     /// The directives cannot be parsed.
-    pub fn start(&self) -> anyhow::Result<()> {
+    pub(crate) fn start(&self) -> anyhow::Result<()> {
         let filter = EnvFilter::try_new(with_current_targets(&self.log))?;
         let subscriber = tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr);
         let subscriber = subscriber.with_ansi(std::io::stderr().is_terminal());
--- a/crates/stepspur-cli/src/model_bench.rs
+++ b/crates/stepspur-cli/src/model_bench.rs
@@ -65,7 +65,7 @@
     Ok((after - before) / SERVERS as f64)
 }
 
-pub fn bench(json: bool) -> anyhow::Result<End> {
+pub(crate) fn bench(json: bool) -> anyhow::Result<End> {
     // Memory first: what the others free would be used again unseen. The smaller before the larger.
     let server_kib = [server_kib(0)?, server_kib(20)?];
     let loads = [0.3, 0.7, 0.95];
--- a/crates/stepspur-cli/src/platform.rs
+++ b/crates/stepspur-cli/src/platform.rs
@@ -18,7 +18,7 @@
 const READINGS: u32 = 40;
 const READ_LATER: Duration = Duration::from_secs(1);
 
-pub async fn run() -> anyhow::Result<End> {
+pub(crate) async fn run() -> anyhow::Result<End> {
     // Before anything else: an unheeded SIGHUP would end the process.
     let mut hang_up = signal(SignalKind::hangup())?;
     let (mut interrupt, mut terminate) = (signal(SignalKind::interrupt())?, signal(SignalKind::terminate())?);
--- a/crates/stepspur-cli/src/play.rs
+++ b/crates/stepspur-cli/src/play.rs
@@ -15,7 +15,7 @@
 
 use crate::{End, PlayArgs};
 
-pub async fn rehearse(
+pub(crate) async fn rehearse(
     scenario: Option<PathBuf>,
     seed: Option<u64>,
     check: bool,
@@ -82,7 +82,7 @@
     })
 }
 
-pub async fn replay(day: &Path, scale: Option<f64>, args: &PlayArgs) -> anyhow::Result<End> {
+pub(crate) async fn replay(day: &Path, scale: Option<f64>, args: &PlayArgs) -> anyhow::Result<End> {
     let text = std::fs::read_to_string(day).with_context(|| day.display().to_string())?;
     let replayed = match days::read(&text, scale) {
         Ok(replayed) => replayed,
--- a/crates/stepspur-cli/src/run.rs
+++ b/crates/stepspur-cli/src/run.rs
@@ -10,7 +10,7 @@
 
 use crate::End;
 
-pub async fn run(config: Config) -> anyhow::Result<End> {
+pub(crate) async fn run(config: Config) -> anyhow::Result<End> {
     let (mut interrupt, mut terminate) = (signal(SignalKind::interrupt())?, signal(SignalKind::terminate())?);
     let source = source::from_config(&config.source);
     let mut conductor = Conductor::start(config, source).await?;
@@ -27,7 +27,7 @@
 }
 
 /// Makes the state file of a council's first member.
-pub fn bootstrap(config: &Config) -> anyhow::Result<End> {
+pub(crate) fn bootstrap(config: &Config) -> anyhow::Result<End> {
     let Some(council) = &config.council else {
         eprintln!("stepspur: the settings name no [council]");
         return Ok(End::WrongUse);
@@ -37,11 +37,11 @@
     Ok(End::Well)
 }
 
-pub async fn status(address: SocketAddr, json: bool) -> anyhow::Result<End> {
+pub(crate) async fn status(address: SocketAddr, json: bool) -> anyhow::Result<End> {
     show(address, "/v1/status", json).await
 }
 
-pub async fn council(address: SocketAddr, json: bool) -> anyhow::Result<End> {
+pub(crate) async fn council(address: SocketAddr, json: bool) -> anyhow::Result<End> {
     show(address, "/v1/council", json).await
 }
 
--- a/crates/stepspur-cli/src/settings.rs
+++ b/crates/stepspur-cli/src/settings.rs
@@ -13,7 +13,7 @@
 
 /// A fault and where it stands.
 #[derive(Clone, Debug, Serialize, PartialEq)]
-pub struct Fault {
+pub(crate) struct Fault {
     /// `file:line`, or the layer above it.
     pub place: String,
     /// The key.
@@ -29,7 +29,7 @@
 const MOST: usize = 100;
 
 /// Loads the layers.
-pub fn load(path: &Path, set: &[String]) -> Result<Config, Vec<Fault>> {
+pub(crate) fn load(path: &Path, set: &[String]) -> Result<Config, Vec<Fault>> {
     let file = path.display().to_string();
     let whole = |what: String| vec![Fault { place: file.clone(), key: String::new(), what }];
     let text = std::fs::read_to_string(path).map_err(|error| whole(error.to_string()))?;
@@ -82,7 +82,7 @@
 }
 
 /// Prints faults; they are the only output on standard output where JSON is asked for.
-pub fn show(faults: &[Fault], json: bool) -> End {
+pub(crate) fn show(faults: &[Fault], json: bool) -> End {
     if json {
         println!("{}", serde_json::to_string(faults).unwrap_or_default());
     } else {
--- a/crates/stepspur-cli/tests/common/distribution.rs
+++ b/crates/stepspur-cli/tests/common/distribution.rs
@@ -31,15 +31,15 @@
 mod loopback;
 use loopback::{free_ports, own_address};
 
-pub const PROGRAM: &str = env!("CARGO_BIN_EXE_stepspur");
+pub(crate) const PROGRAM: &str = env!("CARGO_BIN_EXE_stepspur");
 /// Every wait of a test ends after this: it is no measure of speed.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
 /// What processes log: elections, attached subscribers, each summary that a leader has taken, and how far each
 /// subscriber has come.
 const LOGGED: &str = "info,stepspur_distribution=debug";
 
 /// Ended with the test, whatever becomes of it.
-pub struct Process {
+pub(crate) struct Process {
     child: Child,
     pub listening: SocketAddr,
     pub status: SocketAddr,
@@ -81,21 +81,21 @@
     }
 
     /// Ends it in order, and gives the exit code.
-    pub fn terminate(mut self) -> Option<i32> {
+    pub(crate) fn terminate(mut self) -> Option<i32> {
         let id = self.child.id().to_string();
         assert!(Command::new("kill").args(["-TERM", &id]).status().unwrap().success());
         self.child.wait().unwrap().code()
     }
 
     /// A page of its status address: the code and the JSON.
-    pub async fn page(&self, path: &str) -> (u16, Value) {
+    pub(crate) async fn page(&self, path: &str) -> (u16, Value) {
         let asked = stepspur_conductor::http::get(self.status, path, PATIENCE, 1 << 20);
         let (code, body) = asked.await.unwrap();
         (code.as_u16(), serde_json::from_slice(&body).unwrap_or_default())
     }
 
     /// Asks for a page until it is as wanted.
-    pub async fn until(&self, path: &str, what: &str, wanted: impl Fn(&Value) -> bool) -> Value {
+    pub(crate) async fn until(&self, path: &str, what: &str, wanted: impl Fn(&Value) -> bool) -> Value {
         self.log.until(what, async || self.page(path).await.1, wanted).await
     }
 }
@@ -142,7 +142,7 @@
 }
 
 /// A folder of settings, keys and state files, with ports for so many control members.
-pub struct Fleet {
+pub(crate) struct Fleet {
     folder: TempDir,
     council: Vec<SocketAddr>,
     control: Vec<SocketAddr>,
@@ -177,7 +177,7 @@
 
 impl Fleet {
     /// Control members with keys and founded state files.
-    pub fn new(control: usize) -> Self {
+    pub(crate) fn new(control: usize) -> Self {
         let folder = tempfile::tempdir().unwrap();
         let at = own_address();
         let all = free_ports(at, 3 * control);
@@ -210,17 +210,17 @@
         fleet
     }
 
-    pub fn path(&self, name: &str) -> PathBuf {
+    pub(crate) fn path(&self, name: &str) -> PathBuf {
         self.folder.path().join(name)
     }
 
     /// Starts a process of the fleet and waits until it says where it listens.
-    pub fn start(&self, config: &Path) -> Process {
+    pub(crate) fn start(&self, config: &Path) -> Process {
         Process::start(config, &self.log)
     }
 
     /// Asks, and again whenever a process of the fleet has logged something, until the answer is as wanted.
-    pub async fn until(
+    pub(crate) async fn until(
         &self,
         what: &str,
         ask: impl AsyncFn() -> Value,
@@ -247,7 +247,7 @@
     }
 
     /// Writes the settings of a control member.
-    pub fn control_config(&self, id: usize) -> PathBuf {
+    pub(crate) fn control_config(&self, id: usize) -> PathBuf {
         let (operators, members) = (self.operators[id - 1], self.members());
         let conductors: String = (1..)
             .zip(&self.council)
@@ -268,7 +268,7 @@
     }
 
     /// Writes the settings of a subscriber of the service `shop`.
-    pub fn subscriber_config(&self, name: &str) -> PathBuf {
+    pub(crate) fn subscriber_config(&self, name: &str) -> PathBuf {
         let text = format!(
             "{base}[listen]\naddress = \"127.0.0.1:0\"\nplain_on_loopback = true\n\
              [distribution.subscriber]\nname = {name:?}\nregion = \"north\"\nstate = {state:?}\n\
@@ -281,7 +281,7 @@
     }
 
     /// Writes the settings of a control member that subscribes as well, with a second tenant: `south`.
-    pub fn control_and_subscriber_config(&self, id: usize) -> PathBuf {
+    pub(crate) fn control_and_subscriber_config(&self, id: usize) -> PathBuf {
         let control = std::fs::read_to_string(self.control_config(id)).unwrap();
         let (fleet, _) = BASE.split_once("[probes]").unwrap();
         let south = fleet.replace("[fleet", "[tenants.south.fleet");
@@ -303,12 +303,12 @@
         path
     }
 
-    pub fn audit(&self, id: usize) -> String {
+    pub(crate) fn audit(&self, id: usize) -> String {
         std::fs::read_to_string(self.path(&format!("audit-{id}.jsonl"))).unwrap_or_default()
     }
 
     /// A token of the tenant with these rights.
-    pub fn token(&self, tenant: &str, rights: &[&str]) -> String {
+    pub(crate) fn token(&self, tenant: &str, rights: &[&str]) -> String {
         let dir = self.path("identity");
         let mut args = vec!["token", "issue", "--dir", dir.to_str().unwrap()];
         args.extend(["--tenant", tenant, "--name", "olga"]);
@@ -323,18 +323,18 @@
     }
 
     /// A proxy of a tenant, by TLS with a token.
-    pub async fn join(&self, address: SocketAddr, tenant: &str) -> Proxy {
+    pub(crate) async fn join(&self, address: SocketAddr, tenant: &str) -> Proxy {
         let token = self.token(tenant, &["join", "read_tables", "report"]);
         Proxy::join_on(self.dial(address).await.unwrap(), "olga", token).await
     }
 
     /// An operator's call at a control member: the code and the answer.
-    pub async fn call(&self, id: usize, token: &str, line: &str, body: &str) -> (u16, Value) {
+    pub(crate) async fn call(&self, id: usize, token: &str, line: &str, body: &str) -> (u16, Value) {
         self.try_call(id, token, line, body).await.unwrap()
     }
 
     /// As [`Fleet::call`]; a member that is not there is an error.
-    pub async fn try_call(
+    pub(crate) async fn try_call(
         &self,
         id: usize,
         token: &str,
@@ -415,13 +415,13 @@
 }
 
 /// A proxy's stream: it answers marks and pings, and shows what it was ordered.
-pub struct Proxy {
+pub(crate) struct Proxy {
     ordered: watch::Receiver<Ordered>,
     _task: AbortOnDropHandle<()>,
 }
 
 impl Proxy {
-    pub async fn join(address: SocketAddr, name: &str) -> Self {
+    pub(crate) async fn join(address: SocketAddr, name: &str) -> Self {
         Self::join_on(TcpStream::connect(address).await.unwrap(), name, String::new()).await
     }
 
@@ -446,17 +446,17 @@
     }
 
     /// The share of a class that holds now.
-    pub fn share(&self, class: usize) -> f32 {
+    pub(crate) fn share(&self, class: usize) -> f32 {
         self.ordered.borrow().shares[class]
     }
 
     /// Waits until a class has this share.
-    pub async fn until_share(&mut self, class: usize, share: f32) {
+    pub(crate) async fn until_share(&mut self, class: usize, share: f32) {
         self.until(&format!("class {class} at {share}"), |ordered| ordered.shares[class] == share).await;
     }
 
     /// Waits until it sends to the server of this port, or keeps from it.
-    pub async fn until_used(&mut self, port: u32, used: bool) {
+    pub(crate) async fn until_used(&mut self, port: u32, used: bool) {
         let wanted = |ordered: &Ordered| {
             !ordered.used.is_empty()
                 && used == (ordered.used.contains(&port) && !ordered.withdrawn.contains(&port))
@@ -465,7 +465,7 @@
     }
 
     /// True: it was told to send requests to the server of this port, if only for a moment.
-    pub fn was_ever_used(&self, port: u32) -> bool {
+    pub(crate) fn was_ever_used(&self, port: u32) -> bool {
         self.ordered.borrow().ever_used.contains(&port)
     }
 
--- a/crates/stepspur-cli/tests/common/mod.rs
+++ b/crates/stepspur-cli/tests/common/mod.rs
@@ -10,10 +10,10 @@
 use std::time::Duration;
 
 /// Every wait of a test ends after this: it is no measure of speed.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+pub(crate) const PATIENCE: Duration = Duration::from_secs(60);
 
 /// A configuration with one class and one zone, these servers known, and room for so many proxies.
-pub fn configuration(discovery: SocketAddr, proxies: usize, known: &[String]) -> String {
+pub(crate) fn configuration(discovery: SocketAddr, proxies: usize, known: &[String]) -> String {
     let class = r#"{"name":"lookup","effect":"read_like","credit":1,"promiseUs":1e6,"deadlineUs":3e6}"#;
     let info = format!(
         r#"{{"admit":"rps","egressPerS":1e5,"intervalUs":2e6,"pendingMax":3e5,"perMessage":6,
@@ -30,14 +30,14 @@
     )
 }
 
-pub fn node(name: &str, status: &str) -> String {
+pub(crate) fn node(name: &str, status: &str) -> String {
     format!(
         r#"{{"name":"{name}","address":"127.0.0.9:9","zone":"a","status":"{status}","weight":1,"since_ms":0}}"#
     )
 }
 
 /// The program on the platform, told by this file.
-pub fn command(config: &Path) -> Command {
+pub(crate) fn command(config: &Path) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_stepspur"));
     command.args(["run", "--platform"]).env("LB_CONFIG", config);
     command.stdout(Stdio::piped()).stderr(Stdio::piped());
@@ -45,7 +45,7 @@
 }
 
 /// A process with the lines of its log. Ended with the test, whatever becomes of it.
-pub struct Running {
+pub(crate) struct Running {
     pub child: Child,
     pub listening: SocketAddr,
     log: Receiver<String>,
@@ -60,7 +60,7 @@
 
 impl Running {
     /// Starts it and waits until it says where it listens.
-    pub fn start(mut command: Command) -> Self {
+    pub(crate) fn start(mut command: Command) -> Self {
         let mut child = command.spawn().unwrap();
         let (line, first) = channel();
         let mut out = BufReader::new(child.stdout.take().unwrap());
@@ -79,13 +79,13 @@
         running
     }
 
-    pub fn signal(&self, name: &str) {
+    pub(crate) fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
         assert!(Command::new("kill").args([name, &id]).status().unwrap().success());
     }
 
     /// The next line of the log that holds this.
-    pub fn logs(&self, what: &str) -> String {
+    pub(crate) fn logs(&self, what: &str) -> String {
         loop {
             let line = self.log.recv_timeout(PATIENCE).unwrap_or_else(|_| panic!("`{what}` is not logged"));
             if line.contains(what) {
@@ -95,12 +95,12 @@
     }
 
     /// Waits for its end and gives the exit code.
-    pub fn ended(&mut self) -> Option<i32> {
+    pub(crate) fn ended(&mut self) -> Option<i32> {
         self.child.wait().unwrap().code()
     }
 
     /// Resident memory, in KiB.
-    pub fn resident(&self) -> u64 {
+    pub(crate) fn resident(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let line = status.lines().find(|l| l.starts_with("VmRSS:")).unwrap();
         line.split_whitespace().nth(1).unwrap().parse().unwrap()
@@ -108,7 +108,7 @@
 }
 
 /// The next call, within the time that a test waits.
-pub fn call(discovery: &TcpListener) -> TcpStream {
+pub(crate) fn call(discovery: &TcpListener) -> TcpStream {
     let (taken, call) = channel();
     let listener = discovery.try_clone().unwrap();
     thread::spawn(move || taken.send(listener.accept()));
@@ -118,7 +118,7 @@
 }
 
 /// Takes in the watch that a conductor begins at a discovery, and answers with these entries.
-pub fn watched(discovery: &TcpListener, index: u64, snapshot: bool, entries: &[String]) -> TcpStream {
+pub(crate) fn watched(discovery: &TcpListener, index: u64, snapshot: bool, entries: &[String]) -> TcpStream {
     let mut watch = call(discovery);
     let mut asked = [0; 27];
     watch.read_exact(&mut asked).unwrap();
--- a/crates/stepspur-conductor/src/service/audit.rs
+++ b/crates/stepspur-conductor/src/service/audit.rs
@@ -9,7 +9,7 @@
 
 /// A line.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
-pub struct Entry {
+pub(super) struct Entry {
     /// Milliseconds since 1970.
     pub at_unix_ms: u64,
     /// The tenant.
--- a/crates/stepspur-conductor/src/service/prober.rs
+++ b/crates/stepspur-conductor/src/service/prober.rs
@@ -18,7 +18,7 @@
 const LARGEST: usize = 16 << 10;
 
 /// Reads the values of a load report in the order of the columns; none where it holds not all of them.
-pub type LoadReportParser = fn(&[String], &[u8]) -> Vec<f32>;
+pub(super) type LoadReportParser = fn(&[String], &[u8]) -> Vec<f32>;
 
 pub(crate) async fn run(
     config: Config,
--- a/crates/stepspur-conductor/tests/common/closing.rs
+++ b/crates/stepspur-conductor/tests/common/closing.rs
@@ -10,15 +10,15 @@
 const LONG: Duration = Duration::from_secs(10);
 
 /// The two ends of a connection, taken while it stands.
-pub struct Ends([SocketAddr; 2]);
+pub(crate) struct Ends([SocketAddr; 2]);
 
 impl Ends {
-    pub fn of(stream: &TcpStream) -> Self {
+    pub(crate) fn of(stream: &TcpStream) -> Self {
         Self([stream.peer_addr().unwrap(), stream.local_addr().unwrap()])
     }
 
     /// Waits until the conductor has closed its end, and fails if that reset the connection.
-    pub async fn closed_in_order(self, stream: &TcpStream) {
+    pub(crate) async fn closed_in_order(self, stream: &TcpStream) {
         let (deadline, mut look) = (Instant::now() + LONG, interval(Duration::from_millis(5)));
         // Its end has vanished, or waits for stray segments alone (06).
         while self.row([0, 1]).is_some_and(|row| !row.starts_with("06")) {
@@ -29,7 +29,7 @@
     }
 
     /// Bytes on their way to the conductor that it has not read: with the kernel on this side, and on its own.
-    pub fn unread(&self) -> u64 {
+    pub(crate) fn unread(&self) -> u64 {
         let queue = |ends, place| {
             let row = self.row(ends)?;
             u64::from_str_radix(row.split([' ', ':']).nth(place)?, 16).ok()
--- a/crates/stepspur-conductor/tests/common/day.rs
+++ b/crates/stepspur-conductor/tests/common/day.rs
@@ -11,12 +11,12 @@
 use super::hello;
 use super::rules::Rules;
 
-pub const EPOCH: u64 = 7;
-pub const SECOND: u64 = 1_000_000;
-pub const START: u64 = 1_000 * SECOND;
+pub(crate) const EPOCH: u64 = 7;
+pub(crate) const SECOND: u64 = 1_000_000;
+pub(crate) const START: u64 = 1_000 * SECOND;
 
 /// An engine, its time, and what each stream holds by the frames that it was sent.
-pub struct Day {
+pub(crate) struct Day {
     pub engine: Engine,
     pub now: u64,
     pub rules: Rules,
@@ -29,7 +29,7 @@
 }
 
 impl Day {
-    pub fn new(config: Config) -> Self {
+    pub(crate) fn new(config: Config) -> Self {
         let rules = Rules::new(&config);
         let engine = Engine::new(config, EPOCH, 1, START);
         let (marks, closed, notes, outputs) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
@@ -37,32 +37,32 @@
     }
 
     /// A list that tells the truth.
-    pub fn list(&mut self, how: ListUpdate, entries: Vec<DiscoveredEndpoint>) {
+    pub(crate) fn list(&mut self, how: ListUpdate, entries: Vec<DiscoveredEndpoint>) {
         self.rules.truth(self.now, &entries);
         self.say(how, entries);
     }
 
     /// A list that is late, wrong or not wholly there.
-    pub fn say(&mut self, how: ListUpdate, entries: Vec<DiscoveredEndpoint>) {
+    pub(crate) fn say(&mut self, how: ListUpdate, entries: Vec<DiscoveredEndpoint>) {
         self.engine.handle(self.now, Input::EndpointList { how, entries });
     }
 
-    pub fn frame(&mut self, stream: u64, frame: FromProxy) {
+    pub(crate) fn frame(&mut self, stream: u64, frame: FromProxy) {
         self.engine.handle(self.now, Input::Frame { stream: StreamId(stream), frame });
     }
 
-    pub fn join(&mut self, stream: u64, name: &str, zone: &str) {
+    pub(crate) fn join(&mut self, stream: u64, name: &str, zone: &str) {
         self.rules.joined(stream, self.now);
         self.frame(stream, hello(name, zone));
     }
 
-    pub fn end(&mut self, stream: u64) {
+    pub(crate) fn end(&mut self, stream: u64) {
         self.rules.left(stream);
         self.engine.handle(self.now, Input::StreamEnded { stream: StreamId(stream) });
     }
 
     /// Lets time pass, acting on all that comes out.
-    pub fn run(&mut self, span: u64) {
+    pub(crate) fn run(&mut self, span: u64) {
         let end = self.now + span;
         loop {
             while let Some(output) = self.engine.poll(self.now) {
@@ -92,7 +92,7 @@
         self.now = end;
     }
 
-    pub fn answer(&mut self, stream: StreamId, mark: u32, epoch: u64) {
+    pub(crate) fn answer(&mut self, stream: StreamId, mark: u32, epoch: u64) {
         let applied = from_proxy::Kind::Applied(v1::Applied { mark, took_us: 1 });
         self.frame(stream.0, FromProxy::new(epoch, 0, applied));
     }
@@ -105,12 +105,12 @@
         self.marks.extend(order.mark.map(|mark| (stream, mark)));
     }
 
-    pub fn names(&self, stream: u64) -> BTreeSet<SocketAddr> {
+    pub(crate) fn names(&self, stream: u64) -> BTreeSet<SocketAddr> {
         self.rules.held(stream).into_keys().collect()
     }
 
     /// The end of a test with faults: all is settled, and the five rules were kept.
-    pub fn close(mut self) {
+    pub(crate) fn close(mut self) {
         self.run(SECOND);
         self.rules.end(self.now, &self.engine.stats());
     }
--- a/crates/stepspur-conductor/tests/common/mod.rs
+++ b/crates/stepspur-conductor/tests/common/mod.rs
@@ -1,10 +1,10 @@
 //! What the engine's and the service's tests share: small settings and a list.
 #![allow(dead_code)]
 
-pub mod closing;
-pub mod day;
-pub mod peer;
-pub mod rules;
+pub(crate) mod closing;
+pub(crate) mod day;
+pub(crate) mod peer;
+pub(crate) mod rules;
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
 use stepspur_conductor::engine::{DiscoveredEndpoint, ProbeTarget};
 use stepspur_proto::{FromProxy, VERSION, from_proxy, v1};
 
-pub fn config() -> Config {
+pub(crate) fn config() -> Config {
     let class = |name: &str, effect| ClassConfig {
         name: name.into(),
         effect,
@@ -61,19 +61,19 @@
     }
 }
 
-pub fn address(k: usize) -> SocketAddr {
+pub(crate) fn address(k: usize) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 9000 + k as u16))
 }
 
 /// What a probe is sent to of a server that started then.
-pub fn probe_target(k: usize, started: u64) -> ProbeTarget {
+pub(crate) fn probe_target(k: usize, started: u64) -> ProbeTarget {
     let address = address(k);
     let [high, low] = address.port().to_be_bytes();
     ProbeTarget { server: ServerId([127, 0, 0, 1, high, low]), address, started }
 }
 
 /// Servers of both zones in turn, all ready and warm.
-pub fn nodes(count: usize) -> Vec<DiscoveredEndpoint> {
+pub(crate) fn nodes(count: usize) -> Vec<DiscoveredEndpoint> {
     let zone = |k: usize| ["a", "b"][k % 2].to_owned();
     let entry = |k| DiscoveredEndpoint {
         name: None,
@@ -86,7 +86,7 @@
     (0..count).map(entry).collect()
 }
 
-pub fn hello(name: &str, zone: &str) -> FromProxy {
+pub(crate) fn hello(name: &str, zone: &str) -> FromProxy {
     let hello = v1::Hello {
         version: VERSION,
         name: name.into(),
@@ -97,11 +97,11 @@
     FromProxy::new(0, 0, from_proxy::Kind::Hello(hello))
 }
 
-pub fn all(count: usize) -> BTreeSet<SocketAddr> {
+pub(crate) fn all(count: usize) -> BTreeSet<SocketAddr> {
     (0..count).map(address).collect()
 }
 
-pub fn with_state(
+pub(crate) fn with_state(
     mut entries: Vec<DiscoveredEndpoint>,
     k: usize,
     state: EndpointState,
--- a/crates/stepspur-conductor/tests/common/peer.rs
+++ b/crates/stepspur-conductor/tests/common/peer.rs
@@ -17,20 +17,20 @@
 use super::rules::Rules;
 use super::{address, config, hello, nodes};
 
-pub const LONG: Duration = Duration::from_secs(10);
+pub(crate) const LONG: Duration = Duration::from_secs(10);
 
 /// A file of servers that goes with the test.
-pub struct Nodes(pub PathBuf);
+pub(crate) struct Nodes(pub PathBuf);
 
 impl Nodes {
-    pub fn new(test: &str, text: &str) -> Self {
+    pub(crate) fn new(test: &str, text: &str) -> Self {
         let nodes = Self(std::env::temp_dir().join(format!("stepspur-{test}-{}.toml", std::process::id())));
         nodes.write(text);
         nodes
     }
 
     /// In one step, as an operator should: a reader sees the old text or the new.
-    pub fn write(&self, text: &str) {
+    pub(crate) fn write(&self, text: &str) {
         let beside = self.0.with_extension("new");
         std::fs::write(&beside, text).unwrap();
         std::fs::rename(&beside, &self.0).unwrap();
@@ -43,7 +43,7 @@
     }
 }
 
-pub fn listed(count: usize, draining: Option<usize>) -> String {
+pub(crate) fn listed(count: usize, draining: Option<usize>) -> String {
     let state = |k| if Some(k) == draining { "draining" } else { "ready" };
     let node = |k| {
         format!(
@@ -56,13 +56,13 @@
     (0..count).map(node).collect()
 }
 
-pub async fn start(config: Config, nodes: &Nodes) -> Conductor {
+pub(crate) async fn start(config: Config, nodes: &Nodes) -> Conductor {
     let source = FileSource::new(nodes.0.clone(), Duration::from_millis(10));
     Conductor::start(config, Box::new(source)).await.unwrap()
 }
 
 /// A proxy that keeps its table as the protocol says and answers marks.
-pub struct Proxy {
+pub(crate) struct Proxy {
     pub frames: Framed<TcpStream, Frames<FromConductor, FromProxy>>,
     epoch: u64,
     pub held: BTreeSet<SocketAddr>,
@@ -71,10 +71,10 @@
 }
 
 /// The rules of a test's proxies, shared by them.
-pub type Checker = Arc<Mutex<Rules>>;
+pub(crate) type Checker = Arc<Mutex<Rules>>;
 
 /// The rules for servers that are all ready. Sockets take the machine's time, so every grace is ten times as long.
-pub fn checker(servers: usize) -> Checker {
+pub(crate) fn checker(servers: usize) -> Checker {
     let mut set = config();
     for grace in [&mut set.fleet.drain_grace, &mut set.fleet.unserved_max] {
         *grace *= 10;
@@ -84,12 +84,12 @@
     Arc::new(Mutex::new(rules))
 }
 
-pub fn now() -> u64 {
+pub(crate) fn now() -> u64 {
     SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap().as_micros() as u64
 }
 
 /// Waits until nothing of an ended stream is left, and checks the five rules.
-pub async fn close(conductor: Conductor, rules: Checker) {
+pub(crate) async fn close(conductor: Conductor, rules: Checker) {
     let settled = async {
         loop {
             let stats = conductor.stats().await.unwrap();
@@ -105,7 +105,7 @@
 }
 
 impl Proxy {
-    pub async fn join(conductor: &Conductor, name: &str) -> Self {
+    pub(crate) async fn join(conductor: &Conductor, name: &str) -> Self {
         let socket = TcpStream::connect(conductor.address()).await.unwrap();
         let mut frames = Framed::new(socket, Frames::new(1 << 20));
         frames.send(hello(name, "a")).await.unwrap();
@@ -113,7 +113,7 @@
     }
 
     /// Joins, and is checked by the rules until its stream ends.
-    pub async fn checked(conductor: &Conductor, name: &str, rules: &Checker, key: u64) -> Self {
+    pub(crate) async fn checked(conductor: &Conductor, name: &str, rules: &Checker, key: u64) -> Self {
         let mut proxy = Self::join(conductor, name).await;
         rules.lock().unwrap().joined(key, now());
         proxy.checked = Some((Arc::clone(rules), key));
@@ -121,7 +121,7 @@
     }
 
     /// The next frame, or none at the stream's end.
-    pub async fn next(&mut self) -> Option<from_conductor::Kind> {
+    pub(crate) async fn next(&mut self) -> Option<from_conductor::Kind> {
         let frame = timeout(LONG, self.frames.next()).await.expect("a frame in time")?.ok()?;
         self.epoch = frame.epoch;
         if let Some(from_conductor::Kind::Order(order)) = &frame.kind {
@@ -147,21 +147,21 @@
         frame.kind
     }
 
-    pub async fn until(&mut self, held: impl Fn(&BTreeSet<SocketAddr>) -> bool) {
+    pub(crate) async fn until(&mut self, held: impl Fn(&BTreeSet<SocketAddr>) -> bool) {
         while !held(&self.held) {
             assert!(self.next().await.is_some(), "the stream ended");
         }
     }
 
     /// Reads until the token of a ping comes back: all that was ordered before has been read.
-    pub async fn settle(&mut self) {
+    pub(crate) async fn settle(&mut self) {
         let token = now();
         self.frames.send(FromProxy::new(0, 0, from_proxy::Kind::Ping(v1::Ping { token }))).await.unwrap();
         while self.next().await != Some(from_conductor::Kind::Pong(v1::Pong { token })) {}
     }
 
     /// The reason of the goodbye that ends the stream.
-    pub async fn end(&mut self) -> Option<v1::Reason> {
+    pub(crate) async fn end(&mut self) -> Option<v1::Reason> {
         let mut reason = None;
         while let Some(kind) = self.next().await {
             if let from_conductor::Kind::Goodbye(goodbye) = kind {
--- a/crates/stepspur-conductor/tests/common/rules.rs
+++ b/crates/stepspur-conductor/tests/common/rules.rs
@@ -39,7 +39,7 @@
 }
 
 /// The truth, what joined proxies hold, and what was broken.
-pub struct Rules {
+pub(crate) struct Rules {
     set: Config,
     truth: BTreeMap<SocketAddr, Truth>,
     joined: BTreeMap<u64, Held>,
@@ -49,13 +49,13 @@
 }
 
 impl Rules {
-    pub fn new(set: &Config) -> Self {
+    pub(crate) fn new(set: &Config) -> Self {
         let (truth, joined) = (BTreeMap::new(), BTreeMap::new());
         Self { set: set.clone(), truth, joined, warm_since: None, broken: BTreeSet::new() }
     }
 
     /// These servers are so from now on.
-    pub fn truth(&mut self, now: u64, entries: &[DiscoveredEndpoint]) {
+    pub(crate) fn truth(&mut self, now: u64, entries: &[DiscoveredEndpoint]) {
         for entry in entries {
             let known = self.truth.get(&entry.address).copied();
             let out_since = known.and_then(|t| t.out_since).unwrap_or(now);
@@ -66,16 +66,16 @@
         }
     }
 
-    pub fn joined(&mut self, stream: u64, now: u64) {
+    pub(crate) fn joined(&mut self, stream: u64, now: u64) {
         self.joined.insert(stream, Held { joined_at: now, bare_since: Some(now), ..Held::default() });
     }
 
-    pub fn left(&mut self, stream: u64) {
+    pub(crate) fn left(&mut self, stream: u64) {
         self.joined.remove(&stream);
     }
 
     /// A proxy applies an order, whole.
-    pub fn order(&mut self, stream: u64, now: u64, order: &v1::Order) {
+    pub(crate) fn order(&mut self, stream: u64, now: u64, order: &v1::Order) {
         let levels = order.levels.iter().chain(order.table.iter().flat_map(|table| &table.levels));
         for level in levels {
             let class = &self.set.fleet.classes[level.class as usize];
@@ -114,12 +114,12 @@
     }
 
     /// The servers that a proxy may pick, with their weights.
-    pub fn held(&self, stream: u64) -> BTreeMap<SocketAddr, f64> {
+    pub(crate) fn held(&self, stream: u64) -> BTreeMap<SocketAddr, f64> {
         self.joined.get(&stream).map(|held| held.pickable().collect()).unwrap_or_default()
     }
 
     /// Rules 1, 3 and 4, as they stand now.
-    pub fn check(&mut self, now: u64) {
+    pub(crate) fn check(&mut self, now: u64) {
         let span = |d: std::time::Duration| d.as_micros() as u64;
         let fleet = &self.set.fleet;
         let (grace, cold) = (span(fleet.drain_grace), span(fleet.cold));
@@ -165,7 +165,7 @@
     }
 
     /// The end of a test: every rule is kept, and nothing of an ended stream is left.
-    pub fn end(&mut self, now: u64, stats: &Stats) {
+    pub(crate) fn end(&mut self, now: u64, stats: &Stats) {
         self.check(now);
         let limits = &self.set.channel;
         let most = if limits.messages_max > 0 { limits.messages_max as usize } else { usize::MAX };
--- a/crates/stepspur-consensus-node/tests/common/log.rs
+++ b/crates/stepspur-consensus-node/tests/common/log.rs
@@ -16,7 +16,7 @@
 });
 
 /// A reader of the log. It waits without a bound, so its waits belong under a timeout.
-pub struct Log {
+pub(crate) struct Log {
     lines: watch::Receiver<Vec<String>>,
     /// Lines that it has read, or that were there before it.
     read: usize,
@@ -24,21 +24,21 @@
 
 impl Log {
     /// Reads from here on.
-    pub fn follow() -> Self {
+    pub(crate) fn follow() -> Self {
         let lines = LINES.subscribe();
         let read = lines.borrow().len();
         Self { lines, read }
     }
 
     /// Waits for a line, whatever it says, and counts all that are there as read.
-    pub async fn next(&mut self) {
+    pub(crate) async fn next(&mut self) {
         let read = self.read;
         let lines = self.lines.wait_for(|lines| lines.len() > read).await.expect("it is recorded");
         self.read = lines.len();
     }
 
     /// Waits for the next line that holds all of these words.
-    pub async fn next_with(&mut self, words: &[&str]) -> String {
+    pub(crate) async fn next_with(&mut self, words: &[&str]) -> String {
         let read = self.read;
         let holds = |line: &String| words.iter().all(|word| line.contains(word));
         let found = |lines: &Vec<String>| lines[read..].iter().any(holds);
--- a/crates/stepspur-consensus-node/tests/rig/mod.rs
+++ b/crates/stepspur-consensus-node/tests/rig/mod.rs
@@ -16,13 +16,13 @@
 use stepspur_consensus_storage::Store;
 
 /// Every wait of a test ends after this: it is no measure of speed.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+pub(crate) const PATIENCE: Duration = Duration::from_secs(60);
 /// The environment variable by which the test program knows that it is to be a member.
-pub const CHILD: &str = "STEPSPUR_PEERS_TEST_CHILD";
+pub(crate) const CHILD: &str = "STEPSPUR_PEERS_TEST_CHILD";
 
 /// What a member's process is told.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Told {
+pub(crate) struct Told {
     pub id: u64,
     pub peers: BTreeMap<u64, SocketAddr>,
     pub state: PathBuf,
@@ -32,7 +32,7 @@
 
 /// A line to the receiver.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Line {
+pub(crate) enum Line {
     /// An order under a duty, with its token.
     Order { member: u64, duty: String, token: u64 },
     /// The member goes on: its term and whether it votes.
@@ -56,7 +56,7 @@
 
 /// Takes the members' orders, refuses lower tokens, and judges.
 #[derive(Clone, Debug, Default)]
-pub struct Receiver(Arc<(Mutex<Seen>, Condvar)>);
+pub(crate) struct Receiver(Arc<(Mutex<Seen>, Condvar)>);
 
 impl Receiver {
     fn seen(&self) -> MutexGuard<'_, Seen> {
@@ -121,7 +121,7 @@
 
     /// Waits until an order under this duty, with a token beyond this one and not of those members, is accepted: by
     /// whom, and its token.
-    pub fn held(&self, duty: &str, beyond: u64, not: &[u64]) -> (u64, u64) {
+    pub(crate) fn held(&self, duty: &str, beyond: u64, not: &[u64]) -> (u64, u64) {
         self.until(&format!("{duty} beyond {beyond}, not by {not:?}"), |seen| {
             let (member, token) = seen.newest.get(duty)?;
             (*token > beyond && !not.contains(member)).then_some((*member, *token))
@@ -129,12 +129,12 @@
     }
 
     /// Orders under a duty accepted so far.
-    pub fn accepted(&self, duty: &str) -> u64 {
+    pub(crate) fn accepted(&self, duty: &str) -> u64 {
         self.seen().accepted.get(duty).copied().unwrap_or(0)
     }
 
     /// Waits until an order under this duty comes that is accepted: by whom, and its token.
-    pub fn acts(&self, duty: &str) -> (u64, u64) {
+    pub(crate) fn acts(&self, duty: &str) -> (u64, u64) {
         let before = self.accepted(duty);
         self.until(&format!("somebody acts on {duty}"), |seen| {
             let more = seen.accepted.get(duty).is_some_and(|n| *n > before);
@@ -143,7 +143,7 @@
     }
 
     /// Waits until this member told so many times more that it goes on: its term, whether it votes, and who leads.
-    pub fn goes_on(&self, member: u64, times: u64) -> (u64, bool, Option<u64>) {
+    pub(crate) fn goes_on(&self, member: u64, times: u64) -> (u64, bool, Option<u64>) {
         let before = self.seen().alive.get(&member).map_or(0, |a| a.3);
         self.until(&format!("{member} goes on"), |seen| {
             let (term, votes, leader, told) = *seen.alive.get(&member)?;
@@ -152,21 +152,21 @@
     }
 
     /// Waits until this member knows a leader, other than those.
-    pub fn led(&self, member: u64, not: &[u64]) -> u64 {
+    pub(crate) fn led(&self, member: u64, not: &[u64]) -> u64 {
         self.until(&format!("{member} has a leader"), |seen| {
             seen.alive.get(&member)?.2.filter(|leader| !not.contains(leader))
         })
     }
 
     /// Orders refused for a lower token.
-    pub fn refused(&self) -> u64 {
+    pub(crate) fn refused(&self) -> u64 {
         self.seen().refused
     }
 }
 
 /// How a relay treats what is written one way.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Mode {
+pub(crate) enum Mode {
     #[default]
     Pass,
     /// Connections stay up, and nothing comes through: as behind a cut cable.
@@ -243,7 +243,7 @@
 }
 
 /// A council of processes.
-pub struct Rig {
+pub(crate) struct Rig {
     folder: tempfile::TempDir,
     pub receiver: Receiver,
     address: SocketAddr,
@@ -265,7 +265,7 @@
 
 impl Rig {
     /// Founds a council of so many members, from 1, and starts them.
-    pub fn new(members: u64, duties: &[&str]) -> Self {
+    pub(crate) fn new(members: u64, duties: &[&str]) -> Self {
         let receiver = Receiver::default();
         let address = receiver.listen();
         let folder = tempfile::tempdir().expect("a folder");
@@ -290,12 +290,12 @@
     }
 
     /// A member's state file.
-    pub fn disk(&self, member: u64) -> PathBuf {
+    pub(crate) fn disk(&self, member: u64) -> PathBuf {
         self.folder.path().join(format!("member-{member}.redb"))
     }
 
     /// Starts a member's process on its disk.
-    pub fn start(&mut self, member: u64) {
+    pub(crate) fn start(&mut self, member: u64) {
         let peers = self.relays.iter().filter(|((from, _), _)| *from == member);
         let peers = peers.map(|((_, to), (_, at))| (*to, *at)).collect();
         let told = Told {
@@ -334,30 +334,30 @@
 
     /// Where a member's process serves clients.
     #[allow(dead_code, reason = "the test of shared books asks for it")]
-    pub fn served(&self, member: u64) -> SocketAddr {
+    pub(crate) fn served(&self, member: u64) -> SocketAddr {
         self.served[&member]
     }
 
     /// Kills a member's process at once.
-    pub fn kill(&mut self, member: u64) {
+    pub(crate) fn kill(&mut self, member: u64) {
         let mut child = self.processes.remove(&member).expect("it runs");
         child.kill().expect("killed");
         child.wait().expect("ended");
     }
 
     /// Sends a member's process a signal, by its id.
-    pub fn signal(&self, member: u64, name: &str) {
+    pub(crate) fn signal(&self, member: u64, name: &str) {
         let id = self.processes[&member].id().to_string();
         assert!(Command::new("kill").args([name, &id]).status().expect("kill").success());
     }
 
     /// Treats what a member writes to the others so.
-    pub fn from(&self, member: u64, mode: Mode) {
+    pub(crate) fn from(&self, member: u64, mode: Mode) {
         self.ways(|from, _| from == member, mode);
     }
 
     /// Treats what the others write to a member so.
-    pub fn to(&self, member: u64, mode: Mode) {
+    pub(crate) fn to(&self, member: u64, mode: Mode) {
         self.ways(|_, to| to == member, mode);
     }
 
--- a/crates/stepspur-consensus-storage/tests/disks/mod.rs
+++ b/crates/stepspur-consensus-storage/tests/disks/mod.rs
@@ -33,7 +33,7 @@
 
 /// A disk in memory; clones are the same disk.
 #[derive(Debug, Clone, Default)]
-pub struct Disk(Arc<(Mutex<State>, Condvar)>);
+pub(crate) struct Disk(Arc<(Mutex<State>, Condvar)>);
 
 impl State {
     fn step(&mut self) -> io::Result<()> {
@@ -64,35 +64,35 @@
     }
 
     /// One that holds these bytes.
-    pub fn of(bytes: Vec<u8>) -> Self {
+    pub(crate) fn of(bytes: Vec<u8>) -> Self {
         let disk = Self::default();
         *disk.state() = State { durable: bytes.clone(), seen: bytes, ..State::default() };
         disk
     }
 
     /// All that a reader sees.
-    pub fn bytes(&self) -> Vec<u8> {
+    pub(crate) fn bytes(&self) -> Vec<u8> {
         self.state().seen.clone()
     }
 
     /// Changes and syncs so far.
-    pub fn ops(&self) -> u64 {
+    pub(crate) fn ops(&self) -> u64 {
         self.state().ops
     }
 
     /// From that change on, all fail; none: they work again.
-    pub fn fail(&self, from: Option<(u64, io::ErrorKind)>) {
+    pub(crate) fn fail(&self, from: Option<(u64, io::ErrorKind)>) {
         self.state().fails = from;
     }
 
     /// Syncs wait, or go on.
-    pub fn stall(&self, stalled: bool) {
+    pub(crate) fn stall(&self, stalled: bool) {
         self.state().stalled = stalled;
         self.0.1.notify_all();
     }
 
     /// The disk after a loss of power: of what was not synced, any sectors are there and any are not.
-    pub fn after_power_loss(&self, seed: u64) -> Self {
+    pub(crate) fn after_power_loss(&self, seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let state = self.state();
         let mut bytes = state.durable.clone();
--- a/crates/stepspur-consensus-storage/tests/store.rs
+++ b/crates/stepspur-consensus-storage/tests/store.rs
@@ -154,7 +154,10 @@
     drop(db);
     let disk = Disk::of(left.clone());
     let fault = Store::open_on(disk.clone()).expect_err("not ours to read");
-    assert!(matches!(fault, StorageError::Newer { found, known: FORMAT } if found == FORMAT + 1), "{fault}");
+    assert!(
+        matches!(fault, StorageError::Newer { found, known: FORMAT_VERSION } if found == FORMAT_VERSION + 1),
+        "{fault}"
+    );
     assert!(disk.bytes() == left, "it was written to");
 }
 
--- a/crates/stepspur-consensus/src/log.rs
+++ b/crates/stepspur-consensus/src/log.rs
@@ -177,11 +177,11 @@
     use bytes::Bytes;
     use serde::{Deserialize, Deserializer, Serializer};
 
-    pub fn serialize<S: Serializer>(bytes: &Bytes, to: S) -> Result<S::Ok, S::Error> {
+    pub(super) fn serialize<S: Serializer>(bytes: &Bytes, to: S) -> Result<S::Ok, S::Error> {
         to.serialize_bytes(bytes)
     }
 
-    pub fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<Bytes, D::Error> {
+    pub(super) fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<Bytes, D::Error> {
         Vec::<u8>::deserialize(from).map(Bytes::from)
     }
 }
--- a/crates/stepspur-consensus/tests/world/mod.rs
+++ b/crates/stepspur-consensus/tests/world/mod.rs
@@ -13,7 +13,7 @@
 
 /// What is played.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub(crate) struct Plan {
     pub voters: usize,
     /// Conductors that follow without a vote.
     pub followers: usize,
@@ -72,7 +72,7 @@
     Fault,
 }
 
-pub struct World {
+pub(crate) struct World {
     plan: Plan,
     set: Settings,
     now: Micros,
@@ -96,7 +96,7 @@
 const LEASE: Micros = 4_000_000;
 
 impl World {
-    pub fn new(plan: Plan, seed: u64) -> Self {
+    pub(crate) fn new(plan: Plan, seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let all = plan.voters + plan.spare + plan.followers;
         let voters: Voters = (0..plan.voters).map(id).collect();
@@ -158,7 +158,7 @@
 
     // ---- what may be done to it
 
-    pub fn run(&mut self, span: Micros) {
+    pub(crate) fn run(&mut self, span: Micros) {
         let end = self.now + span;
         while let Some(Reverse((at, number))) = self.due.peek().copied() {
             if at > end {
@@ -174,7 +174,7 @@
         self.judge();
     }
 
-    pub fn start(&mut self, k: usize) {
+    pub(crate) fn start(&mut self, k: usize) {
         if self.nodes[k].member.is_some() {
             return;
         }
@@ -190,7 +190,7 @@
         self.step(k, |_, _| Vec::new());
     }
 
-    pub fn crash(&mut self, k: usize) {
+    pub(crate) fn crash(&mut self, k: usize) {
         let many = self.nodes[k].saves.len();
         // Some of what was on its way to the disk has arrived.
         let arrived = if many > 0 { self.rng.random_range(0..=many) } else { 0 };
@@ -203,11 +203,11 @@
         node.saves.clear();
     }
 
-    pub fn stall(&mut self, k: usize, span: Micros) {
+    pub(crate) fn stall(&mut self, k: usize, span: Micros) {
         self.nodes[k].stalled_until = self.now + span;
     }
 
-    pub fn disk(&mut self, k: usize, takes: Option<Micros>) {
+    pub(crate) fn disk(&mut self, k: usize, takes: Option<Micros>) {
         self.nodes[k].disk = takes;
         if takes.is_some() {
             let waiting: Vec<u64> = self.nodes[k].saves.iter().map(|s| s.number).collect();
@@ -216,17 +216,17 @@
         }
     }
 
-    pub fn fail_disk(&mut self, k: usize) {
+    pub(crate) fn fail_disk(&mut self, k: usize) {
         self.step(k, |member, _| member.disk_failed("no space left"));
     }
 
     /// Nothing passes between these (or one alone) and the others.
-    pub fn cut(&mut self, a: usize, b: Option<usize>) {
+    pub(crate) fn cut(&mut self, a: usize, b: Option<usize>) {
         let side: Vec<usize> = [Some(a), b].into_iter().flatten().collect();
         self.split(&side);
     }
 
-    pub fn split(&mut self, side: &[usize]) {
+    pub(crate) fn split(&mut self, side: &[usize]) {
         for a in 0..self.nodes.len() {
             for b in 0..self.nodes.len() {
                 if side.contains(&a) != side.contains(&b) {
@@ -237,18 +237,18 @@
     }
 
     /// It hears nobody, and is heard.
-    pub fn deaf(&mut self, k: usize) {
+    pub(crate) fn deaf(&mut self, k: usize) {
         (0..self.nodes.len()).for_each(|from| _ = self.cut.insert((from, k)));
     }
 
     /// Faults from now on, for so long.
-    pub fn faults(&mut self, span: Micros) {
+    pub(crate) fn faults(&mut self, span: Micros) {
         self.faults_until = self.now + span;
         self.put(self.now + 100_000, Due::Fault);
     }
 
     /// No more faults, all links and disks well, all conductors up.
-    pub fn heal(&mut self) {
+    pub(crate) fn heal(&mut self) {
         self.cut.clear();
         self.faults_until = 0;
         for k in 0..self.nodes.len() {
@@ -258,7 +258,7 @@
         }
     }
 
-    pub fn declare(&mut self, name: &str) {
+    pub(crate) fn declare(&mut self, name: &str) {
         let name = RoleName::new(name).unwrap();
         self.names.push(name.clone());
         self.declare_duty(name);
@@ -271,7 +271,7 @@
     }
 
     /// Tries to change who votes; it may be refused.
-    pub fn change(&mut self, add: bool, k: usize) -> bool {
+    pub(crate) fn change(&mut self, add: bool, k: usize) -> bool {
         let Some(leader) = self.leader() else { return false };
         let change = if add { MembershipChange::Add(id(k)) } else { MembershipChange::Remove(id(k)) };
         let mut taken = false;
@@ -285,7 +285,7 @@
         taken
     }
 
-    pub fn change_surely(&mut self, add: bool, k: usize) {
+    pub(crate) fn change_surely(&mut self, add: bool, k: usize) {
         for _ in 0..60 {
             let voters = self.voters();
             if !voters.is_empty() && voters.contains(&k) == add {
@@ -299,46 +299,46 @@
 
     // ---- what may be asked of it
 
-    pub fn leader(&self) -> Option<usize> {
+    pub(crate) fn leader(&self) -> Option<usize> {
         let leads = |k: &usize| self.nodes[*k].member.as_ref().is_some_and(|m| m.core().is_leader());
         (0..self.nodes.len())
             .filter(leads)
             .max_by_key(|k| self.nodes[*k].member.as_ref().unwrap().core().term())
     }
 
-    pub fn voters(&self) -> Vec<usize> {
+    pub(crate) fn voters(&self) -> Vec<usize> {
         let Some(leader) = self.leader() else { return Vec::new() };
         let member = self.nodes[leader].member.as_ref().unwrap();
         let voters = member.core().log().voters_at(member.core().commit()).clone();
         (0..self.nodes.len()).filter(|k| voters.contains(&id(*k))).collect()
     }
 
-    pub fn terms(&self) -> usize {
+    pub(crate) fn terms(&self) -> usize {
         self.leaders.len()
     }
 
-    pub fn changes(&self) -> u64 {
+    pub(crate) fn changes(&self) -> u64 {
         self.changes
     }
 
-    pub fn agreed(&self) -> Index {
+    pub(crate) fn agreed(&self) -> Index {
         self.states.keys().next_back().copied().unwrap_or_default()
     }
 
-    pub fn highest_token(&self) -> FencingToken {
+    pub(crate) fn highest_token(&self) -> FencingToken {
         self.highest.values().copied().max().unwrap_or_default()
     }
 
-    pub fn held_by(&self, k: usize) -> usize {
+    pub(crate) fn held_by(&self, k: usize) -> usize {
         self.names.iter().filter(|name| self.token(k, name).is_some()).count()
     }
 
-    pub fn broken(&self) -> bool {
+    pub(crate) fn broken(&self) -> bool {
         !self.faults.is_empty()
     }
 
     /// Each duty is held, and all conductors have the same state.
-    pub fn all_held_and_alike(&mut self) {
+    pub(crate) fn all_held_and_alike(&mut self) {
         let held: usize = (0..self.nodes.len()).map(|k| self.held_by(k)).sum();
         let free = self.names.iter().filter(|n| (0..self.nodes.len()).all(|k| self.token(k, n).is_none()));
         let free: Vec<_> = free
--- a/crates/stepspur-distribution/tests/control/support.rs
+++ b/crates/stepspur-distribution/tests/control/support.rs
@@ -23,17 +23,17 @@
 use tokio_util::codec::Framed;
 
 /// How long a test waits for what must come.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+pub(crate) const PATIENCE: Duration = Duration::from_secs(60);
 /// How long nothing comes, where nothing must come but keep-alives.
-pub const QUIET: Duration = Duration::from_secs(5);
+pub(crate) const QUIET: Duration = Duration::from_secs(5);
 /// The keep-alive of all control members here.
-pub const KEEP_ALIVE: Duration = Duration::from_secs(2);
+pub(crate) const KEEP_ALIVE: Duration = Duration::from_secs(2);
 const WITHIN: Duration = Duration::from_secs(10);
 const PIPE: usize = 16 << 10;
 
 /// A network of pipes that carry both ways.
 #[derive(Clone, Default)]
-pub struct Pipes(Arc<Mutex<BTreeMap<SocketAddr, mpsc::Sender<DuplexStream>>>>);
+pub(crate) struct Pipes(Arc<Mutex<BTreeMap<SocketAddr, mpsc::Sender<DuplexStream>>>>);
 
 struct Door(SocketAddr, mpsc::Receiver<DuplexStream>);
 
@@ -69,7 +69,7 @@
 }
 
 /// Members of a council, the first ones with a vote; each is a control member.
-pub struct Rig {
+pub(crate) struct Rig {
     pub pipes: Pipes,
     pub wire: Wire,
     pub controls: BTreeMap<u64, Control>,
@@ -79,7 +79,7 @@
 
 /// How a rig begins.
 #[derive(Clone, Copy, Debug)]
-pub struct Shape {
+pub(crate) struct Shape {
     pub voters: u64,
     pub members: u64,
     pub snapshot_bytes_per_s: u32,
@@ -92,7 +92,7 @@
     }
 }
 
-pub fn address(id: u64) -> SocketAddr {
+pub(crate) fn address(id: u64) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 20_000 + id as u16))
 }
 
@@ -119,7 +119,7 @@
 }
 
 impl Rig {
-    pub async fn start(shape: Shape) -> Self {
+    pub(crate) async fn start(shape: Shape) -> Self {
         let (pipes, wire) = (Pipes::default(), Wire::default());
         let mut rig = Self { pipes, wire, controls: BTreeMap::new(), shared: BTreeMap::new(), shape };
         for id in 1..=shape.members {
@@ -131,7 +131,7 @@
     }
 
     /// Starts a member, with nothing but the voter's disk.
-    pub async fn begin(&mut self, id: u64) {
+    pub(crate) async fn begin(&mut self, id: u64) {
         let shape = self.shape;
         let member = |id| ControlMember { id, address: address(id), region: "north".to_owned() };
         let settings = ControlSettings {
@@ -150,14 +150,14 @@
     }
 
     /// Ends a member, its part in the council as well.
-    pub async fn end(&mut self, id: u64) {
+    pub(crate) async fn end(&mut self, id: u64) {
         self.shared.remove(&id);
         let control = self.controls.remove(&id).unwrap();
         timeout(PATIENCE, control.stop()).await.unwrap();
     }
 
     /// The leader hands the lead over, and lives on.
-    pub async fn hand_over(&self, from: u64, to: u64) {
+    pub(crate) async fn hand_over(&self, from: u64, to: u64) {
         let waits = Instant::now() + PATIENCE;
         while self.shared[&from].peers().transfer_leadership(MemberId(to)).await.unwrap().is_err() {
             assert!(Instant::now() < waits, "it hands nothing over");
@@ -167,35 +167,39 @@
     }
 
     /// The member that leads, once one of those that run does.
-    pub async fn leader(&self) -> u64 {
+    pub(crate) async fn leader(&self) -> u64 {
         let leads = || self.controls.iter().find(|(_, control)| control.status().leads).map(|(id, _)| *id);
         until("a leader that runs", || leads().is_some()).await;
         leads().unwrap()
     }
 
-    pub fn control(&self, id: u64) -> &Control {
+    pub(crate) fn control(&self, id: u64) -> &Control {
         &self.controls[&id]
     }
 
-    pub async fn change(&self, changes: Vec<Change>) -> Version {
+    pub(crate) async fn change(&self, changes: Vec<Change>) -> Version {
         let any = self.controls.values().next().unwrap();
         any.propose(None, changes, WITHIN).await.unwrap()
     }
 
     /// Waits until a member has this version.
-    pub async fn reaches(&self, id: u64, version: Version) {
+    pub(crate) async fn reaches(&self, id: u64, version: Version) {
         let reached = || self.control(id).status().head >= version;
         until("the member has the version", reached).await;
     }
 
     /// Waits until so many are registered.
-    pub async fn registered(&self, count: usize) {
+    pub(crate) async fn registered(&self, count: usize) {
         let all = || self.controls.values().all(|control| control.status().registered == count);
         until("they are registered", all).await;
     }
 
     /// Waits for an answer of the leader that is as it should be.
-    pub async fn standing(&self, version: Version, wanted: impl Fn(&RolloutStatus) -> bool) -> RolloutStatus {
+    pub(crate) async fn standing(
+        &self,
+        version: Version,
+        wanted: impl Fn(&RolloutStatus) -> bool,
+    ) -> RolloutStatus {
         let waits = Instant::now() + PATIENCE;
         loop {
             let told = self.control(self.leader().await).rollout_status(version).await;
@@ -208,19 +212,19 @@
     }
 
     /// Dials a member and tells it this first.
-    pub async fn subscribe(&self, id: u64, first: v1::ConfigSubscribe) -> Subscriber {
+    pub(crate) async fn subscribe(&self, id: u64, first: v1::ConfigSubscribe) -> Subscriber {
         let mut subscriber = self.dial(id).await;
         subscriber.send(from_subscriber::Kind::Subscribe(first)).await;
         subscriber
     }
 
-    pub async fn dial(&self, id: u64) -> Subscriber {
+    pub(crate) async fn dial(&self, id: u64) -> Subscriber {
         let socket = self.pipes.dial(address(id)).await.unwrap();
         Subscriber(Framed::new(socket, Frames::new(1 << 20)))
     }
 
     /// As [`Rig::subscribe`], welcomed.
-    pub async fn attach(&self, id: u64, first: v1::ConfigSubscribe) -> Subscriber {
+    pub(crate) async fn attach(&self, id: u64, first: v1::ConfigSubscribe) -> Subscriber {
         let mut subscriber = self.subscribe(id, first).await;
         subscriber.welcome().await;
         subscriber
@@ -228,7 +232,7 @@
 }
 
 /// Looks again and again until something is so.
-pub async fn until(what: &str, so: impl Fn() -> bool) {
+pub(crate) async fn until(what: &str, so: impl Fn() -> bool) {
     let waits = Instant::now() + PATIENCE;
     while !so() {
         assert!(Instant::now() < waits, "never: {what}");
@@ -236,12 +240,12 @@
     }
 }
 
-pub fn level(service: &str, class: &str, ppm: u32) -> Change {
+pub(crate) fn level(service: &str, class: &str, ppm: u32) -> Change {
     let scope = Scope { service: Some(service.to_owned()), tenant: None, region: None };
     Change { scope, target: Target::Class(class.to_owned()), setting: Some(Setting::LevelPpm(ppm)) }
 }
 
-pub fn first(name: &str, service: &str, holds: Version) -> v1::ConfigSubscribe {
+pub(crate) fn first(name: &str, service: &str, holds: Version) -> v1::ConfigSubscribe {
     v1::ConfigSubscribe {
         protocol: stepspur_proto::VERSION,
         name: name.to_owned(),
@@ -254,35 +258,35 @@
 }
 
 /// A subscriber that speaks frames.
-pub struct Subscriber(Framed<Box<dyn Stream>, Frames<FromControl, FromSubscriber>>);
+pub(crate) struct Subscriber(Framed<Box<dyn Stream>, Frames<FromControl, FromSubscriber>>);
 
 impl Subscriber {
-    pub async fn send(&mut self, kind: from_subscriber::Kind) {
+    pub(crate) async fn send(&mut self, kind: from_subscriber::Kind) {
         timeout(PATIENCE, self.0.send(FromSubscriber { kind: Some(kind) })).await.unwrap().unwrap();
     }
 
-    pub async fn acknowledge(&mut self, version: Version) {
+    pub(crate) async fn acknowledge(&mut self, version: Version) {
         self.unapplied(version, vec![]).await;
     }
 
-    pub async fn unapplied(&mut self, version: Version, unapplied: Vec<v1::UnappliedDocument>) {
+    pub(crate) async fn unapplied(&mut self, version: Version, unapplied: Vec<v1::UnappliedDocument>) {
         let (holds, in_force) = (Some(version.into()), Some(version.into()));
         let told = v1::ConfigAcknowledgement { holds, in_force, unapplied };
         self.send(from_subscriber::Kind::Acknowledgement(told)).await;
     }
 
-    pub async fn keep_alive(&mut self) {
+    pub(crate) async fn keep_alive(&mut self) {
         self.send(from_subscriber::Kind::KeepAlive(v1::ConfigKeepAlive { covered: None })).await;
     }
 
     /// The next frame; none once the other side has closed.
-    pub async fn next(&mut self) -> Option<from_control::Kind> {
+    pub(crate) async fn next(&mut self) -> Option<from_control::Kind> {
         let next = timeout(PATIENCE, self.0.next()).await.expect("a frame in time");
         next.and_then(Result::ok).and_then(|frame| frame.kind)
     }
 
     /// The next frame that is no keep-alive. Own keep-alives go out meanwhile.
-    pub async fn news(&mut self) -> Option<from_control::Kind> {
+    pub(crate) async fn news(&mut self) -> Option<from_control::Kind> {
         loop {
             match self.next().await {
                 Some(from_control::Kind::KeepAlive(_)) => self.keep_alive().await,
@@ -292,7 +296,7 @@
     }
 
     /// What it is covered to by keep-alives, for a time in which nothing else comes.
-    pub async fn quiet(&mut self, span: Duration) -> Version {
+    pub(crate) async fn quiet(&mut self, span: Duration) -> Version {
         let (until, mut covered) = (Instant::now() + span, Version::NONE);
         loop {
             match tokio::time::timeout_at(until, self.next()).await {
@@ -306,14 +310,14 @@
         }
     }
 
-    pub async fn welcome(&mut self) -> v1::ConfigWelcome {
+    pub(crate) async fn welcome(&mut self) -> v1::ConfigWelcome {
         match self.next().await {
             Some(from_control::Kind::Welcome(welcome)) => welcome,
             other => panic!("no welcome: {other:?}"),
         }
     }
 
-    pub async fn redirect(&mut self) -> v1::ConfigRedirect {
+    pub(crate) async fn redirect(&mut self) -> v1::ConfigRedirect {
         match self.next().await {
             Some(from_control::Kind::Redirect(redirect)) => redirect,
             other => panic!("no redirect: {other:?}"),
@@ -321,7 +325,7 @@
     }
 
     /// The next delta: from, to, documents.
-    pub async fn delta(&mut self) -> (Version, Version, Vec<Document>) {
+    pub(crate) async fn delta(&mut self) -> (Version, Version, Vec<Document>) {
         match self.news().await {
             Some(from_control::Kind::Delta(delta)) => {
                 (version_of(delta.from), version_of(delta.to), documents(delta.documents))
@@ -331,7 +335,7 @@
     }
 
     /// The next snapshot: its version, its parts' documents and when each came.
-    pub async fn snapshot(&mut self) -> (Version, Vec<(Instant, Vec<Document>)>) {
+    pub(crate) async fn snapshot(&mut self) -> (Version, Vec<(Instant, Vec<Document>)>) {
         let mut parts = Vec::new();
         loop {
             let part = match self.news().await {
@@ -348,7 +352,7 @@
     }
 
     /// True: the other side closes it in time. What comes before is dropped.
-    pub async fn closes(&mut self) {
+    pub(crate) async fn closes(&mut self) {
         while self.next().await.is_some() {}
     }
 }
--- a/crates/stepspur-distribution/tests/subscriber_rig/mod.rs
+++ b/crates/stepspur-distribution/tests/subscriber_rig/mod.rs
@@ -19,25 +19,25 @@
 use tokio_util::codec::Framed;
 
 /// How long a test waits for what must come.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+pub(crate) const PATIENCE: Duration = Duration::from_secs(60);
 /// The span between frames that the control member names.
-pub const SPAN: Duration = Duration::from_secs(5);
+pub(crate) const SPAN: Duration = Duration::from_secs(5);
 
-pub fn address(port: u16) -> SocketAddr {
+pub(crate) fn address(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-pub fn version(index: u64) -> Version {
+pub(crate) fn version(index: u64) -> Version {
     if index == 0 { Version::NONE } else { Version { term: 1, index } }
 }
 
-pub fn document(class: u64, index: u64, level: Option<u32>) -> Document {
+pub(crate) fn document(class: u64, index: u64, level: Option<u32>) -> Document {
     let scope = Scope { service: Some("a".to_owned()), ..Scope::default() };
     let key = Key { scope, target: Target::Class(format!("class-{class}")) };
     Document { key, setting: level.map(Setting::LevelPpm), version: version(index) }
 }
 
-pub fn settings(control: &[u16]) -> SubscriberSettings {
+pub(crate) fn settings(control: &[u16]) -> SubscriberSettings {
     let service = ServiceInterest { service: "a".to_owned(), tenants: Vec::new() };
     SubscriberSettings {
         name: "conductor-1".to_owned(),
@@ -51,19 +51,19 @@
 
 /// A network on which doors are opened and shut. Dials are kept, with their times.
 #[derive(Clone, Default)]
-pub struct Pipes {
+pub(crate) struct Pipes {
     doors: Arc<Mutex<BTreeMap<SocketAddr, mpsc::Sender<DuplexStream>>>>,
     dials: Arc<Mutex<Vec<(SocketAddr, Instant)>>>,
 }
 
 impl Pipes {
-    pub fn door(&self, port: u16) -> Door {
+    pub(crate) fn door(&self, port: u16) -> Door {
         let (calls, door) = mpsc::channel(4);
         self.doors.lock().expect("doors").insert(address(port), calls);
         Door { calls: door }
     }
 
-    pub fn dials(&self) -> Vec<(SocketAddr, Instant)> {
+    pub(crate) fn dials(&self) -> Vec<(SocketAddr, Instant)> {
         self.dials.lock().expect("dials").clone()
     }
 }
@@ -86,13 +86,13 @@
 }
 
 /// Where subscribers call.
-pub struct Door {
+pub(crate) struct Door {
     calls: mpsc::Receiver<DuplexStream>,
 }
 
 impl Door {
     /// The next call, and what it subscribes to.
-    pub async fn call(&mut self) -> Call {
+    pub(crate) async fn call(&mut self) -> Call {
         let stream =
             timeout(PATIENCE, self.calls.recv()).await.expect("a call in time").expect("the net stands");
         let mut call = Call {
@@ -107,7 +107,7 @@
     }
 
     /// The next call, welcomed.
-    pub async fn welcome(&mut self) -> Call {
+    pub(crate) async fn welcome(&mut self) -> Call {
         let mut call = self.call().await;
         let keep_alive_us = u64::try_from(SPAN.as_micros()).expect("it fits");
         let welcome = v1::ConfigWelcome { members: Vec::new(), head: None, keep_alive_us };
@@ -117,55 +117,55 @@
 }
 
 /// A subscriber's connection, from the other side.
-pub struct Call {
+pub(crate) struct Call {
     frames: Framed<DuplexStream, Frames<FromSubscriber, FromControl>>,
     pub subscribe: v1::ConfigSubscribe,
 }
 
 impl Call {
-    pub fn holds(&self) -> Version {
+    pub(crate) fn holds(&self) -> Version {
         version_of(self.subscribe.holds)
     }
 
-    pub fn in_force(&self) -> Version {
+    pub(crate) fn in_force(&self) -> Version {
         version_of(self.subscribe.in_force)
     }
 
-    pub async fn send(&mut self, kind: from_control::Kind) {
+    pub(crate) async fn send(&mut self, kind: from_control::Kind) {
         self.frames.send(FromControl { kind: Some(kind) }).await.expect("it is written");
     }
 
-    pub async fn delta(&mut self, from: u64, to: u64, documents: &[Document]) {
+    pub(crate) async fn delta(&mut self, from: u64, to: u64, documents: &[Document]) {
         let documents = documents.iter().cloned().map(Into::into).collect();
         let (from, to) = (Some(version(from).into()), Some(version(to).into()));
         self.send(from_control::Kind::Delta(v1::ConfigDelta { from, to, documents })).await;
     }
 
-    pub async fn part(&mut self, index: u64, part: u32, last: bool, documents: &[Document]) {
+    pub(crate) async fn part(&mut self, index: u64, part: u32, last: bool, documents: &[Document]) {
         let documents = documents.iter().cloned().map(Into::into).collect();
         let part = v1::ConfigSnapshotPart { version: Some(version(index).into()), part, last, documents };
         self.send(from_control::Kind::SnapshotPart(part)).await;
     }
 
-    pub async fn keep_alive(&mut self, covered: u64) {
+    pub(crate) async fn keep_alive(&mut self, covered: u64) {
         let covered = Some(version(covered).into());
         self.send(from_control::Kind::KeepAlive(v1::ConfigKeepAlive { covered })).await;
     }
 
-    pub async fn redirect(&mut self, members: Vec<v1::ControlAddress>, retry_after: Duration) {
+    pub(crate) async fn redirect(&mut self, members: Vec<v1::ControlAddress>, retry_after: Duration) {
         let retry_after_us = u64::try_from(retry_after.as_micros()).expect("it fits");
         let redirect = v1::ConfigRedirect { detail: "full".to_owned(), members, retry_after_us };
         self.send(from_control::Kind::Redirect(redirect)).await;
     }
 
     /// The next frame; none: the subscriber ended the connection.
-    pub async fn receive(&mut self) -> Option<from_subscriber::Kind> {
+    pub(crate) async fn receive(&mut self) -> Option<from_subscriber::Kind> {
         let frame = timeout(PATIENCE, self.frames.next()).await.expect("a frame in time")?;
         frame.expect("a sound frame").kind
     }
 
     /// The next acknowledgement: what is held, what is in force, and the reasons for what is not.
-    pub async fn acknowledged(&mut self) -> (Version, Version, Vec<String>) {
+    pub(crate) async fn acknowledged(&mut self) -> (Version, Version, Vec<String>) {
         loop {
             match self.receive().await {
                 Some(from_subscriber::Kind::KeepAlive(_)) => {}
@@ -179,14 +179,14 @@
     }
 
     /// Waits until the subscriber ends the connection.
-    pub async fn ended(&mut self) {
+    pub(crate) async fn ended(&mut self) {
         while self.receive().await.is_some() {}
     }
 }
 
 /// An engine that acts by what it is told, unless it refuses; while it is held up it does not answer.
 #[derive(Clone, Default)]
-pub struct Engine {
+pub(crate) struct Engine {
     state: Arc<Mutex<EngineState>>,
     held_up: Arc<watch::Sender<bool>>,
 }
@@ -200,20 +200,20 @@
 }
 
 impl Engine {
-    pub fn acts_by(&self) -> Vec<Document> {
+    pub(crate) fn acts_by(&self) -> Vec<Document> {
         self.state.lock().expect("state").acts_by.values().cloned().collect()
     }
 
-    pub fn refuse(&self, why: Option<&str>) {
+    pub(crate) fn refuse(&self, why: Option<&str>) {
         self.state.lock().expect("state").refuses = why.map(str::to_owned);
     }
 
-    pub fn hold_up(&self, held_up: bool) {
+    pub(crate) fn hold_up(&self, held_up: bool) {
         self.held_up.send_replace(held_up);
     }
 
     /// From now on what it is told must be on this disk.
-    pub fn watch_disk(&self, disk: &MemoryStore) {
+    pub(crate) fn watch_disk(&self, disk: &MemoryStore) {
         self.state.lock().expect("state").disk = Some(disk.clone());
     }
 }
@@ -240,22 +240,27 @@
 }
 
 /// A subscriber and all that it stands on.
-pub struct Rig {
+pub(crate) struct Rig {
     pub engine: Engine,
     pub store: MemoryStore,
     pub subscriber: Subscriber,
 }
 
 impl Rig {
-    pub async fn start(pipes: &Pipes, control: &[u16]) -> Self {
+    pub(crate) async fn start(pipes: &Pipes, control: &[u16]) -> Self {
         Self::start_on(pipes, control, MemoryStore::new()).await
     }
 
-    pub async fn start_on(pipes: &Pipes, control: &[u16], store: MemoryStore) -> Self {
+    pub(crate) async fn start_on(pipes: &Pipes, control: &[u16], store: MemoryStore) -> Self {
         Self::start_with(pipes, control, store, Engine::default()).await
     }
 
-    pub async fn start_with(pipes: &Pipes, control: &[u16], store: MemoryStore, engine: Engine) -> Self {
+    pub(crate) async fn start_with(
+        pipes: &Pipes,
+        control: &[u16],
+        store: MemoryStore,
+        engine: Engine,
+    ) -> Self {
         engine.watch_disk(&store);
         let (apply, net) = (Arc::new(engine.clone()), Arc::new(pipes.clone()));
         let subscriber = Subscriber::start(settings(control), Box::new(store.clone()), apply, net).await;
@@ -263,14 +268,14 @@
     }
 
     /// Waits until the status is so.
-    pub async fn status(&self, is_so: impl Fn(&SubscriberStatus) -> bool) -> SubscriberStatus {
+    pub(crate) async fn status(&self, is_so: impl Fn(&SubscriberStatus) -> bool) -> SubscriberStatus {
         let mut status = self.subscriber.status();
         let found = timeout(PATIENCE, status.wait_for(is_so)).await.expect("in time").expect("it runs");
         found.clone()
     }
 
     /// What the store holds.
-    pub fn kept(&self) -> (Version, Vec<Document>) {
+    pub(crate) fn kept(&self) -> (Version, Vec<Document>) {
         self.store.kept().map_or((Version::NONE, Vec::new()), |kept| (kept.version, kept.documents))
     }
 }
--- a/crates/stepspur-emulator/src/run/conductors.rs
+++ b/crates/stepspur-emulator/src/run/conductors.rs
@@ -23,14 +23,14 @@
 
 impl ConductorSlot {
     /// A place where no conductor runs yet.
-    pub fn new(config: Config) -> Self {
+    pub(super) fn new(config: Config) -> Self {
         Self { config, running: Mutex::default(), address: watch::Sender::new(None) }
     }
 }
 
 impl World {
     /// Starts all conductors for the first time.
-    pub async fn start_conductors(&self) -> Result<(), RunError> {
+    pub(super) async fn start_conductors(&self) -> Result<(), RunError> {
         for conductor in 0..self.conductors.len() {
             self.start_conductor(conductor).await?;
         }
@@ -48,14 +48,14 @@
     }
 
     /// Starts a conductor again after it was killed or terminated; a failure is logged.
-    pub async fn start_conductor_again(&self, conductor: usize) {
+    pub(super) async fn start_conductor_again(&self, conductor: usize) {
         if let Err(error) = self.start_conductor(conductor).await {
             tracing::error!(event = "conductor_lost", conductor, %error);
         }
     }
 
     /// Kills a conductor outright, without a goodbye to its proxies.
-    pub async fn kill_conductor(&self, conductor: usize) {
+    pub(super) async fn kill_conductor(&self, conductor: usize) {
         let slot = &self.conductors[conductor];
         let running = slot.running.lock().await.take();
         slot.address.send_replace(None);
@@ -67,7 +67,7 @@
     }
 
     /// Tells a conductor to end, so that it says goodbye to its proxies, and starts it again at once.
-    pub async fn restart_conductor(&self, conductor: usize) {
+    pub(super) async fn restart_conductor(&self, conductor: usize) {
         let slot = &self.conductors[conductor];
         let running = slot.running.lock().await.take();
         if let Some(running) = running {
--- a/crates/stepspur-emulator/src/run/expectations.rs
+++ b/crates/stepspur-emulator/src/run/expectations.rs
@@ -22,7 +22,7 @@
 
 impl Measured {
     /// Measures a day from its events.
-    pub fn of(plan: &Plan, recording: &Recording) -> Self {
+    pub(super) fn of(plan: &Plan, recording: &Recording) -> Self {
         let events = &recording.events;
         let end = recording.begin() + plan.length.as_micros() as Micros;
         Self {
--- a/crates/stepspur-emulator/src/run/faults.rs
+++ b/crates/stepspur-emulator/src/run/faults.rs
@@ -20,14 +20,14 @@
 
 impl World {
     /// Begins the faults that are present before any conductor has started.
-    pub async fn begin_initial_faults(self: &Arc<Self>) {
+    pub(super) async fn begin_initial_faults(self: &Arc<Self>) {
         for strike in self.plan.strikes.iter().filter(|strike| strike.from_the_start()) {
             self.set_fault(&strike.trouble, true).await;
         }
     }
 
     /// Starts a task for each fault of the day; they end when the returned set is shut down.
-    pub fn schedule_faults(self: &Arc<Self>, begin: Instant) -> JoinSet<()> {
+    pub(super) fn schedule_faults(self: &Arc<Self>, begin: Instant) -> JoinSet<()> {
         let mut tasks = JoinSet::new();
         for strike in &self.plan.strikes {
             tasks.spawn(Arc::clone(self).run_fault(strike.clone(), begin));
--- a/crates/stepspur-emulator/src/run/releases.rs
+++ b/crates/stepspur-emulator/src/run/releases.rs
@@ -11,7 +11,7 @@
 
 impl World {
     /// Plays all steps of a release that begins at `begin`, and returns when the last has ended.
-    pub async fn release(self: &Arc<Self>, drain: Duration, steps: &[Step], begin: Instant) {
+    pub(super) async fn release(self: &Arc<Self>, drain: Duration, steps: &[Step], begin: Instant) {
         let mut running = JoinSet::new();
         for step in steps.iter().cloned() {
             let world = Arc::clone(self);
--- a/crates/stepspur-emulator/src/run/sampling.rs
+++ b/crates/stepspur-emulator/src/run/sampling.rs
@@ -20,7 +20,7 @@
 
 impl World {
     /// Starts the tasks that sample the world and tell the progress.
-    pub fn start_observers(
+    pub(super) fn start_observers(
         self: &Arc<Self>,
         progress: Option<watch::Sender<Progress>>,
         begin: Instant,
--- a/crates/stepspur-emulator/src/run/servers.rs
+++ b/crates/stepspur-emulator/src/run/servers.rs
@@ -14,12 +14,12 @@
 
 impl World {
     /// The servers at these indices; indices without a server are ignored.
-    pub fn nodes_at<'a>(&'a self, indices: &'a [usize]) -> impl Iterator<Item = &'a Arc<Node>> {
+    pub(super) fn nodes_at<'a>(&'a self, indices: &'a [usize]) -> impl Iterator<Item = &'a Arc<Node>> {
         indices.iter().filter_map(|index| self.nodes.get(*index))
     }
 
     /// A server's entry in the node list.
-    pub fn record(&self, node: &Node, state: EndpointRecordState, started: Micros) -> EndpointRecord {
+    pub(super) fn record(&self, node: &Node, state: EndpointRecordState, started: Micros) -> EndpointRecord {
         EndpointRecord {
             address: node.address,
             zone: self.plan.zones[node.zone].0.clone(),
@@ -47,32 +47,32 @@
     }
 
     /// Starts a server, cold.
-    pub fn start_server(self: &Arc<Self>, server: usize) {
+    pub(super) fn start_server(self: &Arc<Self>, server: usize) {
         self.nodes[server].start();
         self.update_list_later(server, EndpointRecordState::Ready, self.trace.now(), 1);
     }
 
     /// Stops a server at once.
-    pub fn stop_server(self: &Arc<Self>, server: usize) {
+    pub(super) fn stop_server(self: &Arc<Self>, server: usize) {
         self.nodes[server].stop();
         self.update_list_later(server, EndpointRecordState::Gone, 0, 1);
     }
 
     /// Drains a server.
-    pub fn drain_server(self: &Arc<Self>, server: usize) {
+    pub(super) fn drain_server(self: &Arc<Self>, server: usize) {
         self.nodes[server].drain();
         self.update_list_later(server, EndpointRecordState::Draining, 0, 1);
     }
 
     /// Stops servers at once, or starts them again.
-    pub fn set_stopped(self: &Arc<Self>, servers: &[usize], stopped: bool) {
+    pub(super) fn set_stopped(self: &Arc<Self>, servers: &[usize], stopped: bool) {
         for server in servers {
             if stopped { self.stop_server(*server) } else { self.start_server(*server) }
         }
     }
 
     /// Makes servers silent, or restarts them.
-    pub fn set_silent(self: &Arc<Self>, servers: &[usize], silent: bool) {
+    pub(super) fn set_silent(self: &Arc<Self>, servers: &[usize], silent: bool) {
         for server in servers {
             self.nodes[*server].silent(silent);
             if silent {
--- a/crates/stepspur-emulator/src/run/setup.rs
+++ b/crates/stepspur-emulator/src/run/setup.rs
@@ -44,7 +44,7 @@
 
 impl World {
     /// Binds all sockets and starts servers, node lists, relays and proxies. No conductor runs yet.
-    pub async fn build(
+    pub(super) async fn build(
         plan: Arc<Plan>,
         launcher: Launcher,
         stop: &CancellationToken,
--- a/crates/stepspur-emulator/src/run/timer_lag.rs
+++ b/crates/stepspur-emulator/src/run/timer_lag.rs
@@ -23,7 +23,7 @@
 
 impl TimerLag {
     /// Measures until `stop` is cancelled.
-    pub async fn measure(stop: CancellationToken) -> Self {
+    pub(super) async fn measure(stop: CancellationToken) -> Self {
         let mut lags = Vec::new();
         while !stop.is_cancelled() {
             let due = Instant::now() + INTERVAL;
@@ -40,12 +40,12 @@
     }
 
     /// True if timers were too late for a result to count.
-    pub fn is_excessive(&self) -> bool {
+    pub(super) fn is_excessive(&self) -> bool {
         self.p99 > P99_LIMIT || self.max > MAX_LIMIT
     }
 
     /// The 99th percentile and the largest lag, in milliseconds.
-    pub fn as_millis(&self) -> [f64; 2] {
+    pub(super) fn as_millis(&self) -> [f64; 2] {
         [self.p99, self.max].map(|lag| lag.as_secs_f64() * 1e3)
     }
 }
--- a/crates/stepspur-emulator/src/run/world.rs
+++ b/crates/stepspur-emulator/src/run/world.rs
@@ -44,7 +44,7 @@
 
 impl World {
     /// Stops all tasks, kills the conductors, and waits until the tasks have ended.
-    pub async fn shut_down(&self, stop: &CancellationToken) {
+    pub(super) async fn shut_down(&self, stop: &CancellationToken) {
         stop.cancel();
         for conductor in 0..self.conductors.len() {
             self.kill_conductor(conductor).await;
--- a/crates/stepspur-fault-tests/src/tally.rs
+++ b/crates/stepspur-fault-tests/src/tally.rs
@@ -19,7 +19,7 @@
 
 /// A command of it: so much more under a name.
 #[derive(Serialize, Deserialize)]
-pub struct Add(pub String, pub u32);
+pub(crate) struct Add(pub String, pub u32);
 
 impl Tally {
     /// The book as a program of this version has it.
--- a/crates/stepspur-platform/src/connections.rs
+++ b/crates/stepspur-platform/src/connections.rs
@@ -35,7 +35,7 @@
 }
 
 /// A pending connection gives way to newer ones only after this: a proxy says who it is at once, however busy the core.
-pub const BRIEF: Duration = Duration::from_millis(200);
+pub(crate) const BRIEF: Duration = Duration::from_millis(200);
 /// A joined stream that said nothing for so long gives way where descriptors run out: proxies report each second
 /// or two, and one that died without a word never will.
 const SILENT: Duration = Duration::from_secs(15);
@@ -44,7 +44,7 @@
 
 /// The connections that hold a descriptor now.
 #[derive(Debug)]
-pub struct Connections {
+pub(crate) struct Connections {
     budget: Budget,
     held: Mutex<Held>,
     /// A descriptor has become free.
@@ -52,7 +52,7 @@
 }
 
 impl Connections {
-    pub fn new(budget: Budget) -> Self {
+    pub(crate) fn new(budget: Budget) -> Self {
         Self { budget, held: Mutex::default(), freed: Notify::new() }
     }
 
@@ -61,7 +61,7 @@
     }
 
     /// Waits until there is a descriptor for one more connection.
-    pub async fn room(&self) {
+    pub(crate) async fn room(&self) {
         while let Some(again) = self.make_room(Instant::now()) {
             // The time being over is as good a reason to look again.
             let _ = timeout_at(again, self.freed.notified()).await;
@@ -81,12 +81,12 @@
     }
 
     /// It has been accepted.
-    pub fn came(&self, stream: StreamId, now: Instant, cut: CancellationToken) {
+    pub(crate) fn came(&self, stream: StreamId, now: Instant, cut: CancellationToken) {
         self.held().pending.insert(stream, Connection { heard: now, closing: false, going: false, cut });
     }
 
     /// It is being closed in order.
-    pub fn closing(&self, stream: StreamId) {
+    pub(crate) fn closing(&self, stream: StreamId) {
         let mut held = self.held();
         for connections in held.both() {
             connections.entry(stream).and_modify(|c| c.closing = true);
@@ -94,7 +94,7 @@
     }
 
     /// It has joined: its descriptor is its own.
-    pub fn joined(&self, stream: StreamId, now: Instant) {
+    pub(crate) fn joined(&self, stream: StreamId, now: Instant) {
         let mut held = self.held();
         if let Some(connection) = held.pending.remove(&stream) {
             held.joined.insert(stream, Connection { heard: now, ..connection });
@@ -102,12 +102,12 @@
     }
 
     /// A joined one has said something.
-    pub fn heard(&self, stream: StreamId, now: Instant) {
+    pub(crate) fn heard(&self, stream: StreamId, now: Instant) {
         self.held().joined.entry(stream).and_modify(|c| c.heard = now);
     }
 
     /// Its descriptor is free.
-    pub fn left(&self, stream: StreamId) {
+    pub(crate) fn left(&self, stream: StreamId) {
         let mut held = self.held();
         for connections in held.both() {
             connections.remove(&stream);
--- a/crates/stepspur-platform/src/handshake.rs
+++ b/crates/stepspur-platform/src/handshake.rs
@@ -17,13 +17,13 @@
 /// A caller that has not joined may write lines of so many bytes.
 const LARGEST_FIRST: usize = 4096;
 /// Bytes for which room is made before a read.
-pub const READ: usize = 2 << 10;
+pub(crate) const READ: usize = 2 << 10;
 /// The answer to a heartbeat.
-pub const HEARTBEAT: &[u8] = b"{\"@type\":\"hb_ok\"}\n";
+pub(crate) const HEARTBEAT: &[u8] = b"{\"@type\":\"hb_ok\"}\n";
 
 /// As what a caller has joined.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Joined {
+pub(crate) enum Joined {
     /// A collector: what its reports concern stands in each of them.
     Collector,
     /// A proxy, by what it said of itself.
@@ -41,7 +41,7 @@
 
 /// Why a connection does not join, in the words that it is told.
 #[derive(Debug, thiserror::Error)]
-pub enum Refusal {
+pub(crate) enum Refusal {
     /// It took longer than it may.
     #[error("no joining came in time")]
     Late,
@@ -64,7 +64,7 @@
 
 /// The two halves of a connection, and what has been read of it and not yet used.
 #[derive(Debug)]
-pub struct Socket {
+pub(crate) struct Socket {
     /// From the caller.
     pub read: OwnedReadHalf,
     /// To the caller.
@@ -75,7 +75,7 @@
 
 /// What joins are checked against.
 #[derive(Debug)]
-pub struct Handshake {
+pub(crate) struct Handshake {
     /// Names that a joining may use.
     pub catalog: Arc<Catalog>,
     /// Heartbeats are answered once this is true.
@@ -87,7 +87,7 @@
     ///
     /// # Errors
     /// Why it is refused: what it wrote, 1.3 s without a joining, `cut` or `stop` cancelled.
-    pub async fn run(
+    pub(crate) async fn run(
         self,
         socket: &mut Socket,
         cut: &CancellationToken,
--- a/crates/stepspur-platform/tests/common/mod.rs
+++ b/crates/stepspur-platform/tests/common/mod.rs
@@ -17,9 +17,9 @@
 use tokio::time::timeout;
 
 /// Nothing that a test waits for takes longer.
-pub const SOON: Duration = Duration::from_secs(10);
+pub(crate) const SOON: Duration = Duration::from_secs(10);
 
-pub fn settings(proxies: u32) -> Value {
+pub(crate) fn settings(proxies: u32) -> Value {
     let class = |name, effect, worth| json!({"name": name, "effect": effect, "credit": worth, "promiseUs": 1_200_000, "deadlineUs": 4_000_000});
     json!({
         "balancers": 1, "zones": ["a", "b"], "myZone": 0, "membershipMode": "on_request",
@@ -34,23 +34,23 @@
 }
 
 /// A server of the list; those of even number stand in zone a.
-pub fn node(number: usize, status: &str, since_ms: u64) -> Value {
+pub(crate) fn node(number: usize, status: &str, since_ms: u64) -> Value {
     let (zone, port) = (["a", "b"][number % 2], 20_000 + number % 20_000);
     json!({"name": format!("s-{number:04}"), "address": format!("127.0.0.9:{port}"), "zone": zone, "type": "m2",
         "group": 0, "status": status, "weight": 1.0, "since_ms": since_ms})
 }
 
-pub fn list(index: u64, whole: bool, nodes: &[Value]) -> Value {
+pub(crate) fn list(index: u64, whole: bool, nodes: &[Value]) -> Value {
     json!({"index": index, "snapshot": whole, "endpoints": nodes})
 }
 
-pub fn file(discovery: SocketAddr, proxies: u32, sockets: usize, known: &Value) -> Value {
+pub(crate) fn file(discovery: SocketAddr, proxies: u32, sockets: usize, known: &Value) -> Value {
     json!({"name": "n3", "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 64, "sockets": sockets}, "known": known,
         "settings": settings(proxies)})
 }
 
-pub fn load(file: &Value) -> PlatformConfig {
+pub(crate) fn load(file: &Value) -> PlatformConfig {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("config.json");
     std::fs::write(&path, file.to_string()).unwrap();
@@ -58,7 +58,7 @@
 }
 
 /// A conductor, and the way to move its discovery.
-pub async fn start(file: &Value) -> (Conductor, watch::Sender<SocketAddr>) {
+pub(crate) async fn start(file: &Value) -> (Conductor, watch::Sender<SocketAddr>) {
     let config = load(file);
     let (discovery, newest) = watch::channel(config.discovery);
     (Conductor::start_front(front(config, newest)).await.unwrap(), discovery)
@@ -66,7 +66,7 @@
 
 /// How a stand-in treats a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mood {
+pub(crate) enum Mood {
     Well,
     /// Takes the call and says nothing.
     Silent,
@@ -90,7 +90,7 @@
 
 /// A stand-in for discovery.
 #[derive(Clone, Debug)]
-pub struct StandIn {
+pub(crate) struct StandIn {
     pub address: SocketAddr,
     truth: Arc<Mutex<Truth>>,
     news: watch::Sender<u64>,
@@ -98,7 +98,7 @@
 }
 
 impl StandIn {
-    pub async fn start(nodes: &[Value]) -> Self {
+    pub(crate) async fn start(nodes: &[Value]) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let nodes = nodes.iter().map(|n| (n["name"].as_str().unwrap().to_owned(), n.clone())).collect();
         let truth = Truth { index: 1, nodes, newest: Vec::new(), mood: Mood::Well, calls: 0 };
@@ -118,20 +118,20 @@
         this
     }
 
-    pub fn mood(&self, mood: Mood) {
+    pub(crate) fn mood(&self, mood: Mood) {
         self.truth.lock().unwrap().mood = mood;
     }
 
-    pub fn calls(&self) -> usize {
+    pub(crate) fn calls(&self) -> usize {
         self.truth.lock().unwrap().calls
     }
 
     /// Ends every call and takes no more.
-    pub fn die(&self) {
+    pub(crate) fn die(&self) {
         self.tasks.lock().unwrap().abort_all();
     }
 
-    pub fn change(&self, nodes: &[Value]) {
+    pub(crate) fn change(&self, nodes: &[Value]) {
         let mut truth = self.truth.lock().unwrap();
         truth.index += 1;
         truth.newest = nodes.to_vec();
@@ -212,7 +212,7 @@
 }
 
 /// A caller, and if it is a proxy what it holds.
-pub struct Caller {
+pub(crate) struct Caller {
     read: Lines<BufReader<OwnedReadHalf>>,
     write: OwnedWriteHalf,
     pub lines: BTreeMap<String, f64>,
@@ -222,17 +222,17 @@
 }
 
 impl Caller {
-    pub async fn dial(address: SocketAddr) -> Self {
+    pub(crate) async fn dial(address: SocketAddr) -> Self {
         Self::over(TcpStream::connect(address).await.unwrap())
     }
 
-    pub fn over(socket: TcpStream) -> Self {
+    pub(crate) fn over(socket: TcpStream) -> Self {
         let (read, write) = socket.into_split();
         let (lines, out) = (BTreeMap::new(), BTreeSet::new());
         Self { read: BufReader::new(read).lines(), write, lines, out, whole: 0, marks: Vec::new() }
     }
 
-    pub async fn proxy(address: SocketAddr, number: usize) -> Self {
+    pub(crate) async fn proxy(address: SocketAddr, number: usize) -> Self {
         let mut caller = Self::dial(address).await;
         let zone = ["a", "b"][number % 2];
         caller
@@ -241,28 +241,28 @@
         caller
     }
 
-    pub async fn say(&mut self, message: &Value) {
+    pub(crate) async fn say(&mut self, message: &Value) {
         self.raw(format!("{message}\n").as_bytes()).await;
     }
 
-    pub async fn raw(&mut self, bytes: &[u8]) {
+    pub(crate) async fn raw(&mut self, bytes: &[u8]) {
         // One that is closed already shows when it is read.
         let _ = self.write.write_all(bytes).await;
     }
 
     /// The next line; none once the stream has ended.
-    pub async fn next(&mut self) -> Option<Value> {
+    pub(crate) async fn next(&mut self) -> Option<Value> {
         let line = timeout(SOON, self.line()).await.expect("a line or the end in time")?;
         Some(serde_json::from_str(&line).unwrap())
     }
 
     /// The next line, however long it takes; the last may be torn.
-    pub async fn line(&mut self) -> Option<String> {
+    pub(crate) async fn line(&mut self) -> Option<String> {
         self.read.next_line().await.ok()?
     }
 
     /// Applies the next message, whole, and answers its mark.
-    pub async fn apply(&mut self, number: usize) -> Option<()> {
+    pub(crate) async fn apply(&mut self, number: usize) -> Option<()> {
         loop {
             let part = self.next().await?;
             assert_eq!(part["@type"], "assign", "{part}");
@@ -278,7 +278,7 @@
     }
 
     /// Applies messages until it holds what the test waits for.
-    pub async fn until(&mut self, number: usize, holds: impl Fn(&Self) -> bool) {
+    pub(crate) async fn until(&mut self, number: usize, holds: impl Fn(&Self) -> bool) {
         while !holds(self) {
             self.apply(number).await.expect("the stream stands");
         }
@@ -306,25 +306,25 @@
     }
 
     /// True: it may send to this server.
-    pub fn picks(&self, name: &str) -> bool {
+    pub(crate) fn picks(&self, name: &str) -> bool {
         self.lines.contains_key(name) && !self.out.contains(name)
     }
 }
 
 /// A stand-in for discovery whose every answer the test gives itself.
-pub struct Script {
+pub(crate) struct Script {
     pub address: SocketAddr,
     listener: TcpListener,
 }
 
 impl Script {
-    pub async fn start() -> Self {
+    pub(crate) async fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         Self { address: listener.local_addr().unwrap(), listener }
     }
 
     /// The next call, its head read and nothing answered.
-    pub async fn next(&self) -> Call {
+    pub(crate) async fn next(&self) -> Call {
         let (mut socket, _) = timeout(SOON, self.listener.accept()).await.expect("a call in time").unwrap();
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
@@ -336,37 +336,37 @@
 }
 
 /// A call that a test answers.
-pub struct Call {
+pub(crate) struct Call {
     pub path: String,
     pub socket: TcpStream,
 }
 
 impl Call {
     /// The head of a watch's answer.
-    pub async fn begin(mut self) -> Self {
+    pub(crate) async fn begin(mut self) -> Self {
         self.socket.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await.unwrap();
         self
     }
 
     /// Bytes of a watch; they may be part of a line.
-    pub async fn chunk(&mut self, text: &str) {
+    pub(crate) async fn chunk(&mut self, text: &str) {
         let chunk = format!("{:x}\r\n{text}\r\n", text.len());
         self.socket.write_all(chunk.as_bytes()).await.unwrap();
     }
 
-    pub async fn line(&mut self, list: &Value) {
+    pub(crate) async fn line(&mut self, list: &Value) {
         self.chunk(&format!("{list}\n")).await;
     }
 
     /// The whole answer to a look-up.
-    pub async fn answer(mut self, list: &Value) {
+    pub(crate) async fn answer(mut self, list: &Value) {
         let body = list.to_string();
         let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
         self.socket.write_all(answer.as_bytes()).await.unwrap();
     }
 
     /// Bytes of a line that never ends, until the caller gives up.
-    pub async fn trickle(mut self) {
+    pub(crate) async fn trickle(mut self) {
         let mut pace = tokio::time::interval(Duration::from_millis(50));
         while self.socket.write_all(b"1\r\n{\r\n").await.is_ok() {
             pace.tick().await;
@@ -374,7 +374,7 @@
     }
 
     /// Waits until the caller has ended it.
-    pub async fn ended(mut self) {
+    pub(crate) async fn ended(mut self) {
         let read = timeout(SOON, self.socket.read_u8()).await.expect("its end in time");
         assert!(read.is_err(), "a caller says nothing more");
     }
--- a/crates/stepspur-scale/src/capacity/cell.rs
+++ b/crates/stepspur-scale/src/capacity/cell.rs
@@ -5,7 +5,7 @@
 
 /// Where a figure comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Basis {
+pub(super) enum Basis {
     /// It was measured at this size.
     Measured,
     /// It was worked out by a formula from what was measured.
@@ -16,7 +16,7 @@
 
 /// A figure.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Cell {
+pub(super) struct Cell {
     /// Its value; none where it is not known.
     pub value: Option<Estimate>,
     /// Where it comes from.
@@ -25,25 +25,25 @@
 
 impl Cell {
     /// Nothing says it.
-    pub const NOT_KNOWN: Cell = Cell { value: None, basis: Basis::NotKnown };
+    pub(super) const NOT_KNOWN: Cell = Cell { value: None, basis: Basis::NotKnown };
 
     /// Measured at this size.
-    pub fn measured(value: Estimate) -> Self {
+    pub(super) fn measured(value: Estimate) -> Self {
         Self { value: Some(value), basis: Basis::Measured }
     }
 
     /// Worked out.
-    pub fn derived(value: Estimate) -> Self {
+    pub(super) fn derived(value: Estimate) -> Self {
         Self { value: Some(value), basis: Basis::Derived }
     }
 
     /// Worked out of counts that have no spread.
-    pub fn counted(value: f64) -> Self {
+    pub(super) fn counted(value: f64) -> Self {
         Self::derived(Estimate::exact(value))
     }
 
     /// So many times as much.
-    pub fn times(self, factor: f64) -> Self {
+    pub(super) fn times(self, factor: f64) -> Self {
         match self.value {
             Some(value) => Self::derived(value.times(factor)),
             None => Self::NOT_KNOWN,
@@ -51,7 +51,7 @@
     }
 
     /// The sum; not known where a part is not.
-    pub fn plus(self, other: Self) -> Self {
+    pub(super) fn plus(self, other: Self) -> Self {
         match (self.value, other.value) {
             (Some(one), Some(two)) => Self::derived(one.plus(two)),
             _ => Self::NOT_KNOWN,
@@ -59,12 +59,12 @@
     }
 
     /// The mean, if it is known.
-    pub fn mean(self) -> Option<f64> {
+    pub(super) fn mean(self) -> Option<f64> {
         self.value.map(|value| value.mean)
     }
 
     /// As it stands on the page: `m` measured, `d` derived.
-    pub fn text(self) -> String {
+    pub(super) fn text(self) -> String {
         match (self.value, self.basis) {
             (Some(value), Basis::Measured) => format!("{} m", shown(value)),
             (Some(value), _) => format!("{} d", shown(value)),
--- a/crates/stepspur-scale/src/capacity/days.rs
+++ b/crates/stepspur-scale/src/capacity/days.rs
@@ -13,14 +13,14 @@
 /// Lines that a message costs besides its own, as set by default.
 const MESSAGE_HEAD: f64 = 6.0;
 /// A region is cut off for so long, seconds.
-pub const CUT_S: f64 = 300.0;
+pub(super) const CUT_S: f64 = 300.0;
 
 /// The day of a lost rack.
-pub const RACK: &str = "a rack or switch";
+pub(super) const RACK: &str = "a rack or switch";
 
 /// A row of the bad days.
 #[derive(Clone, Debug)]
-pub struct Row {
+pub(super) struct Row {
     /// The day.
     pub day: &'static str,
     /// Whom it asks what of.
@@ -38,7 +38,7 @@
 }
 
 /// All bad days, for a conductor that lists so many servers.
-pub fn days(figures: Figures, with: &Assumptions) -> Vec<Row> {
+pub(super) fn days(figures: Figures, with: &Assumptions) -> Vec<Row> {
     let more_servers =
         figures.above(Name::Servers, Metric::DrainCpuMs, with.servers, SERVERS_OF_PROXIES_SLOPE);
     let drain = figures.at(Name::Proxies, Metric::DrainCpuMs, with.proxies).plus(more_servers);
--- a/crates/stepspur-scale/src/capacity/figures.rs
+++ b/crates/stepspur-scale/src/capacity/figures.rs
@@ -6,11 +6,11 @@
 
 /// Measured slopes to work from.
 #[derive(Clone, Copy, Debug)]
-pub struct Figures<'a>(pub &'a Slopes);
+pub(super) struct Figures<'a>(pub &'a Slopes);
 
 impl Figures<'_> {
     /// At a size: what was measured there; else what the neighbouring sizes say; beyond all sizes what the line says.
-    pub fn at(&self, name: Name, metric: Metric, x: f64) -> Cell {
+    pub(super) fn at(&self, name: Name, metric: Metric, x: f64) -> Cell {
         let Some(slope) = self.0.get(name) else { return Cell::NOT_KNOWN };
         let points = slope.points(metric);
         if let Some(value) = measured(&points, x) {
@@ -20,7 +20,7 @@
     }
 
     /// What one size costs above another, repeat by repeat.
-    pub fn above(&self, name: Name, metric: Metric, x: f64, other: f64) -> Cell {
+    pub(super) fn above(&self, name: Name, metric: Metric, x: f64, other: f64) -> Cell {
         if x == other {
             return Cell::counted(0.0);
         }
@@ -37,13 +37,13 @@
     }
 
     /// What one more costs, by the line.
-    pub fn more(&self, name: Name, metric: Metric) -> Cell {
+    pub(super) fn more(&self, name: Name, metric: Metric) -> Cell {
         let fit = self.0.get(name).and_then(|slope| slope.fits.get(&metric));
         fit.map_or(Cell::NOT_KNOWN, |fit| Cell::derived(fit.slope))
     }
 
     /// The largest size of a slope that was measured.
-    pub fn largest(&self, name: Name) -> Option<f64> {
+    pub(super) fn largest(&self, name: Name) -> Option<f64> {
         self.0.get(name)?.sizes().last().copied()
     }
 }
--- a/crates/stepspur-scale/src/capacity/fleet.rs
+++ b/crates/stepspur-scale/src/capacity/fleet.rs
@@ -14,7 +14,7 @@
 
 /// Runs of the scale rig: what `fleet --json` wrote, one run or several sizes.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Fleet {
+pub(crate) struct Fleet {
     /// The runs.
     runs: Vec<Report>,
     /// How figures grow with conductors over the runs.
@@ -29,7 +29,7 @@
 
 /// What the page tells of a run.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Report {
+pub(super) struct Report {
     /// How large it was.
     fleet: Size,
     /// All conductors start at once.
@@ -100,13 +100,13 @@
 ///
 /// # Errors
 /// If there is no such file, or it has another form.
-pub fn read(path: &Path) -> anyhow::Result<Fleet> {
+pub(super) fn read(path: &Path) -> anyhow::Result<Fleet> {
     let text = std::fs::read_to_string(path).with_context(|| path.display().to_string())?;
     serde_json::from_str(&text).with_context(|| path.display().to_string())
 }
 
 /// The runs as tables; without one, a line that says so.
-pub fn table(fleet: Option<&Fleet>) -> String {
+pub(super) fn table(fleet: Option<&Fleet>) -> String {
     let Some(Fleet { runs, growth }) = fleet else {
         return "*The scale run's figures come here; none is given yet.*".to_owned();
     };
--- a/crates/stepspur-scale/src/capacity/letter.rs
+++ b/crates/stepspur-scale/src/capacity/letter.rs
@@ -9,7 +9,7 @@
 
 /// A figure told before.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub(super) struct Told {
     /// What it is.
     pub what: &'static str,
     /// As it was told: least and most.
@@ -22,7 +22,7 @@
 
 impl Told {
     /// In a word.
-    pub fn verdict(&self) -> &'static str {
+    pub(super) fn verdict(&self) -> &'static str {
         let Some(found) = self.found.value else { return "not measured" };
         let half = found.half_width.unwrap_or(0.0);
         let (least, most) = (self.told.0 * (1.0 - AGREE), self.told.1 * (1.0 + AGREE));
@@ -35,7 +35,7 @@
 }
 
 /// All of them.
-pub fn told(figures: Figures) -> Vec<Told> {
+pub(super) fn told(figures: Figures) -> Vec<Told> {
     let servers = |metric, at: f64| figures.at(Name::Servers, metric, at);
     let members = |metric| figures.at(Name::Members, metric, 13.0);
     let probes = |metric, at: f64| figures.at(Name::Probes, metric, at);
--- a/crates/stepspur-scale/src/capacity/missing.rs
+++ b/crates/stepspur-scale/src/capacity/missing.rs
@@ -8,7 +8,7 @@
 
 /// How a target line stands.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Standing {
+pub(super) enum Standing {
     /// Nothing carries it.
     NotCarried,
     /// So many times its allowance.
@@ -17,7 +17,7 @@
 
 /// Something that is missing.
 #[derive(Clone, Debug)]
-pub struct Missing {
+pub(super) struct Missing {
     /// The target line.
     pub line: String,
     /// How it stands.
@@ -31,7 +31,7 @@
 }
 
 /// Sorts what is missing, and leaves out what is within its allowance.
-pub fn ordered(mut all: Vec<Missing>) -> Vec<Missing> {
+pub(super) fn ordered(mut all: Vec<Missing>) -> Vec<Missing> {
     all.retain(|one| !matches!(one.standing, Standing::Over(times) if times.is_nan() || times <= 1.0));
     let rank = |one: &Missing| match one.standing {
         Standing::NotCarried => f64::NEG_INFINITY,
@@ -42,7 +42,7 @@
 }
 
 /// All target lines that are known not to be met.
-pub fn missing(figures: Figures) -> Vec<Missing> {
+pub(super) fn missing(figures: Figures) -> Vec<Missing> {
     let mut all = not_carried(figures);
     for listed in Listed::ALL {
         all.extend(over(figures, listed));
--- a/crates/stepspur-scale/src/capacity/mod.rs
+++ b/crates/stepspur-scale/src/capacity/mod.rs
@@ -8,7 +8,7 @@
 mod missing;
 mod page;
 mod roles;
-pub mod target;
+pub(crate) mod target;
 #[cfg(test)]
 mod tests;
 
@@ -22,7 +22,7 @@
 
 /// What is read and written.
 #[derive(Debug, clap::Args)]
-pub struct CapacityArgs {
+pub(crate) struct CapacityArgs {
     /// The slopes, as `slopes --json` wrote them.
     #[arg(long)]
     slopes: PathBuf,
@@ -38,7 +38,7 @@
 ///
 /// # Errors
 /// If a file cannot be read, or the page lacks a marker.
-pub fn run(args: CapacityArgs) -> anyhow::Result<()> {
+pub(crate) fn run(args: CapacityArgs) -> anyhow::Result<()> {
     let slopes = slopes::read(&args.slopes)?;
     let fleet = args.fleet.as_deref().map(fleet::read).transpose()?;
     let page = std::fs::read_to_string(&args.page).with_context(|| args.page.display().to_string())?;
@@ -50,7 +50,7 @@
 ///
 /// # Errors
 /// If it lacks a marker.
-pub fn write(page: &str, slopes: &Slopes, fleet: Option<&fleet::Fleet>) -> anyhow::Result<String> {
+pub(crate) fn write(page: &str, slopes: &Slopes, fleet: Option<&fleet::Fleet>) -> anyhow::Result<String> {
     let figures = Figures(slopes);
     let parts = [
         ("slopes", page::slopes(slopes)),
--- a/crates/stepspur-scale/src/capacity/page.rs
+++ b/crates/stepspur-scale/src/capacity/page.rs
@@ -29,7 +29,7 @@
 }
 
 /// Each slope: means at its sizes, what one more costs, the exponent.
-pub fn slopes(slopes: &Slopes) -> String {
+pub(super) fn slopes(slopes: &Slopes) -> String {
     let mut text = String::new();
     for slope in &slopes.slopes {
         let loads = slope.runs.iter().map(|run| run.load_average);
@@ -74,7 +74,7 @@
 }
 
 /// Figures told before, beside those of the slopes.
-pub fn told(figures: Figures) -> String {
+pub(super) fn told(figures: Figures) -> String {
     let mut table = Table::new(&["figure", "told before", "slopes", "verdict"]);
     for one in letter::told(figures) {
         let (least, most) = one.told;
@@ -85,7 +85,7 @@
 }
 
 /// A conductor by what it does, in three cases.
-pub fn conductor(figures: Figures) -> String {
+pub(super) fn conductor(figures: Figures) -> String {
     let mut text = String::new();
     for listed in Listed::ALL {
         let with = Assumptions::taken(listed.servers());
@@ -155,7 +155,7 @@
 }
 
 /// All other roles, for conductors that list a zone.
-pub fn others(figures: Figures) -> String {
+pub(super) fn others(figures: Figures) -> String {
     let mut table = Table::new(&ROLE_HEADS);
     for row in roles::others(figures, &Assumptions::taken(Listed::Zone.servers())) {
         table.row(&role_cells(&row));
@@ -164,7 +164,7 @@
 }
 
 /// What is added to a request.
-pub fn added(figures: Figures) -> String {
+pub(super) fn added(figures: Figures) -> String {
     let mut table = Table::new(&[
         "lines of the table",
         "choose, mean, µs",
@@ -188,7 +188,7 @@
 }
 
 /// The bad days, for a conductor that lists a zone.
-pub fn bad_days(figures: Figures) -> String {
+pub(super) fn bad_days(figures: Figures) -> String {
     let mut table = Table::new(&["day", "asks", "figure", "allowed", "formula", "carried by"]);
     for row in days::days(figures, &Assumptions::taken(Listed::Zone.servers())) {
         let figure = format!("{} {}", row.figure.text(), row.unit);
@@ -198,7 +198,7 @@
 }
 
 /// What the users left open, and what doubling each does to a conductor that lists a zone.
-pub fn assumptions(figures: Figures) -> String {
+pub(super) fn assumptions(figures: Figures) -> String {
     let taken = Assumptions::taken(Listed::Zone.servers());
     let doubled: [(&str, String, Assumptions); 6] = [
         (
@@ -283,7 +283,7 @@
 }
 
 /// What is missing, in order.
-pub fn missing(figures: Figures) -> String {
+pub(super) fn missing(figures: Figures) -> String {
     let mut table = Table::new(&[
         "",
         "target line",
--- a/crates/stepspur-scale/src/capacity/roles.rs
+++ b/crates/stepspur-scale/src/capacity/roles.rs
@@ -10,26 +10,26 @@
 use crate::traffic::HEADER_BYTES;
 
 /// Servers behind the slope of proxies.
-pub const SERVERS_OF_PROXIES_SLOPE: f64 = 240.0;
+pub(super) const SERVERS_OF_PROXIES_SLOPE: f64 = 240.0;
 /// The least requests a second behind the slope of reports.
 const LEAST_REQUESTS_MEASURED: f64 = 100.0;
 /// The decision module's probes: a part of the requests, each server once in a second at most and in eight at least.
-pub const PROBED_PART: f64 = 0.15;
-pub const PROBE_LONGEST_S: f64 = 8.0;
+pub(super) const PROBED_PART: f64 = 0.15;
+pub(super) const PROBE_LONGEST_S: f64 = 8.0;
 /// A long poll of the list ends after this, as set by default.
-pub const LIST_POLL_S: f64 = 10.0;
+pub(super) const LIST_POLL_S: f64 = 10.0;
 /// A side of a stream that sent nothing for so long pings, as set by default.
-pub const KEEP_ALIVE_S: f64 = 5.0;
+pub(super) const KEEP_ALIVE_S: f64 = 5.0;
 /// Changes of the list that a restart makes: draining, ready again.
 const ENTRIES_OF_RESTART: f64 = 2.0;
 /// Bytes of a command behind the slope of entries.
 const COMMAND_BYTES: f64 = 130.0;
 /// Members of a council that the slope was measured up to.
-pub const COUNCIL_MEASURED: f64 = 23.0;
+pub(super) const COUNCIL_MEASURED: f64 = 23.0;
 
 /// A row of a table of roles.
 #[derive(Clone, Debug)]
-pub struct Row {
+pub(super) struct Row {
     /// The role, or what it does.
     pub what: &'static str,
     /// What it holds, in entries.
@@ -53,12 +53,12 @@
 }
 
 /// Probes a second of a conductor: 0.15 of its requests, between its servers once in 8 s and once a second.
-pub fn probes_per_s(servers: f64, requests_per_s: f64) -> f64 {
+pub(super) fn probes_per_s(servers: f64, requests_per_s: f64) -> f64 {
     (PROBED_PART * requests_per_s).clamp(servers / PROBE_LONGEST_S, servers)
 }
 
 /// Bytes of a server in the HTTP list.
-pub fn entry_bytes() -> f64 {
+pub(super) fn entry_bytes() -> f64 {
     let record = EndpointRecord {
         address: (address_of(12_345), 8_080).into(),
         zone: "zone-42".into(),
@@ -70,13 +70,13 @@
 }
 
 /// Changes of the list a second that concern a conductor, on an ordinary day.
-pub fn list_changes_per_s(servers: f64) -> f64 {
+pub(super) fn list_changes_per_s(servers: f64) -> f64 {
     let of_fleet = USERS.restarts_per_day * ENTRIES_OF_RESTART + USERS.failures_per_day;
     of_fleet / DAY_S * servers / USERS.servers
 }
 
 /// A conductor by what it does.
-pub fn conductor(figures: Figures, with: &Assumptions) -> Vec<Row> {
+pub(super) fn conductor(figures: Figures, with: &Assumptions) -> Vec<Row> {
     let Assumptions { proxies, servers, requests_per_s, .. } = *with;
     let joined = |metric| figures.at(Name::Proxies, metric, proxies);
     let more_servers = |metric| figures.above(Name::Servers, metric, servers, SERVERS_OF_PROXIES_SLOPE);
@@ -195,23 +195,24 @@
 }
 
 /// Rows of [`conductor`] that are control, probes apart.
-pub const CONTROL: [&str; 3] = ["the list of servers", "configuration", "council of 23, following only"];
+pub(super) const CONTROL: [&str; 3] =
+    ["the list of servers", "configuration", "council of 23, following only"];
 /// The row of probes.
-pub const PROBES: &str = "probes";
+pub(super) const PROBES: &str = "probes";
 
 /// The sum of some rows.
-pub fn sum(rows: &[Row], of: impl Fn(&Row) -> bool, cell: impl Fn(&Row) -> Cell) -> Cell {
+pub(super) fn sum(rows: &[Row], of: impl Fn(&Row) -> bool, cell: impl Fn(&Row) -> Cell) -> Cell {
     rows.iter().filter(|row| of(row)).map(cell).fold(Cell::counted(0.0), Cell::plus)
 }
 
 /// The sum of some rows as far as they are known; not known where none is.
-pub fn sum_known(rows: &[Row], of: &dyn Fn(&Row) -> bool, cell: fn(&Row) -> Cell) -> Cell {
+pub(super) fn sum_known(rows: &[Row], of: &dyn Fn(&Row) -> bool, cell: fn(&Row) -> Cell) -> Cell {
     let known = |row: &Row| of(row) && cell(row).mean().is_some();
     if rows.iter().any(known) { sum(rows, known, cell) } else { Cell::NOT_KNOWN }
 }
 
 /// All other roles.
-pub fn others(figures: Figures, with: &Assumptions) -> Vec<Row> {
+pub(super) fn others(figures: Figures, with: &Assumptions) -> Vec<Row> {
     let leader = |metric| figures.at(Name::Members, metric, USERS.machines);
     let segments = |members, wire, payload| segments_per_s(figures, members, wire, payload);
     let in_burst = |metric| figures.at(Name::Entries, metric, with.burst_per_s);
--- a/crates/stepspur-scale/src/capacity/target.rs
+++ b/crates/stepspur-scale/src/capacity/target.rs
@@ -2,7 +2,7 @@
 
 /// The users' size and allowances.
 #[derive(Clone, Copy, Debug)]
-pub struct Target {
+pub(crate) struct Target {
     /// Conductors.
     pub conductors: f64,
     /// Nodes, each a server.
@@ -36,7 +36,7 @@
 }
 
 /// As the users wrote it.
-pub const USERS: Target = Target {
+pub(crate) const USERS: Target = Target {
     conductors: 2_400.0,
     servers: 19_000.0,
     services: 930.0,
@@ -55,28 +55,28 @@
 };
 
 /// Seconds of a day.
-pub const DAY_S: f64 = 86_400.0;
+pub(crate) const DAY_S: f64 = 86_400.0;
 
 impl Target {
     /// Requests a second before one conductor, the mean.
-    pub fn requests_per_conductor(&self) -> f64 {
+    pub(crate) fn requests_per_conductor(&self) -> f64 {
         self.requests_per_s / self.conductors
     }
 
     /// Servers of a zone, the mean.
-    pub fn servers_per_zone(&self) -> f64 {
+    pub(crate) fn servers_per_zone(&self) -> f64 {
         self.servers / self.zones
     }
 
     /// Changes of configuration a second, the day's mean.
-    pub fn changes_per_s(&self) -> f64 {
+    pub(crate) fn changes_per_s(&self) -> f64 {
         self.changes_per_day / DAY_S
     }
 }
 
 /// What the users left open, as taken here.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Assumptions {
+pub(crate) struct Assumptions {
     /// Proxies that have joined one conductor.
     pub proxies: f64,
     /// Requests a second before one conductor.
@@ -95,7 +95,7 @@
 
 impl Assumptions {
     /// As taken on the page, for a conductor that lists so many servers.
-    pub fn taken(servers: f64) -> Self {
+    pub(crate) fn taken(servers: f64) -> Self {
         Self {
             proxies: 50.0,
             requests_per_s: USERS.requests_per_conductor(),
@@ -108,7 +108,7 @@
     }
 
     /// The largest tenant's share of the requests.
-    pub fn largest_tenant(&self) -> f64 {
+    pub(crate) fn largest_tenant(&self) -> f64 {
         let tenants = USERS.tenants as u32;
         1.0 / (1..=tenants).map(|rank| f64::from(rank).powf(-self.zipf)).sum::<f64>()
     }
@@ -116,7 +116,7 @@
 
 /// What a conductor lists: nobody has said, so three cases.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Listed {
+pub(crate) enum Listed {
     /// A service's servers.
     Service,
     /// A zone's servers.
@@ -127,10 +127,10 @@
 
 impl Listed {
     /// All cases, rising.
-    pub const ALL: [Listed; 3] = [Listed::Service, Listed::Zone, Listed::Fleet];
+    pub(crate) const ALL: [Listed; 3] = [Listed::Service, Listed::Zone, Listed::Fleet];
 
     /// Its servers, as measured sizes where there is one beside the mean.
-    pub fn servers(self) -> f64 {
+    pub(crate) fn servers(self) -> f64 {
         match self {
             Listed::Service => 20.0,
             Listed::Zone => 240.0,
@@ -139,7 +139,7 @@
     }
 
     /// What it is called.
-    pub fn label(self) -> &'static str {
+    pub(crate) fn label(self) -> &'static str {
         match self {
             Listed::Service => "a mean service, 20 servers",
             Listed::Zone => "a zone, 240 servers",
--- a/crates/stepspur-scale/src/drains/arm.rs
+++ b/crates/stepspur-scale/src/drains/arm.rs
@@ -4,7 +4,7 @@
 
 /// What a conductor does for the distribution of configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Arm {
+pub(super) enum Arm {
     /// It subscribes to control members.
     On,
     /// Its settings are the same without `[distribution]`.
@@ -21,6 +21,6 @@
 }
 
 /// The arms of a pair of rounds: which comes first changes from pair to pair, so that neither always follows the other.
-pub fn order(pair: u32) -> [Arm; 2] {
+pub(super) fn order(pair: u32) -> [Arm; 2] {
     if pair.is_multiple_of(2) { [Arm::On, Arm::Off] } else { [Arm::Off, Arm::On] }
 }
--- a/crates/stepspur-scale/src/drains/changes.rs
+++ b/crates/stepspur-scale/src/drains/changes.rs
@@ -29,7 +29,7 @@
 
 /// Which changes come, one after the other; each changes something.
 #[derive(Debug)]
-pub struct Schedule {
+pub(super) struct Schedule {
     classes: Vec<String>,
     held: SocketAddr,
     made: u64,
@@ -37,12 +37,12 @@
 
 impl Schedule {
     /// Changes of these classes, and of a server that nothing else drains.
-    pub fn new(classes: Vec<String>, held: SocketAddr) -> Self {
+    pub(super) fn new(classes: Vec<String>, held: SocketAddr) -> Self {
         Self { classes, held, made: 0 }
     }
 
     /// The next change.
-    pub fn draw(&mut self) -> Change {
+    pub(super) fn draw(&mut self) -> Change {
         let number = self.made;
         self.made += 1;
         let scope = Scope { service: Some(SERVICE.to_owned()), ..Scope::default() };
@@ -60,7 +60,7 @@
 }
 
 /// A task that has changes agreed on until it is stopped.
-pub struct Changes {
+pub(super) struct Changes {
     agreed: watch::Receiver<u64>,
     stop: CancellationToken,
     task: JoinHandle<anyhow::Result<()>>,
@@ -68,7 +68,7 @@
 
 impl Changes {
     /// Proposes so many changes a second.
-    pub fn start(operator: Operator, schedule: Schedule, per_s: f64) -> Self {
+    pub(super) fn start(operator: Operator, schedule: Schedule, per_s: f64) -> Self {
         let (tell, agreed) = watch::channel(0);
         let stop = CancellationToken::new();
         let stopped = stop.clone();
@@ -89,7 +89,7 @@
     }
 
     /// How many were agreed so far.
-    pub fn agreed(&self) -> u64 {
+    pub(super) fn agreed(&self) -> u64 {
         *self.agreed.borrow()
     }
 
@@ -97,7 +97,7 @@
     ///
     /// # Errors
     /// None is agreed any more; [`Changes::stop`] tells why.
-    pub async fn next(&mut self) -> anyhow::Result<()> {
+    pub(super) async fn next(&mut self) -> anyhow::Result<()> {
         let before = self.agreed();
         let next = timeout(AGREE_TIMEOUT, self.agreed.wait_for(|agreed| *agreed > before)).await;
         next.context("no change is agreed")?.context("changes have ended")?;
@@ -108,7 +108,7 @@
     ///
     /// # Errors
     /// Why they ended before.
-    pub async fn stop(self) -> anyhow::Result<()> {
+    pub(super) async fn stop(self) -> anyhow::Result<()> {
         self.stop.cancel();
         self.task.await?
     }
--- a/crates/stepspur-scale/src/drains/control.rs
+++ b/crates/stepspur-scale/src/drains/control.rs
@@ -14,7 +14,7 @@
 use crate::fleet::settings::ControlFleet;
 
 /// The service whose configuration changes.
-pub const SERVICE: &str = "service-0";
+pub(super) const SERVICE: &str = "service-0";
 /// Where everything stands.
 const REGION: &str = "region-0";
 /// A subscriber that nothing concerns is told so often what it is covered to: the program's default.
@@ -24,7 +24,7 @@
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Control members that run. Dropping them kills their processes.
-pub struct ControlMembers {
+pub(super) struct ControlMembers {
     fleet: ControlFleet,
     keys: Keys,
     processes: Vec<Process>,
@@ -35,7 +35,7 @@
     ///
     /// # Errors
     /// A process that does not start.
-    pub async fn start(program: &Path, folder: &Path, count: u32) -> anyhow::Result<Self> {
+    pub(super) async fn start(program: &Path, folder: &Path, count: u32) -> anyhow::Result<Self> {
         let mut members = Vec::new();
         for id in 1..=u64::from(count) {
             let member = ControlMember { id, region: REGION.to_owned(), votes: true };
@@ -58,12 +58,12 @@
     ///
     /// # Errors
     /// Keys that make no client.
-    pub fn operator(&self) -> anyhow::Result<Operator> {
+    pub(super) fn operator(&self) -> anyhow::Result<Operator> {
         self.keys.operator(self.fleet.operators())
     }
 
     /// The settings of a conductor that subscribes to them and keeps its documents in this file.
-    pub fn subscription(&self, state: PathBuf) -> Distribution {
+    pub(super) fn subscription(&self, state: PathBuf) -> Distribution {
         let control: Vec<SocketAddr> = self.fleet.places().iter().map(|place| place.address).collect();
         let service = ServiceConfig { service: SERVICE.to_owned(), tenants: Vec::new() };
         let subscriber = SubscriberConfig {
@@ -79,7 +79,7 @@
     }
 
     /// Ends them in order.
-    pub async fn stop(self) {
+    pub(super) async fn stop(self) {
         join_all(self.processes.into_iter().map(Process::terminate)).await;
     }
 }
--- a/crates/stepspur-scale/src/drains/mod.rs
+++ b/crates/stepspur-scale/src/drains/mod.rs
@@ -29,7 +29,7 @@
 
 /// Drains with the distribution on against off.
 #[derive(Clone, Debug, clap::Args)]
-pub struct DrainsArgs {
+pub(crate) struct DrainsArgs {
     /// Servers that the list names.
     #[arg(long, default_value_t = 379)]
     servers: usize,
@@ -63,7 +63,7 @@
 ///
 /// # Errors
 /// A run that fails or takes too long.
-pub async fn run(args: DrainsArgs) -> anyhow::Result<()> {
+pub(crate) async fn run(args: DrainsArgs) -> anyhow::Result<()> {
     let (mut interrupt, mut terminate) = (signal(SignalKind::interrupt())?, signal(SignalKind::terminate())?);
     let folder = tempfile::Builder::new().prefix("stepspur-drains-").tempdir()?;
     // Whatever was started ends with the measuring that is dropped.
--- a/crates/stepspur-scale/src/drains/report.rs
+++ b/crates/stepspur-scale/src/drains/report.rs
@@ -13,11 +13,11 @@
 use crate::fleet::report::Machine;
 
 /// Medians of drains to the last proxy, on over off, are at most this.
-pub const RATIO_AIM: f64 = 1.05;
+pub(super) const RATIO_AIM: f64 = 1.05;
 
 /// What was run.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct Setting {
+pub(super) struct Setting {
     /// Servers that the list names.
     pub servers: usize,
     /// Proxies of the conductor.
@@ -36,7 +36,7 @@
 
 /// What the rounds of one arm took.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct ArmReport {
+pub(super) struct ArmReport {
     /// From the list's change to the last proxy's reading, over all rounds.
     pub last: Spread,
     /// The mean of the same.
@@ -55,7 +55,7 @@
 
 /// How the arms compare: on over off.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Ratios {
+pub(super) struct Ratios {
     /// Of the medians of all drains to the last proxy.
     pub last_p50: f64,
     /// Of their 99th in a hundred.
@@ -70,7 +70,7 @@
 
 /// The whole result.
 #[derive(Clone, Debug, Serialize)]
-pub struct Report {
+pub(super) struct Report {
     machine: Machine,
     setting: Setting,
     on: ArmReport,
@@ -112,7 +112,7 @@
 
 impl Report {
     /// Of all rounds, those of each arm in the order of their pairs.
-    pub fn new(machine: Machine, setting: Setting, rounds: &[Measured]) -> Self {
+    pub(super) fn new(machine: Machine, setting: Setting, rounds: &[Measured]) -> Self {
         let (on, off) = (ArmReport::new(Arm::On, rounds), ArmReport::new(Arm::Off, rounds));
         let ratios = Ratios::new(&on, &off);
         Self { machine, setting, on, off, ratios }
--- a/crates/stepspur-scale/src/drains/round.rs
+++ b/crates/stepspur-scale/src/drains/round.rs
@@ -39,7 +39,7 @@
 
 /// What all rounds have in common.
 #[derive(Clone, Debug)]
-pub struct RoundSettings {
+pub(super) struct RoundSettings {
     /// The real program.
     pub program: PathBuf,
     /// Servers that the list names.
@@ -69,7 +69,7 @@
     ///
     /// # Errors
     /// Too few servers.
-    pub fn schedule(&self) -> anyhow::Result<Schedule> {
+    pub(super) fn schedule(&self) -> anyhow::Result<Schedule> {
         let fleet = conductor::settings()?.fleet;
         let zones = fleet.zones.len();
         ensure!(self.servers >= 3 * zones, "{zones} zones need {} servers", 3 * zones);
@@ -79,7 +79,7 @@
 }
 
 /// A round under way. Dropping it kills its conductor.
-pub struct Round {
+pub(super) struct Round {
     arm: Arm,
     drains: u32,
     proxies: usize,
@@ -97,7 +97,7 @@
 
 /// What a round measured.
 #[derive(Clone, Debug)]
-pub struct Measured {
+pub(super) struct Measured {
     /// Its arm.
     pub arm: Arm,
     /// From the list's change to the last proxy's reading, of each drain.
@@ -123,7 +123,7 @@
     ///
     /// # Errors
     /// A process that does not start, or proxies that do not join in time.
-    pub async fn start(
+    pub(super) async fn start(
         settings: &RoundSettings,
         arm: Arm,
         pair: u32,
@@ -156,7 +156,7 @@
     ///
     /// # Errors
     /// A drain that does not reach all proxies, changes that are not agreed or do not come where they should.
-    pub async fn measure(mut self, changes: &mut Changes) -> anyhow::Result<Measured> {
+    pub(super) async fn measure(mut self, changes: &mut Changes) -> anyhow::Result<Measured> {
         dropping(&mut self.table_changes, changes.next()).await?;
         if self.arm == Arm::On {
             let all = self.hollow.levels() + self.proxies as u64;
--- a/crates/stepspur-scale/src/fit.rs
+++ b/crates/stepspur-scale/src/fit.rs
@@ -13,7 +13,7 @@
 
 /// A measured point of one repeat.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Point {
+pub(crate) struct Point {
     /// The repeat, from 0.
     pub repeat: usize,
     /// The size.
@@ -24,7 +24,7 @@
 
 /// A mean, and where the repeats place it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Estimate {
+pub(crate) struct Estimate {
     /// Mean of the repeats.
     pub mean: f64,
     /// Half of the 95% interval by Student's t; none of a single repeat.
@@ -33,12 +33,12 @@
 
 impl Estimate {
     /// A value that is known without a spread.
-    pub fn exact(mean: f64) -> Self {
+    pub(crate) fn exact(mean: f64) -> Self {
         Self { mean, half_width: Some(0.0) }
     }
 
     /// The estimate of values of repeats; none of no values.
-    pub fn of(values: &[f64]) -> Option<Self> {
+    pub(crate) fn of(values: &[f64]) -> Option<Self> {
         if values.is_empty() {
             return None;
         }
@@ -54,13 +54,13 @@
     }
 
     /// So many times as much.
-    pub fn times(self, factor: f64) -> Self {
+    pub(crate) fn times(self, factor: f64) -> Self {
         let half_width = self.half_width.map(|half| half * factor.abs());
         Self { mean: self.mean * factor, half_width }
     }
 
     /// The sum with one that errs on its own: half widths add up by their squares.
-    pub fn plus(self, other: Self) -> Self {
+    pub(crate) fn plus(self, other: Self) -> Self {
         let half_width = self.half_width.zip(other.half_width).map(|(a, b)| a.hypot(b));
         Self { mean: self.mean + other.mean, half_width }
     }
@@ -68,7 +68,7 @@
 
 /// A line y = a + b·x.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Line {
+pub(crate) struct Line {
     /// a.
     pub intercept: f64,
     /// b.
@@ -77,13 +77,13 @@
 
 impl Line {
     /// y at x.
-    pub fn at(&self, x: f64) -> f64 {
+    pub(crate) fn at(&self, x: f64) -> f64 {
         self.intercept + self.slope * x
     }
 }
 
 /// The line of least squares; none through fewer than two sizes.
-pub fn least_squares(points: &[(f64, f64)]) -> Option<Line> {
+pub(crate) fn least_squares(points: &[(f64, f64)]) -> Option<Line> {
     let count = points.len() as f64;
     let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
     let mean_y = points.iter().map(|(_, y)| y).sum::<f64>() / count;
@@ -95,7 +95,7 @@
 
 /// The exponent of growth, e in y ~ x^e: the slope of the best line through the logarithms. Points that are not above 0
 /// have none and are left out; none through fewer than two sizes.
-pub fn exponent(points: &[(f64, f64)]) -> Option<f64> {
+pub(crate) fn exponent(points: &[(f64, f64)]) -> Option<f64> {
     let positive = points.iter().filter(|(x, y)| *x > 0.0 && *y > 0.0);
     let logarithms: Vec<(f64, f64)> = positive.map(|(x, y)| (x.ln(), y.ln())).collect();
     least_squares(&logarithms).map(|line| line.slope)
@@ -103,7 +103,7 @@
 
 /// What repeats say of one measured thing by size.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Fit {
+pub(crate) struct Fit {
     /// a in y = a + b·x.
     pub intercept: Estimate,
     /// b.
@@ -115,7 +115,7 @@
 }
 
 /// Fits each repeat by itself; the interval is that of the repeats' lines.
-pub fn fit(points: &[Point]) -> Option<Fit> {
+pub(crate) fn fit(points: &[Point]) -> Option<Fit> {
     let lines = lines(points);
     let intercepts: Vec<f64> = lines.iter().map(|line| line.intercept).collect();
     let slopes: Vec<f64> = lines.iter().map(|line| line.slope).collect();
@@ -131,12 +131,12 @@
 }
 
 /// What the line of the repeats says at a size.
-pub fn predict(points: &[Point], x: f64) -> Option<Estimate> {
+pub(crate) fn predict(points: &[Point], x: f64) -> Option<Estimate> {
     Estimate::of(&lines(points).iter().map(|line| line.at(x)).collect::<Vec<_>>())
 }
 
 /// What the straight lines between neighbouring sizes say, for a size between the smallest and the largest.
-pub fn interpolate(points: &[Point], x: f64) -> Option<Estimate> {
+pub(crate) fn interpolate(points: &[Point], x: f64) -> Option<Estimate> {
     let between = |points: &Vec<(f64, f64)>| {
         let below = points.iter().filter(|(size, _)| *size <= x).max_by(|a, b| a.0.total_cmp(&b.0))?;
         let above = points.iter().filter(|(size, _)| *size >= x).min_by(|a, b| a.0.total_cmp(&b.0))?;
@@ -148,7 +148,7 @@
 }
 
 /// What was measured at a size itself.
-pub fn measured(points: &[Point], x: f64) -> Option<Estimate> {
+pub(crate) fn measured(points: &[Point], x: f64) -> Option<Estimate> {
     let there = points.iter().filter(|point| point.x == x).map(|point| point.y);
     Estimate::of(&there.collect::<Vec<_>>())
 }
--- a/crates/stepspur-scale/src/fleet/asking.rs
+++ b/crates/stepspur-scale/src/fleet/asking.rs
@@ -15,7 +15,7 @@
 use super::record::Recorder;
 
 /// Operators ask where a version is in force this often, if nothing else is said: it is work for the leader, too.
-pub const ASK_EVERY: Duration = Duration::from_millis(200);
+pub(super) const ASK_EVERY: Duration = Duration::from_millis(200);
 /// After a member that cannot tell, as it does not lead, the next one is asked.
 const ASK_NEXT_AFTER: Duration = Duration::from_millis(10);
 /// Versions that are asked for in turn at most; while there are so many, further ones are not asked for.
@@ -24,7 +24,7 @@
 const ASKED_FOR: Duration = Duration::from_secs(10);
 
 /// A task that asks the operators' endpoint where versions are in force, and records each answer.
-pub struct Asking {
+pub(super) struct Asking {
     versions: mpsc::Sender<Version>,
     everywhere: watch::Receiver<(Version, Micros)>,
     stop: CancellationToken,
@@ -33,7 +33,7 @@
 
 impl Asking {
     /// Starts to ask this often; an answer that counts fewer subscribers than `least` settles nothing.
-    pub fn start(operator: Operator, recorder: Arc<Recorder>, every: Duration, least: usize) -> Self {
+    pub(super) fn start(operator: Operator, recorder: Arc<Recorder>, every: Duration, least: usize) -> Self {
         let (versions, wanted) = mpsc::channel(ASKED_MOST);
         let (tell, everywhere) = watch::channel((Version::NONE, 0));
         let stop = CancellationToken::new();
@@ -49,12 +49,12 @@
     }
 
     /// Asks about a version, unless too many are asked for already.
-    pub fn about(&self, version: Version) {
+    pub(super) fn about(&self, version: Version) {
         let _ = self.versions.try_send(version);
     }
 
     /// Asks about a version until it is said to be in force everywhere, and tells when; none: not in time.
-    pub async fn until_everywhere(&self, version: Version, within: Duration) -> Option<Micros> {
+    pub(super) async fn until_everywhere(&self, version: Version, within: Duration) -> Option<Micros> {
         let mut everywhere = self.everywhere.clone();
         let told = async {
             self.versions.send(version).await.ok()?;
@@ -64,7 +64,7 @@
     }
 
     /// Ends it.
-    pub async fn stop(self) {
+    pub(super) async fn stop(self) {
         self.stop.cancel();
         let _ = self.task.await;
     }
--- a/crates/stepspur-scale/src/fleet/changes.rs
+++ b/crates/stepspur-scale/src/fleet/changes.rs
@@ -32,7 +32,7 @@
 
 /// Draws changes one after the other, each of which changes something.
 #[derive(Debug)]
-pub struct Schedule {
+pub(super) struct Schedule {
     plan: Arc<Plan>,
     rng: ChaCha8Rng,
     levels: BTreeMap<Key, u32>,
@@ -42,13 +42,13 @@
 
 impl Schedule {
     /// A schedule of a run.
-    pub fn new(plan: Arc<Plan>, seed: u64) -> Self {
+    pub(super) fn new(plan: Arc<Plan>, seed: u64) -> Self {
         let rng = ChaCha8Rng::seed_from_u64(seed ^ 0x5ca1_e000);
         Self { plan, rng, levels: BTreeMap::new(), held: BTreeMap::new() }
     }
 
     /// What stands before the conductors start: a document for each route of a service and for one tenant in ten.
-    pub fn preload(&mut self) -> Vec<Change> {
+    pub(super) fn preload(&mut self) -> Vec<Change> {
         let plan = Arc::clone(&self.plan);
         let mut changes = Vec::new();
         for service in &plan.services {
@@ -63,13 +63,13 @@
     }
 
     /// A change for all conductors.
-    pub fn for_all(&mut self) -> Change {
+    pub(super) fn for_all(&mut self) -> Change {
         self.level(scope(None, None, None), CLASS_OF_ALL)
     }
 
     /// The next change: of each ten, one for all conductors, one for a region, two servers held or lifted, two of
     /// services with a real conductor, two of any service, two of tenants.
-    pub fn draw(&mut self) -> Change {
+    pub(super) fn draw(&mut self) -> Change {
         let plan = Arc::clone(&self.plan);
         let services = plan.services.len();
         let real = plan.real.clamp(1, services);
@@ -97,13 +97,13 @@
     }
 
     /// A change for the service of a conductor.
-    pub fn draw_for(&mut self, conductor: usize) -> Change {
+    pub(super) fn draw_for(&mut self, conductor: usize) -> Change {
         let service = self.plan.conductors[conductor].services[0];
         self.service_level(service)
     }
 
     /// A hold of a server of a conductor's service; a level, if one is held there already.
-    pub fn hold_for(&mut self, conductor: usize) -> Change {
+    pub(super) fn hold_for(&mut self, conductor: usize) -> Change {
         let service = self.plan.conductors[conductor].services[0];
         if self.held.contains_key(&service) { self.service_level(service) } else { self.hold_at(service) }
     }
@@ -172,7 +172,7 @@
 }
 
 /// Changes for one proposal each, no key twice in one.
-pub fn proposals(changes: Vec<Change>, most: usize) -> Vec<Vec<Change>> {
+pub(super) fn proposals(changes: Vec<Change>, most: usize) -> Vec<Vec<Change>> {
     let mut proposals = Vec::new();
     let mut current: Vec<Change> = Vec::new();
     let mut keys = BTreeSet::new();
--- a/crates/stepspur-scale/src/fleet/cluster.rs
+++ b/crates/stepspur-scale/src/fleet/cluster.rs
@@ -45,10 +45,10 @@
 }
 
 /// Real conductors on their way back.
-pub type Restarting = JoinHandle<anyhow::Result<Vec<RealConductor>>>;
+pub(crate) type Restarting = JoinHandle<anyhow::Result<Vec<RealConductor>>>;
 
 /// The fleet of a run. Dropping it kills its processes.
-pub struct Cluster {
+pub(crate) struct Cluster {
     program: PathBuf,
     folder: PathBuf,
     /// What was drawn.
@@ -78,7 +78,7 @@
     ///
     /// # Errors
     /// A process that does not start.
-    pub async fn start(
+    pub(crate) async fn start(
         program: PathBuf,
         folder: &Path,
         seed: u64,
@@ -143,7 +143,7 @@
     ///
     /// # Errors
     /// One that does not start.
-    pub async fn start_controls(&mut self) -> anyhow::Result<()> {
+    pub(crate) async fn start_controls(&mut self) -> anyhow::Result<()> {
         let program = self.program.clone();
         let stopped: Vec<usize> =
             (0..self.controls.len()).filter(|place| self.controls[*place].process.is_none()).collect();
@@ -162,7 +162,7 @@
     }
 
     /// Kills a control member.
-    pub async fn kill_control(&mut self, place: usize) {
+    pub(crate) async fn kill_control(&mut self, place: usize) {
         if let Some(process) = self.controls[place].process.take() {
             self.sampler.forget(process.pid);
             process.kill().await;
@@ -170,7 +170,7 @@
     }
 
     /// Kills a control member after a while, in a task of its own.
-    pub fn control_kill_later(&mut self, place: usize, after: Duration) -> JoinHandle<()> {
+    pub(crate) fn control_kill_later(&mut self, place: usize, after: Duration) -> JoinHandle<()> {
         let process = self.controls[place].process.take();
         if let Some(process) = &process {
             self.sampler.forget(process.pid);
@@ -187,7 +187,7 @@
     ///
     /// # Errors
     /// Keys that make no client.
-    pub fn operator(&self) -> anyhow::Result<Operator> {
+    pub(crate) fn operator(&self) -> anyhow::Result<Operator> {
         self.keys.operator(self.control.operators())
     }
 
@@ -195,7 +195,7 @@
     ///
     /// # Errors
     /// None in time.
-    pub async fn leader(&self) -> anyhow::Result<usize> {
+    pub(crate) async fn leader(&self) -> anyhow::Result<usize> {
         let end = Instant::now() + LEADER_TIMEOUT;
         let mut operator = self.operator()?;
         loop {
@@ -217,7 +217,7 @@
     ///
     /// # Errors
     /// A process that does not start, or more processes than a run may have.
-    pub async fn prepare_hollow(&mut self) -> anyhow::Result<()> {
+    pub(crate) async fn prepare_hollow(&mut self) -> anyhow::Result<()> {
         let conductors: Vec<HollowConductor> = self.plan.hollow().iter().map(hollow).collect();
         let each = conductors.len().div_ceil(HOLLOW_PROCESSES_MOST).max(HOLLOW_OF_PROCESS_LEAST);
         let processes = conductors.len().div_ceil(each) + self.plan.real + self.sampler.processes();
@@ -236,7 +236,7 @@
     ///
     /// # Errors
     /// An address that cannot be listened on.
-    pub async fn relay_links_of(&mut self, region: &str) -> anyhow::Result<()> {
+    pub(crate) async fn relay_links_of(&mut self, region: &str) -> anyhow::Result<()> {
         let places = self.control.places();
         for place in self.plan.real_of(region) {
             let relay = Relay::start(&places, Arc::clone(&self.relayed)).await?;
@@ -251,7 +251,7 @@
     ///
     /// # Errors
     /// A process that has ended.
-    pub async fn cut_links(&mut self, region: &str, cut: bool) -> anyhow::Result<()> {
+    pub(crate) async fn cut_links(&mut self, region: &str, cut: bool) -> anyhow::Result<()> {
         self.relayed.set(cut);
         let region = region.to_owned();
         let command = if cut { Command::Cut { region } } else { Command::Heal { region } };
@@ -262,7 +262,7 @@
     ///
     /// # Errors
     /// One that does not start.
-    pub async fn begin(&mut self) -> anyhow::Result<()> {
+    pub(crate) async fn begin(&mut self) -> anyhow::Result<()> {
         let places = self.control.places();
         let mut real = Vec::new();
         for conductor in self.plan.real() {
@@ -301,7 +301,7 @@
 
     /// Ends real conductors at once and starts them again from what they have kept, in a task of its own. Its result is
     /// for [`Cluster::restarted`].
-    pub fn restart_real(&mut self, ids: &[SubscriberId]) -> Restarting {
+    pub(crate) fn restart_real(&mut self, ids: &[SubscriberId]) -> Restarting {
         let released = self.release_real(ids);
         tokio::spawn(async move {
             let ended = released.into_iter().map(RealConductor::end_to_restart);
@@ -315,7 +315,7 @@
     ///
     /// # Errors
     /// One that does not start.
-    pub async fn restarted(&mut self, restarting: Restarting) -> anyhow::Result<()> {
+    pub(crate) async fn restarted(&mut self, restarting: Restarting) -> anyhow::Result<()> {
         for conductor in restarting.await?? {
             self.take_real(conductor);
         }
@@ -326,7 +326,7 @@
     ///
     /// # Errors
     /// One that does not in time, with its standing.
-    pub async fn real_act_by(&self, version: Version, within: Duration) -> anyhow::Result<()> {
+    pub(crate) async fn real_act_by(&self, version: Version, within: Duration) -> anyhow::Result<()> {
         let end = Instant::now() + within;
         for conductor in &self.real {
             conductor.acts_by(version, end).await?;
@@ -338,7 +338,7 @@
     ///
     /// # Errors
     /// A process that does not answer.
-    pub async fn report(&mut self) -> anyhow::Result<()> {
+    pub(crate) async fn report(&mut self) -> anyhow::Result<()> {
         for process in &mut self.hollow {
             process.ask_report().await?;
         }
@@ -352,7 +352,7 @@
     ///
     /// # Errors
     /// A process that does not answer.
-    pub async fn held(&mut self) -> anyhow::Result<usize> {
+    pub(crate) async fn held(&mut self) -> anyhow::Result<usize> {
         let before = self.recorder.look(|history| history.holdings.len());
         self.report().await?;
         let holds = |history: &History| history.holdings[before..].iter().filter(|h| h.documents > 0).count();
@@ -363,7 +363,7 @@
     ///
     /// # Errors
     /// A process that has ended.
-    pub async fn tell_hollow(&mut self, command: &Command) -> anyhow::Result<()> {
+    pub(crate) async fn tell_hollow(&mut self, command: &Command) -> anyhow::Result<()> {
         for process in &mut self.hollow {
             process.tell(command).await?;
         }
@@ -371,7 +371,7 @@
     }
 
     /// Real conductors to swap for hollow ones, those without a relay first.
-    pub fn to_swap(&self, count: usize) -> Vec<SubscriberId> {
+    pub(crate) fn to_swap(&self, count: usize) -> Vec<SubscriberId> {
         let mut ids: Vec<SubscriberId> = self.real.iter().map(|conductor| conductor.id).collect();
         ids.sort_by_key(|id| (self.relays.contains_key(id), *id));
         ids.truncate(count);
@@ -382,7 +382,7 @@
     ///
     /// # Errors
     /// A process that does not start.
-    pub async fn swap(&mut self, ids: &[SubscriberId]) -> anyhow::Result<u32> {
+    pub(crate) async fn swap(&mut self, ids: &[SubscriberId]) -> anyhow::Result<u32> {
         let ended = self.release_real(ids).into_iter().map(RealConductor::end);
         futures_util::future::join_all(ended).await;
         let swapped = ids.iter().map(|id| hollow(&self.plan.conductors[id.0 as usize])).collect();
@@ -398,7 +398,7 @@
     ///
     /// # Errors
     /// A process that does not answer.
-    pub async fn probed(&mut self) -> anyhow::Result<(u64, u64)> {
+    pub(crate) async fn probed(&mut self) -> anyhow::Result<(u64, u64)> {
         let mut sum = (0, 0);
         for servers in &mut self.servers {
             let (probes, bytes) = servers.probed().await?;
@@ -408,12 +408,12 @@
     }
 
     /// Processes that run, the rig among them.
-    pub fn processes(&self) -> usize {
+    pub(crate) fn processes(&self) -> usize {
         self.sampler.processes()
     }
 
     /// Ends everything.
-    pub async fn stop(self) {
+    pub(crate) async fn stop(self) {
         self.proxies.stop().await;
         futures_util::future::join_all(self.hollow.into_iter().map(HollowProcess::end)).await;
         futures_util::future::join_all(self.real.into_iter().map(RealConductor::end)).await;
@@ -445,7 +445,7 @@
 ///
 /// # Errors
 /// The system's, and more control members than there are addresses.
-pub fn reserve(id: u64) -> anyhow::Result<ControlAddresses> {
+pub(crate) fn reserve(id: u64) -> anyhow::Result<ControlAddresses> {
     let ip = Ipv4Addr::new(127, 0, 1, u8::try_from(id).context("too many control members")?);
     let listeners = [(); 3].map(|()| TcpListener::bind((ip, 0)));
     let mut addresses = Vec::new();
@@ -456,7 +456,7 @@
 }
 
 /// Hollow conductors by the place of their process.
-pub fn by_process(cluster: &Cluster) -> BTreeMap<SubscriberId, usize> {
+pub(crate) fn by_process(cluster: &Cluster) -> BTreeMap<SubscriberId, usize> {
     let of = |(place, process): (usize, &HollowProcess)| {
         process.conductors.iter().map(move |conductor| (conductor.id, place)).collect::<Vec<_>>()
     };
--- a/crates/stepspur-scale/src/fleet/faults.rs
+++ b/crates/stepspur-scale/src/fleet/faults.rs
@@ -25,7 +25,7 @@
 /// Changes before and after.
 const CHANGES_AROUND: usize = 3;
 /// A region is cut off, and all control members are down, for so long.
-pub const OUTAGE: Duration = Duration::from_secs(30);
+pub(super) const OUTAGE: Duration = Duration::from_secs(30);
 /// The leader is killed so long after a change was proposed: while it is being agreed on.
 const MID_CHANGE: Duration = Duration::from_millis(2);
 /// One conductor in so many is restarted, of the hollow ones and of the real ones.
@@ -33,7 +33,7 @@
 
 /// A fault that a run can have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
-pub enum FaultKind {
+pub(super) enum FaultKind {
     /// A control member that does not lead is killed, and comes back.
     Member,
     /// The leader is killed while a change is being agreed on, and comes back.
@@ -51,7 +51,7 @@
     ///
     /// # Errors
     /// A process that does not start again, or changes that are not agreed.
-    pub async fn faults(&mut self, kinds: &[FaultKind], outage: Duration) -> anyhow::Result<()> {
+    pub(super) async fn faults(&mut self, kinds: &[FaultKind], outage: Duration) -> anyhow::Result<()> {
         for kind in kinds {
             match kind {
                 FaultKind::Member => self.control_member_killed().await?,
--- a/crates/stepspur-scale/src/fleet/history.rs
+++ b/crates/stepspur-scale/src/fleet/history.rs
@@ -12,10 +12,10 @@
 use super::orders::ProxyOrders;
 
 /// Microseconds since 1970, by the machine's clock. All processes of a run share the machine.
-pub type Micros = u64;
+pub(crate) type Micros = u64;
 
 /// The machine's clock.
-pub fn now() -> Micros {
+pub(crate) fn now() -> Micros {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(since.as_micros()).unwrap_or(u64::MAX)
 }
@@ -23,13 +23,13 @@
 /// The place of a subscriber in the plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct SubscriberId(pub u32);
+pub(crate) struct SubscriberId(pub u32);
 
 /// Documents in force at a subscriber, by key, each with the version that changed it last. Lifted ones are left out.
-pub type Documents = BTreeMap<Key, (Setting, Version)>;
+pub(crate) type Documents = BTreeMap<Key, (Setting, Version)>;
 
 /// Takes a document into what is in force.
-pub fn put(documents: &mut Documents, document: &Document) {
+pub(crate) fn put(documents: &mut Documents, document: &Document) {
     match document.setting {
         Some(setting) => documents.insert(document.key.clone(), (setting, document.version)),
         None => documents.remove(&document.key),
@@ -37,14 +37,14 @@
 }
 
 /// A digest of documents, the same in all processes of a run.
-pub fn digest(documents: &Documents) -> u64 {
+pub(crate) fn digest(documents: &Documents) -> u64 {
     let mut hasher = DefaultHasher::new();
     documents.hash(&mut hasher);
     hasher.finish()
 }
 
 /// A digest of a key, the same in all processes of a run.
-pub fn key_digest(key: &Key) -> u64 {
+pub(crate) fn key_digest(key: &Key) -> u64 {
     let mut hasher = DefaultHasher::new();
     key.hash(&mut hasher);
     hasher.finish()
@@ -52,7 +52,7 @@
 
 /// Changes that the council agreed on.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Agreed {
+pub(crate) struct Agreed {
     /// Their version.
     pub version: Version,
     /// The changes.
@@ -65,7 +65,7 @@
 
 /// A subscriber's engine took a document.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct Applied {
+pub(crate) struct Applied {
     /// When.
     pub at: Micros,
     /// Whose engine.
@@ -78,7 +78,7 @@
 
 /// A subscriber says that it acts by a version.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct Acknowledged {
+pub(crate) struct Acknowledged {
     /// When.
     pub at: Micros,
     /// Who.
@@ -89,7 +89,7 @@
 
 /// A subscriber was started again from what it had kept: its engine begins empty.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct Restarted {
+pub(crate) struct Restarted {
     /// When.
     pub at: Micros,
     /// Who.
@@ -98,7 +98,7 @@
 
 /// The operators' endpoint answered where a version is in force.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Answered {
+pub(crate) struct Answered {
     /// When the answer was read.
     pub at: Micros,
     /// The version that was asked for.
@@ -109,7 +109,7 @@
 
 /// The links of a region were cut.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Cut {
+pub(crate) struct Cut {
     /// The region.
     pub region: String,
     /// When.
@@ -120,7 +120,7 @@
 
 /// What a subscriber held when a phase ended.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Holding {
+pub(crate) struct Holding {
     /// The phase.
     pub phase: String,
     /// When.
@@ -137,7 +137,7 @@
 
 /// A real conductor was ended and started again from what it had kept.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct Down {
+pub(crate) struct Down {
     /// Which.
     pub subscriber: SubscriberId,
     /// When it was told to end.
@@ -148,14 +148,14 @@
 
 impl Down {
     /// True: it is this conductor, and it was away at this time.
-    pub fn is_away(&self, subscriber: SubscriberId, at: Micros) -> bool {
+    pub(crate) fn is_away(&self, subscriber: SubscriberId, at: Micros) -> bool {
         self.subscriber == subscriber && (self.from..=self.back).contains(&at)
     }
 }
 
 /// Who takes part.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Participant {
+pub(crate) struct Participant {
     /// Its place in the plan.
     pub subscriber: SubscriberId,
     /// What concerns it.
@@ -166,7 +166,7 @@
 
 /// All that a run recorded. Events of one subscriber stand in the order in which it told them.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct History {
+pub(crate) struct History {
     /// Subscribers whose every application is recorded.
     pub participants: Vec<Participant>,
     /// Changes that were agreed.
--- a/crates/stepspur-scale/src/fleet/judge.rs
+++ b/crates/stepspur-scale/src/fleet/judge.rs
@@ -15,26 +15,26 @@
 use super::history::{
     Acknowledged, Agreed, Applied, Cut, Documents, History, Micros, SubscriberId, digest, key_digest, put,
 };
-pub use real::LetGo;
+pub(super) use real::LetGo;
 use real::RealConductors;
 
 /// What was agreed is at the proxies of real conductors within this while nothing is broken. A run cuts links only once it
 /// has passed, so that nothing is on its way.
-pub const ORDERED_WITHIN: Micros = 1_000_000;
+pub(super) const ORDERED_WITHIN: Micros = 1_000_000;
 /// A region is level within this after its links were healed.
-pub const LEVEL_AFTER_HEALING: Micros = 5_000_000;
+pub(super) const LEVEL_AFTER_HEALING: Micros = 5_000_000;
 /// The proxies of a real conductor that was started again have all that was agreed within this after it listens.
-pub const LEVEL_AFTER_RESTART: Micros = 5_000_000;
+pub(super) const LEVEL_AFTER_RESTART: Micros = 5_000_000;
 /// An answer rests on summaries that are at most 3 s old when it is given, so that a subscriber that was restarted may
 /// count as it was; the rest is for the ways of the summary and of the answer.
-pub const SUMMARY_AGE_MOST: Micros = 3_500_000;
+pub(super) const SUMMARY_AGE_MOST: Micros = 3_500_000;
 /// Faults of one kind that are named; the rest is counted.
 const NAMED_MOST: usize = 20;
 
 /// What the judge holds against a run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "fault")]
-pub enum Fault {
+pub(crate) enum Fault {
     /// A connected subscriber does not hold what was agreed for its interest.
     OtherDocuments {
         /// The phase at whose end it was looked at.
@@ -120,7 +120,7 @@
 
 /// All faults of a run by kind.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Verdict {
+pub(crate) struct Verdict {
     /// Connected subscribers that hold other documents than agreed.
     pub other_documents: usize,
     /// Steps back to an older version.
@@ -147,7 +147,7 @@
 
 impl Verdict {
     /// True: nothing is held against the run.
-    pub fn clean(&self) -> bool {
+    pub(crate) fn clean(&self) -> bool {
         self.named.is_empty()
     }
 }
@@ -177,7 +177,7 @@
 }
 
 /// Judges a run whole.
-pub fn judge(history: &History) -> Verdict {
+pub(super) fn judge(history: &History) -> Verdict {
     let changes = ByService::of(&history.agreed);
     let timelines = Timelines::of(history, &changes);
     let real = RealConductors::of(history, &changes);
@@ -222,12 +222,12 @@
 
 /// When the proxies of the last real conductor had been ordered all that was agreed by `since`, or by the time at which
 /// the conductor listened again, if it was started again after that; none: some never were.
-pub fn real_level(history: &History, since: Micros) -> Option<Micros> {
+pub(super) fn real_level(history: &History, since: Micros) -> Option<Micros> {
     RealConductors::of(history, &ByService::of(&history.agreed)).level(history, since)
 }
 
 /// Servers that are held and that a real conductor let go for a while after it was started again.
-pub fn let_go_after_restart(history: &History) -> Vec<LetGo> {
+pub(super) fn let_go_after_restart(history: &History) -> Vec<LetGo> {
     RealConductors::of(history, &ByService::of(&history.agreed)).let_go_after_restart(history)
 }
 
--- a/crates/stepspur-scale/src/fleet/judge/real.rs
+++ b/crates/stepspur-scale/src/fleet/judge/real.rs
@@ -13,11 +13,11 @@
 use super::{ByService, Concern, Fault, LEVEL_AFTER_HEALING, LEVEL_AFTER_RESTART, ORDERED_WITHIN};
 
 /// All real conductors of a history.
-pub struct RealConductors<'a>(Vec<RealConductor<'a>>);
+pub(super) struct RealConductors<'a>(Vec<RealConductor<'a>>);
 
 /// A server that is held, and that a real conductor let go for a while after it was started again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LetGo {
+pub(crate) struct LetGo {
     /// Who.
     pub subscriber: SubscriberId,
     /// The version of the document that holds the server.
--- a/crates/stepspur-scale/src/fleet/latency.rs
+++ b/crates/stepspur-scale/src/fleet/latency.rs
@@ -12,7 +12,7 @@
 
 /// Spans in milliseconds: how many, the median, the 99th in a hundred and the most.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Spread {
+pub(crate) struct Spread {
     /// How many.
     pub count: usize,
     /// The median.
@@ -25,7 +25,7 @@
 
 impl Spread {
     /// Of these spans.
-    pub fn of(mut spans: Vec<Micros>) -> Self {
+    pub(crate) fn of(mut spans: Vec<Micros>) -> Self {
         spans.sort_unstable();
         let at = |share: f64| {
             let rank = (spans.len() as f64 * share).ceil() as usize;
@@ -37,7 +37,7 @@
 
 /// How changes travelled.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Travel {
+pub(crate) struct Travel {
     /// From the proposal to the answer that it is agreed.
     pub agreed: Spread,
     /// From the proposal to the last hollow conductor that it concerns.
@@ -55,14 +55,14 @@
 }
 
 /// The aim for a change that is in force everywhere.
-pub const AIM: Micros = 5_000_000;
+pub(crate) const AIM: Micros = 5_000_000;
 
 /// When engines took which version of which key.
-pub struct Applications(BTreeMap<(SubscriberId, u64), Vec<(Version, Micros)>>);
+pub(crate) struct Applications(BTreeMap<(SubscriberId, u64), Vec<(Version, Micros)>>);
 
 impl Applications {
     /// Of a history.
-    pub fn of(history: &History) -> Self {
+    pub(crate) fn of(history: &History) -> Self {
         let mut applied: BTreeMap<_, Vec<_>> = BTreeMap::new();
         for one in &history.applied {
             applied.entry((one.subscriber, one.key)).or_default().push((one.version, one.at));
@@ -79,7 +79,7 @@
 
 /// When a change was in force at the last connected hollow conductor that it concerns: none, if it concerns none; an
 /// error, if it never was at one of them. Those of a region that was cut off meanwhile are left out.
-pub fn in_force(
+pub(crate) fn in_force(
     agreed: &Agreed,
     participants: &[Participant],
     cuts: &[Cut],
@@ -100,12 +100,12 @@
 }
 
 /// True: the links of the region were cut while the change was on its way.
-pub fn cut_off(region: &str, cut: &Cut, proposed: Micros) -> bool {
+pub(crate) fn cut_off(region: &str, cut: &Cut, proposed: Micros) -> bool {
     region == cut.region && proposed + AIM >= cut.from && proposed <= cut.healed
 }
 
 /// When the last document that was agreed by then was taken by an engine, if that was later: then everybody was level.
-pub fn level(history: &History, since: Micros) -> Option<Micros> {
+pub(crate) fn level(history: &History, since: Micros) -> Option<Micros> {
     let agreed = history.agreed.iter().filter(|agreed| agreed.answered <= since);
     let newest = agreed.map(|agreed| agreed.version).max()?;
     let late = history.applied.iter().filter(|applied| applied.at > since && applied.version <= newest);
@@ -114,7 +114,7 @@
 
 /// How the changes with these places in the history travelled; `at_proxies` tells when real conductors' proxies had a
 /// change.
-pub fn travel(
+pub(crate) fn travel(
     history: &History,
     applications: &Applications,
     places: std::ops::Range<usize>,
--- a/crates/stepspur-scale/src/fleet/measure.rs
+++ b/crates/stepspur-scale/src/fleet/measure.rs
@@ -24,7 +24,7 @@
 /// What a process is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Role {
+pub(crate) enum Role {
     /// The control member that leads the council.
     Leader,
     /// Another control member.
@@ -65,7 +65,7 @@
 
 /// What the members of a role used: each figure for one of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct RoleUsage {
+pub(crate) struct RoleUsage {
     /// Members of the role that were looked at.
     pub members: usize,
     /// Processor time, in hundredths of a core, on the mean.
@@ -86,7 +86,7 @@
 
 /// What was used over a span.
 #[derive(Clone, Debug, Default)]
-pub struct Used {
+pub(crate) struct Used {
     /// By each role.
     pub roles: BTreeMap<Role, RoleUsage>,
     /// By each control member.
@@ -109,7 +109,7 @@
 
 /// Looks at the processes of a run until it is dropped or stopped.
 #[derive(Debug)]
-pub struct Sampler {
+pub(crate) struct Sampler {
     state: Arc<Mutex<State>>,
     stop: CancellationToken,
     task: JoinHandle<()>,
@@ -121,7 +121,7 @@
 
 impl Sampler {
     /// Starts to look at a fleet with these control members.
-    pub fn start(control: &ControlFleet) -> Self {
+    pub(crate) fn start(control: &ControlFleet) -> Self {
         let control_peers = control.places().iter().map(|place| place.address.to_string()).collect();
         let state = State { control_peers, addresses: Addresses::of(control), ..State::default() };
         let (state, stop) = (Arc::new(Mutex::new(state)), CancellationToken::new());
@@ -130,50 +130,50 @@
     }
 
     /// Control members are reached at these addresses as well.
-    pub fn control_at(&self, addresses: impl IntoIterator<Item = String>) {
+    pub(crate) fn control_at(&self, addresses: impl IntoIterator<Item = String>) {
         lock(&self.state).control_peers.extend(addresses);
     }
 
     /// Looks at a process from now on.
-    pub fn watch(&self, pid: u32, role: Role, members: usize) {
+    pub(crate) fn watch(&self, pid: u32, role: Role, members: usize) {
         lock(&self.state).watched.insert(pid, Watched { role, members });
     }
 
     /// Looks at a control member from now on.
-    pub fn watch_member(&self, pid: u32, member: Member) {
+    pub(crate) fn watch_member(&self, pid: u32, member: Member) {
         self.watch(pid, Role::Control, 1);
         lock(&self.state).members.insert(pid, member);
     }
 
     /// Looks at a process no more.
-    pub fn forget(&self, pid: u32) {
+    pub(crate) fn forget(&self, pid: u32) {
         let mut state = lock(&self.state);
         state.watched.remove(&pid);
         state.members.remove(&pid);
     }
 
     /// Who leads the council from now on.
-    pub fn leads(&self, pid: Option<u32>) {
+    pub(crate) fn leads(&self, pid: Option<u32>) {
         lock(&self.state).leader = pid;
     }
 
     /// Processes that are looked at.
-    pub fn processes(&self) -> usize {
+    pub(crate) fn processes(&self) -> usize {
         lock(&self.state).watched.len()
     }
 
     /// Resident memory of all processes together at most so far, in bytes.
-    pub fn memory_most(&self) -> u64 {
+    pub(crate) fn memory_most(&self) -> u64 {
         lock(&self.state).memory_most
     }
 
     /// The longest that a look at the sockets has taken.
-    pub fn look_most(&self) -> Duration {
+    pub(crate) fn look_most(&self) -> Duration {
         lock(&self.state).look_most
     }
 
     /// What was used since the last call.
-    pub fn take(&self) -> Used {
+    pub(crate) fn take(&self) -> Used {
         let mut state = lock(&self.state);
         let (seconds, members) =
             (std::mem::take(&mut state.seconds), std::mem::take(&mut state.member_seconds));
@@ -182,7 +182,7 @@
     }
 
     /// Ends it.
-    pub async fn stop(self) {
+    pub(crate) async fn stop(self) {
         self.stop.cancel();
         let _ = self.task.await;
     }
--- a/crates/stepspur-scale/src/fleet/members.rs
+++ b/crates/stepspur-scale/src/fleet/members.rs
@@ -13,7 +13,7 @@
 
 /// What one control member used and exchanged in one second.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct MemberSecond {
+pub(crate) struct MemberSecond {
     /// How long it was.
     pub seconds: f64,
     /// Processor time.
@@ -24,7 +24,7 @@
 
 /// A control member as it stood: one that comes to lead counts as another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Standing {
+pub(crate) struct Standing {
     /// True: it led.
     pub leads: bool,
     /// Which.
@@ -33,7 +33,7 @@
 
 /// What passed each second between a control member and one kind of peers, both ways.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct PeerUsage {
+pub(crate) struct PeerUsage {
     /// Connections, on the mean.
     pub connections: f64,
     /// Bytes without headers.
@@ -48,7 +48,7 @@
 
 /// What one control member used over a phase.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct MemberUsage {
+pub(crate) struct MemberUsage {
     /// Its number in the council.
     pub member: u64,
     /// True: it votes.
@@ -73,7 +73,7 @@
 }
 
 /// Sums seconds up, leaders first.
-pub fn usage_by_member(seconds: &[BTreeMap<Standing, MemberSecond>]) -> Vec<MemberUsage> {
+pub(crate) fn usage_by_member(seconds: &[BTreeMap<Standing, MemberSecond>]) -> Vec<MemberUsage> {
     let mut sums: BTreeMap<Standing, Sum> = BTreeMap::new();
     for (standing, second) in seconds.iter().flatten() {
         sums.entry(*standing).or_default().take(second);
@@ -116,7 +116,7 @@
 
 /// What stands in one line of a report: the leader, or the mean of other control members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub(crate) enum Group {
     /// Whoever led longest.
     Leader,
     /// Voters that did not lead.
@@ -127,10 +127,10 @@
 
 impl Group {
     /// All groups.
-    pub const ALL: [Self; 3] = [Self::Leader, Self::Voters, Self::Followers];
+    pub(crate) const ALL: [Self; 3] = [Self::Leader, Self::Voters, Self::Followers];
 
     /// What it is called.
-    pub fn label(self) -> &'static str {
+    pub(crate) fn label(self) -> &'static str {
         match self {
             Self::Leader => "leader",
             Self::Voters => "each voter",
@@ -151,7 +151,7 @@
     }
 
     /// What one of its members exchanged with a kind of peers, on the mean; none: nothing.
-    pub fn mean(self, members: &[MemberUsage], kind: PeerKind) -> Option<PeerUsage> {
+    pub(crate) fn mean(self, members: &[MemberUsage], kind: PeerKind) -> Option<PeerUsage> {
         let own = self.of(members);
         let all: Vec<PeerUsage> = own.iter().filter_map(|usage| usage.peers.get(&kind).copied()).collect();
         let mean = |figure: fn(&PeerUsage) -> f64| all.iter().map(figure).sum::<f64>() / own.len() as f64;
--- a/crates/stepspur-scale/src/fleet/mod.rs
+++ b/crates/stepspur-scale/src/fleet/mod.rs
@@ -4,26 +4,26 @@
 
 mod asking;
 mod changes;
-pub mod cluster;
+pub(crate) mod cluster;
 mod faults;
-pub mod history;
+pub(crate) mod history;
 mod judge;
-pub mod latency;
+pub(crate) mod latency;
 mod measure;
-pub mod members;
-pub mod operators;
+pub(crate) mod members;
+pub(crate) mod operators;
 mod orders;
-pub mod peers;
-pub mod plan;
-pub mod processes;
+pub(crate) mod peers;
+pub(crate) mod plan;
+pub(crate) mod processes;
 mod proxies;
 mod real;
 mod record;
 mod relay;
-pub mod report;
+pub(crate) mod report;
 mod run;
-pub mod servers;
-pub mod settings;
+pub(crate) mod servers;
+pub(crate) mod settings;
 mod sockets;
 mod swap;
 
@@ -51,7 +51,7 @@
 
 /// A scale run.
 #[derive(Clone, Debug, clap::Args)]
-pub struct FleetArgs {
+pub(crate) struct FleetArgs {
     /// Conductors, real and hollow.
     #[arg(long, default_value_t = 150)]
     conductors: usize,
@@ -131,7 +131,7 @@
 ///
 /// # Errors
 /// A run that fails, or one that the judge objects to.
-pub async fn run(args: FleetArgs) -> anyhow::Result<()> {
+pub(crate) async fn run(args: FleetArgs) -> anyhow::Result<()> {
     let sizes = if args.sweep.is_empty() { vec![args.conductors] } else { args.sweep.clone() };
     let mut runs = Vec::new();
     for conductors in sizes {
@@ -249,7 +249,7 @@
 }
 
 /// What the run stands on.
-pub fn machine() -> anyhow::Result<Machine> {
+pub(crate) fn machine() -> anyhow::Result<Machine> {
     let memory = std::fs::read_to_string("/proc/meminfo")?;
     let total = memory.lines().find_map(|line| line.strip_prefix("MemTotal:")).context("no MemTotal")?;
     let kib: u64 = total.trim().trim_end_matches("kB").trim().parse()?;
--- a/crates/stepspur-scale/src/fleet/operators.rs
+++ b/crates/stepspur-scale/src/fleet/operators.rs
@@ -27,7 +27,7 @@
 use tokio_rustls::rustls::pki_types::ServerName;
 
 /// The tenant of control members' own engines.
-pub const TENANT: &str = "operators";
+pub(crate) const TENANT: &str = "operators";
 const AUDIENCE: &str = "scale";
 const LIFE: Duration = Duration::from_secs(86_400);
 /// A call that takes longer has failed.
@@ -40,7 +40,7 @@
 }
 
 /// The keys of a run, in a folder of its own.
-pub struct Keys {
+pub(crate) struct Keys {
     folder: PathBuf,
     authority: Authority,
     signer: Signer,
@@ -51,7 +51,7 @@
     ///
     /// # Errors
     /// A folder that cannot be written.
-    pub fn new(folder: &Path, control: &[SocketAddr]) -> anyhow::Result<Self> {
+    pub(crate) fn new(folder: &Path, control: &[SocketAddr]) -> anyhow::Result<Self> {
         std::fs::create_dir_all(folder)?;
         let (authority, _) = Authority::new(AUDIENCE)?;
         std::fs::write(folder.join("ca.pem"), authority.pem())?;
@@ -72,7 +72,7 @@
     }
 
     /// Where they are.
-    pub fn folder(&self) -> &Path {
+    pub(crate) fn folder(&self) -> &Path {
         &self.folder
     }
 
@@ -95,7 +95,7 @@
     ///
     /// # Errors
     /// Keys that make no client.
-    pub fn operator(&self, endpoints: Vec<SocketAddr>) -> anyhow::Result<Operator> {
+    pub(crate) fn operator(&self, endpoints: Vec<SocketAddr>) -> anyhow::Result<Operator> {
         let client = tls::client(&[self.authority.anchor()?], None)?;
         Ok(Operator { client, token: self.token(), endpoints, current: 0, connections: BTreeMap::new() })
     }
@@ -103,7 +103,7 @@
 
 /// What the operators' endpoint says of a version.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Standing {
+pub(crate) struct Standing {
     /// True: in force everywhere.
     pub everywhere: bool,
     /// Registered subscribers that the version concerns.
@@ -112,7 +112,7 @@
 
 /// Ids of operations that one operator proposes, so that each takes effect once however often it is proposed.
 #[derive(Clone, Copy, Debug)]
-pub struct Operations {
+pub(crate) struct Operations {
     life: u64,
     number: u64,
 }
@@ -122,12 +122,12 @@
 
 impl Operations {
     /// Those of a new operator.
-    pub fn new(life: u64) -> Self {
+    pub(crate) fn new(life: u64) -> Self {
         Self { life, number: 0 }
     }
 
     /// The id of the next one, first proposed after this version.
-    pub fn next_id(&mut self, after: Version) -> String {
+    pub(crate) fn next_id(&mut self, after: Version) -> String {
         self.number += 1;
         format!("m-{OPERATOR:x}-{:x}-{}@{}", self.life, self.number, after.index)
     }
@@ -135,7 +135,7 @@
 
 /// What became of a proposal.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Proposed {
+pub(crate) enum Proposed {
     /// Agreed as this version.
     Agreed(Version),
     /// Its outcome is not known: to be proposed again by the same operation.
@@ -145,7 +145,7 @@
 }
 
 /// An operator. One call at a time, over connections that are kept, one to each endpoint; one that fails is made anew.
-pub struct Operator {
+pub(crate) struct Operator {
     client: Arc<ClientConfig>,
     token: String,
     endpoints: Vec<SocketAddr>,
@@ -155,17 +155,17 @@
 
 impl Operator {
     /// Goes to the next endpoint.
-    pub fn move_on(&mut self) {
+    pub(crate) fn move_on(&mut self) {
         self.current = (self.current + 1) % self.endpoints.len().max(1);
     }
 
     /// The endpoint that is called.
-    pub fn endpoint(&self) -> SocketAddr {
+    pub(crate) fn endpoint(&self) -> SocketAddr {
         self.endpoints[self.current]
     }
 
     /// Proposes changes at the current endpoint.
-    pub async fn propose(&mut self, operation: &str, changes: &[Change]) -> Proposed {
+    pub(crate) async fn propose(&mut self, operation: &str, changes: &[Change]) -> Proposed {
         let body = json!({ "operation": operation, "changes": changes });
         match self.call(Method::POST, "/v1/config", body.to_string()).await {
             Ok((status, answer)) => read_proposed(status, &answer),
@@ -177,7 +177,7 @@
     ///
     /// # Errors
     /// No answer, or one that tells nothing of it.
-    pub async fn standing(&mut self, version: Version) -> anyhow::Result<Standing> {
+    pub(crate) async fn standing(&mut self, version: Version) -> anyhow::Result<Standing> {
         let path = format!("/v1/config/versions/{version}");
         let (status, body) = self.call(Method::GET, &path, String::new()).await?;
         if !status.is_success() {
@@ -190,7 +190,7 @@
     ///
     /// # Errors
     /// No answer.
-    pub async fn council(&mut self) -> anyhow::Result<Value> {
+    pub(crate) async fn council(&mut self) -> anyhow::Result<Value> {
         let (status, body) = self.call(Method::GET, "/v1/council", String::new()).await?;
         if !status.is_success() {
             bail!("{status} {body}");
--- a/crates/stepspur-scale/src/fleet/orders.rs
+++ b/crates/stepspur-scale/src/fleet/orders.rs
@@ -16,7 +16,7 @@
 /// What a proxy was ordered, as far as documents can order it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Ordered {
+pub(crate) enum Ordered {
     /// Its stream ended: what it was ordered is void, as it joins anew without a table.
     Nothing,
     /// A share of a class is let in, in millionths.
@@ -34,7 +34,7 @@
 
 impl Ordered {
     /// True: the order does what the change says.
-    pub fn does(&self, change: &Change) -> bool {
+    pub(crate) fn does(&self, change: &Change) -> bool {
         match (self, &change.target) {
             (Self::Level { class, ppm }, Target::Class(wanted)) => {
                 let level = match change.setting {
@@ -51,7 +51,7 @@
     }
 
     /// True: it is about the same class or server.
-    pub fn is_about(&self, target: &Target) -> bool {
+    pub(crate) fn is_about(&self, target: &Target) -> bool {
         match (self, target) {
             (Self::Level { class, .. }, Target::Class(wanted)) => class == wanted,
             (Self::Held(server) | Self::Released(server), Target::Server(wanted)) => server == wanted,
@@ -62,7 +62,7 @@
 
 /// An order, and when it was read at the proxy's socket.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Order {
+pub(crate) struct Order {
     /// When.
     pub at: Micros,
     /// What.
@@ -71,7 +71,7 @@
 
 /// What one proxy was ordered, in the order of time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ProxyOrders {
+pub(crate) struct ProxyOrders {
     /// The real conductor that it has joined.
     pub conductor: SubscriberId,
     /// Its orders.
@@ -81,7 +81,7 @@
 /// True: what the proxies of one conductor had been ordered by then does what a change says. A level must stand at each
 /// of them. A server that is held must be usable at none; one that is let go must be usable at one of them, as a server
 /// stands in the tables of some only.
-pub fn in_force(proxies: &[&[Order]], change: &Change, at: Micros) -> bool {
+pub(super) fn in_force(proxies: &[&[Order]], change: &Change, at: Micros) -> bool {
     let newest = |orders: &&[Order]| {
         let valid = valid(orders, at).iter().rev();
         valid.map(|order| &order.ordered).find(|ordered| ordered.is_about(&change.target)).cloned()
--- a/crates/stepspur-scale/src/fleet/peers.rs
+++ b/crates/stepspur-scale/src/fleet/peers.rs
@@ -14,7 +14,7 @@
 /// What is at the other end of a control member's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum PeerKind {
+pub(crate) enum PeerKind {
     /// Another member of the council that votes.
     CouncilVoters,
     /// A member of the council that follows.
@@ -31,7 +31,7 @@
 
 impl PeerKind {
     /// All kinds.
-    pub const ALL: [Self; 6] = [
+    pub(crate) const ALL: [Self; 6] = [
         Self::CouncilVoters,
         Self::CouncilFollowers,
         Self::Summaries,
@@ -41,7 +41,7 @@
     ];
 
     /// What it is called.
-    pub fn label(self) -> &'static str {
+    pub(crate) fn label(self) -> &'static str {
         match self {
             Self::CouncilVoters => "council voters",
             Self::CouncilFollowers => "council followers",
@@ -55,7 +55,7 @@
 
 /// A control member, as its sockets are told apart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Member {
+pub(crate) struct Member {
     /// Its number in the council.
     pub id: u64,
     /// True: it votes.
@@ -78,14 +78,14 @@
 
 /// The addresses of all control members.
 #[derive(Clone, Debug, Default)]
-pub struct Addresses(BTreeMap<String, (Member, Service)>);
+pub(crate) struct Addresses(BTreeMap<String, (Member, Service)>);
 
 /// The processes of control members that run.
-pub type MemberProcesses = BTreeMap<u32, Member>;
+pub(crate) type MemberProcesses = BTreeMap<u32, Member>;
 
 /// What passed between a control member and one kind of peers.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Passed {
+pub(crate) struct Passed {
     /// Connections.
     pub connections: usize,
     /// Bytes and segments.
@@ -94,7 +94,7 @@
 
 impl Addresses {
     /// Those of these control members.
-    pub fn of(control: &ControlFleet) -> Self {
+    pub(crate) fn of(control: &ControlFleet) -> Self {
         let mut addresses = BTreeMap::new();
         for (member, at) in &control.members {
             let of = Member { id: member.id, votes: member.votes };
@@ -110,7 +110,7 @@
     }
 
     /// What passed at each control member since an earlier look, by kinds of peers.
-    pub fn passed(
+    pub(crate) fn passed(
         &self,
         now: &Look,
         before: &Look,
--- a/crates/stepspur-scale/src/fleet/plan.rs
+++ b/crates/stepspur-scale/src/fleet/plan.rs
@@ -15,14 +15,14 @@
 use crate::capacity::target::USERS;
 
 /// Conductors of the users' fleet; the other figures belong to so many.
-pub const FULL_CONDUCTORS: usize = USERS.conductors as usize;
+pub(crate) const FULL_CONDUCTORS: usize = USERS.conductors as usize;
 const FULL_SERVERS: usize = USERS.servers as usize;
 const FULL_SERVICES: usize = USERS.services as usize;
 const FULL_TENANTS: usize = USERS.tenants as usize;
 const REGIONS: usize = USERS.regions as usize;
 /// Routes of a service: 11,000 over 930 services are 11.8 on the mean. A conductor knows 16 classes at most.
 const ROUTES_LEAST: usize = 8;
-pub const ROUTES_MOST: usize = 16;
+pub(crate) const ROUTES_MOST: usize = 16;
 /// Tenants of one service at most: conductors of two services stay below what a subscriber may name.
 const TENANTS_OF_SERVICE_MOST: usize = 2_000;
 /// Conductors in so many stand before a second service.
@@ -30,11 +30,11 @@
 /// How unevenly conductors and tenants lie over services.
 const ZIPF_EXPONENT: f64 = 0.8;
 /// Members of the council that vote.
-pub const VOTERS: usize = 5;
+pub(crate) const VOTERS: usize = 5;
 
 /// How large a run is.
 #[derive(Clone, Copy, Debug)]
-pub struct Sizes {
+pub(crate) struct Sizes {
     /// Conductors, real and hollow.
     pub conductors: usize,
     /// Of them, those that are processes of the real program.
@@ -47,7 +47,7 @@
 
 /// A service.
 #[derive(Clone, Debug)]
-pub struct Service {
+pub(crate) struct Service {
     /// Its name.
     pub name: String,
     /// Its routes, `route-0` and so on: classes of a conductor.
@@ -60,7 +60,7 @@
 
 /// A conductor, real or hollow.
 #[derive(Clone, Debug)]
-pub struct Conductor {
+pub(crate) struct Conductor {
     /// Its place.
     pub id: SubscriberId,
     /// Its name in the register.
@@ -73,7 +73,7 @@
 
 /// A control member.
 #[derive(Clone, Debug)]
-pub struct ControlMember {
+pub(crate) struct ControlMember {
     /// Its number in the council, from 1.
     pub id: u64,
     /// Where it stands.
@@ -84,7 +84,7 @@
 
 /// A fleet.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub(crate) struct Plan {
     /// Names of the regions.
     pub regions: Vec<String>,
     /// Services.
@@ -98,13 +98,13 @@
 }
 
 /// The name of a route as a request class.
-pub fn route(place: usize) -> String {
+pub(crate) fn route(place: usize) -> String {
     format!("route-{place}")
 }
 
 impl Sizes {
     /// Hollow servers of such a run.
-    pub fn server_count(&self) -> usize {
+    pub(crate) fn server_count(&self) -> usize {
         self.servers.unwrap_or_else(|| scaled(FULL_SERVERS, self.conductors))
     }
 }
@@ -115,7 +115,7 @@
 
 impl Plan {
     /// Draws a fleet before these servers.
-    pub fn draw(seed: u64, sizes: Sizes, servers: &[SocketAddr]) -> Self {
+    pub(crate) fn draw(seed: u64, sizes: Sizes, servers: &[SocketAddr]) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let scaled = |full| scaled(full, sizes.conductors);
         let regions: Vec<String> =
@@ -132,23 +132,23 @@
     }
 
     /// Real conductors.
-    pub fn real(&self) -> &[Conductor] {
+    pub(crate) fn real(&self) -> &[Conductor] {
         &self.conductors[..self.real]
     }
 
     /// Hollow conductors.
-    pub fn hollow(&self) -> &[Conductor] {
+    pub(crate) fn hollow(&self) -> &[Conductor] {
         &self.conductors[self.real..]
     }
 
     /// Servers in all.
-    pub fn servers(&self) -> usize {
+    pub(crate) fn servers(&self) -> usize {
         self.services.iter().map(|service| service.servers.len()).sum()
     }
 
     /// The region whose links a run cuts: the one with the most hollow conductors of those with a real one beside them,
     /// or of all, if none has both.
-    pub fn region_to_cut(&self) -> Option<&str> {
+    pub(crate) fn region_to_cut(&self) -> Option<&str> {
         let count = |conductors: &[Conductor], region: &String| {
             conductors.iter().filter(|conductor| conductor.interest.region == *region).count()
         };
@@ -158,7 +158,7 @@
     }
 
     /// Places of the real conductors of a region.
-    pub fn real_of(&self, region: &str) -> Vec<usize> {
+    pub(crate) fn real_of(&self, region: &str) -> Vec<usize> {
         let own = self.real().iter().enumerate().filter(|(_, conductor)| conductor.interest.region == region);
         own.map(|(place, _)| place).collect()
     }
