--- a/crates/stepspur-scale/src/fleet/processes.rs
+++ b/crates/stepspur-scale/src/fleet/processes.rs
@@ -18,7 +18,7 @@
 use crate::hollow_conductors::message;
 
 /// Processes of a run at most, this one among them.
-pub const PROCESSES_MOST: usize = 200;
+pub(crate) const PROCESSES_MOST: usize = 200;
 /// A process says that it runs within this.
 const START_TIMEOUT: Duration = Duration::from_secs(60);
 /// A process that was told to end has so long.
@@ -30,7 +30,7 @@
 
 /// A process. Dropping it kills it.
 #[derive(Debug)]
-pub struct Process {
+pub(crate) struct Process {
     child: Child,
     /// Its id.
     pub pid: u32,
@@ -45,12 +45,12 @@
     }
 
     /// Kills it outright and waits until it has ended.
-    pub async fn kill(mut self) {
+    pub(crate) async fn kill(mut self) {
         let _ = self.child.kill().await;
     }
 
     /// Tells it to end and waits for it; one that does not end in time is killed.
-    pub async fn terminate(mut self) {
+    pub(crate) async fn terminate(mut self) {
         let pid = i32::try_from(self.pid).ok().and_then(Pid::from_raw);
         let told = pid.is_some_and(|pid| kill_process(pid, Signal::TERM).is_ok());
         if !told || timeout(END_TIMEOUT, self.child.wait()).await.is_err() {
@@ -63,7 +63,7 @@
 ///
 /// # Errors
 /// A program that is not there, or one that ends or says nothing in time.
-pub async fn run_program(
+pub(crate) async fn run_program(
     program: &Path,
     settings: &Path,
     log: &Path,
@@ -82,7 +82,7 @@
 
 /// A process of hollow servers.
 #[derive(Debug)]
-pub struct ServerProcess {
+pub(crate) struct ServerProcess {
     /// The process.
     pub process: Process,
     /// Where its servers listen.
@@ -96,7 +96,7 @@
     ///
     /// # Errors
     /// A process that ends or says nothing in time.
-    pub async fn start(count: usize, log: &Path) -> anyhow::Result<Self> {
+    pub(crate) async fn start(count: usize, log: &Path) -> anyhow::Result<Self> {
         let mut command = Command::new(std::env::current_exe()?);
         command.args(["hollow-servers", "--count", &count.to_string()]).stdin(Stdio::piped());
         let mut process = Process::spawn(command, log)?;
@@ -113,7 +113,7 @@
     ///
     /// # Errors
     /// A process that does not answer.
-    pub async fn probed(&mut self) -> anyhow::Result<(u64, u64)> {
+    pub(crate) async fn probed(&mut self) -> anyhow::Result<(u64, u64)> {
         self.input.write_all(b"\n").await?;
         let line = timeout(REPORT_TIMEOUT, self.output.next_line()).await.context("no answer in time")??;
         Ok(serde_json::from_str(&line.context("hollow servers ended")?)?)
@@ -130,7 +130,7 @@
 
 /// A process of hollow conductors.
 #[derive(Debug)]
-pub struct HollowProcess {
+pub(crate) struct HollowProcess {
     /// The process.
     pub process: Process,
     /// The conductors in it.
@@ -146,7 +146,7 @@
     ///
     /// # Errors
     /// A process that ends or says nothing in time.
-    pub async fn start(
+    pub(crate) async fn start(
         conductors: Vec<message::HollowConductor>,
         recorder: Arc<Recorder>,
         log: &Path,
@@ -168,7 +168,7 @@
     ///
     /// # Errors
     /// A process that has ended.
-    pub async fn begin(&mut self, control: Vec<message::ControlPlace>) -> anyhow::Result<()> {
+    pub(crate) async fn begin(&mut self, control: Vec<message::ControlPlace>) -> anyhow::Result<()> {
         let conductors = self.conductors.clone();
         self.tell(&message::Command::Start { control, conductors }).await
     }
@@ -177,7 +177,7 @@
     ///
     /// # Errors
     /// A process that has ended.
-    pub async fn tell(&mut self, command: &message::Command) -> anyhow::Result<()> {
+    pub(crate) async fn tell(&mut self, command: &message::Command) -> anyhow::Result<()> {
         let mut line = serde_json::to_vec(command)?;
         line.push(b'\n');
         self.input.write_all(&line).await.context("a process of hollow conductors has ended")
@@ -187,7 +187,7 @@
     ///
     /// # Errors
     /// A process that has ended.
-    pub async fn ask_report(&mut self) -> anyhow::Result<()> {
+    pub(crate) async fn ask_report(&mut self) -> anyhow::Result<()> {
         self.next_token += 1;
         self.tell(&message::Command::Report { token: self.next_token }).await
     }
@@ -196,7 +196,7 @@
     ///
     /// # Errors
     /// No report in time, or a conductor that did not start.
-    pub async fn reported(&mut self) -> anyhow::Result<()> {
+    pub(crate) async fn reported(&mut self) -> anyhow::Result<()> {
         loop {
             let notice = timeout(REPORT_TIMEOUT, self.notices.recv()).await.context("no report in time")?;
             match notice.context("a process of hollow conductors has ended")? {
@@ -208,7 +208,7 @@
     }
 
     /// Ends it.
-    pub async fn end(self) {
+    pub(crate) async fn end(self) {
         drop(self.input);
         self.process.terminate().await;
         let _ = timeout(END_TIMEOUT, self.reader).await;
@@ -244,7 +244,7 @@
 ///
 /// # Errors
 /// If it is not there.
-pub fn program(named: Option<PathBuf>) -> anyhow::Result<PathBuf> {
+pub(crate) fn program(named: Option<PathBuf>) -> anyhow::Result<PathBuf> {
     let path = match named {
         Some(path) => path,
         None => std::env::current_exe()?.with_file_name("stepspur"),
--- a/crates/stepspur-scale/src/fleet/proxies.rs
+++ b/crates/stepspur-scale/src/fleet/proxies.rs
@@ -44,7 +44,7 @@
 
 /// The proxies of all real conductors.
 #[derive(Debug)]
-pub struct Proxies {
+pub(crate) struct Proxies {
     conductors: BTreeMap<SubscriberId, OfConductor>,
     stop: CancellationToken,
     tasks: TaskTracker,
@@ -60,12 +60,12 @@
 
 impl Proxies {
     /// None yet.
-    pub fn new() -> Self {
+    pub(crate) fn new() -> Self {
         Self { conductors: BTreeMap::new(), stop: CancellationToken::new(), tasks: TaskTracker::new() }
     }
 
     /// Has proxies join a real conductor. Those of one that was started again go to its new address.
-    pub fn join(&mut self, conductor: SubscriberId, address: SocketAddr) {
+    pub(crate) fn join(&mut self, conductor: SubscriberId, address: SocketAddr) {
         if let Some(known) = self.conductors.get(&conductor) {
             known.address.send_replace(Some(address));
             return;
@@ -89,7 +89,7 @@
     }
 
     /// A conductor is about to end: its address is not dialled any more, as it may be another's soon.
-    pub fn forget_address(&self, conductor: SubscriberId) {
+    pub(crate) fn forget_address(&self, conductor: SubscriberId) {
         if let Some(known) = self.conductors.get(&conductor) {
             known.address.send_replace(None);
         }
@@ -97,7 +97,7 @@
 
     /// When the last proxy of a conductor was ordered what a change says, after this time; none: not all of those that
     /// must be. A level must reach each proxy; a server stands in the tables of some.
-    pub fn ordered(&self, conductor: SubscriberId, change: &Change, after: Micros) -> Option<Micros> {
+    pub(crate) fn ordered(&self, conductor: SubscriberId, change: &Change, after: Micros) -> Option<Micros> {
         let logs = &self.conductors.get(&conductor)?.logs;
         let first = |log: &Log| {
             let log = lock(log);
@@ -113,7 +113,7 @@
     }
 
     /// All orders so far.
-    pub fn orders(&self) -> Vec<ProxyOrders> {
+    pub(crate) fn orders(&self) -> Vec<ProxyOrders> {
         let of = |(&conductor, proxies): (&SubscriberId, &OfConductor)| {
             let orders = |log: &Log| ProxyOrders { conductor, orders: lock(log).clone() };
             proxies.logs.iter().map(orders).collect::<Vec<_>>()
@@ -122,7 +122,7 @@
     }
 
     /// Ends them all.
-    pub async fn stop(self) {
+    pub(crate) async fn stop(self) {
         self.stop.cancel();
         self.tasks.close();
         self.tasks.wait().await;
--- a/crates/stepspur-scale/src/fleet/real.rs
+++ b/crates/stepspur-scale/src/fleet/real.rs
@@ -25,7 +25,7 @@
 
 /// What is needed to start a real conductor, each time by the same settings and the same kept state.
 #[derive(Clone, Debug)]
-pub struct Files {
+pub(crate) struct Files {
     id: SubscriberId,
     program: PathBuf,
     settings: PathBuf,
@@ -33,7 +33,7 @@
 }
 
 /// A real conductor that runs.
-pub struct RealConductor {
+pub(crate) struct RealConductor {
     /// Its place in the plan.
     pub id: SubscriberId,
     /// Where proxies join it.
@@ -45,7 +45,7 @@
 
 /// What a real conductor tells of its documents.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Held {
+pub(crate) struct Held {
     /// Documents that it holds.
     pub documents: u64,
     /// Bytes that it has read from control members since it was started.
@@ -57,7 +57,7 @@
     ///
     /// # Errors
     /// A folder that cannot be written.
-    pub fn write(
+    pub(crate) fn write(
         program: &Path,
         folder: &Path,
         plan: &Plan,
@@ -76,7 +76,7 @@
     ///
     /// # Errors
     /// A process that does not start.
-    pub async fn start(self) -> anyhow::Result<RealConductor> {
+    pub(crate) async fn start(self) -> anyhow::Result<RealConductor> {
         let (process, said) = run_program(&self.program, &self.settings, &self.log).await?;
         let status = said.status.context("a conductor without a status page")?;
         Ok(RealConductor { id: self.id, listening: said.listening, files: self, process, status })
@@ -85,17 +85,17 @@
 
 impl RealConductor {
     /// Its process.
-    pub fn pid(&self) -> u32 {
+    pub(crate) fn pid(&self) -> u32 {
         self.process.pid
     }
 
     /// Ends it.
-    pub async fn end(self) {
+    pub(crate) async fn end(self) {
         self.process.terminate().await;
     }
 
     /// Ends it; what is left can be started again.
-    pub async fn end_to_restart(self) -> Files {
+    pub(crate) async fn end_to_restart(self) -> Files {
         self.process.terminate().await;
         self.files
     }
@@ -104,7 +104,7 @@
     ///
     /// # Errors
     /// No answer.
-    pub async fn held(&self) -> anyhow::Result<Held> {
+    pub(crate) async fn held(&self) -> anyhow::Result<Held> {
         let standing = self.standing().await?;
         let count = |name: &str| standing["subscriber"][name].as_u64().unwrap_or_default();
         Ok(Held { documents: count("documents"), bytes_read: count("bytes_read") })
@@ -114,7 +114,7 @@
     ///
     /// # Errors
     /// Not by then, with its standing.
-    pub async fn acts_by(&self, version: Version, end: Instant) -> anyhow::Result<()> {
+    pub(crate) async fn acts_by(&self, version: Version, end: Instant) -> anyhow::Result<()> {
         loop {
             let standing = self.standing().await;
             let in_force = standing.as_ref().ok().and_then(in_force);
--- a/crates/stepspur-scale/src/fleet/record.rs
+++ b/crates/stepspur-scale/src/fleet/record.rs
@@ -15,7 +15,7 @@
 
 /// Records a run.
 #[derive(Debug)]
-pub struct Recorder {
+pub(crate) struct Recorder {
     state: Mutex<State>,
     /// Counts acknowledgements, so that a wait looks again.
     news: watch::Sender<u64>,
@@ -42,7 +42,7 @@
     }
 
     /// Takes an event of a hollow conductor.
-    pub fn take(&self, event: Event) {
+    pub(crate) fn take(&self, event: Event) {
         let mut state = self.state();
         match event {
             Event::Applied { id, version, key, at } => {
@@ -76,69 +76,69 @@
     }
 
     /// Holdings from now on belong to this phase.
-    pub fn begin_phase(&self, phase: &str) {
+    pub(crate) fn begin_phase(&self, phase: &str) {
         self.state().phase = phase.to_owned();
     }
 
     /// Subscribers that take part; answers count them from then on.
-    pub fn participate(&self, participants: Vec<Participant>) {
+    pub(crate) fn participate(&self, participants: Vec<Participant>) {
         self.state().history.participants.extend(participants);
     }
 
     /// Real conductors that take part.
-    pub fn participate_real(&self, participants: Vec<Participant>) {
+    pub(crate) fn participate_real(&self, participants: Vec<Participant>) {
         self.state().history.real.extend(participants);
     }
 
     /// Takes all that proxies were ordered so far, in place of what was taken before.
-    pub fn take_orders(&self, orders: Vec<ProxyOrders>) {
+    pub(crate) fn take_orders(&self, orders: Vec<ProxyOrders>) {
         self.state().history.proxies = orders;
     }
 
     /// Notes that a real conductor was ended and started again.
-    pub fn down(&self, down: Down) {
+    pub(crate) fn down(&self, down: Down) {
         self.state().history.down.push(down);
     }
 
     /// Notes changes that were agreed.
-    pub fn agreed(&self, agreed: Agreed) {
+    pub(crate) fn agreed(&self, agreed: Agreed) {
         self.state().history.agreed.push(agreed);
     }
 
     /// Notes an answer of the operators' endpoint.
-    pub fn answered(&self, answered: Answered) {
+    pub(crate) fn answered(&self, answered: Answered) {
         self.state().history.answers.push(answered);
     }
 
     /// Notes that a region was cut off, and healed.
-    pub fn cut(&self, cut: Cut) {
+    pub(crate) fn cut(&self, cut: Cut) {
         self.state().history.cuts.push(cut);
     }
 
     /// Changes whenever a subscriber acknowledges something.
-    pub fn news(&self) -> watch::Receiver<u64> {
+    pub(crate) fn news(&self) -> watch::Receiver<u64> {
         self.news.subscribe()
     }
 
     /// How many of these subscribers act by a version or a later one, and when the last of them said so first.
-    pub fn acting_by(&self, version: Version, among: &[SubscriberId]) -> (usize, Micros) {
+    pub(crate) fn acting_by(&self, version: Version, among: &[SubscriberId]) -> (usize, Micros) {
         let state = self.state();
         let acting = among.iter().filter_map(|id| state.in_force.get(id)).filter(|(v, _)| *v >= version);
         acting.fold((0, 0), |(count, last), (_, at)| (count + 1, last.max(*at)))
     }
 
     /// Bytes of each subscriber at the last report.
-    pub fn bytes(&self) -> BTreeMap<SubscriberId, Bytes> {
+    pub(crate) fn bytes(&self) -> BTreeMap<SubscriberId, Bytes> {
         self.state().bytes.clone()
     }
 
     /// How many subscribers were attached at the last report.
-    pub fn connected(&self) -> usize {
+    pub(crate) fn connected(&self) -> usize {
         self.state().connected.values().filter(|connected| **connected).count()
     }
 
     /// Looks at what was recorded.
-    pub fn look<T>(&self, at: impl FnOnce(&History) -> T) -> T {
+    pub(crate) fn look<T>(&self, at: impl FnOnce(&History) -> T) -> T {
         at(&self.state().history)
     }
 }
--- a/crates/stepspur-scale/src/fleet/relay.rs
+++ b/crates/stepspur-scale/src/fleet/relay.rs
@@ -38,7 +38,7 @@
 
 /// The relay of one conductor: a listener in place of each control member.
 #[derive(Debug)]
-pub struct Relay {
+pub(super) struct Relay {
     control: Vec<ControlPlace>,
     stop: CancellationToken,
     tasks: TaskTracker,
@@ -58,7 +58,7 @@
     ///
     /// # Errors
     /// An address that cannot be listened on.
-    pub async fn start(control: &[ControlPlace], gate: Arc<Gate>) -> io::Result<Self> {
+    pub(super) async fn start(control: &[ControlPlace], gate: Arc<Gate>) -> io::Result<Self> {
         let mut listeners = Vec::new();
         let mut names = Names::default();
         let mut told = Vec::new();
@@ -78,12 +78,12 @@
     }
 
     /// The control members as the conductor is told of them.
-    pub fn control(&self) -> &[ControlPlace] {
+    pub(super) fn control(&self) -> &[ControlPlace] {
         &self.control
     }
 
     /// Ends all connections and waits for their tasks.
-    pub async fn stop(self) {
+    pub(super) async fn stop(self) {
         self.stop.cancel();
         self.tasks.close();
         self.tasks.wait().await;
--- a/crates/stepspur-scale/src/fleet/report.rs
+++ b/crates/stepspur-scale/src/fleet/report.rs
@@ -17,26 +17,26 @@
 use crate::fit::exponent;
 
 /// What the users allow a subscriber for control, in bytes a second.
-pub const SUBSCRIBER_BYTES_PER_S: f64 = USERS.bytes_per_s;
+pub(crate) const SUBSCRIBER_BYTES_PER_S: f64 = USERS.bytes_per_s;
 /// In hundredths of a core.
-pub const SUBSCRIBER_CPU_PERCENT: f64 = USERS.cpu_percent;
+pub(crate) const SUBSCRIBER_CPU_PERCENT: f64 = USERS.cpu_percent;
 /// In MB.
-pub const SUBSCRIBER_MB: f64 = USERS.memory_mib * BYTES_OF_MIB / 1e6;
+pub(crate) const SUBSCRIBER_MB: f64 = USERS.memory_mib * BYTES_OF_MIB / 1e6;
 const BYTES_OF_MIB: f64 = (1 << 20) as f64;
 /// A change is in force everywhere within this, in every case.
-pub const IN_FORCE_MS: f64 = 5_000.0;
+pub(crate) const IN_FORCE_MS: f64 = 5_000.0;
 /// The same at the mean pace.
-pub const IN_FORCE_AT_MEAN_PACE_MS: f64 = 1_000.0;
+pub(crate) const IN_FORCE_AT_MEAN_PACE_MS: f64 = 1_000.0;
 /// A full start of 2,400 conductors is in force within this.
-pub const FULL_START_MS: f64 = 30_000.0;
+pub(crate) const FULL_START_MS: f64 = 30_000.0;
 /// The phase at the mean pace, and that of the burst.
-pub const MEAN: &str = "mean";
+pub(crate) const MEAN: &str = "mean";
 /// See [`MEAN`].
-pub const BURST: &str = "burst";
+pub(crate) const BURST: &str = "burst";
 
 /// The machine of a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Machine {
+pub(crate) struct Machine {
     /// Processor cores.
     pub cores: usize,
     /// Memory, in MB.
@@ -47,7 +47,7 @@
 
 /// How large the run was.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Fleet {
+pub(crate) struct Fleet {
     /// Conductors, real and hollow.
     pub conductors: usize,
     /// Of them, processes of the real program.
@@ -72,7 +72,7 @@
 
 /// The start of all conductors at once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct FullStart {
+pub(crate) struct FullStart {
     /// Until the last hollow conductor acted by all documents.
     pub hollow_ms: f64,
     /// Until the last real conductor did; its process was started at the same time.
@@ -87,7 +87,7 @@
 
 /// A phase of a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Phase {
+pub(crate) struct Phase {
     /// Its name.
     pub name: String,
     /// How long it took.
@@ -114,7 +114,7 @@
 
 /// The same span with real conductors, and with hollow ones in their places.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Swap {
+pub(crate) struct Swap {
     /// Conductors that were swapped.
     pub conductors: usize,
     /// Bytes a second with control of one real one, without headers.
@@ -129,7 +129,7 @@
 
 impl Swap {
     /// How far the hollow ones are off, as a share: bytes, messages.
-    pub fn off_by(&self) -> (f64, f64) {
+    pub(crate) fn off_by(&self) -> (f64, f64) {
         let off =
             |hollow: f64, real: f64| if real > 0.0 { (hollow / real - 1.0).abs() } else { f64::INFINITY };
         (
@@ -141,7 +141,7 @@
 
 /// An aim and what was measured.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Aim {
+pub(crate) struct Aim {
     /// What.
     pub what: String,
     /// At most so much.
@@ -154,7 +154,7 @@
 
 /// A run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub(crate) struct Report {
     /// Where draws started.
     pub seed: u64,
     /// The machine.
@@ -187,7 +187,7 @@
 
 impl Report {
     /// The aims with what was measured, in the order of the users' list.
-    pub fn aims(&self) -> Vec<Aim> {
+    pub(crate) fn aims(&self) -> Vec<Aim> {
         let aim =
             |what: String, at_most: f64, figure: f64| Aim { what, at_most, figure, met: figure < at_most };
         let mut aims = Vec::new();
@@ -245,7 +245,7 @@
 
 /// How a figure grows with conductors over the runs of a sweep.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Growth {
+pub(crate) struct Growth {
     /// The figure.
     pub what: String,
     /// Conductors and the figure, run by run.
@@ -255,7 +255,7 @@
 }
 
 /// How figures of the phase at the mean pace grow with conductors; of the leader also by whom it exchanges bytes with.
-pub fn growth(reports: &[Report]) -> Vec<Growth> {
+pub(crate) fn growth(reports: &[Report]) -> Vec<Growth> {
     let of = |what: String, figure: &dyn Fn(&Phase) -> Option<f64>| {
         let point = |report: &Report| {
             let mean = report.phases.iter().find(|phase| phase.name == MEAN)?;
--- a/crates/stepspur-scale/src/fleet/run.rs
+++ b/crates/stepspur-scale/src/fleet/run.rs
@@ -28,7 +28,7 @@
 /// After a call that failed, the next control member is called.
 const RETRY_AFTER: Duration = Duration::from_millis(50);
 /// All conductors are level within this, or the phase says that they are not.
-pub const LEVEL_TIMEOUT: Duration = Duration::from_secs(60);
+pub(super) const LEVEL_TIMEOUT: Duration = Duration::from_secs(60);
 /// A full start takes so long at most before the run gives up.
 const START_TIMEOUT: Duration = Duration::from_secs(180);
 /// At the end of changes the last version is asked for so long at most.
@@ -39,7 +39,7 @@
 const SETTLE: Duration = Duration::from_millis(300);
 
 /// A run under way.
-pub struct Run {
+pub(super) struct Run {
     /// The fleet.
     pub cluster: Cluster,
     /// What changes.
@@ -60,7 +60,7 @@
 
 /// What a change is drawn for.
 #[derive(Clone, Copy, Debug)]
-pub enum Draw {
+pub(super) enum Draw {
     /// Whatever comes next.
     Any,
     /// The service of the conductor with this place in the plan.
@@ -70,7 +70,7 @@
 }
 
 /// A phase that began, and where the history stood then.
-pub struct Begun {
+pub(super) struct Begun {
     name: String,
     at: Instant,
     since: Micros,
@@ -85,7 +85,7 @@
     ///
     /// # Errors
     /// Keys that make no client.
-    pub fn new(cluster: Cluster, seed: u64, ask_every: Duration) -> anyhow::Result<Self> {
+    pub(super) fn new(cluster: Cluster, seed: u64, ask_every: Duration) -> anyhow::Result<Self> {
         let operator = cluster.operator()?;
         let schedule = Schedule::new(Arc::clone(&cluster.plan), seed);
         let subscribers = cluster.plan.hollow().iter().map(|conductor| conductor.id).collect();
@@ -105,7 +105,7 @@
     }
 
     /// The phases so far.
-    pub fn phases(&self) -> &[Phase] {
+    pub(super) fn phases(&self) -> &[Phase] {
         &self.phases
     }
 
@@ -113,7 +113,7 @@
     ///
     /// # Errors
     /// Changes that are refused, or not agreed in time.
-    pub async fn propose(&mut self, changes: Vec<Change>) -> anyhow::Result<Version> {
+    pub(super) async fn propose(&mut self, changes: Vec<Change>) -> anyhow::Result<Version> {
         let proposed = now();
         let end = Instant::now() + AGREE_TIMEOUT;
         let operation = self.operations.next_id(self.head);
@@ -139,7 +139,7 @@
     ///
     /// # Errors
     /// As [`Run::propose`].
-    pub async fn preload(&mut self) -> anyhow::Result<usize> {
+    pub(super) async fn preload(&mut self) -> anyhow::Result<usize> {
         let mut changes = self.schedule.preload();
         // The last version concerns everybody: where it is in force tells of all.
         changes.push(self.schedule.for_all());
@@ -154,7 +154,7 @@
     ///
     /// # Errors
     /// Conductors that do not start, or do not act by all documents in time.
-    pub async fn full_start(&mut self) -> anyhow::Result<FullStart> {
+    pub(super) async fn full_start(&mut self) -> anyhow::Result<FullStart> {
         self.cluster.prepare_hollow().await?;
         let begun = self.begin("start");
         let (head, at) = (self.head, now());
@@ -221,7 +221,7 @@
     }
 
     /// Begins a phase.
-    pub fn begin(&self, name: &str) -> Begun {
+    pub(super) fn begin(&self, name: &str) -> Begun {
         self.cluster.recorder.begin_phase(name);
         let changes = self.cluster.recorder.look(|history| history.agreed.len());
         // What was used before belongs to no phase.
@@ -234,7 +234,7 @@
     ///
     /// # Errors
     /// A process that does not answer.
-    pub async fn end(&mut self, mut begun: Begun, since: Option<Micros>) -> anyhow::Result<()> {
+    pub(super) async fn end(&mut self, mut begun: Begun, since: Option<Micros>) -> anyhow::Result<()> {
         let seconds = begun.at.elapsed().as_secs_f64();
         let used = self.cluster.sampler.take();
         let real = self.cluster.real_act_by(self.head, LEVEL_TIMEOUT);
@@ -353,7 +353,7 @@
     ///
     /// # Errors
     /// As [`Run::propose`].
-    pub async fn changes(&mut self, count: usize, per_s: f64) -> anyhow::Result<()> {
+    pub(super) async fn changes(&mut self, count: usize, per_s: f64) -> anyhow::Result<()> {
         self.draws(&vec![Draw::Any; count], per_s).await
     }
 
@@ -361,7 +361,7 @@
     ///
     /// # Errors
     /// As [`Run::propose`].
-    pub async fn draws(&mut self, draws: &[Draw], per_s: f64) -> anyhow::Result<()> {
+    pub(super) async fn draws(&mut self, draws: &[Draw], per_s: f64) -> anyhow::Result<()> {
         let mut ticks = interval(Duration::from_secs_f64(1.0 / per_s));
         // One that was late is followed at once by those that were due meanwhile: the pace is kept.
         ticks.set_missed_tick_behavior(MissedTickBehavior::Burst);
@@ -380,7 +380,7 @@
     ///
     /// # Errors
     /// As [`Run::propose`].
-    pub async fn change(&mut self, draw: Draw) -> anyhow::Result<Version> {
+    pub(super) async fn change(&mut self, draw: Draw) -> anyhow::Result<Version> {
         let change = match draw {
             Draw::Any => self.schedule.draw(),
             Draw::For(conductor) => self.schedule.draw_for(conductor),
@@ -394,7 +394,7 @@
     ///
     /// # Errors
     /// Keys that make no client.
-    pub fn ask(&self, least: usize) -> anyhow::Result<Asking> {
+    pub(super) fn ask(&self, least: usize) -> anyhow::Result<Asking> {
         let recorder = Arc::clone(&self.cluster.recorder);
         Ok(Asking::start(self.cluster.operator()?, recorder, self.ask_every, least))
     }
--- a/crates/stepspur-scale/src/fleet/servers.rs
+++ b/crates/stepspur-scale/src/fleet/servers.rs
@@ -8,7 +8,7 @@
 ///
 /// # Errors
 /// The system's, if it gives no addresses.
-pub async fn run(count: usize) -> anyhow::Result<()> {
+pub(crate) async fn run(count: usize) -> anyhow::Result<()> {
     let servers = HollowServers::start(count).await?;
     println!("{}", serde_json::to_string(servers.addresses())?);
     let mut lines = BufReader::new(tokio::io::stdin()).lines();
--- a/crates/stepspur-scale/src/fleet/settings.rs
+++ b/crates/stepspur-scale/src/fleet/settings.rs
@@ -12,11 +12,11 @@
 use crate::hollow_conductors::message::ControlPlace;
 
 /// Zones of a real conductor's servers.
-pub const ZONES: [&str; 3] = ["a", "b", "c"];
+pub(crate) const ZONES: [&str; 3] = ["a", "b", "c"];
 /// Classes of a real conductor: as many as an engine takes, so that it knows every route.
 const CLASSES: usize = ROUTES_MOST;
 /// Proxies of a real conductor.
-pub const PROXIES: usize = 3;
+pub(crate) const PROXIES: usize = 3;
 /// The council's times, as the program's defaults are.
 const ELECTION: Duration = Duration::from_secs(1);
 const HEARTBEAT: Duration = Duration::from_millis(200);
@@ -26,7 +26,7 @@
 
 /// Where the parts of one control member listen.
 #[derive(Clone, Copy, Debug)]
-pub struct ControlAddresses {
+pub(crate) struct ControlAddresses {
     /// Other members of the council.
     pub council: SocketAddr,
     /// Subscribers.
@@ -37,7 +37,7 @@
 
 /// All control members with their addresses, in the order of their numbers.
 #[derive(Clone, Debug)]
-pub struct ControlFleet {
+pub(crate) struct ControlFleet {
     /// The members.
     pub members: Vec<(ControlMember, ControlAddresses)>,
     /// A subscriber that nothing concerns is told so often what it is covered to.
@@ -46,7 +46,7 @@
 
 impl ControlFleet {
     /// What subscribers are told.
-    pub fn places(&self) -> Vec<ControlPlace> {
+    pub(crate) fn places(&self) -> Vec<ControlPlace> {
         let place = |(member, addresses): &(ControlMember, ControlAddresses)| ControlPlace {
             id: member.id,
             address: addresses.subscribers,
@@ -56,12 +56,12 @@
     }
 
     /// Operators' endpoints.
-    pub fn operators(&self) -> Vec<SocketAddr> {
+    pub(crate) fn operators(&self) -> Vec<SocketAddr> {
         self.members.iter().map(|(_, addresses)| addresses.operators).collect()
     }
 
     /// The council as its first voters found it.
-    pub fn founding(&self, id: u64, state: &Path) -> ConsensusConfig {
+    pub(crate) fn founding(&self, id: u64, state: &Path) -> ConsensusConfig {
         let voters = self.members.iter().filter(|(member, _)| member.votes);
         let place = |(member, addresses): &(ControlMember, ControlAddresses)| MemberAddress {
             id: member.id,
@@ -80,7 +80,7 @@
     }
 
     /// The settings of a control member, whose files lie in `folder`; keys lie in `keys`.
-    pub fn settings(&self, place: usize, folder: &Path, keys: &Path, nodes: &Path) -> String {
+    pub(crate) fn settings(&self, place: usize, folder: &Path, keys: &Path, nodes: &Path) -> String {
         let (member, addresses) = &self.members[place];
         let ip = addresses.council.ip();
         let (state, audit) = (folder.join("council.redb"), folder.join("audit.jsonl"));
@@ -117,7 +117,7 @@
 }
 
 /// The settings of a real conductor, whose files lie in `folder`.
-pub fn conductor(conductor: &Conductor, control: &[ControlPlace], folder: &Path) -> String {
+pub(crate) fn conductor(conductor: &Conductor, control: &[ControlPlace], folder: &Path) -> String {
     let (nodes, state) = (folder.join("nodes.toml"), folder.join("configuration.redb"));
     let classes: String = (0..CLASSES).map(class).collect();
     let mut text = format!(
@@ -141,7 +141,7 @@
 }
 
 /// The list of servers of a real conductor.
-pub fn nodes(plan: &Plan, conductor: &Conductor) -> String {
+pub(crate) fn nodes(plan: &Plan, conductor: &Conductor) -> String {
     let servers: Vec<&SocketAddr> =
         conductor.services.iter().flat_map(|place| &plan.services[*place].servers).collect();
     let mut text = format!("servers = {}\n", servers.len());
--- a/crates/stepspur-scale/src/fleet/sockets.rs
+++ b/crates/stepspur-scale/src/fleet/sockets.rs
@@ -14,7 +14,7 @@
 
 /// What passed at sockets, both ways.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Traffic {
+pub(crate) struct Traffic {
     /// Bytes that were read.
     pub read: u64,
     /// Bytes that were written.
@@ -27,17 +27,17 @@
 
 impl Traffic {
     /// Bytes both ways, without headers.
-    pub fn bytes(&self) -> u64 {
+    pub(crate) fn bytes(&self) -> u64 {
         self.read + self.written
     }
 
     /// Bytes both ways, with headers.
-    pub fn with_headers(&self) -> u64 {
+    pub(crate) fn with_headers(&self) -> u64 {
         self.bytes() + self.segments * HEADER_BYTES
     }
 
     /// Adds what passed elsewhere.
-    pub fn add(&mut self, other: Traffic) {
+    pub(crate) fn add(&mut self, other: Traffic) {
         self.read += other.read;
         self.written += other.written;
         self.messages += other.messages;
@@ -56,7 +56,7 @@
 
 /// A connection's end at a process.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct End {
+pub(crate) struct End {
     /// The process.
     pub pid: u32,
     /// Its address.
@@ -67,14 +67,14 @@
 
 /// The counts of all connections at one time.
 #[derive(Clone, Debug, Default)]
-pub struct Look(BTreeMap<End, Traffic>);
+pub(crate) struct Look(BTreeMap<End, Traffic>);
 
 impl Look {
     /// Looks at all established connections of the machine.
     ///
     /// # Errors
     /// If `ss` is missing or fails.
-    pub fn now() -> io::Result<Self> {
+    pub(crate) fn now() -> io::Result<Self> {
         let out = Command::new("ss").args(["-tinpHO", "state", "established"]).output()?;
         if !out.status.success() {
             return Err(io::Error::other("ss failed"));
@@ -83,12 +83,12 @@
     }
 
     /// Reads the output of `ss -tinpHO state established`, one connection a line.
-    pub fn parse(text: &str) -> Self {
+    pub(crate) fn parse(text: &str) -> Self {
         Self(text.lines().filter_map(connection).collect())
     }
 
     /// What passed at each end since an earlier look. A connection that is new counts whole.
-    pub fn passed<'a>(&'a self, before: &'a Look) -> impl Iterator<Item = (&'a End, Traffic)> {
+    pub(crate) fn passed<'a>(&'a self, before: &'a Look) -> impl Iterator<Item = (&'a End, Traffic)> {
         self.0.iter().map(|(end, traffic)| {
             let then = before.0.get(end).copied().unwrap_or_default();
             (end, traffic.since(then))
@@ -96,7 +96,7 @@
     }
 
     /// What passed at each process since an earlier look, over connections whose peer is wanted.
-    pub fn since(&self, before: &Look, wanted: impl Fn(&str) -> bool) -> BTreeMap<u32, Traffic> {
+    pub(crate) fn since(&self, before: &Look, wanted: impl Fn(&str) -> bool) -> BTreeMap<u32, Traffic> {
         let mut sums: BTreeMap<u32, Traffic> = BTreeMap::new();
         for (end, traffic) in self.passed(before).filter(|(end, _)| wanted(&end.peer)) {
             sums.entry(end.pid).or_default().add(traffic);
@@ -105,7 +105,7 @@
     }
 
     /// All ends.
-    pub fn ends(&self) -> impl Iterator<Item = &End> {
+    pub(crate) fn ends(&self) -> impl Iterator<Item = &End> {
         self.0.keys()
     }
 }
--- a/crates/stepspur-scale/src/fleet/swap.rs
+++ b/crates/stepspur-scale/src/fleet/swap.rs
@@ -20,7 +20,7 @@
     ///
     /// # Errors
     /// A process that does not start.
-    pub async fn swap(&mut self, count: usize, changes: usize) -> anyhow::Result<Swap> {
+    pub(super) async fn swap(&mut self, count: usize, changes: usize) -> anyhow::Result<Swap> {
         let ids = self.cluster.to_swap(count);
         let others = self.cluster.real.iter().filter(|conductor| !ids.contains(&conductor.id));
         others.for_each(|conductor| self.cluster.sampler.forget(conductor.pid()));
--- a/crates/stepspur-scale/src/gate.rs
+++ b/crates/stepspur-scale/src/gate.rs
@@ -12,7 +12,7 @@
 
 /// The links of one region: open, or cut.
 #[derive(Debug, Default)]
-pub struct Gate {
+pub(crate) struct Gate {
     cut: AtomicBool,
     /// Tasks that wait for the healing: each link has two at most.
     waiting: Mutex<Vec<Waker>>,
@@ -20,7 +20,7 @@
 
 impl Gate {
     /// Cuts or heals the links.
-    pub fn set(&self, cut: bool) {
+    pub(crate) fn set(&self, cut: bool) {
         self.cut.store(cut, Ordering::SeqCst);
         if !cut {
             let waiting = std::mem::take(&mut *self.waiting.lock().unwrap_or_else(PoisonError::into_inner));
@@ -29,12 +29,12 @@
     }
 
     /// True: the links are cut.
-    pub fn is_cut(&self) -> bool {
+    pub(crate) fn is_cut(&self) -> bool {
         self.cut.load(Ordering::SeqCst)
     }
 
     /// Waits until the links are open.
-    pub async fn opened(&self) {
+    pub(crate) async fn opened(&self) {
         poll_fn(|context| self.poll_open(context)).await;
     }
 
@@ -55,14 +55,14 @@
 
 /// A stream through which nothing passes while its gate is cut.
 #[derive(Debug)]
-pub struct Gated<S> {
+pub(crate) struct Gated<S> {
     stream: S,
     gate: Arc<Gate>,
 }
 
 impl<S> Gated<S> {
     /// Puts a stream behind a gate.
-    pub fn new(stream: S, gate: Arc<Gate>) -> Self {
+    pub(crate) fn new(stream: S, gate: Arc<Gate>) -> Self {
         Self { stream, gate }
     }
 }
--- a/crates/stepspur-scale/src/hollow/mod.rs
+++ b/crates/stepspur-scale/src/hollow/mod.rs
@@ -1,6 +1,6 @@
 //! Hollow servers and proxies: they cost the conductor what real ones do, and do nothing else.
 
-pub mod proxies;
-pub mod servers;
+pub(crate) mod proxies;
+pub(crate) mod servers;
 #[cfg(test)]
 mod tests;
--- a/crates/stepspur-scale/src/hollow/proxies.rs
+++ b/crates/stepspur-scale/src/hollow/proxies.rs
@@ -24,7 +24,7 @@
 
 /// What proxies do.
 #[derive(Clone, Debug)]
-pub struct ProxySettings {
+pub(crate) struct ProxySettings {
     /// As many join.
     pub count: usize,
     /// Names of the zones, taken in turn.
@@ -41,7 +41,7 @@
 
 /// An order gave a server another weight in a proxy's table.
 #[derive(Clone, Copy, Debug)]
-pub struct TableChange {
+pub(crate) struct TableChange {
     /// The number of the proxy.
     pub proxy: usize,
     /// The server.
@@ -63,7 +63,7 @@
 
 /// Proxies that have dialled in; dropping them ends them, [`HollowProxies::stop`] waits.
 #[derive(Debug)]
-pub struct HollowProxies {
+pub(crate) struct HollowProxies {
     count: u64,
     seen: Arc<Seen>,
     changed: watch::Receiver<()>,
@@ -78,7 +78,7 @@
     ///
     /// # Errors
     /// If a connection does not come about.
-    pub async fn start(conductor: SocketAddr, settings: &ProxySettings) -> io::Result<Self> {
+    pub(crate) async fn start(conductor: SocketAddr, settings: &ProxySettings) -> io::Result<Self> {
         let (stop, tasks) = (CancellationToken::new(), TaskTracker::new());
         let seen = Arc::new(Seen::default());
         let (tell, changed) = watch::channel(());
@@ -108,7 +108,7 @@
     ///
     /// # Errors
     /// If that takes longer.
-    pub async fn bound(&mut self, within: Duration) -> anyhow::Result<()> {
+    pub(crate) async fn bound(&mut self, within: Duration) -> anyhow::Result<()> {
         let (seen, count) = (Arc::clone(&self.seen), self.count);
         self.wait(within, || seen.bound.load(Ordering::Relaxed) >= count)
             .await
@@ -116,12 +116,12 @@
     }
 
     /// Orders that took a server from a table, so far and in all.
-    pub fn removals(&self) -> u64 {
+    pub(crate) fn removals(&self) -> u64 {
         self.seen.removals.load(Ordering::Relaxed)
     }
 
     /// Orders that set levels of classes, so far and in all; tables apart.
-    pub fn levels(&self) -> u64 {
+    pub(crate) fn levels(&self) -> u64 {
         self.seen.levels.load(Ordering::Relaxed)
     }
 
@@ -129,7 +129,7 @@
     ///
     /// # Errors
     /// If that takes longer.
-    pub async fn levelled(&mut self, orders: u64, within: Duration) -> anyhow::Result<()> {
+    pub(crate) async fn levelled(&mut self, orders: u64, within: Duration) -> anyhow::Result<()> {
         let seen = Arc::clone(&self.seen);
         self.wait(within, || seen.levels.load(Ordering::Relaxed) >= orders)
             .await
@@ -137,7 +137,7 @@
     }
 
     /// Reports that all of them have sent.
-    pub fn reports(&self) -> u64 {
+    pub(crate) fn reports(&self) -> u64 {
         self.seen.reports.load(Ordering::Relaxed)
     }
 
@@ -145,7 +145,7 @@
     ///
     /// # Errors
     /// If that takes longer.
-    pub async fn removed(&mut self, orders: u64, within: Duration) -> anyhow::Result<()> {
+    pub(crate) async fn removed(&mut self, orders: u64, within: Duration) -> anyhow::Result<()> {
         let seen = Arc::clone(&self.seen);
         self.wait(within, || seen.removals.load(Ordering::Relaxed) >= orders)
             .await
@@ -163,7 +163,7 @@
     }
 
     /// Ends them all and waits for their tasks.
-    pub async fn stop(self) {
+    pub(crate) async fn stop(self) {
         self.stop.cancel();
         self.tasks.close();
         self.tasks.wait().await;
--- a/crates/stepspur-scale/src/hollow/servers.rs
+++ b/crates/stepspur-scale/src/hollow/servers.rs
@@ -13,7 +13,7 @@
 use tokio_util::task::TaskTracker;
 
 /// As many servers a process holds at most: each needs a descriptor.
-pub const SERVERS_MOST: usize = 15_000;
+pub(crate) const SERVERS_MOST: usize = 15_000;
 /// A probe is read and answered in this time, or its connection ends.
 const ANSWER_WITHIN: Duration = Duration::from_secs(2);
 /// The largest request that is read, in bytes.
@@ -22,26 +22,26 @@
 
 /// What probes have cost so far, counted at the servers' sockets.
 #[derive(Debug, Default)]
-pub struct Probed {
+pub(crate) struct Probed {
     probes: AtomicU64,
     bytes: AtomicU64,
 }
 
 impl Probed {
     /// Probes that were answered.
-    pub fn probes(&self) -> u64 {
+    pub(crate) fn probes(&self) -> u64 {
         self.probes.load(Ordering::Relaxed)
     }
 
     /// Payload of requests and answers, in bytes.
-    pub fn bytes(&self) -> u64 {
+    pub(crate) fn bytes(&self) -> u64 {
         self.bytes.load(Ordering::Relaxed)
     }
 }
 
 /// Servers that answer probes until they are stopped.
 #[derive(Debug)]
-pub struct HollowServers {
+pub(crate) struct HollowServers {
     addresses: Vec<SocketAddr>,
     probed: Arc<Probed>,
     stop: CancellationToken,
@@ -49,7 +49,7 @@
 }
 
 /// The address of the server with this number: 127.16.0.1 and on, in the first 60,000.
-pub fn address_of(number: usize) -> Ipv4Addr {
+pub(crate) fn address_of(number: usize) -> Ipv4Addr {
     Ipv4Addr::new(127, 16 + (number / 62_500) as u8, (number / 250 % 250) as u8, (number % 250 + 1) as u8)
 }
 
@@ -58,7 +58,7 @@
     ///
     /// # Errors
     /// The system's, and [`io::ErrorKind::InvalidInput`] beyond [`SERVERS_MOST`].
-    pub async fn start(count: usize) -> io::Result<Self> {
+    pub(crate) async fn start(count: usize) -> io::Result<Self> {
         if count > SERVERS_MOST {
             return Err(io::Error::new(
                 io::ErrorKind::InvalidInput,
@@ -77,17 +77,17 @@
     }
 
     /// Where they listen.
-    pub fn addresses(&self) -> &[SocketAddr] {
+    pub(crate) fn addresses(&self) -> &[SocketAddr] {
         &self.addresses
     }
 
     /// What probes have cost so far.
-    pub fn probed(&self) -> &Probed {
+    pub(crate) fn probed(&self) -> &Probed {
         &self.probed
     }
 
     /// Ends them all and waits for their tasks.
-    pub async fn stop(self) {
+    pub(crate) async fn stop(self) {
         self.stop.cancel();
         self.tasks.close();
         self.tasks.wait().await;
--- a/crates/stepspur-scale/src/hollow_conductors/message.rs
+++ b/crates/stepspur-scale/src/hollow_conductors/message.rs
@@ -11,7 +11,7 @@
 
 /// A control member that subscribers are told of.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct ControlPlace {
+pub(crate) struct ControlPlace {
     /// Its number in the council.
     pub id: u64,
     /// Where it lets subscribers in.
@@ -22,7 +22,7 @@
 
 /// A hollow conductor.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct HollowConductor {
+pub(crate) struct HollowConductor {
     /// Its place in the plan.
     pub id: SubscriberId,
     /// Its name in the register.
@@ -34,7 +34,7 @@
 /// A command of the rig.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
-pub enum Command {
+pub(crate) enum Command {
     /// Starts these conductors at once.
     Start {
         /// Control members that each knows from the start.
@@ -67,7 +67,7 @@
 /// An event at a process of hollow conductors. Those of one conductor come in the order in which they happened.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
-pub enum Event {
+pub(crate) enum Event {
     /// The process takes commands.
     Ready,
     /// A conductor's engine took a document.
@@ -128,7 +128,7 @@
 
 /// Bytes at a conductor's sockets, without headers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Bytes {
+pub(crate) struct Bytes {
     /// Read.
     pub read: u64,
     /// Written.
--- a/crates/stepspur-scale/src/hollow_conductors/mod.rs
+++ b/crates/stepspur-scale/src/hollow_conductors/mod.rs
@@ -1,7 +1,7 @@
 //! Hollow conductors: the program's own subscribers, without proxies, servers and decisions, many as tasks of one
 //! process. Their engine notes what it is given and when. The rig drives the process by [`message`]s.
 
-pub mod message;
+pub(crate) mod message;
 mod net;
 
 use std::collections::BTreeMap;
@@ -36,7 +36,7 @@
 ///
 /// # Errors
 /// Commands that cannot be read, or a standard output that is gone.
-pub async fn run() -> anyhow::Result<()> {
+pub(crate) async fn run() -> anyhow::Result<()> {
     // One thread: many such processes share the machine, and each has little to do.
     tokio::task::spawn_blocking(|| {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
--- a/crates/stepspur-scale/src/hollow_conductors/net.rs
+++ b/crates/stepspur-scale/src/hollow_conductors/net.rs
@@ -16,11 +16,11 @@
 
 /// The gates of all regions of a process.
 #[derive(Debug, Default)]
-pub struct Gates(Mutex<BTreeMap<String, Arc<Gate>>>);
+pub(super) struct Gates(Mutex<BTreeMap<String, Arc<Gate>>>);
 
 impl Gates {
     /// The gate of a region.
-    pub fn of(&self, region: &str) -> Arc<Gate> {
+    pub(super) fn of(&self, region: &str) -> Arc<Gate> {
         let mut gates = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         Arc::clone(gates.entry(region.to_owned()).or_default())
     }
@@ -28,7 +28,7 @@
 
 /// Bytes of one conductor, over all its connections.
 #[derive(Debug, Default)]
-pub struct Counters {
+pub(super) struct Counters {
     read: AtomicU64,
     written: AtomicU64,
     reads: AtomicU64,
@@ -37,7 +37,7 @@
 
 impl Counters {
     /// The counts now.
-    pub fn bytes(&self) -> Bytes {
+    pub(super) fn bytes(&self) -> Bytes {
         Bytes {
             read: self.read.load(Ordering::Relaxed),
             written: self.written.load(Ordering::Relaxed),
@@ -49,7 +49,7 @@
 
 /// The network of one conductor.
 #[derive(Debug)]
-pub struct GatedNet {
+pub(super) struct GatedNet {
     /// Its region's gate.
     pub gate: Arc<Gate>,
     /// Its bytes.
--- a/crates/stepspur-scale/src/program.rs
+++ b/crates/stepspur-scale/src/program.rs
@@ -6,7 +6,7 @@
 ///
 /// # Errors
 /// If it has not been built.
-pub fn stepspur() -> anyhow::Result<PathBuf> {
+pub(crate) fn stepspur() -> anyhow::Result<PathBuf> {
     let own = std::env::current_exe()?;
     let path = own.with_file_name("stepspur");
     anyhow::ensure!(
--- a/crates/stepspur-scale/src/slopes/choose.rs
+++ b/crates/stepspur-scale/src/slopes/choose.rs
@@ -18,7 +18,7 @@
 ///
 /// # Errors
 /// If the proxy finds no server.
-pub fn measure(lines: usize, seed: u64, span: Duration) -> anyhow::Result<Values> {
+pub(super) fn measure(lines: usize, seed: u64, span: Duration) -> anyhow::Result<Values> {
     let mut proxy = proxy(lines, seed);
     let mut times = Histogram::<u64>::new_with_bounds(1, 1_000_000_000, 3)?;
     let from = Instant::now();
--- a/crates/stepspur-scale/src/slopes/conductor.rs
+++ b/crates/stepspur-scale/src/slopes/conductor.rs
@@ -38,7 +38,7 @@
 
 /// What a conductor stands before.
 #[derive(Clone, Copy, Debug)]
-pub struct Setup {
+pub(crate) struct Setup {
     /// Servers listed.
     pub servers: usize,
     /// Proxies joined.
@@ -56,7 +56,7 @@
 }
 
 /// The list of servers, and the settings to start a conductor by.
-pub struct Bench {
+pub(crate) struct Bench {
     setup: Setup,
     /// The settings.
     pub config: Config,
@@ -71,7 +71,7 @@
 }
 
 /// Settings of a conductor on loopback, its orders not paced.
-pub fn settings() -> anyhow::Result<Config> {
+pub(crate) fn settings() -> anyhow::Result<Config> {
     let mut config: Config = toml::from_str(EXAMPLE).context("the example's settings")?;
     config.listen.address.set_port(0);
     config.status.address = None;
@@ -84,7 +84,7 @@
 }
 
 /// The address of the server with this number where nobody dials servers.
-pub fn unused_address(number: usize) -> SocketAddr {
+pub(crate) fn unused_address(number: usize) -> SocketAddr {
     SocketAddr::from((address_of(number), UNUSED_PORT))
 }
 
@@ -92,7 +92,7 @@
 ///
 /// # Errors
 /// If it does not start, or proxies do not join in time.
-pub async fn measure(program: PathBuf, setup: Setup) -> anyhow::Result<Values> {
+pub(crate) async fn measure(program: PathBuf, setup: Setup) -> anyhow::Result<Values> {
     let bench = Bench::new(program, setup).await?;
     let measured = bench.measure().await;
     bench.stop().await;
@@ -104,7 +104,7 @@
     ///
     /// # Errors
     /// The system's, and settings that cannot be read.
-    pub async fn new(program: PathBuf, setup: Setup) -> anyhow::Result<Self> {
+    pub(crate) async fn new(program: PathBuf, setup: Setup) -> anyhow::Result<Self> {
         let registry = Registry::new(Arc::new(Trace::default()));
         let listener = TcpListener::bind((std::net::Ipv4Addr::LOCALHOST, 0)).await?;
         let address = listener.local_addr()?;
@@ -129,12 +129,12 @@
     }
 
     /// Lists these servers in a state, all at once.
-    pub fn set_states(&self, servers: impl IntoIterator<Item = usize>, state: EndpointRecordState) {
+    pub(crate) fn set_states(&self, servers: impl IntoIterator<Item = usize>, state: EndpointRecordState) {
         self.registry.set(servers.into_iter().map(|number| self.node(number, state)));
     }
 
     /// The address of the server with this number.
-    pub fn address(&self, server: usize) -> SocketAddr {
+    pub(crate) fn address(&self, server: usize) -> SocketAddr {
         self.addresses[server]
     }
 
@@ -148,7 +148,7 @@
     ///
     /// # Errors
     /// Proxies that do not join in time.
-    pub async fn join(
+    pub(crate) async fn join(
         &self,
         conductor: SocketAddr,
         table_changes: Option<mpsc::Sender<TableChange>>,
@@ -248,7 +248,7 @@
     }
 
     /// Ends the list, and the servers if there are any.
-    pub async fn stop(self) {
+    pub(crate) async fn stop(self) {
         self.stop.cancel();
         self.tasks.close();
         self.tasks.wait().await;
@@ -260,7 +260,7 @@
 
 /// IP and TCP headers of a probe's connection, in bytes, as reckoned: ten segments (three to open, two with data,
 /// each acknowledged apart or with the next, two ends with their acknowledgements), eight bytes more on the first two.
-pub const PROBE_HEADERS: u64 = 10 * traffic::HEADER_BYTES + 16;
+pub(crate) const PROBE_HEADERS: u64 = 10 * traffic::HEADER_BYTES + 16;
 
 fn pid(running: &Running) -> anyhow::Result<u32> {
     running.pid().context("the conductor has ended")
--- a/crates/stepspur-scale/src/slopes/council.rs
+++ b/crates/stepspur-scale/src/slopes/council.rs
@@ -21,7 +21,7 @@
 use crate::usage;
 
 /// Members that vote.
-pub const VOTERS: usize = 3;
+pub(super) const VOTERS: usize = 3;
 /// A leader is known in this time.
 const PATIENCE: Duration = Duration::from_secs(20);
 /// From a known leader to the first look.
@@ -63,7 +63,7 @@
 }
 
 /// Settings of the council for each of so many members, the first three of them voters; their states are founded.
-pub fn councils(members: usize, folder: &Path) -> anyhow::Result<Vec<ConsensusConfig>> {
+pub(super) fn councils(members: usize, folder: &Path) -> anyhow::Result<Vec<ConsensusConfig>> {
     let place = |id: u64| Ok(stepspur_consensus_node::MemberAddress { id, address: free_address(id)? });
     let places: Vec<_> = (1..=members as u64).map(place).collect::<std::io::Result<_>>()?;
     let of = |id: u64| -> anyhow::Result<ConsensusConfig> {
@@ -86,7 +86,11 @@
 ///
 /// # Errors
 /// If one does not start, or no leader is known in time.
-pub async fn measure_members(program: PathBuf, members: usize, window: Duration) -> anyhow::Result<Values> {
+pub(super) async fn measure_members(
+    program: PathBuf,
+    members: usize,
+    window: Duration,
+) -> anyhow::Result<Values> {
     let folder = tempfile::tempdir()?;
     let nodes = folder.path().join("nodes.toml");
     std::fs::write(&nodes, "[[node]]\naddress = \"127.0.0.1:9\"\nzone = \"north\"\n")?;
@@ -201,7 +205,7 @@
 ///
 /// # Errors
 /// If one does not start, or no leader is known in time.
-pub async fn measure_entries(members: usize, per_s: u32, window: Duration) -> anyhow::Result<Values> {
+pub(super) async fn measure_entries(members: usize, per_s: u32, window: Duration) -> anyhow::Result<Values> {
     let folder = tempfile::tempdir()?;
     let from = Instant::now();
     let mut running = Vec::with_capacity(members);
@@ -260,7 +264,7 @@
 
 /// What a member without a conductor prints, once a leader is known.
 #[derive(Clone, Copy, Debug, serde::Serialize, Deserialize)]
-pub struct MemberLine {
+pub(super) struct MemberLine {
     /// Who leads.
     pub leader: u64,
     /// Entries that it has applied.
--- a/crates/stepspur-scale/src/slopes/member.rs
+++ b/crates/stepspur-scale/src/slopes/member.rs
@@ -19,7 +19,7 @@
 
 /// A member's settings and duty.
 #[derive(Debug, clap::Args)]
-pub struct MemberArgs {
+pub(crate) struct MemberArgs {
     /// The council's settings (TOML).
     settings: PathBuf,
     /// Commands a second that it brings while it leads.
@@ -31,7 +31,7 @@
 ///
 /// # Errors
 /// If it does not start.
-pub async fn run(args: MemberArgs) -> anyhow::Result<()> {
+pub(crate) async fn run(args: MemberArgs) -> anyhow::Result<()> {
     let text = std::fs::read_to_string(&args.settings).context("the member's settings")?;
     let council: ConsensusConfig = toml::from_str(&text).context("the member's settings")?;
     let peers = council.start(1).await?;
--- a/crates/stepspur-scale/src/slopes/mod.rs
+++ b/crates/stepspur-scale/src/slopes/mod.rs
@@ -4,10 +4,10 @@
 //! on the machine meanwhile does not fall on one size alone.
 
 mod choose;
-pub mod conductor;
+pub(crate) mod conductor;
 mod council;
-pub mod member;
-pub mod result;
+pub(crate) mod member;
+pub(crate) mod result;
 mod table;
 mod tenants;
 
@@ -21,11 +21,11 @@
 use crate::{program, usage};
 use conductor::Setup;
 use result::{Name, Run, Slope, Slopes, Values};
-pub use table::{rounded, shown};
+pub(crate) use table::{rounded, shown};
 
 /// What is measured.
 #[derive(Debug, clap::Args)]
-pub struct SlopesArgs {
+pub(crate) struct SlopesArgs {
     /// The smaller sizes, one repeat, short windows.
     #[arg(long)]
     quick: bool,
@@ -80,7 +80,7 @@
 ///
 /// # Errors
 /// If the program is not built, a run of a slope other than tenants fails, or the result cannot be written.
-pub async fn run(args: SlopesArgs) -> anyhow::Result<()> {
+pub(crate) async fn run(args: SlopesArgs) -> anyhow::Result<()> {
     let (mut interrupt, mut terminate) = (signal(SignalKind::interrupt())?, signal(SignalKind::terminate())?);
     // Whatever was started ends with the measuring that is dropped.
     tokio::select! {
@@ -129,7 +129,7 @@
 ///
 /// # Errors
 /// If there is no such file, or it holds none.
-pub fn read(path: &Path) -> anyhow::Result<Slopes> {
+pub(crate) fn read(path: &Path) -> anyhow::Result<Slopes> {
     let text = std::fs::read_to_string(path).with_context(|| path.display().to_string())?;
     serde_json::from_str(&text).with_context(|| path.display().to_string())
 }
--- a/crates/stepspur-scale/src/slopes/result.rs
+++ b/crates/stepspur-scale/src/slopes/result.rs
@@ -9,7 +9,7 @@
 /// A thing that grows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, clap::ValueEnum)]
 #[serde(rename_all = "snake_case")]
-pub enum Name {
+pub(crate) enum Name {
     /// Servers that a conductor lists, probes off.
     Servers,
     /// Proxies that have joined a conductor.
@@ -30,7 +30,7 @@
 
 impl Name {
     /// What its sizes count.
-    pub fn counts(self) -> &'static str {
+    pub(crate) fn counts(self) -> &'static str {
         match self {
             Name::Servers => "servers listed",
             Name::Proxies => "proxies joined",
@@ -47,7 +47,7 @@
 /// A thing that is measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Metric {
+pub(crate) enum Metric {
     /// Processor time, percent of a core.
     CpuPercent,
     /// Resident memory, MiB.
@@ -110,7 +110,7 @@
 
 impl Metric {
     /// What it is called in tables, with its unit.
-    pub fn label(self) -> &'static str {
+    pub(crate) fn label(self) -> &'static str {
         match self {
             Metric::CpuPercent => "CPU, % of a core",
             Metric::ResidentMib => "memory, MiB",
@@ -145,18 +145,18 @@
     }
 
     /// True: it rests on the wall's clock, so that builds beside the run make it worse.
-    pub fn by_wall_clock(self) -> bool {
+    pub(crate) fn by_wall_clock(self) -> bool {
         use Metric::*;
         matches!(self, StartS | RejoinS | DrainLastMs | ChooseUs | ChooseP99Us | ChooseAgainUs)
     }
 }
 
 /// Measured things of one run.
-pub type Values = BTreeMap<Metric, f64>;
+pub(crate) type Values = BTreeMap<Metric, f64>;
 
 /// One repeat of one size.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Run {
+pub(crate) struct Run {
     /// The size.
     pub x: f64,
     /// The repeat, from 0.
@@ -169,7 +169,7 @@
 
 /// One slope.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Slope {
+pub(crate) struct Slope {
     /// What grows.
     pub name: Name,
     /// All repeats of all sizes.
@@ -182,7 +182,7 @@
 
 impl Slope {
     /// A slope of these runs, with its fits.
-    pub fn new(name: Name, runs: Vec<Run>, notes: Vec<String>) -> Self {
+    pub(crate) fn new(name: Name, runs: Vec<Run>, notes: Vec<String>) -> Self {
         let mut slope = Self { name, runs, fits: BTreeMap::new(), notes };
         let fits = slope.metrics().into_iter();
         slope.fits = fits.filter_map(|metric| Some((metric, fit::fit(&slope.points(metric))?))).collect();
@@ -190,7 +190,7 @@
     }
 
     /// What was measured in any run.
-    pub fn metrics(&self) -> Vec<Metric> {
+    pub(crate) fn metrics(&self) -> Vec<Metric> {
         let mut metrics: Vec<Metric> = self.runs.iter().flat_map(|run| run.values.keys().copied()).collect();
         metrics.sort();
         metrics.dedup();
@@ -198,7 +198,7 @@
     }
 
     /// The points of a metric.
-    pub fn points(&self, metric: Metric) -> Vec<Point> {
+    pub(crate) fn points(&self, metric: Metric) -> Vec<Point> {
         let point = |run: &Run| {
             let y = *run.values.get(&metric)?;
             Some(Point { repeat: run.repeat, x: run.x, y })
@@ -207,7 +207,7 @@
     }
 
     /// Its sizes, rising.
-    pub fn sizes(&self) -> Vec<f64> {
+    pub(crate) fn sizes(&self) -> Vec<f64> {
         let mut sizes: Vec<f64> = self.runs.iter().map(|run| run.x).collect();
         sizes.sort_by(f64::total_cmp);
         sizes.dedup();
@@ -218,7 +218,7 @@
 /// All slopes of a run, and where they were taken.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Slopes {
+pub(crate) struct Slopes {
     /// Processors of the machine.
     pub cores: usize,
     /// The version of the program, as it tells it.
@@ -233,7 +233,7 @@
 
 impl Slopes {
     /// The slope of this name, if it was measured.
-    pub fn get(&self, name: Name) -> Option<&Slope> {
+    pub(crate) fn get(&self, name: Name) -> Option<&Slope> {
         self.slopes.iter().find(|slope| slope.name == name)
     }
 }
--- a/crates/stepspur-scale/src/slopes/table.rs
+++ b/crates/stepspur-scale/src/slopes/table.rs
@@ -4,7 +4,7 @@
 use crate::fit::{self, Estimate};
 
 /// Prints the means of the repeats at each size, and the fits.
-pub fn print(slope: &Slope) {
+pub(super) fn print(slope: &Slope) {
     let sizes = slope.sizes();
     println!("\n{}", slope.name.counts());
     let head: String = sizes.iter().map(|size| format!("{size:>14}")).collect();
@@ -25,7 +25,7 @@
 }
 
 /// A value with its half interval.
-pub fn shown(estimate: Estimate) -> String {
+pub(crate) fn shown(estimate: Estimate) -> String {
     match estimate.half_width {
         None | Some(0.0) => rounded(estimate.mean),
         Some(half) => format!("{} ± {}", rounded(estimate.mean), rounded(half)),
@@ -33,7 +33,7 @@
 }
 
 /// Three digits that count.
-pub fn rounded(value: f64) -> String {
+pub(crate) fn rounded(value: f64) -> String {
     if value == 0.0 || !value.is_finite() {
         return format!("{value}");
     }
--- a/crates/stepspur-scale/src/slopes/tenants.rs
+++ b/crates/stepspur-scale/src/slopes/tenants.rs
@@ -24,7 +24,7 @@
 ///
 /// # Errors
 /// If it does not start in time.
-pub async fn measure(program: PathBuf, tenants: usize, window: Duration) -> anyhow::Result<Values> {
+pub(super) async fn measure(program: PathBuf, tenants: usize, window: Duration) -> anyhow::Result<Values> {
     let folder = tempfile::tempdir()?;
     let nodes = folder.path().join("nodes.toml");
     let node =
--- a/crates/stepspur-scale/src/traffic.rs
+++ b/crates/stepspur-scale/src/traffic.rs
@@ -8,11 +8,11 @@
 mod tests;
 
 /// IPv4 and TCP headers with timestamps, bytes a segment.
-pub const HEADER_BYTES: u64 = 52;
+pub(crate) const HEADER_BYTES: u64 = 52;
 
 /// Counts of traffic both ways.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Traffic {
+pub(crate) struct Traffic {
     /// Bytes that were sent, as the sockets' owner counts them.
     pub sent: u64,
     /// Bytes that were received.
@@ -23,24 +23,24 @@
 
 impl Traffic {
     /// Payload both ways, in bytes.
-    pub fn payload(&self) -> u64 {
+    pub(crate) fn payload(&self) -> u64 {
         self.sent + self.received
     }
 
     /// Bytes both ways, with IP and TCP headers.
-    pub fn with_headers(&self) -> u64 {
+    pub(crate) fn with_headers(&self) -> u64 {
         self.payload() + self.segments * HEADER_BYTES
     }
 }
 
 /// Counts of each standing connection of a process, by its two ends.
-pub type Connections = BTreeMap<String, Traffic>;
+pub(crate) type Connections = BTreeMap<String, Traffic>;
 
 /// What the kernel has counted on the standing connections of a process (`ss -tinp`).
 ///
 /// # Errors
 /// If `ss` is missing or fails.
-pub fn connections(pid: u32) -> io::Result<Connections> {
+pub(crate) fn connections(pid: u32) -> io::Result<Connections> {
     let out = Command::new("ss").args(["-tinpHO", "state", "established"]).output()?;
     if !out.status.success() {
         return Err(io::Error::other("ss failed"));
@@ -49,7 +49,7 @@
 }
 
 /// The connections of one process in the output of `ss -tinpHO`, one line each.
-pub fn parse_connections(text: &str, pid: u32) -> Connections {
+pub(crate) fn parse_connections(text: &str, pid: u32) -> Connections {
     let owner = format!("pid={pid},");
     let of_process = text.lines().filter(|line| line.contains(&owner));
     of_process.filter_map(connection).collect()
@@ -67,7 +67,7 @@
 }
 
 /// What passed between two looks. A connection that was not there at the first counts whole.
-pub fn between(before: &Connections, after: &Connections) -> Traffic {
+pub(crate) fn between(before: &Connections, after: &Connections) -> Traffic {
     let mut sum = Traffic::default();
     for (ends, now) in after {
         let then = before.get(ends).copied().unwrap_or_default();
@@ -80,7 +80,7 @@
 
 /// Bytes, with IP and TCP headers, and packets that the loopback has carried; of all processes of the machine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Loopback {
+pub(crate) struct Loopback {
     /// Bytes.
     pub bytes: u64,
     /// Packets.
@@ -91,13 +91,13 @@
 ///
 /// # Errors
 /// The kernel's; [`io::ErrorKind::InvalidData`] if its file has another form.
-pub fn loopback() -> io::Result<Loopback> {
+pub(crate) fn loopback() -> io::Result<Loopback> {
     let text = std::fs::read_to_string("/proc/net/dev")?;
     parse_loopback(&text).ok_or_else(|| io::Error::from(io::ErrorKind::InvalidData))
 }
 
 /// The loopback's line of `/proc/net/dev`.
-pub fn parse_loopback(text: &str) -> Option<Loopback> {
+pub(crate) fn parse_loopback(text: &str) -> Option<Loopback> {
     let line = text.lines().find_map(|line| line.trim_start().strip_prefix("lo:"))?;
     let mut words = line.split_whitespace();
     Some(Loopback { bytes: words.next()?.parse().ok()?, packets: words.next()?.parse().ok()? })
--- a/crates/stepspur-scale/src/usage.rs
+++ b/crates/stepspur-scale/src/usage.rs
@@ -8,7 +8,7 @@
 
 /// Counts of one process since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Usage {
+pub(crate) struct Usage {
     /// Processor time, in user and kernel mode.
     pub cpu: Duration,
     /// Resident memory, in bytes.
@@ -21,7 +21,7 @@
 ///
 /// # Errors
 /// The kernel's, if there is no such process; [`io::ErrorKind::InvalidData`] if its files have another form.
-pub fn usage(pid: u32) -> io::Result<Usage> {
+pub(crate) fn usage(pid: u32) -> io::Result<Usage> {
     let invalid = || io::Error::from(io::ErrorKind::InvalidData);
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat"))?;
     // The name in parentheses may hold spaces: fields are counted from its end.
@@ -44,7 +44,7 @@
 ///
 /// # Errors
 /// The kernel's, if there is no such process or it keeps no such statistics.
-pub fn thread_time(pid: u32) -> io::Result<Duration> {
+pub(crate) fn thread_time(pid: u32) -> io::Result<Duration> {
     let nanos = sum_of_threads(pid, "schedstat", |text| text.split_whitespace().next()?.parse().ok())?;
     Ok(Duration::from_nanos(nanos))
 }
@@ -53,7 +53,7 @@
 ///
 /// # Errors
 /// As [`thread_time`].
-pub fn wakes(pid: u32) -> io::Result<u64> {
+pub(crate) fn wakes(pid: u32) -> io::Result<u64> {
     sum_of_threads(pid, "status", |text| {
         let count = text.lines().find_map(|line| line.strip_prefix("voluntary_ctxt_switches:"))?;
         count.trim().parse().ok()
@@ -74,7 +74,7 @@
 ///
 /// # Errors
 /// The kernel's; [`io::ErrorKind::InvalidData`] if its file has another form.
-pub fn load_average() -> io::Result<f64> {
+pub(crate) fn load_average() -> io::Result<f64> {
     let text = std::fs::read_to_string("/proc/loadavg")?;
     let first = text.split_whitespace().next().and_then(|load| load.parse().ok());
     first.ok_or_else(|| io::Error::from(io::ErrorKind::InvalidData))
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -6,15 +6,15 @@
 use stepspur::Policy;
 use stepspur::interface::*;
 
-pub const SECOND: Micros = 1_000_000;
-pub const START: Micros = 100 * SECOND;
+pub(crate) const SECOND: Micros = 1_000_000;
+pub(crate) const START: Micros = 100 * SECOND;
 
-pub fn id(n: u8) -> ServerId {
+pub(crate) fn id(n: u8) -> ServerId {
     ServerId([10, 0, 0, n, 0, 80])
 }
 
 /// Three zones, two classes, one conductor.
-pub fn settings() -> Settings {
+pub(crate) fn settings() -> Settings {
     let class = |effect, worth| RequestClass {
         idempotency: effect,
         dedup_scope: DedupScope::All,
@@ -43,33 +43,33 @@
     }
 }
 
-pub fn entry(n: u8, zone: u16) -> Endpoint {
+pub(crate) fn entry(n: u8, zone: u16) -> Endpoint {
     Endpoint { server: id(n), zone: ZoneId(zone), weight: 1.0, ..Endpoint::default() }
 }
 
-pub fn list(how: ListUpdate, entries: &[Endpoint]) -> Event {
+pub(crate) fn list(how: ListUpdate, entries: &[Endpoint]) -> Event {
     Event::EndpointList { update: how, entries: entries.to_vec().into() }
 }
 
-pub fn joined(proxy: u16, zone: u16) -> Event {
+pub(crate) fn joined(proxy: u16, zone: u16) -> Event {
     Event::ProxyConnected { proxy: ProxyId(proxy), zone: ZoneId(zone), rate: 10.0, fresh: true }
 }
 
-pub fn tally(n: u8, zone: u16, total: u32, errors: u32, latency: Micros) -> Event {
+pub(crate) fn tally(n: u8, zone: u16, total: u32, errors: u32, latency: Micros) -> Event {
     let load = Vec::new();
     Event::UpstreamStats { server: id(n), zone: ZoneId(zone), period: SECOND, total, errors, latency, load }
 }
 
-pub fn traffic(proxy: u16, total: u32) -> Event {
+pub(crate) fn traffic(proxy: u16, total: u32) -> Event {
     Event::ClientStats { proxy: ProxyId(proxy), class: ClassId(0), period: SECOND, total, errors: 0 }
 }
 
-pub fn probed(n: u8, outcome: ProbeOutcome) -> Event {
+pub(crate) fn probed(n: u8, outcome: ProbeOutcome) -> Event {
     Event::ProbeResult { server: id(n), outcome, latency: 5_000, load: Vec::new() }
 }
 
 /// A policy with what its orders amount to.
-pub struct Site {
+pub(crate) struct Site {
     pub policy: Policy,
     pub now: Micros,
     pub tables: BTreeMap<TableId, BTreeMap<ServerId, f32>>,
@@ -82,7 +82,7 @@
 }
 
 impl Site {
-    pub fn new(set: Settings) -> Self {
+    pub(crate) fn new(set: Settings) -> Self {
         Site {
             policy: Policy::new(set, 1, START),
             now: START,
@@ -96,7 +96,7 @@
     }
 
     /// `servers` warm servers dealt over three zones, and two proxies in each zone, after the settling time.
-    pub fn running(set: Settings, servers: u8) -> Self {
+    pub(crate) fn running(set: Settings, servers: u8) -> Self {
         let mut site = Site::new(set);
         let entries: Vec<_> = (0..servers).map(|n| entry(n, u16::from(n % 3))).collect();
         let mut events = vec![list(ListUpdate::Cached, &entries)];
@@ -107,7 +107,7 @@
     }
 
     /// One batch now.
-    pub fn feed(&mut self, events: &[Event]) -> Vec<Action> {
+    pub(crate) fn feed(&mut self, events: &[Event]) -> Vec<Action> {
         for event in events {
             match event {
                 Event::ProxyConnected { proxy, .. } => {
@@ -130,7 +130,7 @@
     }
 
     /// Batches four times a second for a span, with the events that each second brings.
-    pub fn pass(&mut self, span: Micros, each_second: impl Fn(&Site) -> Vec<Event>) -> Vec<Action> {
+    pub(crate) fn pass(&mut self, span: Micros, each_second: impl Fn(&Site) -> Vec<Event>) -> Vec<Action> {
         let end = self.now + span;
         let mut all = Vec::new();
         while self.now < end {
@@ -181,12 +181,12 @@
     }
 
     /// The servers in the table of a zone's proxies, by number.
-    pub fn servers(&self, zone: u16) -> Vec<u8> {
+    pub(crate) fn servers(&self, zone: u16) -> Vec<u8> {
         let table = self.bound[&ProxyId(zone)];
         self.tables[&table].keys().map(|server| server.0[3]).collect()
     }
 
-    pub fn weight(&self, zone: u16, n: u8) -> f32 {
+    pub(crate) fn weight(&self, zone: u16, n: u8) -> f32 {
         self.tables[&self.bound[&ProxyId(zone)]].get(&id(n)).copied().unwrap_or(0.0)
     }
 }
