--- a/crates/stepspur-conductor/tests/probes.rs
+++ b/crates/stepspur-conductor/tests/probes.rs
@@ -49,7 +49,7 @@
 
 /// True: the decisions have taken this server out.
 fn is_withdrawn(day: &Day, name: &str) -> bool {
-    let text = format!("withdraw {name}: probes fail");
+    let text = format!("eject {name}: probes fail");
     day.notes.contains(&LogEvent::Decision(text))
 }
 
--- a/crates/stepspur-scale/src/capacity/tests.rs
+++ b/crates/stepspur-scale/src/capacity/tests.rs
@@ -303,8 +303,10 @@
         toml::from_str("kind = \"http\"\naddress = \"127.0.0.1:1\"\n").unwrap();
     let stepspur_conductor::config::Source::Http { poll, .. } = source else { panic!("{source:?}") };
     assert_eq!(roles::LIST_POLL_S, poll.as_secs_f64());
-    let policy = include_str!("../../../../src/policy.rs");
+    let health_check = include_str!("../../../../src/policy/health_check.rs");
     let (part, longest) = (roles::PROBED_PART, roles::PROBE_LONGEST_S);
-    assert!(policy.contains(&format!("const PROBE_PART: f64 = {part};")), "{part}");
-    assert!(policy.contains(&format!("const PROBE_MOST: Micros = {longest}_000_000;")), "{longest}");
+    let ratio = format!("const MAX_PROBE_TO_GOODPUT_RATIO: f64 = {part};");
+    assert!(health_check.contains(&ratio), "{part}");
+    let interval = format!("const MAX_PROBE_INTERVAL: Micros = {longest}_000_000;");
+    assert!(health_check.contains(&interval), "{longest}");
 }
--- /dev/null
+++ b/src/policy/channel/tests.rs
@@ -0,0 +1,25 @@
+use super::*;
+
+/// Found on a day with two slow spells at once: the channel sent 16 times slower than its nominal throughput,
+/// and an estimate from that throughput let the queue pass its limit. Only acknowledgements reduce it.
+#[test]
+fn only_acknowledgements_reduce_the_lines_in_flight() {
+    let mut channel = ChannelQueue::default();
+    for _ in 0..3 {
+        channel.begin_reply();
+        (0..4).for_each(|proxy| channel.enqueue(ProxyId(proxy), 10.0));
+        assert!(channel.finish_reply().is_some());
+    }
+    assert_eq!(channel.lines_in_flight(), 120.0);
+    channel.begin_reply();
+    assert_eq!((channel.finish_reply(), channel.lines_in_flight()), (None, 120.0));
+    channel.acknowledge(ProxyId(1), 2);
+    assert_eq!(channel.lines_in_flight(), 70.0, "all earlier replies, and this message");
+    channel.acknowledge(ProxyId(1), 1);
+    assert_eq!(channel.lines_in_flight(), 70.0, "an old acknowledgement changes nothing");
+    channel.disconnect(ProxyId(3));
+    assert_eq!(channel.lines_in_flight(), 50.0);
+    channel.acknowledge(ProxyId(0), 77);
+    [0, 1, 2].iter().for_each(|proxy| channel.acknowledge(ProxyId(*proxy), 3));
+    assert_eq!(channel.lines_in_flight(), 0.0);
+}
--- /dev/null
+++ b/src/policy/flow_control.rs
@@ -0,0 +1,105 @@
+//! Flow control of the channel to the proxies: which changes may be sent now, by their urgency.
+
+use std::collections::BTreeSet;
+
+use super::Policy;
+use crate::interface::{Micros, ProxyId};
+
+/// Least time between two routine changes of a table.
+const MIN_ROUTINE_INTERVAL: Micros = 500_000;
+/// Routine changes use this ratio of the channel's nominal throughput.
+const ROUTINE_THROUGHPUT_RATIO: f64 = 0.25;
+
+/// How urgent a change is.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) enum Urgency {
+    /// May wait for its table's turn.
+    Routine,
+    /// Reacts to a fault, or assigns a table.
+    Fault,
+    /// Keeps proxies off a server that drains or is gone, or fills an empty table.
+    Drain,
+}
+
+impl Urgency {
+    /// The ratio of the channel's queue and of the message limit that the change may use: the rest is
+    /// reserved for more urgent ones.
+    fn limit_ratio(self) -> f64 {
+        match self {
+            Urgency::Routine => 0.5,
+            Urgency::Fault => 0.75,
+            Urgency::Drain => 0.95,
+        }
+    }
+}
+
+impl Policy {
+    /// True: a change of so many lines for each of these proxies may be sent now. `table_changed_at` is when
+    /// their table last changed; routine changes of a table keep a distance.
+    ///
+    /// Guards against long queues in the channel and too many messages to a proxy. Cost: a proxy that never
+    /// acknowledges occupies the queue until its stream ends.
+    pub(super) fn may_send(
+        &self,
+        urgency: Urgency,
+        table_changed_at: Micros,
+        proxies: &BTreeSet<ProxyId>,
+        lines: usize,
+    ) -> bool {
+        if proxies.is_empty() {
+            return true;
+        }
+        let message_lines = lines as f64 + self.settings.message_overhead_lines + 1.0;
+        let cost = proxies.len() as f64 * message_lines;
+        let queue_limit = self.settings.max_pending_lines * urgency.limit_ratio();
+        if self.channel.lines_in_flight() + cost > queue_limit {
+            return false;
+        }
+        let message_limit = self.message_limit(urgency);
+        if self.settings.max_messages > 0 && proxies.iter().any(|p| self.recent_messages(*p) >= message_limit)
+        {
+            return false;
+        }
+        urgency > Urgency::Routine
+            || self.now >= table_changed_at + self.routine_interval(cost, message_limit)
+    }
+
+    /// Counts lines that are written to each of these proxies in this reply, one message each.
+    pub(super) fn record_sent<'a>(&mut self, proxies: impl IntoIterator<Item = &'a ProxyId>, lines: usize) {
+        let window_start = self.now.saturating_sub(self.settings.message_window);
+        let message_overhead = self.settings.message_overhead_lines + 1.0;
+        for id in proxies {
+            let Some(proxy) = self.proxies.get_mut(id) else { continue };
+            proxy.message_times.retain(|at| *at >= window_start);
+            let mut overhead = 0.0;
+            if proxy.message_times.last() != Some(&self.now) {
+                proxy.message_times.push(self.now);
+                overhead = message_overhead;
+            }
+            self.channel.enqueue(*id, lines as f64 + overhead);
+        }
+    }
+
+    /// Messages that may have been written to a proxy within the window.
+    fn message_limit(&self, urgency: Urgency) -> u32 {
+        (f64::from(self.settings.max_messages) * urgency.limit_ratio()).max(1.0) as u32
+    }
+
+    fn recent_messages(&self, proxy: ProxyId) -> u32 {
+        let window_start = self.now.saturating_sub(self.settings.message_window);
+        let times = &self.proxies[&proxy].message_times;
+        times.iter().filter(|at| **at >= window_start).count() as u32
+    }
+
+    /// Least time between routine changes of this cost: all tables together keep within their throughput, and
+    /// a proxy's messages within their limit.
+    fn routine_interval(&self, cost: f64, message_limit: u32) -> Micros {
+        let throughput = self.settings.lines_per_second.max(1.0) * ROUTINE_THROUGHPUT_RATIO;
+        let paced = cost * self.tables.len() as f64 / throughput * 1e6;
+        let mut interval = MIN_ROUTINE_INTERVAL.max(paced as Micros);
+        if self.settings.max_messages > 0 {
+            interval = interval.max(self.settings.message_window / u64::from(message_limit + 1));
+        }
+        interval
+    }
+}
--- /dev/null
+++ b/src/policy/publish.rs
@@ -0,0 +1,202 @@
+//! What is sent to proxies when: changes of tables, assignments, and ejections at proxies.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use super::Policy;
+use super::flow_control::Urgency;
+use super::table::{ClassAdmission, Table};
+use super::table_plan::TablePlan;
+use crate::interface::{Action, ClassId, ProxyId, RetryPolicy, ServerId, TableId};
+
+/// Changes of a weight or level by less than this ratio are not worth a message.
+const MIN_CHANGE_RATIO: f64 = 0.08;
+/// A weight cut below this ratio of the old one is urgent.
+const URGENT_CUT_RATIO: f64 = 0.75;
+
+/// The admission that proxies are taken to have before any was sent.
+const UNSENT_ADMISSION: ClassAdmission = ClassAdmission { retry_policy: RetryPolicy::Twice, level: 0.0 };
+
+/// A line of a table that changes.
+struct WeightChange {
+    server: ServerId,
+    /// New weight; 0: removed.
+    weight: f64,
+    urgency: Urgency,
+}
+
+/// What changes at a table.
+struct TableChanges {
+    weights: Vec<WeightChange>,
+    admission: BTreeMap<ClassId, ClassAdmission>,
+    admission_urgency: Urgency,
+}
+
+impl TableChanges {
+    fn line_count(&self) -> usize {
+        self.weights.len() + self.admission.len()
+    }
+
+    /// The urgency of the most urgent change.
+    fn urgency(&self) -> Urgency {
+        let weights = self.weights.iter().map(|change| change.urgency).max();
+        weights.unwrap_or(Urgency::Routine).max(self.admission_urgency)
+    }
+}
+
+impl Policy {
+    /// Plans all tables and sends what changed, as far as the channel allows.
+    pub(super) fn publish_tables(&mut self) {
+        let admitted_ratios = self.admitted_ratios();
+        for plan in self.plan_tables() {
+            self.publish_table(&plan, &admitted_ratios);
+        }
+        self.eject_at_proxies();
+    }
+
+    /// Sends all changes of a table in one message; where they don't fit, those that can't wait.
+    fn publish_table(&mut self, plan: &TablePlan, admitted_ratios: &[f64]) {
+        let id = plan.table;
+        let table = self.tables.entry(id).or_default();
+        let proxies = table.proxies.clone();
+        let changed_at = table.changed_at;
+        let mut changes = self.table_changes(plan, admitted_ratios);
+        for least in [Urgency::Routine, Urgency::Fault, Urgency::Drain] {
+            changes.weights.retain(|change| change.urgency >= least);
+            let lines = changes.line_count();
+            if lines > 0 && self.may_send(changes.urgency(), changed_at, &proxies, lines) {
+                self.send_changes(id, &proxies, &changes);
+                return;
+            }
+        }
+    }
+
+    fn send_changes(&mut self, table: TableId, proxies: &BTreeSet<ProxyId>, changes: &TableChanges) {
+        self.record_sent(proxies, changes.line_count());
+        for WeightChange { server, weight, .. } in &changes.weights {
+            let action = Action::SetWeight { table, server: *server, weight: *weight as f32 };
+            self.actions.push(action);
+            self.record_weight(table, *server, *weight);
+        }
+        for (class, admission) in &changes.admission {
+            self.actions.push(Action::SetAdmission {
+                table,
+                class: *class,
+                retry_policy: admission.retry_policy,
+                level: admission.level as f32,
+            });
+            self.record_admission(table, *class, *admission);
+        }
+    }
+
+    fn table_changes(&self, plan: &TablePlan, admitted_ratios: &[f64]) -> TableChanges {
+        let table = &self.tables[&plan.table];
+        let mut admission = self.class_admissions(admitted_ratios, &table.proxies);
+        admission.retain(|class, new| {
+            let old = table.sent_admission(*class);
+            let level_differs = (new.level - old.level).abs() > MIN_CHANGE_RATIO * new.level;
+            new.retry_policy != old.retry_policy || level_differs
+        });
+        let sheds_more = admission.iter().any(|(class, new)| new.level < table.sent_admission(*class).level);
+        let admission_urgency = if sheds_more { Urgency::Fault } else { Urgency::Routine };
+        TableChanges { weights: self.weight_changes(table, &plan.weights), admission, admission_urgency }
+    }
+
+    /// The lines that bring a table to its plan, removals first.
+    fn weight_changes(&self, table: &Table, plan: &BTreeMap<ServerId, f64>) -> Vec<WeightChange> {
+        let mut changes = Vec::new();
+        for server in table.weights.keys().filter(|server| !plan.contains_key(server)) {
+            let urgency = self.removal_urgency(*server);
+            changes.push(WeightChange { server: *server, weight: 0.0, urgency });
+        }
+        let largest = plan.values().copied().fold(0.0, f64::max);
+        for (server, weight) in plan {
+            let old = table.weights.get(server).copied().unwrap_or(0.0);
+            // The cut of a small server may be less than the least change of the largest, but protects it.
+            let is_urgent_cut = *weight < old * URGENT_CUT_RATIO;
+            let is_large = (weight - old).abs() > MIN_CHANGE_RATIO * largest;
+            if old != 0.0 && !is_urgent_cut && !is_large {
+                continue;
+            }
+            let urgency = if table.weights.is_empty() {
+                Urgency::Drain
+            } else if is_urgent_cut {
+                Urgency::Fault
+            } else {
+                Urgency::Routine
+            };
+            changes.push(WeightChange { server: *server, weight: *weight, urgency });
+        }
+        changes
+    }
+
+    fn removal_urgency(&self, server: ServerId) -> Urgency {
+        match self.servers.get(&server) {
+            Some(server) if self.is_usable(server, self.zone_of(server.subset)) => Urgency::Routine,
+            Some(server) if server.is_ready() => Urgency::Fault,
+            _ => Urgency::Drain,
+        }
+    }
+
+    /// Assigns connected proxies to their tables, as long as the channel has room. No proxy is assigned to an
+    /// empty table.
+    pub(super) fn assign_tables(&mut self) {
+        for proxy in self.unassigned_proxies.clone() {
+            let id = self.table_of(self.proxies[&proxy].subset);
+            let Some(table) = self.tables.get(&id).filter(|table| !table.weights.is_empty()) else {
+                continue;
+            };
+            let lines = table.weights.len() + table.admission.len() + 1;
+            let receiver = BTreeSet::from([proxy]);
+            if !self.may_send(Urgency::Fault, 0, &receiver, lines) {
+                break;
+            }
+            self.actions.push(Action::AssignTable { proxy, table: id });
+            self.record_sent(&receiver, lines);
+            self.record_assignment(proxy, id);
+        }
+    }
+
+    /// Ejects servers that drain or are gone at the proxies themselves while some wait for their table and go
+    /// by an older one. The ejection ends when the server is ready again. Cost: none known.
+    fn eject_at_proxies(&mut self) {
+        let waiting = &self.unassigned_proxies;
+        let mut changing = Vec::new();
+        for server in self.servers.values() {
+            let eject = !server.is_ready() && (server.ejected_at_proxies || !waiting.is_empty());
+            if eject != server.ejected_at_proxies {
+                changing.push(server.id());
+            }
+        }
+        if changing.is_empty() {
+            return;
+        }
+        let receivers = self.proxies_that_may_use(&changing);
+        if !self.may_send(Urgency::Drain, 0, &receivers, changing.len()) {
+            return;
+        }
+        self.record_sent(&receivers, changing.len());
+        for id in changing {
+            let Some(server) = self.servers.get_mut(&id) else { continue };
+            server.ejected_at_proxies = !server.ejected_at_proxies;
+            self.actions.push(Action::SetEjected { server: id, ejected: server.ejected_at_proxies });
+        }
+    }
+
+    /// Proxies that wait for their table, and those whose table still names one of the servers, as its
+    /// removal may wait for room.
+    fn proxies_that_may_use(&self, servers: &[ServerId]) -> BTreeSet<ProxyId> {
+        let mut proxies = self.unassigned_proxies.clone();
+        for table in self.tables.values() {
+            if servers.iter().any(|server| table.weights.contains_key(server)) {
+                proxies.extend(&table.proxies);
+            }
+        }
+        proxies
+    }
+}
+
+impl Table {
+    fn sent_admission(&self, class: ClassId) -> ClassAdmission {
+        self.admission.get(&class).copied().unwrap_or(UNSENT_ADMISSION)
+    }
+}
