--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small driver for module tests: feeds events, keeps what the orders amount to.
+//! A harness for tests of the decision module: hands it events and applies its actions as proxies would.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,19 +9,19 @@
 pub(crate) const SECOND: Micros = 1_000_000;
 pub(crate) const START: Micros = 100 * SECOND;
 
-pub(crate) fn id(n: u8) -> ServerId {
+pub(crate) fn server_id(n: u8) -> ServerId {
     ServerId([10, 0, 0, n, 0, 80])
 }
 
 /// Three zones, two classes, one conductor.
 pub(crate) fn settings() -> Settings {
-    let class = |effect, worth| RequestClass {
-        idempotency: effect,
+    let class = |idempotency, priority_weight| RequestClass {
+        idempotency,
         dedup_scope: DedupScope::All,
         dedup_window: 5 * SECOND,
         latency_objective: SECOND,
         deadline: 4 * SECOND,
-        priority_weight: worth,
+        priority_weight,
         zone_local: false,
     };
     Settings {
@@ -43,100 +43,112 @@
     }
 }
 
-pub(crate) fn entry(n: u8, zone: u16) -> Endpoint {
-    Endpoint { server: id(n), zone: ZoneId(zone), weight: 1.0, ..Endpoint::default() }
+pub(crate) fn endpoint(n: u8, zone: u16) -> Endpoint {
+    Endpoint { server: server_id(n), zone: ZoneId(zone), weight: 1.0, ..Endpoint::default() }
 }
 
-pub(crate) fn list(how: ListUpdate, entries: &[Endpoint]) -> Event {
-    Event::EndpointList { update: how, entries: entries.to_vec().into() }
+pub(crate) fn endpoint_list(update: ListUpdate, entries: &[Endpoint]) -> Event {
+    Event::EndpointList { update, entries: entries.to_vec().into() }
 }
 
-pub(crate) fn joined(proxy: u16, zone: u16) -> Event {
+pub(crate) fn proxy_connected(proxy: u16, zone: u16) -> Event {
     Event::ProxyConnected { proxy: ProxyId(proxy), zone: ZoneId(zone), rate: 10.0, fresh: true }
 }
 
-pub(crate) fn tally(n: u8, zone: u16, total: u32, errors: u32, latency: Micros) -> Event {
+pub(crate) fn upstream_stats(n: u8, zone: u16, total: u32, errors: u32, latency: Micros) -> Event {
     let load = Vec::new();
-    Event::UpstreamStats { server: id(n), zone: ZoneId(zone), period: SECOND, total, errors, latency, load }
+    Event::UpstreamStats {
+        server: server_id(n),
+        zone: ZoneId(zone),
+        period: SECOND,
+        total,
+        errors,
+        latency,
+        load,
+    }
 }
 
-pub(crate) fn traffic(proxy: u16, total: u32) -> Event {
+pub(crate) fn client_stats(proxy: u16, total: u32) -> Event {
     Event::ClientStats { proxy: ProxyId(proxy), class: ClassId(0), period: SECOND, total, errors: 0 }
 }
 
-pub(crate) fn probed(n: u8, outcome: ProbeOutcome) -> Event {
-    Event::ProbeResult { server: id(n), outcome, latency: 5_000, load: Vec::new() }
+pub(crate) fn probe_result(n: u8, outcome: ProbeOutcome) -> Event {
+    Event::ProbeResult { server: server_id(n), outcome, latency: 5_000, load: Vec::new() }
 }
 
-/// A policy with what its orders amount to.
-pub(crate) struct Site {
+/// A policy, and the state at proxies that its actions lead to.
+pub(crate) struct Harness {
     pub policy: Policy,
     pub now: Micros,
     pub tables: BTreeMap<TableId, BTreeMap<ServerId, f32>>,
-    pub levels: BTreeMap<(TableId, ClassId), (RetryPolicy, f32)>,
-    pub bound: BTreeMap<ProxyId, TableId>,
+    pub admission: BTreeMap<(TableId, ClassId), (RetryPolicy, f32)>,
+    pub assigned: BTreeMap<ProxyId, TableId>,
     pub messages: BTreeMap<ProxyId, Vec<Micros>>,
-    pub joined: BTreeSet<ProxyId>,
-    /// Answers to marks, given with the next batch.
+    pub connected: BTreeSet<ProxyId>,
+    /// Acknowledgements, sent with the next batch.
     pub answers: Vec<Event>,
 }
 
-impl Site {
+impl Harness {
     pub(crate) fn new(set: Settings) -> Self {
-        Site {
+        Harness {
             policy: Policy::new(set, 1, START),
             now: START,
             tables: BTreeMap::new(),
-            levels: BTreeMap::new(),
-            bound: BTreeMap::new(),
+            admission: BTreeMap::new(),
+            assigned: BTreeMap::new(),
             messages: BTreeMap::new(),
-            joined: BTreeSet::new(),
+            connected: BTreeSet::new(),
             answers: Vec::new(),
         }
     }
 
     /// `servers` warm servers dealt over three zones, and two proxies in each zone, after the settling time.
     pub(crate) fn running(set: Settings, servers: u8) -> Self {
-        let mut site = Site::new(set);
-        let entries: Vec<_> = (0..servers).map(|n| entry(n, u16::from(n % 3))).collect();
-        let mut events = vec![list(ListUpdate::Cached, &entries)];
-        events.extend((0..6).map(|p| joined(p, p % 3)));
-        site.feed(&events);
-        site.pass(4 * SECOND, |_| Vec::new());
-        site
+        let mut harness = Harness::new(set);
+        let entries: Vec<_> = (0..servers).map(|n| endpoint(n, u16::from(n % 3))).collect();
+        let mut events = vec![endpoint_list(ListUpdate::Cached, &entries)];
+        events.extend((0..6).map(|p| proxy_connected(p, p % 3)));
+        harness.decide(&events);
+        harness.run_for(4 * SECOND, |_| Vec::new());
+        harness
     }
 
     /// One batch now.
-    pub(crate) fn feed(&mut self, events: &[Event]) -> Vec<Action> {
+    pub(crate) fn decide(&mut self, events: &[Event]) -> Vec<Action> {
         for event in events {
             match event {
                 Event::ProxyConnected { proxy, .. } => {
-                    self.joined.insert(*proxy);
-                    self.bound.remove(proxy);
+                    self.connected.insert(*proxy);
+                    self.assigned.remove(proxy);
                     self.messages.remove(proxy);
                 }
                 Event::ProxyDisconnected { proxy } => {
-                    self.joined.remove(proxy);
-                    self.bound.remove(proxy);
+                    self.connected.remove(proxy);
+                    self.assigned.remove(proxy);
                 }
                 _ => {}
             }
         }
-        let mut told = std::mem::take(&mut self.answers);
-        told.extend_from_slice(events);
-        let actions = self.policy.decide(self.now, &told);
+        let mut all_events = std::mem::take(&mut self.answers);
+        all_events.extend_from_slice(events);
+        let actions = self.policy.decide(self.now, &all_events);
         self.take(&actions);
         actions
     }
 
     /// Batches four times a second for a span, with the events that each second brings.
-    pub(crate) fn pass(&mut self, span: Micros, each_second: impl Fn(&Site) -> Vec<Event>) -> Vec<Action> {
+    pub(crate) fn run_for(
+        &mut self,
+        span: Micros,
+        each_second: impl Fn(&Harness) -> Vec<Event>,
+    ) -> Vec<Action> {
         let end = self.now + span;
         let mut all = Vec::new();
         while self.now < end {
             self.now += 250_000;
             let events = if self.now.is_multiple_of(SECOND) { each_second(self) } else { Vec::new() };
-            all.extend(self.feed(&events));
+            all.extend(self.decide(&events));
         }
         all
     }
@@ -152,28 +164,24 @@
                     } else {
                         lines.remove(server);
                     }
-                    reached.extend(self.bound.iter().filter(|(_, t)| *t == table).map(|(p, _)| *p));
+                    reached.extend(self.assigned.iter().filter(|(_, t)| *t == table).map(|(p, _)| *p));
                 }
-                Action::SetAdmission { table, class, retry_policy: resend, level } => {
-                    self.levels.insert((*table, *class), (*resend, *level));
-                    reached.extend(self.bound.iter().filter(|(_, t)| *t == table).map(|(p, _)| *p));
+                Action::SetAdmission { table, class, retry_policy, level } => {
+                    self.admission.insert((*table, *class), (*retry_policy, *level));
+                    reached.extend(self.assigned.iter().filter(|(_, t)| *t == table).map(|(p, _)| *p));
                 }
                 Action::AssignTable { proxy, table } => {
-                    self.bound.insert(*proxy, *table);
+                    self.assigned.insert(*proxy, *table);
                     reached.insert(*proxy);
                 }
                 _ => {}
             }
         }
-        let marks = actions
+        let nonces = actions
             .iter()
-            .filter_map(|a| if let Action::RequestAck { nonce: mark } = a { Some(*mark) } else { None });
-        for mark in marks.map(u32::from) {
-            self.answers.extend(reached.iter().map(|p| Event::Acknowledged {
-                proxy: *p,
-                nonce: mark,
-                latency: 0,
-            }));
+            .filter_map(|a| if let Action::RequestAck { nonce } = a { Some(*nonce) } else { None });
+        for nonce in nonces.map(u32::from) {
+            self.answers.extend(reached.iter().map(|p| Event::Acknowledged { proxy: *p, nonce, latency: 0 }));
         }
         for proxy in reached {
             self.messages.entry(proxy).or_default().push(self.now);
@@ -181,12 +189,46 @@
     }
 
     /// The servers in the table of a zone's proxies, by number.
-    pub(crate) fn servers(&self, zone: u16) -> Vec<u8> {
-        let table = self.bound[&ProxyId(zone)];
+    pub(crate) fn servers_of_zone(&self, zone: u16) -> Vec<u8> {
+        let table = self.assigned[&ProxyId(zone)];
         self.tables[&table].keys().map(|server| server.0[3]).collect()
     }
 
     pub(crate) fn weight(&self, zone: u16, n: u8) -> f32 {
-        self.tables[&self.bound[&ProxyId(zone)]].get(&id(n)).copied().unwrap_or(0.0)
+        self.tables[&self.assigned[&ProxyId(zone)]].get(&server_id(n)).copied().unwrap_or(0.0)
     }
 }
+
+/// Successful attempts at all servers of three zones, at this latency.
+pub(crate) fn successful_stats(servers: u8, latency: Micros) -> Vec<Event> {
+    (0..servers).map(|n| upstream_stats(n, u16::from(n % 3), 20, 0, latency)).collect()
+}
+
+pub(crate) fn count(actions: &[Action], wanted: impl Fn(&Action) -> bool) -> usize {
+    actions.iter().filter(|a| wanted(a)).count()
+}
+
+/// Thirty warm servers and this many proxies, evenly over three zones; servers take twenty connections.
+pub(crate) fn harness_with_subsets(proxies: u16) -> Harness {
+    let mut harness = Harness::new(Settings {
+        proxy_count: u32::from(proxies),
+        min_server_connections: 20.0,
+        max_pending_lines: 200_000.0,
+        ..settings()
+    });
+    let entries: Vec<_> = (0..30).map(|n| endpoint(n, u16::from(n % 3))).collect();
+    let mut events = vec![endpoint_list(ListUpdate::Cached, &entries)];
+    events.extend((0..proxies).map(|p| proxy_connected(p, p % 3)));
+    harness.decide(&events);
+    harness.run_for(4 * SECOND, |_| Vec::new());
+    harness
+}
+
+pub(crate) fn probe_result_with_queue(n: u8, queue: f32) -> Event {
+    Event::ProbeResult { server: server_id(n), outcome: ProbeOutcome::Ok, latency: 5_000, load: vec![queue] }
+}
+
+/// True: the action changes what proxies do.
+pub(crate) fn is_change(action: &Action) -> bool {
+    matches!(action, Action::SetWeight { .. } | Action::AssignTable { .. } | Action::SetAdmission { .. })
+}
--- /dev/null
+++ b/tests/policy/sharding.rs
@@ -0,0 +1,51 @@
+//! Owners of shards.
+
+use stepspur::interface::*;
+
+use crate::common::*;
+
+#[test]
+fn shard_keeps_its_server_until_it_drains() {
+    let set = Settings { shard_count: 4, ..settings() };
+    let mut harness = Harness::new(set);
+    let entries: Vec<_> = (0..3).map(|n| endpoint(n, u16::from(n))).collect();
+    let (shard, weight) = (TableId(1), 1.0);
+    let kept = harness.decide(&[
+        endpoint_list(ListUpdate::Cached, &entries),
+        Event::ShardAssignment { shard, granted: true },
+        Event::StoredLine { shard, server: server_id(0), weight },
+    ]);
+    assert_eq!(count(&kept, |a| matches!(a, Action::SetWeight { .. })), 0);
+    let moved = harness.decide(&[endpoint_list(
+        ListUpdate::Delta,
+        &[Endpoint { state: EndpointState::Draining, ..endpoint(0, 0) }],
+    )]);
+    let lines: Vec<_> = moved.iter().filter(|a| matches!(a, Action::SetWeight { .. })).collect();
+    assert!(matches!(lines[0], Action::SetWeight { server, weight: 0.0, .. } if *server == server_id(0)));
+    assert!(matches!(lines[1], Action::SetWeight { server, weight: 1.0, .. } if *server != server_id(0)));
+}
+
+#[test]
+fn single_writer_shard_moves_after_the_last_writes() {
+    let set = Settings {
+        shard_count: 4,
+        single_writer: true,
+        orphan_write_period: 2 * SECOND,
+        max_write_duration: 3 * SECOND,
+        ..settings()
+    };
+    let mut harness = Harness::new(set);
+    let (shard, weight) = (TableId(1), 1.0);
+    harness.decide(&[
+        endpoint_list(ListUpdate::Cached, &[endpoint(0, 0), endpoint(1, 1)]),
+        Event::ShardAssignment { shard, granted: true },
+        Event::StoredLine { shard, server: server_id(0), weight },
+    ]);
+    harness.decide(&[endpoint_list(
+        ListUpdate::Delta,
+        &[Endpoint { state: EndpointState::Draining, ..endpoint(0, 0) }],
+    )]);
+    let placed = |a: &Action| matches!(a, Action::SetWeight { weight, .. } if *weight > 0.0);
+    assert_eq!(count(&harness.run_for(3 * SECOND, |_| Vec::new()), placed), 0);
+    assert_eq!(count(&harness.run_for(SECOND, |_| Vec::new()), placed), 1);
+}
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Invariants of the orders over many settings and odd days, drawn from a fixed seed.
+//! Invariants of the actions over many settings and odd event sequences, drawn from a fixed seed.
 
 mod common;
 
@@ -13,65 +13,77 @@
 #[derive(Clone, Debug)]
 enum Step {
     Wait(u64),
-    Listed { n: u8, state: u8, fresh: bool },
-    Whole(u8),
-    Failed,
-    Join(u16),
-    Leave(u16),
-    Tally { n: u8, zone: u16, total: u32, errors: u32, latency: u64 },
-    Probed { n: u8, outcome: u8 },
-    Traffic { proxy: u16, class: u8, total: u32, period: u64 },
+    EndpointChanged { n: u8, state: u8, fresh: bool },
+    FullList(u8),
+    ListFailed,
+    Connect(u16),
+    Disconnect(u16),
+    UpstreamStats { n: u8, zone: u16, total: u32, errors: u32, latency: u64 },
+    ProbeResult { n: u8, outcome: u8 },
+    ClientStats { proxy: u16, class: u8, total: u32, period: u64 },
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         4 => (0u64..2_000_000).prop_map(Step::Wait),
-        3 => (0u8..30, 0u8..3, any::<bool>()).prop_map(|(n, state, fresh)| Step::Listed { n, state, fresh }),
-        1 => (0u8..30).prop_map(Step::Whole),
-        1 => Just(Step::Failed),
-        3 => (0u16..12).prop_map(Step::Join),
-        1 => (0u16..14).prop_map(Step::Leave),
+        3 => (0u8..30, 0u8..3, any::<bool>())
+            .prop_map(|(n, state, fresh)| Step::EndpointChanged { n, state, fresh }),
+        1 => (0u8..30).prop_map(Step::FullList),
+        1 => Just(Step::ListFailed),
+        3 => (0u16..12).prop_map(Step::Connect),
+        1 => (0u16..14).prop_map(Step::Disconnect),
         6 => (0u8..32, 0u16..7, 0u32..30, 0u32..40, 0u64..4_000_000)
-            .prop_map(|(n, zone, total, errors, latency)| Step::Tally { n, zone, total, errors, latency }),
-        4 => (0u8..32, 0u8..6).prop_map(|(n, outcome)| Step::Probed { n, outcome }),
+            .prop_map(|(n, zone, total, errors, latency)| {
+                Step::UpstreamStats { n, zone, total, errors, latency }
+            }),
+        4 => (0u8..32, 0u8..6).prop_map(|(n, outcome)| Step::ProbeResult { n, outcome }),
         3 => (0u16..14, 0u8..4, 0u32..500, 0u64..3)
-            .prop_map(|(proxy, class, total, p)| Step::Traffic { proxy, class, total, period: p * 500_000 }),
+            .prop_map(|(proxy, class, total, p)| {
+                Step::ClientStats { proxy, class, total, period: p * 500_000 }
+            }),
     ]
 }
 
-fn sites() -> impl Strategy<Value = Settings> {
+fn any_settings() -> impl Strategy<Value = Settings> {
     let class = (0u8..3, 0u8..3, 0u64..9, 0u64..9, 0u64..9, 0.0f64..6.0, prop::bool::weighted(0.1)).prop_map(
-        |(effect, group, window, aim, deadline, worth, own_zone)| RequestClass {
-            idempotency: [Idempotency::Safe, Idempotency::IdempotencyKey, Idempotency::NonIdempotent]
-                [usize::from(effect)],
-            dedup_scope: [DedupScope::All, DedupScope::Zone, DedupScope::Cell][usize::from(group)],
-            dedup_window: window * SECOND,
-            latency_objective: aim * 300_000,
-            deadline: deadline * SECOND,
-            priority_weight: worth,
-            zone_local: own_zone,
+        |(idempotency, dedup_scope, window, latency_objective, deadline, priority_weight, zone_local)| {
+            RequestClass {
+                idempotency: [Idempotency::Safe, Idempotency::IdempotencyKey, Idempotency::NonIdempotent]
+                    [usize::from(idempotency)],
+                dedup_scope: [DedupScope::All, DedupScope::Zone, DedupScope::Cell][usize::from(dedup_scope)],
+                dedup_window: window * SECOND,
+                latency_objective: latency_objective * 300_000,
+                deadline: deadline * SECOND,
+                priority_weight,
+                zone_local,
+            }
         },
     );
     let numbers = (1usize..6, 0u32..16, 0.0f64..30_000.0, 0u64..3_000_000, 0.0f64..5.0, 0u64..20);
     (prop::collection::vec(class, 0..4), numbers, any::<(bool, bool, bool)>(), 0u8..3).prop_map(
-        |(classes, (zones, messages_max, lines, period, fall, cold), (ask, probing, alone), admit)| {
+        |(
+            classes,
+            (zones, max_messages, lines, period, collapse_ratio, warm_up_seconds),
+            (poll_discovery, health_checks, absence_is_advisory),
+            admission_mode,
+        )| {
             Settings {
                 classes,
                 zone_count: zones,
-                max_messages: messages_max,
+                max_messages,
                 lines_per_second: lines,
                 max_pending_lines: lines * 1.5,
                 report_period: period,
-                collapse_ratio: fall,
-                warm_up: cold * SECOND,
-                poll_discovery: ask,
-                health_checks: probing,
-                absence_is_advisory: alone,
+                collapse_ratio,
+                warm_up: warm_up_seconds * SECOND,
+                poll_discovery,
+                health_checks,
+                absence_is_advisory,
                 admission_mode: [
                     AdmissionMode::Ratio,
                     AdmissionMode::RequestsPerSecond,
                     AdmissionMode::Ignored,
-                ][usize::from(admit)],
+                ][usize::from(admission_mode)],
                 ..settings()
             }
         },
@@ -83,19 +95,22 @@
         |s: u8| [EndpointState::Ready, EndpointState::Draining, EndpointState::Removed][usize::from(s)];
     Some(match step {
         Step::Wait(_) => return None,
-        Step::Listed { n, state: s, fresh } => {
-            let born = if *fresh { now } else { 0 };
-            let listed = entry(*n, u16::from(*n) % zones);
-            list(ListUpdate::Delta, &[Endpoint { state: state(*s), started_at: born, ..listed }])
+        Step::EndpointChanged { n, state: s, fresh } => {
+            let started_at = if *fresh { now } else { 0 };
+            let listed = endpoint(*n, u16::from(*n) % zones);
+            endpoint_list(ListUpdate::Delta, &[Endpoint { state: state(*s), started_at, ..listed }])
         }
-        Step::Whole(upto) => {
-            list(ListUpdate::Full, &(0..*upto).map(|n| entry(n, u16::from(n) % zones)).collect::<Vec<_>>())
+        Step::FullList(count) => endpoint_list(
+            ListUpdate::Full,
+            &(0..*count).map(|n| endpoint(n, u16::from(n) % zones)).collect::<Vec<_>>(),
+        ),
+        Step::ListFailed => endpoint_list(ListUpdate::Failed, &[]),
+        Step::Connect(p) => proxy_connected(*p, *p % zones),
+        Step::Disconnect(p) => Event::ProxyDisconnected { proxy: ProxyId(*p) },
+        Step::UpstreamStats { n, zone, total, errors, latency } => {
+            upstream_stats(*n, *zone, *total, *errors, *latency)
         }
-        Step::Failed => list(ListUpdate::Failed, &[]),
-        Step::Join(p) => joined(*p, *p % zones),
-        Step::Leave(p) => Event::ProxyDisconnected { proxy: ProxyId(*p) },
-        Step::Tally { n, zone, total, errors, latency } => tally(*n, *zone, *total, *errors, *latency),
-        Step::Probed { n, outcome } => probed(
+        Step::ProbeResult { n, outcome } => probe_result(
             *n,
             [
                 ProbeOutcome::Ok,
@@ -106,7 +121,7 @@
                 ProbeOutcome::Reset,
             ][usize::from(*outcome)],
         ),
-        Step::Traffic { proxy, class, total, period } => Event::ClientStats {
+        Step::ClientStats { proxy, class, total, period } => Event::ClientStats {
             proxy: ProxyId(*proxy),
             class: ClassId(*class),
             period: *period,
@@ -116,21 +131,21 @@
     })
 }
 
-/// Plays a day and checks each reply; gives all replies.
+/// Plays the steps and checks each reply; gives all replies.
 fn play(set: &Settings, steps: &[Step]) -> Result<Vec<Vec<Action>>, TestCaseError> {
-    let mut site = Site::new(set.clone());
+    let mut harness = Harness::new(set.clone());
     let mut listed: BTreeMap<ServerId, EndpointState> = BTreeMap::new();
     let mut replies = Vec::new();
     for step in steps {
-        site.now += if let Step::Wait(span) = step { *span } else { 2_000 };
-        let event = event(step, site.now, set.zone_count as u16);
-        if let Some(Event::EndpointList { update: how, entries }) = &event {
-            if *how == ListUpdate::Full {
+        harness.now += if let Step::Wait(span) = step { *span } else { 2_000 };
+        let event = event(step, harness.now, set.zone_count as u16);
+        if let Some(Event::EndpointList { update, entries }) = &event {
+            if *update == ListUpdate::Full {
                 listed.values_mut().for_each(|state| *state = EndpointState::Removed);
             }
             listed.extend(entries.iter().map(|e| (e.server, e.state)));
         }
-        let actions = site.feed(&event.into_iter().collect::<Vec<_>>());
+        let actions = harness.decide(&event.into_iter().collect::<Vec<_>>());
         for action in &actions {
             match action {
                 Action::SetWeight { table, server, weight } => {
@@ -138,24 +153,24 @@
                     prop_assert!(weight.is_finite() && *weight >= 0.0 && table.0 < u16::MAX);
                 }
                 Action::AssignTable { proxy, table } => {
-                    prop_assert!(site.joined.contains(proxy), "a proxy that is not joined");
-                    prop_assert!(!site.tables[table].is_empty(), "an empty table");
+                    prop_assert!(harness.connected.contains(proxy), "a proxy that is not connected");
+                    prop_assert!(!harness.tables[table].is_empty(), "an empty table");
                 }
-                Action::SetAdmission { class, retry_policy: resend, level, .. } => {
+                Action::SetAdmission { class, retry_policy, level, .. } => {
                     prop_assert!(level.is_finite() && *level >= 0.0);
                     let class = &set.classes[usize::from(class.0)];
                     if class.idempotency == Idempotency::NonIdempotent {
                         prop_assert!(
-                            matches!(resend, RetryPolicy::Never | RetryPolicy::IfNeverStarted),
-                            "a second effect"
+                            matches!(retry_policy, RetryPolicy::Never | RetryPolicy::IfNeverStarted),
+                            "a second execution"
                         );
                     }
                     if class.idempotency == Idempotency::IdempotencyKey
                         && class.dedup_scope != DedupScope::All
                     {
                         prop_assert!(
-                            matches!(resend, RetryPolicy::Never | RetryPolicy::IfNeverStarted),
-                            "outside the group"
+                            matches!(retry_policy, RetryPolicy::Never | RetryPolicy::IfNeverStarted),
+                            "outside the deduplication scope"
                         );
                     }
                 }
@@ -165,13 +180,13 @@
                 Action::WatchEndpoints | Action::FetchEndpoints => prop_assert!(set.poll_discovery),
                 Action::SetTimer { after, .. } => prop_assert!(*after > 0),
                 Action::SetEjected { server, .. } => prop_assert!(listed.contains_key(server)),
-                Action::RequestAck { nonce: mark } => prop_assert!(*mark < u16::MAX),
+                Action::RequestAck { nonce } => prop_assert!(*nonce < u16::MAX),
                 Action::Log(_) => {}
             }
         }
         if set.max_messages > 0 {
-            for times in site.messages.values() {
-                let recent = times.iter().filter(|at| **at + set.message_window >= site.now).count();
+            for times in harness.messages.values() {
+                let recent = times.iter().filter(|at| **at + set.message_window >= harness.now).count();
                 prop_assert!(recent <= set.max_messages as usize, "{recent} messages");
             }
         }
@@ -186,16 +201,16 @@
 }
 
 #[test]
-fn orders_are_legal_on_any_site_and_day() {
-    let days = (sites(), prop::collection::vec(step(), 0..250));
-    runner().run(&days, |(set, steps)| play(&set, &steps).map(drop)).unwrap();
+fn actions_are_valid_for_any_settings_and_events() {
+    let event_sequences = (any_settings(), prop::collection::vec(step(), 0..250));
+    runner().run(&event_sequences, |(set, steps)| play(&set, &steps).map(drop)).unwrap();
 }
 
 #[test]
-fn the_same_events_lead_to_the_same_orders() {
-    let days = (sites(), prop::collection::vec(step(), 0..120));
+fn same_events_cause_the_same_actions() {
+    let event_sequences = (any_settings(), prop::collection::vec(step(), 0..120));
     runner()
-        .run(&days, |(set, steps)| {
+        .run(&event_sequences, |(set, steps)| {
             prop_assert_eq!(play(&set, &steps)?, play(&set, &steps)?);
             Ok(())
         })
@@ -203,39 +218,39 @@
 }
 
 #[test]
-fn with_room_in_the_channel_no_bound_table_keeps_a_draining_server_or_runs_empty() {
-    let days = prop::collection::vec(step(), 0..200);
+fn with_room_in_the_channel_no_assigned_table_keeps_a_draining_server_or_is_empty() {
+    let event_sequences = prop::collection::vec(step(), 0..200);
     runner()
-        .run(&days, |steps| {
+        .run(&event_sequences, |steps| {
             let set = settings();
-            let mut site = Site::new(set.clone());
+            let mut harness = Harness::new(set.clone());
             let mut states: BTreeMap<ServerId, EndpointState> = BTreeMap::new();
             for step in &steps {
-                site.now += if let Step::Wait(span) = step { *span } else { 2_000 };
-                let event = event(step, site.now, set.zone_count as u16);
-                if let Some(Event::EndpointList { update: how, entries }) = &event {
-                    if *how == ListUpdate::Full {
+                harness.now += if let Step::Wait(span) = step { *span } else { 2_000 };
+                let event = event(step, harness.now, set.zone_count as u16);
+                if let Some(Event::EndpointList { update, entries }) = &event {
+                    if *update == ListUpdate::Full {
                         states.clear();
                     }
                     states.extend(entries.iter().map(|e| (e.server, e.state)));
                 }
-                site.feed(&event.into_iter().collect::<Vec<_>>());
+                harness.decide(&event.into_iter().collect::<Vec<_>>());
                 let is_ready = |id: &ServerId| states.get(id) == Some(&EndpointState::Ready);
-                for (proxy, table) in &site.bound {
-                    let lines = &site.tables[table];
+                for (proxy, table) in &harness.assigned {
+                    let lines = &harness.tables[table];
                     prop_assert!(
                         lines.keys().all(is_ready),
                         "proxy {proxy:?} keeps a server that is not ready"
                     );
                     prop_assert!(
                         !lines.is_empty() || !states.keys().any(is_ready),
-                        "proxy {proxy:?} is bare"
+                        "proxy {proxy:?} has an empty table"
                     );
                 }
                 if states.keys().any(is_ready) {
                     prop_assert!(
-                        site.joined.iter().all(|p| site.bound.contains_key(p)),
-                        "a proxy is unbound"
+                        harness.connected.iter().all(|p| harness.assigned.contains_key(p)),
+                        "a proxy has no table"
                     );
                 }
             }
