--- a/crates/stepspur-cli/src/bench/conductor.rs
+++ b/crates/stepspur-cli/src/bench/conductor.rs
@@ -150,7 +150,7 @@
         path: "/v1/nodes".into(),
         poll: POLL,
         timeout: POLL,
-        doubt: config.source.doubt().clone(),
+        doubt: config.source.mass_removal_guard().clone(),
     };
     Ok(config)
 }
--- a/crates/stepspur-cli/tests/restarts.rs
+++ b/crates/stepspur-cli/tests/restarts.rs
@@ -18,7 +18,7 @@
 use rules::Rules;
 use serde_json::{Value, json};
 use stepspur_conductor::config::EffectConfig;
-use stepspur_conductor::engine::Stats;
+use stepspur_conductor::engine::{ServerCounts, Stats};
 use stepspur_platform::discovery::Answer;
 use stepspur_proto::v1;
 use tokio::net::TcpStream;
@@ -182,7 +182,11 @@
     /// Every rule is kept, with all proxies joined.
     fn end(&self, servers: usize) {
         let mut judge = self.judge();
-        let stats = Stats { joined: PROXIES, servers: [SERVERS, 0, servers], ..Stats::default() };
+        let stats = Stats {
+            connected: PROXIES,
+            servers: ServerCounts { ready: SERVERS, draining: 0, total: servers },
+            ..Stats::default()
+        };
         judge.rules.end(now(), &stats);
         assert!(judge.deepest <= PENDING, "5, short queue: {}", judge.deepest);
     }
--- a/crates/stepspur-conductor/src/config/channel.rs
+++ b/crates/stepspur-conductor/src/config/channel.rs
@@ -1,42 +1,44 @@
-//! How orders leave.
+//! Settings of the channel to the proxies: throughput, queue and time limits.
 
 use std::time::Duration;
 
 use garde::Validate;
 use serde::{Deserialize, Serialize};
 
-use super::Fleet;
 use super::checks::{HOUR, between};
+use super::fleet::Fleet;
 
-/// How orders leave.
+/// The channel to the proxies.
 #[derive(Clone, Debug, Deserialize, Serialize, Validate)]
 #[serde(deny_unknown_fields, default)]
 pub struct Channel {
-    /// Lines a second that leave when all is well: what the conductor's machine may spend on it.
+    /// Throughput in lines per second, default 20,000, 1 to 1e9: what the conductor's machine may spend on
+    /// it.
     #[garde(range(min = 1.0, max = 1e9))]
     pub lines_per_s: f64,
-    /// Lines that each message costs besides its own.
+    /// Overhead of each message, in lines; default 6, 0 to 1000.
     #[garde(range(min = 0.0, max = 1000.0))]
     pub message_head: f64,
-    /// Lines that may wait.
+    /// Capacity of the queue, in lines; default 40,000, 10 to 1e9. It must hold two tables of one server.
     #[garde(range(min = 10.0, max = 1e9))]
     pub waiting_max: f64,
-    /// Messages that may be written to one proxy within `message_window`; 0: no limit.
+    /// Messages that may be written to one proxy within `message_window`, up to 100,000; default 0: no limit.
     #[garde(range(min = 0, max = 100_000))]
     pub messages_max: u32,
-    /// The span for that count.
+    /// The window that `messages_max` applies to; default 10 s, 100 ms to 1 h.
     #[serde(with = "humantime_serde")]
     #[garde(custom(between(Duration::from_millis(100), HOUR)))]
     pub message_window: Duration,
-    /// The longest way of a message to its proxy that is still usual.
+    /// Upper bound of a message's usual transit time to its proxy; default 500 ms, up to 1 h.
     #[serde(with = "humantime_serde")]
     #[garde(custom(between(Duration::ZERO, HOUR)))]
     pub transit_max: Duration,
-    /// A proxy that leaves a mark unanswered for so long is cut off: it would hold up everybody's changes.
+    /// Time limit of an acknowledgement; default 5 s, 100 ms to 1 h. The stream of a proxy that exceeds it is
+    /// closed, since it would delay the changes of all proxies.
     #[serde(with = "humantime_serde")]
     #[garde(custom(between(Duration::from_millis(100), HOUR)))]
     pub mark_timeout: Duration,
-    /// What happens within this span is decided on together.
+    /// Events within this time are decided on together; default 2 ms, up to 1 s.
     #[serde(with = "humantime_serde")]
     #[garde(custom(between(Duration::ZERO, Duration::from_secs(1))))]
     pub batch: Duration,
@@ -57,14 +59,15 @@
     }
 }
 
-/// A channel that holds no table would leave every proxy without one, for ever.
-pub(super) fn holds_a_table(fleet: &Fleet) -> impl FnOnce(&Channel, &()) -> garde::Result + '_ {
+/// Checks that the queue can hold a table: otherwise no proxy would ever get one.
+pub(super) fn can_hold_table(fleet: &Fleet) -> impl FnOnce(&Channel, &()) -> garde::Result + '_ {
     move |channel, ()| {
-        // Two messages: the head, the table, a line, the levels, the mark.
+        // Two messages, each with its overhead, the table, one weight, the admission levels and a nonce.
         let least = 2.0 * (channel.message_head + fleet.classes.len() as f64 + 3.0);
-        if channel.waiting_max >= least {
-            return Ok(());
+        if channel.waiting_max < least {
+            let what = format!("`waiting_max` must be {least} or more: two tables of one server");
+            return Err(garde::Error::new(what));
         }
-        Err(garde::Error::new(format!("`waiting_max` must be {least} or more: two tables of one server")))
+        Ok(())
     }
 }
--- a/crates/stepspur-conductor/src/config/checks.rs
+++ b/crates/stepspur-conductor/src/config/checks.rs
@@ -1,48 +1,60 @@
-//! Bounds that several tables of the settings share.
+//! Checks that several groups of settings share.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The longest span that most settings may have.
+/// The upper bound of most durations.
 pub(super) const HOUR: Duration = Duration::from_secs(3600);
 
-/// A span lies between two others, both counted in.
-pub(super) fn between(least: Duration, most: Duration) -> impl FnOnce(&Duration, &()) -> garde::Result {
-    move |span, ()| match *span >= least && *span <= most {
-        true => Ok(()),
-        false => Err(garde::Error::new(format!("must lie between {least:?} and {most:?}"))),
+/// Checks that a duration lies between two others, both inclusive.
+pub(super) fn between(min: Duration, max: Duration) -> impl FnOnce(&Duration, &()) -> garde::Result {
+    move |duration, ()| {
+        if (min..=max).contains(duration) {
+            Ok(())
+        } else {
+            Err(garde::Error::new(format!("must lie between {min:?} and {max:?}")))
+        }
     }
 }
 
-/// An address is of loopback.
+/// Checks that an address is a loopback address.
 pub(super) fn loopback(address: &SocketAddr, _: &()) -> garde::Result {
-    match address.ip().is_loopback() {
-        true => Ok(()),
-        false => Err(garde::Error::new("must be a loopback address: callers are not known yet")),
+    if address.ip().is_loopback() {
+        Ok(())
+    } else {
+        Err(garde::Error::new("must be a loopback address: callers are not known yet"))
     }
 }
 
-/// An address is of loopback where `plain` is set.
+/// Checks that an address is a loopback address where `plain` is set.
 pub(super) fn loopback_if(plain: bool) -> impl FnOnce(&SocketAddr, &()) -> garde::Result {
     move |address, ()| if plain { loopback(address, &()) } else { Ok(()) }
 }
 
-/// A path of an HTTP request.
-pub(super) fn rooted(path: &str, _: &()) -> garde::Result {
-    let plain = path.bytes().all(|b| b.is_ascii_graphic());
-    if path.starts_with('/') && plain { Ok(()) } else { Err(garde::Error::new("must be a path from `/`")) }
+/// Checks that a text is an absolute path of an HTTP request.
+pub(super) fn absolute_path(path: &str, _: &()) -> garde::Result {
+    let is_graphic = path.bytes().all(|byte| byte.is_ascii_graphic());
+    if path.starts_with('/') && is_graphic {
+        Ok(())
+    } else {
+        Err(garde::Error::new("must be a path from `/`"))
+    }
 }
 
-/// No name comes twice.
+/// Checks that no name occurs twice.
 pub(super) fn unique(names: &[String], _: &()) -> garde::Result {
-    let twice = names.iter().enumerate().find(|(k, name)| names[..*k].contains(name));
-    twice.map_or(Ok(()), |(_, name)| Err(garde::Error::new(format!("names `{name}` twice"))))
+    for (index, name) in names.iter().enumerate() {
+        if names[..index].contains(name) {
+            return Err(garde::Error::new(format!("names `{name}` twice")));
+        }
+    }
+    Ok(())
 }
 
-/// A name, if there is one, is among these.
-pub(super) fn one_of(names: &[String]) -> impl FnOnce(&Option<String>, &()) -> garde::Result + '_ {
+/// Checks that a zone, if one is given, is among these.
+pub(super) fn known_zone(zones: &[String]) -> impl FnOnce(&Option<String>, &()) -> garde::Result + '_ {
     move |name, ()| match name {
-        Some(name) if !names.contains(name) => Err(garde::Error::new(format!("`{name}` is no zone"))),
+        Some(name) if !zones.contains(name) => Err(garde::Error::new(format!("`{name}` is no zone"))),
         _ => Ok(()),
     }
 }
--- a/crates/stepspur-conductor/src/config/fleet.rs
+++ b/crates/stepspur-conductor/src/config/fleet.rs
@@ -1,62 +1,66 @@
-//! The fleet: zones, classes and the rules' figures.
+//! Settings of the deployment: zones, request classes, warm-up and time limits.
 
 use std::time::Duration;
 
 use garde::Validate;
 use serde::{Deserialize, Serialize};
 
-use super::checks::{HOUR, between, one_of, unique};
+use super::checks::{HOUR, between, known_zone, unique};
 
-/// The fleet and the rules' figures.
+/// The deployment that the conductor serves.
 #[derive(Clone, Debug, Deserialize, Serialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    /// Names of the zones.
+    /// Names of the zones, 1 to 1000.
     #[garde(length(min = 1, max = 1000), inner(length(min = 1, max = 128)), custom(unique))]
     pub zones: Vec<String>,
-    /// The zone in which this conductor stands; the first where left out.
+    /// The zone that this conductor runs in; default: the first.
     #[serde(default)]
-    #[garde(custom(one_of(&self.zones)))]
+    #[garde(custom(known_zone(&self.zones)))]
     pub my_zone: Option<String>,
-    /// Conductors that share the proxies by chance; each knows its own alone.
+    /// Number of conductors, default 1, up to 1000. Proxies connect to one at random, and each conductor
+    /// knows only its own proxies.
     #[serde(default = "one")]
     #[garde(range(min = 1, max = 1000))]
     pub conductors: u32,
-    /// Proxies over all conductors, for which tables are cut.
+    /// Number of proxies over all conductors, up to 65,000; subsets of servers are sized by it.
     #[garde(range(min = 1, max = 65_000))]
     pub proxies: u32,
-    /// Request classes; told by their place from then on.
+    /// Request classes, 1 to 16; messages identify them by their index.
     #[garde(length(min = 1, max = 16), dive)]
     pub classes: Vec<ClassConfig>,
-    /// How levels are understood.
+    /// How proxies interpret admission levels; default `share`.
     #[serde(default)]
     #[garde(skip)]
     pub admit: AdmitConfig,
-    /// Connections that the smallest servers accept; 0: not known, then zone tables are not cut into parts.
+    /// Connections that the smallest servers accept, up to 1,000,000; default 0: unknown, and zones get no
+    /// subsets.
     #[serde(default)]
     #[garde(range(min = 0, max = 1_000_000))]
     pub connections_min: u32,
-    /// A server that has started is warm after this at the latest.
+    /// Warm-up time: a restarted server has its full capacity after this at the latest; default 20 s, up to 1
+    /// h.
     #[serde(default = "cold", with = "humantime_serde")]
     #[garde(custom(between(Duration::ZERO, HOUR)))]
     pub cold: Duration,
-    /// A server starts at this share of its capacity or more.
+    /// Least fraction of its capacity that a server starts with; default 0.3, 0.01 to 1.
     #[serde(default = "start_capacity")]
     #[garde(range(min = 0.01, max = 1.0))]
     pub start_capacity: f64,
-    /// A cold server falls over at this many times its present capacity.
+    /// A server that is warming up collapses at this multiple of its current capacity; default 3, 1 to 100.
     #[serde(default = "fall_multiple")]
     #[garde(range(min = 1.0, max = 100.0))]
     pub fall_multiple: f64,
-    /// Proxies stop sending to a server so soon after it is known to drain or to be gone.
+    /// Proxies stop sending to a server within this time after it is known to drain or to be removed; default
+    /// 2 s, 100 ms to 1 h.
     #[serde(default = "drain_grace", with = "humantime_serde")]
     #[garde(custom(between(Duration::from_millis(100), HOUR)))]
     pub drain_grace: Duration,
-    /// A joined proxy lacks a line no longer than this.
+    /// Longest time that a connected proxy may be without a server; default 3 s, 100 ms to 1 h.
     #[serde(default = "unserved", with = "humantime_serde")]
     #[garde(custom(between(Duration::from_millis(100), HOUR)))]
     pub unserved_max: Duration,
-    /// True: a server that a list merely drops may stay in tables; only `draining` binds.
+    /// True: a server that a list lacks may stay in tables, only `draining` forbids its use; default false.
     #[serde(default)]
     #[garde(skip)]
     pub drain_binds_alone: bool,
@@ -66,73 +70,73 @@
 #[derive(Clone, Debug, Deserialize, Serialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct ClassConfig {
-    /// Its name.
+    /// Its name, 1 to 128 bytes.
     #[garde(length(min = 1, max = 128))]
     pub name: String,
-    /// What a repeat may do.
+    /// What repeating a request may cause.
     #[garde(skip)]
     pub effect: EffectConfig,
-    /// An answer within this time earns the full worth.
+    /// Latency objective: a response within this time has its full value; 1 ms to 1 h.
     #[serde(with = "humantime_serde")]
     #[garde(custom(between(Duration::from_millis(1), HOUR)))]
     pub aim: Duration,
-    /// How long a client waits in all.
+    /// How long a client waits for a response, retries included; `aim` to 1 h.
     #[serde(with = "humantime_serde")]
     #[garde(custom(between(self.aim, HOUR)))]
     pub deadline: Duration,
-    /// Worth of a request.
+    /// Priority weight: the value of one request relative to other classes; default 1, up to 1,000,000.
     #[serde(default = "worth")]
     #[garde(range(min = 0.0, max = 1e6))]
     pub worth: f64,
-    /// For keyed classes: which servers drop repeats.
+    /// For requests with an idempotency key: which servers drop repeats; default all.
     #[serde(default)]
     #[garde(skip)]
     pub group: GroupConfig,
-    /// For keyed classes: for how long.
+    /// For requests with an idempotency key: how long repeats are dropped; default 0, up to 1 h.
     #[serde(default, with = "humantime_serde")]
     #[garde(custom(between(Duration::ZERO, HOUR)))]
     pub window: Duration,
-    /// True: only servers of the proxy's zone may serve it.
+    /// True: only servers in the proxy's own zone may serve it; default false.
     #[serde(default)]
     #[garde(skip)]
     pub own_zone: bool,
 }
 
-/// See [`stepspur::interface::Effect`].
+/// What repeating a request may cause, see [`stepspur::interface::Idempotency`].
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum EffectConfig {
     /// Safe to repeat.
     ReadLike,
-    /// Repeats are dropped by the servers of the group, within the window.
+    /// Carries an idempotency key: the servers of `group` drop repeats within `window`.
     IdempotencyKey,
     /// Must not run twice.
     NonIdempotent,
 }
 
-/// See [`stepspur::interface::Group`].
+/// Which servers recognize repeats of a request, see [`stepspur::interface::DedupScope`].
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum GroupConfig {
     /// All servers.
     #[default]
     All,
-    /// Those of one zone.
+    /// The servers of one zone.
     Zone,
-    /// Those of one cell.
+    /// The servers of one cell.
     Cell,
 }
 
-/// See [`stepspur::interface::Admit`].
+/// How proxies interpret an admission level, see [`stepspur::interface::AdmissionMode`].
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum AdmitConfig {
-    /// A share of the requests.
+    /// As the fraction of requests to admit.
     #[default]
     Share,
-    /// Requests a second at each proxy.
+    /// As requests per second to admit at each proxy.
     Rate,
-    /// Levels are not heeded.
+    /// Proxies ignore levels.
     Silent,
 }
 
--- a/crates/stepspur-conductor/src/config/identity.rs
+++ b/crates/stepspur-conductor/src/config/identity.rs
@@ -1,4 +1,4 @@
-//! Who may call.
+//! Settings of authentication: certificates, tokens, handshakes and the audit log.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,60 +10,62 @@
 use stepspur_identity::tls::ClientCertificates;
 
 use super::checks::{HOUR, between};
-use super::{Listen, Tenant};
+use super::listen::Listen;
+use super::tenant::Tenant;
 
-/// Who may call. `docs/identity.md` words it.
+/// How callers are authenticated, see `docs/identity.md`.
 #[derive(Clone, Debug, Deserialize, Serialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Identity {
-    /// The folder of `identity.toml` and the files that it names.
+    /// Directory of `identity.toml` and of the files that it names.
     #[garde(skip)]
     pub folder: PathBuf,
-    /// The tenant to which the settings' own fleet belongs.
+    /// The tenant that owns the fleet of these settings; default `default`, 1 to 128 bytes.
     #[serde(default = "default_tenant")]
     #[garde(length(min = 1, max = 128))]
     pub tenant: String,
-    /// Client certificates: required, optional or off.
+    /// Whether client certificates are required, optional or off.
     #[serde(default)]
     #[garde(skip)]
     pub certificates: ClientCertificates,
-    /// True: a token is needed, too.
+    /// True: a token is required as well; default false.
     #[serde(default)]
     #[garde(skip)]
     pub tokens_required: bool,
-    /// Clocks may differ by so much.
+    /// Tolerated clock difference; default 30 s, up to 300 s.
     #[serde(default = "leeway", with = "humantime_serde")]
     #[garde(custom(between(Duration::ZERO, Duration::from_secs(300))))]
     pub leeway: Duration,
-    /// A token may live for so long at most.
+    /// Longest lifetime of a token; default 24 h, 1 s to 30 days.
     #[serde(default = "token_life", with = "humantime_serde")]
     #[garde(custom(between(Duration::from_secs(1), HOUR * 24 * 30)))]
     pub longest_token_life: Duration,
-    /// The folder is looked at so often; a revocation ends streams within this and a half second.
+    /// Interval between checks of the directory; default 1 s, 10 ms to 1 h. A revocation closes streams
+    /// within this time plus half a second.
     #[serde(default = "reload_every", with = "humantime_serde")]
     #[garde(custom(between(Duration::from_millis(10), HOUR)))]
     pub reload_every: Duration,
-    /// Handshake and first message are due in this time.
+    /// Time limit of the handshake and the first message together; default 5 s, 10 ms to 1 h.
     #[serde(default = "handshake_timeout", with = "humantime_serde")]
     #[garde(custom(between(Duration::from_millis(10), HOUR)))]
     pub handshake_timeout: Duration,
-    /// Handshakes under way at once.
+    /// Concurrent handshakes; default 512, 2 to 65,000.
     #[serde(default = "handshakes")]
     #[garde(range(min = 2, max = 65_000))]
     pub handshakes_max: usize,
-    /// Of them, those kept for sources that proved themselves in the last hour.
+    /// Of them, those reserved for sources that authenticated within the last hour; default 256.
     #[serde(default = "handshakes_kept")]
     #[garde(range(min = 1, max = self.handshakes_max - 1))]
     pub handshakes_kept: usize,
-    /// Of them, those of one source that has not.
+    /// Of them, those of one source that has not; default 64, 1 to 65,000.
     #[serde(default = "handshakes_of_source")]
     #[garde(range(min = 1, max = 65_000))]
     pub handshakes_of_source: usize,
-    /// Where operators call, by HTTPS; none where left out.
+    /// Address of the operators' HTTPS API; default: none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[garde(skip)]
     pub operators: Option<SocketAddr>,
-    /// The audit log, a line of JSON for each change and each refused call.
+    /// Path of the audit log, which has a line of JSON for each change and each rejected call.
     #[garde(skip)]
     pub audit: PathBuf,
 }
@@ -93,24 +95,34 @@
     64
 }
 
-/// Callers are known, or nothing but loopback is listened on.
-pub(super) fn known_or_plain(listen: &Listen) -> impl FnOnce(&Option<Identity>, &()) -> garde::Result + '_ {
-    move |identity, ()| match identity.is_some() || listen.plain_on_loopback {
-        true => Ok(()),
-        false => Err(garde::Error::new("is needed, unless `listen.plain_on_loopback` is set")),
+/// Checks that callers are authenticated or only a loopback address is listened on.
+pub(super) fn authenticated_or_loopback(
+    listen: &Listen,
+) -> impl FnOnce(&Option<Identity>, &()) -> garde::Result + '_ {
+    move |identity, ()| {
+        if identity.is_some() || listen.plain_on_loopback {
+            Ok(())
+        } else {
+            Err(garde::Error::new("is needed, unless `listen.plain_on_loopback` is set"))
+        }
     }
 }
 
-/// A proxy's tenant is told by who it is.
-pub(super) fn tenants_need_identity(
+/// Checks that further tenants come with authentication, which tells a proxy's tenant, and have names of
+/// their own.
+pub(super) fn tenants_are_authenticated(
     identity: &Option<Identity>,
 ) -> impl FnOnce(&BTreeMap<String, Tenant>, &()) -> garde::Result + '_ {
-    move |tenants, ()| match (tenants.is_empty(), identity) {
-        (true, _) => Ok(()),
-        (false, None) => Err(garde::Error::new("need `identity`: nothing else tells whose a proxy is")),
-        (false, Some(own)) if tenants.contains_key(&own.tenant) => {
-            Err(garde::Error::new(format!("`{}` is the settings' own tenant", own.tenant)))
+    move |tenants, ()| {
+        if tenants.is_empty() {
+            return Ok(());
+        }
+        let Some(identity) = identity else {
+            return Err(garde::Error::new("need `identity`: nothing else tells whose a proxy is"));
+        };
+        if tenants.contains_key(&identity.tenant) {
+            return Err(garde::Error::new(format!("`{}` is the settings' own tenant", identity.tenant)));
         }
-        _ => Ok(()),
+        Ok(())
     }
 }
--- a/crates/stepspur-conductor/src/config/listen.rs
+++ b/crates/stepspur-conductor/src/config/listen.rs
@@ -1,4 +1,4 @@
-//! Where proxies dial in, and what is taken from strangers.
+//! Settings of the listener for proxies: address, limits and time limits.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,48 +8,53 @@
 
 use super::checks::{HOUR, between, loopback_if};
 
-/// Where proxies dial in.
+/// The listener for proxies.
 #[derive(Clone, Debug, Deserialize, Serialize, Validate)]
 #[serde(deny_unknown_fields, default)]
 pub struct Listen {
-    /// Address; loopback alone where callers are not known.
+    /// Its address, default 127.0.0.1:7400; a loopback address where callers are not authenticated.
     #[garde(custom(loopback_if(self.plain_on_loopback)))]
     pub address: SocketAddr,
-    /// True: plain TCP, callers are not known, and nothing but loopback is listened on.
+    /// True: plain TCP without authentication, on a loopback address only; default false.
     #[garde(skip)]
     pub plain_on_loopback: bool,
-    /// Connections at once; more are closed at once.
+    /// Concurrent connections, default 20,000, 1 to 65,000; further ones are closed at once.
     #[garde(range(min = 1, max = 65_000))]
     pub connections_max: u32,
-    /// Connections that may wait to be taken in: all proxies dial at once after a restart.
+    /// Connections that may wait to be accepted, default 4096, 1 to 65,000: after a restart all proxies
+    /// connect at once.
     #[garde(range(min = 1, max = 65_000))]
     pub queue: u32,
-    /// Proxies that may have a number; another is refused with `REASON_FULL`.
+    /// Proxies that may have an id, default 20,000, 1 to 65,000; another one is rejected with `REASON_FULL`.
     #[garde(range(min = 1, max = 65_000))]
     pub proxies_max: u32,
-    /// A name that left keeps its number for so long at least: the decisions forget it in 20 s.
+    /// Least time for which a disconnected name keeps its id; default 60 s, 30 s to 1 h. The decision module
+    /// forgets a proxy after 20 s.
     #[serde(with = "humantime_serde")]
     #[garde(custom(between(Duration::from_secs(30), HOUR)))]
     pub number_rest: Duration,
-    /// Largest frame taken or sent, bytes of its body.
+    /// Largest body of a frame, received or sent, in bytes; 1024 to 64 MiB.
     #[garde(range(min = 1024, max = 64 << 20))]
     pub largest_frame: usize,
-    /// Largest first frame, bytes of its body: it comes from a stranger.
+    /// Largest body of a stream's first frame, in bytes, as its sender is not known yet; default 8192, 512 to
+    /// `largest_frame`.
     #[garde(range(min = 512, max = self.largest_frame))]
     pub largest_first_frame: usize,
-    /// The first message is due in this time.
+    /// Time limit of the first message; default 5 s, 10 ms to 1 h.
     #[serde(with = "humantime_serde")]
     #[garde(custom(between(Duration::from_millis(10), HOUR)))]
     pub hello_timeout: Duration,
-    /// A side that sent nothing for so long sends a ping; a stream silent for thrice that has ended.
+    /// A side that has sent nothing for this long sends a ping; default 5 s, 100 ms to 1 h. A stream that is
+    /// silent for three times as long is closed.
     #[serde(with = "humantime_serde")]
     #[garde(custom(between(Duration::from_millis(100), HOUR)))]
     pub keepalive: Duration,
-    /// A write that the peer does not take for so long ends the stream.
+    /// Time limit of a write, after which the stream is closed; default 5 s, 100 ms to 1 h.
     #[serde(with = "humantime_serde")]
     #[garde(custom(between(Duration::from_millis(100), HOUR)))]
     pub write_timeout: Duration,
-    /// Frames that may wait for a proxy that does not read; one more cuts it off.
+    /// Frames in a stream's send queue, default 64, 4 to 10,000; the stream is closed when one more is
+    /// queued.
     #[garde(range(min = 4, max = 10_000))]
     pub frames_waiting_max: usize,
 }
--- a/crates/stepspur-conductor/src/config/mod.rs
+++ b/crates/stepspur-conductor/src/config/mod.rs
@@ -1,8 +1,9 @@
-//! The conductor's settings: what an operator may set, with defaults, bounds and their reasons.
+//! The conductor's settings, with defaults and bounds.
 //!
-//! Every key has a default but the fleet's `zones` and `classes`. [`Config::faults`] names all that is out of
-//! bounds in one go; `examples/conductor.toml` shows every key. Each table of the settings has a module; `checks` has the
-//! bounds that several share, `settings` words them for the decision module.
+//! Every key has a default but the fleet's `zones`, `proxies` and `classes`, and the source.
+//! [`Config::faults`] lists every setting that is out of bounds; `examples/conductor.toml` shows every key.
+//! Each group of settings has a module; `checks` has the checks that several share, `settings` converts the
+//! settings into the decision module's.
 
 mod channel;
 mod checks;
@@ -14,6 +15,7 @@
 mod settings;
 mod source;
 mod status;
+mod tenant;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -24,8 +26,8 @@
 use stepspur_consensus_node::ConsensusConfig;
 use stepspur_distribution::config::Distribution;
 
-use channel::holds_a_table;
-use identity::{known_or_plain, tenants_need_identity};
+use channel::can_hold_table;
+use identity::{authenticated_or_loopback, tenants_are_authenticated};
 
 pub use channel::Channel;
 pub use fleet::{AdmitConfig, ClassConfig, EffectConfig, Fleet, GroupConfig};
@@ -35,71 +37,60 @@
 pub use reports::Reports;
 pub use source::{MassRemovalGuard, Source};
 pub use status::Status;
+pub use tenant::Tenant;
 
 /// All settings of a conductor.
 #[derive(Clone, Debug, Deserialize, Serialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// Zones, classes and the rules' figures.
+    /// The deployment: zones, request classes, warm-up and time limits.
     #[garde(dive)]
     pub fleet: Fleet,
-    /// Where proxies dial in, and what is taken from strangers.
+    /// The listener for proxies.
     #[serde(default)]
     #[garde(dive)]
     pub listen: Listen,
-    /// How orders leave.
+    /// The channel to the proxies.
     #[serde(default)]
-    #[garde(dive, custom(holds_a_table(&self.fleet)))]
+    #[garde(dive, custom(can_hold_table(&self.fleet)))]
     pub channel: Channel,
-    /// How reports come in.
+    /// Load reports of the proxies.
     #[serde(default)]
     #[garde(dive)]
     pub reports: Reports,
-    /// How servers are probed.
+    /// Active health checks.
     #[serde(default)]
     #[garde(dive)]
     pub probes: Probes,
-    /// Where the list of servers comes from.
+    /// The source of the endpoint list.
     #[garde(dive)]
     pub source: Source,
-    /// Where `stepspur status` asks.
+    /// The status page, which `stepspur status` reads.
     #[serde(default)]
     #[garde(dive)]
     pub status: Status,
-    /// Who may call; where left out, `listen.plain_on_loopback` must be set.
+    /// How callers are authenticated; without it `listen.plain_on_loopback` must be set.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    #[garde(dive, custom(known_or_plain(&self.listen)))]
+    #[garde(dive, custom(authenticated_or_loopback(&self.listen)))]
     pub identity: Option<Identity>,
-    /// A council with other conductors, for work that one of them does at a time; none where left out.
+    /// The consensus group with other conductors, for roles that one of them holds at a time; default: none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[garde(dive)]
     pub council: Option<ConsensusConfig>,
-    /// Configuration that many conductors share, served or subscribed to; none where left out.
+    /// Distribution of shared configuration, as a server or a subscriber; default: none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[garde(dive)]
     pub distribution: Option<Distribution>,
-    /// Further tenants, each with servers and decisions of its own; the rest of the settings is the same.
+    /// Further tenants by name, each with its own servers and decisions; the other settings are shared.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
-    #[garde(dive, custom(tenants_need_identity(&self.identity)))]
+    #[garde(dive, custom(tenants_are_authenticated(&self.identity)))]
     pub tenants: BTreeMap<String, Tenant>,
 }
 
-/// A further tenant.
-#[derive(Clone, Debug, Deserialize, Serialize, Validate)]
-#[serde(deny_unknown_fields)]
-pub struct Tenant {
-    /// Its zones, classes and rules.
-    #[garde(dive)]
-    pub fleet: Fleet,
-    /// Its servers.
-    #[garde(dive)]
-    pub source: Source,
-}
-
 /// A setting that is out of bounds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvalidSetting {
-    /// Its key, as `fleet.classes[0].aim`.
+    /// Its key, such as `fleet.classes[0].aim`.
     pub key: String,
     /// What is wrong with it.
     pub what: String,
@@ -108,16 +99,22 @@
 impl Config {
     /// All settings that are out of bounds; empty if the conductor may start.
     pub fn faults(&self) -> Vec<InvalidSetting> {
-        let report = self.validate().err();
-        let bounds = report.iter().flat_map(|report| report.iter());
-        let bounds =
-            bounds.map(|(key, what)| InvalidSetting { key: key.to_string(), what: what.to_string() });
-        let beside = self.distribution.iter().flat_map(|set| set.faults_beside(self.council.as_ref()));
-        bounds.chain(beside.map(|(key, what)| InvalidSetting { key, what })).collect()
+        let mut invalid = Vec::new();
+        if let Err(report) = self.validate() {
+            for (key, what) in report.iter() {
+                invalid.push(InvalidSetting { key: key.to_string(), what: what.to_string() });
+            }
+        }
+        if let Some(distribution) = &self.distribution {
+            for (key, what) in distribution.faults_beside(self.council.as_ref()) {
+                invalid.push(InvalidSetting { key, what });
+            }
+        }
+        invalid
     }
 }
 
-/// Whole microseconds.
-pub(crate) fn micros(span: Duration) -> Micros {
-    u64::try_from(span.as_micros()).unwrap_or(u64::MAX)
+/// A duration in whole microseconds.
+pub(crate) fn micros(duration: Duration) -> Micros {
+    u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
 }
--- a/crates/stepspur-conductor/src/config/probes.rs
+++ b/crates/stepspur-conductor/src/config/probes.rs
@@ -1,27 +1,27 @@
-//! How servers are probed.
+//! Settings of active health checks.
 
 use std::time::Duration;
 
 use garde::Validate;
 use serde::{Deserialize, Serialize};
 
-use super::checks::{HOUR, between, rooted};
+use super::checks::{HOUR, absolute_path, between};
 
-/// How servers are probed.
+/// Active health checks.
 #[derive(Clone, Debug, Deserialize, Serialize, Validate)]
 #[serde(deny_unknown_fields, default)]
 pub struct Probes {
-    /// False: never.
+    /// False: servers are never probed; default true.
     #[garde(skip)]
     pub enabled: bool,
-    /// Path of the HTTP request; its answer may be a JSON object with the load columns.
-    #[garde(length(min = 1, max = 1000), custom(rooted))]
+    /// Path of the HTTP request, default `/load`. The response may be a JSON object with the load columns.
+    #[garde(length(min = 1, max = 1000), custom(absolute_path))]
     pub path: String,
-    /// No answer for so long is a failure.
+    /// A probe without a response after this has failed; default 1 s, 10 ms to 1 h.
     #[serde(with = "humantime_serde")]
     #[garde(custom(between(Duration::from_millis(10), HOUR)))]
     pub timeout: Duration,
-    /// Probes under way at once; more wait their turn.
+    /// Concurrent probes, default 64, 1 to 10,000; further ones wait.
     #[garde(range(min = 1, max = 10_000))]
     pub concurrency: usize,
 }
--- a/crates/stepspur-conductor/src/config/reports.rs
+++ b/crates/stepspur-conductor/src/config/reports.rs
@@ -1,4 +1,4 @@
-//! How reports come in.
+//! Settings of load reports.
 
 use std::time::Duration;
 
@@ -7,22 +7,24 @@
 
 use super::checks::{HOUR, between};
 
-/// How reports come in.
+/// Load reports of the proxies.
 #[derive(Clone, Debug, Deserialize, Serialize, Validate)]
 #[serde(deny_unknown_fields, default)]
 pub struct Reports {
-    /// Proxies report so often.
+    /// Interval between a proxy's reports; default 1 s, 100 ms to 1 h.
     #[serde(with = "humantime_serde")]
     #[garde(custom(between(Duration::from_millis(100), HOUR)))]
     pub every: Duration,
-    /// What comes within this span is summed by server and zone before it counts as lines.
+    /// Reports within this time are summed by server and zone; default 250 ms, 1 ms to 1 h.
     #[serde(with = "humantime_serde")]
     #[garde(custom(between(Duration::from_millis(1), HOUR)))]
     pub gather: Duration,
-    /// Lines a second that are looked at, the oldest first; the rest adds up and follows.
+    /// Summed entries per second that the decision module gets, the oldest first; default 10,000, 1 to 1e9.
+    /// The rest is summed further.
     #[garde(range(min = 1.0, max = 1e9))]
     pub intake_per_s: f64,
-    /// Values of a load report, in order: `rif`, `q`, `busy`, `lat_ms`, `rate` or `fail_rate`.
+    /// Columns of a load report, up to 4 of `rif`, `q`, `busy`, `lat_ms`, `rate` and `fail_rate`, in order;
+    /// default `q` and `lat_ms`.
     #[garde(length(max = 4), inner(custom(load_column)))]
     pub load_columns: Vec<String>,
 }
@@ -38,12 +40,13 @@
     }
 }
 
-/// Values that a load report may have.
+/// Columns that a load report may have.
 const LOAD_COLUMNS: [&str; 6] = ["rif", "q", "busy", "lat_ms", "rate", "fail_rate"];
 
 fn load_column(name: &str, _: &()) -> garde::Result {
-    match LOAD_COLUMNS.contains(&name) {
-        true => Ok(()),
-        false => Err(garde::Error::new(format!("`{name}` is no value of a load report"))),
+    if LOAD_COLUMNS.contains(&name) {
+        Ok(())
+    } else {
+        Err(garde::Error::new(format!("`{name}` is no value of a load report")))
     }
 }
--- a/crates/stepspur-conductor/src/config/settings.rs
+++ b/crates/stepspur-conductor/src/config/settings.rs
@@ -1,28 +1,23 @@
-//! The settings as the decision module takes them.
+//! Converts the settings into the decision module's.
 
 use stepspur::interface::{AdmissionMode, DedupScope, Idempotency, RequestClass, Settings, ZoneId};
 
 use super::{AdmitConfig, ClassConfig, Config, EffectConfig, GroupConfig, micros};
 
 impl Config {
-    /// The settings as the decision module takes them.
+    /// The settings of the decision module.
     pub fn settings(&self) -> Settings {
         let fleet = &self.fleet;
-        let mine = |zone: &String| fleet.zones.iter().position(|z| z == zone);
-        let my_zone = fleet.my_zone.as_ref().and_then(mine).unwrap_or(0);
+        let local_zone = fleet.zones.iter().position(|zone| Some(zone) == fleet.my_zone.as_ref());
         Settings {
             zone_count: fleet.zones.len(),
-            local_zone: ZoneId(my_zone as u16),
+            local_zone: ZoneId(local_zone.unwrap_or(0) as u16),
             conductor_count: fleet.conductors,
-            classes: fleet.classes.iter().map(class).collect(),
+            classes: fleet.classes.iter().map(request_class).collect(),
             poll_discovery: true,
             health_checks: self.probes.enabled,
             load_columns: self.reports.load_columns.clone(),
-            admission_mode: match fleet.admit {
-                AdmitConfig::Share => AdmissionMode::Ratio,
-                AdmitConfig::Rate => AdmissionMode::RequestsPerSecond,
-                AdmitConfig::Silent => AdmissionMode::Ignored,
-            },
+            admission_mode: admission_mode(fleet.admit),
             proxy_count: fleet.proxies,
             max_pending_lines: self.channel.waiting_max,
             lines_per_second: self.channel.lines_per_s,
@@ -44,7 +39,15 @@
     }
 }
 
-fn class(class: &ClassConfig) -> RequestClass {
+fn admission_mode(admit: AdmitConfig) -> AdmissionMode {
+    match admit {
+        AdmitConfig::Share => AdmissionMode::Ratio,
+        AdmitConfig::Rate => AdmissionMode::RequestsPerSecond,
+        AdmitConfig::Silent => AdmissionMode::Ignored,
+    }
+}
+
+fn request_class(class: &ClassConfig) -> RequestClass {
     RequestClass {
         idempotency: match class.effect {
             EffectConfig::ReadLike => Idempotency::Safe,
--- a/crates/stepspur-conductor/src/config/source.rs
+++ b/crates/stepspur-conductor/src/config/source.rs
@@ -1,4 +1,4 @@
-//! Where the list of servers comes from, and when it is doubted.
+//! Settings of service discovery and of the guard against mass removals.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -7,44 +7,44 @@
 use garde::Validate;
 use serde::{Deserialize, Serialize};
 
-use super::checks::{HOUR, between, loopback, rooted};
+use super::checks::{HOUR, absolute_path, between, loopback};
 
-/// Where the list of servers comes from.
+/// The source of the endpoint list.
 #[derive(Clone, Debug, Deserialize, Serialize, Validate)]
 #[serde(deny_unknown_fields, rename_all = "snake_case", tag = "kind")]
 pub enum Source {
-    /// A TOML file that is watched.
+    /// A TOML file, checked for changes.
     File {
         /// Its path.
         #[garde(skip)]
         path: PathBuf,
-        /// Looked at so often.
+        /// Interval between checks; default 500 ms, 10 ms to 1 h.
         #[serde(default = "file_every", with = "humantime_serde")]
         #[garde(custom(between(Duration::from_millis(10), HOUR)))]
         every: Duration,
-        /// Lists that lose much.
+        /// The guard against mass removals.
         #[serde(default)]
         #[garde(dive)]
         doubt: MassRemovalGuard,
     },
     /// An HTTP node list, see `docs/node-list.md`.
     Http {
-        /// Host and port; loopback alone until callers are known.
+        /// Its address, a loopback address.
         #[garde(custom(loopback))]
         address: SocketAddr,
-        /// Path of the list.
+        /// Path of the list; default `/v1/nodes`.
         #[serde(default = "list_path")]
-        #[garde(custom(rooted))]
+        #[garde(custom(absolute_path))]
         path: String,
-        /// A long poll is answered within this time.
+        /// Longest time that the server holds a long poll; default 10 s, 100 ms to 1 h.
         #[serde(default = "poll", with = "humantime_serde")]
         #[garde(custom(between(Duration::from_millis(100), HOUR)))]
         poll: Duration,
-        /// A call with no answer for so long beyond that has failed.
+        /// A poll without a response this long after `poll` has failed; default 2 s, 100 ms to 1 h.
         #[serde(default = "call_timeout", with = "humantime_serde")]
         #[garde(custom(between(Duration::from_millis(100), HOUR)))]
         timeout: Duration,
-        /// Lists that lose much.
+        /// The guard against mass removals.
         #[serde(default)]
         #[garde(dive)]
         doubt: MassRemovalGuard,
@@ -52,27 +52,28 @@
 }
 
 impl Source {
-    /// What is held of lists that lose much.
-    pub fn doubt(&self) -> &MassRemovalGuard {
+    /// The guard against mass removals.
+    pub fn mass_removal_guard(&self) -> &MassRemovalGuard {
         match self {
             Source::File { doubt, .. } | Source::Http { doubt, .. } => doubt,
         }
     }
 }
 
-/// When a whole list is not believed at once.
+/// The guard against lists that suddenly lack many servers (Eureka: self-preservation).
 #[derive(Clone, Debug, Deserialize, Serialize, Validate)]
 #[serde(deny_unknown_fields, default)]
 pub struct MassRemovalGuard {
-    /// A whole list that lacks more than this part of the ready servers known before is doubted: what it
-    /// lacks stays as it was, what it names counts.
+    /// Fraction of the ready servers that a complete list may lack at once; default 0.5, 0 to 1. Of a list
+    /// that lacks more, what it names is applied, and what it lacks is not removed yet.
     #[garde(range(min = 0.0, max = 1.0))]
     pub loss_max: f64,
-    /// It is believed once whole lists have said so for so long.
+    /// A removal is applied after complete lists have lacked the servers for this long; default 30 s, up to 1
+    /// h.
     #[serde(with = "humantime_serde")]
     #[garde(custom(between(Duration::ZERO, HOUR)))]
     pub confirm_after: Duration,
-    /// True: an empty list is believed in the same way; else never.
+    /// True: an empty list is applied in the same way; default false: never.
     #[garde(skip)]
     pub empty_allowed: bool,
 }
--- a/crates/stepspur-conductor/src/config/status.rs
+++ b/crates/stepspur-conductor/src/config/status.rs
@@ -1,4 +1,4 @@
-//! The status page.
+//! Settings of the status page.
 
 use std::net::SocketAddr;
 
@@ -7,11 +7,11 @@
 
 use super::checks::loopback;
 
-/// Where `stepspur status` asks.
+/// The status page, which `stepspur status` reads.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, Validate)]
 #[serde(deny_unknown_fields, default)]
 pub struct Status {
-    /// Address of the status page; none where left out.
+    /// Its address, a loopback address; default: none, and no status page.
     #[garde(inner(custom(loopback)))]
     pub address: Option<SocketAddr>,
 }
--- a/crates/stepspur-conductor/src/engine/channel.rs
+++ b/crates/stepspur-conductor/src/engine/channel.rs
@@ -1,72 +1,98 @@
-//! The channel: orders leave one after the other, at a pace.
+//! Paces the messages to the proxies: they are sent one after the other at the channel's throughput.
 
 use std::collections::VecDeque;
 
 use bytes::Bytes;
+use serde::Serialize;
 use stepspur::interface::{Micros, ProxyId};
 
-use super::StreamId;
+use super::input::StreamId;
 
-/// A message that waits.
+/// Lines in the send channel's queue. Serialized as an array in the order of the fields.
+#[derive(Clone, Copy, Debug, Default, Serialize, PartialEq)]
+#[serde(into = "[f64; 2]")]
+pub struct ChannelDepth {
+    /// Lines in the queue now.
+    pub pending_lines: f64,
+    /// The most lines that were ever in the queue.
+    pub peak_lines: f64,
+}
+
+impl From<ChannelDepth> for [f64; 2] {
+    fn from(depth: ChannelDepth) -> Self {
+        [depth.pending_lines, depth.peak_lines]
+    }
+}
+
+/// A message in the queue.
 #[derive(Clone, Debug)]
 pub(crate) struct Message {
-    pub stream: StreamId,
-    pub proxy: ProxyId,
-    pub frame: Bytes,
-    /// The mark that it carries.
-    pub mark: Option<u32>,
-    /// What it costs, its head among them.
-    pub lines: f64,
-    pub ordered: Micros,
+    pub(crate) stream: StreamId,
+    pub(crate) proxy: ProxyId,
+    pub(crate) frame: Bytes,
+    /// The nonce that it carries.
+    pub(crate) nonce: Option<u32>,
+    /// Its size, the message's overhead included.
+    pub(crate) lines: f64,
+    pub(crate) enqueued_at: Micros,
 }
 
-/// Messages in their order. The one at the front takes its lines' time to leave.
+/// The queue of messages, in order. The one at the front occupies the channel for the time that its lines
+/// take.
 #[derive(Debug)]
 pub(crate) struct Channel {
-    lines_per_s: f64,
+    lines_per_second: f64,
     queue: VecDeque<Message>,
-    waiting: f64,
-    deepest: f64,
-    /// When the last one had left.
-    free_at: Micros,
+    pending_lines: f64,
+    peak_lines: f64,
+    /// When the last message was sent.
+    idle_since: Micros,
 }
 
 impl Channel {
-    pub(crate) fn new(lines_per_s: f64) -> Self {
-        Self { lines_per_s, queue: VecDeque::new(), waiting: 0.0, deepest: 0.0, free_at: 0 }
+    pub(crate) fn new(lines_per_second: f64) -> Self {
+        Self { lines_per_second, queue: VecDeque::new(), pending_lines: 0.0, peak_lines: 0.0, idle_since: 0 }
     }
 
+    /// Appends a message.
     pub(crate) fn push(&mut self, message: Message) {
-        self.waiting += message.lines;
-        self.deepest = self.deepest.max(self.waiting);
+        self.pending_lines += message.lines;
+        self.peak_lines = self.peak_lines.max(self.pending_lines);
         self.queue.push_back(message);
     }
 
-    /// The next message that has left by now.
+    /// Takes the next message that is sent by now.
     pub(crate) fn pop(&mut self, now: Micros) -> Option<Message> {
-        let at = self.next_at().filter(|at| *at <= now)?;
-        self.free_at = at;
+        let sent_at = self.next_at().filter(|at| *at <= now)?;
+        self.idle_since = sent_at;
         let message = self.queue.pop_front()?;
-        self.waiting = if self.queue.is_empty() { 0.0 } else { self.waiting - message.lines };
+        if self.queue.is_empty() {
+            self.pending_lines = 0.0;
+        } else {
+            self.pending_lines -= message.lines;
+        }
         Some(message)
     }
 
-    /// When the front one will have left.
+    /// When the message at the front is sent.
     pub(crate) fn next_at(&self) -> Option<Micros> {
         let front = self.queue.front()?;
-        let takes = front.lines / self.lines_per_s * 1e6;
-        Some(self.free_at.max(front.ordered).saturating_add(takes as Micros))
+        let duration = front.lines / self.lines_per_second * 1e6;
+        Some(self.idle_since.max(front.enqueued_at).saturating_add(duration as Micros))
     }
 
-    /// What waits for a stream that has ended is lost.
-    pub(crate) fn forget(&mut self, stream: StreamId) {
-        self.queue.retain(|m| m.stream != stream);
-        self.waiting = self.queue.iter().map(|m| m.lines).fold(0.0, |sum, lines| sum + lines);
+    /// Drops the messages of a stream that has ended.
+    pub(crate) fn remove_stream(&mut self, stream: StreamId) {
+        self.queue.retain(|message| message.stream != stream);
+        self.pending_lines = 0.0;
+        for message in &self.queue {
+            self.pending_lines += message.lines;
+        }
     }
 
-    /// Lines that wait now, and the most that ever did.
-    pub(crate) fn depth(&self) -> (f64, f64) {
-        (self.waiting, self.deepest)
+    /// The queue's length.
+    pub(crate) fn depth(&self) -> ChannelDepth {
+        ChannelDepth { pending_lines: self.pending_lines, peak_lines: self.peak_lines }
     }
 }
 
--- /dev/null
+++ b/crates/stepspur-conductor/src/engine/connect.rs
@@ -0,0 +1,173 @@
+//! How proxies connect and disconnect, and how streams are closed.
+
+use stepspur::interface::{Event, Micros, ProxyId, ZoneId};
+use stepspur_proto::{FromConductor, VERSION, frame, from_conductor, v1};
+
+use super::input::StreamId;
+use super::output::{LogEvent, Output};
+use super::protocol::GoAway;
+use super::state::Engine;
+use crate::config::micros;
+
+/// Longest name of a proxy, in bytes.
+const MAX_NAME_BYTES: usize = 128;
+/// Highest usual traffic that a proxy may announce, in requests per second.
+const MAX_USUAL_RATE: f64 = 1e6;
+
+/// A proxy that connects.
+pub(super) struct Connecting {
+    pub(super) proxy: ProxyId,
+    pub(super) zone: ZoneId,
+    /// Its usual traffic, in requests per second.
+    pub(super) rate: f64,
+    /// True: it has only its static tables.
+    pub(super) fresh: bool,
+}
+
+/// Why a `Hello` is rejected. The messages are sent to the proxy.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+enum HelloError {
+    #[error("Hello came twice")]
+    Repeated,
+    #[error("this conductor speaks version {VERSION}")]
+    UnsupportedVersion,
+    #[error("a name has 1 to {MAX_NAME_BYTES} bytes")]
+    InvalidName,
+    #[error("not a zone of this fleet")]
+    UnknownZone,
+    #[error("no number is left")]
+    NoFreeId { retry_after: Micros },
+}
+
+impl HelloError {
+    fn reason(self) -> v1::Reason {
+        match self {
+            Self::Repeated | Self::InvalidName => v1::Reason::BadMessage,
+            Self::UnsupportedVersion => v1::Reason::Version,
+            Self::UnknownZone => v1::Reason::UnknownZone,
+            Self::NoFreeId { .. } => v1::Reason::Full,
+        }
+    }
+}
+
+impl Engine {
+    /// The first frame of a stream: the proxy is connected, or rejected.
+    pub(super) fn handle_hello(&mut self, now: Micros, stream: StreamId, hello: v1::Hello) {
+        match self.accept_hello(now, stream, &hello) {
+            Ok(connecting) => {
+                self.connect(now, stream, connecting);
+                // Closing an older stream of the same name has released the id: claim it again.
+                let _ = self.proxy_ids.claim(&hello.name, now);
+                self.reply(stream, from_conductor::Kind::Welcome(self.welcome()));
+            }
+            Err(error @ HelloError::NoFreeId { retry_after }) => {
+                let detail = error.to_string();
+                self.close(stream, GoAway { reason: error.reason(), detail: &detail, retry_after });
+            }
+            Err(error) => self.terminate(now, stream, error.reason(), &error.to_string()),
+        }
+    }
+
+    /// Checks a `Hello` and claims the proxy's id.
+    fn accept_hello(
+        &mut self,
+        now: Micros,
+        stream: StreamId,
+        hello: &v1::Hello,
+    ) -> Result<Connecting, HelloError> {
+        if self.streams.proxy(stream).is_some() {
+            return Err(HelloError::Repeated);
+        }
+        if hello.version != VERSION {
+            return Err(HelloError::UnsupportedVersion);
+        }
+        if hello.name.is_empty() || hello.name.len() > MAX_NAME_BYTES {
+            return Err(HelloError::InvalidName);
+        }
+        let zone = self.config.fleet.zones.iter().position(|zone| *zone == hello.zone);
+        let zone = ZoneId(zone.ok_or(HelloError::UnknownZone)? as u16);
+        let claimed = self.proxy_ids.claim(&hello.name, now);
+        let proxy = claimed.map_err(|error| HelloError::NoFreeId { retry_after: error.retry_after })?;
+        let rate =
+            if hello.usual_rate.is_finite() { hello.usual_rate.clamp(0.0, MAX_USUAL_RATE) } else { 0.0 };
+        Ok(Connecting { proxy, zone, rate, fresh: hello.fresh })
+    }
+
+    fn welcome(&self) -> v1::Welcome {
+        v1::Welcome {
+            version: VERSION,
+            capabilities: Vec::new(),
+            zones: self.config.fleet.zones.clone(),
+            classes: self.config.fleet.classes.iter().map(|class| class.name.clone()).collect(),
+            report_every_us: micros(self.config.reports.every),
+            keepalive_us: micros(self.config.listen.keepalive),
+            largest_frame: self.config.listen.largest_frame as u64,
+        }
+    }
+
+    /// Connects a proxy whose protocol assigns proxy ids; ignored on a stream that is closed or already
+    /// connected.
+    pub(super) fn handle_proxy_connected(&mut self, now: Micros, stream: StreamId, connecting: Connecting) {
+        if !self.streams.is_closed(stream) && self.streams.proxy(stream).is_none() {
+            self.connect(now, stream, connecting);
+        }
+    }
+
+    /// Connects a proxy. Its newest stream wins: the previous one may be dead without the conductor knowing.
+    fn connect(&mut self, now: Micros, stream: StreamId, connecting: Connecting) {
+        let Connecting { proxy, zone, rate, fresh } = connecting;
+        if let Some(previous) = self.streams.stream(proxy) {
+            self.terminate(now, previous, v1::Reason::Replaced, "a newer stream has this name");
+        }
+        self.streams.connect(stream, proxy, zone);
+        self.tables.add_proxy(proxy);
+        self.batch.push(Event::ProxyConnected { proxy, zone, rate, fresh });
+        self.log(LogEvent::Joined { proxy: self.proxy_name(proxy), stream });
+    }
+
+    /// A stream has ended.
+    pub(super) fn handle_stream_end(&mut self, now: Micros, stream: StreamId) {
+        self.streams.remove_closed(stream);
+        self.disconnect(now, stream);
+    }
+
+    /// Removes the proxy of a stream that has ended or is to be closed.
+    pub(super) fn disconnect(&mut self, now: Micros, stream: StreamId) {
+        let Some(proxy) = self.streams.disconnect(stream) else { return };
+        self.channel.remove_stream(stream);
+        self.pending_acks.remove(proxy);
+        self.reports.remove_proxy(proxy);
+        self.tables.remove_proxy(proxy);
+        self.proxy_ids.release(proxy, now);
+        self.batch.push(Event::ProxyDisconnected { proxy });
+        self.log(LogEvent::Left { proxy: self.proxy_name(proxy), stream });
+    }
+
+    /// Disconnects a stream's proxy and closes the stream with a reason.
+    pub(super) fn terminate(&mut self, now: Micros, stream: StreamId, reason: v1::Reason, detail: &str) {
+        self.disconnect(now, stream);
+        self.close(stream, GoAway { reason, detail, retry_after: 0 });
+    }
+
+    fn close(&mut self, stream: StreamId, go_away: GoAway<'_>) {
+        let GoAway { reason, detail, .. } = go_away;
+        self.stats.closed_streams += 1;
+        self.streams.close(stream);
+        let frame = self.protocol.go_away(self.stamp(), go_away);
+        self.outputs.push_back(Output::Close { stream, reason, frame });
+        self.log(LogEvent::Refused { stream, reason, detail: detail.to_owned() });
+    }
+
+    /// Sends a frame that does not wait in the channel.
+    pub(super) fn reply(&mut self, stream: StreamId, kind: from_conductor::Kind) {
+        let message = FromConductor::new(self.epoch, self.sequence, kind);
+        if let Ok(frame) = frame(&message, usize::MAX) {
+            self.outputs.push_back(Output::Send { stream, frame });
+        }
+    }
+
+    /// The proxy's name, or its id where the protocol assigns ids.
+    pub(super) fn proxy_name(&self, proxy: ProxyId) -> String {
+        self.proxy_ids.name(proxy).map_or_else(|| proxy.0.to_string(), str::to_owned)
+    }
+}
--- /dev/null
+++ b/crates/stepspur-conductor/src/engine/dispatch.rs
@@ -0,0 +1,85 @@
+//! The engine's entry points: inputs go to their handlers; outputs, the next wake-up time and statistics come
+//! out.
+
+use stepspur::interface::{EndpointState, Micros};
+
+use super::connect::Connecting;
+use super::input::Input;
+use super::output::Output;
+use super::reports::UpstreamReport;
+use super::state::Engine;
+use super::stats::{ServerCounts, Stats};
+
+impl Engine {
+    /// Takes an input. Decisions follow with the next [`Engine::poll`].
+    pub fn handle(&mut self, now: Micros, input: Input) {
+        match input {
+            Input::EndpointList { update, entries } => self.handle_endpoint_list(now, update, entries),
+            Input::WallClock { unix } => self.endpoints.set_wall_clock(now, unix),
+            Input::ProbeResult { target, outcome, latency, load } => {
+                self.handle_probe_result(target, outcome, latency, load);
+            }
+            Input::Frame { stream, frame } => self.handle_frame(now, stream, frame),
+            Input::ProxyConnected { stream, proxy, zone, rate, fresh } => {
+                self.handle_proxy_connected(now, stream, Connecting { proxy, zone, rate, fresh });
+            }
+            Input::Acknowledged { stream, nonce, latency } => {
+                self.handle_acknowledgement(now, stream, nonce, latency);
+            }
+            Input::UpstreamStats { server, zone, period, attempts, latency, load } => {
+                self.handle_upstream_stats(UpstreamReport { server, zone, period, attempts, latency, load });
+            }
+            Input::ClientStats { proxy, class, period, requests } => {
+                self.handle_client_stats(proxy, class, period, requests);
+            }
+            Input::InvalidMessage { by, what } => self.record_invalid_report(by, what),
+            Input::StreamEnded { stream } => self.handle_stream_end(now, stream),
+            Input::StreamFailed { stream, reason, detail } => self.terminate(now, stream, reason, &detail),
+        }
+    }
+
+    /// Runs what is due and returns the next output; call it until it returns none.
+    pub fn poll(&mut self, now: Micros) -> Option<Output> {
+        if self.outputs.is_empty() {
+            self.run_due(now);
+        }
+        self.outputs.pop_front()
+    }
+
+    /// When [`Engine::poll`] is next due if no input arrives before; none if nothing is scheduled.
+    pub fn next_at(&self) -> Option<Micros> {
+        if !self.outputs.is_empty() {
+            return Some(0);
+        }
+        let decision = (!self.batch.is_empty()).then(|| self.next_decision_at());
+        let timer = self.timers.first().map(|timer| timer.due_at);
+        let ack = self.pending_acks.oldest().map(|pending| self.ack_deadline(pending.sent_at));
+        let ack = ack.filter(|deadline| *deadline < Micros::MAX);
+        let fetch = self.endpoints.next_fetch_at();
+        [decision, timer, ack, fetch, self.channel.next_at(), self.reports.next_at()]
+            .into_iter()
+            .flatten()
+            .min()
+    }
+
+    /// The statistics as of now.
+    pub fn stats(&self) -> Stats {
+        Stats {
+            sequence: self.sequence,
+            connected: self.streams.connected(),
+            unassigned: self.tables.unassigned(),
+            known_proxies: self.proxy_ids.known(),
+            servers: ServerCounts {
+                ready: self.endpoints.count(EndpointState::Ready),
+                draining: self.endpoints.count(EndpointState::Draining),
+                total: self.endpoints.len(),
+            },
+            tables: self.tables.assigned_tables(),
+            ejected: self.tables.ejected(),
+            channel: self.channel.depth(),
+            pending_acks: self.pending_acks.len(),
+            pending_reports: self.reports.len(),
+            ..self.stats.clone()
+        }
+    }
+}
--- /dev/null
+++ b/crates/stepspur-conductor/src/engine/frames.rs
@@ -0,0 +1,68 @@
+//! Handles frames of the project's own protocol, and acknowledgements of every protocol.
+
+use stepspur::interface::{Event, Micros, ProxyId};
+use stepspur_proto::{FromProxy, from_conductor, from_proxy, v1};
+
+use super::input::StreamId;
+use super::reports::InvalidReport;
+use super::state::Engine;
+
+impl Engine {
+    /// Handles a frame of the project's own protocol.
+    pub(super) fn handle_frame(&mut self, now: Micros, stream: StreamId, frame: FromProxy) {
+        let FromProxy { epoch, sequence, kind } = frame;
+        let Some(kind) = kind else { return };
+        if self.streams.is_closed(stream) {
+            return;
+        }
+        if let from_proxy::Kind::Hello(hello) = kind {
+            return self.handle_hello(now, stream, hello);
+        }
+        let Some(proxy) = self.streams.proxy(stream) else {
+            return self.terminate(now, stream, v1::Reason::BadMessage, "the first message must be Hello");
+        };
+        match kind {
+            // Nonces of an earlier epoch are not pending any more.
+            from_proxy::Kind::Applied(applied) if epoch == self.epoch => {
+                self.acknowledge(now, proxy, applied.mark, None);
+            }
+            from_proxy::Kind::Report(_) if epoch == self.epoch && sequence > self.sequence => {
+                let error = InvalidReport::FutureUpdate { sequence, newest: self.sequence };
+                self.reject_report(proxy, &error);
+            }
+            from_proxy::Kind::Report(report) => self.handle_report(now, proxy, report),
+            from_proxy::Kind::Ping(ping) => {
+                self.reply(stream, from_conductor::Kind::Pong(v1::Pong { token: ping.token }));
+            }
+            from_proxy::Kind::Goodbye(_) => self.disconnect(now, stream),
+            // Renewed grants are the session's concern.
+            from_proxy::Kind::Applied(_)
+            | from_proxy::Kind::Renew(_)
+            | from_proxy::Kind::Pong(_)
+            | from_proxy::Kind::Hello(_) => {}
+        }
+    }
+
+    /// Handles an acknowledgement; one that is not pending is logged as invalid.
+    pub(super) fn handle_acknowledgement(
+        &mut self,
+        now: Micros,
+        stream: StreamId,
+        nonce: u32,
+        latency: Option<Micros>,
+    ) {
+        let Some(proxy) = self.streams.proxy(stream) else { return };
+        if !self.acknowledge(now, proxy, nonce, latency) {
+            self.reject_report(proxy, &InvalidReport::UnexpectedNonce { nonce });
+        }
+    }
+
+    /// Records an acknowledgement and returns true if it was pending. Without a reported latency, the time
+    /// since the update was sent counts.
+    fn acknowledge(&mut self, now: Micros, proxy: ProxyId, nonce: u32, latency: Option<Micros>) -> bool {
+        let Some(since_sent) = self.pending_acks.acknowledge(proxy, nonce, now) else { return false };
+        let latency = latency.unwrap_or(since_sent);
+        self.batch.push(Event::Acknowledged { proxy, nonce, latency });
+        true
+    }
+}
--- a/crates/stepspur-conductor/src/engine/input.rs
+++ b/crates/stepspur-conductor/src/engine/input.rs
@@ -1,4 +1,4 @@
-//! What the engine is told.
+//! What the engine takes in.
 
 use std::net::SocketAddr;
 
@@ -8,16 +8,15 @@
 };
 use stepspur_proto::{FromProxy, v1};
 
-use super::ProbeTarget;
-
-/// A proxy's stream, by a number that is never used again.
+/// Identifies a proxy's stream; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct StreamId(pub u64);
 
-/// A server as a list names it.
+/// One entry of the endpoint list as the source of the list gives it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DiscoveredEndpoint {
-    /// Its name, where lists name servers: then that is what it is known by, and its address may change.
+    /// Its name, where the source names servers: the name then identifies the server, and its address may
+    /// change.
     pub name: Option<String>,
     /// Its address.
     pub address: SocketAddr,
@@ -25,31 +24,52 @@
     pub zone: String,
     /// Its state.
     pub state: EndpointState,
-    /// Its weight; 0: none is listed.
+    /// Its configured weight; 0: none.
     pub weight: f64,
-    /// Its last start, microseconds since 1970; 0: long ago.
+    /// When its process last started, in microseconds since 1970; 0: long ago.
     pub started: Micros,
 }
 
-/// Something that happened.
+/// What a probe is sent to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ProbeTarget {
+    /// The server.
+    pub server: ServerId,
+    /// Its address when the probe was requested.
+    pub address: SocketAddr,
+    /// Its last start as listed then, in microseconds since 1970; 0: long ago.
+    pub started: Micros,
+}
+
+/// Attempts or requests counted over a period.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct RequestCounts {
+    /// All of them.
+    pub total: u32,
+    /// Those that failed.
+    pub errors: u32,
+}
+
+/// An input of the engine.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// News of the list of servers.
+    /// An update of the endpoint list.
     EndpointList {
-        /// How it builds on the list before.
-        how: ListUpdate,
-        /// The servers that it names.
+        /// How it relates to the list before it.
+        update: ListUpdate,
+        /// Its entries.
         entries: Vec<DiscoveredEndpoint>,
     },
-    /// What the machine's clock shows. Starts are told by such clocks, and it may have been set since the engine's
-    /// own time, which only goes forward, was taken from it.
+    /// The wall clock's time. Starts of servers are given by wall clocks, and this machine's may have been
+    /// set since the engine's time, which is monotonic, was derived from it.
     WallClock {
         /// Microseconds since 1970.
         unix: Micros,
     },
-    /// The result of a probe. It counts only while the list has its server at that address and with that start.
+    /// The result of a probe. It counts only while the list has the server at that address and with that
+    /// start.
     ProbeResult {
-        /// What it was sent to, as ordered.
+        /// What it was sent to, as requested.
         target: ProbeTarget,
         /// The outcome.
         outcome: ProbeOutcome,
@@ -58,62 +78,62 @@
         /// Load report, empty if none.
         load: Vec<f32>,
     },
-    /// A frame came on a stream; its first must be a `Hello`.
+    /// A frame arrived on a stream; the first one must be a `Hello`.
     Frame {
         /// The stream.
         stream: StreamId,
         /// The frame.
         frame: FromProxy,
     },
-    /// A proxy whose protocol gives it its number has joined: its stream stands.
+    /// A proxy connected whose protocol assigns proxy ids.
     ProxyConnected {
         /// The stream.
         stream: StreamId,
-        /// The proxy's number, below the fleet's.
+        /// The proxy, below the fleet's number of proxies.
         proxy: ProxyId,
         /// Its zone, one of the fleet's.
         zone: ZoneId,
-        /// Requests a second that it usually gets.
+        /// Its usual traffic, in requests per second.
         rate: f64,
-        /// True: it holds only its standing tables.
+        /// True: it has only its static tables.
         fresh: bool,
     },
-    /// A proxy has applied what carried this mark.
+    /// A proxy has applied the update that carried this nonce.
     Acknowledged {
         /// Its stream.
         stream: StreamId,
-        /// The mark.
-        mark: u32,
-        /// From the order to its taking effect, if the protocol tells it.
+        /// The nonce.
+        nonce: u32,
+        /// From the update to its taking effect, if the protocol reports it.
         latency: Option<Micros>,
     },
-    /// What the joined proxies of a zone met at a server, summed elsewhere.
+    /// What the connected proxies of a zone measured at one server, summed by a collector.
     UpstreamStats {
         /// The server.
         server: ServerId,
         /// The zone.
         zone: ZoneId,
-        /// Time over which it was counted.
+        /// Time over which it was measured.
         period: Micros,
-        /// Tries, and those of them with no good answer.
-        tries: [u32; 2],
-        /// Mean time of the good ones.
+        /// Attempts, and those that failed.
+        attempts: RequestCounts,
+        /// Mean latency of the successful ones, 0 if none.
         latency: Micros,
         /// Load report, empty if none.
         load: Vec<f32>,
     },
-    /// Requests of a class that came to a proxy, summed elsewhere.
+    /// Requests of one class that clients sent to a proxy, summed by a collector.
     ClientStats {
         /// The proxy.
         proxy: ProxyId,
         /// The class.
         class: ClassId,
-        /// Time over which it was counted.
+        /// Time over which they were counted.
         period: Micros,
-        /// Requests that came, and those let in that got no answer.
-        requests: [u32; 2],
+        /// Requests received, and those admitted that got no response.
+        requests: RequestCounts,
     },
-    /// A message of a joined caller made no sense and was passed over.
+    /// A message of a connected caller was invalid and has been skipped.
     InvalidMessage {
         /// Who sent it.
         by: String,
@@ -125,13 +145,13 @@
         /// The stream.
         stream: StreamId,
     },
-    /// A stream must end: what came on it was no frame, or nothing came, or nothing was taken.
+    /// A stream must be closed: its bytes were no frame, or it timed out.
     StreamFailed {
         /// The stream.
         stream: StreamId,
         /// Why.
         reason: v1::Reason,
-        /// In words.
+        /// The same in words.
         detail: String,
     },
 }
--- a/crates/stepspur-conductor/src/engine/output.rs
+++ b/crates/stepspur-conductor/src/engine/output.rs
@@ -1,21 +1,22 @@
-//! What the engine asks for, and what it tells the operators.
+//! What the engine asks its caller to do.
 
 use bytes::Bytes;
 use stepspur_proto::v1;
 
-use super::{ProbeTarget, StreamId};
+use super::input::{ProbeTarget, StreamId};
 
-/// Something to do.
+/// An output of the engine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Write a frame to a stream.
     Send {
         /// The stream.
         stream: StreamId,
-        /// The whole frame.
+        /// The complete frame.
         frame: Bytes,
     },
-    /// End a stream after a last frame; no `Ended` is needed for it.
+    /// Close a stream after a last frame; no [`Input::StreamEnded`](super::Input::StreamEnded) is needed for
+    /// it.
     Close {
         /// The stream.
         stream: StreamId,
@@ -24,25 +25,25 @@
         /// The last frame.
         frame: Bytes,
     },
-    /// Probe a server.
+    /// Check a server's health.
     Probe {
-        /// What to send it to.
+        /// What to send the probe to.
         target: ProbeTarget,
     },
-    /// Ask the source for changes from now on.
+    /// Watch the endpoint list for changes from now on.
     WatchEndpoints,
-    /// Ask the source for the whole list once.
+    /// Fetch the complete endpoint list once.
     FetchEndpoints,
-    /// A line for the log.
+    /// Log an event.
     Log(LogEvent),
 }
 
-/// What the operators may want to know.
+/// An event for the log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LogEvent {
-    /// The decision module's own line.
+    /// A line of the decision module.
     Decision(String),
-    /// A proxy joined.
+    /// A proxy connected.
     Joined {
         /// Its name.
         proxy: String,
@@ -56,42 +57,42 @@
         /// Its stream.
         stream: StreamId,
     },
-    /// A stream was refused or cut off.
+    /// A stream was rejected or closed by the conductor.
     Refused {
         /// The stream.
         stream: StreamId,
         /// Why.
         reason: v1::Reason,
-        /// In words.
+        /// The same in words.
         detail: String,
     },
-    /// Part of a report made no sense and was passed over.
+    /// Part of a report was invalid and has been skipped.
     InvalidReport {
         /// The proxy.
         proxy: String,
         /// What was wrong.
         what: String,
     },
-    /// Part of an entry of a list made no sense; what was known before stands, if anything.
+    /// Part of an entry of the endpoint list was invalid; the previous value, if any, remains in use.
     InvalidEntry {
         /// The server: its name, or its address.
         server: String,
         /// What was wrong.
         what: String,
     },
-    /// A whole list lacked too many servers and is not believed yet.
+    /// A complete list lacked too many servers: what it lacks is not removed yet.
     MassRemovalSuspected {
         /// Ready servers that it lacks.
         lacking: usize,
         /// Servers that it names.
         named: usize,
     },
-    /// The source failed; the old list stands.
+    /// The source of the endpoint list failed; the previous list remains in use.
     DiscoveryFailed,
 }
 
 impl LogEvent {
-    /// True: it tells of input that made no sense, of which there may be any amount.
+    /// True for events that invalid input causes; a faulty or hostile peer may cause any number of them.
     pub fn is_about_invalid_input(&self) -> bool {
         matches!(
             self,
--- /dev/null
+++ b/crates/stepspur-conductor/src/engine/schedule.rs
@@ -0,0 +1,173 @@
+//! What the engine does when it is due: it closes overdue streams, decides on batches and sends messages.
+
+use stepspur::interface::{Action, Event, Micros, ServerId};
+use stepspur_proto::v1;
+
+use super::channel::Message;
+use super::output::{LogEvent, Output};
+use super::state::{Engine, PolicyTimer};
+use super::tables::AddressedUpdate;
+use crate::config::micros;
+
+/// The decision module runs every 250 ms at least. An engine that did not run for this long, in microseconds,
+/// was itself suspended.
+const SUSPENDED_AFTER: Micros = 1_000_000;
+
+impl Engine {
+    /// Does all that is due.
+    pub(super) fn run_due(&mut self, now: Micros) {
+        self.extend_ack_deadlines(now);
+        self.close_overdue_streams(now);
+        if self.endpoints.take_due_fetch(now) {
+            self.outputs.push_back(Output::FetchEndpoints);
+        }
+        let reports = self.reports.take_due(now);
+        self.batch.extend(reports);
+        self.expire_timers(now);
+        if !self.batch.is_empty() && now >= self.next_decision_at() {
+            self.decide(now);
+        }
+        self.send_due_messages(now);
+        self.expire_servers(now);
+    }
+
+    /// When a batch is next decided on.
+    pub(super) fn next_decision_at(&self) -> Micros {
+        self.decided_at + micros(self.config.channel.batch)
+    }
+
+    /// The time by which an update sent at `sent_at` must be acknowledged.
+    pub(super) fn ack_deadline(&self, sent_at: Micros) -> Micros {
+        let deadline = sent_at.saturating_add(micros(self.config.channel.mark_timeout));
+        deadline.max(self.ack_deadlines_extended_until)
+    }
+
+    /// After the engine itself was suspended, acknowledgements wait unread: no stream is closed for them.
+    fn extend_ack_deadlines(&mut self, now: Micros) {
+        if now > self.last_run_at + SUSPENDED_AFTER {
+            self.ack_deadlines_extended_until = now.saturating_add(micros(self.config.channel.mark_timeout));
+        }
+        self.last_run_at = now;
+    }
+
+    fn close_overdue_streams(&mut self, now: Micros) {
+        while let Some(oldest) = self.pending_acks.oldest() {
+            if now < self.ack_deadline(oldest.sent_at) {
+                return;
+            }
+            match self.streams.stream(oldest.proxy) {
+                Some(stream) => self.terminate(now, stream, v1::Reason::Slow, "a mark stayed unanswered"),
+                None => self.pending_acks.remove(oldest.proxy),
+            }
+        }
+    }
+
+    fn expire_timers(&mut self, now: Micros) {
+        while let Some(timer) = self.timers.first().copied().filter(|timer| timer.due_at <= now) {
+            self.timers.remove(&timer);
+            self.batch.push(Event::Timer { token: timer.token });
+        }
+    }
+
+    /// Passes the batch to the decision module and carries out its actions.
+    fn decide(&mut self, now: Micros) {
+        self.decided_at = now;
+        let batch = std::mem::take(&mut self.batch);
+        self.stats.events += batch.len() as u64;
+        let actions = self.policy.decide(now, &batch);
+        for action in &actions {
+            self.carry_out(now, action);
+        }
+        let updates = self.tables.apply(&actions, now);
+        self.enqueue_updates(now, updates);
+    }
+
+    /// Carries out an action that is not about tables.
+    fn carry_out(&mut self, now: Micros, action: &Action) {
+        match action {
+            Action::SetTimer { after, token } => {
+                let due_at = now + after.max(&1);
+                self.timers.insert(PolicyTimer { due_at, token: *token });
+            }
+            Action::Probe { server } => self.probe(*server),
+            Action::WatchEndpoints => self.outputs.push_back(Output::WatchEndpoints),
+            Action::FetchEndpoints => self.outputs.push_back(Output::FetchEndpoints),
+            Action::Log(line) => {
+                let readable = self.endpoints.ids().with_readable_ids(line);
+                self.log(LogEvent::Decision(readable));
+            }
+            // `Tables::apply` takes these.
+            Action::SetWeight { .. }
+            | Action::SetAdmission { .. }
+            | Action::AssignTable { .. }
+            | Action::SetEjected { .. }
+            | Action::RequestAck { .. } => {}
+        }
+    }
+
+    /// Puts the updates of one decision into the channel, under one sequence number.
+    pub(super) fn enqueue_updates(&mut self, now: Micros, updates: Vec<AddressedUpdate>) {
+        if updates.is_empty() {
+            return;
+        }
+        self.sequence += 1;
+        self.stats.updates += 1;
+        for addressed in updates {
+            self.enqueue(now, addressed);
+        }
+    }
+
+    /// Encodes an update once for all its recipients. If it cannot be encoded, their streams are closed.
+    fn enqueue(&mut self, now: Micros, addressed: AddressedUpdate) {
+        let AddressedUpdate { recipients, update } = addressed;
+        let max_size = self.config.listen.largest_frame;
+        let encoded = self.protocol.encode_update(self.stamp(), &update, self.endpoints.ids(), max_size);
+        let frame = match encoded {
+            Ok(frame) => frame,
+            Err(error) => {
+                let streams: Vec<_> =
+                    recipients.iter().filter_map(|proxy| self.streams.stream(*proxy)).collect();
+                for stream in streams {
+                    self.terminate(now, stream, v1::Reason::BadFrame, &error.to_string());
+                }
+                return;
+            }
+        };
+        let nonce = update.nonce.map(u32::from);
+        let lines = update.line_count() as f64 + self.config.channel.message_head;
+        let window = micros(self.config.channel.message_window);
+        for proxy in recipients {
+            let Some(write) = self.streams.record_write(proxy, now, window) else { continue };
+            let most = self.stats.max_messages_in_window.max(write.messages_in_window);
+            self.stats.max_messages_in_window = most;
+            self.channel.push(Message {
+                stream: write.stream,
+                proxy,
+                frame: frame.clone(),
+                nonce,
+                lines,
+                enqueued_at: now,
+            });
+        }
+    }
+
+    /// Sends the messages that have passed the channel.
+    fn send_due_messages(&mut self, now: Micros) {
+        while let Some(message) = self.channel.pop(now) {
+            self.stats.messages += 1;
+            if let Some(nonce) = message.nonce {
+                self.pending_acks.record_sent(message.proxy, nonce, now);
+            }
+            self.outputs.push_back(Output::Send { stream: message.stream, frame: message.frame });
+        }
+    }
+
+    /// Forgets servers that were removed long ago and that no table names.
+    fn expire_servers(&mut self, now: Micros) {
+        let expired: Vec<ServerId> = self.endpoints.expire(now, |server| self.tables.names(server));
+        for server in expired {
+            self.tables.forget_server(server);
+            self.probes.remove(server);
+        }
+    }
+}
--- a/crates/stepspur-conductor/src/engine/stats.rs
+++ b/crates/stepspur-conductor/src/engine/stats.rs
@@ -1,69 +1,72 @@
-//! Counts for the status page and the tests.
+//! Statistics of the engine for the status page.
 
 use serde::Serialize;
-use stepspur::interface::EndpointState;
 
-use super::Engine;
+use super::channel::ChannelDepth;
 
-/// Counts since the start, for the status page and the tests.
+/// Statistics of an engine since its start. The status page prints them as JSON under the serialized names.
 #[derive(Clone, Debug, Default, Serialize, PartialEq)]
 pub struct Stats {
     /// The epoch.
     pub epoch: u64,
-    /// The newest order.
+    /// Sequence number of the newest update.
     pub sequence: u64,
-    /// Proxies joined now.
-    pub joined: usize,
-    /// Of them, those not bound to a table yet.
-    pub unbound: usize,
-    /// Names that have a number.
-    pub proxies_known: usize,
-    /// Servers listed ready, draining and in all.
-    pub servers: [usize; 3],
-    /// Tables with users.
+    /// Proxies connected now.
+    #[serde(rename = "joined")]
+    pub connected: usize,
+    /// Of them, those without an assigned table.
+    #[serde(rename = "unbound")]
+    pub unassigned: usize,
+    /// Proxy names that have an id.
+    #[serde(rename = "proxies_known")]
+    pub known_proxies: usize,
+    /// Servers of the endpoint list.
+    pub servers: ServerCounts,
+    /// Tables assigned to at least one proxy.
     pub tables: usize,
-    /// Servers withdrawn from proxies that wait for a table.
-    pub withdrawn: usize,
-    /// Lines that wait in the channel, and the most that ever did.
-    pub channel: [f64; 2],
-    /// The most messages written to one proxy within the window.
-    pub messages_most: usize,
-    /// Marks that wait for answers.
-    pub marks: usize,
-    /// Lines of reports that wait.
-    pub reports_waiting: usize,
-    /// Orders, messages, lines sent.
-    pub orders: u64,
+    /// Servers ejected at proxies.
+    #[serde(rename = "withdrawn")]
+    pub ejected: usize,
+    /// The send channel's queue.
+    pub channel: ChannelDepth,
+    /// The most messages written to one proxy within the message window.
+    #[serde(rename = "messages_most")]
+    pub max_messages_in_window: usize,
+    /// Acknowledgements not yet received.
+    #[serde(rename = "marks")]
+    pub pending_acks: usize,
+    /// Entries of load reports not yet passed to the decision module.
+    #[serde(rename = "reports_waiting")]
+    pub pending_reports: usize,
+    /// Updates decided.
+    #[serde(rename = "orders")]
+    pub updates: u64,
     /// Messages sent.
     pub messages: u64,
-    /// Parts of reports and lists that made no sense.
-    pub nonsense: u64,
-    /// Streams refused or cut off.
-    pub refused: u64,
-    /// Events that the decisions were given.
+    /// Invalid parts of reports and endpoint lists, which were skipped.
+    #[serde(rename = "nonsense")]
+    pub invalid_inputs: u64,
+    /// Streams rejected or closed by the conductor.
+    #[serde(rename = "refused")]
+    pub closed_streams: u64,
+    /// Events passed to the decision module.
     pub events: u64,
 }
 
-impl Engine {
-    /// Counts, now.
-    pub fn stats(&self) -> Stats {
-        let (waiting, deepest) = self.channel.depth();
-        Stats {
-            sequence: self.sequence,
-            joined: self.streams.joined(),
-            unbound: self.tables.unbound(),
-            proxies_known: self.numbers.known(),
-            servers: [
-                self.servers.count(EndpointState::Ready),
-                self.servers.count(EndpointState::Draining),
-                self.servers.len(),
-            ],
-            tables: self.tables.all().values().filter(|table| !table.users.is_empty()).count(),
-            withdrawn: self.tables.withdrawn().len(),
-            channel: [waiting, deepest],
-            marks: self.marks.len(),
-            reports_waiting: self.intake.len(),
-            ..self.stats.clone()
-        }
+/// Servers of the endpoint list, by state. Serialized as an array in the order of the fields.
+#[derive(Clone, Copy, Debug, Default, Serialize, PartialEq, Eq)]
+#[serde(into = "[usize; 3]")]
+pub struct ServerCounts {
+    /// Listed as ready.
+    pub ready: usize,
+    /// Listed as draining.
+    pub draining: usize,
+    /// All, also those removed that are not forgotten yet.
+    pub total: usize,
+}
+
+impl From<ServerCounts> for [usize; 3] {
+    fn from(counts: ServerCounts) -> Self {
+        [counts.ready, counts.draining, counts.total]
     }
 }
--- a/crates/stepspur-conductor/src/engine/tables.rs
+++ b/crates/stepspur-conductor/src/engine/tables.rs
@@ -1,222 +1,312 @@
-//! Tables as ordered, and what of a reply each proxy must be told.
+//! The tables as decided, and which part of a decision each proxy has to get.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use stepspur::interface::{Action, AdmissionMode, ClassId, ProxyId, RetryPolicy, ServerId, TableId};
+use stepspur::interface::{Action, AdmissionMode, ClassId, Micros, ProxyId, RetryPolicy, ServerId, TableId};
 
-use super::order::{AdmissionLevel, ClassAdmission, ProxyUpdate};
+use super::proxy_update::{AdmissionLevel, ClassAdmission, EjectionChange, ProxyUpdate, ServerWeight};
 
-/// A table.
+/// A table and the proxies that it is assigned to.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Table {
-    pub lines: BTreeMap<ServerId, f32>,
-    pub levels: BTreeMap<ClassId, (RetryPolicy, f32)>,
-    pub users: BTreeSet<ProxyId>,
+struct Table {
+    weights: BTreeMap<ServerId, f32>,
+    admissions: BTreeMap<ClassId, DecidedAdmission>,
+    proxies: BTreeSet<ProxyId>,
 }
 
-/// What of a reply concerns a table's users.
+/// Admission of a class as the decision module sets it.
+#[derive(Clone, Copy, Debug)]
+struct DecidedAdmission {
+    retry_policy: RetryPolicy,
+    /// Interpreted by [`AdmissionMode`].
+    level: f32,
+}
+
+/// What one decision changes in a table.
+#[derive(Debug, Default)]
+struct TableChanges {
+    weights: BTreeMap<ServerId, f32>,
+    /// Of those servers, the ones that the table did not have before.
+    added: BTreeSet<ServerId>,
+    admissions: BTreeMap<ClassId, DecidedAdmission>,
+}
+
+/// What one decision changes in all tables.
 #[derive(Debug, Default)]
-struct Changes {
-    lines: BTreeMap<ServerId, f32>,
-    /// Of them, those that were not there before.
-    new: BTreeSet<ServerId>,
-    levels: BTreeMap<ClassId, (RetryPolicy, f32)>,
+struct DecisionChanges {
+    tables: BTreeMap<TableId, TableChanges>,
+    /// Proxies that a table was assigned to: each gets the complete table.
+    assigned: BTreeSet<ProxyId>,
+    /// Servers whose ejection begins (true) or ends.
+    ejections: BTreeMap<ServerId, bool>,
+    /// The nonce to be acknowledged, if one is requested.
+    nonce: Option<u16>,
 }
 
-/// One order, and those who get it.
+/// An update and the proxies that get it.
 #[derive(Debug)]
-pub(crate) struct Addressed {
-    pub to: Vec<ProxyId>,
-    pub order: ProxyUpdate,
+pub(crate) struct AddressedUpdate {
+    pub(crate) recipients: Vec<ProxyId>,
+    pub(crate) update: ProxyUpdate,
 }
 
-/// All tables, who is bound to which, and what is withdrawn.
+/// All tables, their assignment to proxies, and the ejected servers.
 #[derive(Debug, Default)]
 pub(crate) struct Tables {
     tables: BTreeMap<TableId, Table>,
-    bound: BTreeMap<ProxyId, TableId>,
-    /// Joined, and bound to no table yet: they go by what they hold.
-    unbound: BTreeSet<ProxyId>,
-    withdrawn: BTreeSet<ServerId>,
-    /// Servers that have been out or restarted: where proxies keep withdrawals, one may still shut them out, on
-    /// another conductor's word or on this one's from before its start.
-    suspects: BTreeSet<ServerId>,
-    keeps_withdrawals: bool,
-    admit: AdmissionMode,
-    /// Shares that operators let in at most.
-    caps: BTreeMap<ClassId, f32>,
+    assignments: BTreeMap<ProxyId, TableId>,
+    /// Connected proxies without a table: they use what they have cached.
+    unassigned: BTreeSet<ProxyId>,
+    ejected: BTreeSet<ServerId>,
+    /// Servers that were out of service or restarted. Where ejections persist, a proxy may still have one
+    /// ejected, by another conductor or by this one before its start.
+    interrupted: BTreeSet<ServerId>,
+    ejections_persist: bool,
+    admission_mode: AdmissionMode,
+    /// Admission ratios that operators have capped.
+    admission_caps: BTreeMap<ClassId, f32>,
 }
 
 impl Tables {
-    pub(crate) fn new(admit: AdmissionMode, keeps_withdrawals: bool) -> Self {
-        Self { admit, keeps_withdrawals, ..Self::default() }
+    pub(crate) fn new(admission_mode: AdmissionMode, ejections_persist: bool) -> Self {
+        Self { admission_mode, ejections_persist, ..Self::default() }
     }
 
-    /// A server has been out, or has restarted.
-    pub(crate) fn suspect(&mut self, server: ServerId) {
-        self.suspects.insert(server);
+    /// A server was out of service or has restarted.
+    pub(crate) fn mark_interrupted(&mut self, server: ServerId) {
+        self.interrupted.insert(server);
     }
 
-    /// A server is forgotten.
-    pub(crate) fn forget(&mut self, server: ServerId) {
-        self.suspects.remove(&server);
+    /// Forgets a server.
+    pub(crate) fn forget_server(&mut self, server: ServerId) {
+        self.interrupted.remove(&server);
     }
 
-    pub(crate) fn join(&mut self, proxy: ProxyId) {
-        self.leave(proxy);
-        self.unbound.insert(proxy);
+    /// Adds a proxy that has connected; it has no table yet.
+    pub(crate) fn add_proxy(&mut self, proxy: ProxyId) {
+        self.remove_proxy(proxy);
+        self.unassigned.insert(proxy);
     }
 
-    pub(crate) fn leave(&mut self, proxy: ProxyId) {
-        self.unbound.remove(&proxy);
-        if let Some(table) = self.bound.remove(&proxy).and_then(|id| self.tables.get_mut(&id)) {
-            table.users.remove(&proxy);
+    /// Removes a proxy that has disconnected.
+    pub(crate) fn remove_proxy(&mut self, proxy: ProxyId) {
+        self.unassigned.remove(&proxy);
+        if let Some(id) = self.assignments.remove(&proxy)
+            && let Some(table) = self.tables.get_mut(&id)
+        {
+            table.proxies.remove(&proxy);
         }
     }
 
-    pub(crate) fn all(&self) -> &BTreeMap<TableId, Table> {
-        &self.tables
+    /// Number of tables that are assigned to a proxy.
+    pub(crate) fn assigned_tables(&self) -> usize {
+        self.tables.values().filter(|table| !table.proxies.is_empty()).count()
     }
 
-    pub(crate) fn withdrawn(&self) -> &BTreeSet<ServerId> {
-        &self.withdrawn
+    /// Number of ejected servers.
+    pub(crate) fn ejected(&self) -> usize {
+        self.ejected.len()
     }
 
-    pub(crate) fn unbound(&self) -> usize {
-        self.unbound.len()
+    /// Number of connected proxies without a table.
+    pub(crate) fn unassigned(&self) -> usize {
+        self.unassigned.len()
     }
 
-    /// True: some table names it, or it is withdrawn.
+    /// True if a table names the server or it is ejected.
     pub(crate) fn names(&self, server: ServerId) -> bool {
-        self.withdrawn.contains(&server) || self.tables.values().any(|t| t.lines.contains_key(&server))
+        self.ejected.contains(&server)
+            || self.tables.values().any(|table| table.weights.contains_key(&server))
     }
 
-    /// Applies a reply and gives the orders that it makes: one for each proxy concerned.
-    pub(crate) fn apply(&mut self, actions: &[Action], now: u64) -> Vec<Addressed> {
-        let mut changes: BTreeMap<TableId, Changes> = BTreeMap::new();
-        let mut bound: BTreeSet<ProxyId> = BTreeSet::new();
-        let mut turned: BTreeMap<ServerId, bool> = BTreeMap::new();
-        let mut mark = None;
+    /// Applies a decision and returns the updates that follow from it, one for each proxy concerned.
+    pub(crate) fn apply(&mut self, actions: &[Action], now: Micros) -> Vec<AddressedUpdate> {
+        let mut changes = DecisionChanges::default();
         for action in actions {
-            match action {
-                Action::SetWeight { table, server, weight } => {
-                    let lines = &mut self.tables.entry(*table).or_default().lines;
-                    let change = changes.entry(*table).or_default();
-                    if *weight > 0.0 && lines.insert(*server, *weight).is_none() {
-                        change.new.insert(*server);
-                    } else if *weight <= 0.0 {
-                        lines.remove(server);
-                    }
-                    change.lines.insert(*server, *weight);
-                }
-                Action::SetAdmission { table, class, retry_policy: resend, level } => {
-                    self.tables.entry(*table).or_default().levels.insert(*class, (*resend, *level));
-                    changes.entry(*table).or_default().levels.insert(*class, (*resend, *level));
-                }
-                Action::AssignTable { proxy, table } => {
-                    // One that has left meanwhile is bound to nothing.
-                    if self.unbound.contains(proxy) || self.bound.contains_key(proxy) {
-                        self.leave(*proxy);
-                        self.bound.insert(*proxy, *table);
-                        self.tables.entry(*table).or_default().users.insert(*proxy);
-                        bound.insert(*proxy);
-                    }
+            self.apply_action(action, &mut changes);
+        }
+        let mut updates = self.updates_of_tables(&changes);
+        updates.extend(self.update_of_unassigned(&changes));
+        updates.retain(|addressed| addressed.update.line_count() > 0);
+        for AddressedUpdate { update, .. } in &mut updates {
+            update.nonce = changes.nonce;
+            update.decided_at = now;
+        }
+        updates
+    }
+
+    /// Caps the admission ratio of a class, or lifts the cap at 1, and returns the updates that follow from
+    /// it.
+    pub(crate) fn cap_admission(&mut self, class: ClassId, ratio: f32, now: Micros) -> Vec<AddressedUpdate> {
+        if ratio < 1.0 {
+            self.admission_caps.insert(class, ratio);
+        } else {
+            self.admission_caps.remove(&class);
+        }
+        let mut updates = Vec::new();
+        for table in self.tables.values().filter(|table| !table.proxies.is_empty()) {
+            let Some(decided) = table.admissions.get(&class) else { continue };
+            let admissions = vec![self.admission(class, *decided)];
+            let update = ProxyUpdate { admissions, decided_at: now, ..Default::default() };
+            updates.push(AddressedUpdate { recipients: table.proxies.iter().copied().collect(), update });
+        }
+        updates
+    }
+
+    fn apply_action(&mut self, action: &Action, changes: &mut DecisionChanges) {
+        match action {
+            Action::SetWeight { table, server, weight } => {
+                self.set_weight(*table, *server, *weight, changes.tables.entry(*table).or_default());
+            }
+            Action::SetAdmission { table, class, retry_policy, level } => {
+                let decided = DecidedAdmission { retry_policy: *retry_policy, level: *level };
+                self.tables.entry(*table).or_default().admissions.insert(*class, decided);
+                changes.tables.entry(*table).or_default().admissions.insert(*class, decided);
+            }
+            Action::AssignTable { proxy, table } => {
+                if self.assign(*proxy, *table) {
+                    changes.assigned.insert(*proxy);
                 }
-                Action::SetEjected { server, ejected: out } => {
-                    match out {
-                        true => self.withdrawn.insert(*server),
-                        false => self.withdrawn.remove(server),
-                    };
-                    turned.insert(*server, *out);
+            }
+            Action::SetEjected { server, ejected } => {
+                if *ejected {
+                    self.ejected.insert(*server);
+                } else {
+                    self.ejected.remove(server);
                 }
-                Action::RequestAck { nonce: number } => mark = Some(*number),
-                Action::SetTimer { .. } | Action::Probe { .. } => {}
-                Action::WatchEndpoints | Action::FetchEndpoints | Action::Log(_) => {}
+                changes.ejections.insert(*server, *ejected);
+            }
+            Action::RequestAck { nonce } => changes.nonce = Some(*nonce),
+            Action::SetTimer { .. } | Action::Probe { .. } => {}
+            Action::WatchEndpoints | Action::FetchEndpoints | Action::Log(_) => {}
+        }
+    }
+
+    fn set_weight(&mut self, table: TableId, server: ServerId, weight: f32, changes: &mut TableChanges) {
+        let weights = &mut self.tables.entry(table).or_default().weights;
+        if weight > 0.0 {
+            let is_new = weights.insert(server, weight).is_none();
+            if is_new {
+                changes.added.insert(server);
             }
+        } else if weight <= 0.0 {
+            weights.remove(&server);
+        }
+        changes.weights.insert(server, weight);
+    }
+
+    /// Assigns a table to a proxy; false if the proxy has disconnected meanwhile.
+    fn assign(&mut self, proxy: ProxyId, table: TableId) -> bool {
+        if !self.unassigned.contains(&proxy) && !self.assignments.contains_key(&proxy) {
+            return false;
         }
-        let mut orders = Vec::new();
-        let none = Changes::default();
+        self.remove_proxy(proxy);
+        self.assignments.insert(proxy, table);
+        self.tables.entry(table).or_default().proxies.insert(proxy);
+        true
+    }
+
+    /// For each table: its changes for the proxies that have it, and the complete table for those that get it
+    /// anew.
+    fn updates_of_tables(&self, changes: &DecisionChanges) -> Vec<AddressedUpdate> {
+        let mut updates = Vec::new();
+        let unchanged = TableChanges::default();
         for (id, table) in &self.tables {
-            let change = changes.get(id).unwrap_or(&none);
-            let known: Vec<_> = table.users.difference(&bound).copied().collect();
-            if !known.is_empty() {
-                orders.push(Addressed { to: known, order: self.change(table, change, &turned) });
+            let present: Vec<ProxyId> = table.proxies.difference(&changes.assigned).copied().collect();
+            if !present.is_empty() {
+                let table_changes = changes.tables.get(id).unwrap_or(&unchanged);
+                let update = self.delta_update(table, table_changes, &changes.ejections);
+                updates.push(AddressedUpdate { recipients: present, update });
             }
-            let new: Vec<_> = table.users.intersection(&bound).copied().collect();
-            if !new.is_empty() {
-                orders.push(Addressed { to: new, order: self.whole(*id, table) });
+            let assigned: Vec<ProxyId> = table.proxies.intersection(&changes.assigned).copied().collect();
+            if !assigned.is_empty() {
+                updates
+                    .push(AddressedUpdate { recipients: assigned, update: self.complete_update(*id, table) });
             }
         }
-        if !self.unbound.is_empty() {
-            let withdrawals = turned.iter().map(|(id, out)| (*id, *out)).collect();
-            let to = self.unbound.iter().copied().collect();
-            orders.push(Addressed { to, order: ProxyUpdate { withdrawals, ..Default::default() } });
-        }
-        orders.retain(|o| o.order.cost() > 0);
-        for Addressed { order, .. } in &mut orders {
-            (order.mark, order.decided) = (mark, now);
+        updates
+    }
+
+    /// Proxies without a table get the ejections alone.
+    fn update_of_unassigned(&self, changes: &DecisionChanges) -> Option<AddressedUpdate> {
+        if self.unassigned.is_empty() {
+            return None;
         }
-        orders
+        let ejections = ejection_changes(&changes.ejections);
+        let update = ProxyUpdate { ejections, ..Default::default() };
+        Some(AddressedUpdate { recipients: self.unassigned.iter().copied().collect(), update })
     }
 
-    /// No more than this share of a class is let in: the orders that it makes.
-    pub(crate) fn cap(&mut self, class: ClassId, share: f32, now: u64) -> Vec<Addressed> {
-        if share < 1.0 {
-            self.caps.insert(class, share)
-        } else {
-            self.caps.remove(&class)
-        };
-        let used = self.tables.values().filter(|t| !t.users.is_empty());
-        let order = |table: &Table| {
-            let level = self.level(class, *table.levels.get(&class)?);
-            let order = ProxyUpdate { levels: vec![level], decided: now, ..Default::default() };
-            Some(Addressed { to: table.users.iter().copied().collect(), order })
-        };
-        used.filter_map(order).collect()
-    }
-
-    fn change(&self, table: &Table, change: &Changes, turned: &BTreeMap<ServerId, bool>) -> ProxyUpdate {
-        let lines = change.lines.iter().map(|(id, weight)| (*id, *weight));
-        let levels = change.levels.iter().map(|(id, level)| self.level(*id, *level));
-        // A bound proxy has heard of the withdrawals that concern its table: a line that comes later brings its
-        // own along.
-        let added = change.lines.iter().filter(|(_, weight)| **weight > 0.0).map(|(id, _)| *id);
-        let settled = added.filter_map(|id| self.settled(id));
-        let mut out: BTreeMap<ServerId, bool> =
-            settled.filter(|(id, out)| *out || change.new.contains(id)).collect();
-        out.extend(turned.iter().filter(|(id, _)| table.lines.contains_key(id)));
+    /// The changes of a table. A proxy that has the table knows the ejections that concern its servers: a
+    /// server that is added brings its own along.
+    fn delta_update(
+        &self,
+        table: &Table,
+        changes: &TableChanges,
+        ejections: &BTreeMap<ServerId, bool>,
+    ) -> ProxyUpdate {
+        let mut concerned: BTreeMap<ServerId, bool> = BTreeMap::new();
+        for (server, weight) in &changes.weights {
+            if *weight > 0.0
+                && let Some(change) = self.ejection_with_line(*server)
+                && (change.ejected || changes.added.contains(server))
+            {
+                concerned.insert(*server, change.ejected);
+            }
+        }
+        for (server, ejected) in ejections {
+            if table.weights.contains_key(server) {
+                concerned.insert(*server, *ejected);
+            }
+        }
         ProxyUpdate {
-            lines: lines.collect(),
-            levels: levels.collect(),
-            withdrawals: out.into_iter().collect(),
+            weights: server_weights(&changes.weights),
+            admissions: self.class_admissions(&changes.admissions),
+            ejections: ejection_changes(&concerned),
             ..Default::default()
         }
     }
 
-    fn whole(&self, id: TableId, table: &Table) -> ProxyUpdate {
+    fn complete_update(&self, id: TableId, table: &Table) -> ProxyUpdate {
         ProxyUpdate {
-            whole: Some(id),
-            lines: table.lines.iter().map(|(id, weight)| (*id, *weight)).collect(),
-            levels: table.levels.iter().map(|(id, level)| self.level(*id, *level)).collect(),
-            withdrawals: table.lines.keys().filter_map(|id| self.settled(*id)).collect(),
+            complete_table: Some(id),
+            weights: server_weights(&table.weights),
+            admissions: self.class_admissions(&table.admissions),
+            ejections: table.weights.keys().filter_map(|server| self.ejection_with_line(*server)).collect(),
             ..Default::default()
         }
     }
 
-    /// What a line brings along: that its server is shut out, or that it no longer is.
-    fn settled(&self, id: ServerId) -> Option<(ServerId, bool)> {
-        let out = self.withdrawn.contains(&id);
-        (out || self.keeps_withdrawals && self.suspects.contains(&id)).then_some((id, out))
+    /// What a server's line brings along: that the server is ejected, or that an earlier ejection ends.
+    fn ejection_with_line(&self, server: ServerId) -> Option<EjectionChange> {
+        let ejected = self.ejected.contains(&server);
+        let may_be_ejected_at_proxies = self.ejections_persist && self.interrupted.contains(&server);
+        (ejected || may_be_ejected_at_proxies).then_some(EjectionChange { server, ejected })
     }
 
-    fn level(&self, class: ClassId, (resend, level): (RetryPolicy, f32)) -> ClassAdmission {
-        let admit = match self.admit {
+    fn class_admissions(&self, decided: &BTreeMap<ClassId, DecidedAdmission>) -> Vec<ClassAdmission> {
+        decided.iter().map(|(class, admission)| self.admission(*class, *admission)).collect()
+    }
+
+    /// A class' admission as the proxies get it: no more than operators allow.
+    fn admission(&self, class: ClassId, decided: DecidedAdmission) -> ClassAdmission {
+        let DecidedAdmission { retry_policy, level } = decided;
+        let level = match self.admission_mode {
             AdmissionMode::Ratio => {
-                AdmissionLevel::Share(level.min(self.caps.get(&class).copied().unwrap_or(1.0)))
+                let cap = self.admission_caps.get(&class).copied().unwrap_or(1.0);
+                AdmissionLevel::Ratio(level.min(cap))
             }
-            AdmissionMode::RequestsPerSecond => AdmissionLevel::Rate(level),
-            AdmissionMode::Ignored => AdmissionLevel::All,
+            AdmissionMode::RequestsPerSecond => AdmissionLevel::RequestsPerSecond(level),
+            AdmissionMode::Ignored => AdmissionLevel::Unlimited,
         };
-        ClassAdmission { class, resend, admit }
+        ClassAdmission { class, retry_policy, level }
     }
 }
+
+fn server_weights(weights: &BTreeMap<ServerId, f32>) -> Vec<ServerWeight> {
+    weights.iter().map(|(server, weight)| ServerWeight { server: *server, weight: *weight }).collect()
+}
+
+fn ejection_changes(ejections: &BTreeMap<ServerId, bool>) -> Vec<EjectionChange> {
+    ejections.iter().map(|(server, ejected)| EjectionChange { server: *server, ejected: *ejected }).collect()
+}
--- a/crates/stepspur-conductor/src/service/distribution/apply.rs
+++ b/crates/stepspur-conductor/src/service/distribution/apply.rs
@@ -17,7 +17,7 @@
 use tokio::time::timeout;
 
 use super::super::core::EngineCommand;
-use crate::engine::{HoldKind, Operation, OperationError};
+use crate::engine::{Operation, OperationError, OverrideState};
 
 /// An engine that has not answered after this is tried again later. The subscriber itself waits for two seconds.
 const ENGINE_TIMEOUT: Duration = Duration::from_secs(1);
@@ -161,8 +161,8 @@
     }
 }
 
-fn hold(server: SocketAddr, kind: HoldKind, on: bool) -> Operation {
-    Operation::Hold { server, kind, on }
+fn hold(server: SocketAddr, kind: OverrideState, on: bool) -> Operation {
+    Operation::Override { server, state: kind, on }
 }
 
 /// What a setting orders. An engine holds a server in one way at a time: the last order takes the place of the other.
@@ -171,8 +171,8 @@
         (Target::Class(class), Setting::LevelPpm(ppm)) => {
             Ok(Operation::Level { class: class.clone(), share: f64::from(ppm) / f64::from(WHOLE_PPM) })
         }
-        (Target::Server(server), Setting::Draining) => Ok(hold(*server, HoldKind::Draining, true)),
-        (Target::Server(server), Setting::Withdrawn) => Ok(hold(*server, HoldKind::Withdrawn, true)),
+        (Target::Server(server), Setting::Draining) => Ok(hold(*server, OverrideState::Draining, true)),
+        (Target::Server(server), Setting::Withdrawn) => Ok(hold(*server, OverrideState::Removed, true)),
         _ => Err(ApplyError::Mismatch),
     }
 }
@@ -183,8 +183,8 @@
         (Target::Class(class), Setting::LevelPpm(_)) => {
             Ok(Operation::Level { class: class.clone(), share: 1.0 })
         }
-        (Target::Server(server), Setting::Draining) => Ok(hold(*server, HoldKind::Draining, false)),
-        (Target::Server(server), Setting::Withdrawn) => Ok(hold(*server, HoldKind::Withdrawn, false)),
+        (Target::Server(server), Setting::Draining) => Ok(hold(*server, OverrideState::Draining, false)),
+        (Target::Server(server), Setting::Withdrawn) => Ok(hold(*server, OverrideState::Removed, false)),
         _ => Err(ApplyError::Mismatch),
     }
 }
--- a/crates/stepspur-conductor/src/service/distribution/apply/tests.rs
+++ b/crates/stepspur-conductor/src/service/distribution/apply/tests.rs
@@ -7,7 +7,7 @@
 use tokio::sync::mpsc;
 
 use super::TenantEngines;
-use crate::engine::{HoldKind, Operation, OperationError};
+use crate::engine::{Operation, OperationError, OverrideState};
 use crate::service::core::EngineCommand;
 
 /// An engine's task that writes its orders down, and refuses those for what it does not know.
@@ -56,11 +56,11 @@
 }
 
 fn drain(on: bool) -> Operation {
-    Operation::Hold { server: server(), kind: HoldKind::Draining, on }
+    Operation::Override { server: server(), state: OverrideState::Draining, on }
 }
 
 fn withdraw(on: bool) -> Operation {
-    Operation::Hold { server: server(), kind: HoldKind::Withdrawn, on }
+    Operation::Override { server: server(), state: OverrideState::Removed, on }
 }
 
 fn level(share: f64) -> Operation {
--- a/crates/stepspur-conductor/src/service/front.rs
+++ b/crates/stepspur-conductor/src/service/front.rs
@@ -125,7 +125,7 @@
         let heart = Heart { config, settings, dialect, read_load, epoch, seed, clock };
         let inbox = heart.start(source, &tied, &mut cores);
         // Room is left for it: the queue is new.
-        let cached = Input::EndpointList { how: ListUpdate::Cached, entries: known };
+        let cached = Input::EndpointList { update: ListUpdate::Cached, entries: known };
         let _ = inbox.send(EngineCommand::Input(cached)).await;
         let engine = EngineHandle { inbox: inbox.clone() };
         let kill = CancellationToken::new();
--- a/crates/stepspur-conductor/src/service/mod.rs
+++ b/crates/stepspur-conductor/src/service/mod.rs
@@ -365,7 +365,7 @@
         let (inbox, inputs) = mpsc::channel(INBOX);
         let (feed, ask, mut told) = EndpointFeed::new(stop.clone());
         let (probe, probes) = mpsc::channel(PROBES);
-        let engine = Engine::with(config.clone(), settings, dialect, epoch, seed, clock.now());
+        let engine = Engine::with_protocol(config.clone(), settings, dialect, epoch, seed, clock.now());
         let core = EngineTask::new(engine, clock, inputs, ask, probe, stop.clone());
         cores.spawn(tied.tasks.track_future(tied.needed("engine").task(core.run())));
         tied.tasks.spawn(tied.needed("source").task(source.run(feed)));
--- a/crates/stepspur-conductor/src/source/mod.rs
+++ b/crates/stepspur-conductor/src/source/mod.rs
@@ -60,13 +60,13 @@
 impl EndpointUpdateSender {
     /// Tells of entries: `Delta`, `Full` or `Cached`.
     pub async fn list(&self, how: ListUpdate, entries: Vec<DiscoveredEndpoint>) {
-        let _ = self.0.send(Input::EndpointList { how, entries }).await;
+        let _ = self.0.send(Input::EndpointList { update: how, entries }).await;
     }
 
     /// Tells that a call or the subscription failed; the old list stands.
     pub async fn failed(&self, cause: impl std::fmt::Display) {
         tracing::warn!(event = "discovery_task_failed", %cause);
-        let _ = self.0.send(Input::EndpointList { how: ListUpdate::Failed, entries: Vec::new() }).await;
+        let _ = self.0.send(Input::EndpointList { update: ListUpdate::Failed, entries: Vec::new() }).await;
     }
 }
 
--- a/crates/stepspur-conductor/tests/common/day.rs
+++ b/crates/stepspur-conductor/tests/common/day.rs
@@ -44,7 +44,7 @@
 
     /// A list that is late, wrong or not wholly there.
     pub(crate) fn say(&mut self, how: ListUpdate, entries: Vec<DiscoveredEndpoint>) {
-        self.engine.handle(self.now, Input::EndpointList { how, entries });
+        self.engine.handle(self.now, Input::EndpointList { update: how, entries });
     }
 
     pub(crate) fn frame(&mut self, stream: u64, frame: FromProxy) {
--- a/crates/stepspur-conductor/tests/common/peer.rs
+++ b/crates/stepspur-conductor/tests/common/peer.rs
@@ -93,7 +93,7 @@
     let settled = async {
         loop {
             let stats = conductor.stats().await.unwrap();
-            if (stats.marks, stats.unbound, stats.channel[0]) == (0, 0, 0.0) {
+            if (stats.pending_acks, stats.unassigned, stats.channel.pending_lines) == (0, 0, 0.0) {
                 return stats;
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
--- a/crates/stepspur-conductor/tests/common/rules.rs
+++ b/crates/stepspur-conductor/tests/common/rules.rs
@@ -169,13 +169,14 @@
         self.check(now);
         let limits = &self.set.channel;
         let most = if limits.messages_max > 0 { limits.messages_max as usize } else { usize::MAX };
-        if stats.channel[1] > limits.waiting_max || stats.messages_most > most {
-            self.broken.insert(format!("5, short queue: {:?}, {}", stats.channel, stats.messages_most));
+        if stats.channel.peak_lines > limits.waiting_max || stats.max_messages_in_window > most {
+            self.broken
+                .insert(format!("5, short queue: {:?}, {}", stats.channel, stats.max_messages_in_window));
         }
         assert!(self.broken.is_empty(), "rules broken: {:#?}", self.broken);
-        assert_eq!(stats.joined, self.joined.len(), "streams that stand");
+        assert_eq!(stats.connected, self.joined.len(), "streams that stand");
         // Where no server is ready there is no table to be bound to.
-        let unbound = if stats.servers[0] > 0 { stats.unbound } else { 0 };
-        assert_eq!((stats.marks, unbound), (0, 0), "marks and bindings left: {stats:?}");
+        let unbound = if stats.servers.ready > 0 { stats.unassigned } else { 0 };
+        assert_eq!((stats.pending_acks, unbound), (0, 0), "marks and bindings left: {stats:?}");
     }
 }
--- a/crates/stepspur-conductor/tests/engine.rs
+++ b/crates/stepspur-conductor/tests/engine.rs
@@ -8,7 +8,7 @@
 use common::{address, all, config, hello, nodes, probe_target, with_state};
 use proptest::prelude::*;
 use stepspur::interface::{EndpointState, ListUpdate, ProbeOutcome};
-use stepspur_conductor::engine::{DiscoveredEndpoint, Input, LogEvent, Output, StreamId};
+use stepspur_conductor::engine::{DiscoveredEndpoint, Input, LogEvent, Output, ServerCounts, StreamId};
 use stepspur_proto::{FromProxy, from_proxy, split_frame, v1};
 
 #[test]
@@ -21,7 +21,7 @@
     day.list(ListUpdate::Delta, vec![with_state(nodes(4), 2, EndpointState::Draining)[2].clone()]);
     day.run(SECOND / 10);
     assert!(!day.names(1).contains(&address(2)));
-    assert_eq!(day.engine.stats().marks, 0, "all marks were answered");
+    assert_eq!(day.engine.stats().pending_acks, 0, "all marks were answered");
     day.close();
 }
 
@@ -41,7 +41,7 @@
     day.run(2 * SECOND);
     assert!((0..600).all(|k| !day.names(k).is_empty()));
     let stats = day.engine.stats();
-    assert!(stats.channel[1] <= 40_000.0 && stats.unbound == 0, "{stats:?}");
+    assert!(stats.channel.peak_lines <= 40_000.0 && stats.unassigned == 0, "{stats:?}");
     day.close();
 }
 
@@ -55,11 +55,11 @@
     day.run(SECOND);
     assert_eq!(day.closed, [(StreamId(1), v1::Reason::Replaced)]);
     assert_eq!(day.names(2), all(4));
-    assert_eq!((day.engine.stats().joined, day.engine.stats().proxies_known), (1, 1));
+    assert_eq!((day.engine.stats().connected, day.engine.stats().known_proxies), (1, 1));
     // The end of the old stream is no news of the new one.
     day.engine.handle(day.now, Input::StreamEnded { stream: StreamId(1) });
     day.run(SECOND);
-    assert_eq!(day.engine.stats().joined, 1);
+    assert_eq!(day.engine.stats().connected, 1);
     day.close();
 }
 
@@ -77,7 +77,7 @@
     day.answers = true;
     day.run(10 * SECOND);
     assert_eq!(day.closed, [(StreamId(2), v1::Reason::Slow)]);
-    assert_eq!((day.engine.stats().joined, day.engine.stats().marks), (2, 0));
+    assert_eq!((day.engine.stats().connected, day.engine.stats().pending_acks), (2, 0));
     day.close();
 }
 
@@ -95,7 +95,7 @@
     owed.into_iter().for_each(|(s, mark)| day.answer(s, mark, EPOCH));
     day.answers = true;
     day.run(10 * SECOND);
-    assert_eq!((day.closed.len(), day.engine.stats().joined), (0, 3));
+    assert_eq!((day.closed.len(), day.engine.stats().connected), (0, 3));
     day.close();
 }
 
@@ -112,10 +112,10 @@
     let (stream, mark) = day.marks[0];
     day.answer(stream, mark, EPOCH - 1);
     day.run(1000);
-    assert_eq!(day.engine.stats().marks, 1);
+    assert_eq!(day.engine.stats().pending_acks, 1);
     day.answer(stream, mark, EPOCH);
     day.run(1000);
-    assert_eq!(day.engine.stats().marks, 0);
+    assert_eq!(day.engine.stats().pending_acks, 0);
     day.close();
 }
 
@@ -166,8 +166,8 @@
         day.frame(1, FromProxy::new(EPOCH, sequence, from_proxy::Kind::Report(report)));
         day.run(SECOND);
         let notes = day.notes.iter().filter(|n| matches!(n, LogEvent::InvalidReport { .. })).count();
-        assert_eq!((notes, day.engine.stats().nonsense), (passed_over, passed_over as u64), "{what}");
-        assert_eq!((day.engine.stats().joined, day.closed.len()), (1, 0), "{what}: the stream stands");
+        assert_eq!((notes, day.engine.stats().invalid_inputs), (passed_over, passed_over as u64), "{what}");
+        assert_eq!((day.engine.stats().connected, day.closed.len()), (1, 0), "{what}: the stream stands");
     }
 }
 
@@ -184,7 +184,11 @@
     }
     let left: BTreeSet<_> = all(8).into_iter().filter(|a| *a != address(1)).collect();
     assert!(day.names(1).iter().all(|a| left.contains(a)) && day.names(1).len() >= 3, "{:?}", day.names(1));
-    assert_eq!(day.engine.stats().servers, [7, 1, 8], "the drain that it names counts at once");
+    assert_eq!(
+        day.engine.stats().servers,
+        ServerCounts { ready: 7, draining: 1, total: 8 },
+        "the drain that it names counts at once"
+    );
     day.list(ListUpdate::Full, nodes(3));
     day.run(40 * SECOND);
     day.list(ListUpdate::Full, nodes(3));
@@ -308,7 +312,11 @@
             Step::Wait(span) => day.run(span),
         }
         let stats = day.engine.stats();
-        assert!(stats.channel[0] >= 0.0 && stats.joined <= 40 && stats.unbound <= stats.joined);
+        assert!(
+            stats.channel.pending_lines >= 0.0
+                && stats.connected <= 40
+                && stats.unassigned <= stats.connected
+        );
     }
     day.run(SECOND);
     day.outputs
--- a/crates/stepspur-conductor/tests/faults.rs
+++ b/crates/stepspur-conductor/tests/faults.rs
@@ -10,7 +10,9 @@
 use common::{address, all, config, hello, nodes, probe_target, with_state};
 use stepspur::interface::{EndpointState, ListUpdate, ProbeOutcome};
 use stepspur_conductor::config::{Config, EffectConfig, Source};
-use stepspur_conductor::engine::{DiscoveredEndpoint, Input, LogEvent, Operation, Output, StreamId};
+use stepspur_conductor::engine::{
+    DiscoveredEndpoint, Input, LogEvent, Operation, Output, ServerCounts, StreamId,
+};
 use stepspur_proto::{FromProxy, from_proxy, v1};
 
 /// Two classes more, so that the rule on effects has something to find: repeats are dropped for long enough, or not.
@@ -105,7 +107,7 @@
     a_zone_loses_all_servers_while_messages_wait(slow()) |day| {
         (5..8).for_each(|k| day.join(k, &format!("p{k}"), "b"));
         day.run(SECOND / 100);
-        assert!(day.engine.stats().channel[0] > 0.0);
+        assert!(day.engine.stats().channel.pending_lines > 0.0);
         day.list(ListUpdate::Delta, gone([1, 3, 5, 7]));
         day.run(10 * SECOND);
         assert!((1..8).all(|k| !day.names(k).is_empty() && day.names(k).is_subset(&zone_a(8))));
@@ -117,7 +119,7 @@
             day.say(how, vec![]);
             day.run(40 * SECOND);
         }
-        assert_eq!(day.engine.stats().servers, [8, 0, 8]);
+        assert_eq!(day.engine.stats().servers, ServerCounts { ready: 8, draining: 0, total: 8 });
         assert!((1..5).all(|k| day.names(k).len() == 4));
     };
 
@@ -237,7 +239,7 @@
     a_drain_while_the_table_waits_in_the_channel(slow()) |day| {
         day.join(5, "p5", "a");
         day.run(SECOND / 100);
-        assert!(day.engine.stats().channel[0] > 0.0);
+        assert!(day.engine.stats().channel.pending_lines > 0.0);
         day.list(ListUpdate::Delta, change(2, EndpointState::Draining));
         day.run(4 * SECOND);
         assert!(!day.names(5).contains(&address(2)) && !day.names(5).is_empty());
@@ -263,13 +265,13 @@
             asked += asks;
         }
         assert!(asked > 0 && asked <= 3, "{asked}");
-        assert_eq!(day.engine.stats().servers[0], 3);
+        assert_eq!(day.engine.stats().servers.ready, 3);
     };
     a_list_of_other_servers_only_is_doubted(classes()) |day| {
         let others = nodes(16).split_off(8);
         day.say(ListUpdate::Full, others);
         day.run(3 * SECOND);
-        assert_eq!(day.engine.stats().servers[0], 16, "what it lacks stays: {:?}", day.engine.stats());
+        assert_eq!(day.engine.stats().servers.ready, 16, "what it lacks stays: {:?}", day.engine.stats());
     };
 
     // Events out of order, late, twice.
@@ -331,7 +333,7 @@
             day.run(2 * SECOND);
         }
         assert!(day.rules.held(1)[&address(0)] > 0.9, "no colder by the second: {:?}", day.rules.held(1));
-        assert_eq!(day.engine.stats().servers, [6, 1, 8]);
+        assert_eq!(day.engine.stats().servers, ServerCounts { ready: 6, draining: 1, total: 8 });
     };
     a_drain_before_its_server_is_known(classes()) |day| {
         day.list(ListUpdate::Delta, change(9, EndpointState::Draining));
@@ -344,7 +346,7 @@
     events_of_a_forgotten_server_change_nothing(classes()) |day| {
         day.list(ListUpdate::Delta, gone([2]));
         day.run(700 * SECOND);
-        assert_eq!(day.engine.stats().servers[2], 7, "forgotten");
+        assert_eq!(day.engine.stats().servers.total, 7, "forgotten");
         let report = v1::Report {
             period_us: SECOND,
             met: vec![v1::Met { server: Some(address(2).into()), total: 3, ..Default::default() }],
@@ -388,9 +390,9 @@
         // A proxy waits for its table while the server goes: it is masked for those who wait.
         day.list(ListUpdate::Delta, gone([3]));
         day.run(SECOND);
-        assert!(day.engine.stats().withdrawn > 0, "masked");
+        assert!(day.engine.stats().ejected > 0, "masked");
         day.run(700 * SECOND);
-        assert_eq!((day.engine.stats().withdrawn, day.engine.stats().servers[2]), (0, 7));
+        assert_eq!((day.engine.stats().ejected, day.engine.stats().servers.total), (0, 7));
     };
 
     servers_that_lists_drop_for_good_are_forgotten_where_only_drains_bind({
@@ -402,7 +404,7 @@
         day.run(SECOND);
         assert_eq!(day.names(1).len(), 4, "one that a list merely drops may live");
         day.run(1300 * SECOND);
-        assert_eq!((day.names(1).len(), day.engine.stats().servers[2]), (3, 6));
+        assert_eq!((day.names(1).len(), day.engine.stats().servers.total), (3, 6));
     };
 
     // A zone that is closed, misspelt, or another than before.
@@ -421,7 +423,7 @@
         let odd = DiscoveredEndpoint { zone: "closed".into(), ..restarted(9, 0) };
         day.say(ListUpdate::Delta, vec![odd]);
         day.run(SECOND);
-        assert_eq!((bad_entries(day), day.engine.stats().servers[2]), (1, 8));
+        assert_eq!((bad_entries(day), day.engine.stats().servers.total), (1, 8));
     };
     a_server_that_moves_to_another_zone_serves_that_one({
         let mut set = classes();
@@ -439,7 +441,7 @@
         day.join(5, "p5", "a");
         day.end(5);
         day.run(SECOND);
-        assert_eq!(day.engine.stats().joined, 4);
+        assert_eq!(day.engine.stats().connected, 4);
         day.join(6, "p5", "a");
         day.run(SECOND);
         assert_eq!(day.names(6).len(), 4, "its whole table");
@@ -447,9 +449,9 @@
     a_stream_that_ends_before_its_table_has_left(slow()) |day| {
         day.join(5, "p5", "a");
         day.run(SECOND / 100);
-        assert!(day.engine.stats().channel[0] > 0.0);
+        assert!(day.engine.stats().channel.pending_lines > 0.0);
         day.end(5);
-        assert_eq!(day.engine.stats().channel[0], 0.0, "nothing of it waits");
+        assert_eq!(day.engine.stats().channel.pending_lines, 0.0, "nothing of it waits");
         day.join(6, "p5", "a");
         day.run(5 * SECOND);
         assert_eq!(day.names(6).len(), 4, "its whole table");
--- a/crates/stepspur-conductor/tests/faults_service.rs
+++ b/crates/stepspur-conductor/tests/faults_service.rs
@@ -45,7 +45,7 @@
 /// Waits until so many streams are joined.
 async fn joined(conductor: &Conductor, many: usize) {
     let wait = async {
-        while conductor.stats().await.unwrap().joined != many {
+        while conductor.stats().await.unwrap().connected != many {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
--- a/crates/stepspur-conductor/tests/holds.rs
+++ b/crates/stepspur-conductor/tests/holds.rs
@@ -5,13 +5,13 @@
 use common::day::{Day, SECOND};
 use common::{address, all, config, nodes, with_state};
 use stepspur::interface::{EndpointState, ListUpdate};
-use stepspur_conductor::engine::{HoldKind, Operation, OperationError};
+use stepspur_conductor::engine::{Operation, OperationError, OverrideState};
 
 const COUNT: usize = 8;
 const HELD: usize = 2;
 
-fn hold(kind: HoldKind, on: bool) -> Operation {
-    Operation::Hold { server: address(HELD), kind, on }
+fn hold(kind: OverrideState, on: bool) -> Operation {
+    Operation::Override { server: address(HELD), state: kind, on }
 }
 
 /// The first list comes, in which the held server is ready, and a proxy of its zone joins.
@@ -28,7 +28,7 @@
 #[test]
 fn a_hold_before_the_first_list_is_in_force_from_it_on() {
     for (kind, state) in
-        [(HoldKind::Draining, EndpointState::Draining), (HoldKind::Withdrawn, EndpointState::Removed)]
+        [(OverrideState::Draining, EndpointState::Draining), (OverrideState::Removed, EndpointState::Removed)]
     {
         let mut day = Day::new(config());
         day.engine.operate(day.now, hold(kind, true)).unwrap();
@@ -53,7 +53,7 @@
     day.list(ListUpdate::Full, others());
     day.join(1, "p", "a");
     day.run(SECOND);
-    day.engine.operate(day.now, hold(HoldKind::Draining, true)).unwrap();
+    day.engine.operate(day.now, hold(OverrideState::Draining, true)).unwrap();
     day.run(SECOND);
     day.rules.truth(day.now, &with_state(nodes(COUNT), HELD, EndpointState::Draining));
     day.say(ListUpdate::Full, nodes(COUNT));
@@ -67,20 +67,20 @@
 #[test]
 fn the_last_hold_of_an_unlisted_server_counts_and_a_lifted_one_is_gone() {
     let mut day = Day::new(config());
-    for operation in [hold(HoldKind::Draining, true), hold(HoldKind::Withdrawn, true)] {
+    for operation in [hold(OverrideState::Draining, true), hold(OverrideState::Removed, true)] {
         day.engine.operate(day.now, operation).unwrap();
     }
     // The end of a drain that was replaced lifts no withdrawal.
-    day.engine.operate(day.now, hold(HoldKind::Draining, false)).unwrap();
+    day.engine.operate(day.now, hold(OverrideState::Draining, false)).unwrap();
     begin(&mut day, EndpointState::Removed);
     day.run(2 * SECOND);
     assert!(!is_used(&day));
     day.close();
 
     let mut day = Day::new(config());
-    day.engine.operate(day.now, hold(HoldKind::Draining, true)).unwrap();
-    day.engine.operate(day.now, hold(HoldKind::Draining, false)).unwrap();
-    let again = day.engine.operate(day.now, hold(HoldKind::Draining, false));
+    day.engine.operate(day.now, hold(OverrideState::Draining, true)).unwrap();
+    day.engine.operate(day.now, hold(OverrideState::Draining, false)).unwrap();
+    let again = day.engine.operate(day.now, hold(OverrideState::Draining, false));
     assert_eq!(again, Err(OperationError::UnknownServer), "nothing is held");
     begin(&mut day, EndpointState::Ready);
     day.run(2 * SECOND);
@@ -108,9 +108,9 @@
     let mut hold = |k: usize| {
         let [_, high, middle, low] = (k as u32).to_be_bytes();
         let server = (std::net::Ipv4Addr::new(10, high, middle, low), 80).into();
-        day.engine.operate(day.now, Operation::Hold { server, kind: HoldKind::Draining, on: true })
+        day.engine.operate(day.now, Operation::Override { server, state: OverrideState::Draining, on: true })
     };
     assert!((0..MOST).all(|k| hold(k).is_ok()));
-    assert_eq!(hold(MOST), Err(OperationError::TooManyHeld));
+    assert_eq!(hold(MOST), Err(OperationError::TooManyOverrides));
     assert_eq!(hold(0), Ok(()), "one that is held already");
 }
--- a/crates/stepspur-conductor/tests/service.rs
+++ b/crates/stepspur-conductor/tests/service.rs
@@ -110,7 +110,7 @@
         nodes.write(&listed(6, Some(1)));
         good.until(|held| held.len() == 5).await;
         let cut = async {
-            while conductor.stats().await.unwrap().joined != 1 {
+            while conductor.stats().await.unwrap().connected != 1 {
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         };
@@ -137,7 +137,7 @@
     proxies[0].until(|held| !held.is_empty()).await;
     let silent = TcpStream::connect(conductor.address()).await.unwrap();
     let before = conductor.stats().await.unwrap();
-    assert!(before.channel[0] > 0.0, "tables are still on their way");
+    assert!(before.channel.pending_lines > 0.0, "tables are still on their way");
     let address = conductor.address();
     timeout(LONG, conductor.stop()).await.expect("all tasks have ended");
     for mut proxy in proxies {
@@ -160,7 +160,7 @@
     assert_eq!(p.end().await, Some(v1::Reason::Stopping));
     two.write(&listed(6, Some(5)));
     q.until(|held| held.len() == 5).await;
-    assert_eq!(second.stats().await.unwrap().joined, 1);
+    assert_eq!(second.stats().await.unwrap().connected, 1);
     second.stop().await;
 }
 
--- a/crates/stepspur-emulator/src/judge.rs
+++ b/crates/stepspur-emulator/src/judge.rs
@@ -93,7 +93,7 @@
             drain_binds_alone: rules.drain_binds_alone,
             waiting_max: channel.waiting_max,
             messages: (channel.messages_max, micros(channel.message_window)),
-            loss_max: plan.config.source.doubt().loss_max,
+            loss_max: plan.config.source.mass_removal_guard().loss_max,
             effects: plan.classes.iter().map(|c| (c.effect, c.group, micros(c.window))).collect(),
             zones,
         }
--- a/crates/stepspur-emulator/src/run/setup.rs
+++ b/crates/stepspur-emulator/src/run/setup.rs
@@ -175,7 +175,7 @@
             path: LIST_PATH.into(),
             poll: LIST_POLL,
             timeout: LIST_TIMEOUT,
-            doubt: config.source.doubt().clone(),
+            doubt: config.source.mass_removal_guard().clone(),
         };
         self.tasks.spawn(Arc::clone(&self.registry).serve(conductor, listener, self.stop.clone()));
         Ok(source)
--- a/crates/stepspur-platform/src/dialect.rs
+++ b/crates/stepspur-platform/src/dialect.rs
@@ -34,7 +34,7 @@
         for level in levels {
             let Some(name) = self.classes.get(usize::from(level.class.0)) else { continue };
             let alike = |(kind, _): &&mut (ClassAdmission, Vec<&str>)| {
-                kind.resend == level.resend && kind.admit == level.admit
+                kind.retry_policy == level.retry_policy && kind.level == level.level
             };
             match kinds.iter_mut().find(alike) {
                 Some((_, names)) => names.push(name),
@@ -45,8 +45,8 @@
             let all = names.len() == self.classes.len();
             Part {
                 routes: if all { Vec::new() } else { names_of(&self.classes, &names) },
-                admit: Some(admitted(level.admit)),
-                policy: Some(way(level.resend)),
+                admit: Some(admitted(level.level)),
+                policy: Some(way(level.retry_policy)),
                 ..Part::default()
             }
         };
@@ -60,7 +60,7 @@
 }
 
 impl ProxyProtocol for Lines {
-    fn order(
+    fn encode_update(
         &self,
         _: UpdateStamp,
         order: &ProxyUpdate,
@@ -68,12 +68,12 @@
         _: usize,
     ) -> Result<Bytes, FrameError> {
         let usable = |weight: f32| weight.is_finite() && weight >= 0.0;
-        let lines = order.lines.iter().filter(|(_, weight)| usable(*weight));
+        let lines = order.weights.iter().filter(|line| usable(line.weight));
         let lines: Vec<(&str, f32)> =
-            lines.filter_map(|(id, weight)| Some((servers.name(*id)?, *weight))).collect();
+            lines.filter_map(|line| Some((servers.name(line.server)?, line.weight))).collect();
         let turned = |out: bool| {
-            let turned = order.withdrawals.iter().filter(move |(_, is_out)| *is_out == out);
-            turned.filter_map(|(id, _)| name(servers, *id)).collect::<Vec<_>>()
+            let turned = order.ejections.iter().filter(move |change| change.ejected == out);
+            turned.filter_map(|change| name(servers, change.server)).collect::<Vec<_>>()
         };
         let mut parts: Vec<Part<'_>> = Vec::new();
         parts.extend(lines.chunks(NAMED).map(|lines| Part { endpoints: lines.to_vec(), ..Part::default() }));
@@ -85,7 +85,7 @@
                 parts.push(Part { eject, restore, ..Part::default() });
             }
         }
-        parts.extend(self.levels(&order.levels));
+        parts.extend(self.levels(&order.admissions));
         let mut parts = join(parts);
         if parts.is_empty() {
             parts.push(Part::default());
@@ -94,10 +94,10 @@
             return Err(FrameError::TooLarge { size: parts.len(), largest: PARTS });
         }
         let last = parts.len() - 1;
-        parts[0].full = order.whole.is_some();
-        parts[last].nonce_out = order.mark;
+        parts[0].full = order.complete_table.is_some();
+        parts[last].nonce_out = order.nonce;
         parts[..last].iter_mut().for_each(|part| part.continued = true);
-        let mut out = Vec::with_capacity(64 + 40 * (order.lines.len() + order.withdrawals.len()));
+        let mut out = Vec::with_capacity(64 + 40 * (order.weights.len() + order.ejections.len()));
         for part in &parts {
             // Names and finite figures always have a form; a part that had none would say so here.
             serde_json::to_writer(&mut out, part).map_err(|error| FrameError::Io(error.into()))?;
@@ -134,10 +134,12 @@
 
 fn admitted(admit: AdmissionLevel) -> f32 {
     match admit {
-        AdmissionLevel::All => 1.0,
-        AdmissionLevel::Share(level) | AdmissionLevel::Rate(level) if level.is_finite() => level.max(0.0),
+        AdmissionLevel::Unlimited => 1.0,
+        AdmissionLevel::Ratio(level) | AdmissionLevel::RequestsPerSecond(level) if level.is_finite() => {
+            level.max(0.0)
+        }
         // No level that is none may stop a proxy.
-        AdmissionLevel::Share(_) | AdmissionLevel::Rate(_) => 1.0,
+        AdmissionLevel::Ratio(_) | AdmissionLevel::RequestsPerSecond(_) => 1.0,
     }
 }
 
--- a/crates/stepspur-platform/src/listener.rs
+++ b/crates/stepspur-platform/src/listener.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use stepspur_conductor::engine::{Input, StreamId};
+use stepspur_conductor::engine::{Input, RequestCounts, StreamId};
 use stepspur_conductor::service::{
     EngineHandle, Listener, OutboundMessage, QueuedMessage, SendQueueReceiver, Shutdown, lingering_close,
 };
@@ -239,12 +239,14 @@
         let stream = self.stream;
         match (message, joined) {
             (Message::Done { proxy, mark, took }, Joined::Proxy { proxy: own, .. }) if proxy == own => {
-                Input::Acknowledged { stream, mark, latency: Some(took) }
+                Input::Acknowledged { stream, nonce: mark, latency: Some(took) }
             }
             (Message::Upstream { server, zone, period, tries, latency, load }, _) => {
-                Input::UpstreamStats { server, zone, period, tries, latency, load }
+                let attempts = RequestCounts { total: tries[0], errors: tries[1] };
+                Input::UpstreamStats { server, zone, period, attempts, latency, load }
             }
             (Message::Client { proxy, class, period, requests }, _) => {
+                let requests = RequestCounts { total: requests[0], errors: requests[1] };
                 Input::ClientStats { proxy, class, period, requests }
             }
             (message, _) => self.spoilt(joined, format!("not on this stream: {message:?}")),
--- a/crates/stepspur-platform/tests/discovery.rs
+++ b/crates/stepspur-platform/tests/discovery.rs
@@ -48,7 +48,7 @@
     /// The next piece of news: how it builds on the list before, and the names with their states.
     async fn told(&mut self) -> (ListUpdate, Vec<(String, EndpointState)>) {
         let input = timeout(SOON, self.told.recv()).await.expect("news in time").expect("the source lives");
-        let Input::EndpointList { how, entries } = input else { panic!("{input:?}") };
+        let Input::EndpointList { update: how, entries } = input else { panic!("{input:?}") };
         (how, entries.into_iter().map(|entry| (entry.name.unwrap(), entry.state)).collect())
     }
 
--- a/crates/stepspur-platform/tests/endings.rs
+++ b/crates/stepspur-platform/tests/endings.rs
@@ -25,14 +25,14 @@
 struct Padded(dialect::Lines, usize);
 
 impl ProxyProtocol for Padded {
-    fn order(
+    fn encode_update(
         &self,
         at: UpdateStamp,
         order: &ProxyUpdate,
         servers: &ServerIds,
         most: usize,
     ) -> Result<Bytes, FrameError> {
-        let mut line = self.0.order(at, order, servers, most)?.to_vec();
+        let mut line = self.0.encode_update(at, order, servers, most)?.to_vec();
         let end = line.pop().into_iter();
         line.extend(std::iter::repeat_n(b' ', self.1).chain(end));
         Ok(line.into())
@@ -51,7 +51,7 @@
 struct Gated(dialect::Lines, Mutex<std::sync::mpsc::Receiver<()>>, mpsc::Sender<()>);
 
 impl ProxyProtocol for Gated {
-    fn order(
+    fn encode_update(
         &self,
         at: UpdateStamp,
         order: &ProxyUpdate,
@@ -61,7 +61,7 @@
         let _ = self.2.try_send(());
         // The worker gives its other tasks away before it stands still.
         let _ = tokio::task::block_in_place(|| self.1.lock().unwrap().recv_timeout(SOON));
-        self.0.order(at, order, servers, most)
+        self.0.encode_update(at, order, servers, most)
     }
 
     fn go_away(&self, at: UpdateStamp, farewell: GoAway<'_>) -> Bytes {
@@ -85,7 +85,7 @@
     front.dialect = Box::new(Padded(lines, padding));
     front.grace = SOON;
     let conductor = Conductor::start_front(front).await.unwrap();
-    counts(&conductor, |s| s.servers[0] == 4).await;
+    counts(&conductor, |s| s.servers.ready == 4).await;
     (conductor, discovery)
 }
 
@@ -182,7 +182,7 @@
     let mut front = front(config, newest);
     front.dialect = Box::new(Padded(lines, HUGE));
     let conductor = Conductor::start_front(front).await.unwrap();
-    counts(&conductor, |s| s.servers[0] == 1).await;
+    counts(&conductor, |s| s.servers.ready == 1).await;
     let proxy = deaf(&conductor, 0).await;
     timeout(SOON, proxy.peek(&mut [0; 1])).await.expect("an order begins").unwrap();
     timeout(SOON, conductor.stop()).await.expect("it ends all the same");
@@ -203,7 +203,7 @@
         .await
         .unwrap();
     let mut proxy = deaf(&conductor, 0).await;
-    counts(&conductor, |s| s.joined == 1 && s.messages > 0 && s.nonsense == 1).await;
+    counts(&conductor, |s| s.connected == 1 && s.messages > 0 && s.invalid_inputs == 1).await;
     let stopping = tokio::spawn(conductor.stop());
     assert!(rest(&mut pending).await.contains("the conductor stops"));
     assert_eq!(rest(&mut collector).await, "");
@@ -220,7 +220,7 @@
     timeout(SOON, proxy.peek(&mut [0; 1])).await.expect("an order begins").unwrap();
     let (deadline, mut look) = (Instant::now() + SOON, interval(Duration::from_millis(20)));
     let mut changes = 0;
-    while conductor.stats().await.unwrap().joined > 0 {
+    while conductor.stats().await.unwrap().connected > 0 {
         assert!(Instant::now() < deadline, "{:?}", conductor.stats().await);
         discovery.change(&[node(3, ["draining", "ready"][changes % 2], 0)]);
         changes += 1;
@@ -235,7 +235,7 @@
 async fn a_proxy_that_joins_anew_before_its_old_stream_ends_keeps_its_place() {
     let (conductor, discovery) = start(0).await;
     let mut old = deaf(&conductor, 0).await;
-    counts(&conductor, |s| s.joined == 1 && s.unbound == 0).await;
+    counts(&conductor, |s| s.connected == 1 && s.unassigned == 0).await;
     // Bytes that the conductor may not have read when it ends the old stream.
     old.write_all(&b"{\"@type\":\"hb\"}\n".repeat(64)).await.unwrap();
     let mut newer = Caller::proxy(conductor.address(), 0).await;
@@ -246,7 +246,7 @@
     ends.closed_in_order(&old).await;
     discovery.change(&[node(0, "draining", 0)]);
     newer.until(0, |p| !p.picks("s-0000")).await;
-    counts(&conductor, |s| s.joined == 1).await;
+    counts(&conductor, |s| s.connected == 1).await;
     conductor.stop().await;
 }
 
@@ -257,7 +257,7 @@
     for end in ["half close", "reset", "at once"] {
         let mut proxy = deaf(&conductor, 3).await;
         if end != "at once" {
-            counts(&conductor, |s| s.joined == 1 && s.unbound == 0).await;
+            counts(&conductor, |s| s.connected == 1 && s.unassigned == 0).await;
         }
         match end {
             "half close" => {
@@ -271,9 +271,9 @@
         // One that joins after it is seen joined, and then alone.
         let mut last = Caller::proxy(conductor.address(), 4).await;
         last.until(4, |p| p.whole == 1).await;
-        counts(&conductor, |s| s.joined == 1 && s.marks == 0).await;
+        counts(&conductor, |s| s.connected == 1 && s.pending_acks == 0).await;
         drop(last);
-        counts(&conductor, |s| s.joined == 0 && s.marks == 0 && s.unbound == 0).await;
+        counts(&conductor, |s| s.connected == 0 && s.pending_acks == 0 && s.unassigned == 0).await;
     }
     conductor.stop().await;
 }
@@ -291,7 +291,7 @@
         .await
         .unwrap();
     drop(collector);
-    counts(&conductor, |s| s.nonsense == 3000).await;
+    counts(&conductor, |s| s.invalid_inputs == 3000).await;
     conductor.stop().await;
 }
 
@@ -306,7 +306,7 @@
     let mut front = front(config, newest);
     front.dialect = Box::new(Gated(lines, Mutex::new(is_open), reached));
     let conductor = Conductor::start_front(front).await.unwrap();
-    counts(&conductor, |s| s.servers[0] == 1).await;
+    counts(&conductor, |s| s.servers.ready == 1).await;
     let _proxy = deaf(&conductor, 0).await;
     timeout(SOON, stands.recv()).await.expect("the engine stands still");
     let mut collector = TcpStream::connect(conductor.address()).await.unwrap();
@@ -331,6 +331,6 @@
     }
     drop(gate);
     let _collector = timeout(SOON, telling).await.expect("all is taken").unwrap();
-    counts(&conductor, |s| s.nonsense == 40_000).await;
+    counts(&conductor, |s| s.invalid_inputs == 40_000).await;
     conductor.stop().await;
 }
--- a/crates/stepspur-platform/tests/isolation.rs
+++ b/crates/stepspur-platform/tests/isolation.rs
@@ -126,7 +126,7 @@
             };
             answers.push(answer);
         }
-        let before = self.conductor.stats().await.unwrap().nonsense;
+        let before = self.conductor.stats().await.unwrap().invalid_inputs;
         let mut collector = Caller::dial(self.conductor.address()).await;
         collector.say(&json!({"@type": "telemetry", "zone": self.of.zones[0]})).await;
         collector
@@ -134,7 +134,7 @@
             .await;
         collector.say(&json!({"@type": "hb"})).await;
         answers.push(collector.next().await);
-        answers.push(Some(json!(self.conductor.stats().await.unwrap().nonsense - before)));
+        answers.push(Some(json!(self.conductor.stats().await.unwrap().invalid_inputs - before)));
         answers
     }
 
--- a/crates/stepspur-platform/tests/messages.rs
+++ b/crates/stepspur-platform/tests/messages.rs
@@ -5,7 +5,9 @@
 use proptest::prelude::*;
 use serde_json::{Value, json};
 use stepspur::interface::{ClassId, EndpointState, ListUpdate, ProxyId, ZoneId};
-use stepspur_conductor::engine::{DiscoveredEndpoint, Engine, Input, LogEvent, Output, StreamId, named_id};
+use stepspur_conductor::engine::{
+    DiscoveredEndpoint, Engine, Input, LogEvent, Output, ServerCounts, StreamId, named_id,
+};
 use stepspur_platform::config::ConfigError;
 use stepspur_platform::dialect::{self, PARTS};
 use stepspur_platform::discovery::Answer;
@@ -172,13 +174,13 @@
         let file = common::file("127.0.0.1:1".parse().unwrap(), proxies, 256, &common::list(0, true, &[]));
         let config = common::load(&file);
         let dialect = Box::new(dialect::Lines::new(config.catalog.classes.clone()));
-        let engine = Engine::with(config.conductor, config.settings, dialect, 7, 1, START);
+        let engine = Engine::with_protocol(config.conductor, config.settings, dialect, 7, 1, START);
         Self { engine, now: START, notes: Vec::new() }
     }
 
     fn list(&mut self, how: ListUpdate, nodes: &[Value]) {
         let answer: Answer = serde_json::from_value(common::list(1, true, nodes)).unwrap();
-        self.engine.handle(self.now, Input::EndpointList { how, entries: answer.entries });
+        self.engine.handle(self.now, Input::EndpointList { update: how, entries: answer.entries });
     }
 
     fn join(&mut self, stream: u64, proxy: u16, fresh: bool) {
@@ -290,14 +292,18 @@
     day.list(ListUpdate::Full, &nodes(2));
     day.join(1, 0, true);
     day.run(100_000);
-    assert_eq!(day.engine.stats().marks, 1);
-    let applied = |mark| Input::Acknowledged { stream: StreamId(1), mark, latency: Some(5) };
+    assert_eq!(day.engine.stats().pending_acks, 1);
+    let applied = |mark| Input::Acknowledged { stream: StreamId(1), nonce: mark, latency: Some(5) };
     day.engine.handle(day.now, applied(99));
     day.run(60_000_000);
     let stats = day.engine.stats();
-    assert_eq!((stats.marks, stats.joined, stats.nonsense, stats.refused), (1, 1, 1, 0), "{stats:?}");
+    assert_eq!(
+        (stats.pending_acks, stats.connected, stats.invalid_inputs, stats.closed_streams),
+        (1, 1, 1, 0),
+        "{stats:?}"
+    );
     day.engine.handle(day.now, applied(1));
-    assert_eq!(day.engine.stats().marks, 0);
+    assert_eq!(day.engine.stats().pending_acks, 0);
 }
 
 #[test]
@@ -311,7 +317,7 @@
     assert!(sent.iter().all(|(stream, _)| *stream == 2) && sent[0].1.contains("\"full\":true"), "{sent:?}");
     day.engine.handle(day.now, Input::StreamEnded { stream: StreamId(1) });
     day.run(100_000);
-    assert_eq!((day.engine.stats().joined, day.engine.stats().unbound), (1, 0));
+    assert_eq!((day.engine.stats().connected, day.engine.stats().unassigned), (1, 0));
 }
 
 /// A name is a server wherever it is; one that is spoilt is passed over alone.
@@ -322,7 +328,7 @@
     let mut moved = nodes(2);
     moved[0]["address"] = json!("127.0.0.9:9");
     day.list(ListUpdate::Full, &moved);
-    assert_eq!(day.engine.stats().servers, [2, 0, 2]);
+    assert_eq!(day.engine.stats().servers, ServerCounts { ready: 2, draining: 0, total: 2 });
     let odd: Answer = serde_json::from_value(common::list(
         3,
         true,
@@ -332,7 +338,7 @@
     assert_eq!((odd.entries.len(), odd.spoilt.len(), odd.nameless), (1, 1, 2));
     let entry =
         DiscoveredEndpoint { zone: "none".into(), name: Some("s-8".into()), ..odd.entries[0].clone() };
-    day.engine.handle(day.now, Input::EndpointList { how: ListUpdate::Delta, entries: vec![entry] });
+    day.engine.handle(day.now, Input::EndpointList { update: ListUpdate::Delta, entries: vec![entry] });
     day.run(1000);
     assert!(
         matches!(&day.notes[..], [.., LogEvent::InvalidEntry { server, .. }] if server == "s-8"),
--- a/crates/stepspur-platform/tests/probes.rs
+++ b/crates/stepspur-platform/tests/probes.rs
@@ -95,7 +95,7 @@
     let deadline = Instant::now() + SOON;
     loop {
         let stats = conductor.stats().await.expect("the engine lives");
-        if stats.servers[0] == count {
+        if stats.servers.ready == count {
             return;
         }
         assert!(Instant::now() < deadline, "{stats:?}");
--- a/crates/stepspur-platform/tests/rules.rs
+++ b/crates/stepspur-platform/tests/rules.rs
@@ -36,7 +36,14 @@
 fn engine(config: &Config, now: u64) -> Engine {
     let file = common::file("127.0.0.1:1".parse().unwrap(), PROXIES.into(), 256, &common::list(0, true, &[]));
     let told = common::load(&file);
-    Engine::with(config.clone(), told.settings, Box::new(Lines::new(told.catalog.classes)), now, 1, now)
+    Engine::with_protocol(
+        config.clone(),
+        told.settings,
+        Box::new(Lines::new(told.catalog.classes)),
+        now,
+        1,
+        now,
+    )
 }
 
 impl Day {
@@ -59,7 +66,7 @@
             self.addresses.insert(entry.name.clone().unwrap(), entry.address);
         }
         self.rules.truth(self.now, &answer.entries);
-        self.engine.handle(self.now, Input::EndpointList { how, entries: answer.entries });
+        self.engine.handle(self.now, Input::EndpointList { update: how, entries: answer.entries });
     }
 
     fn join_all(&mut self, fresh: bool) {
@@ -119,7 +126,7 @@
                 order.levels.extend(classes.map(|(class, _)| v1::Level { class, resend, admit: None }));
             }
             if let Some(mark) = part["nonce_out"].as_u64() {
-                let applied = Input::Acknowledged { stream, mark: mark as u32, latency: Some(1000) };
+                let applied = Input::Acknowledged { stream, nonce: mark as u32, latency: Some(1000) };
                 self.engine.handle(self.now, applied);
             }
         }
--- a/crates/stepspur-platform/tests/service.rs
+++ b/crates/stepspur-platform/tests/service.rs
@@ -43,7 +43,7 @@
         proxy.until(k, |p| p.whole == 1).await;
         assert!(!proxy.lines.is_empty());
     }
-    counts(&conductor, |s| s.joined == 8 && s.unbound == 0 && s.marks == 0).await;
+    counts(&conductor, |s| s.connected == 8 && s.unassigned == 0 && s.pending_acks == 0).await;
     let drained = Instant::now();
     discovery.change(&[node(0, "draining", 0), node(3, "draining", 0)]);
     for (k, proxy) in proxies.iter_mut().enumerate() {
@@ -64,7 +64,7 @@
     proxy.until(1, |p| p.whole == 1 && p.picks("s-0001")).await;
     // The decisions hear of each call that failed, and ask again until one is answered.
     discovery.mood(Mood::Well);
-    counts(&conductor, |s| s.servers[0] == 6).await;
+    counts(&conductor, |s| s.servers.ready == 6).await;
     conductor.stop().await;
 }
 
@@ -77,7 +77,7 @@
     early.say(&json!({"@type": "hb"})).await;
     assert_eq!(early.next().await.map(|line| line["@type"].clone()), Some(json!("reject")));
     discovery.mood(Mood::Well);
-    counts(&conductor, |s| s.servers[0] == 2).await;
+    counts(&conductor, |s| s.servers.ready == 2).await;
     let mut later = Caller::dial(conductor.address()).await;
     later.say(&json!({"@type": "hb"})).await;
     assert_eq!(later.next().await, Some(json!({"@type": "hb_ok"})));
@@ -96,10 +96,10 @@
             assert!(Instant::now() < deadline, "{mood:?}");
             sleep(Duration::from_millis(20)).await;
         }
-        assert!(conductor.stats().await.unwrap().servers[0] >= 3, "{mood:?}: the old list stands");
+        assert!(conductor.stats().await.unwrap().servers.ready >= 3, "{mood:?}: the old list stands");
         discovery.mood(Mood::Well);
         discovery.change(&[node(7, "ready", 0)]);
-        counts(&conductor, |s| s.servers[0] == 5).await;
+        counts(&conductor, |s| s.servers.ready == 5).await;
         conductor.stop().await;
     }
 }
@@ -120,7 +120,7 @@
     old.die();
     new.change(&[node(0, "draining", 0)]);
     proxy.until(0, |p| !p.picks("s-0000")).await;
-    assert_eq!((proxy.whole, conductor.stats().await.unwrap().joined), (1, 1), "the same stream");
+    assert_eq!((proxy.whole, conductor.stats().await.unwrap().connected), (1, 1), "the same stream");
     conductor.stop().await;
 }
 
@@ -129,7 +129,7 @@
 async fn strangers_are_shown_out() {
     let discovery = StandIn::start(&nodes(4)).await;
     let (conductor, _move) = start(&file(discovery.address, 20, 256, &nothing_known())).await;
-    counts(&conductor, |s| s.servers[0] == 4).await;
+    counts(&conductor, |s| s.servers.ready == 4).await;
     let endless = vec![b'x'; 1 << 20];
     let cases: [(&str, &[u8]); 9] = [
         ("HTTP", b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"),
@@ -153,7 +153,7 @@
         assert!(answer.is_none_or(|answer| answer["@type"] == "reject"), "{what}");
         assert!(began.elapsed() < Duration::from_secs(3), "{what}: {:?}", began.elapsed());
     }
-    assert_eq!(conductor.stats().await.unwrap().joined, 0);
+    assert_eq!(conductor.stats().await.unwrap().connected, 0);
     conductor.stop().await;
 }
 
@@ -161,7 +161,7 @@
 async fn hundreds_that_say_nothing_keep_no_proxy_out() {
     let discovery = StandIn::start(&nodes(4)).await;
     let (conductor, _move) = start(&file(discovery.address, 20, 100, &nothing_known())).await;
-    counts(&conductor, |s| s.servers[0] == 4).await;
+    counts(&conductor, |s| s.servers.ready == 4).await;
     let began = Instant::now();
     let mut silent = Vec::new();
     for _ in 0..300 {
@@ -172,12 +172,12 @@
         timeout(SOON, proxy.until(k, |p| p.whole == 1)).await.expect("a table in time");
         silent.push(proxy);
     }
-    assert_eq!(conductor.stats().await.unwrap().joined, 20);
+    assert_eq!(conductor.stats().await.unwrap().connected, 20);
     for mut caller in silent.drain(..300) {
         assert!(caller.next().await.is_none_or(|answer| answer["@type"] == "reject"));
     }
     assert!(began.elapsed() < SOON);
-    counts(&conductor, |s| s.joined == 20).await;
+    counts(&conductor, |s| s.connected == 20).await;
     conductor.stop().await;
 }
 
@@ -188,19 +188,19 @@
     let (conductor, _move) = start(&file(discovery.address, 4, 256, &nothing_known())).await;
     let mut proxy = Caller::proxy(conductor.address(), 0).await;
     proxy.until(0, |p| p.whole == 1).await;
-    counts(&conductor, |s| s.marks == 0).await;
+    counts(&conductor, |s| s.pending_acks == 0).await;
     proxy.say(&json!({"@type": "done", "proxy": 0, "mark": "x", "took_ms": 1})).await;
     proxy.say(&json!({"@type": "done", "proxy": 1, "mark": 1, "took_ms": 1})).await;
     proxy.say(&json!({"@type": "client_stats", "proxy": 0, "class": "none", "tries": 1, "failed": 0, "span_ms": 1})).await;
     proxy.say(&json!({"@type": "hb"})).await;
     assert_eq!(proxy.next().await, Some(json!({"@type": "hb_ok"})));
-    counts(&conductor, |s| s.joined == 1 && s.nonsense == 3).await;
+    counts(&conductor, |s| s.connected == 1 && s.invalid_inputs == 3).await;
     proxy.raw(b"\x00\x01 nothing\n").await;
-    counts(&conductor, |s| s.joined == 0).await;
+    counts(&conductor, |s| s.connected == 0).await;
     let mut collector = Caller::dial(conductor.address()).await;
     collector.say(&json!({"@type": "telemetry", "zone": "a"})).await;
     collector.say(&json!({"@type": "upstream_stats", "zone": "a", "server": "s-0000", "tries": 0})).await;
-    counts(&conductor, |s| s.nonsense == 4).await;
+    counts(&conductor, |s| s.invalid_inputs == 4).await;
     collector.raw(b"garbage\n").await;
     assert_eq!(collector.next().await, None, "nothing is written to a collector");
     conductor.stop().await;
@@ -226,15 +226,15 @@
         let replaced = 4 + round;
         discovery.change(&[node(replaced, "ready", 0), node(replaced - 4, "gone", 0)]);
         if round % 100 == 99 {
-            counts(&conductor, |s| s.joined == 1 && s.servers[0] == 4).await;
+            counts(&conductor, |s| s.connected == 1 && s.servers.ready == 4).await;
         }
     }
-    let stats = counts(&conductor, |s| s.joined == 1 && s.servers[0] == 4 && s.unbound == 0).await;
+    let stats = counts(&conductor, |s| s.connected == 1 && s.servers.ready == 4 && s.unassigned == 0).await;
     let deadline = Instant::now() + SOON;
     while descriptors() > before + 4 {
         assert!(Instant::now() < deadline, "{} before {before}", descriptors());
         sleep(Duration::from_millis(20)).await;
     }
-    assert!(stats.tables <= 4 && stats.marks <= 4, "{stats:?}");
+    assert!(stats.tables <= 4 && stats.pending_acks <= 4, "{stats:?}");
     conductor.stop().await;
 }
--- a/crates/stepspur-scale/src/hollow/tests.rs
+++ b/crates/stepspur-scale/src/hollow/tests.rs
@@ -23,7 +23,7 @@
     let (address, stop) = (listener.local_addr().unwrap(), CancellationToken::new());
     let serving = tokio::spawn(Arc::clone(&registry).serve(0, listener, stop.clone()));
     let mut config = crate::slopes::conductor::settings().unwrap();
-    let doubt = config.source.doubt().clone();
+    let doubt = config.source.mass_removal_guard().clone();
     config.source =
         Source::Http { address, path: "/v1/nodes".into(), poll: PATIENCE, timeout: PATIENCE, doubt };
     let zones = config.fleet.zones.clone();
--- a/crates/stepspur-scale/src/slopes/conductor.rs
+++ b/crates/stepspur-scale/src/slopes/conductor.rs
@@ -114,7 +114,7 @@
         config.probes.enabled = setup.probing;
         config.fleet.proxies = setup.proxies.max(1) as u32;
         let poll = Duration::from_secs(10);
-        let doubt = config.source.doubt().clone();
+        let doubt = config.source.mass_removal_guard().clone();
         config.source = Source::Http { address, path: "/v1/nodes".into(), poll, timeout: poll, doubt };
         let hollow = if setup.probing { Some(HollowServers::start(setup.servers).await?) } else { None };
         let addresses = match &hollow {
--- a/crates/stepspur-scale/src/slopes/council.rs
+++ b/crates/stepspur-scale/src/slopes/council.rs
@@ -103,7 +103,7 @@
         config.source = Source::File {
             path: nodes.clone(),
             every: Duration::from_millis(500),
-            doubt: config.source.doubt().clone(),
+            doubt: config.source.mass_removal_guard().clone(),
         };
         let page = free_address(council.id)?;
         config.status.address = Some(page);
--- a/crates/stepspur-scale/src/slopes/tenants.rs
+++ b/crates/stepspur-scale/src/slopes/tenants.rs
@@ -36,8 +36,11 @@
     rights(&identity.folder, tenants)?;
     config.listen.plain_on_loopback = false;
     config.identity = Some(identity);
-    let source =
-        Source::File { path: nodes, every: Duration::from_millis(500), doubt: config.source.doubt().clone() };
+    let source = Source::File {
+        path: nodes,
+        every: Duration::from_millis(500),
+        doubt: config.source.mass_removal_guard().clone(),
+    };
     config.source = source.clone();
     let tenant = Tenant { fleet: config.fleet.clone(), source };
     config.tenants = (0..tenants).map(|number| (format!("tenant-{number}"), tenant.clone())).collect();
--- a/crates/stepspur-simulation/src/world/list.rs
+++ b/crates/stepspur-simulation/src/world/list.rs
@@ -60,7 +60,7 @@
             self.conductors[conductor].tracking = false;
             return self.handle_input(
                 conductor,
-                Input::EndpointList { how: ListUpdate::Failed, entries: Vec::new() },
+                Input::EndpointList { update: ListUpdate::Failed, entries: Vec::new() },
             );
         }
         records.extend((0..self.ghosts).map(|ghost| self.ghost_record(ghost)));
@@ -68,7 +68,7 @@
             records.iter().cloned().map(DiscoveredEndpoint::from).collect();
         self.note(Event::Told { conductor, whole, nodes: Arc::new(records) });
         let how = if whole { ListUpdate::Full } else { ListUpdate::Delta };
-        self.handle_input(conductor, Input::EndpointList { how, entries });
+        self.handle_input(conductor, Input::EndpointList { update: how, entries });
     }
 
     /// What the list says of a server, if it names it.
