--- a/crates/stepspur-conductor/src/service/distribution/mod.rs
+++ b/crates/stepspur-conductor/src/service/distribution/mod.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use serde::Serialize;
-use stepspur_consensus_node::{ConsensusConfig, Net, NodeHandle, Tcp};
+use stepspur_consensus_node::{ConsensusConfig, NodeHandle, Tcp, Transport};
 use stepspur_distribution::book::ConfigurationState;
 use stepspur_distribution::config::{
     ControlConfig, ControlMemberAddress, Distribution as Settings, SubscriberConfig,
@@ -120,7 +120,7 @@
         seed: u64,
     ) -> Result<Self, StartError> {
         let Some(Settings { control, subscriber }) = &config.distribution else { return Ok(Self::default()) };
-        let net: Arc<dyn Net> = Arc::new(Tcp);
+        let net: Arc<dyn Transport> = Arc::new(Tcp);
         let control = match (control, &member.shared) {
             (Some(set), Some(shared)) => Some(Arc::new(start_control(set, shared, Arc::clone(&net)).await?)),
             _ => None,
@@ -174,7 +174,7 @@
 async fn start_control(
     set: &ControlConfig,
     shared: &ReplicationClient,
-    net: Arc<dyn Net>,
+    net: Arc<dyn Transport>,
 ) -> Result<Control, StartError> {
     let id = shared.peers().id().0;
     let own = set.place(id);
@@ -194,7 +194,7 @@
 async fn start_subscriber(
     set: &SubscriberConfig,
     engines: Arc<TenantEngines>,
-    net: Arc<dyn Net>,
+    net: Arc<dyn Transport>,
     seed: u64,
 ) -> Result<RunningSubscriber, StartError> {
     let interest = set.interest()?;
--- a/crates/stepspur-conductor/src/service/operator/council.rs
+++ b/crates/stepspur-conductor/src/service/operator/council.rs
@@ -75,13 +75,13 @@
 async fn add((State(api), Extension(seen), headers): Asked, body: String) -> Result<Response, Told> {
     let grant = api.caller(&seen, &headers, Right::Administer, "council add")?;
     let OnMember { member } = read(&body)?;
-    let done = api.member()?.change(MembershipChange::Add(MemberId(member))).await;
+    let done = api.member()?.change_membership(MembershipChange::Add(MemberId(member))).await;
     Ok(api.council_changed(&seen, &grant, format!("council add {member}"), done).await)
 }
 
 async fn remove((State(api), Extension(seen), headers): Asked, body: String) -> Result<Response, Told> {
     let grant = api.caller(&seen, &headers, Right::Administer, "council remove")?;
     let OnMember { member } = read(&body)?;
-    let done = api.member()?.change(MembershipChange::Remove(MemberId(member))).await;
+    let done = api.member()?.change_membership(MembershipChange::Remove(MemberId(member))).await;
     Ok(api.council_changed(&seen, &grant, format!("council remove {member}"), done).await)
 }
--- a/crates/stepspur-consensus-node/src/config.rs
+++ b/crates/stepspur-consensus-node/src/config.rs
@@ -1,4 +1,4 @@
-//! A council as an operator words it, and how a conductor starts by it.
+//! The setting `[council]`, and how a conductor starts a member by it.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -16,140 +16,137 @@
 use crate::storage::Storage;
 use crate::tcp::Tcp;
 
-/// A council of conductors, and this one's place in it.
+/// The timeout for connecting to a peer, for each write, and for a first frame.
+const IO_TIMEOUT: Duration = Duration::from_secs(2);
+/// The largest frame, in bytes: a batch of the largest commands fits.
+const MAX_FRAME_BYTES: usize = 16 << 20;
+/// All conductors want the same share of roles.
+const ROLE_WEIGHT: f64 = 1.0;
+
+/// The setting `[council]`: the consensus group that a conductor belongs to.
 #[derive(Clone, Debug, Deserialize, Serialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct ConsensusConfig {
-    /// This conductor's number, never used twice: one whose disk is lost is replaced by another number.
+    /// The conductor's number. A conductor that has lost its state file gets a new one.
     #[garde(range(min = 1))]
     pub id: u64,
-    /// The state file, made by `stepspur council bootstrap`. Without it this conductor only follows.
+    /// The state file, created by `stepspur council bootstrap`. Without it the conductor only follows.
     #[garde(skip)]
     pub state: PathBuf,
-    /// All conductors of the council, this one too, alike in all their settings. The first council is of these.
-    #[garde(dive, length(min = 1, max = 1000), custom(sound(&self.id)))]
+    /// All conductors of the group with this one, 1 to 1,000, the same in all their settings. They are its
+    /// first voters.
+    #[garde(dive, length(min = 1, max = 1000), custom(lists_members_once(&self.id)))]
     pub conductors: Vec<MemberAddress>,
-    /// One that hears no leader for a time between this and its double stands for election.
-    #[serde(default = "election", with = "humantime_serde")]
-    #[garde(custom(alike(self)))]
+    /// The election timeout: a conductor that hears no leader for one to two times this long campaigns. 10 ms
+    /// to 10 minutes; default: 1 s.
+    #[serde(default = "default_election", with = "humantime_serde")]
+    #[garde(custom(fits_other_settings(self)))]
     pub election: Duration,
-    /// A leader writes to each member this often at least; a third of `election` at most.
-    #[serde(default = "heartbeat", with = "humantime_serde")]
+    /// The interval of a leader's heartbeats. 1 ms to a third of `election`; default: 200 ms.
+    #[serde(default = "default_heartbeat", with = "humantime_serde")]
     #[garde(skip)]
     pub heartbeat: Duration,
-    /// Leases are renewed so often.
-    #[serde(default = "renew", with = "humantime_serde")]
+    /// The interval of lease renewals. `heartbeat` or more; default: 400 ms.
+    #[serde(default = "default_renew", with = "humantime_serde")]
     #[garde(skip)]
     pub renew: Duration,
-    /// A disk that takes longer to answer is stalled.
-    #[serde(default = "disk_stall", with = "humantime_serde")]
+    /// A disk that takes longer than this for a write counts as stalled. `heartbeat` or more; default: 2 s.
+    #[serde(default = "default_disk_stall", with = "humantime_serde")]
     #[garde(skip)]
     pub disk_stall: Duration,
-    /// How much a conductor's clock may be off, in millionths.
-    #[serde(default = "drift_ppm")]
+    /// How much faster or slower than true time a clock may run, in parts in a million. Up to 100,000;
+    /// default: 1,000.
+    #[serde(default = "default_drift_ppm")]
     #[garde(skip)]
     pub drift_ppm: u32,
 }
 
-/// Where a conductor of the council listens to the others.
+/// A member's number and address.
 #[derive(Clone, Debug, Deserialize, Serialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct MemberAddress {
-    /// Its number.
+    /// The member's number.
     #[garde(range(min = 1))]
     pub id: u64,
-    /// Its address.
-    #[garde(custom(loopback))]
+    /// The address at which it accepts peers.
+    #[garde(custom(is_loopback))]
     pub address: SocketAddr,
 }
 
-fn election() -> Duration {
+fn default_election() -> Duration {
     Duration::from_secs(1)
 }
-fn heartbeat() -> Duration {
+fn default_heartbeat() -> Duration {
     Duration::from_millis(200)
 }
-fn renew() -> Duration {
+fn default_renew() -> Duration {
     Duration::from_millis(400)
 }
-fn disk_stall() -> Duration {
+fn default_disk_stall() -> Duration {
     Duration::from_secs(2)
 }
-fn drift_ppm() -> u32 {
+fn default_drift_ppm() -> u32 {
     1_000
 }
 
-fn loopback(address: &SocketAddr, (): &()) -> garde::Result {
+fn is_loopback(address: &SocketAddr, (): &()) -> garde::Result {
     match address.ip().is_loopback() {
         true => Ok(()),
         false => Err(garde::Error::new("must be a loopback address: peers carry no identity yet")),
     }
 }
 
-fn sound(own: &u64) -> impl FnOnce(&Vec<MemberAddress>, &()) -> garde::Result + '_ {
-    move |places, ()| {
-        let ids: BTreeSet<u64> = places.iter().map(|place| place.id).collect();
-        match (ids.len() == places.len(), ids.contains(own)) {
+fn lists_members_once(own_id: &u64) -> impl FnOnce(&Vec<MemberAddress>, &()) -> garde::Result + '_ {
+    move |members, ()| {
+        let ids: BTreeSet<u64> = members.iter().map(|member| member.id).collect();
+        match (ids.len() == members.len(), ids.contains(own_id)) {
             (true, true) => Ok(()),
             (false, _) => Err(garde::Error::new("name a number twice")),
-            (_, false) => Err(garde::Error::new(format!("do not name this conductor's own number, {own}"))),
+            (_, false) => {
+                Err(garde::Error::new(format!("do not name this conductor's own number, {own_id}")))
+            }
         }
     }
 }
 
-/// The times must fit each other.
-fn alike(council: &ConsensusConfig) -> impl FnOnce(&Duration, &()) -> garde::Result + '_ {
-    move |_, ()| match council.council().faults().first() {
+/// The durations have bounds that depend on each other.
+fn fits_other_settings(config: &ConsensusConfig) -> impl FnOnce(&Duration, &()) -> garde::Result + '_ {
+    move |_, ()| match config.consensus_settings().invalid_settings().first() {
         None => Ok(()),
-        Some(fault) => Err(garde::Error::new(format!("does not fit: {fault}"))),
+        Some(invalid) => Err(garde::Error::new(format!("does not fit: {invalid}"))),
     }
 }
 
-/// Dialling and each write are due in this time.
-const WITHIN: Duration = Duration::from_secs(2);
-/// The largest frame, in bytes: a batch of the longest commands.
-const LARGEST: usize = 16 << 20;
-
 impl ConsensusConfig {
-    fn council(&self) -> stepspur_consensus::Settings {
-        let micros = |span: Duration| u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
-        stepspur_consensus::Settings {
-            election: micros(self.election),
-            heartbeat: micros(self.heartbeat),
-            renew: micros(self.renew),
-            disk_stall: micros(self.disk_stall),
-            drift_ppm: self.drift_ppm,
-            ..Default::default()
-        }
-    }
-
-    /// As a member takes it.
+    /// The member's settings.
     pub fn settings(&self) -> Settings {
-        let place = |place: &MemberAddress| (MemberId(place.id), place.address);
-        let own = self.conductors.iter().find(|place| place.id == self.id);
+        let address = |member: &MemberAddress| (MemberId(member.id), member.address);
+        let own = self.conductors.iter().find(|member| member.id == self.id);
+        // Validation rejects settings without their own member.
+        let unlisted = SocketAddr::from(([127, 0, 0, 1], 0));
         Settings {
             id: MemberId(self.id),
-            // Settings without their own place are refused before.
-            listen: own.map_or(SocketAddr::from(([127, 0, 0, 1], 0)), |place| place.address),
-            peers: self.conductors.iter().map(place).collect(),
-            council: self.council(),
-            wants: Vec::new(),
-            weight: 1.0,
-            within: WITHIN,
-            largest_frame: LARGEST,
+            listen: own.map_or(unlisted, |member| member.address),
+            peers: self.conductors.iter().map(address).collect(),
+            consensus: self.consensus_settings(),
+            role_prefixes: Vec::new(),
+            role_weight: ROLE_WEIGHT,
+            io_timeout: IO_TIMEOUT,
+            max_frame_bytes: MAX_FRAME_BYTES,
         }
     }
 
-    /// Makes the state file of a first member: it votes from its start, with the others that are named.
+    /// Creates the state file of a first member, which votes from its start with all conductors of the group.
     ///
     /// # Errors
-    /// [`Fault::Exists`] if there is one, and those of the disk.
+    /// [`StorageError::AlreadyExists`] if there is one; see [`StorageError`].
     pub fn bootstrap(&self) -> Result<(), StorageError> {
-        let voters = self.conductors.iter().map(|place| MemberId(place.id)).collect();
+        let voters = self.conductors.iter().map(|member| MemberId(member.id)).collect();
         Store::create(&self.state, MemberId(self.id), &RaftNode::bootstrap(voters)).map(drop)
     }
 
-    /// Starts the member. One whose state cannot be used only follows, and says so: the conductor goes on.
+    /// Starts the member, without replicated state beside the roles. If its state file cannot be used, that
+    /// is logged, and the member only follows: the conductor goes on. Random numbers come from `seed`.
     ///
     /// # Errors
     /// See [`StartError`].
@@ -157,7 +154,7 @@
         self.start_with(seed, ()).await
     }
 
-    /// As [`ConsensusConfig::start`], with a state that is agreed on beside duties.
+    /// As [`ConsensusConfig::start`], with the state machine as in a new group.
     ///
     /// # Errors
     /// See [`StartError`].
@@ -166,20 +163,36 @@
         seed: u64,
         state: S,
     ) -> Result<NodeHandle, StartError> {
+        let storage = self.open_storage().await;
+        NodeHandle::start_on(Arc::new(Tcp), self.settings(), storage, seed ^ self.id, state).await
+    }
+
+    /// Opens the state file; none if it cannot be used, which is logged.
+    async fn open_storage(&self) -> Option<(Box<dyn Storage>, PersistentState)> {
         let path = self.state.clone();
-        let opened: Result<Result<(Store, PersistentState), StorageError>, _> =
-            tokio::task::spawn_blocking(move || Store::open(&path)).await;
-        let disk = match opened {
-            Ok(Ok((store, stored))) => Some((Box::new(store) as Box<dyn Storage>, stored)),
+        let member = MemberId(self.id);
+        match tokio::task::spawn_blocking(move || Store::open(&path)).await {
+            Ok(Ok((store, stored))) => Some((Box::new(store), stored)),
             Ok(Err(cause)) => {
-                tracing::error!(event = "consensus_without_storage", member = %MemberId(self.id), %cause);
+                tracing::error!(event = "consensus_without_storage", %member, %cause);
                 None
             }
             Err(cause) => {
-                tracing::error!(event = "consensus_without_storage", member = %MemberId(self.id), %cause);
+                tracing::error!(event = "consensus_without_storage", %member, %cause);
                 None
             }
-        };
-        NodeHandle::start_on(Arc::new(Tcp), self.settings(), disk, seed ^ self.id, state).await
+        }
+    }
+
+    fn consensus_settings(&self) -> stepspur_consensus::Settings {
+        let micros = |duration: Duration| u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
+        stepspur_consensus::Settings {
+            election_timeout: micros(self.election),
+            heartbeat_interval: micros(self.heartbeat),
+            renewal_interval: micros(self.renew),
+            write_timeout: micros(self.disk_stall),
+            clock_drift_ppm: self.drift_ppm,
+            ..Default::default()
+        }
     }
 }
--- a/crates/stepspur-consensus-node/src/events.rs
+++ b/crates/stepspur-consensus-node/src/events.rs
@@ -1,39 +1,52 @@
 //! What a member writes to the program's log.
 
-use stepspur_consensus::{MemberId, Note, RoleChange};
+use stepspur_consensus::{MemberId, RaftEvent, RoleChange};
 
-/// A duty has another holder, none, or one that must stop.
-pub(crate) fn duty_changed(me: MemberId, changed: &RoleChange) {
-    match changed {
-        RoleChange::Held { duty, holder, token, before } => {
-            let before = before.map(|m| m.to_string()).unwrap_or_default();
-            tracing::info!(event = "lease_acquired", member = %me, duty = duty.as_str(), %holder, %token, before);
+/// Logs a change of a role's holder.
+pub(crate) fn log_role_change(member: MemberId, change: &RoleChange) {
+    match change {
+        RoleChange::Granted { role, holder, token, previous_holder } => {
+            let duty = role.as_str();
+            let before = previous_holder.map(|holder| holder.to_string()).unwrap_or_default();
+            tracing::info!(event = "lease_acquired", %member, duty, %holder, %token, before);
         }
-        RoleChange::Free { duty, before } => {
-            let before = before.map(|m| m.to_string()).unwrap_or_default();
-            tracing::info!(event = "lease_released", member = %me, duty = duty.as_str(), before);
+        RoleChange::Released { role, previous_holder } => {
+            let duty = role.as_str();
+            let before = previous_holder.map(|holder| holder.to_string()).unwrap_or_default();
+            tracing::info!(event = "lease_released", %member, duty, before);
         }
-        RoleChange::Revoked { duty } => {
-            tracing::info!(event = "lease_revoked", member = %me, duty = duty.as_str());
+        RoleChange::Revoked { role } => {
+            let duty = role.as_str();
+            tracing::info!(event = "lease_revoked", %member, duty);
         }
     }
 }
 
-/// Elections, members and failures.
-pub(crate) fn council_note(me: MemberId, note: &Note) {
-    match note {
-        Note::Stands { term, why } => tracing::info!(event = "consensus_candidate", member = %me, %term, why),
-        Note::Leads { term } => tracing::info!(event = "consensus_leader", member = %me, %term),
-        Note::StepsDown { term, why } => {
-            tracing::warn!(event = "consensus_stepped_down", member = %me, %term, why);
-        }
-        Note::Follows { term, leader } => {
-            tracing::info!(event = "consensus_follower", member = %me, %term, %leader);
-        }
-        Note::Members { voters } => tracing::info!(event = "consensus_membership", member = %me, ?voters),
-        Note::GivenUp { member } => {
-            tracing::warn!(event = "consensus_member_failed", member = %me, other = %member)
-        }
-        Note::Retired { why } => tracing::error!(event = "consensus_member_removed", member = %me, why),
+/// Logs elections, membership changes and failures.
+pub(crate) fn log_raft_event(member: MemberId, event: &RaftEvent) {
+    match event {
+        RaftEvent::BecameCandidate { term, reason } => {
+            let why = reason.to_string();
+            tracing::info!(event = "consensus_candidate", %member, %term, why);
+        }
+        RaftEvent::BecameLeader { term } => {
+            tracing::info!(event = "consensus_leader", %member, %term);
+        }
+        RaftEvent::SteppedDown { term, reason } => {
+            let why = reason.to_string();
+            tracing::warn!(event = "consensus_stepped_down", %member, %term, why);
+        }
+        RaftEvent::BecameFollower { term, leader } => {
+            tracing::info!(event = "consensus_follower", %member, %term, %leader);
+        }
+        RaftEvent::VotersChanged { voters } => {
+            tracing::info!(event = "consensus_membership", %member, ?voters);
+        }
+        RaftEvent::CatchUpFailed { member: other } => {
+            tracing::warn!(event = "consensus_member_failed", %member, %other);
+        }
+        RaftEvent::Halted { reason } => {
+            tracing::error!(event = "consensus_member_removed", %member, why = reason);
+        }
     }
 }
--- /dev/null
+++ b/crates/stepspur-consensus-node/src/peer_link.rs
@@ -0,0 +1,82 @@
+//! The link to one peer: a task that sends the messages of its queue.
+
+use std::convert::Infallible;
+use std::io;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+
+use futures_util::SinkExt;
+use stepspur_proto::v1::FromPeer;
+use stepspur_proto::{FrameError, Frames};
+use tokio::time::{sleep, timeout};
+use tokio_util::codec::Framed;
+use tokio_util::sync::CancellationToken;
+
+use crate::send_queue::SendQueue;
+use crate::transport::Transport;
+
+/// The backoff before the first new connection; it doubles with each failure up to [`MAX_BACKOFF`].
+const FIRST_BACKOFF: Duration = Duration::from_millis(50);
+/// The longest backoff between two connections.
+const MAX_BACKOFF: Duration = Duration::from_secs(1);
+
+/// The link to one peer.
+pub(crate) struct PeerLink {
+    pub(crate) transport: Arc<dyn Transport>,
+    /// The peer's address.
+    pub(crate) address: SocketAddr,
+    pub(crate) queue: Arc<SendQueue>,
+    /// The largest frame, in bytes.
+    pub(crate) max_frame_bytes: usize,
+    /// The timeout for connecting, and for each write.
+    pub(crate) io_timeout: Duration,
+}
+
+impl PeerLink {
+    /// Sends until stopped. It connects once there is a message, and again whenever the connection fails.
+    pub(crate) async fn run(self, stop: CancellationToken) {
+        tokio::select! {
+            () = stop.cancelled() => {}
+            _ = self.send_with_reconnects() => {}
+        }
+    }
+
+    async fn send_with_reconnects(&self) -> Infallible {
+        let mut backoff = FIRST_BACKOFF;
+        loop {
+            let first = self.queue.next().await;
+            match self.send_connected(first, &mut backoff).await {
+                Ok(never) => return never,
+                Err(cause) => tracing::debug!(event = "peer_link_down", to = %self.address, %cause),
+            }
+            sleep(backoff).await;
+            backoff = (backoff * 2).min(MAX_BACKOFF);
+        }
+    }
+
+    /// Sends over one connection until it fails. A sent message resets the backoff.
+    async fn send_connected(
+        &self,
+        first: FromPeer,
+        backoff: &mut Duration,
+    ) -> Result<Infallible, FrameError> {
+        let timed_out = |_| FrameError::Io(io::ErrorKind::TimedOut.into());
+        let connecting = timeout(self.io_timeout, self.transport.dial(self.address));
+        let connection = connecting.await.map_err(timed_out)??;
+        let codec = Frames::<FromPeer, FromPeer>::new(self.max_frame_bytes);
+        let mut frames = Framed::new(connection, codec);
+        let mut message = first;
+        loop {
+            match timeout(self.io_timeout, frames.send(message)).await.map_err(timed_out)? {
+                // The message is skipped: the connection is intact, and the others need not wait for it.
+                Err(FrameError::TooLarge { size, largest }) => {
+                    tracing::error!(event = "peer_message_too_large", to = %self.address, size, largest);
+                }
+                sent => sent?,
+            }
+            *backoff = FIRST_BACKOFF;
+            message = self.queue.next().await;
+        }
+    }
+}
--- a/crates/stepspur-consensus-node/src/settings.rs
+++ b/crates/stepspur-consensus-node/src/settings.rs
@@ -7,50 +7,51 @@
 
 use stepspur_consensus::{InvalidSetting, MemberId};
 
-/// A council member's settings.
+/// A member's settings.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Its identity; that of its storage where it has one.
+    /// Its identity, which must be that of its storage.
     pub id: MemberId,
-    /// Where peers dial in: on loopback, as the links carry no identity yet.
+    /// The address at which it accepts peers: on loopback, as the links have no authentication yet.
     pub listen: SocketAddr,
-    /// The others, and where they listen.
+    /// The members and their addresses; its own entry is ignored.
     pub peers: BTreeMap<MemberId, SocketAddr>,
-    /// What all members go by.
-    pub council: stepspur_consensus::Settings,
-    /// Beginnings of the names of duties that it would hold.
-    pub wants: Vec<String>,
-    /// How much of them, against others.
-    pub weight: f64,
-    /// Dialling and each write are due in this time, and so is a caller's first frame.
-    pub within: Duration,
-    /// The largest frame, in bytes: a batch of the longest commands must fit.
-    pub largest_frame: usize,
+    /// The settings that all members share.
+    pub consensus: stepspur_consensus::Settings,
+    /// Prefixes of the names of roles that it would hold, 64 at most.
+    pub role_prefixes: Vec<String>,
+    /// Its share of these roles relative to other members'; 0: none.
+    pub role_weight: f64,
+    /// The timeout for connecting to a peer, for each write to it, and for the first frame of an accepted
+    /// connection.
+    pub io_timeout: Duration,
+    /// The largest frame, in bytes: a batch of the largest commands must fit.
+    pub max_frame_bytes: usize,
 }
 
 /// Why a member did not start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// Settings are out of bounds.
+    /// A setting is out of bounds.
     #[error("council.{0}")]
-    Settings(#[from] InvalidSetting),
-    /// The storage is another member's.
-    #[error("the state file is that of {found}, and the settings name {named}")]
-    Identity {
-        /// The storage's.
+    InvalidSetting(#[from] InvalidSetting),
+    /// The storage belongs to another member.
+    #[error("the state file is that of {found}, and the settings name {expected}")]
+    WrongIdentity {
+        /// The storage's member.
         found: MemberId,
-        /// The settings'.
-        named: MemberId,
+        /// The settings' member.
+        expected: MemberId,
     },
-    /// Connections cannot be accepted at an address.
+    /// It cannot listen at its address.
     #[error("cannot listen on {address}: {cause}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// Why.
+        /// The system's error.
         cause: io::Error,
     },
     /// The system starts no thread for the storage.
     #[error("no thread for the disk: {0}")]
-    Thread(io::Error),
+    StorageThread(io::Error),
 }
--- a/crates/stepspur-consensus-node/src/storage.rs
+++ b/crates/stepspur-consensus-node/src/storage.rs
@@ -1,4 +1,4 @@
-//! A member's storage as a trait, and the state file as one. Tests put storage in memory in its place.
+//! A member's storage as a trait, and the state file as one. Tests use storage in memory.
 
 use std::io;
 
@@ -7,59 +7,81 @@
 
 use crate::transport::BoxFuture;
 
-/// Called with what becomes of saves: all up to this number are durable, or the storage has failed and reports
-/// nothing more.
-pub type WriteCallback = Box<dyn FnMut(Result<u64, String>) + Send>;
+/// The most writes in the queue: a member with more has stalled storage.
+const MAX_QUEUED_WRITES: usize = 1_024;
+
+/// What became of writes.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum StorageEvent {
+    /// All writes up to this number are durable.
+    Durable {
+        /// The number.
+        number: u64,
+    },
+    /// The storage has failed. No event follows.
+    Failed {
+        /// Why.
+        reason: String,
+    },
+}
+
+/// Called for each event of the storage.
+pub type StorageCallback = Box<dyn FnMut(StorageEvent) + Send>;
+
+/// Why a write was not queued: the queue is full, or the storage has failed.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{reason}")]
+pub struct WriteRejected {
+    /// The storage's reason.
+    pub reason: String,
+}
 
 /// A member's storage, opened and read.
 pub trait Storage: Send {
     /// The member that it belongs to.
     fn id(&self) -> MemberId;
 
-    /// Takes saves from now on, and tells what becomes of them.
+    /// Starts to accept writes, and reports what becomes of them.
     ///
     /// # Errors
-    /// The system's, if it gives no thread.
-    fn serve(self: Box<Self>, tell: WriteCallback) -> io::Result<Box<dyn SaveQueue>>;
+    /// The system starts no thread.
+    fn start(self: Box<Self>, on_event: StorageCallback) -> io::Result<Box<dyn WriteQueue>>;
 }
 
-/// Saves on their way to the storage.
-pub trait SaveQueue: Send {
-    /// Queues a save. It never waits.
+/// Writes on their way to the storage.
+pub trait WriteQueue: Send {
+    /// Queues a write. It never waits.
     ///
     /// # Errors
-    /// Why no more are taken.
-    fn save(&self, save: WriteRequest) -> Result<(), String>;
+    /// The queue is full, or the storage has failed.
+    fn enqueue(&self, write: WriteRequest) -> Result<(), WriteRejected>;
 
-    /// Writes what is queued, and ends. It may wait for ever where the storage hangs.
+    /// Writes what is queued, and ends. It may never complete if the storage hangs.
     fn close(self: Box<Self>) -> BoxFuture<'static, ()>;
 }
 
-/// Saves that may be queued: a member that writes more has stalled storage.
-const SAVES_MAX: usize = 1_024;
-
 impl Storage for Store {
     fn id(&self) -> MemberId {
         Store::id(self)
     }
 
-    fn serve(self: Box<Self>, mut tell: WriteCallback) -> io::Result<Box<dyn SaveQueue>> {
-        let told = move |what| match what {
-            WriteOutcome::Kept(number) => tell(Ok(number)),
-            WriteOutcome::Failed(fault) => tell(Err(fault.to_string())),
+    fn start(self: Box<Self>, mut on_event: StorageCallback) -> io::Result<Box<dyn WriteQueue>> {
+        let on_outcome = move |outcome| match outcome {
+            WriteOutcome::Durable(number) => on_event(StorageEvent::Durable { number }),
+            WriteOutcome::Failed(cause) => on_event(StorageEvent::Failed { reason: cause.to_string() }),
         };
-        Ok(Box::new(Writer::start(*self, SAVES_MAX, told)?))
+        Ok(Box::new(Writer::start(*self, MAX_QUEUED_WRITES, on_outcome)?))
     }
 }
 
-impl SaveQueue for Writer {
-    fn save(&self, save: WriteRequest) -> Result<(), String> {
-        Writer::save(self, save).map_err(|busy| busy.to_string())
+impl WriteQueue for Writer {
+    fn enqueue(&self, write: WriteRequest) -> Result<(), WriteRejected> {
+        Writer::enqueue(self, write).map_err(|full| WriteRejected { reason: full.to_string() })
     }
 
     fn close(self: Box<Self>) -> BoxFuture<'static, ()> {
         Box::pin(async {
-            // The thread is waited for on the blocking pool, never in a task.
+            // The thread is joined on the blocking pool, as that may take long.
             let _ = tokio::task::spawn_blocking(|| drop(Writer::close(*self))).await;
         })
     }
--- a/crates/stepspur-consensus-node/src/tcp.rs
+++ b/crates/stepspur-consensus-node/src/tcp.rs
@@ -1,4 +1,4 @@
-//! The transport of the program: TCP on loopback.
+//! The program's transport: TCP on loopback.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 
 use crate::transport::{BoxFuture, Listener, Stream, Transport};
 
-/// Plain TCP. It listens on loopback alone, as links carry no identity yet.
+/// Plain TCP. It listens on loopback only, as links have no authentication yet.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tcp;
 
@@ -19,7 +19,7 @@
             }
             let listener = TcpListener::bind(at).await?;
             let address = listener.local_addr()?;
-            Ok(Box::new(BoundTcp { listener, address }) as Box<dyn Listener>)
+            Ok(Box::new(TcpLoopback { listener, address }) as Box<dyn Listener>)
         })
     }
 
@@ -32,12 +32,12 @@
     }
 }
 
-struct BoundTcp {
+struct TcpLoopback {
     listener: TcpListener,
     address: SocketAddr,
 }
 
-impl Listener for BoundTcp {
+impl Listener for TcpLoopback {
     fn address(&self) -> SocketAddr {
         self.address
     }
--- a/crates/stepspur-consensus-node/src/transport.rs
+++ b/crates/stepspur-consensus-node/src/transport.rs
@@ -15,18 +15,18 @@
 
 /// Connects members to each other.
 pub trait Transport: Send + Sync + 'static {
-    /// Listens at an address.
+    /// Listens at an address. The future fails if the system rejects the address.
     fn listen(&self, at: SocketAddr) -> BoxFuture<'_, io::Result<Box<dyn Listener>>>;
 
-    /// Connects to an address.
+    /// Connects to an address. The future fails if nothing accepts there.
     fn dial(&self, to: SocketAddr) -> BoxFuture<'_, io::Result<Box<dyn Stream>>>;
 }
 
 /// An address at which connections are accepted.
 pub trait Listener: Send {
-    /// The address.
+    /// The address, with the port that the system has chosen.
     fn address(&self) -> SocketAddr;
 
-    /// The next connection. The future may be dropped and asked for again without losing one.
+    /// Accepts the next connection. The future may be dropped without losing one.
     fn accept(&mut self) -> BoxFuture<'_, io::Result<Box<dyn Stream>>>;
 }
--- a/crates/stepspur-consensus-node/tests/schema.rs
+++ b/crates/stepspur-consensus-node/tests/schema.rs
@@ -1,108 +1,163 @@
-//! Every message of the council comes out of the schema as it went in, and bytes that are none are refused.
+//! Every message survives the schema unchanged, and invalid bytes are rejected.
 
 use proptest::prelude::*;
-use stepspur_consensus::{Entry, Index, MemberId, Message, Payload, PeerMessage, Term};
-use stepspur_consensus_node::{InvalidPeerMessage, from_peer, to_peer};
+use stepspur_consensus::{
+    AppendEntries, AppendEntriesResponse, Entry, Index, InstallSnapshot, InstallSnapshotResponse,
+    LogPosition, MemberId, Message, Payload, PeerMessage, Term,
+};
+use stepspur_consensus_node::{InvalidPeerMessage, PeerField, PeerFrame};
 use stepspur_proto::v1::{self, from_peer::Kind};
 use stepspur_proto::{LARGEST_FRAME, frame, split_frame};
 
-fn place() -> impl Strategy<Value = (Index, Term)> {
-    any::<(u64, u64)>().prop_map(|(index, term)| (Index(index), Term(term)))
+fn term() -> impl Strategy<Value = Term> {
+    any::<u64>().prop_map(Term)
+}
+
+fn index() -> impl Strategy<Value = Index> {
+    any::<u64>().prop_map(Index)
+}
+
+fn position() -> impl Strategy<Value = LogPosition> {
+    (term(), index()).prop_map(|(term, index)| LogPosition { term, index })
+}
+
+fn leader() -> impl Strategy<Value = Option<MemberId>> {
+    any::<Option<u64>>().prop_map(|leader| leader.map(MemberId))
 }
 
 fn entry() -> impl Strategy<Value = Entry> {
-    let bytes = prop::collection::vec(any::<u8>(), 0..200).prop_map(|b| Payload::Command(b.into()));
-    let members = prop::collection::btree_set(any::<u64>().prop_map(MemberId), 0..8);
-    let payload = prop_oneof![Just(Payload::Nothing), members.prop_map(Payload::Members), bytes];
-    (place(), payload).prop_map(|((index, term), payload)| Entry { index, term, payload })
+    let commands = prop::collection::vec(any::<u8>(), 0..200).prop_map(|b| Payload::Command(b.into()));
+    let voters = prop::collection::btree_set(any::<u64>().prop_map(MemberId), 0..8);
+    let payload = prop_oneof![Just(Payload::Empty), voters.prop_map(Payload::Voters), commands];
+    (position(), payload).prop_map(|(position, payload)| Entry {
+        index: position.index,
+        term: position.term,
+        payload,
+    })
 }
 
-fn message() -> impl Strategy<Value = PeerMessage> {
-    let entries = || prop::collection::vec(entry(), 0..6);
-    let log = prop_oneof![
-        (any::<u64>(), place()).prop_map(|(t, last)| Message::PreVote { term: Term(t), last }),
-        any::<(u64, bool)>().prop_map(|(t, granted)| Message::PreVoted { term: Term(t), granted }),
-        (any::<u64>(), place(), any::<bool>()).prop_map(|(t, last, handed)| Message::Vote {
-            term: Term(t),
-            last,
-            handed
-        }),
-        any::<(u64, bool)>().prop_map(|(t, granted)| Message::Voted { term: Term(t), granted }),
-        (place(), place(), entries(), any::<u64>()).prop_map(|((commit, term), previous, entries, round)| {
-            Message::Append { term, previous, entries, commit, round }
-        }),
-        (place(), any::<(u64, bool)>()).prop_map(|((index, term), (round, matched))| Message::Appended {
-            term,
-            round,
-            matched,
-            index
-        }),
-        (place(), place(), any::<(u64, u64, bool, Vec<u8>)>()).prop_map(|((v, term), covers, rest)| {
-            let (offset, round, last, bytes) = rest;
-            let voters = [MemberId(v.0)].into();
-            Message::Snapshot { term, covers, voters, offset, bytes: bytes.into(), last, round }
-        }),
-        (place(), any::<(u64, u64)>()).prop_map(|((covers, term), (next, round))| Message::SnapshotTaken {
-            term,
-            covers,
-            next,
-            round
-        }),
-        any::<u64>().prop_map(|t| Message::Stand { term: Term(t) }),
-    ];
-    let leader = || any::<Option<u64>>().prop_map(|m| m.map(MemberId));
+fn entries() -> impl Strategy<Value = Vec<Entry>> {
+    prop::collection::vec(entry(), 0..6)
+}
+
+fn append_entries() -> impl Strategy<Value = Message> {
+    (term(), position(), entries(), index(), any::<u64>()).prop_map(
+        |(term, previous, entries, commit, round)| {
+            Message::AppendEntries(AppendEntries { term, previous, entries, commit, round })
+        },
+    )
+}
+
+fn append_entries_response() -> impl Strategy<Value = Message> {
+    (term(), any::<u64>(), any::<bool>(), index()).prop_map(|(term, round, matched, index)| {
+        Message::AppendEntriesResponse(AppendEntriesResponse { term, round, matched, index })
+    })
+}
+
+fn install_snapshot() -> impl Strategy<Value = Message> {
+    let part = any::<(u64, u64, bool, Vec<u8>)>();
+    (term(), position(), any::<u64>(), part).prop_map(|(term, last_included, voter, part)| {
+        let (offset, round, done, bytes) = part;
+        let voters = [MemberId(voter)].into();
+        let bytes = bytes.into();
+        Message::InstallSnapshot(InstallSnapshot { term, last_included, voters, offset, bytes, done, round })
+    })
+}
+
+fn install_snapshot_response() -> impl Strategy<Value = Message> {
+    (term(), index(), any::<(u64, u64)>()).prop_map(|(term, last_included, (next_offset, round))| {
+        Message::InstallSnapshotResponse(InstallSnapshotResponse { term, last_included, next_offset, round })
+    })
+}
+
+fn raft_message() -> impl Strategy<Value = Message> {
     prop_oneof![
-        log.prop_map(PeerMessage::Log),
-        (any::<(u64, u64)>(), 0.0..1e9, any::<Vec<String>>())
-            .prop_map(|((number, heard), weight, wants)| PeerMessage::Renew { number, heard, weight, wants }),
-        any::<(u64, u64)>().prop_map(|(number, a)| PeerMessage::Renewed { number, applied: Index(a) }),
-        any::<(u64, Vec<u8>)>().prop_map(|(number, b)| PeerMessage::Order { number, command: b.into() }),
-        (any::<u64>(), leader()).prop_map(|(number, leader)| PeerMessage::Elsewhere { number, leader }),
-        any::<u64>().prop_map(|number| PeerMessage::Read { number }),
-        any::<(u64, u64)>().prop_map(|(number, at)| PeerMessage::ReadAt { number, index: Index(at) }),
-        any::<u64>().prop_map(|from| PeerMessage::Fetch { from: Index(from) }),
-        (entries(), leader()).prop_map(|(entries, leader)| PeerMessage::Fetched { entries, leader }),
-        (any::<(u64, Vec<u8>)>(), leader()).prop_map(|((index, state), leader)| PeerMessage::FetchedState {
-            index: Index(index),
-            state: state.into(),
-            leader
+        (term(), position()).prop_map(|(term, last_log)| Message::PreVoteRequest { term, last_log }),
+        (term(), any::<bool>()).prop_map(|(term, granted)| Message::PreVoteResponse { term, granted }),
+        (term(), position(), any::<bool>()).prop_map(|(term, last_log, leadership_transfer)| {
+            Message::VoteRequest { term, last_log, leadership_transfer }
         }),
+        (term(), any::<bool>()).prop_map(|(term, granted)| Message::VoteResponse { term, granted }),
+        append_entries(),
+        append_entries_response(),
+        install_snapshot(),
+        install_snapshot_response(),
+        term().prop_map(|term| Message::TimeoutNow { term }),
+    ]
+}
+
+fn renewal() -> impl Strategy<Value = PeerMessage> {
+    (any::<(u64, u64)>(), 0.0..1e9, any::<Vec<String>>()).prop_map(
+        |((request, last_answered), weight, role_prefixes)| PeerMessage::RenewLeases {
+            request,
+            last_answered,
+            weight,
+            role_prefixes,
+        },
+    )
+}
+
+fn proposal() -> impl Strategy<Value = PeerMessage> {
+    any::<(u64, Vec<u8>)>()
+        .prop_map(|(request, command)| PeerMessage::Propose { request, command: command.into() })
+}
+
+fn committed_state() -> impl Strategy<Value = PeerMessage> {
+    (index(), any::<Vec<u8>>(), leader()).prop_map(|(index, state, leader)| PeerMessage::CommittedState {
+        index,
+        state: state.into(),
+        leader,
+    })
+}
+
+fn message() -> impl Strategy<Value = PeerMessage> {
+    let request = any::<u64>;
+    prop_oneof![
+        raft_message().prop_map(PeerMessage::Raft),
+        renewal(),
+        (request(), index()).prop_map(|(request, applied)| PeerMessage::LeasesRenewed { request, applied }),
+        proposal(),
+        (request(), leader()).prop_map(|(request, leader)| PeerMessage::NotLeader { request, leader }),
+        request().prop_map(|request| PeerMessage::ReadIndex { request }),
+        (request(), index()).prop_map(|(request, index)| PeerMessage::ReadIndexResponse { request, index }),
+        index().prop_map(|from| PeerMessage::Fetch { from }),
+        (entries(), leader()).prop_map(|(entries, leader)| PeerMessage::CommittedEntries { entries, leader }),
+        committed_state(),
     ]
 }
 
 proptest! {
     #[test]
-    fn what_goes_in_comes_out(from in any::<u64>(), to in any::<u64>(), message in message()) {
-        let bytes = frame(&to_peer(MemberId(from), MemberId(to), message.clone()), LARGEST_FRAME).unwrap();
-        let back = from_peer(split_frame(&bytes).unwrap()).unwrap();
-        prop_assert_eq!(back, (MemberId(from), MemberId(to), message));
+    fn encoded_message_decodes_unchanged(from in any::<u64>(), to in any::<u64>(), message in message()) {
+        let sent = PeerFrame { from: MemberId(from), to: MemberId(to), message };
+        let bytes = frame(&v1::FromPeer::from(sent.clone()), LARGEST_FRAME).unwrap();
+        let received = PeerFrame::try_from(split_frame::<v1::FromPeer>(&bytes).unwrap()).unwrap();
+        prop_assert_eq!(received, sent);
     }
 
     #[test]
-    fn bytes_that_are_no_message_are_refused_without_a_panic(bytes in any::<Vec<u8>>()) {
+    fn arbitrary_bytes_are_decoded_without_a_panic(bytes in any::<Vec<u8>>()) {
         let mut framed = (bytes.len() as u32).to_be_bytes().to_vec();
         framed.extend(bytes);
         if let Ok(frame) = split_frame::<v1::FromPeer>(&framed) {
-            let _ = from_peer(frame);
+            let _ = PeerFrame::try_from(frame);
         }
     }
 }
 
 #[test]
-fn what_lacks_a_part_or_cannot_be_is_named() {
-    let of = |kind| v1::FromPeer { from: 1, to: 2, kind };
-    assert_eq!(from_peer(of(None)), Err(InvalidPeerMessage::Lacks("kind")));
+fn message_with_a_missing_or_impossible_field_is_rejected() {
+    let decode = |kind| PeerFrame::try_from(v1::FromPeer { from: 1, to: 2, kind });
+    let missing = |field| Err(InvalidPeerMessage::Missing(field));
+    assert_eq!(decode(None), missing(PeerField::Kind));
     let ballot = v1::PeerBallot { term: 1, last: None, handed: false };
-    assert_eq!(from_peer(of(Some(Kind::Vote(ballot)))), Err(InvalidPeerMessage::Lacks("log's end")));
+    assert_eq!(decode(Some(Kind::Vote(ballot))), missing(PeerField::LastLog));
     let entries = vec![v1::PeerEntry { place: Some(v1::PeerPlace { index: 1, term: 1 }), payload: None }];
     let fetched = v1::PeerFetched { entries, leader: None };
-    assert_eq!(
-        from_peer(of(Some(Kind::Fetched(fetched)))),
-        Err(InvalidPeerMessage::Lacks("entry's payload"))
-    );
-    let renew = |weight| v1::PeerRenew { number: 1, weight, wants: Vec::new(), heard: 0 };
+    assert_eq!(decode(Some(Kind::Fetched(fetched))), missing(PeerField::EntryPayload));
     for weight in [f64::NAN, f64::INFINITY, -1.0] {
-        let bad = from_peer(of(Some(Kind::Renew(renew(weight)))));
-        assert_eq!(bad, Err(InvalidPeerMessage::Impossible("weight")));
+        let renew = v1::PeerRenew { number: 1, weight, wants: Vec::new(), heard: 0 };
+        let rejected = Err(InvalidPeerMessage::OutOfRange(PeerField::Weight));
+        assert_eq!(decode(Some(Kind::Renew(renew))), rejected);
     }
 }
--- a/crates/stepspur-consensus-storage/src/lib.rs
+++ b/crates/stepspur-consensus-storage/src/lib.rs
@@ -1,20 +1,22 @@
-//! What a conductor keeps on its disk.
+//! Stable storage of a consensus member.
 //!
-//! - [`Store`] keeps a council member's identity, term, vote, log and snapshot in one file of redb. What it cannot read
-//!   it does not touch, and after a write that failed it writes no more: a member that may have forgotten its vote must
-//!   not vote again.
-//! - [`Writer`] does the writing in a thread of its own, so that a slow disk delays nobody but the council.
+//! - [`Store`] keeps a member's identity, term, vote, log and snapshot in one redb file. A file that it
+//!   cannot read it leaves as it is, and after a failed write it writes no more: a member that may have lost
+//!   its vote must not vote again.
+//! - [`Writer`] writes in a thread of its own, so that a slow disk delays only what depends on the writes.
 //!
-//! docs/state.md has the design and the ways weighed.
+//! docs/state.md has the design and its alternatives.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
-mod fault;
-mod file;
-mod image;
+mod codec;
+mod error;
+mod memory_copy;
+mod state_file;
 mod store;
+mod tables;
 mod writer;
 
-pub use fault::StorageError;
-pub use store::{FORMAT_VERSION, MAX_FILE_BYTES, Store};
+pub use error::{Operation, StorageError};
+pub use store::{MAX_FILE_BYTES, Store};
+pub use tables::FORMAT_VERSION;
 pub use writer::{QueueFull, WriteOutcome, Writer};
--- a/crates/stepspur-consensus-storage/src/writer.rs
+++ b/crates/stepspur-consensus-storage/src/writer.rs
@@ -1,87 +1,95 @@
-//! The thread that writes: nobody but the council waits for a slow disk.
+//! The thread that writes, so that nothing but what depends on a write waits for a slow disk.
 
+use std::io;
 use std::sync::mpsc::{Receiver, SyncSender, TrySendError, sync_channel};
 use std::thread::JoinHandle;
 
 use stepspur_consensus::WriteRequest;
 
-use crate::fault::StorageError;
+use crate::error::StorageError;
 use crate::store::Store;
 
-/// Saves of one transaction at most: while one is written the next gather, so that a slow disk sees fewer of them.
-const TOGETHER: usize = 64;
+/// The most requests in a transaction. They gather while an earlier one is written, so that a slow disk has
+/// fewer transactions.
+const MAX_REQUESTS_PER_TRANSACTION: usize = 64;
+/// The name of the thread.
+const THREAD_NAME: &str = "state";
 
-/// What became of saves.
+/// What became of write requests.
 #[derive(Debug)]
 pub enum WriteOutcome {
-    /// The disk has all saves up to this number.
-    Kept(u64),
-    /// The disk failed: nothing more is written, and nothing more is told.
+    /// All requests up to this number are durable.
+    Durable(u64),
+    /// A write failed. Nothing more is written, and no outcome follows.
     Failed(StorageError),
 }
 
-/// So many saves wait that no more are taken: the disk is stalled. The save must not be forgotten: its member takes no
-/// part from here on.
+/// The queue is full, as the disk stalls or has failed. The request is lost: its member must take no part in
+/// the group from here on.
 #[derive(Debug, thiserror::Error)]
-#[error("the disk takes no more: {waiting} saves wait")]
+#[error("the disk takes no more: {capacity} saves wait")]
 pub struct QueueFull {
-    /// So many wait.
-    pub waiting: usize,
+    /// The requests that may wait.
+    pub capacity: usize,
 }
 
-/// Writes saves in a thread of its own.
+/// Writes requests in a thread of its own.
 #[derive(Debug)]
 pub struct Writer {
-    to: SyncSender<WriteRequest>,
-    room: usize,
+    queue: SyncSender<WriteRequest>,
+    capacity: usize,
     thread: JoinHandle<Store>,
 }
 
 impl Writer {
-    /// Starts the thread; so many saves may wait. What becomes of them is told from that thread.
+    /// Starts the thread, with a queue for `capacity` requests. `on_outcome` is called in that thread.
     ///
     /// # Errors
-    /// The system's, if it starts no thread.
+    /// The system starts no thread.
     pub fn start(
         store: Store,
-        room: usize,
-        told: impl FnMut(WriteOutcome) + Send + 'static,
-    ) -> std::io::Result<Self> {
-        let (to, saves) = sync_channel(room);
-        let thread = std::thread::Builder::new().name("state".to_owned());
-        Ok(Self { to, room, thread: thread.spawn(move || write(told, store, saves))? })
+        capacity: usize,
+        on_outcome: impl FnMut(WriteOutcome) + Send + 'static,
+    ) -> io::Result<Self> {
+        let (queue, requests) = sync_channel(capacity);
+        let thread = std::thread::Builder::new().name(THREAD_NAME.to_owned());
+        let thread = thread.spawn(move || run(on_outcome, store, requests))?;
+        Ok(Self { queue, capacity, thread })
     }
 
-    /// Gives a save to be written. It never waits.
+    /// Queues a request. It never waits.
     ///
     /// # Errors
-    /// [`QueueFull`], if too many wait, or the disk has failed.
-    pub fn save(&self, save: WriteRequest) -> Result<(), QueueFull> {
-        match self.to.try_send(save) {
-            Ok(()) => Ok(()),
-            Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => {
-                Err(QueueFull { waiting: self.room })
-            }
-        }
+    /// [`QueueFull`] if the queue is full, or a write has failed.
+    pub fn enqueue(&self, request: WriteRequest) -> Result<(), QueueFull> {
+        self.queue.try_send(request).map_err(|cause| match cause {
+            TrySendError::Full(_) | TrySendError::Disconnected(_) => QueueFull { capacity: self.capacity },
+        })
     }
 
-    /// Writes what waits, ends the thread and gives the store back; none if the thread panicked. It waits for the disk.
+    /// Writes what is queued, and ends the thread. It waits for the disk. Gives the store back; none if the
+    /// thread panicked.
     pub fn close(self) -> Option<Store> {
-        drop(self.to);
+        drop(self.queue);
         self.thread.join().ok()
     }
 }
 
-/// What is given last goes first at the end: once nobody tells any more, no save is taken either.
-fn write(mut told: impl FnMut(WriteOutcome), mut store: Store, saves: Receiver<WriteRequest>) -> Store {
-    while let Ok(first) = saves.recv() {
-        let together: Vec<WriteRequest> =
-            std::iter::once(first).chain(saves.try_iter().take(TOGETHER - 1)).collect();
-        let last = together.last().map_or(0, |save| save.number);
-        match store.save(&together) {
-            Ok(()) => told(WriteOutcome::Kept(last)),
-            Err(fault) => {
-                told(WriteOutcome::Failed(fault));
+/// Writes until the queue is closed or a write fails. `requests` is the last parameter so that it is dropped
+/// first: once no outcome follows, no request is accepted either.
+fn run(
+    mut on_outcome: impl FnMut(WriteOutcome),
+    mut store: Store,
+    requests: Receiver<WriteRequest>,
+) -> Store {
+    while let Ok(first) = requests.recv() {
+        let mut batch = vec![first];
+        batch.extend(requests.try_iter().take(MAX_REQUESTS_PER_TRANSACTION - 1));
+        let last = batch.last().map_or(0, |request| request.number);
+        match store.write(&batch) {
+            Ok(()) => on_outcome(WriteOutcome::Durable(last)),
+            Err(cause) => {
+                on_outcome(WriteOutcome::Failed(cause));
                 break;
             }
         }
--- a/crates/stepspur-consensus/src/ids.rs
+++ b/crates/stepspur-consensus/src/ids.rs
@@ -1,31 +1,31 @@
-//! Numbers of members, terms, entries and tokens, and times.
+//! Identities of members, terms and entries, and the unit of time.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// A time or a span, in microseconds of the member's own clock, which only goes forward.
+/// A time or a duration in microseconds, by the member's own monotonic clock.
 pub type Micros = u64;
 
-/// A member's identity: drawn when its disk is made, and kept there. One with an emptied disk is another member.
+/// A member's identity, kept in its storage. A member that has lost its storage gets another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MemberId(pub u64);
 
-/// A term: there is one leader in it at most.
+/// A term, which has one leader at most (paper 5.1).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Term(pub u64);
 
-/// An entry's place in the log, from 1; 0 lies before the first.
+/// An entry's index in the log, from 1; 0 is before the first entry.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Index(pub u64);
 
-/// An entry's position in the history of a council: its term, then its index. Of two agreed entries the later one has
-/// the higher position, whoever led.
+/// An entry's position, ordered by its term, then its index. Of two committed entries the later one has the
+/// higher position.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LogPosition {
-    /// The term of the leader that wrote it.
+    /// The term of the leader that appended it.
     pub term: Term,
-    /// Its place in the log.
+    /// Its index in the log.
     pub index: Index,
 }
 
@@ -37,13 +37,13 @@
 }
 
 impl Index {
-    /// The place after this one.
+    /// The index after this one.
     pub fn next(self) -> Self {
         Self(self.0 + 1)
     }
 
-    /// The place before this one; 0 has none and stays.
-    pub fn before(self) -> Self {
+    /// The index before this one; 0 for 0.
+    pub fn previous(self) -> Self {
         Self(self.0.saturating_sub(1))
     }
 }
--- a/crates/stepspur-consensus/src/lease.rs
+++ b/crates/stepspur-consensus/src/lease.rs
@@ -1,134 +1,171 @@
-//! Both sides of a lease. The holder counts from before it asked, less the drift of clocks; whoever grants waits that
-//! long and the drift from when it was asked. So the next holder begins after the last has stopped, whatever was lost,
-//! late or stalled between.
+//! Both sides of the leases on roles.
 //!
-//! A renewal is one message for all duties of a holder, and nothing of it is written to disk: it is granted by a leader
-//! that a majority confirmed after it was asked, and a new leader waits out what the old one may have granted.
+//! The holder counts a lease from before it asked for the renewal, less the clock drift. The grantor waits
+//! for the lease and the drift from when the request came. So the next holder begins after the last one has
+//! stopped, whatever was lost, late or stalled between them.
+//!
+//! A renewal is one message for all roles of a holder, and nothing of it is persisted: a leader grants it
+//! once a majority has confirmed its leadership after the request, and a new leader waits for all leases that
+//! the old one may have granted.
 
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::duty::{FencingToken, Role, RoleChange, RoleName, RoleTable};
 use crate::ids::{Index, MemberId, Micros};
+use crate::roles::{FencingToken, Role, RoleChange, RoleName, RoleTable};
 use crate::settings::Settings;
 
-/// The granting side: what a leader knows of its holders. It begins empty with each lead.
+/// Renewals that may await an answer; the oldest is forgotten first.
+const MAX_PENDING_RENEWALS: usize = 64;
+
+/// The granting side: what a leader knows of the holders. It starts empty with each leadership.
 #[derive(Clone, Debug, Default)]
-pub struct LeaseGrantor {
+pub(crate) struct LeaseGrantor {
     /// Since when it leads.
-    since: Micros,
-    /// When each member was last heard to ask.
-    asked: BTreeMap<MemberId, Micros>,
-    /// When each duty's grant, and its revocation, was applied here.
-    granted: BTreeMap<RoleName, Micros>,
-    revoked: BTreeMap<RoleName, Micros>,
+    leading_since: Micros,
+    /// When each member's last request to renew came.
+    requested_at: BTreeMap<MemberId, Micros>,
+    /// When each role's grant was applied here.
+    granted_at: BTreeMap<RoleName, Micros>,
+    /// When each role's revocation was applied here.
+    revoked_at: BTreeMap<RoleName, Micros>,
 }
 
 impl LeaseGrantor {
-    /// A leader begins.
-    pub fn new(now: Micros) -> Self {
-        Self { since: now, ..Self::default() }
+    /// The member becomes the leader.
+    pub(crate) fn new(now: Micros) -> Self {
+        Self { leading_since: now, ..Self::default() }
     }
 
-    /// A member asks to renew. It counts at once, before a majority confirms it: else a duty might be given to another
-    /// between.
-    pub fn asked(&mut self, member: MemberId, now: Micros) {
-        self.asked.insert(member, now);
+    /// A member requests a renewal. The request counts before a majority confirms it: otherwise a role might
+    /// be granted to another member in the meantime.
+    pub(crate) fn on_renewal_request(&mut self, member: MemberId, now: Micros) {
+        self.requested_at.insert(member, now);
     }
 
-    /// When a member last asked.
-    pub fn heard(&self, member: MemberId) -> Option<Micros> {
-        self.asked.get(&member).copied()
+    /// When a member's last request came.
+    pub(crate) fn last_request_at(&self, member: MemberId) -> Option<Micros> {
+        self.requested_at.get(&member).copied()
     }
 
-    /// An entry was applied.
-    pub fn note(&mut self, changed: &RoleChange, now: Micros) {
-        match changed {
-            RoleChange::Held { duty, .. } => {
-                self.granted.insert(duty.clone(), now);
-                self.revoked.remove(duty);
+    /// A change of a role was applied.
+    pub(crate) fn on_role_change(&mut self, change: &RoleChange, now: Micros) {
+        match change {
+            RoleChange::Granted { role, .. } => {
+                self.granted_at.insert(role.clone(), now);
+                self.revoked_at.remove(role);
+            }
+            RoleChange::Released { role, .. } => {
+                self.granted_at.remove(role);
+                self.revoked_at.remove(role);
             }
-            RoleChange::Free { duty, .. } => {
-                self.granted.remove(duty);
-                self.revoked.remove(duty);
+            RoleChange::Revoked { role } => {
+                self.revoked_at.entry(role.clone()).or_insert(now);
             }
-            RoleChange::Revoked { duty } => _ = self.revoked.entry(duty.clone()).or_insert(now),
         }
     }
 
-    /// When a duty may be given to another: its holder's lease has surely run out by then.
-    pub fn free_at(&self, name: &RoleName, duty: &Role, set: &Settings) -> Micros {
-        let Some(holder) = duty.holder else { return 0 };
-        let asked = self.asked.get(&holder).copied().unwrap_or(0);
-        // A revoked one was renewed no more from then on; if that was before this lead, by this lead's begin.
-        let asked = match self.revoked.get(name) {
-            Some(at) => asked.min(*at),
-            None if duty.revoked => 0,
-            None => asked,
+    /// From when a role may be granted to another member: its holder's lease has ended by then.
+    pub(crate) fn available_at(&self, name: &RoleName, role: &Role, settings: &Settings) -> Micros {
+        let Some(holder) = role.holder else { return 0 };
+        let last_request = self.last_request_at(holder).unwrap_or(0);
+        // A revoked lease is not renewed after its revocation. If that was before this leadership,
+        // `leading_since` covers it.
+        let last_renewal = match self.revoked_at.get(name) {
+            Some(at) => last_request.min(*at),
+            None if role.revoked => 0,
+            None => last_request,
         };
-        let last = self.since.max(asked).max(self.granted.get(name).copied().unwrap_or(0));
-        last + set.extended_by_drift(duty.lease)
+        let granted_at = self.granted_at.get(name).copied().unwrap_or(0);
+        let lease_start = self.leading_since.max(last_renewal).max(granted_at);
+        lease_start + settings.extended_by_drift(role.lease)
     }
 }
 
-/// The holding side.
+/// A lease that the member holds.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct HeldLease {
+    /// Until when the member may act, by its own clock.
+    pub expires_at: Micros,
+    /// The token to send with each act.
+    pub token: FencingToken,
+}
+
+/// The holding side: renewals that the member requested.
 #[derive(Clone, Debug, Default)]
-pub struct LeaseHolder {
-    next: u64,
-    /// Requests without an answer, and when they were sent.
-    asked: VecDeque<(u64, Micros)>,
-    /// The newest that was answered: when it was sent, and what its answer counted.
-    proved: Option<(Micros, Index)>,
-    /// The newest that was answered in any way.
-    heard: u64,
+pub(crate) struct LeaseHolder {
+    /// The number of the newest request.
+    last_request: u64,
+    /// Requests that were not granted yet, oldest first.
+    pending: VecDeque<PendingRenewal>,
+    /// The newest request that was granted.
+    renewal: Option<Renewal>,
+    /// The newest request that was answered, granted or not.
+    last_answered: u64,
 }
 
-/// Requests that may wait for an answer.
-const WAITING: usize = 64;
+#[derive(Clone, Copy, Debug)]
+struct PendingRenewal {
+    request: u64,
+    requested_at: Micros,
+}
+
+#[derive(Clone, Copy, Debug)]
+struct Renewal {
+    requested_at: Micros,
+    /// The grantor had applied all entries up to this one.
+    applied: Index,
+}
 
 impl LeaseHolder {
-    /// It asks to renew: the number of the request. Time runs from here.
-    pub fn ask(&mut self, now: Micros) -> u64 {
-        self.next += 1;
-        self.asked.push_back((self.next, now));
-        if self.asked.len() > WAITING {
-            self.asked.pop_front();
+    /// Starts a renewal, and gives the number of its request. The leases count from now.
+    pub(crate) fn start_renewal(&mut self, now: Micros) -> u64 {
+        self.last_request += 1;
+        self.pending.push_back(PendingRenewal { request: self.last_request, requested_at: now });
+        if self.pending.len() > MAX_PENDING_RENEWALS {
+            self.pending.pop_front();
         }
-        self.next
+        self.last_request
     }
 
     /// A request was answered, granted or not.
-    pub fn answered(&mut self, number: u64) {
-        self.heard = self.heard.max(number.min(self.next));
+    pub(crate) fn on_answer(&mut self, request: u64) {
+        self.last_answered = self.last_answered.max(request.min(self.last_request));
     }
 
-    /// The newest request that was answered in any way; 0: none.
-    pub fn heard(&self) -> u64 {
-        self.heard
+    /// The newest request that was answered, granted or not; 0 before the first.
+    pub(crate) fn last_answered(&self) -> u64 {
+        self.last_answered
     }
 
-    /// A request was granted, by a leader that counted all entries up to `applied`.
-    pub fn granted(&mut self, number: u64, applied: Index) {
-        self.answered(number);
-        let Some(place) = self.asked.iter().position(|(n, _)| *n == number) else { return };
-        let (_, at) = self.asked[place];
-        self.asked.drain(..=place);
-        if self.proved.is_none_or(|(before, _)| at > before) {
-            self.proved = Some((at, applied));
+    /// A request was granted by a leader that had applied all entries up to `applied`.
+    pub(crate) fn on_granted(&mut self, request: u64, applied: Index) {
+        self.on_answer(request);
+        let position = self.pending.iter().position(|pending| pending.request == request);
+        let Some(position) = position else { return };
+        let Some(granted) = self.pending.drain(..=position).next_back() else { return };
+        let requested_at = granted.requested_at;
+        if self.renewal.is_none_or(|renewal| requested_at > renewal.requested_at) {
+            self.renewal = Some(Renewal { requested_at, applied });
         }
     }
 
-    /// Until when it may act by a duty, and with which token; none if it does not hold it, or may not know that it does
-    /// no more.
-    pub fn until(
+    /// The lease by which a member may act on a role; none if it is not the holder, or cannot rule out that
+    /// it is not any more.
+    pub(crate) fn lease(
         &self,
-        me: MemberId,
+        member: MemberId,
         name: &RoleName,
-        duties: &RoleTable,
-        set: &Settings,
-    ) -> Option<(Micros, FencingToken)> {
-        let duty = duties.get(name).filter(|d| d.holder == Some(me) && !d.revoked)?;
-        let (asked, applied) = self.proved?;
-        // The grant counts what was agreed by then: one that has not heard of it may hold what was taken from it.
-        (duties.applied() >= applied).then(|| (asked + set.reduced_by_drift(duty.lease), duty.token))
+        roles: &RoleTable,
+        settings: &Settings,
+    ) -> Option<HeldLease> {
+        let role = roles.get(name).filter(|role| role.holder == Some(member) && !role.revoked)?;
+        let renewal = self.renewal?;
+        // The grantor counted all entries up to `applied`. A member that lacks some may have lost the role by
+        // them.
+        if roles.applied() < renewal.applied {
+            return None;
+        }
+        let expires_at = renewal.requested_at + settings.reduced_by_drift(role.lease);
+        Some(HeldLease { expires_at, token: role.token })
     }
 }
--- a/crates/stepspur-consensus/src/lib.rs
+++ b/crates/stepspur-consensus/src/lib.rs
@@ -1,44 +1,72 @@
-//! A council of conductors: a replicated log, and duties that one of them holds at a time.
+//! A consensus group of conductors: a replicated log, and named roles that one member holds at a time.
 //!
-//! - [`RaftNode`] is a member of the log after Raft (Ongaro and Ousterhout 2014, and Ongaro's thesis): elections with
-//!   pre-vote and check-quorum, replication, snapshots, changes of one member at a time, hand-over, read index.
-//! - [`RoleTable`] is the state that it agrees on: who holds which duty, by which fencing token.
-//! - [`Member`] is a conductor: it votes or only follows, holds duties by leases, and grants them while it leads.
-//! - [`StateMachine`] is what they agree on beside duties, of whatever kind.
-//! - [`Fence`] is what those keep who obey a duty's orders.
+//! - [`RaftNode`] is a member's Raft state (Ongaro and Ousterhout 2014, "the paper"; Ongaro's thesis):
+//!   elections with pre-vote and check-quorum, replication, snapshots, membership changes of one voter at a
+//!   time, leadership transfer and linearizable reads.
+//! - [`RoleTable`] is the replicated state of the roles: who holds each, and by which fencing token.
+//! - [`Member`] is a conductor: it votes or follows, holds roles by leases, and grants them while it leads.
+//! - [`StateMachine`] is replicated state beside the roles, of any kind.
+//! - [`Fence`] rejects the orders of a role's former holders.
 //!
-//! Sans-IO: events go in with their time, effects come out; chance comes from a seed. docs/council.md has the design.
+//! Sans-IO: events go in with their time, outputs come out; random numbers come from a seed. docs/council.md
+//! has the design.
+//!
+//! Where to look:
+//!
+//! - Raft: `raft_node`, `raft_role`, `election`, `replication`, `snapshot`, `membership`, `read_index`,
+//!   `persistence`; its data: `raft_log`, `progress`, `leader_state`, `pending_reads`, `write_tracker`,
+//!   `message`, `raft_output`.
+//! - Roles: `roles`, `lease`, `fencing`, `rendezvous`.
+//! - A member: `member`, `peer_message`, `member_output`, `state_machine`, `settings`.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
-mod core;
-mod duty;
-mod fence;
+mod election;
+mod error;
+mod fencing;
 mod ids;
-mod leading;
+mod leader_state;
 mod lease;
-mod log;
 mod member;
+mod member_output;
+mod membership;
 mod message;
-mod peer;
+mod partial_snapshot;
+mod peer_message;
+mod pending_reads;
+mod persistence;
+mod persistent_state;
+mod progress;
+mod raft_event;
+mod raft_log;
+mod raft_node;
+mod raft_output;
+mod raft_role;
+mod read_index;
 mod rendezvous;
-mod replicate;
+mod replication;
+mod roles;
 mod settings;
-mod state;
+mod snapshot;
+mod state_machine;
+mod write_tracker;
 
-pub use core::{
-    Effect, MembershipChange, PersistentState, RaftNode, ReadRequestId, RequestError, WriteRequest,
-};
-pub use duty::{
-    FencingToken, InvalidRoleName, MAX_ROLES, Role, RoleChange, RoleCommand, RoleName, RoleTable,
-};
-pub use fence::{Fence, StaleToken};
+pub use error::RequestError;
+pub use fencing::{Fence, StaleToken};
 pub use ids::{Index, LogPosition, MemberId, Micros, Term};
-pub use lease::{LeaseGrantor, LeaseHolder};
-pub use log::{Entry, Log, Payload, Snapshot, Voters};
+pub use lease::HeldLease;
 pub use member::Member;
-pub use message::{Message, Note};
-pub use peer::{Output, PeerMessage};
-pub use rendezvous::highest_random_weight;
+pub use member_output::{MemberOutput, StartedRead};
+pub use membership::MembershipChange;
+pub use message::{AppendEntries, AppendEntriesResponse, InstallSnapshot, InstallSnapshotResponse, Message};
+pub use peer_message::PeerMessage;
+pub use pending_reads::ReadRequestId;
+pub use persistent_state::{PersistentState, WriteRequest};
+pub use raft_event::{CampaignReason, RaftEvent, StepDownReason};
+pub use raft_log::{Entry, Payload, RaftLog, Snapshot, Voters};
+pub use raft_node::RaftNode;
+pub use raft_output::RaftOutput;
+pub use roles::{
+    FencingToken, InvalidRoleName, MAX_ROLES, Role, RoleChange, RoleCommand, RoleGrant, RoleName, RoleTable,
+};
 pub use settings::{InvalidSetting, Settings};
-pub use state::StateMachine;
+pub use state_machine::StateMachine;
--- /dev/null
+++ b/crates/stepspur-consensus/src/member/apply.rs
@@ -0,0 +1,77 @@
+//! Applies committed entries and snapshots to the roles and the state machine.
+
+use bytes::Bytes;
+
+use super::Member;
+use super::snapshot_codec::{self, SnapshotError};
+use crate::ids::Index;
+use crate::member_output::MemberOutput;
+use crate::raft_log::{Entry, Payload};
+use crate::roles::{RoleChange, RoleTable};
+use crate::state_machine::{STATE_MACHINE_COMMAND, StateMachine};
+
+impl<S: StateMachine> Member<S> {
+    /// Applies a committed entry if it is the next one. Entries may come twice, from the log and by a fetch.
+    pub(super) fn apply(&mut self, entry: Entry) {
+        if entry.index != self.roles.applied().next() || self.halt_reason.is_some() {
+            return;
+        }
+        let changes = match self.apply_payload(&entry) {
+            Ok(changes) => changes,
+            Err(cause) => return self.halt(format!("entry {}: {cause}", entry.index)),
+        };
+        if let Some(assigner) = &mut self.assigner {
+            assigner.on_applied(entry.index);
+        }
+        for change in changes {
+            if let Some(assigner) = &mut self.assigner {
+                assigner.grantor.on_role_change(&change, self.now);
+            }
+            self.outputs.push(MemberOutput::RoleChanged(change));
+        }
+    }
+
+    fn apply_payload(&mut self, entry: &Entry) -> Result<Vec<RoleChange>, String> {
+        match &entry.payload {
+            Payload::Command(command) => match command.split_first() {
+                Some((&STATE_MACHINE_COMMAND, command)) => self.state.apply(entry.position(), command)?,
+                _ => return Ok(self.roles.apply(entry.index, command)),
+            },
+            Payload::Empty | Payload::Voters(_) => {}
+        }
+        self.roles.skip(entry.index);
+        Ok(Vec::new())
+    }
+
+    /// Replaces the whole replicated state by a snapshot, unless it is older.
+    pub(super) fn restore(&mut self, snapshot: &[u8], index: Index) {
+        if index < self.roles.applied() {
+            return;
+        }
+        if let Err(cause) = self.decode_snapshot(snapshot, index) {
+            self.halt(format!("the state at entry {index} cannot be read: {cause}"));
+        }
+    }
+
+    /// Applies no more entries: one that this program does not know can be neither skipped nor guessed, as
+    /// the member would come to another state than the others.
+    fn halt(&mut self, reason: String) {
+        if self.halt_reason.is_none() {
+            self.raft.on_storage_failure(reason.clone());
+            self.halt_reason = Some(reason);
+        }
+    }
+
+    /// The whole replicated state as a snapshot.
+    pub(super) fn encode_snapshot(&self) -> Bytes {
+        snapshot_codec::encode(self.roles.encode(), &self.state.encode())
+    }
+
+    fn decode_snapshot(&mut self, snapshot: &[u8], index: Index) -> Result<(), SnapshotError> {
+        let parts = snapshot_codec::decode(snapshot)?;
+        let roles = RoleTable::decode(parts.roles, index)?;
+        self.state.restore(index, parts.state).map_err(SnapshotError::InvalidState)?;
+        self.roles = roles;
+        Ok(())
+    }
+}
--- /dev/null
+++ b/crates/stepspur-consensus/src/member/fetch_state.rs
@@ -0,0 +1,76 @@
+//! When and from whom a follower fetches committed entries next.
+
+use crate::ids::{MemberId, Micros};
+use crate::settings::Settings;
+
+/// When and from whom a follower fetches committed entries next.
+#[derive(Clone, Debug)]
+pub(super) struct FetchState {
+    /// When the next fetch is due.
+    due_at: Micros,
+    /// The voter that answered the last fetch; the next one goes to it again.
+    source: Option<MemberId>,
+    /// The voter whose answer is awaited.
+    awaited: Option<MemberId>,
+    /// Voters that answered in a row without knowing a leader.
+    leaderless_answers: usize,
+}
+
+impl FetchState {
+    /// A first fetch is due at once.
+    pub(super) fn new(now: Micros) -> Self {
+        Self { due_at: now, source: None, awaited: None, leaderless_answers: 0 }
+    }
+
+    /// When the next fetch is due.
+    pub(super) fn due_at(&self) -> Micros {
+        self.due_at
+    }
+
+    /// The next fetch is due at `at` at the latest.
+    pub(super) fn hasten(&mut self, at: Micros) {
+        self.due_at = self.due_at.min(at);
+    }
+
+    /// Starts a fetch: without an answer, another one is due after a heartbeat interval. Gives the voter that
+    /// answered the last one.
+    pub(super) fn start(&mut self, now: Micros, settings: &Settings) -> Option<MemberId> {
+        self.due_at = now + settings.heartbeat_interval;
+        self.source.take()
+    }
+
+    /// A fetch was sent.
+    pub(super) fn await_answer(&mut self, from: MemberId) {
+        self.awaited = Some(from);
+    }
+
+    /// A voter has sent entries or a state. `knows_leader`: it has a leader, and sends further entries as
+    /// they are committed. `incomplete`: it has more now. `other_voters`: how many there are to ask.
+    pub(super) fn on_answer(
+        &mut self,
+        from: MemberId,
+        knows_leader: bool,
+        incomplete: bool,
+        other_voters: usize,
+        now: Micros,
+        settings: &Settings,
+    ) {
+        if self.awaited.is_some() && knows_leader {
+            // A late answer of a voter that was asked before is as good.
+            self.awaited = None;
+            self.source = Some(from);
+            self.leaderless_answers = 0;
+            self.due_at = now + settings.election_timeout;
+        } else if self.awaited == Some(from) {
+            self.awaited = None;
+            // The next voter is asked at once, until all were: then one is asked per heartbeat interval.
+            self.leaderless_answers += 1;
+            if self.leaderless_answers <= other_voters {
+                self.due_at = now;
+            }
+        }
+        if incomplete && self.awaited.is_none() {
+            self.due_at = now;
+        }
+    }
+}
--- /dev/null
+++ b/crates/stepspur-consensus/src/member/following.rs
@@ -0,0 +1,167 @@
+//! How a member to which no leader replicates gets committed entries.
+//!
+//! It fetches them from a voter that has a leader. That voter keeps it as a subscriber for a while, and sends
+//! it each entry as soon as that is committed. So an idle group costs one request and one answer per
+//! [`Settings::election_timeout`]. A lost entry shows as a gap before the next one, or is found by the next
+//! fetch; a fetch without an answer goes to another voter after [`Settings::heartbeat_interval`].
+//!
+//! [`Settings::election_timeout`]: crate::Settings::election_timeout
+//! [`Settings::heartbeat_interval`]: crate::Settings::heartbeat_interval
+
+use super::Member;
+use crate::ids::{Index, MemberId};
+use crate::member_output::MemberOutput;
+use crate::peer_message::PeerMessage;
+use crate::raft_log::{Entry, RaftLog};
+use crate::state_machine::StateMachine;
+
+impl<S: StateMachine> Member<S> {
+    /// The leader that replicates to this member, as far as it knows; none for a non-voter or a halted
+    /// member.
+    ///
+    /// A member that was removed while it was cut off may not know of its removal: without a leader it
+    /// fetches as a member that never voted.
+    pub(super) fn replicating_leader(&self) -> Option<MemberId> {
+        let is_voter = self.raft.log().voters().contains(&self.raft.id()) && !self.raft.is_halted();
+        self.raft.leader().filter(|_| is_voter)
+    }
+
+    /// True: it has to fetch committed entries.
+    pub(super) fn needs_fetch(&self) -> bool {
+        self.replicating_leader().is_none() && self.halt_reason.is_none()
+    }
+
+    /// Fetches committed entries if that is due.
+    pub(super) fn fetch_if_due(&mut self) {
+        if !self.needs_fetch() || self.now < self.fetching.due_at() {
+            return;
+        }
+        let source = self.fetching.start(self.now, &self.settings);
+        let Some(to) = source.or_else(|| self.next_other_voter()) else { return };
+        self.fetching.await_answer(to);
+        let from = self.roles.applied().next();
+        self.send(to, PeerMessage::Fetch { from });
+    }
+
+    /// Committed entries have come, by a fetch or a subscription.
+    pub(super) fn handle_committed_entries(
+        &mut self,
+        from: MemberId,
+        entries: Vec<Entry>,
+        leader: Option<MemberId>,
+    ) {
+        let is_full_batch = entries.len() >= self.settings.max_batch_entries;
+        let mut has_gap = false;
+        for entry in entries {
+            let next = self.roles.applied().next();
+            has_gap |= entry.index > next;
+            if entry.index == next {
+                self.apply(entry);
+            }
+        }
+        self.on_fetch_answer(from, leader, is_full_batch || has_gap);
+    }
+
+    /// The state after a committed entry has come.
+    pub(super) fn handle_committed_state(
+        &mut self,
+        from: MemberId,
+        index: Index,
+        state: &[u8],
+        leader: Option<MemberId>,
+    ) {
+        let is_newer = index > self.roles.applied();
+        if is_newer {
+            self.restore(state, index);
+        }
+        self.on_fetch_answer(from, leader, is_newer);
+    }
+
+    fn on_fetch_answer(&mut self, from: MemberId, leader: Option<MemberId>, incomplete: bool) {
+        self.leader_hint = leader.or(self.leader_hint);
+        let other_voters = self.other_voters().len();
+        self.fetching.on_answer(from, leader.is_some(), incomplete, other_voters, self.now, &self.settings);
+    }
+
+    /// A follower fetches committed entries from an index on.
+    pub(super) fn handle_fetch(&mut self, follower: MemberId, first: Index) {
+        let leader = self.replicating_leader();
+        let next = if first > self.raft.log().base().index {
+            let entries = committed_entries(
+                self.raft.log(),
+                self.raft.commit(),
+                first,
+                self.settings.max_batch_entries,
+            );
+            let next = Index(first.0 + entries.len() as u64);
+            self.send(follower, PeerMessage::CommittedEntries { entries, leader });
+            next
+        } else {
+            let index = self.roles.applied();
+            let state = self.encode_snapshot();
+            self.send(follower, PeerMessage::CommittedState { index, state, leader });
+            index.next()
+        };
+        // A voter without a leader learns of no new entries: the follower asks another one.
+        if leader.is_some() {
+            self.subscribers.subscribe(follower, next, self.now, &self.settings);
+        }
+    }
+
+    /// Sends newly committed entries to the subscribers.
+    pub(super) fn send_to_subscribers(&mut self) {
+        let commit = self.raft.commit();
+        if commit <= self.subscribers.sent_commit {
+            return;
+        }
+        self.subscribers.sent_commit = commit;
+        self.subscribers.remove_expired(self.now);
+        let leader = self.replicating_leader();
+        let log = self.raft.log();
+        for (to, subscriber) in self.subscribers.iter_mut() {
+            // Entries that the log no longer has reach the follower as a state, by its next fetch.
+            if subscriber.next > commit || subscriber.next <= log.base().index {
+                continue;
+            }
+            let entries = committed_entries(log, commit, subscriber.next, self.settings.max_batch_entries);
+            subscriber.next = Index(subscriber.next.0 + entries.len() as u64);
+            let message = PeerMessage::CommittedEntries { entries, leader };
+            self.outputs.push(MemberOutput::Send { to, message });
+        }
+    }
+
+    /// The voters but itself: those of its log, or the initial ones. Each member has them in another order,
+    /// so that followers spread over the voters.
+    fn other_voters(&self) -> Vec<MemberId> {
+        let own_id = self.raft.id();
+        let known = self.raft.log().voters();
+        let voters = if known.is_empty() { &self.initial_voters } else { known };
+        let mut others: Vec<MemberId> = voters.iter().copied().filter(|voter| *voter != own_id).collect();
+        others.sort_by_key(|other| (mix_bits(own_id.0 ^ mix_bits(other.0)), *other));
+        others
+    }
+
+    /// Another voter, round robin.
+    pub(super) fn next_other_voter(&mut self) -> Option<MemberId> {
+        let others = self.other_voters();
+        if others.is_empty() {
+            return None;
+        }
+        self.next_voter = (self.next_voter + 1) % others.len();
+        Some(others[self.next_voter])
+    }
+}
+
+/// Committed entries from an index on, up to `limit`.
+fn committed_entries(log: &RaftLog, commit: Index, first: Index, limit: usize) -> Vec<Entry> {
+    let available = commit.next().0.saturating_sub(first.0);
+    log.entries_from(first, (available as usize).min(limit))
+}
+
+/// Spreads similar numbers over the whole range: the finalizer of SplitMix64 (Steele, Lea and Flood 2014).
+fn mix_bits(number: u64) -> u64 {
+    let number = number.wrapping_add(0x9e37_79b9_7f4a_7c15);
+    let number = (number ^ (number >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    let number = (number ^ (number >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+    number ^ (number >> 31)
+}
--- /dev/null
+++ b/crates/stepspur-consensus/src/member/renewals.rs
@@ -0,0 +1,85 @@
+//! Renewal of leases: requests of a holder, and a leader's answers. One request covers all roles of a holder.
+
+use super::Member;
+use super::pending_request::{PendingRequest, RequestKind};
+use super::role_assigner::RolePreferences;
+use crate::ids::MemberId;
+use crate::peer_message::PeerMessage;
+use crate::state_machine::StateMachine;
+
+/// Requests that may be in flight beside those of an election timeout without an answer.
+const IN_FLIGHT_RENEWALS: u64 = 2;
+
+impl<S: StateMachine> Member<S> {
+    /// Requests a renewal if one is due, and the member holds or would hold roles.
+    pub(super) fn renew_if_due(&mut self) {
+        // A halted member applies entries late or not at all, so that it must not keep roles.
+        if self.now < self.renewal_due_at || self.raft.is_halted() {
+            return;
+        }
+        self.renewal_due_at = self.now + self.settings.renewal_interval;
+        let own_id = self.raft.id();
+        let holds_role = self.roles.iter().any(|(_, role)| role.holder == Some(own_id));
+        let wants_role = !self.preferences.prefixes.is_empty() && self.preferences.weight > 0.0;
+        if !holds_role && !wants_role {
+            return;
+        }
+        let request = self.lease_holder.start_renewal(self.now);
+        let preferences = self.preferences.clone();
+        if self.raft.is_leader() {
+            self.accept_renewal(own_id, request, preferences);
+        } else {
+            self.send_to_leader(PeerMessage::RenewLeases {
+                request,
+                last_answered: self.lease_holder.last_answered(),
+                weight: preferences.weight,
+                role_prefixes: preferences.prefixes,
+            });
+        }
+    }
+
+    /// Another member requests a renewal. It is rejected if the member has received no answers lately: it
+    /// would keep its roles by its requests, and could not act on them. The rejection is an answer, too, so
+    /// that the next request counts if the rejection arrives.
+    pub(super) fn handle_renewal(
+        &mut self,
+        from: MemberId,
+        request: u64,
+        last_answered: u64,
+        preferences: RolePreferences,
+    ) {
+        if request.saturating_sub(last_answered) > self.max_unanswered_renewals() {
+            self.send_not_leader(from, request);
+        } else {
+            self.accept_renewal(from, request, preferences);
+        }
+    }
+
+    /// Renewals in a row that may have no answer: those of an election timeout, and those in flight.
+    fn max_unanswered_renewals(&self) -> u64 {
+        self.settings.election_timeout / self.settings.renewal_interval.max(1) + IN_FLIGHT_RENEWALS
+    }
+
+    /// Answers a renewal once the leadership is confirmed, see `answer_requests`.
+    fn accept_renewal(&mut self, from: MemberId, request: u64, preferences: RolePreferences) {
+        let last_index = self.raft.log().last_index();
+        match self.raft.request_read_index(self.now) {
+            Ok(read_request) => {
+                if let Some(assigner) = &mut self.assigner {
+                    assigner.on_renewal_request(from, preferences, self.now);
+                }
+                self.pending_requests.push_back(PendingRequest {
+                    kind: RequestKind::Renewal,
+                    from,
+                    request,
+                    read_request,
+                    confirmed: false,
+                    last_index,
+                });
+            }
+            Err(_) if from != self.raft.id() => self.send_not_leader(from, request),
+            Err(_) => {}
+        }
+        self.process_raft_outputs();
+    }
+}
--- a/crates/stepspur-consensus/src/message.rs
+++ b/crates/stepspur-consensus/src/message.rs
@@ -1,162 +1,133 @@
-//! What members write to each other.
+//! Raft's messages between voters (paper, figures 2 and 13).
 
 use bytes::Bytes;
 
-use crate::ids::{Index, MemberId, Term};
-use crate::log::{Entry, Voters};
+use crate::ids::{Index, LogPosition, Term};
+use crate::raft_log::{Entry, Voters};
 
-/// A message from one member to another. `term` is the sender's, where it is told.
+/// A message from one member to another. `term` is the sender's unless stated otherwise.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Message {
-    /// Would you vote for me in this term? It changes nobody's term (thesis 9.6).
-    PreVote {
-        /// The term that the sender would stand in.
+    /// Asks whether the receiver would vote for the sender. It changes nobody's term (thesis 9.6).
+    PreVoteRequest {
+        /// The term of the election that the sender would start.
         term: Term,
-        /// Its log's end.
-        last: (Index, Term),
+        /// The last entry of the sender's log.
+        last_log: LogPosition,
     },
     /// The answer.
-    PreVoted {
-        /// The term that was asked about, or the answerer's if that is higher.
+    PreVoteResponse {
+        /// The requested term if granted, otherwise the sender's.
         term: Term,
-        /// True: yes.
+        /// True: it would vote.
         granted: bool,
     },
-    /// Vote for me (paper 5.2, 5.4).
-    Vote {
-        /// The sender's term.
+    /// Asks for a vote (paper 5.2, 5.4).
+    VoteRequest {
+        /// The candidate's term.
         term: Term,
-        /// Its log's end.
-        last: (Index, Term),
-        /// True: the leader handed its place to the sender, so that a leader heard of lately is no reason to refuse.
-        handed: bool,
+        /// The last entry of the candidate's log.
+        last_log: LogPosition,
+        /// True: the leader transferred its leadership, so that a live leader is no reason to ignore the
+        /// request.
+        leadership_transfer: bool,
     },
     /// The answer.
-    Voted {
-        /// The answerer's term.
+    VoteResponse {
+        /// The sender's term.
         term: Term,
-        /// True: yes.
+        /// True: the sender votes for the candidate.
         granted: bool,
     },
-    /// A leader's entries, or none as a sign of life (paper 5.3).
-    Append {
-        /// The leader's term.
-        term: Term,
-        /// The entry before the first of these.
-        previous: (Index, Term),
-        /// The entries.
-        entries: Vec<Entry>,
-        /// What the leader knows to be agreed.
-        commit: Index,
-        /// Rises with every round of the leader: answers name the newest, which proves that it led when it began it.
-        round: u64,
-    },
+    /// A leader's entries, or a heartbeat.
+    AppendEntries(AppendEntries),
     /// The answer.
-    Appended {
-        /// The answerer's term.
-        term: Term,
-        /// The newest round that it heard.
-        round: u64,
-        /// True: its log holds what came before; then `index` is the last that matches. False: it does not; then
-        /// `index` is where to begin again.
-        matched: bool,
-        /// See `matched`.
-        index: Index,
-    },
-    /// Part of a leader's snapshot, for one who is behind its log (paper 7).
-    Snapshot {
-        /// The leader's term.
-        term: Term,
-        /// The last entry that it covers, and that one's term.
-        covers: (Index, Term),
-        /// Who votes after it.
-        voters: Voters,
-        /// Where this part begins.
-        offset: u64,
-        /// The bytes.
-        bytes: Bytes,
-        /// True: the last part.
-        last: bool,
-        /// As with [`Message::Append`].
-        round: u64,
-    },
+    AppendEntriesResponse(AppendEntriesResponse),
+    /// Part of a leader's snapshot.
+    InstallSnapshot(InstallSnapshot),
     /// The answer.
-    SnapshotTaken {
-        /// The answerer's term.
-        term: Term,
-        /// The snapshot's last entry.
-        covers: Index,
-        /// The next byte that it wants.
-        next: u64,
-        /// The newest round that it heard.
-        round: u64,
-    },
-    /// Stand for election at once (thesis 3.10).
-    Stand {
+    InstallSnapshotResponse(InstallSnapshotResponse),
+    /// Start an election at once: the leader transfers its leadership (thesis 3.10).
+    TimeoutNow {
         /// The leader's term.
         term: Term,
     },
 }
 
+/// A leader's entries; without entries a heartbeat (paper 5.3).
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct AppendEntries {
+    /// The leader's term.
+    pub term: Term,
+    /// The entry before the first of these.
+    pub previous: LogPosition,
+    /// The entries.
+    pub entries: Vec<Entry>,
+    /// The leader's commit index.
+    pub commit: Index,
+    /// The leader's newest heartbeat round. An answer that names it shows that it led when it began the
+    /// round.
+    pub round: u64,
+}
+
+/// The answer to [`AppendEntries`].
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct AppendEntriesResponse {
+    /// The sender's term.
+    pub term: Term,
+    /// The round that it answers.
+    pub round: u64,
+    /// True: its log has the entry before those that were sent.
+    pub matched: bool,
+    /// If `matched`, the last entry known to match, otherwise the entry after which to try again.
+    pub index: Index,
+}
+
+/// Part of a leader's snapshot, for a member that lacks entries older than the leader's log (paper 7).
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct InstallSnapshot {
+    /// The leader's term.
+    pub term: Term,
+    /// The last entry that the snapshot covers.
+    pub last_included: LogPosition,
+    /// The voters after that entry.
+    pub voters: Voters,
+    /// Where this part begins, in bytes.
+    pub offset: u64,
+    /// The bytes.
+    pub bytes: Bytes,
+    /// True: the last part.
+    pub done: bool,
+    /// As in [`AppendEntries`].
+    pub round: u64,
+}
+
+/// The answer to [`InstallSnapshot`].
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct InstallSnapshotResponse {
+    /// The sender's term.
+    pub term: Term,
+    /// The last entry that the snapshot covers.
+    pub last_included: Index,
+    /// The next byte to send; beyond the snapshot's size if it was installed.
+    pub next_offset: u64,
+    /// The round that it answers.
+    pub round: u64,
+}
+
 impl Message {
-    /// The sender's term; none where it only asks about one.
+    /// The sender's term; none where the message names a term that the sender has not entered.
     pub fn term(&self) -> Option<Term> {
         match self {
-            Message::PreVote { .. } | Message::PreVoted { granted: true, .. } => None,
-            Message::PreVoted { term, .. }
-            | Message::Vote { term, .. }
-            | Message::Voted { term, .. }
-            | Message::Append { term, .. }
-            | Message::Appended { term, .. }
-            | Message::Snapshot { term, .. }
-            | Message::SnapshotTaken { term, .. }
-            | Message::Stand { term } => Some(*term),
+            Message::PreVoteRequest { .. } | Message::PreVoteResponse { granted: true, .. } => None,
+            Message::PreVoteResponse { term, .. }
+            | Message::VoteRequest { term, .. }
+            | Message::VoteResponse { term, .. }
+            | Message::TimeoutNow { term } => Some(*term),
+            Message::AppendEntries(append) => Some(append.term),
+            Message::AppendEntriesResponse(response) => Some(response.term),
+            Message::InstallSnapshot(part) => Some(part.term),
+            Message::InstallSnapshotResponse(response) => Some(response.term),
         }
     }
 }
-
-/// Something that happened in the council, for the log.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Note {
-    /// It stands for election.
-    Stands {
-        /// In this term.
-        term: Term,
-        /// Why.
-        why: &'static str,
-    },
-    /// It leads.
-    Leads {
-        /// In this term.
-        term: Term,
-    },
-    /// It leads no more.
-    StepsDown {
-        /// The term that it led.
-        term: Term,
-        /// Why.
-        why: &'static str,
-    },
-    /// It follows a leader.
-    Follows {
-        /// The term.
-        term: Term,
-        /// The leader.
-        leader: MemberId,
-    },
-    /// The members that vote are others.
-    Members {
-        /// They.
-        voters: Voters,
-    },
-    /// One that was to vote never caught up.
-    GivenUp {
-        /// Who.
-        member: MemberId,
-    },
-    /// Its disk has failed: it takes no part until it is started anew.
-    Retired {
-        /// Why.
-        why: String,
-    },
-}
--- a/crates/stepspur-consensus/src/log.rs
+++ b/crates/stepspur-consensus/src/raft_log.rs
@@ -1,4 +1,4 @@
-//! The log: a snapshot of what was agreed first, and the entries after it.
+//! The replicated log: a snapshot, and the entries after it (paper 5.3 and 7).
 
 use std::collections::{BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-use crate::ids::{Index, MemberId, Term};
+use crate::ids::{Index, LogPosition, MemberId, Term};
 
 /// The members that vote.
 pub type Voters = BTreeSet<MemberId>;
@@ -14,48 +14,64 @@
 /// What an entry holds.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Payload {
-    /// Nothing: the first entry of a leader's term.
-    Nothing,
-    /// Who votes from here on.
-    Members(Voters),
-    /// A command for the state above.
+    /// Nothing: the first entry of a leader's term (paper 8).
+    #[serde(rename = "Nothing")]
+    Empty,
+    /// The voters from this entry on (thesis 4.1).
+    #[serde(rename = "Members")]
+    Voters(Voters),
+    /// A command for the replicated state.
     Command(#[serde(with = "as_bytes")] Bytes),
 }
 
 /// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its place.
+    /// Its place in the log.
     pub index: Index,
-    /// The term of the leader that wrote it.
+    /// The term of the leader that appended it.
     pub term: Term,
     /// What it holds.
     pub payload: Payload,
 }
 
-/// What all entries up to one amount to.
+impl Entry {
+    /// Its term and index.
+    pub fn position(&self) -> LogPosition {
+        LogPosition { term: self.term, index: self.index }
+    }
+}
+
+/// The state after an entry, in place of all entries up to it (paper 7).
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Snapshot {
     /// The last entry that it covers.
     pub index: Index,
     /// That entry's term.
     pub term: Term,
-    /// Who votes after it.
+    /// The voters after that entry.
     pub voters: Voters,
-    /// The state above, in its own form.
+    /// The replicated state, in its own encoding.
     #[serde(with = "as_bytes")]
     pub state: Bytes,
 }
 
-/// A log with its snapshot.
+impl Snapshot {
+    /// The term and index of the last entry that it covers.
+    pub fn position(&self) -> LogPosition {
+        LogPosition { term: self.term, index: self.index }
+    }
+}
+
+/// A log that begins with a snapshot.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Log {
+pub struct RaftLog {
     base: Arc<Snapshot>,
     entries: VecDeque<Entry>,
 }
 
-impl Log {
-    /// A log that begins after a snapshot. Entries that do not follow one another from it are left out.
+impl RaftLog {
+    /// A log that begins with a snapshot. Entries that do not follow one another from there are left out.
     pub fn new(base: Arc<Snapshot>, entries: impl IntoIterator<Item = Entry>) -> Self {
         let mut log = Self { base, entries: VecDeque::new() };
         for entry in entries {
@@ -81,22 +97,22 @@
         self.entries.is_empty()
     }
 
-    /// The last entry's place.
+    /// The index of the last entry.
     pub fn last_index(&self) -> Index {
         Index(self.base.index.0 + self.entries.len() as u64)
     }
 
-    /// The last entry's term.
-    pub fn last_term(&self) -> Term {
-        self.entries.back().map_or(self.base.term, |e| e.term)
+    /// The term and index of the last entry.
+    pub fn last_position(&self) -> LogPosition {
+        self.entries.back().map_or(self.base.position(), Entry::position)
     }
 
-    /// An entry's term, if the log still knows it.
+    /// An entry's term; none if the snapshot covers the entry, or the log ends before it.
     pub fn term_at(&self, index: Index) -> Option<Term> {
         if index == self.base.index {
             return Some(self.base.term);
         }
-        self.get(index).map(|e| e.term)
+        self.get(index).map(|entry| entry.term)
     }
 
     /// An entry, if it follows the snapshot.
@@ -105,20 +121,21 @@
         self.entries.get(usize::try_from(place).ok()?)
     }
 
-    /// Entries from a place on, so many at most.
-    pub fn from(&self, index: Index, most: usize) -> Vec<Entry> {
+    /// Up to `limit` entries from an index on.
+    pub fn entries_from(&self, index: Index, limit: usize) -> Vec<Entry> {
         let skip = index.0.saturating_sub(self.base.index.0 + 1);
-        self.entries.iter().skip(skip as usize).take(most).cloned().collect()
+        self.entries.iter().skip(skip as usize).take(limit).cloned().collect()
     }
 
-    /// Adds an entry that follows the last.
-    pub fn push(&mut self, term: Term, payload: Payload) -> Entry {
+    /// Appends an entry after the last one, and gives it back.
+    pub fn append(&mut self, term: Term, payload: Payload) -> Entry {
         let entry = Entry { index: self.last_index().next(), term, payload };
         self.entries.push_back(entry.clone());
         entry
     }
 
-    /// Takes a leader's entries: what conflicts goes, what is new is added. Gives the first place that changed.
+    /// Merges a leader's entries: a conflicting entry and all after it are removed, new ones are appended
+    /// (paper 5.3). Gives the index of the first change.
     pub fn merge(&mut self, entries: Vec<Entry>) -> Option<Index> {
         let mut changed = None;
         for entry in entries {
@@ -139,7 +156,8 @@
         self.entries.truncate(keep as usize);
     }
 
-    /// Takes a snapshot in place of the entries that it covers. Entries after it stay if they follow from it.
+    /// Replaces the entries that a snapshot covers. Later entries stay if the log has the snapshot's last
+    /// entry.
     pub fn compact_to(&mut self, snapshot: Arc<Snapshot>) {
         if snapshot.index <= self.base.index {
             return;
@@ -154,25 +172,31 @@
         self.base = snapshot;
     }
 
-    /// Who votes by the newest entry that says so, agreed or not, and where it stands.
-    pub fn voters(&self) -> (&Voters, Index) {
-        let newest = self.entries.iter().rev().find_map(|e| match &e.payload {
-            Payload::Members(voters) => Some((voters, e.index)),
-            _ => None,
-        });
-        newest.unwrap_or((&self.base.voters, self.base.index))
+    /// The voters: those of the newest entry that names any, committed or not (thesis 4.1).
+    pub fn voters(&self) -> &Voters {
+        self.voters_at(self.last_index())
     }
 
-    /// Who votes after an entry.
+    /// The voters after an entry.
     pub fn voters_at(&self, index: Index) -> &Voters {
-        let newest = self.entries.iter().rev().filter(|e| e.index <= index).find_map(|e| match &e.payload {
-            Payload::Members(voters) => Some(voters),
-            _ => None,
-        });
-        newest.unwrap_or(&self.base.voters)
+        self.newest_voters(index).map_or(&self.base.voters, |(voters, _)| voters)
+    }
+
+    /// The index of the entry that names the current voters.
+    pub fn voters_index(&self) -> Index {
+        self.newest_voters(self.last_index()).map_or(self.base.index, |(_, index)| index)
+    }
+
+    /// The newest entry up to `last` that names the voters.
+    fn newest_voters(&self, last: Index) -> Option<(&Voters, Index)> {
+        self.entries.iter().rev().filter(|entry| entry.index <= last).find_map(|entry| match &entry.payload {
+            Payload::Voters(voters) => Some((voters, entry.index)),
+            Payload::Empty | Payload::Command(_) => None,
+        })
     }
 }
 
+/// Bytes in serde's form for bytes instead of a sequence of numbers.
 mod as_bytes {
     use bytes::Bytes;
     use serde::{Deserialize, Deserializer, Serializer};
--- a/crates/stepspur-consensus/src/rendezvous/tests.rs
+++ b/crates/stepspur-consensus/src/rendezvous/tests.rs
@@ -2,34 +2,37 @@
 
 use super::*;
 
-fn duties() -> impl Iterator<Item = RoleName> {
+fn roles() -> impl Iterator<Item = RoleName> {
     (0..10_000).map(|k| RoleName::new(&format!("duty/{k}")).unwrap())
 }
 
-/// Ten thousand duties on five members of weights 1, 1, 1, 1 and 2: shares by weight, within four deviations.
+/// Ten thousand roles on five members of weights 1, 1, 1, 1 and 2: shares by weight, within four standard
+/// deviations.
 #[test]
-fn shares_go_by_weight_and_only_what_a_member_held_moves_when_it_goes() {
+fn shares_follow_weights_and_only_roles_of_a_removed_member_move() {
     let members: Vec<(MemberId, f64)> =
         (1..=5).map(|k| (MemberId(k), if k == 5 { 2.0 } else { 1.0 })).collect();
-    let placed = |members: &[(MemberId, f64)]| -> BTreeMap<RoleName, MemberId> {
-        duties().map(|d| (d.clone(), highest_random_weight(&d, members.iter().copied()).unwrap())).collect()
+    let assign = |members: &[(MemberId, f64)]| -> BTreeMap<RoleName, MemberId> {
+        roles()
+            .map(|role| (role.clone(), highest_random_weight(&role, members.iter().copied()).unwrap()))
+            .collect()
     };
-    let before = placed(&members);
+    let before = assign(&members);
     for (member, weight) in &members {
         let share = weight / 6.0;
-        let many = before.values().filter(|m| *m == member).count() as f64;
+        let held = before.values().filter(|m| *m == member).count() as f64;
         let deviation = (10_000.0 * share * (1.0 - share)).sqrt();
-        assert!((many - 10_000.0 * share).abs() < 4.0 * deviation, "{member}: {many}");
+        assert!((held - 10_000.0 * share).abs() < 4.0 * deviation, "{member}: {held}");
     }
-    let after = placed(&members[1..]);
-    for (duty, member) in &before {
-        assert!(*member == MemberId(1) || after[duty] == *member, "{duty} moved without need");
+    let after = assign(&members[1..]);
+    for (role, member) in &before {
+        assert!(*member == MemberId(1) || after[role] == *member, "{role} moved although its holder stayed");
     }
 }
 
 #[test]
-fn nobody_is_best_of_none_or_of_no_weight() {
-    let duty = RoleName::new("d").unwrap();
-    assert_eq!(highest_random_weight(&duty, []), None);
-    assert_eq!(highest_random_weight(&duty, [(MemberId(1), 0.0), (MemberId(2), f64::NAN)]), None);
+fn no_member_is_chosen_without_members_or_valid_weights() {
+    let role = RoleName::new("d").unwrap();
+    assert_eq!(highest_random_weight(&role, []), None);
+    assert_eq!(highest_random_weight(&role, [(MemberId(1), 0.0), (MemberId(2), f64::NAN)]), None);
 }
--- a/crates/stepspur-consensus/src/state.rs
+++ b/crates/stepspur-consensus/src/state_machine.rs
@@ -1,31 +1,33 @@
-//! What members agree on beside duties: a state of others, changed by the same entries at every member.
+//! Replicated state beside the roles: changed by the same entries at every member.
 
 use bytes::Bytes;
 
 use crate::ids::{Index, LogPosition};
 
-/// What a command for such a state begins with in the log; those on duties are JSON.
-pub(crate) const SHARED: u8 = 1;
+/// The first byte of a log command for a [`StateMachine`]; commands for roles are JSON.
+pub(crate) const STATE_MACHINE_COMMAND: u8 = 1;
 
-/// A state that every member comes to by the same entries: no clock, chance, float or hash order decides in it.
+/// A deterministic state machine: every member comes to the same state by the same entries, so that no clock,
+/// random number, float or hash order may decide in it.
 pub trait StateMachine {
     /// Applies the command of the entry at this position.
     ///
     /// # Errors
-    /// Why this program does not know it: its member stops before the entry, and applies none after it.
+    /// Why the command is unknown to this program: the member halts before the entry, and applies none after
+    /// it.
     fn apply(&mut self, position: LogPosition, command: &[u8]) -> Result<(), String>;
 
-    /// The state as a snapshot holds it; empty where there is none.
+    /// The state's form in a snapshot; no bytes if there is no state.
     fn encode(&self) -> Bytes;
 
-    /// Takes a snapshot's state in place of what was known; an empty one is that of the founding.
+    /// Replaces the state by that of a snapshot; no bytes stand for the state of a new group.
     ///
     /// # Errors
-    /// What is wrong with it, or that this program does not know it. What was known stands then.
+    /// What is wrong with the bytes, or why they are unknown to this program. The state is unchanged then.
     fn restore(&mut self, index: Index, state: &[u8]) -> Result<(), String>;
 }
 
-/// Nothing is agreed beside duties.
+/// No state beside the roles.
 impl StateMachine for () {
     fn apply(&mut self, _: LogPosition, _: &[u8]) -> Result<(), String> {
         Err("a command of books, and this program keeps none".to_owned())
--- /dev/null
+++ b/crates/stepspur-consensus/tests/lease_renewal.rs
@@ -0,0 +1,61 @@
+//! Renewals of a holder whose requests arrive and that receives no answers.
+
+use stepspur_consensus::{
+    Member, MemberId, MemberOutput, PeerMessage, RaftNode, RoleChange, RoleCommand, RoleName, Settings,
+};
+
+const LEADER: MemberId = MemberId(1);
+const DEAF: MemberId = MemberId(2);
+const OTHER: MemberId = MemberId(3);
+
+/// Completes a step's writes at once, and collects the new holders.
+fn step(member: &mut Member, now: u64, mut outputs: Vec<MemberOutput>, holders: &mut Vec<MemberId>) {
+    while !outputs.is_empty() {
+        let mut written = None;
+        for output in std::mem::take(&mut outputs) {
+            match output {
+                MemberOutput::Persist(write) => written = Some(write.number),
+                MemberOutput::RoleChanged(RoleChange::Granted { holder, .. }) => holders.push(holder),
+                _ => {}
+            }
+        }
+        outputs = written.map(|number| member.on_persisted(now, number)).unwrap_or_default();
+    }
+}
+
+#[test]
+fn holder_without_answers_loses_its_role() {
+    let settings = Settings::default();
+    let role = RoleName::new("probe/a").expect("a name");
+    let mut member =
+        Member::new(LEADER, RaftNode::bootstrap([LEADER].into()), [LEADER].into(), settings.clone(), 1, 0);
+    let mut holders = Vec::new();
+    let (mut now, mut declared) = (0, false);
+    for request in 1..60 {
+        now += settings.renewal_interval;
+        let outputs = member.tick(now);
+        step(&mut member, now, outputs, &mut holders);
+        if member.raft().is_leader() && !declared {
+            declared = true;
+            let outputs = member
+                .propose_role_command(now, &RoleCommand::Declare { role: role.clone(), lease: 2_000_000 });
+            step(&mut member, now, outputs, &mut holders);
+        }
+        let role_prefixes = vec!["probe/".to_owned()];
+        // The deaf member is the first candidate, and the only one until it holds the role. The other
+        // receives answers.
+        let renew = |last_answered| PeerMessage::RenewLeases {
+            request,
+            last_answered,
+            weight: 1.0,
+            role_prefixes: role_prefixes.clone(),
+        };
+        let outputs = member.receive(now, DEAF, renew(if holders.is_empty() { request } else { 0 }));
+        step(&mut member, now, outputs, &mut holders);
+        if !holders.is_empty() {
+            let outputs = member.receive(now, OTHER, renew(request));
+            step(&mut member, now, outputs, &mut holders);
+        }
+    }
+    assert_eq!(holders, [DEAF, OTHER], "the role stayed with a holder that may not act");
+}
--- a/crates/stepspur-consensus/tests/search.rs
+++ b/crates/stepspur-consensus/tests/search.rs
@@ -1,13 +1,15 @@
-//! All courses of three members within bounds: messages in any order, lost or twice, crashes, time-outs.
+//! Model checking: all runs of three members within bounds, with messages in any order, lost or duplicated,
+//! crashes and timeouts.
 //!
-//! `DEPTH=13 STATES=4000000 cargo test --release -p stepspur-consensus --test search -- --nocapture` goes further than CI.
+//! `DEPTH=13 STATES=4000000 cargo test --release -p stepspur-consensus --test search -- --nocapture` goes
+//! further than CI.
 
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use bytes::Bytes;
 use stepspur_consensus::{
-    Effect, Entry, Index, MemberId, Message, Note, PersistentState, RaftNode, Settings, Term, Voters,
+    Entry, Index, MemberId, Message, PersistentState, RaftEvent, RaftNode, RaftOutput, Settings, Term, Voters,
 };
 
 /// Bounds of the search.
@@ -18,28 +20,28 @@
     term: u64,
     commands: u8,
     crashes: u8,
-    /// Messages under way at most: further ones are lost.
-    under_way: usize,
+    /// The most messages in flight: further ones are lost.
+    max_in_flight: usize,
 }
 
 #[derive(Clone)]
 struct State {
-    cores: Vec<RaftNode>,
+    nodes: Vec<RaftNode>,
     disks: Vec<PersistentState>,
-    /// Under way; a set, so that order plays no part.
+    /// In flight; a set, so that their order does not matter.
     messages: BTreeSet<(usize, usize, Message)>,
     commands: u8,
     crashes: u8,
     leaders: BTreeMap<Term, usize>,
-    agreed: BTreeMap<Index, Entry>,
+    committed: BTreeMap<Index, Entry>,
 }
 
 #[derive(Clone, Debug)]
 enum Step {
-    TimeOut(usize),
-    Beat(usize),
-    Deliver(usize, usize, Message, bool),
-    Command(usize),
+    Timeout(usize),
+    Heartbeat(usize),
+    Deliver { from: usize, to: usize, message: Message, duplicated: bool },
+    Propose(usize),
     Crash(usize),
 }
 
@@ -48,31 +50,31 @@
 }
 
 fn settings() -> Settings {
-    Settings { log_max: 16, batch: 2, ..Settings::default() }
+    Settings { max_log_entries: 16, max_batch_entries: 2, ..Settings::default() }
 }
 
 impl State {
     fn first() -> Self {
         let voters: Voters = (0..3).map(id).collect();
         let disk = RaftNode::bootstrap(voters);
-        let cores = (0..3).map(|k| RaftNode::new(id(k), disk.clone(), settings(), k as u64, 0)).collect();
+        let nodes = (0..3).map(|k| RaftNode::new(id(k), disk.clone(), settings(), k as u64, 0)).collect();
         let mut state = Self {
-            cores,
+            nodes,
             disks: vec![disk; 3],
             messages: BTreeSet::new(),
             commands: 0,
             crashes: 0,
             leaders: BTreeMap::new(),
-            agreed: BTreeMap::new(),
+            committed: BTreeMap::new(),
         };
-        (0..3).for_each(|k| state.act(k, usize::MAX).unwrap());
+        (0..3).for_each(|k| state.process_outputs(k, usize::MAX).unwrap());
         state
     }
 
     fn key(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
-        for core in &self.cores {
-            core.fingerprint().hash(&mut hasher);
+        for node in &self.nodes {
+            node.fingerprint().hash(&mut hasher);
         }
         (&self.disks, &self.messages, self.commands, self.crashes, &self.leaders).hash(&mut hasher);
         hasher.finish()
@@ -81,23 +83,24 @@
     fn steps(&self, bounds: &Bounds) -> Vec<Step> {
         let mut steps = Vec::new();
         for k in 0..3 {
-            if self.cores[k].is_leader() && self.commands < bounds.commands {
-                steps.push(Step::Command(k));
+            if self.nodes[k].is_leader() && self.commands < bounds.commands {
+                steps.push(Step::Propose(k));
             }
-            if self.cores[k].leader() == Some(id(k)) {
-                steps.push(Step::Beat(k));
-            } else if self.cores[k].term() < Term(bounds.term) {
-                steps.push(Step::TimeOut(k));
+            if self.nodes[k].leader() == Some(id(k)) {
+                steps.push(Step::Heartbeat(k));
+            } else if self.nodes[k].term() < Term(bounds.term) {
+                steps.push(Step::Timeout(k));
             }
             if self.crashes < bounds.crashes {
                 steps.push(Step::Crash(k));
             }
         }
         for (from, to, message) in &self.messages {
-            for stays in [false, true] {
-                // A message that is never delivered is lost; one that stays may come again.
-                if !stays || matches!(message, Message::Vote { .. } | Message::Append { .. }) {
-                    steps.push(Step::Deliver(*from, *to, message.clone(), stays));
+            for duplicated in [false, true] {
+                // A message that is never delivered is lost; a duplicated one may come again.
+                if !duplicated || matches!(message, Message::VoteRequest { .. } | Message::AppendEntries(_)) {
+                    let message = message.clone();
+                    steps.push(Step::Deliver { from: *from, to: *to, message, duplicated });
                 }
             }
         }
@@ -106,78 +109,75 @@
 
     fn after(&self, step: &Step, bounds: &Bounds) -> Result<Self, String> {
         let mut next = self.clone();
-        let now = |core: &RaftNode| core.next_at();
         match step {
-            Step::TimeOut(k) => {
-                // Long enough for a leader's word to be old, too.
-                let core = &mut next.cores[*k];
-                let at = now(core) + settings().election * 2;
-                core.tick(at);
-                next.act(*k, bounds.under_way)?;
+            Step::Timeout(k) => {
+                // Long enough for the last leader to count as dead.
+                let node = &mut next.nodes[*k];
+                node.tick(node.next_tick_at() + settings().election_timeout * 2);
+                next.process_outputs(*k, bounds.max_in_flight)?;
             }
-            Step::Beat(k) => {
-                let core = &mut next.cores[*k];
-                let at = now(core) + settings().heartbeat;
-                core.tick(at);
-                next.act(*k, bounds.under_way)?;
+            Step::Heartbeat(k) => {
+                let node = &mut next.nodes[*k];
+                node.tick(node.next_tick_at() + settings().heartbeat_interval);
+                next.process_outputs(*k, bounds.max_in_flight)?;
             }
-            Step::Deliver(from, to, message, stays) => {
-                if !stays {
+            Step::Deliver { from, to, message, duplicated } => {
+                if !duplicated {
                     next.messages.remove(&(*from, *to, message.clone()));
                 }
-                next.cores[*to].receive(0, id(*from), message.clone());
-                next.act(*to, bounds.under_way)?;
+                next.nodes[*to].receive(0, id(*from), message.clone());
+                next.process_outputs(*to, bounds.max_in_flight)?;
             }
-            Step::Command(k) => {
+            Step::Propose(k) => {
                 next.commands += 1;
                 let command = Bytes::from(vec![next.commands]);
-                let _ = next.cores[*k].propose(0, command);
-                next.act(*k, bounds.under_way)?;
+                let _ = next.nodes[*k].propose(0, command);
+                next.process_outputs(*k, bounds.max_in_flight)?;
             }
             Step::Crash(k) => {
                 next.crashes += 1;
-                next.cores[*k] = RaftNode::new(id(*k), next.disks[*k].clone(), settings(), *k as u64, 0);
-                next.act(*k, bounds.under_way)?;
+                next.nodes[*k] = RaftNode::new(id(*k), next.disks[*k].clone(), settings(), *k as u64, 0);
+                next.process_outputs(*k, bounds.max_in_flight)?;
             }
         }
         next.check()?;
         Ok(next)
     }
 
-    /// Does what a member asks for; its disk takes every save at once.
-    fn act(&mut self, k: usize, most: usize) -> Result<(), String> {
+    /// Does what a member asks for; its disk finishes every write at once.
+    fn process_outputs(&mut self, k: usize, max_in_flight: usize) -> Result<(), String> {
         loop {
-            let effects = self.cores[k].take();
-            if effects.is_empty() {
+            let outputs = self.nodes[k].take_outputs();
+            if outputs.is_empty() {
                 return Ok(());
             }
-            for effect in effects {
-                match effect {
-                    Effect::Send(to, message) => {
+            for output in outputs {
+                match output {
+                    RaftOutput::Send { to, message } => {
                         let to = to.0 as usize - 1;
-                        if self.messages.len() < most {
+                        if self.messages.len() < max_in_flight {
                             self.messages.insert((k, to, message));
                         }
                     }
-                    Effect::Save(save) => {
-                        self.disks[k] = self.disks[k].after(&save);
-                        self.cores[k].saved(0, save.number);
+                    RaftOutput::Persist(write) => {
+                        self.disks[k] = self.disks[k].with_write(&write);
+                        self.nodes[k].on_persisted(0, write.number);
                     }
-                    Effect::Apply(entry) => {
-                        let known = self.agreed.entry(entry.index).or_insert_with(|| entry.clone());
+                    RaftOutput::Apply(entry) => {
+                        let known = self.committed.entry(entry.index).or_insert_with(|| entry.clone());
                         if *known != entry {
-                            return Err(format!("{k} agrees on {entry:?} where {known:?} was agreed"));
+                            return Err(format!("{k} commits {entry:?} where {known:?} was committed"));
                         }
                     }
-                    Effect::Note(Note::Leads { term }) => {
+                    RaftOutput::Event(RaftEvent::BecameLeader { term }) => {
                         let first = *self.leaders.entry(term).or_insert(k);
                         if first != k {
                             return Err(format!("{first} and {k} lead in term {term}"));
                         }
-                        // Leader completeness.
-                        let log = self.cores[k].log();
+                        // Leader completeness (paper 5.4).
+                        let log = self.nodes[k].log();
                         let lacks = self
-                            .agreed
+                            .committed
                             .values()
                             .find(|e| e.index > log.base().index && log.get(e.index) != Some(e));
                         if let Some(entry) = lacks {
@@ -190,16 +190,16 @@
         }
     }
 
-    /// Log matching: two logs that have an entry of the same place and term are alike up to there.
+    /// Log matching (paper 5.3): two logs with an entry of the same index and term are equal up to there.
     fn check(&self) -> Result<(), String> {
         for (a, b) in [(0, 1), (0, 2), (1, 2)] {
-            let [a_log, b_log] = [self.cores[a].log(), self.cores[b].log()];
+            let [a_log, b_log] = [self.nodes[a].log(), self.nodes[b].log()];
             let last = a_log.last_index().min(b_log.last_index());
-            let mut alike = false;
+            let mut equal = false;
             for index in (2..=last.0).rev().map(Index) {
                 let [x, y] = [a_log.get(index), b_log.get(index)];
-                alike |= x.is_some() && x.map(|e| e.term) == y.map(|e| e.term);
-                if alike && x != y {
+                equal |= x.is_some() && x.map(|e| e.term) == y.map(|e| e.term);
+                if equal && x != y {
                     return Err(format!("{a} and {b} differ at {index} before a common entry: {x:?}, {y:?}"));
                 }
             }
@@ -208,8 +208,14 @@
     }
 }
 
-/// Breadth first: what is found is the shortest course to it. States seen, and how deep.
-fn search(first: State, bounds: Bounds) -> (usize, usize) {
+/// What a search has covered.
+struct Coverage {
+    states: usize,
+    depth: usize,
+}
+
+/// Searches breadth first, so that a violation is found by the shortest run to it.
+fn search(first: State, bounds: Bounds) -> Coverage {
     let (mut seen, mut queue) = (HashSet::from([first.key()]), VecDeque::from([(first, 0)]));
     let mut deepest = 0;
     while let Some((state, depth)) = queue.pop_front() {
@@ -220,52 +226,52 @@
         for step in state.steps(&bounds) {
             let next = state
                 .after(&step, &bounds)
-                .unwrap_or_else(|what| panic!("{what}, after {step:?} at depth {depth}"));
+                .unwrap_or_else(|violation| panic!("{violation}, after {step:?} at depth {depth}"));
             if seen.len() < bounds.states && seen.insert(next.key()) {
                 queue.push_back((next, depth + 1));
             }
         }
     }
-    (seen.len(), deepest)
+    Coverage { states: seen.len(), depth: deepest }
 }
 
 fn bounds() -> Bounds {
     Bounds {
-        depth: number("DEPTH", 8),
-        states: number("STATES", 30_000),
+        depth: from_environment("DEPTH", 8),
+        states: from_environment("STATES", 30_000),
         term: 4,
         commands: 2,
         crashes: 1,
-        under_way: 6,
+        max_in_flight: 6,
     }
 }
 
-fn number(name: &str, usual: usize) -> usize {
-    std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(usual)
+fn from_environment(name: &str, default: usize) -> usize {
+    std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
 #[test]
-fn no_course_within_bounds_breaks_the_log() {
-    let (states, depth) = search(State::first(), bounds());
+fn runs_from_a_new_group_keep_the_log_consistent() {
+    let Coverage { states, depth } = search(State::first(), bounds());
     println!("{states} states, {depth} steps deep");
     assert!(states >= 10_000, "{states}");
 }
 
-/// From a council with a leader and a command agreed by two: elections among what is left, crashes, old messages.
+/// From a group with a leader and a command committed by two: elections, crashes, old messages.
 #[test]
-fn no_course_from_a_running_council_breaks_the_log() {
+fn runs_from_a_running_group_keep_the_log_consistent() {
     let bounds = bounds();
     let mut state = State::first();
-    // Member 0 asks, stands and is voted for, by 1 alone; 2 hears nothing.
-    state = state.after(&Step::TimeOut(0), &bounds).unwrap();
+    // Member 0 is elected by 1 alone; 2 receives nothing.
+    state = state.after(&Step::Timeout(0), &bounds).unwrap();
     for _ in 0..12 {
         let next = state.messages.iter().find(|(from, to, _)| *from != 2 && *to != 2).cloned();
         let Some((from, to, message)) = next else { break };
-        state = state.after(&Step::Deliver(from, to, message, false), &bounds).unwrap();
+        state = state.after(&Step::Deliver { from, to, message, duplicated: false }, &bounds).unwrap();
     }
-    assert!(state.cores[0].is_leader(), "{}", state.cores[0].fingerprint());
-    state = state.after(&Step::Command(0), &bounds).unwrap();
+    assert!(state.nodes[0].is_leader(), "{}", state.nodes[0].fingerprint());
+    state = state.after(&Step::Propose(0), &bounds).unwrap();
     state.messages.retain(|(from, to, _)| *from != 2 && *to != 2);
-    let (states, _) = search(state, bounds);
+    let Coverage { states, .. } = search(state, bounds);
     assert!(states >= 10_000, "{states}");
 }
--- a/crates/stepspur-distribution/src/control/listener.rs
+++ b/crates/stepspur-distribution/src/control/listener.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use stepspur_consensus_node::{Listen, Stream};
+use stepspur_consensus_node::{Listener, Stream};
 use stepspur_proto::from_subscriber;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio::time::sleep;
@@ -24,7 +24,7 @@
 /// Lets callers in until stopped.
 pub(crate) async fn run(
     member: Arc<Member>,
-    mut listener: Box<dyn Listen>,
+    mut listener: Box<dyn Listener>,
     tasks: TaskTracker,
     stop: CancellationToken,
 ) {
--- a/crates/stepspur-distribution/src/control/mod.rs
+++ b/crates/stepspur-distribution/src/control/mod.rs
@@ -27,7 +27,7 @@
 use std::time::Duration;
 
 use serde::Serialize;
-use stepspur_consensus_node::Net;
+use stepspur_consensus_node::Transport;
 use stepspur_replication::{OperationId, ReplicationClient};
 use tokio::time::Instant;
 use tokio_util::sync::{CancellationToken, DropGuard};
@@ -56,7 +56,7 @@
     /// All members but this one.
     others: Vec<ControlMember>,
     shared: ReplicationClient,
-    net: Arc<dyn Net>,
+    net: Arc<dyn Transport>,
     registry: Registry,
     admission: Admission,
     collector: Collector,
@@ -113,7 +113,7 @@
     pub async fn start(
         settings: ControlSettings,
         shared: ReplicationClient,
-        net: Arc<dyn Net>,
+        net: Arc<dyn Transport>,
     ) -> Result<Self, ControlStartError> {
         settings.check()?;
         if shared.books().version(CONFIGURATION).is_none() {
@@ -216,7 +216,7 @@
 }
 
 impl Member {
-    fn new(settings: ControlSettings, shared: ReplicationClient, net: Arc<dyn Net>) -> Self {
+    fn new(settings: ControlSettings, shared: ReplicationClient, net: Arc<dyn Transport>) -> Self {
         let others = settings.members.iter().filter(|other| other.id != settings.id).cloned().collect();
         let ids = settings.members.iter().map(|member| member.id).chain([settings.id]).collect();
         Self {
--- a/crates/stepspur-distribution/src/subscriber.rs
+++ b/crates/stepspur-distribution/src/subscriber.rs
@@ -20,7 +20,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use stepspur_consensus_node::{BoxFuture, Net};
+use stepspur_consensus_node::{BoxFuture, Transport};
 use stepspur_proto::{FrameError, FromSubscriber};
 use tokio::sync::{mpsc, watch};
 use tokio_util::sync::{CancellationToken, DropGuard};
@@ -104,7 +104,7 @@
         settings: SubscriberSettings,
         store: Box<dyn ScopeStore>,
         apply: Arc<dyn DocumentApplier>,
-        net: Arc<dyn Net>,
+        net: Arc<dyn Transport>,
     ) -> Result<Self, SubscriberStartError> {
         let settings = checked(settings)?;
         let loaded = tokio::task::spawn_blocking(move || {
--- a/crates/stepspur-distribution/src/subscriber/link.rs
+++ b/crates/stepspur-distribution/src/subscriber/link.rs
@@ -7,7 +7,7 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use stepspur_consensus_node::Net;
+use stepspur_consensus_node::Transport;
 use stepspur_proto::{from_control, v1};
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{Instant, sleep, sleep_until, timeout};
@@ -36,7 +36,7 @@
 /// Owns the connection.
 pub(crate) struct Link {
     settings: SubscriberSettings,
-    net: Arc<dyn Net>,
+    net: Arc<dyn Transport>,
     updates: mpsc::Sender<Offered>,
     progress: watch::Receiver<Progress>,
     board: Arc<Board>,
@@ -51,7 +51,7 @@
 impl Link {
     pub(crate) fn new(
         settings: SubscriberSettings,
-        net: Arc<dyn Net>,
+        net: Arc<dyn Transport>,
         updates: mpsc::Sender<Offered>,
         progress: watch::Receiver<Progress>,
         board: Arc<Board>,
--- a/crates/stepspur-distribution/tests/control/support.rs
+++ b/crates/stepspur-distribution/tests/control/support.rs
@@ -8,7 +8,7 @@
 
 use futures_util::{SinkExt, StreamExt};
 use stepspur_consensus::{MemberId, RaftNode};
-use stepspur_consensus_node::{BoxFuture, Listen, Net, NodeHandle, Settings, Stream};
+use stepspur_consensus_node::{BoxFuture, Listener, NodeHandle, Settings, Stream, Transport};
 use stepspur_distribution::book::ConfigurationState;
 use stepspur_distribution::control::{Control, ControlMember, ControlSettings, RolloutStatus};
 use stepspur_distribution::document::{Change, Document, Scope, Setting, Target};
@@ -37,11 +37,11 @@
 
 struct Door(SocketAddr, mpsc::Receiver<DuplexStream>);
 
-impl Net for Pipes {
-    fn listen(&self, at: SocketAddr) -> BoxFuture<'_, io::Result<Box<dyn Listen>>> {
+impl Transport for Pipes {
+    fn listen(&self, at: SocketAddr) -> BoxFuture<'_, io::Result<Box<dyn Listener>>> {
         let (calls, door) = mpsc::channel(64);
         self.0.lock().unwrap().insert(at, calls);
-        Box::pin(async move { Ok(Box::new(Door(at, door)) as Box<dyn Listen>) })
+        Box::pin(async move { Ok(Box::new(Door(at, door)) as Box<dyn Listener>) })
     }
 
     fn dial(&self, to: SocketAddr) -> BoxFuture<'_, io::Result<Box<dyn Stream>>> {
@@ -55,7 +55,7 @@
     }
 }
 
-impl Listen for Door {
+impl Listener for Door {
     fn address(&self) -> SocketAddr {
         self.0
     }
@@ -102,11 +102,11 @@
         id: member,
         listen: Wire::address(member),
         peers: (1..=shape.members).map(MemberId).map(|id| (id, Wire::address(id))).collect(),
-        council: stepspur_consensus::Settings::default(),
-        wants: Vec::new(),
-        weight: 1.0,
-        within: Duration::from_secs(2),
-        largest_frame: 16 << 20,
+        consensus: stepspur_consensus::Settings::default(),
+        role_prefixes: Vec::new(),
+        role_weight: 1.0,
+        io_timeout: Duration::from_secs(2),
+        max_frame_bytes: 16 << 20,
     };
     let books = StateMachineRegistry::new([
         Box::new(ConfigurationState::default()) as Box<dyn ReplicatedStateMachine>
--- a/crates/stepspur-distribution/tests/subscriber_rig/mod.rs
+++ b/crates/stepspur-distribution/tests/subscriber_rig/mod.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use futures_util::{SinkExt, StreamExt};
-use stepspur_consensus_node::{BoxFuture, Listen, Net, Stream};
+use stepspur_consensus_node::{BoxFuture, Listener, Stream, Transport};
 use stepspur_distribution::document::{Document, Interest, Key, Scope, ServiceInterest, Setting, Target};
 use stepspur_distribution::store::MemoryStore;
 use stepspur_distribution::subscriber::{DocumentApplier, Subscriber, SubscriberSettings, SubscriberStatus};
@@ -68,8 +68,8 @@
     }
 }
 
-impl Net for Pipes {
-    fn listen(&self, _: SocketAddr) -> BoxFuture<'_, io::Result<Box<dyn Listen>>> {
+impl Transport for Pipes {
+    fn listen(&self, _: SocketAddr) -> BoxFuture<'_, io::Result<Box<dyn Listener>>> {
         Box::pin(async { Err(io::ErrorKind::Unsupported.into()) })
     }
 
--- a/crates/stepspur-fault-tests/src/disk.rs
+++ b/crates/stepspur-fault-tests/src/disk.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use stepspur_consensus::{MemberId, PersistentState, WriteRequest};
-use stepspur_consensus_node::{BoxFuture, Disk, Saves, WriteCallback};
+use stepspur_consensus_node::{BoxFuture, Storage, StorageCallback, StorageEvent, WriteQueue, WriteRejected};
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
@@ -63,7 +63,7 @@
     }
 
     /// Opens it: as a member takes it, and what it holds.
-    pub fn open(&self) -> (Box<dyn Disk>, PersistentState) {
+    pub fn open(&self) -> (Box<dyn Storage>, PersistentState) {
         let stored = self.moment();
         (Box::new(Opened { image: self.clone(), life: self.state().life }), stored)
     }
@@ -76,7 +76,7 @@
         if let Some(why) = &state.fails {
             return Some(Err(why.clone()));
         }
-        state.stored = state.stored.after(save);
+        state.stored = state.stored.with_write(save);
         Some(Ok(save.number))
     }
 }
@@ -86,20 +86,20 @@
     life: u64,
 }
 
-impl Disk for Opened {
+impl Storage for Opened {
     fn id(&self) -> MemberId {
         self.image.member
     }
 
-    fn serve(self: Box<Self>, mut tell: WriteCallback) -> io::Result<Box<dyn Saves>> {
+    fn start(self: Box<Self>, mut tell: StorageCallback) -> io::Result<Box<dyn WriteQueue>> {
         let (to, mut saves) = mpsc::channel::<WriteRequest>(SAVES);
         let task = tokio::spawn(async move {
             while let Some(save) = saves.recv().await {
                 let takes = self.image.state().takes;
                 sleep(takes).await;
                 match self.image.save(self.life, &save) {
-                    Some(Ok(number)) => tell(Ok(number)),
-                    Some(Err(why)) => return tell(Err(why)),
+                    Some(Ok(number)) => tell(StorageEvent::Durable { number }),
+                    Some(Err(reason)) => return tell(StorageEvent::Failed { reason }),
                     None => return,
                 }
             }
@@ -113,9 +113,11 @@
     task: JoinHandle<()>,
 }
 
-impl Saves for Serving {
-    fn save(&self, save: WriteRequest) -> Result<(), String> {
-        self.to.try_send(save).map_err(|cause| format!("the disk takes no more: {cause}"))
+impl WriteQueue for Serving {
+    fn enqueue(&self, save: WriteRequest) -> Result<(), WriteRejected> {
+        self.to
+            .try_send(save)
+            .map_err(|cause| WriteRejected { reason: format!("the disk takes no more: {cause}") })
     }
 
     fn close(self: Box<Self>) -> BoxFuture<'static, ()> {
--- a/crates/stepspur-fault-tests/src/distribution/network.rs
+++ b/crates/stepspur-fault-tests/src/distribution/network.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use stepspur_consensus_node::{BoxFuture, Listen, Net, Stream};
+use stepspur_consensus_node::{BoxFuture, Listener, Stream, Transport};
 use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream, ReadHalf, WriteHalf, duplex, split};
 use tokio::sync::{mpsc, watch};
 use tokio::time::sleep;
@@ -81,7 +81,7 @@
     }
 
     /// The network as a host has it.
-    pub fn of(&self, host: &Host) -> Arc<dyn Net> {
+    pub fn of(&self, host: &Host) -> Arc<dyn Transport> {
         Arc::new(Place { network: self.clone(), host: host.clone() })
     }
 
@@ -129,11 +129,11 @@
     host: Host,
 }
 
-impl Net for Place {
-    fn listen(&self, at: SocketAddr) -> BoxFuture<'_, io::Result<Box<dyn Listen>>> {
+impl Transport for Place {
+    fn listen(&self, at: SocketAddr) -> BoxFuture<'_, io::Result<Box<dyn Listener>>> {
         let (calls, door) = mpsc::channel(CALLS);
         self.network.doors().insert(at, Doorway { host: self.host.clone(), calls });
-        Box::pin(async move { Ok(Box::new(Door { at, door }) as Box<dyn Listen>) })
+        Box::pin(async move { Ok(Box::new(Door { at, door }) as Box<dyn Listener>) })
     }
 
     fn dial(&self, to: SocketAddr) -> BoxFuture<'_, io::Result<Box<dyn Stream>>> {
@@ -161,7 +161,7 @@
     door: mpsc::Receiver<DuplexStream>,
 }
 
-impl Listen for Door {
+impl Listener for Door {
     fn address(&self) -> SocketAddr {
         self.at
     }
--- a/crates/stepspur-fault-tests/src/distribution/node.rs
+++ b/crates/stepspur-fault-tests/src/distribution/node.rs
@@ -72,11 +72,11 @@
             id: MemberId(self.id),
             listen: peer_address(self.id),
             peers: members.iter().map(|member| (MemberId(member.id), peer_address(member.id))).collect(),
-            council: stepspur_consensus::Settings { log_max: LOG_MOST, ..Default::default() },
-            wants: Vec::new(),
-            weight: 1.0,
-            within: WITHIN,
-            largest_frame: PEER_FRAME_MOST,
+            consensus: stepspur_consensus::Settings { max_log_entries: LOG_MOST, ..Default::default() },
+            role_prefixes: Vec::new(),
+            role_weight: 1.0,
+            io_timeout: WITHIN,
+            max_frame_bytes: PEER_FRAME_MOST,
         };
         let disk = self.image.as_ref().map(Image::open);
         let peers = NodeHandle::start_on(Arc::clone(&net), settings, disk, seed, books.clone()).await;
--- a/crates/stepspur-fault-tests/src/net.rs
+++ b/crates/stepspur-fault-tests/src/net.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use stepspur_consensus::MemberId;
-use stepspur_consensus_node::{BoxFuture, Listen, Net, Stream};
+use stepspur_consensus_node::{BoxFuture, Listener, Stream, Transport};
 use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream, duplex};
 use tokio::sync::{mpsc, watch};
 use tokio::time::sleep;
@@ -75,7 +75,7 @@
     }
 
     /// The network as a member has it.
-    pub fn of(&self, member: MemberId) -> Arc<dyn Net> {
+    pub fn of(&self, member: MemberId) -> Arc<dyn Transport> {
         Arc::new(Place { wire: self.clone(), member })
     }
 }
@@ -85,11 +85,11 @@
     member: MemberId,
 }
 
-impl Net for Place {
-    fn listen(&self, at: SocketAddr) -> BoxFuture<'_, io::Result<Box<dyn Listen>>> {
+impl Transport for Place {
+    fn listen(&self, at: SocketAddr) -> BoxFuture<'_, io::Result<Box<dyn Listener>>> {
         let (calls, door) = mpsc::channel(CALLS);
         self.wire.wires().doors.insert(at, calls);
-        Box::pin(async move { Ok(Box::new(Door { at, door }) as Box<dyn Listen>) })
+        Box::pin(async move { Ok(Box::new(Door { at, door }) as Box<dyn Listener>) })
     }
 
     fn dial(&self, to: SocketAddr) -> BoxFuture<'_, io::Result<Box<dyn Stream>>> {
@@ -113,7 +113,7 @@
     door: mpsc::Receiver<DuplexStream>,
 }
 
-impl Listen for Door {
+impl Listener for Door {
     fn address(&self) -> SocketAddr {
         self.at
     }
--- a/crates/stepspur-fault-tests/tests/idle.rs
+++ b/crates/stepspur-fault-tests/tests/idle.rs
@@ -85,7 +85,7 @@
         fleet.image(retired).fail("gone");
         let within = Duration::from_secs(5);
         fleet.add(leader, "north", 1, within).await.expect("two are a majority");
-        until(&fleet, retired, "it retires", |status| status.retired).await;
+        until(&fleet, retired, "it retires", |status| status.is_halted).await;
         let wakes = idle_wakes(&parked).await;
         println!("two voters and one whose disk has failed: {wakes} wakes a second");
         assert!(wakes <= 3 * WAKES_MOST, "{wakes} wakes a second");
--- a/crates/stepspur-fault-tests/tests/stories.rs
+++ b/crates/stepspur-fault-tests/tests/stories.rs
@@ -246,8 +246,8 @@
     let who = story.who(&who).await;
     let mut progress = story.fleet().shared(who).peers().applied();
     let until = Instant::now() + Duration::from_secs(10);
-    let stopped = timeout_at(until, progress.wait_for(|now| now.stopped.is_some())).await;
-    let stopped = stopped.expect("it stops in time").expect("it runs").stopped.clone();
+    let stopped = timeout_at(until, progress.wait_for(|now| now.halt_reason.is_some())).await;
+    let stopped = stopped.expect("it stops in time").expect("it runs").halt_reason.clone();
     assert!(stopped.as_ref().is_some_and(|told| told.contains(&why)), "{stopped:?}");
     story.fleet().kill(who).await;
 }
--- a/crates/stepspur-replication/src/shared.rs
+++ b/crates/stepspur-replication/src/shared.rs
@@ -152,7 +152,7 @@
         let mut told = self.books.wait(id);
         let brought = async {
             loop {
-                if self.peers.command(command.clone()).await.is_err() {
+                if self.peers.propose_command(command.clone()).await.is_err() {
                     return None;
                 }
                 // A repeat is harmless: the id takes effect once.
@@ -195,7 +195,7 @@
         };
         let index = timeout_at(until, asked).await.map_err(late)??;
         let mut progress = self.peers.applied();
-        let reached = progress.wait_for(|now| now.index >= index || now.stopped.is_some());
+        let reached = progress.wait_for(|now| now.index >= index || now.halt_reason.is_some());
         timeout_at(until, reached).await.map_err(late)?.map_err(|_| ReplicationError::NoLeader)?;
         self.runs()?;
         self.look(book, look)
@@ -226,7 +226,7 @@
     }
 
     fn runs(&self) -> Result<(), ReplicationError> {
-        match &self.peers.applied().borrow().stopped {
+        match &self.peers.applied().borrow().halt_reason {
             Some(why) => Err(ReplicationError::Stopped(why.clone())),
             None => Ok(()),
         }
--- a/crates/stepspur-scale/src/hollow_conductors/net.rs
+++ b/crates/stepspur-scale/src/hollow_conductors/net.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::task::{Context, Poll};
 
-use stepspur_consensus_node::{BoxFuture, Listen, Net, Stream, Tcp};
+use stepspur_consensus_node::{BoxFuture, Listener, Stream, Tcp, Transport};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
 use super::message::Bytes;
@@ -56,8 +56,8 @@
     pub counters: Arc<Counters>,
 }
 
-impl Net for GatedNet {
-    fn listen(&self, _: SocketAddr) -> BoxFuture<'_, io::Result<Box<dyn Listen>>> {
+impl Transport for GatedNet {
+    fn listen(&self, _: SocketAddr) -> BoxFuture<'_, io::Result<Box<dyn Listener>>> {
         Box::pin(async { Err(io::Error::from(io::ErrorKind::Unsupported)) })
     }
 
--- a/crates/stepspur-scale/src/hollow_conductors/net/tests.rs
+++ b/crates/stepspur-scale/src/hollow_conductors/net/tests.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use stepspur_consensus_node::{Net, Tcp};
+use stepspur_consensus_node::{Tcp, Transport};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::timeout;
 
--- a/crates/stepspur-scale/src/slopes/member.rs
+++ b/crates/stepspur-scale/src/slopes/member.rs
@@ -65,14 +65,14 @@
     if per_s == 0 {
         return Ok(());
     }
-    let command = RoleCommand::Drop { duty: RoleName::new(&"x".repeat(DUTY_BYTES))? };
+    let command = RoleCommand::Remove { role: RoleName::new(&"x".repeat(DUTY_BYTES))? };
     let mut turns = interval(Duration::from_secs(1) / per_s);
     turns.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         turns.tick().await;
         let leads = peers.status().await?.leader == Some(peers.id());
         if leads {
-            peers.order(command.clone()).await?;
+            peers.propose_role_command(command.clone()).await?;
         }
     }
 }
