--- a/crates/stepspur-cli/src/bench/rights.rs
+++ b/crates/stepspur-cli/src/bench/rights.rs
@@ -17,7 +17,7 @@
     let set = KeySet::load(&keys.config().folder)?;
     let token = keys.token("north", "p0");
     let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH)?.as_micros() as u64;
-    let accepted = token::verify(&token, &set, token::Terms::default(), now)?;
+    let accepted = token::verify(&token, &set, token::TokenPolicy::default(), now)?;
     let grant = Grant::new(None, Some(accepted), &set).context("the day's own token")?;
     let from = Instant::now();
     let mut allowed = 0u32;
--- a/crates/stepspur-cli/src/keys.rs
+++ b/crates/stepspur-cli/src/keys.rs
@@ -11,7 +11,7 @@
 };
 use stepspur_identity::pki::{Authority, Issued, Leaf};
 use stepspur_identity::rights::{Right, Rights};
-use stepspur_identity::token::{Claims, inspect, issue};
+use stepspur_identity::token::{Claims, UnverifiedToken, decode_unverified, issue};
 
 use crate::End;
 
@@ -110,7 +110,7 @@
 }
 
 fn right(name: &str) -> Result<Right, String> {
-    Right::named(name).ok_or_else(|| format!("`{name}` is no right"))
+    Right::from_name(name).ok_or_else(|| format!("`{name}` is no right"))
 }
 
 fn now() -> u64 {
@@ -239,7 +239,7 @@
             println!("{}", issue(&signer, &Claims { iss, aud, sub: name, tenant, zone, rights, nbf, exp }));
         }
         TokenCommand::Inspect { token } => {
-            let (key, claims) = inspect(token.as_bytes())?;
+            let UnverifiedToken { key, claims } = decode_unverified(token.as_bytes())?;
             println!("key {key}, not verified");
             println!("{}", serde_json::to_string_pretty(&claims)?);
         }
--- a/crates/stepspur-cli/src/platform.rs
+++ b/crates/stepspur-cli/src/platform.rs
@@ -31,7 +31,7 @@
     };
     let (discovery, newest) = watch::channel(config.discovery);
     let name = config.name.clone();
-    let mut conductor = Conductor::start_front(front(config.clone(), newest)).await?;
+    let mut conductor = Conductor::start_protocol_server(front(config.clone(), newest)).await?;
     let (listening, status, epoch) = (conductor.address(), conductor.status_address(), conductor.epoch());
     println!("{}", serde_json::to_string(&Announcement { listening, status, epoch })?);
     tracing::info!(event = "serving", name);
--- a/crates/stepspur-cli/tests/common/distribution.rs
+++ b/crates/stepspur-cli/tests/common/distribution.rs
@@ -201,7 +201,7 @@
         ]);
         let anchor = &read_manifest(&keys).unwrap().anchor[0].file;
         let anchor = CertificateDer::from_pem_file(keys.join(anchor)).unwrap();
-        let tls = tls::client(&[anchor], None).unwrap();
+        let tls = tls::client_config(&[anchor], None).unwrap();
         let fleet =
             Self { folder, council: part(0), control: part(1), operators: part(2), tls, log: Log::default() };
         for id in 1..=control {
--- a/crates/stepspur-conductor/src/service/audit.rs
+++ b/crates/stepspur-conductor/src/service/audit.rs
@@ -1,106 +1,144 @@
-//! The audit log: a line of JSON for each change and each refused call, appended and synced before it is answered.
+//! The audit log: a line of JSON for each change and each rejected call. A change is on the disk before its
+//! caller is answered.
 
-use std::io::Write;
+use std::fs::{File, OpenOptions};
+use std::io::{self, Write};
+use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::SystemTime;
 
 use serde::{Deserialize, Serialize};
+use stepspur_identity::grant::Caller;
+use tokio::io::{AsyncReadExt, AsyncSeekExt};
 use tokio::sync::{mpsc, oneshot};
 
-/// A line.
+/// Entries that may wait to be written. Beyond that, rejected calls are dropped and changes wait.
+const QUEUE: usize = 1024;
+/// How much of the log's end is read for the newest entries, in bytes.
+const MAX_READ_BYTES: u64 = 1 << 20;
+
+/// An entry of the audit log.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
-pub(super) struct Entry {
+pub(super) struct AuditEntry {
     /// Milliseconds since 1970.
-    pub at_unix_ms: u64,
-    /// The tenant.
-    pub tenant: String,
-    /// The caller.
-    pub who: String,
-    /// Where it called from.
-    pub from: String,
-    /// What it called.
-    pub what: String,
-    /// What came of it.
-    pub result: String,
+    at_unix_ms: u64,
+    /// The caller's tenant.
+    tenant: String,
+    /// The caller's name.
+    #[serde(rename = "who")]
+    caller: String,
+    /// The address that it called from.
+    #[serde(rename = "from")]
+    peer: String,
+    /// The call with its arguments.
+    #[serde(rename = "what")]
+    call: String,
+    /// The call's result.
+    result: String,
+}
+
+impl AuditEntry {
+    /// An entry of this time.
+    pub(super) fn now(caller: &Caller, peer: SocketAddr, call: String, result: String) -> Self {
+        let since_1970 = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+        Self {
+            at_unix_ms: since_1970.as_millis() as u64,
+            tenant: caller.tenant.clone(),
+            caller: caller.name.clone(),
+            peer: peer.to_string(),
+            call,
+            result,
+        }
+    }
 }
 
-/// Lines that may wait; a refused call's is dropped beyond that, a change's waits.
-const WAITING: usize = 1024;
-/// The most that is read back, in bytes.
-const READ_BACK: u64 = 1 << 20;
+/// An entry to write.
+#[derive(Debug)]
+struct WriteRequest {
+    entry: AuditEntry,
+    /// Replied true once the entry is on the disk, and false if it cannot be written.
+    written: Option<oneshot::Sender<bool>>,
+}
 
-/// Where lines go.
+/// A handle to the audit log.
 #[derive(Clone, Debug)]
-pub(crate) struct Audit {
-    to: mpsc::Sender<(Entry, Option<oneshot::Sender<bool>>)>,
+pub(super) struct AuditLog {
+    requests: mpsc::Sender<WriteRequest>,
     path: PathBuf,
 }
 
-impl Audit {
-    /// Opens the log for appending; the future writes it until all senders are gone.
-    pub(crate) fn open(path: &Path) -> std::io::Result<(Self, impl Future<Output = ()> + Send + use<>)> {
-        let mut file = std::fs::OpenOptions::new().append(true).create(true).open(path)?;
-        let (to, mut lines) = mpsc::channel(WAITING);
-        let write = async move {
-            let mut go: Vec<(Entry, Option<oneshot::Sender<bool>>)> = Vec::new();
-            while lines.recv_many(&mut go, WAITING).await > 0 {
-                let text: String =
-                    go.iter().filter_map(|(e, _)| Some(serde_json::to_string(e).ok()? + "\n")).collect();
-                let done = tokio::task::spawn_blocking(move || {
-                    let written = file.write_all(text.as_bytes()).and_then(|()| file.sync_data());
-                    (file, written)
-                });
-                let Ok((back, written)) = done.await else { return };
-                file = back;
-                if let Err(error) = &written {
-                    tracing::error!(event = "audit_failed", cause = %error);
-                }
-                for told in go.drain(..).filter_map(|(_, told)| told) {
-                    let _ = told.send(written.is_ok());
-                }
-            }
-        };
-        Ok((Self { to, path: path.to_owned() }, write))
+impl AuditLog {
+    /// Opens the log for appending. The future writes entries until all handles are dropped.
+    ///
+    /// # Errors
+    /// The file cannot be opened.
+    pub(super) fn open(path: &Path) -> io::Result<(Self, impl Future<Output = ()> + Send + use<>)> {
+        let file = OpenOptions::new().append(true).create(true).open(path)?;
+        let (requests, queue) = mpsc::channel(QUEUE);
+        Ok((Self { requests, path: path.to_owned() }, write_entries(file, queue)))
     }
 
-    /// Writes a change; true once it stands on the disk.
-    pub(crate) async fn change(&self, entry: Entry) -> bool {
-        let (told, written) = oneshot::channel();
-        self.to.send((entry, Some(told))).await.is_ok() && written.await.unwrap_or(false)
+    /// Records a change; true once its entry is on the disk.
+    pub(super) async fn record_change(&self, entry: AuditEntry) -> bool {
+        let (written, is_written) = oneshot::channel();
+        let request = WriteRequest { entry, written: Some(written) };
+        self.requests.send(request).await.is_ok() && is_written.await.unwrap_or(false)
     }
 
-    /// Writes a refused call, if there is room: a flood of them must not hold anybody up.
-    pub(crate) fn refused(&self, entry: Entry) {
-        if self.to.try_send((entry, None)).is_err() {
+    /// Records a rejected call if there is room: a flood of them must not delay anybody.
+    pub(super) fn record_rejection(&self, entry: AuditEntry) {
+        if self.requests.try_send(WriteRequest { entry, written: None }).is_err() {
             tracing::warn!(event = "audit_dropped", cause = "too many refused calls");
         }
     }
 
-    /// The newest lines of a tenant.
-    pub(crate) async fn last(&self, tenant: &str, many: usize) -> std::io::Result<Vec<Entry>> {
-        use tokio::io::{AsyncReadExt, AsyncSeekExt};
+    /// Reads a tenant's newest entries, the oldest of them first; no further back than a mebibyte of the log.
+    ///
+    /// # Errors
+    /// The file cannot be read.
+    pub(super) async fn newest(&self, tenant: &str, max_entries: usize) -> io::Result<Vec<AuditEntry>> {
         let mut file = tokio::fs::File::open(&self.path).await?;
         let size = file.metadata().await?.len();
-        file.seek(std::io::SeekFrom::Start(size.saturating_sub(READ_BACK))).await?;
-        let mut text = Vec::new();
-        file.take(READ_BACK).read_to_end(&mut text).await?;
-        let text = String::from_utf8_lossy(&text);
-        let mut entries: Vec<Entry> = text.lines().filter_map(|l| serde_json::from_str(l).ok()).collect();
-        entries.retain(|e| e.tenant == tenant);
-        let from = entries.len().saturating_sub(many);
-        Ok(entries.split_off(from))
+        file.seek(io::SeekFrom::Start(size.saturating_sub(MAX_READ_BYTES))).await?;
+        let mut bytes = Vec::new();
+        file.take(MAX_READ_BYTES).read_to_end(&mut bytes).await?;
+        let text = String::from_utf8_lossy(&bytes);
+        // The first line may be cut: lines that are no entries are skipped.
+        let parsed = text.lines().filter_map(|line| serde_json::from_str::<AuditEntry>(line).ok());
+        let mut entries: Vec<_> = parsed.filter(|entry| entry.tenant == tenant).collect();
+        let first = entries.len().saturating_sub(max_entries);
+        Ok(entries.split_off(first))
     }
 }
 
-/// A line, now.
-pub(crate) fn entry(tenant: &str, who: &str, from: impl ToString, what: String, result: String) -> Entry {
-    let at = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-    Entry {
-        at_unix_ms: at.as_millis() as u64,
-        tenant: tenant.to_owned(),
-        who: who.to_owned(),
-        from: from.to_string(),
-        what,
-        result,
+/// Appends entries in batches, each of which is synced before its writers are answered.
+async fn write_entries(mut file: File, mut queue: mpsc::Receiver<WriteRequest>) {
+    let mut batch = Vec::new();
+    while queue.recv_many(&mut batch, QUEUE).await > 0 {
+        let lines = to_lines(&batch);
+        let write = tokio::task::spawn_blocking(move || {
+            let result = file.write_all(lines.as_bytes()).and_then(|()| file.sync_data());
+            (file, result)
+        });
+        let Ok((returned, result)) = write.await else { return };
+        file = returned;
+        if let Err(error) = &result {
+            tracing::error!(event = "audit_failed", cause = %error);
+        }
+        for written in batch.drain(..).filter_map(|request| request.written) {
+            // The caller may have hung up.
+            let _ = written.send(result.is_ok());
+        }
+    }
+}
+
+fn to_lines(batch: &[WriteRequest]) -> String {
+    let mut lines = String::new();
+    for request in batch {
+        if let Ok(line) = serde_json::to_string(&request.entry) {
+            lines.push_str(&line);
+            lines.push('\n');
+        }
     }
+    lines
 }
--- /dev/null
+++ b/crates/stepspur-conductor/src/service/clock.rs
@@ -0,0 +1,37 @@
+//! The service's clocks: a monotonic one for the engine, and the system clock for tokens and certificates.
+
+use std::time::{Duration, SystemTime};
+
+use stepspur::interface::Micros;
+use tokio::time::Instant;
+
+use crate::config::micros;
+
+/// A monotonic clock in microseconds since 1970: read from the system clock once, at the start.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Clock {
+    started_at_unix: Micros,
+    started_at: Instant,
+}
+
+impl Clock {
+    /// Starts the clock at the system's present time.
+    pub(super) fn start() -> Self {
+        Self { started_at_unix: unix_now(), started_at: Instant::now() }
+    }
+
+    /// The present time; it never goes back, even if the system clock is set back.
+    pub(crate) fn now(&self) -> Micros {
+        self.started_at_unix + micros(self.started_at.elapsed())
+    }
+
+    /// Converts a time of this clock to a runtime instant; times before the start become the start.
+    pub(crate) fn instant(&self, at: Micros) -> Instant {
+        self.started_at + Duration::from_micros(at.saturating_sub(self.started_at_unix))
+    }
+}
+
+/// The system clock in microseconds since 1970. It may jump; tokens and certificates are checked against it.
+pub(crate) fn unix_now() -> Micros {
+    micros(SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default())
+}
--- a/crates/stepspur-conductor/src/service/distribution/apply/tests.rs
+++ b/crates/stepspur-conductor/src/service/distribution/apply/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of documents applied to engines that record their orders.
+
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -8,47 +10,46 @@
 
 use super::TenantEngines;
 use crate::engine::{HoldKind, Operation, OperationError};
-use crate::service::core::EngineCommand;
+use crate::service::engine_handle::{EngineCommand, EngineHandle};
 
-/// An engine's task that writes its orders down, and refuses those for what it does not know.
+/// An engine's task that records its orders, and rejects them while it is told to.
 #[derive(Clone, Default)]
 struct Engine {
     orders: Arc<Mutex<Vec<Operation>>>,
-    refuses: Arc<Mutex<Option<OperationError>>>,
+    rejection: Arc<Mutex<Option<OperationError>>>,
 }
 
 impl Engine {
-    fn start(&self) -> mpsc::Sender<EngineCommand> {
-        let (inbox, mut incoming) = mpsc::channel(1);
+    fn start(&self) -> EngineHandle {
+        let (sender, mut commands) = mpsc::channel(1);
         let engine = self.clone();
         tokio::spawn(async move {
-            while let Some(EngineCommand::Operate(operation, reply)) = incoming.recv().await {
-                let refused = *engine.refuses.lock().unwrap();
-                if refused.is_none() {
+            while let Some(EngineCommand::Operate { operation, reply }) = commands.recv().await {
+                let rejection = *engine.rejection.lock().unwrap();
+                if rejection.is_none() {
                     engine.orders.lock().unwrap().push(operation);
                 }
-                let _ = reply.send(refused.map_or(Ok(()), Err));
+                let _ = reply.send(rejection.map_or(Ok(()), Err));
             }
         });
-        inbox
+        EngineHandle::new(sender)
     }
 
-    /// What was ordered since this was asked last.
-    fn orders(&self) -> Vec<Operation> {
+    /// The orders since the last call.
+    fn take_orders(&self) -> Vec<Operation> {
         std::mem::take(&mut *self.orders.lock().unwrap())
     }
 
-    fn refuse(&self, why: Option<OperationError>) {
-        *self.refuses.lock().unwrap() = why;
+    fn reject_with(&self, rejection: Option<OperationError>) {
+        *self.rejection.lock().unwrap() = rejection;
     }
 }
 
 /// Two tenants' engines.
 fn tenants() -> (Arc<TenantEngines>, Engine, Engine) {
     let (north, south) = (Engine::default(), Engine::default());
-    let inboxes = [("north", &north), ("south", &south)];
-    let inboxes: BTreeMap<_, _> = inboxes.into_iter().map(|(name, e)| (name.to_owned(), e.start())).collect();
-    (TenantEngines::new(&inboxes), north, south)
+    let handles = BTreeMap::from([("north".to_owned(), north.start()), ("south".to_owned(), south.start())]);
+    (TenantEngines::new(&handles), north, south)
 }
 
 fn server() -> SocketAddr {
@@ -82,75 +83,76 @@
 }
 
 #[tokio::test]
-async fn a_document_reaches_the_engines_of_its_scope_alone() {
+async fn apply_document_with_scope_reaches_only_engines_of_that_scope() {
     let (engines, north, south) = tenants();
     engines.apply(&cap(None, Some(500_000), 1)).await.unwrap();
-    assert_eq!((north.orders(), south.orders()), (vec![level(0.5)], vec![level(0.5)]));
+    assert_eq!((north.take_orders(), south.take_orders()), (vec![level(0.5)], vec![level(0.5)]));
     engines.apply(&hold(Some("south"), Some(Setting::Draining), 2)).await.unwrap();
-    assert_eq!((north.orders(), south.orders()), (vec![], vec![drain(true)]));
-    let refused = engines.apply(&cap(Some("west"), Some(1), 3)).await.unwrap_err();
-    assert_eq!(refused, "this conductor has no tenant `west`");
+    assert_eq!((north.take_orders(), south.take_orders()), (vec![], vec![drain(true)]));
+    let rejected = engines.apply(&cap(Some("west"), Some(1), 3)).await.unwrap_err();
+    assert_eq!(rejected, "this conductor has no tenant `west`");
     assert_eq!(engines.apply(&cap(Some("west"), None, 4)).await, Ok(()));
-    assert_eq!((north.orders(), south.orders()), (vec![], vec![]));
+    assert_eq!((north.take_orders(), south.take_orders()), (vec![], vec![]));
 }
 
 #[tokio::test]
-async fn a_hold_changes_and_is_lifted_as_a_whole() {
+async fn apply_hold_changed_and_removed_orders_each_step_once() {
     let (engines, north, _) = tenants();
     engines.apply(&hold(None, Some(Setting::Draining), 1)).await.unwrap();
     engines.apply(&hold(None, Some(Setting::Withdrawn), 2)).await.unwrap();
     engines.apply(&hold(None, None, 3)).await.unwrap();
-    assert_eq!(north.orders(), [drain(true), withdraw(true), withdraw(false)]);
-    // A lift of what no document ordered leaves an operator's own order alone, and so does a document that comes again.
+    assert_eq!(north.take_orders(), [drain(true), withdraw(true), withdraw(false)]);
+    // Removing a setting that no document ordered leaves an operator's order alone, and so does a repeated
+    // document.
     engines.apply(&hold(None, None, 4)).await.unwrap();
     engines.apply(&cap(None, Some(250_000), 5)).await.unwrap();
     engines.apply(&cap(None, Some(250_000), 5)).await.unwrap();
-    assert_eq!(north.orders(), [level(0.25)]);
+    assert_eq!(north.take_orders(), [level(0.25)]);
     engines.apply(&cap(None, Some(250_000), 6)).await.unwrap();
     engines.apply(&cap(None, None, 7)).await.unwrap();
-    assert_eq!(north.orders(), [level(0.25), level(1.0)]);
+    assert_eq!(north.take_orders(), [level(0.25), level(1.0)]);
 }
 
 #[tokio::test]
-async fn of_several_documents_the_strictest_is_in_force_in_whatever_order_they_come() {
+async fn apply_several_documents_in_any_order_enforces_the_strictest() {
     let (engines, north, south) = tenants();
     engines.apply(&hold(Some("north"), Some(Setting::Withdrawn), 1)).await.unwrap();
     engines.apply(&hold(None, Some(Setting::Draining), 2)).await.unwrap();
-    assert_eq!(north.orders(), [withdraw(true), withdraw(true)]);
-    assert_eq!(south.orders(), [drain(true)]);
+    assert_eq!(north.take_orders(), [withdraw(true), withdraw(true)]);
+    assert_eq!(south.take_orders(), [drain(true)]);
     engines.apply(&hold(Some("north"), None, 3)).await.unwrap();
-    assert_eq!((north.orders(), south.orders()), (vec![drain(true)], vec![]));
+    assert_eq!((north.take_orders(), south.take_orders()), (vec![drain(true)], vec![]));
     engines.apply(&cap(None, Some(500_000), 4)).await.unwrap();
     engines.apply(&cap(Some("north"), Some(800_000), 5)).await.unwrap();
     engines.apply(&cap(Some("north"), None, 6)).await.unwrap();
     engines.apply(&cap(None, None, 7)).await.unwrap();
-    assert_eq!(north.orders(), [level(0.5), level(0.5), level(1.0)]);
+    assert_eq!(north.take_orders(), [level(0.5), level(0.5), level(1.0)]);
 }
 
 #[tokio::test]
-async fn one_engine_that_refuses_is_an_error_and_is_asked_again() {
+async fn apply_rejected_by_one_engine_returns_error_and_is_retried() {
     let (engines, north, south) = tenants();
     engines.apply(&cap(None, Some(500_000), 1)).await.unwrap();
-    south.refuse(Some(OperationError::UnknownClass));
-    let refused = engines.apply(&cap(None, Some(250_000), 2)).await.unwrap_err();
-    assert_eq!(refused, "tenant `south`: no class of this name");
-    assert_eq!((north.orders(), south.orders()), (vec![level(0.5), level(0.25)], vec![level(0.5)]));
-    south.refuse(None);
+    south.reject_with(Some(OperationError::UnknownClass));
+    let rejected = engines.apply(&cap(None, Some(250_000), 2)).await.unwrap_err();
+    assert_eq!(rejected, "tenant `south`: no class of this name");
+    assert_eq!((north.take_orders(), south.take_orders()), (vec![level(0.5), level(0.25)], vec![level(0.5)]));
+    south.reject_with(None);
     engines.apply(&cap(None, Some(250_000), 2)).await.unwrap();
-    assert_eq!((north.orders(), south.orders()), (vec![], vec![level(0.25)]));
-    // A server that the engine has forgotten is held no more: its document can be lifted.
+    assert_eq!((north.take_orders(), south.take_orders()), (vec![], vec![level(0.25)]));
+    // A server that the engine has forgotten has no hold: its document can be removed.
     engines.apply(&hold(None, Some(Setting::Draining), 3)).await.unwrap();
-    south.refuse(Some(OperationError::UnknownServer));
+    south.reject_with(Some(OperationError::UnknownServer));
     assert_eq!(engines.apply(&hold(None, None, 4)).await, Ok(()));
-    let refused = engines.apply(&hold(None, Some(Setting::Draining), 5)).await;
-    assert_eq!(refused, Err("tenant `south`: no list has named this server".to_owned()));
+    let rejected = engines.apply(&hold(None, Some(Setting::Draining), 5)).await;
+    assert_eq!(rejected, Err("tenant `south`: no list has named this server".to_owned()));
 }
 
 #[tokio::test]
-async fn an_engine_that_has_ended_is_an_error() {
-    let (inbox, incoming) = mpsc::channel(1);
-    drop(incoming);
-    let engines = TenantEngines::new(&BTreeMap::from([(String::new(), inbox)]));
-    let refused = engines.apply(&cap(None, Some(1), 1)).await;
-    assert_eq!(refused, Err("the conductor stops".to_owned()));
+async fn apply_to_ended_engine_returns_error() {
+    let (sender, commands) = mpsc::channel(1);
+    drop(commands);
+    let engines = TenantEngines::new(&BTreeMap::from([(String::new(), EngineHandle::new(sender))]));
+    let rejected = engines.apply(&cap(None, Some(1), 1)).await;
+    assert_eq!(rejected, Err("the conductor stops".to_owned()));
 }
--- /dev/null
+++ b/crates/stepspur-conductor/src/service/distribution/consensus_member.rs
@@ -0,0 +1,51 @@
+//! The conductor's member of the consensus group, with the replicated configuration if it is a control
+//! member.
+
+use std::hash::{BuildHasher, RandomState};
+use std::sync::Arc;
+
+use stepspur_consensus_node::{ConsensusConfig, NodeHandle};
+use stepspur_distribution::book::ConfigurationState;
+use stepspur_replication::{ProposalLimits, ReplicatedStateMachine, ReplicationClient, StateMachineRegistry};
+
+use super::super::error::StartError;
+use crate::config::Config;
+
+/// The parts of a consensus member; none where the settings name no consensus group.
+#[derive(Default)]
+pub(in crate::service) struct ConsensusMember {
+    node: Option<Arc<NodeHandle>>,
+    /// Present if the conductor is a control member of the distribution.
+    pub(super) replication: Option<ReplicationClient>,
+}
+
+impl ConsensusMember {
+    /// Starts the member, if the settings name a consensus group.
+    ///
+    /// # Errors
+    /// The member does not start.
+    pub(in crate::service) async fn start(config: &Config, seed: u64) -> Result<Self, StartError> {
+        let Some(council) = &config.council else { return Ok(Self::default()) };
+        if config.distribution.as_ref().is_some_and(|distribution| distribution.control.is_some()) {
+            return Self::start_replicated(council, seed).await;
+        }
+        Ok(Self { node: Some(Arc::new(council.start(seed).await?)), replication: None })
+    }
+
+    /// Starts the member with the replicated configuration.
+    async fn start_replicated(council: &ConsensusConfig, seed: u64) -> Result<Self, StartError> {
+        let configuration: Box<dyn ReplicatedStateMachine> = Box::new(ConfigurationState::default());
+        let registry = StateMachineRegistry::new([configuration]);
+        let node = Arc::new(council.start_with(seed, registry.clone()).await?);
+        // It must differ between the starts of a process, so that operation ids are unique.
+        let incarnation = RandomState::new().hash_one(seed);
+        let limits = ProposalLimits::default();
+        let replication = ReplicationClient::new(Arc::clone(&node), registry, limits, incarnation);
+        Ok(Self { node: Some(node), replication: Some(replication) })
+    }
+
+    /// The consensus node alone.
+    pub(in crate::service) fn into_node(self) -> Option<Arc<NodeHandle>> {
+        self.node
+    }
+}
--- /dev/null
+++ b/crates/stepspur-conductor/src/service/engine_handle.rs
@@ -0,0 +1,92 @@
+//! The handle by which other tasks reach the task that owns an engine.
+
+use std::collections::BTreeMap;
+
+use tokio::sync::{mpsc, oneshot};
+use tokio_util::sync::CancellationToken;
+
+use super::send_queue::{QueueLimits, SendQueue, SendQueueReceiver};
+use crate::engine::{Input, Operation, OperationError, Stats, StreamId};
+
+/// A command to the task that owns an engine.
+#[derive(Debug)]
+pub(crate) enum EngineCommand {
+    /// Handle an event.
+    Input(Input),
+    /// Register a stream that has sent its first message: its frames go to `queue`.
+    Open { stream: StreamId, queue: SendQueue, cut: CancellationToken },
+    /// Execute an operator's order and reply with the outcome.
+    Operate { operation: Operation, reply: oneshot::Sender<Result<(), OperationError>> },
+    /// Reply with the engine's counters.
+    Stats { reply: oneshot::Sender<Stats> },
+}
+
+/// The engines of a conductor by the names of their tenants. Without identity there is one, with an empty
+/// name.
+pub(crate) type EnginesByTenant = BTreeMap<String, EngineHandle>;
+
+/// Why an operator's order was not executed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub(crate) enum OperateError {
+    /// The engine's task has ended.
+    #[error("the conductor stops")]
+    Stopped,
+    /// The engine rejects the order.
+    #[error(transparent)]
+    Rejected(#[from] OperationError),
+}
+
+/// Sends commands to the task that owns an engine.
+#[derive(Clone, Debug)]
+pub struct EngineHandle {
+    commands: mpsc::Sender<EngineCommand>,
+}
+
+impl EngineHandle {
+    /// A handle that sends to this queue.
+    pub(crate) fn new(commands: mpsc::Sender<EngineCommand>) -> Self {
+        Self { commands }
+    }
+
+    /// Sends an event, waiting while the engine's queue is full. Returns false once the engine has ended.
+    pub async fn send(&self, input: Input) -> bool {
+        self.commands.send(EngineCommand::Input(input)).await.is_ok()
+    }
+
+    /// Opens a stream, before its proxy joins, and returns the queue of messages to write to it; none once
+    /// the engine has ended. `cut` is cancelled if more than `limits` would wait.
+    pub async fn open(
+        &self,
+        stream: StreamId,
+        limits: QueueLimits,
+        cut: CancellationToken,
+    ) -> Option<SendQueueReceiver> {
+        let (queue, outbound) = SendQueue::new(limits);
+        self.open_with(stream, queue, cut).await.then_some(outbound)
+    }
+
+    /// As [`EngineHandle::open`], with a queue that the caller has made. Returns false once the engine has
+    /// ended.
+    pub(crate) async fn open_with(&self, stream: StreamId, queue: SendQueue, cut: CancellationToken) -> bool {
+        self.commands.send(EngineCommand::Open { stream, queue, cut }).await.is_ok()
+    }
+
+    /// Reads the engine's counters; none once the engine has ended.
+    pub async fn stats(&self) -> Option<Stats> {
+        let (reply, answer) = oneshot::channel();
+        self.commands.send(EngineCommand::Stats { reply }).await.ok()?;
+        answer.await.ok()
+    }
+
+    /// Executes an operator's order.
+    ///
+    /// # Errors
+    /// The engine rejects the order, or has ended.
+    pub(crate) async fn operate(&self, operation: Operation) -> Result<(), OperateError> {
+        let (reply, answer) = oneshot::channel();
+        let command = EngineCommand::Operate { operation, reply };
+        self.commands.send(command).await.map_err(|_| OperateError::Stopped)?;
+        let result = answer.await.map_err(|_| OperateError::Stopped)?;
+        Ok(result?)
+    }
+}
--- /dev/null
+++ b/crates/stepspur-conductor/src/service/engine_log.rs
@@ -0,0 +1,35 @@
+//! Writes the engine's log events.
+
+use crate::engine::LogEvent;
+
+/// Writes one event of the engine with this epoch.
+pub(super) fn write(event: LogEvent, epoch: u64) {
+    match event {
+        LogEvent::Decision(text) => tracing::info!(event = "decision", epoch, text),
+        LogEvent::Joined { proxy, stream } => {
+            tracing::info!(event = "proxy_connected", epoch, proxy, stream = stream.0)
+        }
+        LogEvent::Left { proxy, stream } => {
+            tracing::info!(event = "proxy_disconnected", epoch, proxy, stream = stream.0)
+        }
+        LogEvent::Refused { stream, reason, detail } => {
+            tracing::warn!(
+                event = "stream_closed",
+                epoch,
+                stream = stream.0,
+                reason = reason.as_str_name(),
+                detail
+            );
+        }
+        LogEvent::InvalidReport { proxy, what } => {
+            tracing::warn!(event = "invalid_report", epoch, proxy, cause = what)
+        }
+        LogEvent::InvalidEntry { server, what } => {
+            tracing::warn!(event = "invalid_list_entry", epoch, %server, cause = what)
+        }
+        LogEvent::MassRemovalSuspected { lacking, named } => {
+            tracing::warn!(event = "mass_removal_suspected", epoch, lacking, named);
+        }
+        LogEvent::DiscoveryFailed => tracing::warn!(event = "discovery_failed", epoch),
+    }
+}
--- /dev/null
+++ b/crates/stepspur-conductor/src/service/engine_tasks.rs
@@ -0,0 +1,71 @@
+//! Starts the tasks around one engine: the one that owns it, its endpoint source and its prober.
+
+use stepspur::interface::Settings;
+use tokio::sync::mpsc;
+use tokio::task::JoinSet;
+
+use super::clock::Clock;
+use super::engine_handle::EngineHandle;
+use super::engine_task::{EngineOutputs, EngineTask};
+use super::error::TaskName;
+use super::prober::{LoadReportParser, Prober};
+use super::supervisor::Supervisor;
+use crate::config::Config;
+use crate::engine::{Engine, Input, ProxyProtocol};
+use crate::source::{EndpointFeed, ServiceDiscovery};
+
+/// Commands that may wait for an engine; senders wait beyond that.
+const COMMAND_QUEUE: usize = 16_384;
+/// Health checks that may wait to be sent; further ones are dropped.
+const PROBE_QUEUE: usize = 16_384;
+
+/// What an engine and the tasks around it are made from.
+pub(super) struct EngineTasks {
+    pub(super) config: Config,
+    pub(super) settings: Settings,
+    pub(super) protocol: Box<dyn ProxyProtocol>,
+    pub(super) parse_load_report: LoadReportParser,
+    pub(super) epoch: u64,
+    /// Seed of the engine's random numbers.
+    pub(super) seed: u64,
+    pub(super) clock: Clock,
+}
+
+impl EngineTasks {
+    /// Starts the tasks; the one that owns the engine joins `engine_tasks`.
+    pub(super) fn start(
+        self,
+        source: Box<dyn ServiceDiscovery>,
+        supervisor: &Supervisor,
+        engine_tasks: &mut JoinSet<()>,
+    ) -> EngineHandle {
+        let stop = &supervisor.shutdown.stop;
+        let (command_sender, commands) = mpsc::channel(COMMAND_QUEUE);
+        let (probe_sender, probes) = mpsc::channel(PROBE_QUEUE);
+        let (feed, discovery, updates) = EndpointFeed::new(stop.clone());
+        let handle = EngineHandle::new(command_sender);
+
+        let now = self.clock.now();
+        let engine =
+            Engine::with(self.config.clone(), self.settings, self.protocol, self.epoch, self.seed, now);
+        let outputs = EngineOutputs { discovery, probes: probe_sender };
+        let engine_task = EngineTask::new(engine, self.clock, commands, outputs, stop.clone());
+        supervisor.spawn_engine(engine_tasks, engine_task.run());
+
+        supervisor.spawn(TaskName::EndpointSource, source.run(feed));
+        supervisor.tasks.spawn(forward_updates(updates, handle.clone()));
+
+        let prober = Prober::new(self.config, self.parse_load_report, handle.clone());
+        supervisor.spawn(TaskName::Prober, prober.run(probes, stop.clone()));
+        handle
+    }
+}
+
+/// Forwards the source's updates until the source or the engine has ended.
+async fn forward_updates(mut updates: mpsc::Receiver<Input>, engine: EngineHandle) {
+    while let Some(input) = updates.recv().await {
+        if !engine.send(input).await {
+            break;
+        }
+    }
+}
--- a/crates/stepspur-conductor/src/service/identity.rs
+++ b/crates/stepspur-conductor/src/service/identity.rs
@@ -1,144 +1,168 @@
-//! Identity at the sockets: keys that reload, handshakes, and grants that are looked at while a stream stands.
+//! Identity at the sockets: keys that reload, TLS handshakes, and the grants of callers.
 
+use std::fs::DirEntry;
 use std::net::{IpAddr, SocketAddr};
-use std::sync::{Arc, Mutex, PoisonError};
+use std::path::Path;
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, SystemTime};
 
-use stepspur_identity::Micros;
 use stepspur_identity::cert::{self, CertCaller};
-use stepspur_identity::door::{HandshakeLimiter, HandshakeLimits, HandshakePermit, HandshakeRejected};
-use stepspur_identity::grant::{Denied, Grant, GrantStatus};
+use stepspur_identity::grant::{Denied, Grant};
+use stepspur_identity::handshake_limiter::{
+    HandshakeLimiter, HandshakeLimits, HandshakeOutcome, HandshakePermit, HandshakeRejected,
+};
 use stepspur_identity::keys::{KeyError, KeySet, MANIFEST};
-use stepspur_identity::rights::Right;
 use stepspur_identity::tls;
-use stepspur_identity::token::{self, Terms};
+use stepspur_identity::token::{self, TokenPolicy, VerifiedToken};
 use tokio::net::TcpStream;
 use tokio::sync::watch;
-use tokio::time::timeout;
+use tokio::time::{sleep, timeout};
 use tokio_rustls::TlsAcceptor;
 use tokio_rustls::rustls::ServerConfig;
 use tokio_rustls::server::TlsStream;
 use tokio_util::sync::CancellationToken;
 
-use super::audit::{Audit, entry};
+use super::audit::{AuditEntry, AuditLog};
+use super::clock::unix_now;
 use crate::config::{self, micros};
 
-/// A set of keys that is in force, and TLS made from it.
+/// The set of keys that is in use, and the TLS configuration made from it.
 #[derive(Debug)]
-pub(crate) struct Loaded {
-    pub keys: KeySet,
+pub(super) struct ActiveKeys {
+    pub(super) keys: KeySet,
     tls: Arc<ServerConfig>,
 }
 
-/// Everything that tells callers apart.
-pub(crate) struct Identity {
-    set: config::Identity,
-    terms: Terms,
-    loaded: watch::Sender<Arc<Loaded>>,
-    door: Mutex<HandshakeLimiter>,
-    pub audit: Audit,
+impl ActiveKeys {
+    fn load(settings: &config::Identity) -> Result<Self, KeyError> {
+        let keys = KeySet::load(&settings.folder)?;
+        let tls = tls::server_config(&keys, settings.certificates)?;
+        Ok(Self { keys, tls })
+    }
 }
 
-/// Time of the wall, for ends of tokens and certificates: microseconds since 1970.
-pub(crate) fn wall() -> Micros {
-    micros(SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default())
+/// Identifies callers by their credentials.
+pub(super) struct Identity {
+    settings: config::Identity,
+    token_policy: TokenPolicy,
+    active_keys: watch::Sender<Arc<ActiveKeys>>,
+    handshakes: Mutex<HandshakeLimiter>,
+    pub(super) audit_log: AuditLog,
 }
 
-/// A place at the door that is given back in any case.
-pub(crate) struct Held {
+/// A permit for a handshake, which is returned when this is dropped.
+pub(super) struct HandshakeGuard {
     identity: Arc<Identity>,
-    place: Option<HandshakePermit>,
+    permit: Option<HandshakePermit>,
 }
 
-impl Held {
-    /// The caller has proved who it is.
-    pub(crate) fn proved(mut self) {
-        self.back(true);
+impl HandshakeGuard {
+    /// Returns the permit of a caller that has authenticated: its address is a known source from now on.
+    pub(super) fn authenticated(mut self) {
+        self.finish(HandshakeOutcome::Authenticated);
     }
 
-    fn back(&mut self, proved: bool) {
-        if let Some(place) = self.place.take() {
-            self.identity.door().leave(place, proved, wall());
+    fn finish(&mut self, outcome: HandshakeOutcome) {
+        if let Some(permit) = self.permit.take() {
+            self.identity.handshakes().finish(permit, outcome, unix_now());
         }
     }
 }
 
-impl Drop for Held {
+impl Drop for HandshakeGuard {
     fn drop(&mut self) {
-        self.back(false);
+        self.finish(HandshakeOutcome::Failed);
     }
 }
 
-fn load(set: &config::Identity) -> Result<Loaded, KeyError> {
-    let keys = KeySet::load(&set.folder)?;
-    let tls = tls::server(&keys, set.certificates)?;
-    Ok(Loaded { keys, tls })
-}
-
 impl Identity {
-    pub(crate) fn start(set: config::Identity, audit: Audit) -> Result<Arc<Self>, KeyError> {
-        let loaded = watch::Sender::new(Arc::new(load(&set)?));
-        let terms = Terms { leeway: micros(set.leeway), longest_life: micros(set.longest_token_life) };
+    /// Loads the keys.
+    ///
+    /// # Errors
+    /// The keys cannot be used.
+    pub(super) fn start(settings: config::Identity, audit_log: AuditLog) -> Result<Arc<Self>, KeyError> {
+        let active_keys = watch::Sender::new(Arc::new(ActiveKeys::load(&settings)?));
+        let token_policy = TokenPolicy {
+            leeway: micros(settings.leeway),
+            max_lifetime: micros(settings.longest_token_life),
+        };
         let limits = HandshakeLimits {
-            all: set.handshakes_max,
-            kept: set.handshakes_kept,
-            per_stranger: set.handshakes_of_source,
+            max_handshakes: settings.handshakes_max,
+            reserved_for_known: settings.handshakes_kept,
+            max_per_unknown_source: settings.handshakes_of_source,
             ..HandshakeLimits::default()
         };
-        Ok(Arc::new(Self { set, terms, loaded, door: Mutex::new(HandshakeLimiter::new(limits)), audit }))
+        let handshakes = Mutex::new(HandshakeLimiter::new(limits));
+        Ok(Arc::new(Self { settings, token_policy, active_keys, handshakes, audit_log }))
     }
 
-    fn door(&self) -> std::sync::MutexGuard<'_, HandshakeLimiter> {
-        self.door.lock().unwrap_or_else(PoisonError::into_inner)
+    fn handshakes(&self) -> MutexGuard<'_, HandshakeLimiter> {
+        self.handshakes.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The keys in force; told of every change.
-    pub(crate) fn keys(&self) -> watch::Receiver<Arc<Loaded>> {
-        self.loaded.subscribe()
+    /// The keys in use.
+    pub(super) fn keys(&self) -> Arc<ActiveKeys> {
+        Arc::clone(&self.active_keys.borrow())
     }
 
-    /// Reads the folder now: the new set is in force, or the old one stays and the fault is told.
-    pub(crate) fn reload(&self) -> Result<(), KeyError> {
-        let new = load(&self.set).inspect_err(|fault| {
-            tracing::error!(event = "keys_rejected", file = fault.file, cause = fault.what);
+    /// Subscribes to changes of the keys in use.
+    pub(super) fn subscribe_to_keys(&self) -> watch::Receiver<Arc<ActiveKeys>> {
+        self.active_keys.subscribe()
+    }
+
+    /// Reloads the folder of keys now.
+    ///
+    /// # Errors
+    /// The new set is faulty: it is logged, and the old set stays in use.
+    pub(super) fn reload(&self) -> Result<(), KeyError> {
+        let keys = ActiveKeys::load(&self.settings).inspect_err(|error| {
+            tracing::error!(event = "keys_rejected", file = %error.file.display(), cause = %error.fault);
         })?;
-        self.loaded.send_replace(Arc::new(new));
+        self.active_keys.send_replace(Arc::new(keys));
         tracing::info!(event = "keys_loaded");
         Ok(())
     }
 
-    /// Looks at the folder now and then, and reloads when anything in it has changed.
-    pub(crate) async fn watch(self: Arc<Self>, stop: CancellationToken) {
-        let mut seen = marks(&self.set.folder);
+    /// Polls the folder of keys until `stop` is cancelled, and reloads it when one of its files has changed.
+    pub(super) async fn watch_keys(self: Arc<Self>, stop: CancellationToken) {
+        let mut last_seen = file_versions(&self.settings.folder);
         loop {
             tokio::select! {
                 () = stop.cancelled() => return,
-                () = tokio::time::sleep(self.set.reload_every) => {}
+                () = sleep(self.settings.reload_every) => {}
             }
-            let now = marks(&self.set.folder);
-            if now != seen && now.iter().any(|(name, ..)| name == MANIFEST) {
-                // A set that is refused is tried again only when it has changed: half-written files soon do.
-                seen = now;
+            let versions = file_versions(&self.settings.folder);
+            if versions != last_seen && versions.iter().any(|file| file.name == MANIFEST) {
+                // A set that is rejected is loaded again only after a further change: half-written files soon
+                // have one.
+                last_seen = versions;
                 let identity = Arc::clone(&self);
+                // A fault is logged by `reload`; after a panic the old set stays in use.
                 let _ = tokio::task::spawn_blocking(move || identity.reload()).await;
             }
         }
     }
 
-    /// A connection comes: it may begin a handshake, or not.
-    pub(crate) fn enter(self: &Arc<Self>, source: IpAddr) -> Result<Held, HandshakeRejected> {
-        let place = self.door().enter(source, wall())?;
-        Ok(Held { identity: Arc::clone(self), place: Some(place) })
+    /// Begins a handshake with a source, if the limits allow it.
+    ///
+    /// # Errors
+    /// Too many handshakes are in progress.
+    pub(super) fn begin_handshake(
+        self: &Arc<Self>,
+        source: IpAddr,
+    ) -> Result<HandshakeGuard, HandshakeRejected> {
+        let permit = self.handshakes().begin(source, unix_now())?;
+        Ok(HandshakeGuard { identity: Arc::clone(self), permit: Some(permit) })
     }
 
-    /// The handshake, and what the certificate says, if one was shown.
-    pub(crate) async fn handshake(
+    /// Performs the TLS handshake and reads the caller from its certificate, if it shows one. None: the
+    /// handshake failed, which is logged.
+    pub(super) async fn accept_tls(
         &self,
         socket: TcpStream,
     ) -> Option<(TlsStream<TcpStream>, Option<CertCaller>)> {
-        let tls = Arc::clone(&self.loaded.borrow().tls);
-        let accept = TlsAcceptor::from(tls).accept(socket);
-        let stream = match timeout(self.set.handshake_timeout, accept).await {
+        let acceptor = TlsAcceptor::from(Arc::clone(&self.active_keys.borrow().tls));
+        let stream = match timeout(self.settings.handshake_timeout, acceptor.accept(socket)).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(error)) => {
                 tracing::info!(event = "handshake_failed", cause = %error);
@@ -150,131 +174,87 @@
             }
         };
         let leaf = stream.get_ref().1.peer_certificates().and_then(|chain| chain.first());
-        match leaf.map(|der| cert::caller(der)) {
-            None => Some((stream, None)),
-            Some(Ok(caller)) => Some((stream, Some(caller))),
-            Some(Err(error)) => {
+        let caller = match leaf.map(|der| cert::parse_caller(der)).transpose() {
+            Ok(caller) => caller,
+            Err(error) => {
                 tracing::warn!(event = "certificate_rejected", cause = %error);
-                None
+                return None;
             }
+        };
+        Some((stream, caller))
+    }
+
+    /// The grant of a caller by its certificate and its token; empty credentials are no token.
+    ///
+    /// # Errors
+    /// The token is invalid or missing, or is another caller's than the certificate.
+    pub(super) fn grant(&self, certificate: Option<CertCaller>, credentials: &[u8]) -> Result<Grant, Denied> {
+        let keys = self.keys();
+        let token = self.verify_token(credentials, &keys.keys)?;
+        if token.is_none() && self.settings.tokens_required {
+            return Err(Denied::NoCredentials);
         }
+        Grant::new(certificate, token, &keys.keys)
     }
 
-    /// Who calls, from what it has shown.
-    pub(crate) fn grant(&self, cert: Option<CertCaller>, credentials: &[u8]) -> Result<Grant, Denied> {
-        let loaded = Arc::clone(&self.loaded.borrow());
-        let token = match credentials {
-            [] => None,
-            token => match token::verify(token, &loaded.keys, self.terms, wall()) {
-                Ok(accepted) => Some(accepted),
-                Err(error) => {
-                    tracing::warn!(event = "token_rejected", cause = %error);
-                    return Err(Denied::Nobody);
-                }
-            },
-        };
-        if token.is_none() && self.set.tokens_required {
-            return Err(Denied::Nobody);
+    fn verify_token(&self, credentials: &[u8], keys: &KeySet) -> Result<Option<VerifiedToken>, Denied> {
+        if credentials.is_empty() {
+            return Ok(None);
+        }
+        match token::verify(credentials, keys, self.token_policy, unix_now()) {
+            Ok(verified) => Ok(Some(verified)),
+            Err(error) => {
+                tracing::warn!(event = "token_rejected", cause = %error);
+                Err(Denied::NoCredentials)
+            }
         }
-        Grant::new(cert, token, &loaded.keys)
     }
 
-    pub(crate) fn handshake_timeout(&self) -> Duration {
-        self.set.handshake_timeout
+    /// The time that a handshake, or the head of a request, may take.
+    pub(super) fn handshake_timeout(&self) -> Duration {
+        self.settings.handshake_timeout
     }
 
-    pub(crate) fn tenant(&self) -> &str {
-        &self.set.tenant
+    /// The settings' own tenant.
+    pub(super) fn tenant(&self) -> &str {
+        &self.settings.tenant
     }
 
-    /// Writes a refused call down.
-    pub(crate) fn refused(&self, grant: &Grant, from: SocketAddr, what: &str, why: Denied) {
+    /// Logs a rejected call, and records it in the audit log if there is room.
+    pub(super) fn record_rejection(&self, grant: &Grant, peer: SocketAddr, call: &str, denied: Denied) {
         let caller = grant.caller();
-        tracing::warn!(event = "call_rejected", tenant = caller.tenant, who = caller.name, what, cause = %why);
-        self.audit.refused(entry(
-            &caller.tenant,
-            &caller.name,
-            from,
-            what.to_owned(),
-            format!("refused: {why}"),
-        ));
+        tracing::warn!(
+            event = "call_rejected",
+            tenant = caller.tenant,
+            who = caller.name,
+            what = call,
+            cause = %denied
+        );
+        let entry = AuditEntry::now(caller, peer, call.to_owned(), format!("refused: {denied}"));
+        self.audit_log.record_rejection(entry);
     }
 }
 
-/// Names, sizes and times of the folder's files.
-fn marks(folder: &std::path::Path) -> Vec<(String, u64, Option<SystemTime>)> {
-    let files = std::fs::read_dir(folder).into_iter().flatten().flatten();
-    let mark = |f: std::fs::DirEntry| {
-        let meta = f.metadata().ok()?;
-        Some((f.file_name().to_string_lossy().into_owned(), meta.len(), meta.modified().ok()))
-    };
-    let mut marks: Vec<_> = files.filter_map(mark).collect();
-    marks.sort();
-    marks
-}
-
-/// A stream's grant, looked at on every frame and twice a second.
-pub(crate) struct Guard {
-    pub identity: Arc<Identity>,
-    pub cert: Option<CertCaller>,
-    pub grant: Grant,
-    pub peer: SocketAddr,
-    /// True: the end was announced.
-    pub noticed: bool,
-}
-
-/// What a guard says of a stream.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Look {
-    /// Go on.
-    Well,
-    /// Tell the proxy to renew.
-    Announce(Micros),
-    /// End it: its rights have ended.
-    Expired,
-    /// End it: what it rests on was revoked.
-    Revoked,
+/// What shows that a file has changed.
+#[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct FileVersion {
+    name: String,
+    bytes: u64,
+    modified: Option<SystemTime>,
 }
 
-impl Guard {
-    /// May the stream do this now? What may not is written down.
-    pub(crate) fn may(&self, right: Right, what: &str) -> bool {
-        match self.grant.may(right, wall()) {
-            Ok(()) => true,
-            Err(why) => {
-                self.identity.refused(&self.grant, self.peer, what, why);
-                false
-            }
-        }
-    }
-
-    /// A newer token, shown in the stream.
-    pub(crate) fn renew(&mut self, credentials: &[u8]) -> bool {
-        let new = self.identity.grant(self.cert.clone(), credentials);
-        match new.and_then(|new| self.grant.renew(new)) {
-            Ok(()) => {
-                self.noticed = false;
-                self.may(Right::Join, "renew") && self.may(Right::ReadTables, "renew")
-            }
-            Err(why) => {
-                self.identity.refused(&self.grant, self.peer, "renew", why);
-                false
-            }
-        }
+impl FileVersion {
+    fn of(file: &DirEntry) -> Option<Self> {
+        let metadata = file.metadata().ok()?;
+        let name = file.file_name().to_string_lossy().into_owned();
+        Some(Self { name, bytes: metadata.len(), modified: metadata.modified().ok() })
     }
+}
 
-    /// How the stream stands under the keys in force.
-    pub(crate) fn look(&mut self) -> Look {
-        let loaded = Arc::clone(&self.identity.loaded.borrow());
-        match self.grant.status(&loaded.keys, wall()) {
-            GrantStatus::Holds { .. } => Look::Well,
-            GrantStatus::Renew { left } if !self.noticed => {
-                self.noticed = true;
-                Look::Announce(left)
-            }
-            GrantStatus::Renew { .. } => Look::Well,
-            GrantStatus::Over(Denied::Revoked) => Look::Revoked,
-            GrantStatus::Over(_) => Look::Expired,
-        }
-    }
+/// The versions of a folder's files, by name. Files that cannot be read are left out.
+fn file_versions(folder: &Path) -> Vec<FileVersion> {
+    let files = std::fs::read_dir(folder).into_iter().flatten().flatten();
+    let mut versions: Vec<_> = files.filter_map(|file| FileVersion::of(&file)).collect();
+    versions.sort();
+    versions
 }
--- a/crates/stepspur-conductor/src/service/linger.rs
+++ b/crates/stepspur-conductor/src/service/linger.rs
@@ -1,4 +1,4 @@
-//! Closing connections in order.
+//! Closes connections without losing what was written last.
 
 use std::io;
 use std::time::Duration;
@@ -6,35 +6,43 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::time::timeout;
 
-/// Bytes that are thrown away at most; a peer that goes on beyond is reset.
-const MOST: usize = 1 << 20;
+/// How much is read and dropped at most, in bytes; a peer that sends more is reset.
+const MAX_DRAINED_BYTES: usize = 1 << 20;
+/// The size of a read, in bytes.
+const READ_BUFFER_BYTES: usize = 4096;
 
-/// Writes `last`, ends this side, and throws away what the peer still sends until it ends too, or `within` is over.
+/// Writes `last`, closes this side, and reads and drops what the peer still sends until it closes its side,
+/// or `linger_timeout` is over.
 ///
-/// A socket that is closed over unread bytes is reset by the kernel: what was written and not read by the peer yet is
-/// then lost, the reason of a rejection among it.
+/// The kernel resets a socket that is closed over unread bytes. Then what the peer has not read yet is lost,
+/// such as the reason of a rejection.
 pub async fn lingering_close(
     mut read: impl AsyncRead + Unpin,
     mut write: impl AsyncWrite + Unpin,
     last: &[u8],
-    within: Duration,
+    linger_timeout: Duration,
 ) {
     let close = async {
         write.write_all(last).await?;
         write.shutdown().await?;
         drain(&mut read).await
     };
-    let _: Result<io::Result<()>, _> = timeout(within, close).await;
+    // The connection ends either way: how makes no difference.
+    let _: Result<io::Result<()>, _> = timeout(linger_timeout, close).await;
 }
 
-/// Reads until the peer ends.
-pub(crate) async fn drain(read: &mut (impl AsyncRead + Unpin)) -> io::Result<()> {
-    // On the heap: within the future it would be kept for each connection as long as that stands.
-    let (mut buffer, mut left) = (vec![0; 4096], MOST);
+/// Reads and drops bytes until the peer closes its side.
+///
+/// # Errors
+/// The connection breaks.
+pub(super) async fn drain(read: &mut (impl AsyncRead + Unpin)) -> io::Result<()> {
+    // On the heap: inside the future it would take memory for as long as each connection lives.
+    let mut buffer = vec![0; READ_BUFFER_BYTES];
+    let mut left = MAX_DRAINED_BYTES;
     while left > 0 {
         match read.read(&mut buffer).await? {
             0 => return Ok(()),
-            some => left = left.saturating_sub(some),
+            count => left = left.saturating_sub(count),
         }
     }
     Ok(())
--- /dev/null
+++ b/crates/stepspur-conductor/src/service/log_rate_limiter.rs
@@ -0,0 +1,38 @@
+//! A rate limit for log lines about invalid input, so that a peer that sends it cannot fill the disk.
+
+use stepspur::interface::Micros;
+
+/// Log lines that are written in one window.
+const MAX_LINES_PER_WINDOW: u32 = 20;
+/// The length of a window, in microseconds.
+const WINDOW: Micros = 1_000_000;
+
+/// Counts log lines in fixed windows; reports at the next window how many were suppressed.
+#[derive(Debug, Default)]
+pub(super) struct LogRateLimiter {
+    window_start: Micros,
+    lines: u32,
+    suppressed: u64,
+}
+
+impl LogRateLimiter {
+    /// Whether a line may be written now.
+    pub(super) fn allow(&mut self, now: Micros) -> bool {
+        if now >= self.window_start + WINDOW {
+            self.start_window(now);
+        }
+        self.lines += 1;
+        let allowed = self.lines <= MAX_LINES_PER_WINDOW;
+        if !allowed {
+            self.suppressed += 1;
+        }
+        allowed
+    }
+
+    fn start_window(&mut self, now: Micros) {
+        if self.suppressed > 0 {
+            tracing::warn!(event = "invalid_input", left_out = self.suppressed);
+        }
+        *self = Self { window_start: now, ..Self::default() };
+    }
+}
--- a/crates/stepspur-conductor/src/service/operator/configuration.rs
+++ b/crates/stepspur-conductor/src/service/operator/configuration.rs
@@ -1,186 +1,202 @@
-//! The calls of configuration: propose changes, look at documents, ask where a version is in force, remove a subscriber.
+//! The calls on the distributed configuration: propose changes, read documents, see where a version is
+//! applied, remove a subscriber.
 //!
-//! An operator of tenant T changes documents of tenant T; whoever may `administer` as well changes all.
+//! An operator of a tenant changes documents of that tenant; an administrator changes all.
 
 use std::sync::Arc;
 use std::time::Duration;
 
-use axum::extract::{Path, State};
+use axum::extract::Path;
 use axum::http::StatusCode;
 use axum::response::{IntoResponse, Response};
 use axum::routing::{get, post};
-use axum::{Extension, Json, Router};
-use serde::{Deserialize, Deserializer};
+use axum::{Json, Router};
+use serde::{Deserialize, Deserializer, Serialize};
 use serde_json::{Value, json};
 use stepspur_distribution::control::{Control, ProposeError, RolloutStatusError};
 use stepspur_distribution::document::{Change, Document, Scope, Setting, Target};
 use stepspur_distribution::version::Version;
-use stepspur_identity::grant::{Denied, Grant};
+use stepspur_identity::grant::Denied;
 use stepspur_identity::rights::Right;
 use stepspur_replication::OperationId;
 
-use super::{Asked, OperatorApi, Told, administers, denied, read};
+use super::OperatorApi;
+use super::call::{AuthorizedCall, Call, Outcome, parse_body};
+use super::council::leader_name;
+use super::error::CallError;
 
-/// A proposal, and the removal of a subscriber, are waited for so long.
+/// How long a proposal, or the removal of a subscriber, may take.
 const PROPOSE_TIMEOUT: Duration = Duration::from_secs(5);
 
 pub(super) fn routes() -> Router<Arc<OperatorApi>> {
     Router::new()
         .route("/v1/config", get(documents).post(propose))
-        .route("/v1/config/versions/{version}", get(standing))
-        .route("/v1/config/subscribers/remove", post(remove))
+        .route("/v1/config/versions/{version}", get(rollout_status))
+        .route("/v1/config/subscribers/remove", post(remove_subscriber))
 }
 
-/// Changes that are agreed on as one.
+/// Changes that take effect together.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Proposal {
-    /// The operation's id, where it was proposed before and its outcome is unknown.
+struct ProposeRequest {
+    /// The operation's id, if it was proposed before and its outcome is unknown.
     #[serde(default)]
     operation: Option<String>,
-    changes: Vec<ChangeBody>,
+    changes: Vec<ChangeRequest>,
 }
 
-/// A change as a caller words it: a setting that is left out is a mistake, as only `null` lifts.
+/// A change. A setting that is left out is an error: only `null` removes one.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct ChangeBody {
+struct ChangeRequest {
     #[serde(default)]
     scope: Scope,
     target: Target,
-    #[serde(deserialize_with = "named")]
+    #[serde(deserialize_with = "required_option")]
     setting: Option<Setting>,
 }
 
-fn named<'de, D: Deserializer<'de>>(from: D) -> Result<Option<Setting>, D::Error> {
-    Option::deserialize(from)
+/// Without this, serde takes a field that is left out for `null`.
+fn required_option<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<Setting>, D::Error> {
+    Option::deserialize(deserializer)
 }
 
-impl From<ChangeBody> for Change {
-    fn from(ChangeBody { scope, target, setting }: ChangeBody) -> Self {
+impl From<ChangeRequest> for Change {
+    fn from(ChangeRequest { scope, target, setting }: ChangeRequest) -> Self {
         Self { scope, target, setting }
     }
 }
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct OnSubscriber {
+struct SubscriberRequest {
     subscriber: String,
 }
 
-impl OperatorApi {
-    fn control(&self) -> Result<&Control, Told> {
-        let none = || Told(StatusCode::NOT_FOUND, "this conductor is no control member".to_owned());
-        self.distribution.control.as_deref().ok_or_else(none)
-    }
-}
-
-fn bad_request(fault: &dyn std::fmt::Display) -> Told {
-    Told(StatusCode::BAD_REQUEST, fault.to_string())
+/// The answer to a change of the configuration.
+#[derive(Debug, Default, Serialize)]
+struct ChangeAnswer {
+    /// The operation to propose again, if it may have taken effect.
+    #[serde(skip_serializing_if = "Option::is_none")]
+    operation: Option<String>,
+    result: String,
+    /// The version that has the changes.
+    #[serde(skip_serializing_if = "Option::is_none")]
+    version: Option<String>,
 }
 
-/// True: a change for this scope reaches no other tenant than the caller's.
-fn of_own_tenant(grant: &Grant, scope: &Scope) -> bool {
-    scope.tenant.as_ref() == Some(&grant.caller().tenant)
+impl ChangeAnswer {
+    fn in_words(result: &str) -> Self {
+        Self { result: result.to_owned(), ..Self::default() }
+    }
 }
 
-async fn propose((State(api), Extension(seen), headers): Asked, body: String) -> Result<Response, Told> {
-    let grant = api.caller(&seen, &headers, Right::Change, "config propose")?;
-    let control = api.control()?;
-    let Proposal { operation, changes } = read(&body)?;
-    let operation = operation.map(|id| id.parse::<OperationId>().map_err(|e| bad_request(&e))).transpose()?;
+async fn propose(call: Call, body: String) -> Result<Response, CallError> {
+    let call = call.authorize(Right::Change, "config propose")?;
+    let control = control(&call)?;
+    let ProposeRequest { operation, changes } = parse_body(&body)?;
+    let operation = operation.as_deref().map(parse_operation).transpose()?;
     let changes: Vec<Change> = changes.into_iter().map(Change::from).collect();
-    let own = changes.iter().all(|change| of_own_tenant(&grant, &change.scope));
-    if !own && !administers(&grant) {
-        api.identity.refused(&grant, seen.peer, "config propose for other tenants", Denied::Right);
-        return Err(denied());
+    let own_tenant_only = changes.iter().all(|change| is_of_own_tenant(&call, &change.scope));
+    if !own_tenant_only && !call.is_administrator() {
+        let name = "config propose for other tenants";
+        call.api.identity.record_rejection(&call.grant, call.peer, name, Denied::MissingRight);
+        return Err(CallError::Denied);
     }
-    let what = format!("config propose {}", json!(changes));
-    let proposed = control.propose(operation, changes, PROPOSE_TIMEOUT).await;
-    let (status, result, body) = proposal_answer(proposed);
-    Ok(api.answer_with(&seen, &grant, what, &result, (status, Json(body))).await)
-}
-
-/// The status, the result in words for the audit log, and the answer's body.
-fn proposal_answer(proposed: Result<Version, ProposeError>) -> (StatusCode, String, Value) {
-    match proposed {
-        Ok(version) => {
-            let body = json!({ "result": "agreed", "version": version.to_string() });
-            (StatusCode::OK, format!("agreed as version {version}"), body)
-        }
-        Err(error) => fault_answer(&error),
+    let change = format!("config propose {}", json!(changes));
+    let outcome = match control.propose(operation, changes, PROPOSE_TIMEOUT).await {
+        Ok(version) => agreed(version),
+        Err(error) => not_agreed(&error),
+    };
+    Ok(call.answer(change, outcome).await)
+}
+
+async fn documents(call: Call) -> Result<Json<Value>, CallError> {
+    let call = call.authorize(Right::ReadStatus, "config")?;
+    let mut documents: Vec<Document> = control(&call)?.documents();
+    if !call.is_administrator() {
+        // Documents for all tenants apply to the caller's; it must not see those of another tenant.
+        documents.retain(|document| {
+            let scope = &document.key.scope;
+            scope.tenant.is_none() || is_of_own_tenant(&call, scope)
+        });
     }
+    Ok(Json(json!({ "documents": documents })))
 }
 
-/// The same of what has no outcome, with the operation to propose again where that may have taken effect.
-fn fault_answer(error: &ProposeError) -> (StatusCode, String, Value) {
-    let (status, operation) = match error {
-        ProposeError::Faulty(_) | ProposeError::TooLarge(_) | ProposeError::Refused(_) => {
-            (StatusCode::UNPROCESSABLE_ENTITY, None)
-        }
-        ProposeError::TooOld { .. } => (StatusCode::CONFLICT, None),
-        ProposeError::Unknown { id } => (StatusCode::SERVICE_UNAVAILABLE, Some(*id)),
-        ProposeError::Full { .. } | ProposeError::Stopped(_) => (StatusCode::SERVICE_UNAVAILABLE, None),
+async fn rollout_status(call: Call, Path(version): Path<String>) -> Result<Response, CallError> {
+    let call = call.authorize(Right::ReadStatus, "config version")?;
+    let version: Version = version.parse().map_err(|error| CallError::bad_request(&error))?;
+    Ok(match control(&call)?.rollout_status(version).await {
+        Ok(status) => Json(status).into_response(),
+        Err(error) => rollout_status_error(&error).into_response(),
+    })
+}
+
+async fn remove_subscriber(call: Call, body: String) -> Result<Response, CallError> {
+    let call = call.authorize(Right::Administer, "config subscribers remove")?;
+    let SubscriberRequest { subscriber } = parse_body(&body)?;
+    let outcome = match control(&call)?.remove(&subscriber, PROPOSE_TIMEOUT).await {
+        Ok(true) => change_outcome(StatusCode::OK, "removed"),
+        Ok(false) => change_outcome(StatusCode::NOT_FOUND, "no subscriber of this name is registered"),
+        Err(error) => not_agreed(&error),
     };
-    let mut body = json!({ "result": error.to_string() });
-    if let Some(operation) = operation {
-        body["operation"] = json!(operation.to_string());
-    }
-    (status, error.to_string(), body)
+    let change = format!("config subscribers remove {subscriber}");
+    Ok(call.answer(change, outcome).await)
 }
 
-async fn documents((State(api), Extension(seen), headers): Asked) -> Result<Response, Told> {
-    let grant = api.caller(&seen, &headers, Right::ReadStatus, "config")?;
-    let mut documents: Vec<Document> = api.control()?.documents();
-    if !administers(&grant) {
-        // Documents for all tenants are in force in the caller's; those of another tenant are not its business.
-        documents.retain(|d| d.key.scope.tenant.is_none() || of_own_tenant(&grant, &d.key.scope));
-    }
-    Ok(Json(json!({ "documents": documents })).into_response())
-}
-
-async fn standing(
-    (State(api), Extension(seen), headers): Asked,
-    Path(version): Path<String>,
-) -> Result<Response, Told> {
-    api.caller(&seen, &headers, Right::ReadStatus, "config version")?;
-    let version: Version = version.parse().map_err(|e| bad_request(&e))?;
-    match api.control()?.rollout_status(version).await {
-        Ok(standing) => Ok(Json(standing).into_response()),
-        Err(error) => Ok(standing_fault(&error).into_response()),
+fn control(call: &AuthorizedCall) -> Result<&Control, CallError> {
+    call.api.distribution.control.as_deref().ok_or(CallError::NoControlMember)
+}
+
+fn parse_operation(id: &str) -> Result<OperationId, CallError> {
+    id.parse().map_err(|error| CallError::bad_request(&error))
+}
+
+/// Whether a change of this scope reaches no other tenant than the caller's.
+fn is_of_own_tenant(call: &AuthorizedCall, scope: &Scope) -> bool {
+    scope.tenant.as_ref() == Some(&call.grant.caller().tenant)
+}
+
+fn change_outcome(status: StatusCode, result: &str) -> Outcome<ChangeAnswer> {
+    Outcome { status, result: result.to_owned(), body: ChangeAnswer::in_words(result) }
+}
+
+fn agreed(version: Version) -> Outcome<ChangeAnswer> {
+    let body = ChangeAnswer { version: Some(version.to_string()), ..ChangeAnswer::in_words("agreed") };
+    Outcome { status: StatusCode::OK, result: format!("agreed as version {version}"), body }
+}
+
+fn not_agreed(error: &ProposeError) -> Outcome<ChangeAnswer> {
+    let status = match error {
+        ProposeError::Faulty(_) | ProposeError::TooLarge(_) | ProposeError::Refused(_) => {
+            StatusCode::UNPROCESSABLE_ENTITY
+        }
+        ProposeError::TooOld { .. } => StatusCode::CONFLICT,
+        ProposeError::Unknown { .. } | ProposeError::Full { .. } | ProposeError::Stopped(_) => {
+            StatusCode::SERVICE_UNAVAILABLE
+        }
+    };
+    let mut outcome = change_outcome(status, &error.to_string());
+    if let ProposeError::Unknown { id } = error {
+        outcome.body.operation = Some(id.to_string());
     }
+    outcome
 }
 
-/// How a question that has no answer here is answered.
-fn standing_fault(error: &RolloutStatusError) -> (StatusCode, Json<Value>) {
-    let told = |status, body| (status, Json(body));
+/// The answer where this member does not know how far a version is applied.
+fn rollout_status_error(error: &RolloutStatusError) -> (StatusCode, Json<Value>) {
     match error {
         RolloutStatusError::NotLeader { leader } => {
-            let name = leader.map_or("nobody that it knows of".to_owned(), |leader| leader.to_string());
+            let name = leader_name(*leader);
             let result = format!("this control member does not lead; the leader is {name}");
-            told(StatusCode::CONFLICT, json!({ "result": result, "leader": leader }))
+            (StatusCode::CONFLICT, Json(json!({ "result": result, "leader": leader })))
         }
         RolloutStatusError::UnknownVersion { .. } => {
-            told(StatusCode::NOT_FOUND, json!({ "result": error.to_string() }))
+            (StatusCode::NOT_FOUND, Json(json!({ "result": error.to_string() })))
         }
         RolloutStatusError::NoAnswer(_) => {
-            told(StatusCode::SERVICE_UNAVAILABLE, json!({ "result": error.to_string() }))
+            (StatusCode::SERVICE_UNAVAILABLE, Json(json!({ "result": error.to_string() })))
         }
     }
 }
-
-async fn remove((State(api), Extension(seen), headers): Asked, body: String) -> Result<Response, Told> {
-    let grant = api.caller(&seen, &headers, Right::Administer, "config subscribers remove")?;
-    let OnSubscriber { subscriber } = read(&body)?;
-    let removed = api.control()?.remove(&subscriber, PROPOSE_TIMEOUT).await;
-    let (status, result, body) = match removed {
-        Ok(true) => (StatusCode::OK, "removed".to_owned(), json!({ "result": "removed" })),
-        Ok(false) => {
-            let result = "no subscriber of this name is registered";
-            (StatusCode::NOT_FOUND, result.to_owned(), json!({ "result": result }))
-        }
-        Err(error) => fault_answer(&error),
-    };
-    let what = format!("config subscribers remove {subscriber}");
-    Ok(api.answer_with(&seen, &grant, what, &result, (status, Json(body))).await)
-}
--- a/crates/stepspur-conductor/src/service/operator/council.rs
+++ b/crates/stepspur-conductor/src/service/operator/council.rs
@@ -1,18 +1,18 @@
-//! The council's calls: how its member stands, and who votes.
+//! The calls on the consensus group: its member's status, and changes of its leader and voters.
 
 use std::sync::Arc;
 
-use axum::extract::State;
 use axum::http::StatusCode;
-use axum::response::{IntoResponse, Response};
+use axum::response::Response;
 use axum::routing::{get, post};
-use axum::{Extension, Json, Router};
+use axum::{Json, Router};
 use serde::Deserialize;
-use stepspur_consensus_node::{MemberId, MembershipChange, NodeHandle, NodeStopped, RequestError};
-use stepspur_identity::grant::Grant;
+use stepspur_consensus_node::{MemberId, MembershipChange, NodeHandle, NodeStopped, RequestError, Status};
 use stepspur_identity::rights::Right;
 
-use super::{Asked, Connected, OperatorApi, Told, read};
+use super::OperatorApi;
+use super::call::{AuthorizedCall, Call, Outcome, parse_body};
+use super::error::CallError;
 
 pub(super) fn routes() -> Router<Arc<OperatorApi>> {
     Router::new()
@@ -22,66 +22,57 @@
         .route("/v1/council/remove", post(remove))
 }
 
-impl OperatorApi {
-    fn member(&self) -> Result<&NodeHandle, Told> {
-        let none = || Told(StatusCode::NOT_FOUND, "this conductor is in no council".to_owned());
-        self.council.as_deref().ok_or_else(none)
-    }
+#[derive(Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+struct MemberRequest {
+    member: u64,
+}
 
-    /// Answers a change of the council, which has begun with it: how it ends shows in the council's standing.
-    async fn council_changed(
-        &self,
-        seen: &Connected,
-        grant: &Grant,
-        what: String,
-        done: Result<Result<(), RequestError>, NodeStopped>,
-    ) -> Response {
-        let (status, result) = match done {
-            Ok(Ok(())) => (StatusCode::OK, "begun".to_owned()),
-            Ok(Err(RequestError::NotLeader(leader))) => {
-                let leader = leader.map_or("nobody that it knows of".to_owned(), |m| m.0.to_string());
-                (StatusCode::CONFLICT, format!("this conductor does not lead; the leader is {leader}"))
-            }
-            Ok(Err(refused)) => (StatusCode::UNPROCESSABLE_ENTITY, refused.to_string()),
-            Err(gone) => (StatusCode::SERVICE_UNAVAILABLE, gone.to_string()),
-        };
-        self.answer(seen, grant, what, status, result).await
-    }
+async fn council(call: Call) -> Result<Json<Status>, CallError> {
+    let call = call.authorize(Right::ReadStatus, "council")?;
+    Ok(Json(node(&call)?.status().await?))
 }
 
-async fn council((State(api), Extension(seen), headers): Asked) -> Result<Response, Told> {
-    api.caller(&seen, &headers, Right::ReadStatus, "council")?;
-    let status = api
-        .member()?
-        .status()
-        .await
-        .map_err(|gone| Told(StatusCode::SERVICE_UNAVAILABLE, gone.to_string()))?;
-    Ok(Json(status).into_response())
+async fn transfer(call: Call, body: String) -> Result<Response, CallError> {
+    let call = call.authorize(Right::Administer, "council transfer")?;
+    let MemberRequest { member } = parse_body(&body)?;
+    let result = node(&call)?.transfer_leadership(MemberId(member)).await;
+    Ok(call.answer(format!("council transfer {member}"), outcome(result)).await)
 }
 
-#[derive(Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-struct OnMember {
-    member: u64,
+async fn add(call: Call, body: String) -> Result<Response, CallError> {
+    let call = call.authorize(Right::Administer, "council add")?;
+    let MemberRequest { member } = parse_body(&body)?;
+    let result = node(&call)?.change(MembershipChange::Add(MemberId(member))).await;
+    Ok(call.answer(format!("council add {member}"), outcome(result)).await)
 }
 
-async fn transfer((State(api), Extension(seen), headers): Asked, body: String) -> Result<Response, Told> {
-    let grant = api.caller(&seen, &headers, Right::Administer, "council transfer")?;
-    let OnMember { member } = read(&body)?;
-    let done = api.member()?.transfer_leadership(MemberId(member)).await;
-    Ok(api.council_changed(&seen, &grant, format!("council transfer {member}"), done).await)
+async fn remove(call: Call, body: String) -> Result<Response, CallError> {
+    let call = call.authorize(Right::Administer, "council remove")?;
+    let MemberRequest { member } = parse_body(&body)?;
+    let result = node(&call)?.change(MembershipChange::Remove(MemberId(member))).await;
+    Ok(call.answer(format!("council remove {member}"), outcome(result)).await)
 }
 
-async fn add((State(api), Extension(seen), headers): Asked, body: String) -> Result<Response, Told> {
-    let grant = api.caller(&seen, &headers, Right::Administer, "council add")?;
-    let OnMember { member } = read(&body)?;
-    let done = api.member()?.change(MembershipChange::Add(MemberId(member))).await;
-    Ok(api.council_changed(&seen, &grant, format!("council add {member}"), done).await)
+fn node(call: &AuthorizedCall) -> Result<&NodeHandle, CallError> {
+    call.api.council.as_deref().ok_or(CallError::NoConsensusMember)
+}
+
+/// The outcome of a change that has begun: the group's status shows how it ends.
+fn outcome(result: Result<Result<(), RequestError>, NodeStopped>) -> Outcome {
+    match result {
+        Ok(Ok(())) => Outcome::in_words(StatusCode::OK, "begun"),
+        Ok(Err(RequestError::NotLeader(leader))) => {
+            let leader = leader_name(leader.map(|member| member.0));
+            let result = format!("this conductor does not lead; the leader is {leader}");
+            Outcome::in_words(StatusCode::CONFLICT, result)
+        }
+        Ok(Err(rejected)) => Outcome::in_words(StatusCode::UNPROCESSABLE_ENTITY, rejected.to_string()),
+        Err(stopped) => Outcome::in_words(StatusCode::SERVICE_UNAVAILABLE, stopped.to_string()),
+    }
 }
 
-async fn remove((State(api), Extension(seen), headers): Asked, body: String) -> Result<Response, Told> {
-    let grant = api.caller(&seen, &headers, Right::Administer, "council remove")?;
-    let OnMember { member } = read(&body)?;
-    let done = api.member()?.change(MembershipChange::Remove(MemberId(member))).await;
-    Ok(api.council_changed(&seen, &grant, format!("council remove {member}"), done).await)
+/// A leader's number in words, if it is known.
+pub(super) fn leader_name(leader: Option<u64>) -> String {
+    leader.map_or("nobody that it knows of".to_owned(), |member| member.to_string())
 }
--- a/crates/stepspur-conductor/src/service/prober.rs
+++ b/crates/stepspur-conductor/src/service/prober.rs
@@ -1,81 +1,120 @@
-//! Probes: an HTTP request to a server, bounded in number and time.
+//! Health checks: HTTP requests to servers, limited in number and time.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
+use axum::http::StatusCode;
+use bytes::Bytes;
 use stepspur::interface::ProbeOutcome;
 use tokio::sync::{Semaphore, mpsc};
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-use super::core::EngineCommand;
+use super::engine_handle::EngineHandle;
 use crate::config::{Config, micros};
 use crate::engine::{Input, ProbeTarget};
 use crate::http::{HttpError, get};
 
-/// The largest load report that is read, in bytes.
-const LARGEST: usize = 16 << 10;
+/// The largest answer that is read, in bytes.
+const MAX_ANSWER_BYTES: usize = 16 << 10;
+/// How much of an answer is logged, in bytes.
+const LOGGED_BODY_BYTES: usize = 200;
 
-/// Reads the values of a load report in the order of the columns; none where it holds not all of them.
-pub(super) type LoadReportParser = fn(&[String], &[u8]) -> Vec<f32>;
+/// Parses a load report: the values of the columns, in their order; empty unless it has all of them.
+pub type LoadReportParser = fn(columns: &[String], body: &[u8]) -> Vec<f32>;
 
-pub(crate) async fn run(
-    config: Config,
-    read_load: LoadReportParser,
-    mut probes: mpsc::Receiver<ProbeTarget>,
-    inbox: mpsc::Sender<EngineCommand>,
-    stop: CancellationToken,
-) {
-    let config = Arc::new(config);
-    let room = Arc::new(Semaphore::new(config.probes.concurrency));
-    let mut under_way = JoinSet::new();
-    loop {
-        let target = tokio::select! {
-            () = stop.cancelled() => break,
-            target = probes.recv() => match target {
-                Some(target) => target,
-                None => break,
-            },
-            Some(_) = under_way.join_next() => continue,
-        };
-        let place = tokio::select! {
-            () = stop.cancelled() => break,
-            place = Arc::clone(&room).acquire_owned() => place,
-        };
-        let (config, inbox) = (Arc::clone(&config), inbox.clone());
-        under_way.spawn(async move {
-            let _place = place;
-            let _ = inbox.send(probe(&config, read_load, target).await.into()).await;
-        });
-    }
-    under_way.shutdown().await;
+/// Sends health checks and reports their results to the engine.
+pub(super) struct Prober {
+    config: Arc<Config>,
+    parse_load_report: LoadReportParser,
+    engine: EngineHandle,
 }
 
-async fn probe(config: &Config, read_load: LoadReportParser, target: ProbeTarget) -> Input {
-    let sent = Instant::now();
-    let answer = get(target.address, &config.probes.path, config.probes.timeout, LARGEST).await;
-    if let Ok((status, body)) = &answer {
-        // What crossed the socket, to be held against what is believed of it.
-        let (status, body) = (status.as_u16(), String::from_utf8_lossy(&body[..body.len().min(200)]));
-        tracing::debug!(event = "probe_answered", server = %target.address, status, %body);
+impl Prober {
+    /// A prober of an engine's servers.
+    pub(super) fn new(config: Config, parse_load_report: LoadReportParser, engine: EngineHandle) -> Self {
+        Self { config: Arc::new(config), parse_load_report, engine }
+    }
+
+    /// Sends the health checks that are queued until `stop` is cancelled; those in progress are then aborted.
+    pub(super) async fn run(self, mut targets: mpsc::Receiver<ProbeTarget>, stop: CancellationToken) {
+        let concurrency = Arc::new(Semaphore::new(self.config.probes.concurrency));
+        let mut in_progress = JoinSet::new();
+        loop {
+            let target = tokio::select! {
+                () = stop.cancelled() => break,
+                target = targets.recv() => match target {
+                    Some(target) => target,
+                    None => break,
+                },
+                Some(_) = in_progress.join_next() => continue,
+            };
+            let permit = tokio::select! {
+                () = stop.cancelled() => break,
+                permit = Arc::clone(&concurrency).acquire_owned() => permit,
+            };
+            let config = Arc::clone(&self.config);
+            let parse_load_report = self.parse_load_report;
+            let engine = self.engine.clone();
+            in_progress.spawn(async move {
+                let result = probe(&config, parse_load_report, target).await;
+                engine.send(result).await;
+                drop(permit);
+            });
+        }
+        in_progress.shutdown().await;
     }
-    let (outcome, load) = match answer {
-        Ok((status, body)) => match status.as_u16() {
-            200..300 => (ProbeOutcome::Ok, read_load(&config.reports.load_columns, &body)),
-            503 => (ProbeOutcome::Rejected, Vec::new()),
-            _ => (ProbeOutcome::Error, Vec::new()),
-        },
-        Err(HttpError::Connect(_)) => (ProbeOutcome::Unreachable, Vec::new()),
-        Err(HttpError::Timeout(_)) => (ProbeOutcome::Timeout, Vec::new()),
-        Err(_) => (ProbeOutcome::Reset, Vec::new()),
+}
+
+async fn probe(config: &Config, parse_load_report: LoadReportParser, target: ProbeTarget) -> Input {
+    let sent_at = Instant::now();
+    let path = &config.probes.path;
+    let answer = get(target.address, path, config.probes.timeout, MAX_ANSWER_BYTES).await;
+    let mut load = Vec::new();
+    let outcome = match answer {
+        Ok((status, body)) => {
+            log_answer(&target, status, &body);
+            if status.is_success() {
+                load = parse_load_report(&config.reports.load_columns, &body);
+            }
+            outcome_of_status(status)
+        }
+        Err(error) => outcome_of_error(&error),
     };
-    Input::ProbeResult { target, outcome, latency: micros(sent.elapsed()), load }
+    Input::ProbeResult { target, outcome, latency: micros(sent_at.elapsed()), load }
+}
+
+/// Logs what came over the socket, to compare it with what the engine makes of it.
+fn log_answer(target: &ProbeTarget, status: StatusCode, body: &Bytes) {
+    let logged = &body[..body.len().min(LOGGED_BODY_BYTES)];
+    let body = String::from_utf8_lossy(logged);
+    tracing::debug!(event = "probe_answered", server = %target.address, status = status.as_u16(), %body);
 }
 
-/// A load report as a JSON object.
-pub(crate) fn json_load(columns: &[String], body: &[u8]) -> Vec<f32> {
-    let values: BTreeMap<String, serde_json::Value> = serde_json::from_slice(body).unwrap_or_default();
-    let value = |name: &String| values.get(name).and_then(|v| v.as_f64()).map(|v| v as f32);
-    columns.iter().map(value).collect::<Option<Vec<_>>>().unwrap_or_default()
+fn outcome_of_status(status: StatusCode) -> ProbeOutcome {
+    match status {
+        StatusCode::SERVICE_UNAVAILABLE => ProbeOutcome::Rejected,
+        status if status.is_success() => ProbeOutcome::Ok,
+        _ => ProbeOutcome::Error,
+    }
+}
+
+fn outcome_of_error(error: &HttpError) -> ProbeOutcome {
+    match error {
+        HttpError::Connect(_) => ProbeOutcome::Unreachable,
+        HttpError::Timeout(_) => ProbeOutcome::Timeout,
+        HttpError::Broken(_) | HttpError::Body(_) | HttpError::Path(_) => ProbeOutcome::Reset,
+    }
+}
+
+/// Parses a load report that is a JSON object with a number for each column.
+pub(super) fn parse_json_load_report(columns: &[String], body: &[u8]) -> Vec<f32> {
+    let report: BTreeMap<String, serde_json::Value> = serde_json::from_slice(body).unwrap_or_default();
+    let mut values = Vec::with_capacity(columns.len());
+    for column in columns {
+        let Some(value) = report.get(column).and_then(serde_json::Value::as_f64) else { return Vec::new() };
+        values.push(value as f32);
+    }
+    values
 }
--- /dev/null
+++ b/crates/stepspur-conductor/src/service/session/mod.rs
@@ -0,0 +1,281 @@
+//! A proxy's stream: one task that owns the socket, from the handshake to the last frame.
+
+mod reader;
+mod writer;
+
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+
+use bytes::Bytes;
+use futures_util::StreamExt;
+use stepspur_identity::cert::CertCaller;
+use stepspur_identity::grant::Denied;
+use stepspur_identity::rights::Right;
+use stepspur_proto::{Frames, FromConductor, FromProxy, frame, from_proxy, v1};
+use tokio::io::{AsyncRead, AsyncWrite};
+use tokio::net::TcpStream;
+use tokio::time::{Instant, sleep_until, timeout};
+use tokio_util::codec::FramedRead;
+use tokio_util::sync::CancellationToken;
+
+use super::clock::unix_now;
+use super::engine_handle::{EngineHandle, EnginesByTenant};
+use super::identity::{HandshakeGuard, Identity};
+use super::linger::{drain, lingering_close};
+use super::send_queue::{QueueLimits, SendQueue};
+use super::stream_grant::StreamGrant;
+use super::supervisor::Shutdown;
+use crate::config::Config;
+use crate::engine::{Input, StreamId};
+use reader::{StreamFault, StreamReader};
+use writer::{StreamWriter, WriteTimeout};
+
+type FrameReader<R> = FramedRead<R, Frames<FromProxy, FromConductor>>;
+
+/// The time from the first message to a rejection: the same for every reason, so that it reveals none.
+const REJECTION_DELAY: Duration = Duration::from_millis(100);
+/// How long a peer may take to close its side after the last frame.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
+/// A stream has failed if nothing came on it for this many keepalive intervals.
+const KEEPALIVES_UNTIL_SILENT: u32 = 3;
+
+/// What all sessions of a conductor share.
+pub(super) struct SessionContext {
+    pub(super) config: Arc<Config>,
+    pub(super) epoch: u64,
+    pub(super) engines: Arc<EnginesByTenant>,
+    pub(super) identity: Option<Arc<Identity>>,
+    /// `stop` ends streams before their first message; the engine closes the others with a go-away message.
+    pub(super) shutdown: Shutdown,
+}
+
+/// A proxy's connection.
+pub(super) struct Session {
+    context: Arc<SessionContext>,
+    stream: StreamId,
+    peer: SocketAddr,
+}
+
+/// What is known of a TLS peer after its handshake.
+struct TlsPeer {
+    certificate: Option<CertCaller>,
+    /// Held until the peer is authenticated by its first message, too.
+    handshake: HandshakeGuard,
+}
+
+/// A proxy that may join.
+struct Admission {
+    /// The engine of its tenant.
+    engine: EngineHandle,
+    /// None without identity.
+    grant: Option<StreamGrant>,
+}
+
+/// The end of the wait for a stream's first message.
+enum FirstMessage {
+    Received(FromProxy),
+    Invalid(String),
+    /// The peer has closed the stream, nothing came in time, or the conductor stops.
+    Missing,
+}
+
+impl Session {
+    /// A session for a connection that was accepted.
+    pub(super) fn new(context: Arc<SessionContext>, stream: StreamId, peer: SocketAddr) -> Self {
+        Self { context, stream, peer }
+    }
+
+    /// Serves the connection until it ends.
+    pub(super) async fn run(self, socket: TcpStream) {
+        // Updates are small and must not wait for each other. A socket that refuses this is only slower.
+        let _ = socket.set_nodelay(true);
+        let Some(identity) = &self.context.identity else {
+            let (read, write) = socket.into_split();
+            return self.serve(read, write, None).await;
+        };
+        let Ok(handshake) = identity.begin_handshake(self.peer.ip()) else {
+            tracing::warn!(event = "handshake_limit_reached", peer = %self.peer);
+            return;
+        };
+        let accepted = tokio::select! {
+            accepted = identity.accept_tls(socket) => accepted,
+            () = self.context.shutdown.stop.cancelled() => return,
+        };
+        if let Some((stream, certificate)) = accepted {
+            let (read, write) = tokio::io::split(stream);
+            self.serve(read, write, Some(TlsPeer { certificate, handshake })).await;
+        }
+    }
+
+    /// Reads the first message, admits or rejects the proxy, and exchanges frames with it.
+    async fn serve<R, W>(&self, read: R, write: W, tls_peer: Option<TlsPeer>)
+    where
+        R: AsyncRead + Unpin,
+        W: AsyncWrite + Unpin,
+    {
+        let listen = &self.context.config.listen;
+        let mut reader = FramedRead::new(read, Frames::new(listen.largest_first_frame));
+        let hello = match self.first_message(&mut reader).await {
+            FirstMessage::Received(hello) => hello,
+            FirstMessage::Invalid(detail) => {
+                return self.reject(reader, write, v1::Reason::BadFrame, &detail).await;
+            }
+            FirstMessage::Missing => return,
+        };
+        reader.decoder_mut().set_largest(listen.largest_frame);
+        let received_at = Instant::now();
+        let Some(admission) = self.admit(&hello, tls_peer) else {
+            sleep_until(received_at + REJECTION_DELAY).await;
+            return self.reject(reader, write, v1::Reason::NotAllowed, Denied::PUBLIC_MESSAGE).await;
+        };
+        self.exchange(reader, write, hello, admission).await;
+    }
+
+    async fn first_message<R: AsyncRead + Unpin>(&self, reader: &mut FrameReader<R>) -> FirstMessage {
+        let (epoch, stream) = (self.context.epoch, self.stream.0);
+        let received = tokio::select! {
+            received = timeout(self.context.config.listen.hello_timeout, reader.next()) => received,
+            () = self.context.shutdown.stop.cancelled() => return FirstMessage::Missing,
+        };
+        match received {
+            Ok(Some(Ok(hello))) => FirstMessage::Received(hello),
+            Ok(None) => FirstMessage::Missing,
+            Ok(Some(Err(error))) => {
+                tracing::warn!(event = "stream_closed", epoch, stream, cause = %error);
+                FirstMessage::Invalid(error.to_string())
+            }
+            Err(_) => {
+                tracing::warn!(event = "stream_closed", epoch, stream, cause = "no Hello in time");
+                FirstMessage::Missing
+            }
+        }
+    }
+
+    /// Admits a proxy to its tenant's engine. None: it is rejected, with the reason in the logs alone.
+    fn admit(&self, first_message: &FromProxy, tls_peer: Option<TlsPeer>) -> Option<Admission> {
+        let (Some(identity), Some(TlsPeer { certificate, handshake })) = (&self.context.identity, tls_peer)
+        else {
+            let engine = self.context.engines.values().next()?.clone();
+            return Some(Admission { engine, grant: None });
+        };
+        let Some(from_proxy::Kind::Hello(hello)) = &first_message.kind else { return None };
+        let grant = match identity.grant(certificate.clone(), &hello.credentials) {
+            Ok(grant) => grant,
+            Err(denied) => {
+                let stream = self.stream.0;
+                tracing::warn!(event = "call_rejected", stream, what = "join", cause = %denied);
+                return None;
+            }
+        };
+        let now = unix_now();
+        let may_join =
+            grant.may_join(&hello.name, &hello.zone, now).and_then(|()| grant.may(Right::ReadTables, now));
+        if let Err(denied) = may_join {
+            identity.record_rejection(&grant, self.peer, "join", denied);
+            return None;
+        }
+        let Some(engine) = self.context.engines.get(&grant.caller().tenant).cloned() else {
+            identity.record_rejection(&grant, self.peer, "join", Denied::Name);
+            return None;
+        };
+        handshake.authenticated();
+        let grant = StreamGrant::new(Arc::clone(identity), certificate, grant, self.peer);
+        Some(Admission { engine, grant: Some(grant) })
+    }
+
+    /// Opens the stream at the engine and exchanges frames until one side ends it.
+    async fn exchange<R, W>(
+        &self,
+        mut reader: FrameReader<R>,
+        write: W,
+        hello: FromProxy,
+        Admission { engine, grant }: Admission,
+    ) where
+        R: AsyncRead + Unpin,
+        W: AsyncWrite + Unpin,
+    {
+        let (stream, epoch) = (self.stream, self.context.epoch);
+        let listen = &self.context.config.listen;
+        // Frames have a largest size, so that their number bounds their bytes.
+        let limits = QueueLimits { messages: listen.frames_waiting_max, bytes: usize::MAX };
+        let (queue, outbound) = SendQueue::new(limits);
+        let cut = self.context.shutdown.kill.child_token();
+        if !engine.open_with(stream, queue.clone(), cut.clone()).await
+            || !engine.send(Input::Frame { stream, frame: hello }).await
+        {
+            return;
+        }
+        let writing = StreamWriter::new(write, outbound, listen, epoch).run();
+        let reading = StreamReader {
+            frames: &mut reader,
+            engine: &engine,
+            stream,
+            epoch,
+            silence_timeout: listen.keepalive * KEEPALIVES_UNTIL_SILENT,
+            grant,
+            queue: queue.downgrade(),
+        };
+        let written = self.run_halves(reading.run(), writing, &engine, &cut).await;
+        engine.send(Input::StreamEnded { stream }).await;
+        match written {
+            // A reset over unread bytes would lose the last frame.
+            Ok(()) if !cut.is_cancelled() => linger(&mut reader, &cut).await,
+            Ok(()) => {}
+            Err(error) => {
+                tracing::warn!(event = "stream_too_slow", epoch, stream = stream.0, cause = %error);
+            }
+        }
+    }
+
+    /// Reads and writes until the writer has ended or the stream is cut. A reader that ends first reports why
+    /// to the engine, which answers with a last frame or by dropping the queue: both end the writer.
+    async fn run_halves(
+        &self,
+        reading: impl Future<Output = Result<(), StreamFault>>,
+        writing: impl Future<Output = Result<(), WriteTimeout>>,
+        engine: &EngineHandle,
+        cut: &CancellationToken,
+    ) -> Result<(), WriteTimeout> {
+        let mut writing = std::pin::pin!(writing);
+        let read = tokio::select! {
+            read = reading => read,
+            written = &mut writing => return written,
+            () = cut.cancelled() => return Ok(()),
+        };
+        let stream = self.stream;
+        let end = match read {
+            Ok(()) => Input::StreamEnded { stream },
+            Err(StreamFault { reason, detail }) => Input::StreamFailed { stream, reason, detail },
+        };
+        engine.send(end).await;
+        tokio::select! {
+            written = writing => written,
+            () = cut.cancelled() => Ok(()),
+        }
+    }
+
+    /// Sends a go-away message as the only frame and closes the connection.
+    async fn reject<R, W>(&self, reader: FrameReader<R>, write: W, reason: v1::Reason, detail: &str)
+    where
+        R: AsyncRead + Unpin,
+        W: AsyncWrite + Unpin,
+    {
+        let go_away = FromConductor::goodbye(self.context.epoch, 0, reason, detail);
+        let last_frame: Bytes = frame(&go_away, usize::MAX).unwrap_or_default();
+        let linger_timeout = self.context.config.listen.write_timeout.min(LINGER_TIMEOUT);
+        tokio::select! {
+            () = lingering_close(reader.into_inner(), write, &last_frame, linger_timeout) => {}
+            () = self.context.shutdown.kill.cancelled() => {}
+        }
+    }
+}
+
+/// Reads and drops what the peer still sends, until it closes its side.
+async fn linger<R: AsyncRead + Unpin>(reader: &mut FrameReader<R>, cut: &CancellationToken) {
+    tokio::select! {
+        // The stream ends either way: how makes no difference.
+        _ = timeout(LINGER_TIMEOUT, drain(reader.get_mut())) => {}
+        () = cut.cancelled() => {}
+    }
+}
--- a/crates/stepspur-conductor/tests/identity.rs
+++ b/crates/stepspur-conductor/tests/identity.rs
@@ -124,7 +124,7 @@
             let issued = self.authority.issue(&Leaf::Caller(uri.into()), now() - 60, life()).unwrap();
             issued.for_tls().unwrap()
         });
-        tls::client(&[self.authority.anchor().unwrap()], own).unwrap()
+        tls::client_config(&[self.authority.anchor().unwrap()], own).unwrap()
     }
 
     fn claims(&self, tenant: &str, name: &str, rights: Rights, seconds: u64) -> Claims {
@@ -257,7 +257,8 @@
     Join::Refused(v1::Reason::NotAllowed, "not allowed".into())
 }
 
-/// Every way to be nobody, or somebody else, looks the same; what is good is bound to its own tenant's servers.
+/// Every way to be nobody, or somebody else, looks the same; what is good is bound to its own tenant's
+/// servers.
 #[tokio::test]
 async fn callers_are_told_apart_and_refusals_look_alike() {
     let keys = Keys::new("callers");
@@ -300,13 +301,15 @@
     // A certificate of an authority that nobody trusts, and plain bytes, end at the handshake.
     let (other, _) = Authority::new("other").unwrap();
     let own = other.issue(&Leaf::Caller("stepspur://north/proxy/a/p".into()), now() - 60, life()).unwrap();
-    let stranger = tls::client(&[keys.authority.anchor().unwrap()], Some(own.for_tls().unwrap())).unwrap();
+    let stranger =
+        tls::client_config(&[keys.authority.anchor().unwrap()], Some(own.for_tls().unwrap())).unwrap();
     assert_eq!(Proxy::join(address, stranger, "p", "a", Vec::new()).await.0, Join::Closed);
     let expired = keys
         .authority
         .issue(&Leaf::Caller("stepspur://north/proxy/a/p".into()), now() - 7200, life())
         .unwrap();
-    let late = tls::client(&[keys.authority.anchor().unwrap()], Some(expired.for_tls().unwrap())).unwrap();
+    let late =
+        tls::client_config(&[keys.authority.anchor().unwrap()], Some(expired.for_tls().unwrap())).unwrap();
     assert_eq!(Proxy::join(address, late, "p", "a", Vec::new()).await.0, Join::Closed);
     conductor.stop().await;
 }
@@ -405,7 +408,7 @@
         let own = leaf.signed_by(&leaf_key, &issuer).unwrap();
         let chain = vec![own.der().clone(), between.der().clone()];
         let key = tokio_rustls::rustls::pki_types::PrivateKeyDer::try_from(leaf_key.serialize_der()).unwrap();
-        let client = tls::client(&[keys.authority.anchor().unwrap()], Some((chain, key))).unwrap();
+        let client = tls::client_config(&[keys.authority.anchor().unwrap()], Some((chain, key))).unwrap();
         assert_eq!(
             Proxy::join(conductor.address(), client, "p", "a", Vec::new()).await.0,
             expected,
@@ -415,8 +418,9 @@
     conductor.stop().await;
 }
 
-/// Server certificate, authority and signing key change under steady traffic: no stream ends, old and new callers
-/// join throughout; a half-written set changes nothing; a revocation ends what rests on the key, and that alone.
+/// Server certificate, authority and signing key change under steady traffic: no stream ends, old and new
+/// callers join throughout; a half-written set changes nothing; a revocation ends what rests on the key, and
+/// that alone.
 #[tokio::test(flavor = "multi_thread")]
 async fn keys_change_under_traffic_and_nobody_is_lost() {
     let mut keys = Keys::new("rotation");
@@ -490,10 +494,11 @@
             "{name}"
         );
     }
-    // The old caller believes both authorities' servers once it has the new anchor; its certificate still holds.
+    // The old caller believes both authorities' servers once it has the new anchor; its certificate still
+    // holds.
     let uri = "stepspur://north/proxy/a/old";
     let own = first.issue(&Leaf::Caller(uri.into()), now() - 60, life()).unwrap().for_tls().unwrap();
-    let retiring = tls::client(&[keys.authority.anchor().unwrap()], Some(own)).unwrap();
+    let retiring = tls::client_config(&[keys.authority.anchor().unwrap()], Some(own)).unwrap();
     assert_eq!(Proxy::join(address, retiring.clone(), "old", "a", Vec::new()).await.0, Join::Bound(6));
     assert!(traffic.iter().all(|t| !t.is_finished()), "a stream was lost by the rotation");
     // Revoked: streams and redials that rest on the key or the authority end.
@@ -517,7 +522,8 @@
     conductor.stop().await;
 }
 
-/// One certificate is revoked by its serial number: its stream ends and its redials are refused, nobody else's.
+/// One certificate is revoked by its serial number: its stream ends and its redials are refused, nobody
+/// else's.
 #[tokio::test]
 async fn a_revoked_certificate_ends_its_stream_and_its_redials() {
     let mut keys = Keys::new("serial");
@@ -526,8 +532,8 @@
     let client = |name: &str| {
         let uri = format!("stepspur://north/proxy/a/{name}");
         let own = keys.authority.issue(&Leaf::Caller(uri), now() - 60, life()).unwrap().for_tls().unwrap();
-        let serial = stepspur_identity::cert::caller(&own.0[0]).unwrap().serial;
-        (tls::client(&[keys.authority.anchor().unwrap()], Some(own)).unwrap(), serial)
+        let serial = stepspur_identity::cert::parse_caller(&own.0[0]).unwrap().serial;
+        (tls::client_config(&[keys.authority.anchor().unwrap()], Some(own)).unwrap(), serial)
     };
     let ((bad, serial), (good, _)) = (client("bad"), client("good"));
     let (_, stream) = Proxy::join(address, bad.clone(), "bad", "a", Vec::new()).await;
@@ -569,7 +575,8 @@
     (status, answer.split("\r\n\r\n").nth(1).unwrap_or_default().to_owned())
 }
 
-/// Every right by every call; a change acts on its own tenant alone and stands in the audit log, refusals too.
+/// Every right by every call; a change acts on its own tenant alone and stands in the audit log, refusals
+/// too.
 #[tokio::test]
 async fn operators_do_what_their_rights_say_and_all_of_it_is_written_down() {
     let mut keys = Keys::new("operators");
@@ -607,7 +614,8 @@
         }
     }
     assert_eq!(call(operators, anyone(), b"", calls[0].0, "").await.0, 403);
-    // What was ordered reaches the proxies of the tenant: the server is out, and half of the reads are let in.
+    // What was ordered reaches the proxies of the tenant: the server is out, and half of the reads are let
+    // in.
     let (mut north, mut south) = (north.1.unwrap(), south.1.unwrap());
     let (mut out, mut capped) = (false, false);
     while !(out && capped) {
@@ -644,8 +652,8 @@
     assert!(count("refused: the right is missing") == 30, "{audit}");
 }
 
-/// The conductor is told to stop between a change that took effect and its line in the audit log: the line is still
-/// written, and the operator answered. The log is a pipe that is full until the test reads it.
+/// The conductor is told to stop between a change that took effect and its line in the audit log: the line is
+/// still written, and the operator answered. The log is a pipe that is full until the test reads it.
 #[tokio::test]
 async fn a_change_that_took_effect_is_written_down_and_answered_though_the_conductor_stops() {
     let keys = Keys::new("stopping");
@@ -687,7 +695,8 @@
     timeout(LONG, stopping).await.expect("it ends").unwrap();
 }
 
-/// Five hundred half-open handshakes of strangers, and known proxies rejoin: without the kept places they could not.
+/// Five hundred half-open handshakes of strangers, and known proxies rejoin: without the kept places they
+/// could not.
 #[tokio::test(flavor = "multi_thread")]
 async fn strangers_never_starve_known_proxies() {
     let keys = Keys::new("flood");
--- a/crates/stepspur-emulator/src/identity.rs
+++ b/crates/stepspur-emulator/src/identity.rs
@@ -1,6 +1,6 @@
 //! Identity for stand-ins: an authority and a signing key of the day's own, in a folder that goes with it.
 
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
 
@@ -38,13 +38,13 @@
     pub fn new() -> Result<Self, KeyError> {
         let nanos = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_nanos();
         let folder = std::env::temp_dir().join(format!("stepspur-keys-{}-{nanos}", std::process::id()));
-        let failed = |e: std::io::Error| KeyError { file: folder.display().to_string(), what: e.to_string() };
+        let failed = |error: std::io::Error| KeyError::new(&folder, error);
         std::fs::create_dir_all(&folder).map_err(failed)?;
         let (authority, _) = Authority::new("rehearsal")?;
         std::fs::write(folder.join("ca.pem"), authority.pem()).map_err(failed)?;
         let server = authority.issue(&Leaf::Server(vec![[127, 0, 0, 1].into()]), now() - 60, DAY)?;
         server.save(&folder, "server")?;
-        let id = KeyId::try_from("day".to_owned()).map_err(|what| KeyError { file: "day".into(), what })?;
+        let id = KeyId::try_from("day".to_owned()).map_err(|error| KeyError::new(Path::new("day"), error))?;
         let signer = Signer::new(id);
         let mut manifest = Manifest {
             issuer: "rehearsal".into(),
@@ -84,7 +84,7 @@
     pub fn client(&self, zone: &str, name: &str) -> Result<Arc<ClientConfig>, KeyError> {
         let uri = format!("stepspur://{TENANT}/proxy/{zone}/{name}");
         let own = self.authority.issue(&Leaf::Caller(uri), now() - 60, DAY)?;
-        tls::client(&[self.authority.anchor()?], Some(own.for_tls()?))
+        tls::client_config(&[self.authority.anchor()?], Some(own.for_tls()?))
     }
 
     /// A proxy's token, from now on.
--- a/crates/stepspur-identity/src/grant.rs
+++ b/crates/stepspur-identity/src/grant.rs
@@ -1,17 +1,17 @@
-//! What a caller may do, from what it showed, for as long as that holds.
+//! Grants: what a caller may do by the credentials that it showed, for as long as those are valid.
 
 use crate::Micros;
 use crate::cert::{CertCaller, Role};
 use crate::keys::{KeyId, KeySet};
 use crate::rights::{Right, Rights};
-use crate::token::Accepted;
+use crate::token::VerifiedToken;
 
-/// Who calls, and with which rights.
+/// A caller and its rights.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Caller {
-    /// The tenant: it learns of no other.
+    /// The caller's tenant: it learns of no other.
     pub tenant: String,
-    /// Its name.
+    /// The caller's name.
     pub name: String,
     /// The zone that it may join in; none: any.
     pub zone: Option<String>,
@@ -19,183 +19,207 @@
     pub rights: Rights,
 }
 
-/// What a grant rests on.
+/// The credentials that a grant rests on: it ends when one of them is revoked.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-struct Basis {
-    key: Option<KeyId>,
-    serial: Option<Vec<u8>>,
+struct Credentials {
+    /// The key that signed the token.
+    signing_key: Option<KeyId>,
+    /// The certificate's serial number.
+    certificate_serial: Option<Vec<u8>>,
 }
 
-/// A caller's rights until they end. They bind on every call.
+/// A caller's rights until their end. They are checked on every call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Grant {
     caller: Caller,
-    basis: Basis,
-    until: Micros,
+    credentials: Credentials,
+    expires_at: Micros,
 }
 
-/// Why a call is refused. For logs and the audit: a caller is told [`Denied::TOLD`] and nothing else.
+/// Why a call is denied. It is for logs and the audit log: the caller gets [`Denied::PUBLIC_MESSAGE`] alone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Denied {
-    /// Nothing was shown that says who calls.
+    /// The caller showed no valid credentials.
     #[error("the caller shows nothing")]
-    Nobody,
+    NoCredentials,
     /// Certificate and token name different callers.
     #[error("certificate and token name different callers")]
-    Mismatch,
-    /// The right is not among the caller's.
+    CallerMismatch,
+    /// The caller lacks the right.
     #[error("the right is missing")]
-    Right,
-    /// A name or zone that is not the caller's.
+    MissingRight,
+    /// The name, zone or tenant is not the caller's.
     #[error("another's name or zone")]
     Name,
-    /// What the grant rests on has ended.
+    /// The credentials have expired.
     #[error("the grant has ended")]
-    Ended,
-    /// What the grant rests on was revoked.
+    Expired,
+    /// The credentials were revoked.
     #[error("the grant was revoked")]
     Revoked,
 }
 
 impl Denied {
-    /// What a caller is told, whatever the reason.
-    pub const TOLD: &'static str = "not allowed";
+    /// What a caller is sent, whatever the reason.
+    pub const PUBLIC_MESSAGE: &'static str = "not allowed";
 }
 
-/// How a grant stands.
+/// Whether a grant is still valid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GrantStatus {
-    /// It holds, and nothing need be done before that time.
-    Holds {
-        /// Look again then.
-        until: Micros,
+    /// It is valid.
+    Valid {
+        /// When the caller should renew it, in microseconds since 1970.
+        renew_at: Micros,
     },
-    /// It ends in so long: the caller should renew.
-    Renew {
-        /// In so long.
-        left: Micros,
+    /// It is valid, but ends soon: the caller should renew it.
+    Expiring {
+        /// The time until its end, in microseconds.
+        remaining: Micros,
     },
-    /// It holds no more.
-    Over(Denied),
+    /// It is no longer valid.
+    Ended(Denied),
 }
 
-/// A caller is told to renew so long before the end.
-pub const EXPIRY_NOTICE: Micros = 60_000_000;
+/// How long before a grant's end its caller is asked to renew it, in microseconds.
+pub const EXPIRY_NOTICE: Micros = 60 * crate::MICROS_PER_SECOND;
 
 impl Grant {
-    /// What a caller may do who shows a certificate, a token, or both. A token's rights count where there is one;
-    /// with both, names and tenants must be the same.
+    /// The grant of a caller that shows a certificate, a token, or both. A token's rights take precedence;
+    /// with both, names and tenants must be the same, and zones where both have one.
     ///
     /// # Errors
-    /// See [`Denied`].
-    pub fn new(cert: Option<CertCaller>, token: Option<Accepted>, keys: &KeySet) -> Result<Self, Denied> {
-        let grant = match (cert, token) {
-            (None, None) => return Err(Denied::Nobody),
-            (Some(cert), None) => Self::of_cert(cert, keys),
-            (None, Some(token)) => Self::of_token(token),
-            (Some(cert), Some(token)) => {
-                let (cert, token) = (Self::of_cert(cert, keys), Self::of_token(token));
-                let zones = match (&cert.caller.zone, &token.caller.zone) {
-                    (Some(a), Some(b)) => a == b,
-                    _ => true,
-                };
-                if cert.caller.tenant != token.caller.tenant
-                    || cert.caller.name != token.caller.name
-                    || !zones
-                {
-                    return Err(Denied::Mismatch);
-                }
-                let zone = cert.caller.zone.or(token.caller.zone);
-                let basis = Basis { key: token.basis.key, serial: cert.basis.serial };
-                Self { caller: Caller { zone, ..token.caller }, basis, until: cert.until.min(token.until) }
+    /// [`Denied::NoCredentials`], [`Denied::CallerMismatch`] or [`Denied::Revoked`].
+    pub fn new(
+        certificate: Option<CertCaller>,
+        token: Option<VerifiedToken>,
+        keys: &KeySet,
+    ) -> Result<Self, Denied> {
+        let grant = match (certificate, token) {
+            (None, None) => return Err(Denied::NoCredentials),
+            (Some(certificate), None) => Self::from_certificate(certificate, keys),
+            (None, Some(token)) => Self::from_token(token),
+            (Some(certificate), Some(token)) => {
+                Self::combine(Self::from_certificate(certificate, keys), Self::from_token(token))?
             }
         };
-        match grant.revoked(keys) {
-            true => Err(Denied::Revoked),
-            false => Ok(grant),
-        }
+        if grant.is_revoked(keys) { Err(Denied::Revoked) } else { Ok(grant) }
     }
 
-    fn of_cert(cert: CertCaller, keys: &KeySet) -> Self {
-        let (name, zone, rights) = match cert.role {
-            Role::Proxy { zone, name } => (name, Some(zone), Rights::PROXY),
+    fn from_certificate(certificate: CertCaller, keys: &KeySet) -> Self {
+        let caller = match certificate.role {
+            Role::Proxy { zone, name } => {
+                Caller { tenant: certificate.tenant, name, zone: Some(zone), rights: Rights::PROXY }
+            }
             Role::Operator { name } => {
-                let rights = keys.operator(&cert.tenant, &name);
-                (name, None, rights)
+                let rights = keys.operator_rights(&certificate.tenant, &name);
+                Caller { tenant: certificate.tenant, name, zone: None, rights }
             }
         };
-        let caller = Caller { tenant: cert.tenant, name, zone, rights };
-        Self { caller, basis: Basis { key: None, serial: Some(cert.serial) }, until: cert.until }
+        let credentials = Credentials { signing_key: None, certificate_serial: Some(certificate.serial) };
+        Self { caller, credentials, expires_at: certificate.expires_at }
     }
 
-    fn of_token(token: Accepted) -> Self {
+    fn from_token(token: VerifiedToken) -> Self {
         let claims = token.claims;
-        let caller =
-            Caller { tenant: claims.tenant, name: claims.sub, zone: claims.zone, rights: claims.rights };
-        Self { caller, basis: Basis { key: Some(token.key), serial: None }, until: token.until }
+        Self {
+            caller: Caller {
+                tenant: claims.tenant,
+                name: claims.sub,
+                zone: claims.zone,
+                rights: claims.rights,
+            },
+            credentials: Credentials { signing_key: Some(token.key), certificate_serial: None },
+            expires_at: token.expires_at,
+        }
+    }
+
+    /// The grant of a caller that shows both, by the token's rights.
+    fn combine(certificate: Self, token: Self) -> Result<Self, Denied> {
+        if !certificate.caller.is_same(&token.caller) {
+            return Err(Denied::CallerMismatch);
+        }
+        Ok(Self {
+            caller: Caller { zone: certificate.caller.zone.or(token.caller.zone), ..token.caller },
+            credentials: Credentials {
+                signing_key: token.credentials.signing_key,
+                certificate_serial: certificate.credentials.certificate_serial,
+            },
+            expires_at: certificate.expires_at.min(token.expires_at),
+        })
     }
 
-    /// Who calls.
+    /// The caller.
     pub fn caller(&self) -> &Caller {
         &self.caller
     }
 
-    /// May the caller do this now? A test of two numbers: it allocates nothing.
+    /// Whether the caller may do this now. This runs on every call: it allocates nothing.
     ///
     /// # Errors
-    /// [`Denied::Ended`] or [`Denied::Right`].
+    /// [`Denied::Expired`] or [`Denied::MissingRight`].
     pub fn may(&self, right: Right, now: Micros) -> Result<(), Denied> {
-        if now >= self.until {
-            return Err(Denied::Ended);
+        if now >= self.expires_at {
+            return Err(Denied::Expired);
         }
-        if self.caller.rights.has(right) { Ok(()) } else { Err(Denied::Right) }
+        if self.caller.rights.has(right) { Ok(()) } else { Err(Denied::MissingRight) }
     }
 
-    /// May the caller join now, by that name, in that zone?
+    /// Whether the caller may join now as the proxy of that name, in that zone.
     ///
     /// # Errors
-    /// As [`Grant::may`], and [`Denied::Name`].
+    /// Those of [`Grant::may`], and [`Denied::Name`].
     pub fn may_join(&self, name: &str, zone: &str, now: Micros) -> Result<(), Denied> {
         self.may(Right::Join, now)?;
-        let own = self.caller.name == name && self.caller.zone.as_ref().is_none_or(|own| own == zone);
-        if own { Ok(()) } else { Err(Denied::Name) }
+        let zone_matches = self.caller.zone.as_ref().is_none_or(|own| own == zone);
+        if self.caller.name == name && zone_matches { Ok(()) } else { Err(Denied::Name) }
     }
 
-    fn revoked(&self, keys: &KeySet) -> bool {
-        let key = self.basis.key.as_ref().is_some_and(|key| keys.verifier(&key.to_string()).is_none());
-        key || self.basis.serial.as_ref().is_some_and(|serial| !keys.believes_serial(serial))
+    fn is_revoked(&self, keys: &KeySet) -> bool {
+        let Credentials { signing_key, certificate_serial } = &self.credentials;
+        let key_revoked = signing_key.as_ref().is_some_and(|id| keys.accepted_key(id).is_none());
+        key_revoked || certificate_serial.as_ref().is_some_and(|serial| keys.is_revoked(serial))
     }
 
-    /// How the grant stands now, under these keys. A clock that jumps back lengthens no grant beyond its end, and
-    /// one that jumps forward ends it: times are compared, never counted down.
+    /// The grant's status now, by these keys. Times are compared, never counted down: a clock that jumps back
+    /// does not extend a grant beyond its end, and one that jumps forward ends it.
     pub fn status(&self, keys: &KeySet, now: Micros) -> GrantStatus {
-        if self.revoked(keys) {
-            return GrantStatus::Over(Denied::Revoked);
+        if self.is_revoked(keys) {
+            return GrantStatus::Ended(Denied::Revoked);
         }
-        if now >= self.until {
-            return GrantStatus::Over(Denied::Ended);
+        if now >= self.expires_at {
+            return GrantStatus::Ended(Denied::Expired);
         }
-        let left = self.until - now;
-        if left <= EXPIRY_NOTICE {
-            GrantStatus::Renew { left }
+        let remaining = self.expires_at - now;
+        if remaining <= EXPIRY_NOTICE {
+            GrantStatus::Expiring { remaining }
         } else {
-            GrantStatus::Holds { until: self.until - EXPIRY_NOTICE }
+            GrantStatus::Valid { renew_at: self.expires_at - EXPIRY_NOTICE }
         }
     }
 
-    /// A renewal in the stream: of the same caller, by rights that may differ.
+    /// Replaces the grant by a newer one of the same caller, whose rights may differ. A zone, once known,
+    /// stays.
     ///
     /// # Errors
-    /// [`Denied::Mismatch`] if it is another's.
+    /// [`Denied::CallerMismatch`] if the newer grant is another caller's.
     pub fn renew(&mut self, new: Grant) -> Result<(), Denied> {
-        let same = self.caller.tenant == new.caller.tenant && self.caller.name == new.caller.name;
-        if !same
-            || self.caller.zone.is_some() && new.caller.zone.is_some() && self.caller.zone != new.caller.zone
-        {
-            return Err(Denied::Mismatch);
+        if !self.caller.is_same(&new.caller) {
+            return Err(Denied::CallerMismatch);
         }
         let zone = self.caller.zone.take().or(new.caller.zone.clone());
         *self = Grant { caller: Caller { zone, ..new.caller }, ..new };
         Ok(())
     }
 }
+
+impl Caller {
+    /// Whether names and tenants are the same, and the zones where both have one.
+    fn is_same(&self, other: &Caller) -> bool {
+        let same_zone = match (&self.zone, &other.zone) {
+            (Some(own), Some(other)) => own == other,
+            _ => true,
+        };
+        self.tenant == other.tenant && self.name == other.name && same_zone
+    }
+}
--- /dev/null
+++ b/crates/stepspur-identity/src/keys/key_id.rs
@@ -0,0 +1,44 @@
+//! Names of signing keys.
+
+use std::fmt;
+
+use serde::{Deserialize, Serialize};
+
+/// The longest name, in bytes.
+const MAX_KEY_ID_BYTES: usize = 64;
+
+/// A key's name: 1 to 64 letters, digits, `-`, `_` or `.`, the first a letter or digit. It is never a path.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[serde(try_from = "String", into = "String")]
+pub struct KeyId(String);
+
+/// A text is not a valid [`KeyId`].
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("a key id is 1 to 64 letters, digits, `-`, `_` or `.`, the first no sign")]
+pub struct InvalidKeyId;
+
+impl TryFrom<String> for KeyId {
+    type Error = InvalidKeyId;
+
+    fn try_from(id: String) -> Result<Self, InvalidKeyId> {
+        let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
+        let starts_well = id.bytes().next().is_some_and(|byte| byte.is_ascii_alphanumeric());
+        if starts_well && id.len() <= MAX_KEY_ID_BYTES && id.bytes().all(is_allowed) {
+            Ok(KeyId(id))
+        } else {
+            Err(InvalidKeyId)
+        }
+    }
+}
+
+impl From<KeyId> for String {
+    fn from(id: KeyId) -> Self {
+        id.0
+    }
+}
+
+impl fmt::Display for KeyId {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(&self.0)
+    }
+}
--- a/crates/stepspur-identity/src/pki.rs
+++ b/crates/stepspur-identity/src/pki.rs
@@ -1,4 +1,4 @@
-//! A small authority, for teams with none of their own, and for tests and rehearsals.
+//! A small certificate authority, for teams that have none, and for tests and the emulator.
 
 use std::net::IpAddr;
 use std::path::Path;
@@ -8,22 +8,27 @@
     BasicConstraints, CertificateParams, DnType, ExtendedKeyUsagePurpose, IsCa, Issuer, KeyPair,
     KeyUsagePurpose, SanType,
 };
-use rustls::pki_types::pem::PemObject;
+use rustls::pki_types::pem::{self, PemObject};
 use rustls::pki_types::{CertificateDer, PrivateKeyDer};
 use zeroize::Zeroizing;
 
-use crate::keys::{KeyError, write_private};
+use crate::keys::{KeyError, KeyFault, write_private};
 
-/// For whom a certificate is.
+/// What errors name in place of a file, for certificates in memory.
+const CERTIFICATE: &str = "certificate";
+/// The same for certificates that were just issued.
+const ISSUED_CERTIFICATE: &str = "issued";
+
+/// The subject of a certificate.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Leaf {
     /// A conductor at these addresses.
     Server(Vec<IpAddr>),
-    /// A caller by its URI, as [`crate::cert`] words it.
+    /// A caller by its URI, in the form of [`crate::cert`].
     Caller(String),
 }
 
-/// A certificate and its private key, as PEM.
+/// An issued certificate and its private key, in PEM.
 pub struct Issued {
     /// The certificate.
     pub certificates: String,
@@ -32,100 +37,112 @@
 }
 
 impl Issued {
-    /// Writes `NAME.pem`, and `NAME.key` for its owner alone; an existing key is never written over.
+    /// Writes `NAME.pem`, and `NAME.key` for its owner alone; an existing key is never overwritten.
     ///
     /// # Errors
-    /// The file's fault.
+    /// The key's file exists, or a file cannot be written.
     pub fn save(&self, folder: &Path, name: &str) -> Result<(), KeyError> {
         write_private(&folder.join(format!("{name}.key")), self.key.as_bytes())?;
         let path = folder.join(format!("{name}.pem"));
-        std::fs::write(&path, &self.certificates)
-            .map_err(|e| KeyError { file: path.display().to_string(), what: e.to_string() })
+        std::fs::write(&path, &self.certificates).map_err(|error| KeyError::new(&path, error))
     }
 
-    /// As TLS takes them.
+    /// The certificate chain and private key for TLS.
     ///
     /// # Errors
-    /// PEM that cannot be read.
+    /// The PEM cannot be parsed.
     pub fn for_tls(&self) -> Result<(Vec<CertificateDer<'static>>, PrivateKeyDer<'static>), KeyError> {
-        let fault =
-            |e: rustls::pki_types::pem::Error| KeyError { file: "issued".into(), what: e.to_string() };
-        let chain = CertificateDer::pem_slice_iter(self.certificates.as_bytes());
-        let chain = chain.collect::<Result<Vec<_>, _>>().map_err(fault)?;
-        Ok((chain, PrivateKeyDer::from_pem_slice(self.key.as_bytes()).map_err(fault)?))
+        let pem_error = |error: pem::Error| {
+            KeyError::new(Path::new(ISSUED_CERTIFICATE), KeyFault::Pem(error.to_string()))
+        };
+        let sections = CertificateDer::pem_slice_iter(self.certificates.as_bytes());
+        let chain = sections.collect::<Result<Vec<_>, _>>().map_err(pem_error)?;
+        let key = PrivateKeyDer::from_pem_slice(self.key.as_bytes()).map_err(pem_error)?;
+        Ok((chain, key))
     }
 }
 
-/// An authority.
+/// A certificate authority.
 pub struct Authority {
     pem: String,
     issuer: Issuer<'static, KeyPair>,
 }
 
-fn fault(e: impl std::fmt::Display) -> KeyError {
-    KeyError { file: "certificate".into(), what: e.to_string() }
-}
-
 impl Authority {
-    /// A new authority, and its private key to keep.
+    /// Creates an authority, and returns its private key in PEM, to be stored.
     ///
     /// # Errors
-    /// None that is known; the library's, if any.
+    /// The key or certificate cannot be generated.
     pub fn new(name: &str) -> Result<(Self, Zeroizing<String>), KeyError> {
-        let key = KeyPair::generate().map_err(fault)?;
+        let key = KeyPair::generate().map_err(generate_error)?;
         let mut params = CertificateParams::default();
         params.distinguished_name.push(DnType::CommonName, name);
         params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
         params.key_usages = vec![KeyUsagePurpose::KeyCertSign, KeyUsagePurpose::CrlSign];
-        let pem = params.self_signed(&key).map_err(fault)?.pem();
-        let secret = Zeroizing::new(key.serialize_pem());
-        Ok((Self { pem, issuer: Issuer::new(params, key) }, secret))
+        let pem = params.self_signed(&key).map_err(generate_error)?.pem();
+        let private_key = Zeroizing::new(key.serialize_pem());
+        Ok((Self { pem, issuer: Issuer::new(params, key) }, private_key))
     }
 
-    /// One that was kept.
+    /// Loads an authority from its certificate and private key in PEM.
     ///
     /// # Errors
-    /// PEM that cannot be read.
+    /// The PEM cannot be parsed.
     pub fn load(pem: &str, key: &str) -> Result<Self, KeyError> {
-        let key = KeyPair::from_pem(key).map_err(fault)?;
-        let issuer = Issuer::from_ca_cert_pem(pem, key).map_err(fault)?;
+        let key = KeyPair::from_pem(key).map_err(generate_error)?;
+        let issuer = Issuer::from_ca_cert_pem(pem, key).map_err(generate_error)?;
         Ok(Self { pem: pem.to_owned(), issuer })
     }
 
-    /// Its certificate, as PEM.
+    /// The authority's certificate in PEM.
     pub fn pem(&self) -> &str {
         &self.pem
     }
 
-    /// Its certificate, as TLS takes it.
+    /// The authority's certificate as a trust anchor for TLS.
     ///
     /// # Errors
-    /// PEM that cannot be read.
+    /// The PEM cannot be parsed.
     pub fn anchor(&self) -> Result<CertificateDer<'static>, KeyError> {
-        CertificateDer::from_pem_slice(self.pem.as_bytes()).map_err(fault)
+        CertificateDer::from_pem_slice(self.pem.as_bytes())
+            .map_err(|error| certificate_error(KeyFault::Pem(error.to_string())))
     }
 
-    /// Issues a certificate that holds from `from` (seconds since 1970) for `life`.
+    /// Issues a certificate that is valid from `not_before_s` (seconds since 1970) for `lifetime`.
     ///
     /// # Errors
-    /// A name that is no URI.
-    pub fn issue(&self, leaf: &Leaf, from: u64, life: Duration) -> Result<Issued, KeyError> {
-        let mut params = CertificateParams::default();
-        let begin = rcgen::date_time_ymd(1970, 1, 1) + Duration::from_secs(from);
-        (params.not_before, params.not_after) = (begin, begin + life);
-        params.key_usages = vec![KeyUsagePurpose::DigitalSignature];
-        match leaf {
-            Leaf::Server(addresses) => {
-                params.extended_key_usages = vec![ExtendedKeyUsagePurpose::ServerAuth];
-                params.subject_alt_names = addresses.iter().map(|ip| SanType::IpAddress(*ip)).collect();
-            }
-            Leaf::Caller(uri) => {
-                params.extended_key_usages = vec![ExtendedKeyUsagePurpose::ClientAuth];
-                params.subject_alt_names = vec![SanType::URI(uri.as_str().try_into().map_err(fault)?)];
-            }
+    /// The caller's name is not a URI, or the key or certificate cannot be generated.
+    pub fn issue(&self, leaf: &Leaf, not_before_s: u64, lifetime: Duration) -> Result<Issued, KeyError> {
+        let mut params = leaf_params(leaf).map_err(generate_error)?;
+        params.not_before = rcgen::date_time_ymd(1970, 1, 1) + Duration::from_secs(not_before_s);
+        params.not_after = params.not_before + lifetime;
+        let key = KeyPair::generate().map_err(generate_error)?;
+        let certificate = params.signed_by(&key, &self.issuer).map_err(generate_error)?;
+        Ok(Issued { certificates: certificate.pem(), key: Zeroizing::new(key.serialize_pem()) })
+    }
+}
+
+/// The usages and names of a leaf certificate.
+fn leaf_params(leaf: &Leaf) -> Result<CertificateParams, rcgen::Error> {
+    let mut params = CertificateParams::default();
+    params.key_usages = vec![KeyUsagePurpose::DigitalSignature];
+    match leaf {
+        Leaf::Server(addresses) => {
+            params.extended_key_usages = vec![ExtendedKeyUsagePurpose::ServerAuth];
+            params.subject_alt_names = addresses.iter().map(|address| SanType::IpAddress(*address)).collect();
+        }
+        Leaf::Caller(uri) => {
+            params.extended_key_usages = vec![ExtendedKeyUsagePurpose::ClientAuth];
+            params.subject_alt_names = vec![SanType::URI(uri.as_str().try_into()?)];
         }
-        let key = KeyPair::generate().map_err(fault)?;
-        let cert = params.signed_by(&key, &self.issuer).map_err(fault)?;
-        Ok(Issued { certificates: cert.pem(), key: Zeroizing::new(key.serialize_pem()) })
     }
+    Ok(params)
+}
+
+fn certificate_error(fault: KeyFault) -> KeyError {
+    KeyError::new(Path::new(CERTIFICATE), fault)
+}
+
+fn generate_error(error: rcgen::Error) -> KeyError {
+    certificate_error(KeyFault::Generate(error))
 }
--- a/crates/stepspur-identity/src/rights.rs
+++ b/crates/stepspur-identity/src/rights.rs
@@ -1,4 +1,4 @@
-//! Rights, and the calls that need them.
+//! Rights of callers, and the calls that need them.
 
 use std::fmt;
 
@@ -8,26 +8,26 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Right {
-    /// Be sent tables and their changes.
+    /// Receive tables and their updates.
     ReadTables,
-    /// Join as a proxy of its zone, and answer marks.
+    /// Join as a proxy of its zone, and acknowledge updates.
     Join,
-    /// Report what was met.
+    /// Send load reports.
     Report,
-    /// Read counts.
+    /// Read the status page.
     ReadStatus,
-    /// Drain, withdraw, level.
+    /// Drain and withdraw servers, set admission levels, propose configuration.
     Change,
     /// Reload keys, read the audit log.
     Administer,
 }
 
 impl Right {
-    /// All of them.
+    /// All rights.
     pub const ALL: [Right; 6] =
         [Right::ReadTables, Right::Join, Right::Report, Right::ReadStatus, Right::Change, Right::Administer];
 
-    /// Its name, as in tokens.
+    /// The right's name, as in tokens.
     pub fn name(self) -> &'static str {
         match self {
             Right::ReadTables => "read_tables",
@@ -39,33 +39,37 @@
         }
     }
 
+    /// The right's bit in a set.
+    const fn bit(self) -> u8 {
+        1 << self as u8
+    }
+
     /// The right of that name.
-    pub fn named(name: &str) -> Option<Right> {
+    pub fn from_name(name: &str) -> Option<Right> {
         Right::ALL.into_iter().find(|right| right.name() == name)
     }
 }
 
-/// A set of rights. Checking one is a test of a bit: it allocates nothing.
+/// A set of rights, a bit for each: checking one allocates nothing.
 #[derive(Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "Vec<Right>", into = "Vec<Right>")]
 pub struct Rights(u8);
 
 impl Rights {
-    /// What a proxy needs.
-    pub const PROXY: Rights =
-        Rights(1 << Right::ReadTables as u8 | 1 << Right::Join as u8 | 1 << Right::Report as u8);
+    /// The rights of a proxy.
+    pub const PROXY: Rights = Rights(Right::ReadTables.bit() | Right::Join.bit() | Right::Report.bit());
 
-    /// True if the right is among them.
+    /// Whether the set contains a right.
     pub fn has(self, right: Right) -> bool {
-        self.0 & (1 << right as u8) != 0
+        self.0 & right.bit() != 0
     }
 
-    /// Those that stand in both.
-    pub fn and(self, other: Rights) -> Rights {
+    /// The rights that both sets contain.
+    pub fn intersection(self, other: Rights) -> Rights {
         Rights(self.0 & other.0)
     }
 
-    /// They, one by one.
+    /// The rights, in the order of [`Right::ALL`].
     pub fn iter(self) -> impl Iterator<Item = Right> {
         Right::ALL.into_iter().filter(move |right| self.has(*right))
     }
@@ -73,7 +77,11 @@
 
 impl FromIterator<Right> for Rights {
     fn from_iter<T: IntoIterator<Item = Right>>(rights: T) -> Self {
-        Rights(rights.into_iter().fold(0, |set, right| set | 1 << right as u8))
+        let mut set = Rights::default();
+        for right in rights {
+            set.0 |= right.bit();
+        }
+        set
     }
 }
 
--- a/crates/stepspur-identity/src/tls.rs
+++ b/crates/stepspur-identity/src/tls.rs
@@ -1,84 +1,115 @@
-//! TLS 1.3 from a set of keys: the server's side, and a client's.
+//! TLS 1.3 from a set of keys: the configurations of servers and clients.
 
+use std::path::Path;
 use std::sync::Arc;
 
+use rustls::crypto::CryptoProvider;
 use rustls::pki_types::{CertificateDer, PrivateKeyDer};
-use rustls::server::{ServerSessionMemoryCache, WebPkiClientVerifier};
+use rustls::server::danger::ClientCertVerifier;
+use rustls::server::{NoClientAuth, ServerSessionMemoryCache, WebPkiClientVerifier};
 use rustls::{ClientConfig, RootCertStore, ServerConfig};
 use serde::{Deserialize, Serialize};
 
-use crate::keys::{KeyError, KeySet, MANIFEST};
+use crate::keys::{KeyError, KeyFault, KeySet, MANIFEST};
 
-/// What is asked of clients.
+/// Whether clients must show certificates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClientCertificates {
-    /// Each shows a certificate of a believed authority.
+    /// Every client must show a certificate of a trusted authority.
     #[default]
     Required,
-    /// One that is shown must be good.
+    /// A client may show a certificate; one that is shown must be of a trusted authority.
     Optional,
-    /// None is asked for: tokens alone say who calls.
+    /// Clients are not asked for certificates: they authenticate by tokens alone.
     Off,
 }
 
-/// Sessions that may be taken up again without a whole handshake.
-const SESSIONS: usize = 32_768;
+/// Sessions that a server keeps for resumption.
+const SESSION_CACHE: usize = 32_768;
+/// Session tickets that a server sends after a handshake.
+const SESSION_TICKETS: usize = 1;
 
-fn fault(what: impl std::fmt::Display) -> KeyError {
-    KeyError { file: MANIFEST.into(), what: what.to_string() }
+/// The configuration of a server. Sessions of an earlier set of keys cannot be resumed: each set has a cache
+/// of its own.
+///
+/// # Errors
+/// The set has no server certificate, or no anchors where client certificates are wanted, or its certificate
+/// and private key don't match.
+pub fn server_config(keys: &KeySet, clients: ClientCertificates) -> Result<Arc<ServerConfig>, KeyError> {
+    build_server_config(keys, clients).map_err(in_manifest)
 }
 
-fn roots<'a>(anchors: impl Iterator<Item = &'a CertificateDer<'static>>) -> Result<RootCertStore, KeyError> {
-    let mut roots = RootCertStore::empty();
-    for anchor in anchors {
-        roots.add(anchor.clone()).map_err(|e| fault(format!("an anchor: {e}")))?;
-    }
-    Ok(roots)
+fn build_server_config(keys: &KeySet, clients: ClientCertificates) -> Result<Arc<ServerConfig>, KeyFault> {
+    let own = keys.server_certificate().ok_or(KeyFault::NoServerCertificate)?;
+    let provider = crypto_provider();
+    let verifier = client_verifier(keys, clients, Arc::clone(&provider))?;
+    let mut config = ServerConfig::builder_with_provider(provider)
+        .with_protocol_versions(&[&rustls::version::TLS13])?
+        .with_client_cert_verifier(verifier)
+        .with_single_cert(own.chain.clone(), own.key.clone_key())?;
+    config.session_storage = ServerSessionMemoryCache::new(SESSION_CACHE);
+    config.send_tls13_tickets = SESSION_TICKETS;
+    Ok(Arc::new(config))
 }
 
-/// The server's side. Sessions of another set are not taken up again: a new set makes new ones.
-///
-/// # Errors
-/// A certificate and key that don't fit, no anchors where certificates are asked for, or no server certificate.
-pub fn server(keys: &KeySet, clients: ClientCertificates) -> Result<Arc<ServerConfig>, KeyError> {
-    let (chain, key) = keys.server().ok_or_else(|| fault("`server` is needed for TLS"))?;
-    let provider = Arc::new(rustls::crypto::ring::default_provider());
-    let builder = ServerConfig::builder_with_provider(Arc::clone(&provider));
-    let builder = builder.with_protocol_versions(&[&rustls::version::TLS13]).map_err(fault)?;
-    let builder = match clients {
-        ClientCertificates::Off => builder.with_no_client_auth(),
-        asked => {
-            let verifier =
-                WebPkiClientVerifier::builder_with_provider(Arc::new(roots(keys.anchors())?), provider);
-            let verifier = match asked {
-                ClientCertificates::Optional => verifier.allow_unauthenticated(),
-                _ => verifier,
-            };
-            builder.with_client_cert_verifier(verifier.build().map_err(|e| fault(format!("anchors: {e}")))?)
-        }
+fn client_verifier(
+    keys: &KeySet,
+    clients: ClientCertificates,
+    provider: Arc<CryptoProvider>,
+) -> Result<Arc<dyn ClientCertVerifier>, KeyFault> {
+    if clients == ClientCertificates::Off {
+        return Ok(Arc::new(NoClientAuth));
+    }
+    let roots = Arc::new(root_store(keys.trusted_anchors())?);
+    let builder = WebPkiClientVerifier::builder_with_provider(roots, provider);
+    let verifier = match clients {
+        ClientCertificates::Optional => builder.allow_unauthenticated().build()?,
+        _ => builder.build()?,
     };
-    let mut config = builder.with_single_cert(chain.to_vec(), key.clone_key()).map_err(fault)?;
-    config.session_storage = ServerSessionMemoryCache::new(SESSIONS);
-    config.send_tls13_tickets = 1;
-    Ok(Arc::new(config))
+    Ok(verifier)
 }
 
-/// A client's side: the authorities that it believes, and its own certificate, if it has one.
+/// The configuration of a client: the authorities that it trusts, and its own certificate, if it has one.
 ///
 /// # Errors
-/// As for the server.
-pub fn client(
+/// An anchor cannot be used, or the client's certificate and private key don't match.
+pub fn client_config(
     anchors: &[CertificateDer<'static>],
     own: Option<(Vec<CertificateDer<'static>>, PrivateKeyDer<'static>)>,
 ) -> Result<Arc<ClientConfig>, KeyError> {
-    let provider = Arc::new(rustls::crypto::ring::default_provider());
-    let builder = ClientConfig::builder_with_provider(provider);
-    let builder = builder.with_protocol_versions(&[&rustls::version::TLS13]).map_err(fault)?;
-    let builder = builder.with_root_certificates(roots(anchors.iter())?);
+    build_client_config(anchors, own).map_err(in_manifest)
+}
+
+fn build_client_config(
+    anchors: &[CertificateDer<'static>],
+    own: Option<(Vec<CertificateDer<'static>>, PrivateKeyDer<'static>)>,
+) -> Result<Arc<ClientConfig>, KeyFault> {
+    let builder = ClientConfig::builder_with_provider(crypto_provider())
+        .with_protocol_versions(&[&rustls::version::TLS13])?
+        .with_root_certificates(root_store(anchors.iter())?);
     let config = match own {
-        Some((chain, key)) => builder.with_client_auth_cert(chain, key).map_err(fault)?,
+        Some((chain, key)) => builder.with_client_auth_cert(chain, key)?,
         None => builder.with_no_client_auth(),
     };
     Ok(Arc::new(config))
 }
+
+fn crypto_provider() -> Arc<CryptoProvider> {
+    Arc::new(rustls::crypto::ring::default_provider())
+}
+
+fn root_store<'a>(
+    anchors: impl Iterator<Item = &'a CertificateDer<'static>>,
+) -> Result<RootCertStore, KeyFault> {
+    let mut roots = RootCertStore::empty();
+    for anchor in anchors {
+        roots.add(anchor.clone()).map_err(KeyFault::Anchor)?;
+    }
+    Ok(roots)
+}
+
+/// All certificates are those that the manifest lists.
+fn in_manifest(fault: KeyFault) -> KeyError {
+    KeyError::new(Path::new(MANIFEST), fault)
+}
--- a/crates/stepspur-identity/tests/fuzz.rs
+++ b/crates/stepspur-identity/tests/fuzz.rs
@@ -1,9 +1,9 @@
-//! Fuzz targets for the parsers that a stranger reaches, by bolero: plain tests over drawn inputs in CI;
+//! Fuzz targets for the parsers of unauthenticated input, by bolero: plain tests over random inputs in CI;
 //! `cargo bolero test -p stepspur-identity TARGET` drives them by coverage.
 
 use stepspur_identity::cert;
 use stepspur_identity::keys::{KeySet, Manifest, write_manifest};
-use stepspur_identity::token::{Terms, inspect, verify};
+use stepspur_identity::token::{TokenPolicy, decode_unverified, verify};
 
 #[test]
 fn fuzz_token() {
@@ -13,8 +13,8 @@
     write_manifest(&folder, &manifest).unwrap();
     let keys = KeySet::load(&folder).unwrap();
     bolero::check!().for_each(|bytes: &[u8]| {
-        assert!(verify(bytes, &keys, Terms::default(), 1).is_err(), "no key is known");
-        let _ = inspect(bytes);
+        assert!(verify(bytes, &keys, TokenPolicy::default(), 1).is_err(), "no key is known");
+        let _ = decode_unverified(bytes);
     });
     let _ = std::fs::remove_dir_all(&folder);
 }
@@ -22,6 +22,6 @@
 #[test]
 fn fuzz_certificate() {
     bolero::check!().for_each(|bytes: &[u8]| {
-        let _ = cert::caller(bytes);
+        let _ = cert::parse_caller(bytes);
     });
 }
--- a/crates/stepspur-platform/src/lib.rs
+++ b/crates/stepspur-platform/src/lib.rs
@@ -1,7 +1,7 @@
 //! The users' platform as one more way in and out of the conductor.
 //!
 //! [`message`] and [`dialect`] are its messages, sans-IO; [`config`] is what a conductor is told there at its start;
-//! [`discovery`] is its list of servers as a [`stepspur_conductor::source::NodeSource`]; [`listener`] takes in proxies and
+//! [`discovery`] is its list of servers as a [`stepspur_conductor::source::ServiceDiscovery`]; [`listener`] takes in proxies and
 //! collectors. No decision stands here. `docs/platform.md` says how to run it.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -34,11 +34,11 @@
         config: config.conductor,
         settings: config.settings,
         seed: config.seed,
-        dialect: Box::new(dialect::Lines::new(config.catalog.classes)),
-        read_load: message::probe_load,
-        known: config.known.entries,
+        protocol: Box::new(dialect::Lines::new(config.catalog.classes)),
+        parse_load_report: message::probe_load,
+        cached_endpoints: config.known.entries,
         source: Box::new(source),
         listener: Box::new(listener),
-        grace: GRACE,
+        shutdown_grace: GRACE,
     }
 }
--- a/crates/stepspur-platform/src/listener.rs
+++ b/crates/stepspur-platform/src/listener.rs
@@ -8,7 +8,7 @@
 use bytes::BytesMut;
 use stepspur_conductor::engine::{Input, StreamId};
 use stepspur_conductor::service::{
-    EngineHandle, Listener, OutboundMessage, QueuedMessage, SendQueueReceiver, Shutdown, lingering_close,
+    EngineHandle, Listener, OutboundMessage, QueueLimits, SendQueueReceiver, Shutdown, lingering_close,
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
@@ -25,7 +25,7 @@
 /// A connection that is closed in order is closed in any case after this.
 const LINGER: Duration = Duration::from_millis(200);
 /// What may wait for a proxy that does not read. The platform itself resets whoever leaves 128 KiB unread.
-const WAITING: QueuedMessage = QueuedMessage { messages: 512, bytes: 256 << 10 };
+const WAITING: QueueLimits = QueueLimits { messages: 512, bytes: 256 << 10 };
 /// Heartbeats that may wait to be answered.
 const HEARTBEATS: usize = 64;
 /// Bytes written in one go, and kept for one connection at most.
@@ -162,7 +162,7 @@
         if let Joined::Proxy { proxy, zone, rate, fresh } = joined {
             outgoing = engine.open(stream, WAITING, self.cut.clone()).await;
             if outgoing.is_none()
-                || !engine.tell(Input::ProxyConnected { stream, proxy, zone, rate, fresh }).await
+                || !engine.send(Input::ProxyConnected { stream, proxy, zone, rate, fresh }).await
             {
                 return self.close(read, write, b"").await;
             }
@@ -177,7 +177,7 @@
             () = self.stop.cancelled(), if !is_proxy => true,
         };
         if is_proxy {
-            engine.tell(Input::StreamEnded { stream }).await;
+            engine.send(Input::StreamEnded { stream }).await;
         }
         if in_order {
             self.close(read, write, b"").await;
@@ -229,7 +229,7 @@
 
     /// Tells the engine. Once that has ended nothing more is read: what the stream is still owed is being written.
     async fn tell(&self, input: Input) {
-        if !self.engine.tell(input).await {
+        if !self.engine.send(input).await {
             std::future::pending().await
         }
     }
--- a/crates/stepspur-platform/tests/common/mod.rs
+++ b/crates/stepspur-platform/tests/common/mod.rs
@@ -61,7 +61,7 @@
 pub(crate) async fn start(file: &Value) -> (Conductor, watch::Sender<SocketAddr>) {
     let config = load(file);
     let (discovery, newest) = watch::channel(config.discovery);
-    (Conductor::start_front(front(config, newest)).await.unwrap(), discovery)
+    (Conductor::start_protocol_server(front(config, newest)).await.unwrap(), discovery)
 }
 
 /// How a stand-in treats a call.
--- a/crates/stepspur-platform/tests/endings.rs
+++ b/crates/stepspur-platform/tests/endings.rs
@@ -82,9 +82,9 @@
     let (_, newest) = watch::channel(config.discovery);
     let lines = dialect::Lines::new(config.catalog.classes.clone());
     let mut front = front(config, newest);
-    front.dialect = Box::new(Padded(lines, padding));
-    front.grace = SOON;
-    let conductor = Conductor::start_front(front).await.unwrap();
+    front.protocol = Box::new(Padded(lines, padding));
+    front.shutdown_grace = SOON;
+    let conductor = Conductor::start_protocol_server(front).await.unwrap();
     counts(&conductor, |s| s.servers[0] == 4).await;
     (conductor, discovery)
 }
@@ -180,8 +180,8 @@
     let (_, newest) = watch::channel(config.discovery);
     let lines = dialect::Lines::new(config.catalog.classes.clone());
     let mut front = front(config, newest);
-    front.dialect = Box::new(Padded(lines, HUGE));
-    let conductor = Conductor::start_front(front).await.unwrap();
+    front.protocol = Box::new(Padded(lines, HUGE));
+    let conductor = Conductor::start_protocol_server(front).await.unwrap();
     counts(&conductor, |s| s.servers[0] == 1).await;
     let proxy = deaf(&conductor, 0).await;
     timeout(SOON, proxy.peek(&mut [0; 1])).await.expect("an order begins").unwrap();
@@ -304,8 +304,8 @@
     let ((gate, is_open), (reached, mut stands)) = (std::sync::mpsc::channel(), mpsc::channel(1));
     let lines = dialect::Lines::new(config.catalog.classes.clone());
     let mut front = front(config, newest);
-    front.dialect = Box::new(Gated(lines, Mutex::new(is_open), reached));
-    let conductor = Conductor::start_front(front).await.unwrap();
+    front.protocol = Box::new(Gated(lines, Mutex::new(is_open), reached));
+    let conductor = Conductor::start_protocol_server(front).await.unwrap();
     counts(&conductor, |s| s.servers[0] == 1).await;
     let _proxy = deaf(&conductor, 0).await;
     timeout(SOON, stands.recv()).await.expect("the engine stands still");
--- a/crates/stepspur-scale/src/fleet/operators.rs
+++ b/crates/stepspur-scale/src/fleet/operators.rs
@@ -96,7 +96,7 @@
     /// # Errors
     /// Keys that make no client.
     pub(crate) fn operator(&self, endpoints: Vec<SocketAddr>) -> anyhow::Result<Operator> {
-        let client = tls::client(&[self.authority.anchor()?], None)?;
+        let client = tls::client_config(&[self.authority.anchor()?], None)?;
         Ok(Operator { client, token: self.token(), endpoints, current: 0, connections: BTreeMap::new() })
     }
 }
