--- a/crates/stepspur-cli/src/main.rs
+++ b/crates/stepspur-cli/src/main.rs
@@ -7,7 +7,7 @@
 mod bench;
 mod fleet;
 mod keys;
-mod logs;
+mod logging;
 mod model_bench;
 mod platform;
 mod play;
@@ -21,7 +21,7 @@
 
 use clap::{Args, Parser, Subcommand};
 
-use logs::Logs;
+use logging::Logs;
 
 /// Directs the traffic of a fleet of sidecar proxies.
 #[derive(Debug, Parser)]
