--- a/crates/stepspur-conductor/src/service/distribution/apply.rs
+++ b/crates/stepspur-conductor/src/service/distribution/apply.rs
@@ -17,7 +17,7 @@
 use tokio::time::timeout;
 
 use super::super::engine_handle::{EngineHandle, EnginesByTenant, OperateError};
-use crate::engine::{HoldKind, Operation, OperationError};
+use crate::engine::{OverrideState, Operation, OperationError};
 
 /// How long an engine may take to execute an order; the subscriber retries later. It waits for two seconds
 /// itself.
@@ -184,14 +184,14 @@
     }
 }
 
-fn hold(server: SocketAddr, kind: HoldKind, on: bool) -> Operation {
-    Operation::Hold { server, kind, on }
+fn hold(server: SocketAddr, kind: OverrideState, on: bool) -> Operation {
+    Operation::Override { server, state: kind, on }
 }
 
-fn hold_kind(setting: Setting) -> Result<HoldKind, ApplyError> {
+fn hold_kind(setting: Setting) -> Result<OverrideState, ApplyError> {
     match setting {
-        Setting::Draining => Ok(HoldKind::Draining),
-        Setting::Withdrawn => Ok(HoldKind::Withdrawn),
+        Setting::Draining => Ok(OverrideState::Draining),
+        Setting::Withdrawn => Ok(OverrideState::Removed),
         Setting::LevelPpm(_) => Err(ApplyError::Mismatch),
     }
 }
--- a/crates/stepspur-conductor/src/service/distribution/mod.rs
+++ b/crates/stepspur-conductor/src/service/distribution/mod.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use serde::Serialize;
-use stepspur_consensus_node::{Net, Tcp};
+use stepspur_consensus_node::{Transport, Tcp};
 use stepspur_distribution::config::{
     ControlConfig, ControlMemberAddress, Distribution as Settings, SubscriberConfig,
 };
@@ -86,7 +86,7 @@
         seed: u64,
     ) -> Result<Self, StartError> {
         let Some(Settings { control, subscriber }) = &config.distribution else { return Ok(Self::default()) };
-        let network: Arc<dyn Net> = Arc::new(Tcp);
+        let network: Arc<dyn Transport> = Arc::new(Tcp);
         let control = match (control, &member.replication) {
             (Some(settings), Some(replication)) => {
                 let control = start_control(settings, replication, Arc::clone(&network)).await?;
@@ -145,7 +145,7 @@
 async fn start_control(
     config: &ControlConfig,
     replication: &ReplicationClient,
-    network: Arc<dyn Net>,
+    network: Arc<dyn Transport>,
 ) -> Result<Control, StartError> {
     let id = replication.peers().id().0;
     let own = config.place(id);
@@ -165,7 +165,7 @@
 async fn start_subscriber(
     config: &SubscriberConfig,
     engines: Arc<TenantEngines>,
-    network: Arc<dyn Net>,
+    network: Arc<dyn Transport>,
     seed: u64,
 ) -> Result<RunningSubscriber, StartError> {
     let interest = config.interest()?;
--- a/crates/stepspur-conductor/src/service/engine_tasks.rs
+++ b/crates/stepspur-conductor/src/service/engine_tasks.rs
@@ -47,7 +47,7 @@
 
         let now = self.clock.now();
         let engine =
-            Engine::with(self.config.clone(), self.settings, self.protocol, self.epoch, self.seed, now);
+            Engine::with_protocol(self.config.clone(), self.settings, self.protocol, self.epoch, self.seed, now);
         let outputs = EngineOutputs { discovery, probes: probe_sender };
         let engine_task = EngineTask::new(engine, self.clock, commands, outputs, stop.clone());
         supervisor.spawn_engine(engine_tasks, engine_task.run());
--- a/crates/stepspur-conductor/src/service/operator/council.rs
+++ b/crates/stepspur-conductor/src/service/operator/council.rs
@@ -43,14 +43,14 @@
 async fn add(call: Call, body: String) -> Result<Response, CallError> {
     let call = call.authorize(Right::Administer, "council add")?;
     let MemberRequest { member } = parse_body(&body)?;
-    let result = node(&call)?.change(MembershipChange::Add(MemberId(member))).await;
+    let result = node(&call)?.change_membership(MembershipChange::Add(MemberId(member))).await;
     Ok(call.answer(format!("council add {member}"), outcome(result)).await)
 }
 
 async fn remove(call: Call, body: String) -> Result<Response, CallError> {
     let call = call.authorize(Right::Administer, "council remove")?;
     let MemberRequest { member } = parse_body(&body)?;
-    let result = node(&call)?.change(MembershipChange::Remove(MemberId(member))).await;
+    let result = node(&call)?.change_membership(MembershipChange::Remove(MemberId(member))).await;
     Ok(call.answer(format!("council remove {member}"), outcome(result)).await)
 }
 
--- a/crates/stepspur-conductor/src/service/protocol_server.rs
+++ b/crates/stepspur-conductor/src/service/protocol_server.rs
@@ -79,7 +79,7 @@
         };
         let engine = tasks.start(server.source, &supervisor, &mut engine_tasks);
         // The queue is new, so that this does not wait.
-        let cached = Input::EndpointList { how: ListUpdate::Cached, entries: server.cached_endpoints };
+        let cached = Input::EndpointList { update: ListUpdate::Cached, entries: server.cached_endpoints };
         engine.send(cached).await;
         let accept = server.listener.run(bound.listener, engine.clone(), supervisor.shutdown.clone());
         supervisor.spawn(TaskName::ProxyListener, accept);
--- a/crates/stepspur-consensus-storage/tests/format.rs
+++ b/crates/stepspur-consensus-storage/tests/format.rs
@@ -56,7 +56,7 @@
     let base = Snapshot { index: Index(1), term: Term(1), voters, state: Bytes::new() };
     assert_eq!(**state.log.base(), base);
     assert_eq!(state.log.last_index(), Index(6));
-    let first = Entry { index: Index(2), term: Term(2), payload: Payload::Nothing };
+    let first = Entry { index: Index(2), term: Term(2), payload: Payload::Empty };
     assert_eq!(state.log.get(Index(2)), Some(&first));
     for index in 3..=6 {
         // Index, term and variant take a byte each, and so does the length of the command.
--- a/crates/stepspur-platform/tests/endings.rs
+++ b/crates/stepspur-platform/tests/endings.rs
@@ -85,7 +85,7 @@
     front.protocol = Box::new(Padded(lines, padding));
     front.shutdown_grace = SOON;
     let conductor = Conductor::start_protocol_server(front).await.unwrap();
-    counts(&conductor, |s| s.servers[0] == 4).await;
+    counts(&conductor, |s| s.servers.ready == 4).await;
     (conductor, discovery)
 }
 
@@ -182,7 +182,7 @@
     let mut front = front(config, newest);
     front.protocol = Box::new(Padded(lines, HUGE));
     let conductor = Conductor::start_protocol_server(front).await.unwrap();
-    counts(&conductor, |s| s.servers[0] == 1).await;
+    counts(&conductor, |s| s.servers.ready == 1).await;
     let proxy = deaf(&conductor, 0).await;
     timeout(SOON, proxy.peek(&mut [0; 1])).await.expect("an order begins").unwrap();
     timeout(SOON, conductor.stop()).await.expect("it ends all the same");
@@ -306,7 +306,7 @@
     let mut front = front(config, newest);
     front.protocol = Box::new(Gated(lines, Mutex::new(is_open), reached));
     let conductor = Conductor::start_protocol_server(front).await.unwrap();
-    counts(&conductor, |s| s.servers[0] == 1).await;
+    counts(&conductor, |s| s.servers.ready == 1).await;
     let _proxy = deaf(&conductor, 0).await;
     timeout(SOON, stands.recv()).await.expect("the engine stands still");
     let mut collector = TcpStream::connect(conductor.address()).await.unwrap();
