--- a/crates/stepspur-conductor/src/service/distribution/mod.rs
+++ b/crates/stepspur-conductor/src/service/distribution/mod.rs
@@ -176,7 +176,7 @@
     shared: &ReplicationClient,
     net: Arc<dyn Net>,
 ) -> Result<Control, StartError> {
-    let id = shared.peers().id().0;
+    let id = shared.node().id().0;
     let own = set.place(id);
     let settings = ControlSettings {
         id,
--- a/crates/stepspur-distribution/src/book.rs
+++ b/crates/stepspur-distribution/src/book.rs
@@ -12,7 +12,7 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 use stepspur_consensus::LogPosition;
-use stepspur_replication::{Rejection, ReplicatedStateMachine, StateMachineId};
+use stepspur_replication::{Rejection, ReplicatedStateMachine, RestoreError, StateMachineId};
 
 pub use self::command::{
     Command, CommandError, MAX_CHANGES, MAX_REGISTRATION_BYTES, MAX_REGISTRATIONS, Registration,
@@ -172,10 +172,11 @@
         postcard::to_stdvec(&self.whole()).unwrap_or_default()
     }
 
-    fn restore(&mut self, _: u16, part: &[u8]) -> Result<(), String> {
+    fn restore(&mut self, _: u16, part: &[u8]) -> Result<(), RestoreError> {
         *self = match part.is_empty() {
             true => Self::default(),
-            false => Self::from_whole(postcard::from_bytes(part).map_err(|cause| cause.to_string())?)?,
+            false => Self::from_whole(postcard::from_bytes(part).map_err(RestoreError::new)?)
+                .map_err(RestoreError::new)?,
         };
         Ok(())
     }
--- a/crates/stepspur-distribution/src/control/mod.rs
+++ b/crates/stepspur-distribution/src/control/mod.rs
@@ -116,7 +116,7 @@
         net: Arc<dyn Net>,
     ) -> Result<Self, ControlStartError> {
         settings.check()?;
-        if shared.books().version(CONFIGURATION).is_none() {
+        if shared.registry().version(CONFIGURATION).is_none() {
             return Err(ControlStartError::NoBook);
         }
         let at = settings.listen;
@@ -236,7 +236,7 @@
 
 /// Holds what the council applies against the attached subscribers, until stopped.
 async fn evaluate(member: Arc<Member>, stop: CancellationToken) {
-    let mut progress = member.shared.peers().applied();
+    let mut progress = member.shared.node().applied();
     loop {
         member.registry.evaluate();
         tokio::select! {
--- a/crates/stepspur-distribution/src/control/propose.rs
+++ b/crates/stepspur-distribution/src/control/propose.rs
@@ -52,7 +52,7 @@
     fn from(failed: ReplicationError) -> Self {
         match failed {
             ReplicationError::Full { after } => Self::Full { after },
-            ReplicationError::Senseless(why) => Self::TooLarge(why),
+            ReplicationError::InvalidCommand(invalid) => Self::TooLarge(invalid.to_string()),
             ReplicationError::Refused(refusal) => Self::Refused(refusal.0),
             ReplicationError::Unknown(id) => Self::Unknown { id },
             ReplicationError::TooOld(id) => Self::TooOld { id },
--- a/crates/stepspur-distribution/src/control/registry.rs
+++ b/crates/stepspur-distribution/src/control/registry.rs
@@ -206,7 +206,7 @@
 
     /// Looks at the book as it stands here.
     pub(crate) fn look<T: Default>(&self, look: impl FnOnce(&ConfigurationState) -> T) -> T {
-        self.shared.books().inspect(CONFIGURATION, look).unwrap_or_default()
+        self.shared.registry().inspect(CONFIGURATION, look).unwrap_or_default()
     }
 
     /// Takes a subscriber. A newer connection ends an older one of the same name.
--- a/crates/stepspur-distribution/src/control/reporter.rs
+++ b/crates/stepspur-distribution/src/control/reporter.rs
@@ -81,7 +81,7 @@
 
 /// Who leads the council, as far as this member knows.
 pub(super) async fn leader_of(member: &Member) -> Option<u64> {
-    let status = timeout(WITHIN, member.shared.peers().status()).await;
+    let status = timeout(WITHIN, member.shared.node().status()).await;
     status.ok()?.ok()?.leader.map(|leader| leader.0)
 }
 
--- a/crates/stepspur-distribution/src/control/session.rs
+++ b/crates/stepspur-distribution/src/control/session.rs
@@ -95,7 +95,7 @@
 /// Waits until this member has reached a version; where it does not in time, its head.
 async fn reaches(member: &Member, version: Version) -> Result<(), Version> {
     let until = Instant::now() + CLAIM_WITHIN;
-    let mut progress = member.shared.peers().applied();
+    let mut progress = member.shared.node().applied();
     loop {
         progress.mark_unchanged();
         let head = member.registry.look(ConfigurationState::head);
--- a/crates/stepspur-distribution/tests/control/support.rs
+++ b/crates/stepspur-distribution/tests/control/support.rs
@@ -159,7 +159,7 @@
     /// The leader hands the lead over, and lives on.
     pub(crate) async fn hand_over(&self, from: u64, to: u64) {
         let waits = Instant::now() + PATIENCE;
-        while self.shared[&from].peers().transfer_leadership(MemberId(to)).await.unwrap().is_err() {
+        while self.shared[&from].node().transfer_leadership(MemberId(to)).await.unwrap().is_err() {
             assert!(Instant::now() < waits, "it hands nothing over");
             sleep(Duration::from_millis(100)).await;
         }
--- a/crates/stepspur-fault-tests/src/fleet.rs
+++ b/crates/stepspur-fault-tests/src/fleet.rs
@@ -199,7 +199,7 @@
         loop {
             let mut votes: BTreeMap<MemberId, usize> = BTreeMap::new();
             for id in self.running() {
-                if let Ok(status) = self.shared(id).peers().status().await
+                if let Ok(status) = self.shared(id).node().status().await
                     && let Some(leader) = status.leader.filter(|_| status.votes && !status.retired)
                 {
                     *votes.entry(leader).or_default() += 1;
@@ -303,7 +303,7 @@
         loop {
             let digests: Vec<_> = self.running().into_iter().map(|id| self.shared(id)).collect();
             let digests: Vec<_> =
-                digests.iter().map(|s| (s.books().applied(), s.books().digests())).collect();
+                digests.iter().map(|s| (s.registry().applied(), s.registry().digests())).collect();
             if digests.windows(2).all(|two| two[0] == two[1]) {
                 return;
             }
@@ -326,8 +326,7 @@
 ) -> Result<u32, ReplicationError> {
     let body = postcard::to_stdvec(&Add(name.to_owned(), more)).unwrap_or_default();
     let answer = shared.propose(id, TALLY, "tests", &body, within).await?;
-    let sum = answer.as_slice().try_into().map(u32::from_be_bytes);
-    sum.map_err(|_| ReplicationError::Senseless("an answer that is no sum".to_owned()))
+    Ok(u32::from_be_bytes(answer.as_slice().try_into().expect("the answer is a sum of four bytes")))
 }
 
 /// Reads the sum under a name by a member's handle, linearizably.
--- a/crates/stepspur-fault-tests/src/tally.rs
+++ b/crates/stepspur-fault-tests/src/tally.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 use stepspur_consensus::LogPosition;
-use stepspur_replication::{Rejection, ReplicatedStateMachine, StateMachineId};
+use stepspur_replication::{Rejection, ReplicatedStateMachine, RestoreError, StateMachineId};
 
 /// The number of the book of sums.
 pub const TALLY: StateMachineId = StateMachineId(9_000);
@@ -54,10 +54,10 @@
         postcard::to_stdvec(&self.sums).unwrap_or_default()
     }
 
-    fn restore(&mut self, _: u16, part: &[u8]) -> Result<(), String> {
+    fn restore(&mut self, _: u16, part: &[u8]) -> Result<(), RestoreError> {
         self.sums = match part.is_empty() {
             true => BTreeMap::new(),
-            false => postcard::from_bytes(part).map_err(|cause| cause.to_string())?,
+            false => postcard::from_bytes(part).map_err(RestoreError::new)?,
         };
         Ok(())
     }
--- a/crates/stepspur-fault-tests/tests/idle.rs
+++ b/crates/stepspur-fault-tests/tests/idle.rs
@@ -45,7 +45,7 @@
 ) {
     let end = Instant::now() + Duration::from_secs(60);
     loop {
-        let status = fleet.shared(id).peers().status().await.expect("it runs");
+        let status = fleet.shared(id).node().status().await.expect("it runs");
         if wanted(&status) {
             return;
         }
@@ -107,10 +107,10 @@
                 // At another place of each fetch's span every time.
                 sleep(Duration::from_millis(u64::from(change) * 37 % 1_000)).await;
                 fleet.add(leader, "north", 1, Duration::from_secs(5)).await.expect("agreed");
-                let agreed = fleet.shared(leader).books().applied();
+                let agreed = fleet.shared(leader).registry().applied();
                 let from = Instant::now();
                 for id in 4..=3 + learners {
-                    let mut applied = fleet.shared(MemberId(id)).peers().applied();
+                    let mut applied = fleet.shared(MemberId(id)).node().applied();
                     applied.wait_for(|at| at.index >= agreed).await.expect("it runs");
                 }
                 sum += from.elapsed();
--- a/crates/stepspur-fault-tests/tests/processes.rs
+++ b/crates/stepspur-fault-tests/tests/processes.rs
@@ -100,7 +100,7 @@
             }
             Request::Read(name) => sum(stepspur_fault_tests::read(&shared, &name, WITHIN).await),
             Request::Leader => {
-                let status = shared.peers().status().await.expect("it runs");
+                let status = shared.node().status().await.expect("it runs");
                 Answer::Leader(status.leader.filter(|_| status.votes).map(|m| m.0))
             }
         };
--- a/crates/stepspur-fault-tests/tests/random.rs
+++ b/crates/stepspur-fault-tests/tests/random.rs
@@ -69,7 +69,7 @@
     if let Err(broken) = fleet.history().judge() {
         panic!("seed {seed}: {broken}");
     }
-    let digests = fleet.shared(MemberId(1)).books().digests();
+    let digests = fleet.shared(MemberId(1)).registry().digests();
     (format!("{:?} {digests:?}", fleet.history()), fleet.history().len())
 }
 
--- a/crates/stepspur-fault-tests/tests/stories.rs
+++ b/crates/stepspur-fault-tests/tests/stories.rs
@@ -244,7 +244,7 @@
 #[then(regex = r"^(.+) stops, as (.+)$")]
 async fn stops(story: &mut Story, who: String, why: String) {
     let who = story.who(&who).await;
-    let mut progress = story.fleet().shared(who).peers().applied();
+    let mut progress = story.fleet().shared(who).node().applied();
     let until = Instant::now() + Duration::from_secs(10);
     let stopped = timeout_at(until, progress.wait_for(|now| now.stopped.is_some())).await;
     let stopped = stopped.expect("it stops in time").expect("it runs").stopped.clone();
--- /dev/null
+++ b/crates/stepspur-replication/src/client.rs
@@ -0,0 +1,274 @@
+//! The handle of a running member: proposals and reads.
+
+use std::sync::Arc;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::time::Duration;
+
+use bytes::Bytes;
+use stepspur_consensus::Index;
+use stepspur_consensus_node::NodeHandle;
+use tokio::task::JoinHandle;
+use tokio::time::{Instant, sleep, timeout, timeout_at};
+
+use crate::command::{Command, MAX_BODY_BYTES, OperationId, Outcome};
+use crate::proposal_limiter::{ProposalLimiter, ProposalLimits, ProposalPermit};
+use crate::registry::{OutcomeWaiter, StateMachineRegistry};
+use crate::state_machine::{Rejection, ReplicatedStateMachine, StateMachineId};
+
+/// While no leader is known, the leader is looked for this many times per retry interval.
+const LEADER_POLLS_PER_RETRY: u32 = 8;
+
+/// Why a proposal or a read has no result.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ReplicationError {
+    /// Too many proposals are in flight: nothing was proposed.
+    #[error("too much is under way; come again after {after:?}")]
+    Full {
+        /// When to retry.
+        after: Duration,
+    },
+    /// The body is too large or the state machine unknown: nothing was proposed.
+    #[error("no such command: {0}")]
+    InvalidCommand(#[from] InvalidCommand),
+    /// The rules of the state machine reject the command, at every member. The state is unchanged.
+    #[error("refused: {0}")]
+    Refused(#[from] Rejection),
+    /// No outcome came in time: the operation may have taken effect, or may yet. It can be proposed again under this id
+    /// and takes effect once.
+    #[error("the outcome of {0} is unknown")]
+    Unknown(OperationId),
+    /// The operation came so late that the outcome of an earlier proposal may be discarded. It was not applied now.
+    #[error("{0} is too old to be told from what was forgotten")]
+    TooOld(OperationId),
+    /// No leader answered in time.
+    #[error("no leader answered in time")]
+    NoLeader,
+    /// The member has stopped applying entries, for the reason that its node gives.
+    #[error("this member has stopped: {0}")]
+    Stopped(String),
+}
+
+/// Why a command cannot be proposed.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum InvalidCommand {
+    /// The body is longer than [`MAX_BODY_BYTES`].
+    #[error("{0} bytes, {MAX_BODY_BYTES} at most")]
+    TooLarge(usize),
+    /// This member has no such state machine, or none of the expected type.
+    #[error("state machine {0} is not known here")]
+    UnknownStateMachine(StateMachineId),
+}
+
+/// How recent a stale read is.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct StaleRead {
+    /// The last entry that this member has applied.
+    pub applied: Index,
+    /// The time since it last applied an entry, by its own clock. Entries that were committed elsewhere meanwhile are
+    /// not visible here.
+    pub since: Duration,
+}
+
+/// Proposes to and reads from the state machines of a running member.
+#[derive(Clone)]
+pub struct ReplicationClient {
+    node: Arc<NodeHandle>,
+    registry: StateMachineRegistry,
+    limits: ProposalLimits,
+    limiter: ProposalLimiter,
+    incarnation: u64,
+    next_operation: Arc<AtomicU64>,
+    last_applied: Arc<LastApplied>,
+}
+
+/// Records when the member last applied an entry. Its task ends when this is dropped.
+struct LastApplied {
+    origin: Instant,
+    /// Milliseconds from `origin`.
+    millis: Arc<AtomicU64>,
+    task: JoinHandle<()>,
+}
+
+impl LastApplied {
+    fn record(node: &NodeHandle) -> Self {
+        let origin = Instant::now();
+        let millis = Arc::new(AtomicU64::new(0));
+        let recorded = Arc::clone(&millis);
+        let mut progress = node.applied();
+        let task = tokio::spawn(async move {
+            while progress.changed().await.is_ok() {
+                recorded.store(saturating_millis(origin.elapsed()), Ordering::Relaxed);
+            }
+        });
+        Self { origin, millis, task }
+    }
+
+    fn elapsed(&self) -> Duration {
+        let applied_after = Duration::from_millis(self.millis.load(Ordering::Relaxed));
+        self.origin.elapsed().saturating_sub(applied_after)
+    }
+}
+
+impl Drop for LastApplied {
+    fn drop(&mut self) {
+        self.task.abort();
+    }
+}
+
+impl ReplicationClient {
+    /// The client of a member that was started with this registry. `incarnation` is a random number that differs from
+    /// that of every earlier start of the member.
+    pub fn new(
+        node: Arc<NodeHandle>,
+        registry: StateMachineRegistry,
+        limits: ProposalLimits,
+        incarnation: u64,
+    ) -> Self {
+        let last_applied = Arc::new(LastApplied::record(&node));
+        let limiter = ProposalLimiter::new(&limits);
+        let next_operation = Arc::new(AtomicU64::new(0));
+        Self { node, registry, limits, limiter, incarnation, next_operation, last_applied }
+    }
+
+    /// The consensus node of this member.
+    pub fn node(&self) -> &NodeHandle {
+        &self.node
+    }
+
+    /// The state machines as this member has applied them.
+    pub fn registry(&self) -> &StateMachineRegistry {
+        &self.registry
+    }
+
+    /// A new operation id. Keep it to propose the operation again after an unknown outcome.
+    pub fn new_id(&self) -> OperationId {
+        let number = self.next_operation.fetch_add(1, Ordering::Relaxed);
+        let since = self.node.applied().borrow().index;
+        OperationId { member: self.node.id(), incarnation: self.incarnation, number, since }
+    }
+
+    /// Proposes a command and waits until it is applied at this member, for the time `within` at most. Returns the
+    /// answer of the state machine.
+    ///
+    /// # Errors
+    /// [`ReplicationError::InvalidCommand`], [`ReplicationError::Full`] and [`ReplicationError::Stopped`] before it is
+    /// proposed; [`ReplicationError::Refused`], [`ReplicationError::TooOld`] or [`ReplicationError::Unknown`] after.
+    pub async fn propose(
+        &self,
+        id: OperationId,
+        state_machine: StateMachineId,
+        tenant: &str,
+        body: &[u8],
+        within: Duration,
+    ) -> Result<Vec<u8>, ReplicationError> {
+        let deadline = Instant::now() + within;
+        let version = self.check_command(state_machine, body)?;
+        let _permit = self.acquire_permit(state_machine, tenant)?;
+        self.check_running()?;
+        let command = Command { id, state_machine, version, body: body.to_vec() }.encode();
+        let mut waiter = self.registry.wait_for_outcome(id);
+        match timeout_at(deadline, self.propose_until_applied(&command, &mut waiter)).await {
+            Ok(Some(Outcome::Done(answer))) => Ok(answer),
+            Ok(Some(Outcome::Refused(rejection))) => Err(rejection.into()),
+            Ok(Some(Outcome::TooOld)) => Err(ReplicationError::TooOld(id)),
+            Ok(None) | Err(_) => Err(ReplicationError::Unknown(id)),
+        }
+    }
+
+    /// Checks that a command can be proposed. Returns the version of the state machine's commands.
+    fn check_command(&self, state_machine: StateMachineId, body: &[u8]) -> Result<u16, InvalidCommand> {
+        if body.len() > MAX_BODY_BYTES {
+            return Err(InvalidCommand::TooLarge(body.len()));
+        }
+        self.registry.version(state_machine).ok_or(InvalidCommand::UnknownStateMachine(state_machine))
+    }
+
+    fn acquire_permit(
+        &self,
+        state_machine: StateMachineId,
+        tenant: &str,
+    ) -> Result<ProposalPermit, ReplicationError> {
+        let permit = self.limiter.try_acquire(state_machine, tenant);
+        permit.ok_or(ReplicationError::Full { after: self.limits.retry_after })
+    }
+
+    /// Repeats the proposal until it is applied here; the id makes it take effect once. `None` if the node has ended.
+    async fn propose_until_applied(&self, command: &Bytes, waiter: &mut OutcomeWaiter) -> Option<Outcome> {
+        loop {
+            self.node.command(command.clone()).await.ok()?;
+            if let Ok(outcome) = timeout(self.limits.retry_interval, waiter.outcome()).await {
+                return outcome;
+            }
+        }
+    }
+
+    /// Calls `read` with a state machine that has applied all that was committed before this call (Raft thesis, 6.4).
+    ///
+    /// # Errors
+    /// [`ReplicationError::NoLeader`] if no leader answers within the time, [`ReplicationError::Stopped`],
+    /// [`ReplicationError::InvalidCommand`] if there is no such state machine.
+    pub async fn read<S: ReplicatedStateMachine, T>(
+        &self,
+        state_machine: StateMachineId,
+        within: Duration,
+        read: impl FnOnce(&S) -> T,
+    ) -> Result<T, ReplicationError> {
+        let deadline = Instant::now() + within;
+        let index = timeout_at(deadline, self.read_index()).await;
+        let index = index.map_err(|_| ReplicationError::NoLeader)??;
+        let mut progress = self.node.applied();
+        let reached = progress.wait_for(|progress| progress.index >= index || progress.stopped.is_some());
+        let reached = timeout_at(deadline, reached).await;
+        reached.map_err(|_| ReplicationError::NoLeader)?.map_err(|_| ReplicationError::NoLeader)?;
+        self.check_running()?;
+        self.inspect(state_machine, read)
+    }
+
+    /// Asks the leader for the read index until one answers.
+    async fn read_index(&self) -> Result<Index, ReplicationError> {
+        loop {
+            self.check_running()?;
+            match timeout(self.limits.retry_interval, self.node.read_index()).await {
+                Ok(Ok(Some(index))) => return Ok(index),
+                // No leader is known: an election is in progress, most likely.
+                Ok(Ok(None)) => sleep(self.limits.retry_interval / LEADER_POLLS_PER_RETRY).await,
+                Ok(Err(ended)) => return Err(ReplicationError::Stopped(ended.to_string())),
+                Err(_) => {}
+            }
+        }
+    }
+
+    /// Calls `read` with a state machine as it is here, and returns how recent that is.
+    ///
+    /// # Errors
+    /// [`ReplicationError::InvalidCommand`] if there is no such state machine.
+    pub fn read_stale<S: ReplicatedStateMachine, T>(
+        &self,
+        state_machine: StateMachineId,
+        read: impl FnOnce(&S) -> T,
+    ) -> Result<(T, StaleRead), ReplicationError> {
+        let applied = self.node.applied().borrow().index;
+        let since = self.last_applied.elapsed();
+        Ok((self.inspect(state_machine, read)?, StaleRead { applied, since }))
+    }
+
+    fn inspect<S: ReplicatedStateMachine, T>(
+        &self,
+        state_machine: StateMachineId,
+        read: impl FnOnce(&S) -> T,
+    ) -> Result<T, ReplicationError> {
+        let found = self.registry.inspect(state_machine, read);
+        Ok(found.ok_or(InvalidCommand::UnknownStateMachine(state_machine))?)
+    }
+
+    fn check_running(&self) -> Result<(), ReplicationError> {
+        match &self.node.applied().borrow().stopped {
+            Some(reason) => Err(ReplicationError::Stopped(reason.clone())),
+            None => Ok(()),
+        }
+    }
+}
+
+fn saturating_millis(duration: Duration) -> u64 {
+    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
+}
--- a/crates/stepspur-replication/src/command.rs
+++ b/crates/stepspur-replication/src/command.rs
@@ -1,4 +1,4 @@
-//! A command as it stands in the log, and what became of it.
+//! Commands as the log stores them, their ids and their outcomes.
 
 use std::fmt;
 
@@ -6,34 +6,36 @@
 use serde::{Deserialize, Serialize};
 use stepspur_consensus::{Index, MemberId};
 
-use crate::book::{Rejection, StateMachineId};
+use crate::state_machine::{Rejection, StateMachineId};
 
-/// Bytes of a command's body at most.
+/// Length of a command's body, in bytes, at most.
 pub const MAX_BODY_BYTES: usize = 32 << 10;
-/// The form of the envelope. A later one stops this program's member.
-const FORM: u8 = 1;
+/// The format of the envelope, its first byte. A member stops before an entry with another one.
+const FORMAT: u8 = 1;
+/// Characters of an invalid operation id that its error repeats, at most.
+const MAX_QUOTED_CHARS: usize = 64;
 
-/// An operation's identity: a repeat of the operation bears the same, so that it takes effect once.
+/// Identifies an operation. Repeated proposals of an operation carry the same id, so that it takes effect once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct OperationId {
-    /// Who proposed it first.
+    /// The member that proposed it first.
     pub member: MemberId,
-    /// Drawn at that member's start: a number that it gave in an earlier life is another's.
-    pub life: u64,
-    /// Rises with each operation.
+    /// A random number drawn at each start of that member, so that `number` may begin anew.
+    pub incarnation: u64,
+    /// Increases with each operation of the incarnation.
     pub number: u64,
-    /// The last entry that its proposer had applied when it was first proposed: ids are kept for a number of entries,
-    /// and one that may be forgotten by now is refused.
+    /// The last entry that the proposer had applied at the first proposal. Outcomes are retained for a number of
+    /// entries, and an operation whose outcome may be discarded already is rejected.
     pub since: Index,
 }
 
 impl fmt::Display for OperationId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}-{:x}-{}@{}", self.member, self.life, self.number, self.since)
+        write!(f, "{}-{:x}-{}@{}", self.member, self.incarnation, self.number, self.since)
     }
 }
 
-/// A text is not an operation's id as [`OperationId`] is written.
+/// A text is not the display form of an [`OperationId`].
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("`{0}` is no operation: expected m-MEMBER-LIFE-NUMBER@ENTRY")]
 pub struct InvalidOperationId(String);
@@ -42,65 +44,78 @@
     type Err = InvalidOperationId;
 
     fn from_str(text: &str) -> Result<Self, InvalidOperationId> {
-        let read = || {
-            let (operation, since) = text.strip_prefix("m-")?.split_once('@')?;
-            let (member, rest) = operation.split_once('-')?;
-            let (life, number) = rest.split_once('-')?;
-            let hexadecimal = |digits| u64::from_str_radix(digits, 16).ok();
-            Some(Self {
-                member: MemberId(hexadecimal(member)?),
-                life: hexadecimal(life)?,
-                number: number.parse().ok()?,
-                since: Index(since.parse().ok()?),
-            })
-        };
-        read().ok_or_else(|| InvalidOperationId(text.chars().take(64).collect()))
+        parse_operation_id(text)
+            .ok_or_else(|| InvalidOperationId(text.chars().take(MAX_QUOTED_CHARS).collect()))
     }
 }
 
-/// A command on a book.
+fn parse_operation_id(text: &str) -> Option<OperationId> {
+    let (operation, since) = text.strip_prefix("m-")?.split_once('@')?;
+    let (member, rest) = operation.split_once('-')?;
+    let (incarnation, number) = rest.split_once('-')?;
+    Some(OperationId {
+        member: MemberId(u64::from_str_radix(member, 16).ok()?),
+        incarnation: u64::from_str_radix(incarnation, 16).ok()?,
+        number: number.parse().ok()?,
+        since: Index(since.parse().ok()?),
+    })
+}
+
+/// A command for one state machine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Command {
-    /// The operation.
+    /// The operation that it belongs to.
     pub id: OperationId,
-    /// The book.
-    pub book: StateMachineId,
-    /// The version of the book's commands.
+    /// The state machine that applies it.
+    pub state_machine: StateMachineId,
+    /// The version of the state machine's commands.
     pub version: u16,
-    /// The command, in the book's own form.
+    /// The command, as the state machine encodes it. [`MAX_BODY_BYTES`] at most.
     pub body: Vec<u8>,
 }
 
-/// What became of an operation, the same at every member.
+/// The outcome of an operation, the same at every member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It was applied, with this answer.
+    /// The operation was applied, with this answer.
     Done(Vec<u8>),
-    /// The book's rules refuse it; nothing has changed.
+    /// The rules of the state machine rejected it; the state is unchanged.
     Refused(Rejection),
-    /// It came so late that it might have been applied before and forgotten; it was not applied now.
+    /// It came so late that it might have been applied before and its outcome discarded. It was not applied now.
     TooOld,
 }
 
+/// An entry of the log is not a command that this program knows.
+#[derive(Debug, thiserror::Error)]
+pub enum DecodeCommandError {
+    /// The entry has no bytes.
+    #[error("an empty command")]
+    Empty,
+    /// A newer program wrote the entry.
+    #[error("a command of form {0}, and this program knows {FORMAT}: start a newer one")]
+    UnknownFormat(u8),
+    /// The bytes after the format are no command.
+    #[error("no command: {0}")]
+    Malformed(#[from] postcard::Error),
+}
+
 impl Command {
-    /// As it stands in the log.
+    /// Encodes the command for an entry of the log.
     pub fn encode(&self) -> Bytes {
-        // Numbers and bytes: nothing that the format cannot word.
+        // Postcard encodes numbers and byte strings without failing.
         let body = postcard::to_stdvec(self).unwrap_or_default();
-        std::iter::once(FORM).chain(body).collect()
+        std::iter::once(FORMAT).chain(body).collect()
     }
 
-    /// What an entry holds.
+    /// Decodes a command from an entry of the log.
     ///
     /// # Errors
-    /// In words, why this program does not know it.
-    pub fn decode(bytes: &[u8]) -> Result<Self, String> {
+    /// [`DecodeCommandError`] if the entry is empty, of an unknown format or malformed.
+    pub fn decode(bytes: &[u8]) -> Result<Self, DecodeCommandError> {
         match bytes.split_first() {
-            Some((&FORM, rest)) => postcard::from_bytes(rest).map_err(|cause| format!("no command: {cause}")),
-            Some((form, _)) => {
-                Err(format!("a command of form {form}, and this program knows {FORM}: start a newer one"))
-            }
-            None => Err("an empty command".to_owned()),
+            Some((&FORMAT, body)) => Ok(postcard::from_bytes(body)?),
+            Some((format, _)) => Err(DecodeCommandError::UnknownFormat(*format)),
+            None => Err(DecodeCommandError::Empty),
         }
     }
 }
--- a/crates/stepspur-replication/src/lib.rs
+++ b/crates/stepspur-replication/src/lib.rs
@@ -1,22 +1,25 @@
-//! What conductors of a council agree on beside duties.
+//! Replicated state machines above consensus: proposals that take effect once, and linearizable reads.
 //!
-//! - A [`ReplicatedStateMachine`] is one kind of agreed state: its version, its deterministic `apply`, its part of the snapshot.
-//! - [`StateMachineRegistry`] are all of a member's: each command takes effect once, however often it comes, and an entry of a book or
-//!   version that this program does not know stops the member before it.
-//! - [`ReplicationClient`] is the handle of a running member: `propose` gives the outcome or says that it is unknown, `read` is
-//!   linearizable, `read_stale` says up to which entry it goes. What waits is bounded, by book and by tenant.
+//! - [`ReplicatedStateMachine`]: one kind of replicated state with a deterministic `apply`, its version and its part of
+//!   the snapshot.
+//! - [`StateMachineRegistry`]: all state machines of a member. It applies each command once, however often it is
+//!   proposed. A command for an unknown state machine or version stops the member before that entry.
+//! - [`ReplicationClient`]: the handle of a running member. `propose` returns the outcome or says that it is unknown,
+//!   `read` is linearizable, `read_stale` returns the entry up to which it reads. Proposals in flight are limited per
+//!   state machine and per tenant.
 //!
-//! docs/shared.md has the design and the ways weighed.
+//! docs/shared.md has the design and the alternatives considered.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod book;
-mod books;
+mod client;
 mod command;
-mod shared;
-mod turns;
+mod proposal_limiter;
+mod registry;
+mod state_machine;
 
-pub use book::{Rejection, ReplicatedStateMachine, StateMachineId};
-pub use books::{MAX_OUTCOME_BYTES, MAX_OUTCOMES, StateMachineRegistry};
-pub use command::{Command, InvalidOperationId, MAX_BODY_BYTES, OperationId, Outcome};
-pub use shared::{ProposalLimits, ReplicationClient, ReplicationError, StaleRead};
+pub use client::{InvalidCommand, ReplicationClient, ReplicationError, StaleRead};
+pub use command::{Command, DecodeCommandError, InvalidOperationId, MAX_BODY_BYTES, OperationId, Outcome};
+pub use proposal_limiter::ProposalLimits;
+pub use registry::{MAX_OUTCOME_BYTES, MAX_OUTCOMES, StateMachineRegistry};
+pub use state_machine::{Rejection, ReplicatedStateMachine, RestoreError, StateMachineId};
