--- a/crates/stepspur-conductor/src/config/mod.rs
+++ b/crates/stepspur-conductor/src/config/mod.rs
@@ -112,8 +112,8 @@
         let bounds = report.iter().flat_map(|report| report.iter());
         let bounds =
             bounds.map(|(key, what)| InvalidSetting { key: key.to_string(), what: what.to_string() });
-        let beside = self.distribution.iter().flat_map(|set| set.faults_beside(self.council.as_ref()));
-        bounds.chain(beside.map(|(key, what)| InvalidSetting { key, what })).collect()
+        let beside = self.distribution.iter().flat_map(|set| set.check_against(self.council.as_ref()));
+        bounds.chain(beside.map(|error| InvalidSetting { key: error.key, what: error.reason })).collect()
     }
 }
 
--- a/crates/stepspur-conductor/src/service/distribution/mod.rs
+++ b/crates/stepspur-conductor/src/service/distribution/mod.rs
@@ -10,7 +10,7 @@
 
 use serde::Serialize;
 use stepspur_consensus_node::{ConsensusConfig, Net, NodeHandle, Tcp};
-use stepspur_distribution::book::ConfigurationState;
+use stepspur_distribution::configuration::ConfigurationState;
 use stepspur_distribution::config::{
     ControlConfig, ControlMemberAddress, Distribution as Settings, SubscriberConfig,
 };
@@ -177,7 +177,7 @@
     net: Arc<dyn Net>,
 ) -> Result<Control, StartError> {
     let id = shared.node().id().0;
-    let own = set.place(id);
+    let own = set.member(id);
     let settings = ControlSettings {
         id,
         // Settings without their own place are refused before.
--- a/crates/stepspur-distribution/src/config.rs
+++ b/crates/stepspur-distribution/src/config.rs
@@ -1,4 +1,4 @@
-//! `[distribution]` as an operator words it: a control member's part, a subscriber's part, and the bounds of both.
+//! The settings of `[distribution]`: for a control member, for a subscriber, and their bounds.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -9,95 +9,102 @@
 use serde::{Deserialize, Serialize};
 use stepspur_consensus_node::ConsensusConfig;
 
-use crate::document::{DocumentError, Interest, MAX_NAME_BYTES, MAX_SERVICES, MAX_TENANTS, ServiceInterest};
+use crate::document::{
+    DocumentError, Interest, MAX_NAME_BYTES, MAX_SERVICES, MAX_TENANTS, ServiceInterest, is_valid_name,
+};
 
-/// Control members that settings may name.
+/// Control members in the settings, at most.
 pub const MAX_CONTROL_MEMBERS: usize = 1_000;
-/// Subscribers that one control member may have at once.
+/// The largest limit of subscribers of one control member.
 pub const MAX_SUBSCRIBERS: u32 = 100_000;
 
-const HOUR: Duration = Duration::from_secs(3_600);
-/// The least that a control member may spend on snapshots, in bytes a second: one part each second.
-const SNAPSHOT_BYTES_PER_S_LEAST: u32 = 64 << 10;
-/// The most that a control member may spend on snapshots, in bytes a second.
-const SNAPSHOT_BYTES_PER_S_MOST: u32 = 1 << 30;
-
-/// What a conductor does for the distribution of configuration: it is a control member, a subscriber, or both.
+/// The smallest rate limit of snapshots, in bytes per second: one part each second.
+const MIN_SNAPSHOT_BYTES_PER_S: u32 = 64 << 10;
+/// The largest rate limit of snapshots, in bytes per second.
+const MAX_SNAPSHOT_BYTES_PER_S: u32 = 1 << 30;
+const MIN_TIMEOUT: Duration = Duration::from_millis(10);
+const MAX_TIMEOUT: Duration = Duration::from_secs(3_600);
+/// The shortest interval of keep-alives.
+pub(crate) const MIN_KEEP_ALIVE: Duration = Duration::from_millis(100);
+/// The longest interval of keep-alives.
+pub(crate) const MAX_KEEP_ALIVE: Duration = Duration::from_secs(600);
+
+/// The roles of a conductor in the distribution: control member, subscriber, or both.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Distribution {
-    /// It agrees on configuration in the council and serves it to subscribers.
+    /// As a control member it replicates the configuration and serves it to subscribers.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[garde(dive)]
     pub control: Option<ControlConfig>,
-    /// It acts by the configuration that a control member pushes to it.
+    /// As a subscriber it applies the configuration that a control member sends.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[garde(dive)]
     pub subscriber: Option<SubscriberConfig>,
 }
 
-/// A control member's part. Its id is that of `council.id`.
+/// Settings of a control member. Its id is that of `council.id`.
 #[derive(Clone, Debug, Deserialize, Serialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct ControlConfig {
-    /// All control members, this one too, alike in all their settings; each is a conductor of the council.
-    #[garde(dive, length(min = 1, max = MAX_CONTROL_MEMBERS), custom(ids_once))]
+    /// All control members with this one, the same in the settings of each. Each is a conductor of the council.
+    #[garde(dive, length(min = 1, max = MAX_CONTROL_MEMBERS), custom(distinct_ids))]
     pub members: Vec<ControlMemberAddress>,
-    /// Bytes a second that it spends on snapshots, over all subscribers. Deltas do not wait for them.
+    /// Rate limit of snapshots over all subscribers, in bytes per second. Deltas are not limited.
     #[serde(default = "snapshot_bytes_per_s")]
-    #[garde(range(min = SNAPSHOT_BYTES_PER_S_LEAST, max = SNAPSHOT_BYTES_PER_S_MOST))]
+    #[garde(range(min = MIN_SNAPSHOT_BYTES_PER_S, max = MAX_SNAPSHOT_BYTES_PER_S))]
     pub snapshot_bytes_per_s: u32,
-    /// Subscribers at once; another is refused and goes to the next control member.
+    /// Subscribers at once, at most. Further ones are rejected and go to the next control member.
     #[serde(default = "subscribers_max")]
     #[garde(range(min = 1, max = MAX_SUBSCRIBERS))]
     pub subscribers_max: u32,
-    /// A subscriber that nothing concerns is told so often to which version it is covered.
+    /// The interval at which an idle subscriber is sent the version that it is covered to.
     #[serde(default = "keep_alive", with = "humantime_serde")]
-    #[garde(custom(between(Duration::from_millis(100), Duration::from_secs(600))))]
+    #[garde(custom(between(MIN_KEEP_ALIVE, MAX_KEEP_ALIVE)))]
     pub keep_alive: Duration,
 }
 
-/// Where a control member listens to subscribers.
+/// The address at which a control member accepts subscribers.
 #[derive(Clone, Debug, Deserialize, Serialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct ControlMemberAddress {
-    /// Its number in the council.
+    /// Its id in the consensus group.
     #[garde(range(min = 1))]
     pub id: u64,
     /// Its address.
-    #[garde(custom(loopback))]
+    #[garde(custom(loopback_address))]
     pub address: SocketAddr,
-    /// Where it stands: subscribers of the same region try it first.
-    #[garde(custom(sound_name))]
+    /// Its region: subscribers of the same region try it first.
+    #[garde(custom(valid_name))]
     pub region: String,
 }
 
-/// A subscriber's part.
+/// Settings of a subscriber.
 #[derive(Clone, Debug, Deserialize, Serialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct SubscriberConfig {
-    /// Its name in the register. No two subscribers share one.
-    #[garde(custom(sound_name))]
+    /// The name under which it is registered. No two subscribers share one.
+    #[garde(custom(valid_name))]
     pub name: String,
-    /// Where it stands: documents for other regions do not concern it.
-    #[garde(custom(sound_name))]
+    /// Its region: documents for other regions do not concern it.
+    #[garde(custom(valid_name))]
     pub region: String,
-    /// The file that keeps its documents and their version, made where there is none.
-    #[garde(custom(file))]
+    /// The file that stores its documents and their version. It is created if it does not exist.
+    #[garde(custom(file_path))]
     pub state: PathBuf,
-    /// Addresses of control members to begin with, in any order; the rest are learned from them.
-    #[garde(length(min = 1, max = MAX_CONTROL_MEMBERS), inner(custom(loopback)))]
+    /// Addresses of some control members, in any order. They name the others.
+    #[garde(length(min = 1, max = MAX_CONTROL_MEMBERS), inner(custom(loopback_address)))]
     pub control: Vec<SocketAddr>,
     /// Services whose documents concern it.
-    #[garde(dive, length(min = 1, max = MAX_SERVICES), custom(services_once))]
+    #[garde(dive, length(min = 1, max = MAX_SERVICES), custom(distinct_services))]
     pub services: Vec<ServiceConfig>,
-    /// Dialling a control member, and its first answer, are due in this time.
+    /// The time limit for connecting to a control member, and again for its first frame.
     #[serde(default = "dial_timeout", with = "humantime_serde")]
-    #[garde(custom(between(Duration::from_millis(10), HOUR)))]
+    #[garde(custom(between(MIN_TIMEOUT, MAX_TIMEOUT)))]
     pub dial_timeout: Duration,
-    /// A write that the control member does not take for so long ends the connection.
+    /// The time limit for writing a frame. Exceeding it ends the connection.
     #[serde(default = "write_timeout", with = "humantime_serde")]
-    #[garde(custom(between(Duration::from_millis(10), HOUR)))]
+    #[garde(custom(between(MIN_TIMEOUT, MAX_TIMEOUT)))]
     pub write_timeout: Duration,
 }
 
@@ -106,11 +113,11 @@
 #[serde(deny_unknown_fields)]
 pub struct ServiceConfig {
     /// Its name.
-    #[garde(custom(sound_name))]
+    #[garde(custom(valid_name))]
     pub service: String,
     /// Tenants of the service that this conductor serves. Documents for all tenants concern it in any case.
     #[serde(default)]
-    #[garde(inner(custom(sound_name)))]
+    #[garde(inner(custom(valid_name)))]
     pub tenants: Vec<String>,
 }
 
@@ -130,118 +137,115 @@
     Duration::from_secs(5)
 }
 
+/// A setting that does not fit the rest of the conductor's settings.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct SettingError {
+    /// The key, as `distribution.control`.
+    pub key: String,
+    /// Why it does not fit.
+    pub reason: String,
+}
+
+impl SettingError {
+    fn new(key: &str, reason: impl Into<String>) -> Self {
+        Self { key: key.to_owned(), reason: reason.into() }
+    }
+}
+
 impl Distribution {
-    /// What is wrong with it beside the rest of a conductor's settings: keys, as `distribution.control`, and faults.
-    /// Bounds of single values are checked by [`Validate`].
-    pub fn faults_beside(&self, council: Option<&ConsensusConfig>) -> Vec<(String, String)> {
-        let fault = |key: &str, what: &str| (format!("distribution{key}"), what.to_owned());
+    /// Checks the settings against those of the consensus group. [`Validate`] checks the bounds of single values.
+    pub fn check_against(&self, council: Option<&ConsensusConfig>) -> Vec<SettingError> {
         if self.control.is_none() && self.subscriber.is_none() {
-            return vec![fault("", "needs `control`, `subscriber` or both")];
+            return vec![SettingError::new("distribution", "needs `control`, `subscriber` or both")];
         }
-        let Some(control) = &self.control else { return Vec::new() };
-        let Some(council) = council else {
-            return vec![fault(
-                ".control",
+        match (&self.control, council) {
+            (None, _) => Vec::new(),
+            (Some(control), Some(council)) => control.check_against(council),
+            (Some(_), None) => vec![SettingError::new(
+                "distribution.control",
                 "needs `[council]`: control members agree on configuration there",
-            )];
-        };
-        control.faults_beside(council)
+            )],
+        }
     }
 }
 
 impl ControlConfig {
-    fn faults_beside(&self, council: &ConsensusConfig) -> Vec<(String, String)> {
-        let members = "distribution.control.members";
-        let mut faults = Vec::new();
-        if self.place(council.id).is_none() {
-            let what = format!("do not name this conductor's own number, {}", council.id);
-            faults.push((members.to_owned(), what));
+    fn check_against(&self, council: &ConsensusConfig) -> Vec<SettingError> {
+        let members_key = "distribution.control.members";
+        let mut errors = Vec::new();
+        if self.member(council.id).is_none() {
+            let reason = format!("do not name this conductor's own number, {}", council.id);
+            errors.push(SettingError::new(members_key, reason));
         }
-        for (place, member) in self.members.iter().enumerate() {
+        for (index, member) in self.members.iter().enumerate() {
             if !council.conductors.iter().any(|conductor| conductor.id == member.id) {
-                let what = format!("{} is no conductor of `council.conductors`", member.id);
-                faults.push((format!("{members}[{place}].id"), what));
+                let reason = format!("{} is no conductor of `council.conductors`", member.id);
+                errors.push(SettingError::new(&format!("{members_key}[{index}].id"), reason));
             }
-            if council.conductors.iter().any(|conductor| taken(conductor.address, member.address)) {
-                let what =
-                    format!("{} is where a conductor of the council listens to the others", member.address);
-                faults.push((format!("{members}[{place}].address"), what));
+            if council.conductors.iter().any(|conductor| collides(conductor.address, member.address)) {
+                let address = member.address;
+                let reason = format!("{address} is where a conductor of the council listens to the others");
+                errors.push(SettingError::new(&format!("{members_key}[{index}].address"), reason));
             }
         }
-        faults
+        errors
     }
 
-    /// Where the control member of this number listens.
-    pub fn place(&self, id: u64) -> Option<&ControlMemberAddress> {
+    /// The control member with this id.
+    pub fn member(&self, id: u64) -> Option<&ControlMemberAddress> {
         self.members.iter().find(|member| member.id == id)
     }
 }
 
 impl SubscriberConfig {
-    /// Which documents concern it.
+    /// Which documents concern the subscriber.
     ///
     /// # Errors
-    /// The first fault; settings that [`Validate`] accepts have none.
+    /// The first error found. Settings that [`Validate`] accepts have none.
     pub fn interest(&self) -> Result<Interest, DocumentError> {
-        let read =
-            |s: &ServiceConfig| ServiceInterest { service: s.service.clone(), tenants: s.tenants.clone() };
-        let services = self.services.iter().map(read).collect();
-        Interest { region: self.region.clone(), services }.sorted()
+        let services = self.services.iter().map(|config| ServiceInterest {
+            service: config.service.clone(),
+            tenants: config.tenants.clone(),
+        });
+        Interest { region: self.region.clone(), services: services.collect() }.sorted()
     }
 }
 
-/// True: the same address, and not one whose port the system chooses.
-fn taken(one: SocketAddr, other: SocketAddr) -> bool {
+/// Whether both are the same address. Port 0 is assigned by the system and never the same.
+fn collides(one: SocketAddr, other: SocketAddr) -> bool {
     one == other && one.port() != 0
 }
 
-fn sound_name(name: &str, (): &()) -> garde::Result {
-    let sound = (1..=MAX_NAME_BYTES).contains(&name.len()) && !name.chars().any(char::is_control);
-    match sound {
-        true => Ok(()),
-        false => {
-            Err(garde::Error::new(format!("must have 1 to {MAX_NAME_BYTES} bytes and no control characters")))
-        }
-    }
+fn require(condition: bool, reason: impl FnOnce() -> String) -> garde::Result {
+    if condition { Ok(()) } else { Err(garde::Error::new(reason())) }
 }
 
-fn file(path: &std::path::Path, (): &()) -> garde::Result {
-    match path.file_name() {
-        Some(_) => Ok(()),
-        None => Err(garde::Error::new("must be the path of a file")),
-    }
+fn valid_name(name: &str, (): &()) -> garde::Result {
+    let reason = || format!("must have 1 to {MAX_NAME_BYTES} bytes and no control characters");
+    require(is_valid_name(name), reason)
 }
 
-fn loopback(address: &SocketAddr, (): &()) -> garde::Result {
-    match address.ip().is_loopback() {
-        true => Ok(()),
-        false => Err(garde::Error::new("must be a loopback address: these links carry no identity yet")),
-    }
+fn file_path(path: &std::path::Path, (): &()) -> garde::Result {
+    require(path.file_name().is_some(), || "must be the path of a file".to_owned())
+}
+
+fn loopback_address(address: &SocketAddr, (): &()) -> garde::Result {
+    let reason = || "must be a loopback address: these links carry no identity yet".to_owned();
+    require(address.ip().is_loopback(), reason)
 }
 
-fn ids_once(members: &[ControlMemberAddress], (): &()) -> garde::Result {
+fn distinct_ids(members: &[ControlMemberAddress], (): &()) -> garde::Result {
     let ids: BTreeSet<u64> = members.iter().map(|member| member.id).collect();
-    match ids.len() == members.len() {
-        true => Ok(()),
-        false => Err(garde::Error::new("name a number twice")),
-    }
+    require(ids.len() == members.len(), || "name a number twice".to_owned())
 }
 
-fn services_once(services: &[ServiceConfig], (): &()) -> garde::Result {
+fn distinct_services(services: &[ServiceConfig], (): &()) -> garde::Result {
     let names: BTreeSet<&str> = services.iter().map(|service| service.service.as_str()).collect();
-    if names.len() != services.len() {
-        return Err(garde::Error::new("name a service twice"));
-    }
+    require(names.len() == services.len(), || "name a service twice".to_owned())?;
     let tenants: usize = services.iter().map(|service| service.tenants.len()).sum();
-    match tenants <= MAX_TENANTS {
-        true => Ok(()),
-        false => Err(garde::Error::new(format!("name {tenants} tenants, {MAX_TENANTS} at most"))),
-    }
+    require(tenants <= MAX_TENANTS, || format!("name {tenants} tenants, {MAX_TENANTS} at most"))
 }
 
-fn between(least: Duration, most: Duration) -> impl FnOnce(&Duration, &()) -> garde::Result {
-    move |span, ()| match *span >= least && *span <= most {
-        true => Ok(()),
-        false => Err(garde::Error::new(format!("must lie between {least:?} and {most:?}"))),
-    }
+fn between(min: Duration, max: Duration) -> impl FnOnce(&Duration, &()) -> garde::Result {
+    move |value, ()| require((min..=max).contains(value), || format!("must lie between {min:?} and {max:?}"))
 }
--- a/crates/stepspur-distribution/src/control/collector.rs
+++ b/crates/stepspur-distribution/src/control/collector.rs
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 
 use super::registry::{Lag, Place};
-use crate::book::MAX_SUBSCRIBERS;
+use crate::configuration::MAX_SUBSCRIBERS;
 use crate::version::{Version, version_of};
 
 /// Names that one member may tell, over all it has told.
--- a/crates/stepspur-distribution/src/control/mod.rs
+++ b/crates/stepspur-distribution/src/control/mod.rs
@@ -43,7 +43,7 @@
 pub use self::standing::{
     MAX_PENDING_LISTED, PendingSubscriber, RolloutStatus, RolloutStatusError, SUMMARY_MAX_AGE,
 };
-use crate::book::{CONFIGURATION, ConfigurationState};
+use crate::configuration::{CONFIGURATION, ConfigurationState};
 use crate::document::{Change, Document};
 use crate::version::Version;
 
@@ -170,7 +170,8 @@
         if leader != Some(member.settings.id) {
             return Err(RolloutStatusError::NotLeader { leader });
         }
-        let read = |book: &ConfigurationState| (book.concerned(version), book.head(), book.oldest());
+        let read =
+            |book: &ConfigurationState| (book.subscribers_concerned(version), book.head(), book.oldest());
         let (expected, head, oldest) = member.shared.read(CONFIGURATION, READ_WITHIN, read).await?;
         let expected = expected.ok_or(RolloutStatusError::UnknownVersion { head, oldest })?;
         let (now, runs_for) = (Instant::now(), member.began.elapsed());
@@ -188,7 +189,8 @@
     pub fn status(&self) -> ControlStatus {
         let member = &self.member;
         let Counts { attached, behind, detached } = member.registry.counts();
-        let book = |book: &ConfigurationState| (book.head(), book.oldest(), book.len(), book.registered());
+        let book =
+            |book: &ConfigurationState| (book.head(), book.oldest(), book.len(), book.registered_count());
         let (head, oldest, documents, registered) = member.registry.look(book);
         let leader = Some(member.leader.load(Ordering::Relaxed)).filter(|leader| *leader != 0);
         ControlStatus {
--- a/crates/stepspur-distribution/src/control/propose.rs
+++ b/crates/stepspur-distribution/src/control/propose.rs
@@ -4,7 +4,7 @@
 
 use stepspur_replication::{OperationId, ReplicationClient, ReplicationError};
 
-use crate::book::{CONFIGURATION, Command, CommandError};
+use crate::configuration::{CONFIGURATION, Command, CommandError};
 use crate::document::Change;
 use crate::version::Version;
 
@@ -88,7 +88,7 @@
 /// Has the council agree on registrations.
 pub(super) async fn register(
     shared: &ReplicationClient,
-    registrations: Vec<crate::book::Registration>,
+    registrations: Vec<crate::configuration::Registration>,
     within: Duration,
 ) -> Result<(), ProposeError> {
     let command = Command::Register { registrations };
--- a/crates/stepspur-distribution/src/control/registration.rs
+++ b/crates/stepspur-distribution/src/control/registration.rs
@@ -7,7 +7,7 @@
 use tokio_util::sync::CancellationToken;
 
 use super::{Member, propose};
-use crate::book::{MAX_REGISTRATION_BYTES, MAX_REGISTRATIONS};
+use crate::configuration::{MAX_REGISTRATION_BYTES, MAX_REGISTRATIONS};
 
 /// The span between two looks for subscribers that are not registered.
 const LOOK_EVERY: Duration = Duration::from_millis(250);
--- a/crates/stepspur-distribution/src/control/registry.rs
+++ b/crates/stepspur-distribution/src/control/registry.rs
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-use crate::book::{CONFIGURATION, ConfigurationState, MAX_SUBSCRIBERS, Registration};
+use crate::configuration::{CONFIGURATION, ConfigurationState, MAX_SUBSCRIBERS, Registration};
 use crate::document::{Interest, Scope};
 use crate::version::Version;
 
@@ -237,7 +237,7 @@
     }
 
     fn has_room(&self, attached: usize, insists: bool) -> Result<(), Full> {
-        let registered = self.look(ConfigurationState::registered);
+        let registered = self.look(ConfigurationState::registered_count);
         let share = (registered * LOAD_PERCENT).div_ceil(self.members * 100).max(LOAD_LEAST);
         let most = if insists { self.subscribers_max } else { share.min(self.subscribers_max) };
         if attached < most { Ok(()) } else { Err(Full { attached, most }) }
@@ -297,7 +297,7 @@
             let missing = inner.attached.values().filter(|one| !is_registered(one, book));
             let mut size = 0;
             let fits = |one: &&Arc<Attached>| {
-                size += one.registration.size();
+                size += one.registration.encoded_bytes();
                 size <= bytes
             };
             missing.take(most).take_while(fits).map(|one| one.registration.clone()).collect()
--- a/crates/stepspur-distribution/src/control/session.rs
+++ b/crates/stepspur-distribution/src/control/session.rs
@@ -11,8 +11,9 @@
 use super::connection::{ConnectionFault, Reader, Writer, close_with};
 use super::messages::{self, MAX_DELTA_BYTES, MAX_PART_BYTES};
 use super::registry::{Attached, Newcomer};
-use crate::book::{ConfigurationState, Next, Registration, document_bytes};
-use crate::document::{Document, interest_of};
+use crate::configuration::{ConfigurationState, Registration, SubscriberUpdate, document_bytes};
+use crate::document::Document;
+use crate::document_messages::interest_of;
 use crate::version::{Version, version_of};
 
 /// So many keep-alives without a frame end a connection.
@@ -191,26 +192,27 @@
     /// Writes one frame or one snapshot, or waits for news.
     async fn step(&mut self) -> Result<(), ConnectionFault> {
         match self.next() {
-            Next::Snapshot => self.snapshot().await,
-            Next::Delta(delta) => {
+            SubscriberUpdate::Snapshot => self.snapshot().await,
+            SubscriberUpdate::Delta(delta) => {
                 let from = self.told;
                 self.tells(delta.to);
                 self.writer.write(&messages::delta(from, delta.to, delta.documents)).await.map(drop)
             }
-            Next::Covered(version) => {
+            SubscriberUpdate::Covered(version) => {
                 self.looked = Some(version);
                 self.wait(version).await
             }
         }
     }
 
-    fn next(&self) -> Next {
+    fn next(&self) -> SubscriberUpdate {
         let interest = &self.attached.interest;
         let next = |from| {
-            let next = self.member.registry.look(|book| Some(book.next(from, interest, MAX_DELTA_BYTES)));
-            next.unwrap_or(Next::Covered(from))
+            let next =
+                self.member.registry.look(|book| Some(book.next_update(from, interest, MAX_DELTA_BYTES)));
+            next.unwrap_or(SubscriberUpdate::Covered(from))
         };
-        self.looked.map_or(Next::Snapshot, next)
+        self.looked.map_or(SubscriberUpdate::Snapshot, next)
     }
 
     /// The next frame covers the subscriber up to here. This is noted first: its acknowledgement may be quick.
--- a/crates/stepspur-distribution/src/control/settings.rs
+++ b/crates/stepspur-distribution/src/control/settings.rs
@@ -40,7 +40,7 @@
         fault: String,
     },
     /// The council was started without the book of configuration.
-    #[error("the council's member has no book {}", crate::book::CONFIGURATION)]
+    #[error("the council's member has no book {}", crate::configuration::CONFIGURATION)]
     NoBook,
     /// Callers cannot be let in.
     #[error("cannot listen at {address}: {cause}")]
--- a/crates/stepspur-distribution/src/document.rs
+++ b/crates/stepspur-distribution/src/document.rs
@@ -1,22 +1,22 @@
-//! Documents: what operators hold and cap, each with the scope that it is for.
+//! Documents: a setting for a server or a request class within a scope, and which documents concern a subscriber.
 
+use std::fmt;
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
-use stepspur_proto::v1;
 
-use crate::version::{Version, version_of};
+use crate::version::Version;
 
-/// Bytes of a name at most: of a service, tenant, region, class or subscriber.
+/// Length of a name of a service, tenant, region, class or subscriber, in bytes, at most.
 pub const MAX_NAME_BYTES: usize = 128;
-/// Services that a subscriber may name, and tenants over all of them.
+/// Services of an interest, at most.
 pub const MAX_SERVICES: usize = 1_000;
-/// Tenants that a subscriber may name over all its services.
+/// Tenants of an interest over all its services, at most.
 pub const MAX_TENANTS: usize = 10_000;
-/// Millionths of a whole.
+/// An admission level of 100%, in millionths.
 pub const WHOLE_PPM: u32 = 1_000_000;
 
-/// Which conductors a document is for. What is left out means every one.
+/// Which conductors a document is for. An omitted part means all.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scope {
@@ -26,163 +26,222 @@
     /// The tenant of the service.
     #[serde(default)]
     pub tenant: Option<String>,
-    /// The region in which the conductor stands.
+    /// The region of the conductor.
     #[serde(default)]
     pub region: Option<String>,
 }
 
-/// What a document is about.
+/// What a document configures.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Target {
     /// A server.
     Server(SocketAddr),
-    /// A request class, by its name.
+    /// A request class, by name.
     Class(String),
 }
 
-/// What stands in place of another document: one for the same target in the same scope.
+/// Identifies a document. A new document replaces the earlier one of the same key.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key {
-    /// Whom it is for.
+    /// Which conductors it is for.
     pub scope: Scope,
-    /// What it is about.
+    /// What it configures.
     pub target: Target,
 }
 
-/// What a document orders.
+/// The setting of a document.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Setting {
-    /// The server is held to be draining.
+    /// The server is treated as draining.
     Draining,
-    /// The server is held to be gone.
+    /// The server is treated as removed.
     Withdrawn,
-    /// No more of the class is let in than this share, in millionths.
+    /// At most this share of the class is admitted, in millionths.
     LevelPpm(u32),
 }
 
-/// One change: a new setting for a key, or none, which lifts what stood there.
+/// A change of one document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Change {
-    /// Whom it is for.
+    /// Which conductors it is for.
     #[serde(default)]
     pub scope: Scope,
-    /// What it is about.
+    /// What it configures.
     pub target: Target,
-    /// What it orders; none lifts it.
+    /// The new setting; `None` removes the document.
     pub setting: Option<Setting>,
 }
 
-/// A document as it stands after the version that changed it last.
+/// A document after the version that changed it last.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Document {
-    /// What it stands for.
+    /// Identifies the document.
     pub key: Key,
-    /// What it orders; none: it was lifted.
+    /// Its setting; `None` if it was removed.
     pub setting: Option<Setting>,
     /// The version that changed it last.
     pub version: Version,
 }
 
-/// A service whose documents a subscriber acts by.
+/// A service of an interest.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ServiceInterest {
     /// The service.
     pub service: String,
-    /// Its tenants, sorted. Documents for all tenants concern the subscriber in any case.
+    /// Tenants of the service, sorted. Documents for all tenants of the service are covered in any case.
     pub tenants: Vec<String>,
 }
 
-/// Which documents a subscriber acts by.
+/// Which documents concern a subscriber.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Interest {
-    /// Where it stands.
+    /// The region of the subscriber.
     pub region: String,
     /// Its services, sorted by name, each once.
     pub services: Vec<ServiceInterest>,
 }
 
-/// What is wrong with a change, an interest or a message that holds one.
+/// What a name names.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum NameKind {
+    /// A service.
+    Service,
+    /// A tenant.
+    Tenant,
+    /// A region.
+    Region,
+    /// A request class.
+    Class,
+}
+
+impl fmt::Display for NameKind {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Self::Service => "a service",
+            Self::Tenant => "a tenant",
+            Self::Region => "a region",
+            Self::Class => "a class",
+        })
+    }
+}
+
+/// A part of a document's message.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum DocumentField {
+    /// The scope.
+    Scope,
+    /// The target.
+    Target,
+    /// The address of a target that is a server.
+    ServerAddress,
+}
+
+impl fmt::Display for DocumentField {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Self::Scope => "a scope",
+            Self::Target => "a target",
+            Self::ServerAddress => "a server's address",
+        })
+    }
+}
+
+/// Why a change, an interest, or a message with one is invalid.
+///
+/// The texts are part of replicated rejections and must not change.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DocumentError {
     /// A name is empty, too long or has control characters.
-    #[error("{what} must have 1 to {MAX_NAME_BYTES} bytes and no control characters")]
-    Name {
-        /// Which name.
-        what: &'static str,
-    },
-    /// A tenant without its service.
+    #[error("{0} must have 1 to {MAX_NAME_BYTES} bytes and no control characters")]
+    InvalidName(NameKind),
+    /// A scope has a tenant and no service.
     #[error("a tenant is named without its service")]
-    TenantAlone,
-    /// The setting is not one for such a target.
+    TenantWithoutService,
+    /// The setting does not fit the kind of target.
     #[error("a server drains or is withdrawn, a class has a level")]
-    Mismatch,
-    /// A level beyond the whole.
+    SettingMismatch,
+    /// An admission level is above 100%.
     #[error("a level lies between 0 and {WHOLE_PPM} millionths")]
-    Level,
-    /// Something is missing or cannot be read.
+    LevelTooHigh,
+    /// A message lacks a part, or the part cannot be parsed.
     #[error("{0} is missing or cannot be read")]
-    Unreadable(&'static str),
-    /// Too many services or tenants.
+    Unreadable(DocumentField),
+    /// An interest has too many services or tenants: this many together.
     #[error("{0} services or tenants are too many")]
     TooMany(usize),
 }
 
-fn check_name(what: &'static str, name: &str) -> Result<(), DocumentError> {
-    let sound = (1..=MAX_NAME_BYTES).contains(&name.len()) && !name.chars().any(char::is_control);
-    if sound { Ok(()) } else { Err(DocumentError::Name { what }) }
+/// Whether a name has 1 to [`MAX_NAME_BYTES`] bytes and no control characters.
+pub(crate) fn is_valid_name(name: &str) -> bool {
+    (1..=MAX_NAME_BYTES).contains(&name.len()) && !name.chars().any(char::is_control)
+}
+
+fn check_name(kind: NameKind, name: &str) -> Result<(), DocumentError> {
+    if is_valid_name(name) { Ok(()) } else { Err(DocumentError::InvalidName(kind)) }
 }
 
 impl Scope {
     fn check(&self) -> Result<(), DocumentError> {
         if self.tenant.is_some() && self.service.is_none() {
-            return Err(DocumentError::TenantAlone);
+            return Err(DocumentError::TenantWithoutService);
+        }
+        let names = [
+            (NameKind::Service, &self.service),
+            (NameKind::Tenant, &self.tenant),
+            (NameKind::Region, &self.region),
+        ];
+        for (kind, name) in names {
+            if let Some(name) = name {
+                check_name(kind, name)?;
+            }
         }
-        let names = [("a service", &self.service), ("a tenant", &self.tenant), ("a region", &self.region)];
-        names.into_iter().try_for_each(|(what, name)| name.iter().try_for_each(|name| check_name(what, name)))
+        Ok(())
     }
 }
 
 impl Change {
-    /// Checks it whole.
+    /// Checks the scope, the target and the setting.
     ///
     /// # Errors
-    /// The first fault.
+    /// The first error found.
     pub fn check(&self) -> Result<(), DocumentError> {
         self.scope.check()?;
         if let Target::Class(name) = &self.target {
-            check_name("a class", name)?;
+            check_name(NameKind::Class, name)?;
         }
         match (&self.target, self.setting) {
             (_, None) | (Target::Server(_), Some(Setting::Draining | Setting::Withdrawn)) => Ok(()),
             (Target::Class(_), Some(Setting::LevelPpm(ppm))) if ppm <= WHOLE_PPM => Ok(()),
-            (Target::Class(_), Some(Setting::LevelPpm(_))) => Err(DocumentError::Level),
-            _ => Err(DocumentError::Mismatch),
+            (Target::Class(_), Some(Setting::LevelPpm(_))) => Err(DocumentError::LevelTooHigh),
+            _ => Err(DocumentError::SettingMismatch),
         }
     }
 
-    /// The key that it changes.
+    /// The key of the changed document.
     pub fn key(&self) -> Key {
         Key { scope: self.scope.clone(), target: self.target.clone() }
     }
 }
 
 impl Interest {
-    /// Sorts it, and checks it whole.
+    /// Sorts services and tenants, drops repeated ones, and checks all names.
     ///
     /// # Errors
-    /// The first fault.
+    /// The first error found.
     pub fn sorted(mut self) -> Result<Self, DocumentError> {
-        let tenants: usize = self.services.iter().map(|service| service.tenants.len()).sum();
-        if self.services.len() > MAX_SERVICES || tenants > MAX_TENANTS {
-            return Err(DocumentError::TooMany(self.services.len() + tenants));
+        let tenant_count: usize = self.services.iter().map(|service| service.tenants.len()).sum();
+        if self.services.len() > MAX_SERVICES || tenant_count > MAX_TENANTS {
+            return Err(DocumentError::TooMany(self.services.len() + tenant_count));
         }
-        check_name("a region", &self.region)?;
+        check_name(NameKind::Region, &self.region)?;
         for interest in &mut self.services {
-            check_name("a service", &interest.service)?;
-            interest.tenants.iter().try_for_each(|tenant| check_name("a tenant", tenant))?;
+            check_name(NameKind::Service, &interest.service)?;
+            for tenant in &interest.tenants {
+                check_name(NameKind::Tenant, tenant)?;
+            }
             interest.tenants.sort();
             interest.tenants.dedup();
         }
@@ -191,79 +250,17 @@
         Ok(self)
     }
 
-    /// True: a document of this scope concerns the subscriber.
+    /// Whether a document of this scope concerns the subscriber. The interest must be sorted.
     pub fn covers(&self, scope: &Scope) -> bool {
-        let here = scope.region.as_ref().is_none_or(|region| *region == self.region);
-        here && scope
-            .service
-            .as_ref()
-            .is_none_or(|service| self.covers_tenant(service, scope.tenant.as_deref()))
+        let in_region = scope.region.as_ref().is_none_or(|region| *region == self.region);
+        let tenant = scope.tenant.as_deref();
+        in_region && scope.service.as_ref().is_none_or(|service| self.covers_tenant(service, tenant))
     }
 
     fn covers_tenant(&self, service: &str, tenant: Option<&str>) -> bool {
         let found = self.services.binary_search_by(|interest| interest.service.as_str().cmp(service));
-        let Ok(place) = found else { return false };
-        let tenants = &self.services[place].tenants;
+        let Ok(index) = found else { return false };
+        let tenants = &self.services[index].tenants;
         tenant.is_none_or(|tenant| tenants.binary_search_by(|name| name.as_str().cmp(tenant)).is_ok())
     }
 }
-
-impl From<Interest> for Vec<v1::ServiceInterest> {
-    fn from(interest: Interest) -> Self {
-        let message = |i: ServiceInterest| v1::ServiceInterest { service: i.service, tenants: i.tenants };
-        interest.services.into_iter().map(message).collect()
-    }
-}
-
-/// The interest that a subscriber names, sorted and checked.
-///
-/// # Errors
-/// The first fault.
-pub fn interest_of(region: String, services: Vec<v1::ServiceInterest>) -> Result<Interest, DocumentError> {
-    let read = |m: v1::ServiceInterest| ServiceInterest { service: m.service, tenants: m.tenants };
-    Interest { region, services: services.into_iter().map(read).collect() }.sorted()
-}
-
-impl From<Document> for v1::ConfigDocument {
-    fn from(document: Document) -> Self {
-        let Key { scope: Scope { service, tenant, region }, target } = document.key;
-        let target = match target {
-            Target::Server(server) => v1::config_document::Target::Server(server.to_string()),
-            Target::Class(class) => v1::config_document::Target::Class(class),
-        };
-        let setting = document.setting.map(|setting| match setting {
-            Setting::Draining => v1::config_document::Setting::Draining(true),
-            Setting::Withdrawn => v1::config_document::Setting::Withdrawn(true),
-            Setting::LevelPpm(ppm) => v1::config_document::Setting::LevelPpm(ppm),
-        });
-        Self {
-            scope: Some(v1::ConfigScope { service, tenant, region }),
-            target: Some(target),
-            setting,
-            version: Some(document.version.into()),
-        }
-    }
-}
-
-impl TryFrom<v1::ConfigDocument> for Document {
-    type Error = DocumentError;
-
-    fn try_from(message: v1::ConfigDocument) -> Result<Self, DocumentError> {
-        let scope = message.scope.ok_or(DocumentError::Unreadable("a scope"))?;
-        let scope = Scope { service: scope.service, tenant: scope.tenant, region: scope.region };
-        let target = match message.target.ok_or(DocumentError::Unreadable("a target"))? {
-            v1::config_document::Target::Server(server) => {
-                Target::Server(server.parse().map_err(|_| DocumentError::Unreadable("a server's address"))?)
-            }
-            v1::config_document::Target::Class(class) => Target::Class(class),
-        };
-        let setting = message.setting.map(|setting| match setting {
-            v1::config_document::Setting::Draining(_) => Setting::Draining,
-            v1::config_document::Setting::Withdrawn(_) => Setting::Withdrawn,
-            v1::config_document::Setting::LevelPpm(ppm) => Setting::LevelPpm(ppm),
-        });
-        let change = Change { scope, target, setting };
-        change.check()?;
-        Ok(Self { key: change.key(), setting, version: version_of(message.version) })
-    }
-}
--- a/crates/stepspur-distribution/src/lib.rs
+++ b/crates/stepspur-distribution/src/lib.rs
@@ -1,15 +1,16 @@
 //! Configuration from control members to subscribing conductors, by scope and version.
 //!
-//! What operators hold and cap is a book of documents that a council agrees on ([`book`]). Control members serve it
-//! ([`control`]); a conductor is a subscriber ([`subscriber`]): it names what concerns it and the version that it holds,
-//! and is pushed what lies after it. docs/distribution.md has the design and the ways weighed.
+//! Operators change documents in a replicated state machine ([`configuration`]). Control members serve it ([`control`]).
+//! A conductor is a subscriber ([`subscriber`]): it names the documents that concern it and the version that it holds,
+//! and is sent the changes after that version. docs/distribution.md has the design.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod book;
 pub mod config;
+pub mod configuration;
 pub mod control;
 pub mod document;
+mod document_messages;
 pub mod placement;
 pub mod store;
 pub mod subscriber;
--- a/crates/stepspur-distribution/src/placement.rs
+++ b/crates/stepspur-distribution/src/placement.rs
@@ -1,31 +1,34 @@
-//! The order in which a subscriber tries control members: those of its own region first, and within each group by the
-//! weight of a hash of the subscriber's name and the member (rendezvous hashing, Thaler and Ravishankar 1998). So
-//! subscribers spread evenly, and when a member is lost only its own subscribers move, to all the others alike.
+//! The order in which a subscriber tries control members.
+//!
+//! Members of its own region come first. Within each group the order is that of a hash of the subscriber's name and the
+//! member (rendezvous hashing, Thaler and Ravishankar 1998). So subscribers spread evenly, and when a member is lost
+//! only its own subscribers move, evenly to all the others.
 
+use std::cmp::Reverse;
 use std::net::SocketAddr;
 
 use sha2::{Digest, Sha256};
 use stepspur_proto::v1;
 
-/// Control members that a subscriber remembers at most.
+/// Control members that a subscriber remembers, at most.
 pub const MAX_MEMBERS: usize = 256;
 
-/// A control member that subscribers may dial.
+/// A control member that subscribers can connect to.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ControlMember {
-    /// Its number in the council.
+    /// Its id in the consensus group.
     pub id: u64,
-    /// Where it lets subscribers in.
+    /// The address at which it accepts subscribers.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Its region.
     pub region: String,
 }
 
-/// An address that is none.
+/// The address of a control member in a message cannot be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("control member {id} has no address that can be read")]
 pub struct InvalidControlAddress {
-    /// The member.
+    /// The id of the member.
     pub id: u64,
 }
 
@@ -46,23 +49,24 @@
 
 /// The members in the order in which this subscriber tries them.
 pub fn order<'a>(subscriber: &str, region: &str, members: &'a [ControlMember]) -> Vec<&'a ControlMember> {
-    let mut ranked: Vec<_> = members
-        .iter()
-        .map(|member| (member.region != region, weight(subscriber, &member.id.to_be_bytes()), member))
-        .collect();
-    ranked.sort_by(|a, b| a.0.cmp(&b.0).then(b.1.cmp(&a.1)).then(a.2.id.cmp(&b.2.id)));
-    ranked.into_iter().map(|(_, _, member)| member).collect()
+    let mut ordered: Vec<&ControlMember> = members.iter().collect();
+    ordered.sort_by_cached_key(|member| {
+        let is_remote = member.region != region;
+        let weight = weight(subscriber, &member.id.to_be_bytes());
+        (is_remote, Reverse(weight), member.id)
+    });
+    ordered
 }
 
-/// Addresses of which no more is known, in the order in which this subscriber tries them.
+/// Addresses of unknown members in the order in which this subscriber tries them, without repeated ones.
 pub fn order_addresses(subscriber: &str, addresses: &[SocketAddr]) -> Vec<SocketAddr> {
-    let mut ranked: Vec<_> = addresses
-        .iter()
-        .map(|address| (weight(subscriber, address.to_string().as_bytes()), *address))
-        .collect();
-    ranked.sort_by(|a, b| b.cmp(a));
-    ranked.dedup();
-    ranked.into_iter().map(|(_, address)| address).collect()
+    let mut ordered = addresses.to_vec();
+    ordered.sort_by_cached_key(|address| {
+        let weight = weight(subscriber, address.to_string().as_bytes());
+        Reverse((weight, *address))
+    });
+    ordered.dedup();
+    ordered
 }
 
 fn weight(subscriber: &str, member: &[u8]) -> u64 {
--- a/crates/stepspur-distribution/src/version.rs
+++ b/crates/stepspur-distribution/src/version.rs
@@ -6,18 +6,22 @@
 use stepspur_consensus::LogPosition;
 use stepspur_proto::v1;
 
-/// A version of the configuration: the position of the entry that made it. Versions compare by term, then by index, so
-/// that of two agreed versions the later one is the greater, whoever led.
+/// Characters of an invalid version that its error repeats, at most.
+const MAX_QUOTED_CHARS: usize = 64;
+
+/// A version of the configuration: the position of the log entry that made it.
+///
+/// Versions compare by term, then by index. So of two committed versions the later one is greater, whichever member led.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Version {
     /// The term of the leader that wrote the entry.
     pub term: u64,
-    /// The entry's place in the log.
+    /// The entry's index in the log.
     pub index: u64,
 }
 
 impl Version {
-    /// Before the first change.
+    /// The version before the first change.
     pub const NONE: Self = Self { term: 0, index: 0 };
 }
 
@@ -27,7 +31,7 @@
     }
 }
 
-/// A text is not `TERM.INDEX`.
+/// A text is not a version in the form `TERM.INDEX`.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("`{0}` is no version: expected TERM.INDEX")]
 pub struct InvalidVersion(String);
@@ -36,12 +40,15 @@
     type Err = InvalidVersion;
 
     fn from_str(text: &str) -> Result<Self, InvalidVersion> {
-        let bad = || InvalidVersion(text.chars().take(64).collect());
-        let (term, index) = text.split_once('.').ok_or_else(bad)?;
-        Ok(Self { term: term.parse().map_err(|_| bad())?, index: index.parse().map_err(|_| bad())? })
+        parse_version(text).ok_or_else(|| InvalidVersion(text.chars().take(MAX_QUOTED_CHARS).collect()))
     }
 }
 
+fn parse_version(text: &str) -> Option<Version> {
+    let (term, index) = text.split_once('.')?;
+    Some(Version { term: term.parse().ok()?, index: index.parse().ok()? })
+}
+
 impl From<LogPosition> for Version {
     fn from(position: LogPosition) -> Self {
         Self { term: position.term.0, index: position.index.0 }
@@ -60,7 +67,7 @@
     }
 }
 
-/// The version in a message; one that is left out is [`Version::NONE`].
+/// The version of a message; [`Version::NONE`] if it is omitted.
 pub fn version_of(message: Option<v1::ConfigVersion>) -> Version {
     message.map_or(Version::NONE, Version::from)
 }
--- a/crates/stepspur-distribution/tests/control/admission.rs
+++ b/crates/stepspur-distribution/tests/control/admission.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use stepspur_distribution::book::MAX_CHANGES;
+use stepspur_distribution::configuration::MAX_CHANGES;
 use stepspur_distribution::control::MAX_PART_BYTES;
 use stepspur_distribution::version::Version;
 use tokio::time::Instant;
--- a/crates/stepspur-distribution/tests/control/sessions.rs
+++ b/crates/stepspur-distribution/tests/control/sessions.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use stepspur_distribution::book::{MAX_CHANGES, MAX_RECENT_CHANGES};
+use stepspur_distribution::configuration::{MAX_CHANGES, MAX_RECENT_CHANGES};
 use stepspur_distribution::control::MAX_DELTA_BYTES;
 use stepspur_distribution::document::{Change, Document, MAX_NAME_BYTES, Scope};
 use stepspur_distribution::version::Version;
--- a/crates/stepspur-distribution/tests/control/support.rs
+++ b/crates/stepspur-distribution/tests/control/support.rs
@@ -9,7 +9,7 @@
 use futures_util::{SinkExt, StreamExt};
 use stepspur_consensus::{MemberId, RaftNode};
 use stepspur_consensus_node::{BoxFuture, Listen, Net, NodeHandle, Settings, Stream};
-use stepspur_distribution::book::ConfigurationState;
+use stepspur_distribution::configuration::ConfigurationState;
 use stepspur_distribution::control::{Control, ControlMember, ControlSettings, RolloutStatus};
 use stepspur_distribution::document::{Change, Document, Scope, Setting, Target};
 use stepspur_distribution::version::{Version, version_of};
--- a/crates/stepspur-fault-tests/src/distribution/node.rs
+++ b/crates/stepspur-fault-tests/src/distribution/node.rs
@@ -7,7 +7,7 @@
 
 use stepspur_consensus::{MemberId, RaftNode};
 use stepspur_consensus_node::{NodeHandle, Settings};
-use stepspur_distribution::book::ConfigurationState;
+use stepspur_distribution::configuration::ConfigurationState;
 use stepspur_distribution::control::{Control, ControlMember, ControlSettings};
 use stepspur_distribution::document::Interest;
 use stepspur_distribution::store::MemoryStore;
