--- a/crates/stepspur-conductor/src/service/distribution/mod.rs
+++ b/crates/stepspur-conductor/src/service/distribution/mod.rs
@@ -16,7 +16,7 @@
 };
 use stepspur_distribution::control::{Control, ControlMember, ControlSettings, ControlStatus};
 use stepspur_distribution::document::Interest;
-use stepspur_distribution::store::{MemoryStore, RedbStore, ScopeStore, StoreError};
+use stepspur_distribution::scope_store::{MemoryStore, RedbStore, ScopeStore, StoreError};
 use stepspur_distribution::subscriber::{Subscriber, SubscriberSettings, SubscriberStatus};
 use stepspur_replication::{ProposalLimits, ReplicatedStateMachine, ReplicationClient, StateMachineRegistry};
 use tokio::sync::{mpsc, watch};
--- a/crates/stepspur-conductor/src/service/mod.rs
+++ b/crates/stepspur-conductor/src/service/mod.rs
@@ -26,7 +26,7 @@
 use stepspur_consensus_node::NodeHandle;
 use stepspur_distribution::control::ControlStartError;
 use stepspur_distribution::document::DocumentError;
-use stepspur_distribution::store::StoreError;
+use stepspur_distribution::scope_store::StoreError;
 use stepspur_distribution::subscriber::SubscriberStartError;
 use stepspur_identity::keys::KeyError;
 use tokio::net::{TcpListener, TcpSocket};
--- a/crates/stepspur-distribution/src/lib.rs
+++ b/crates/stepspur-distribution/src/lib.rs
@@ -12,6 +12,6 @@
 pub mod document;
 mod document_messages;
 pub mod placement;
-pub mod store;
+pub mod scope_store;
 pub mod subscriber;
 pub mod version;
--- a/crates/stepspur-distribution/src/subscriber.rs
+++ b/crates/stepspur-distribution/src/subscriber.rs
@@ -27,7 +27,7 @@
 use tokio_util::task::TaskTracker;
 
 use crate::document::{Document, DocumentError, Interest, MAX_NAME_BYTES};
-use crate::store::{ScopeStore, StoreError};
+use crate::scope_store::{ScopeStore, StoreError};
 use crate::version::Version;
 
 pub use status::{MAX_UNAPPLIED_LISTED, SubscriberStatus, Unapplied};
@@ -112,7 +112,7 @@
             store.load().map(|kept| (store, kept))
         });
         let (store, kept) = loaded.await.map_err(|cause| SubscriberStartError::Load(cause.to_string()))??;
-        let (board, status) = Board::new(kept.as_ref().map(|kept| kept.kept_at));
+        let (board, status) = Board::new(kept.as_ref().map(|kept| kept.stored_at));
         let board = Arc::new(board);
         let mut keeper = Keeper::new(settings.interest.clone(), store, apply, kept, Arc::clone(&board));
         keeper.apply_kept().await;
--- a/crates/stepspur-distribution/src/subscriber/keeper.rs
+++ b/crates/stepspur-distribution/src/subscriber/keeper.rs
@@ -15,7 +15,7 @@
 use super::snapshot::Snapshot;
 use super::status::{REASON_MOST, Unapplied, shortened};
 use crate::document::{Document, Interest, Key};
-use crate::store::{ScopeStore, StoreError, StoredScope, Update};
+use crate::scope_store::{ScopeStore, ScopeUpdate, StoreError, StoredScope};
 use crate::version::Version;
 
 /// What failed is tried again, and the age in the status renewed, so often.
@@ -176,7 +176,7 @@
         check_versions(&documents, to)?;
         let documents = newest_of_each(documents).into_iter();
         let news: Arc<[Document]> = documents.filter(|d| self.is_news(d)).collect();
-        self.save(&Update::Changes { version: to, documents: Arc::clone(&news) }).await?;
+        self.save(&ScopeUpdate::Delta { version: to, documents: Arc::clone(&news) }).await?;
         for document in news.iter() {
             self.hold(document);
         }
@@ -196,7 +196,7 @@
         let mut after = self.documents.clone();
         changes.iter().for_each(|document| hold(&mut after, document));
         let all: Arc<[Document]> = after.values().cloned().collect();
-        self.save(&Update::Whole { version, documents: all }).await?;
+        self.save(&ScopeUpdate::Snapshot { version, documents: all }).await?;
         self.documents = after;
         self.advance(version, &changes).await;
         Ok(())
@@ -237,7 +237,7 @@
     }
 
     async fn keep_covered(&mut self) {
-        match self.save(&Update::Covered { version: self.holds }).await {
+        match self.save(&ScopeUpdate::Covered { version: self.holds }).await {
             Ok(()) => {}
             // Tried again after the next span: nothing is lost but the time.
             Err(cause) => {
@@ -247,7 +247,7 @@
         }
     }
 
-    async fn save(&mut self, update: &Update) -> Result<(), Refused> {
+    async fn save(&mut self, update: &ScopeUpdate) -> Result<(), Refused> {
         let saved = timeout(SAVE_TIMEOUT, self.store.save(update)).await;
         let saved = saved.map_err(|_| Refused::Stalled).and_then(|saved| saved.map_err(Refused::Store));
         match &saved {
--- a/crates/stepspur-distribution/src/subscriber/keeper/tests.rs
+++ b/crates/stepspur-distribution/src/subscriber/keeper/tests.rs
@@ -6,7 +6,7 @@
 
 use super::*;
 use crate::document::{Scope, ServiceInterest, Setting, Target};
-use crate::store::MemoryStore;
+use crate::scope_store::MemoryStore;
 
 /// An engine that keeps what it acts by, refuses what it is told to, and stalls when it is told to.
 #[derive(Default)]
@@ -70,7 +70,7 @@
 
 async fn rig_on(store: MemoryStore) -> Rig {
     let engine = Arc::new(Engine::default());
-    let kept = store.kept();
+    let kept = store.content();
     let board = Arc::new(Board::new(None).0);
     let apply = Arc::clone(&engine) as Arc<dyn DocumentApplier>;
     let mut keeper = Keeper::new(interest(), Box::new(store.clone()), apply, kept, board);
@@ -102,7 +102,7 @@
         assert_eq!((progress.holds, progress.in_force), (version(index), version(index)));
         assert_eq!(progress.unapplied, []);
         assert_eq!(self.engine.acts_by(), documents);
-        let kept = self.store.kept().expect("something is kept");
+        let kept = self.store.content().expect("something is kept");
         assert_eq!((kept.version, kept.documents), (version(index), documents.to_vec()));
     }
 }
@@ -211,11 +211,11 @@
 async fn nothing_is_applied_that_the_disk_does_not_take() {
     let mut rig = rig().await;
     rig.whole(3, vec![document(1, 3, Some(5))]).await.expect("taken");
-    rig.store.refuse(Some("full".to_owned()));
+    rig.store.inject_failure(Some("full".to_owned()));
     assert!(matches!(rig.delta(3, 4, vec![document(1, 4, Some(9))]).await, Err(Refused::Store(_))));
     assert!(matches!(rig.whole(4, vec![]).await, Err(Refused::Store(_))));
     rig.stands(3, &[document(1, 3, Some(5))]);
-    rig.store.refuse(None);
+    rig.store.inject_failure(None);
     rig.delta(3, 4, vec![document(1, 4, Some(9))]).await.expect("taken");
     rig.stands(4, &[document(1, 4, Some(9))]);
 }
@@ -302,7 +302,7 @@
 async fn covered_versions_count_at_once_and_are_kept_once_a_minute() {
     let mut rig = rig().await;
     rig.whole(3, vec![document(1, 3, Some(5))]).await.expect("taken");
-    let kept = |rig: &Rig| rig.store.kept().map(|kept| kept.version);
+    let kept = |rig: &Rig| rig.store.content().map(|kept| kept.version);
     for index in 4..10 {
         rig.keeper.take(Offer::Covered(version(index))).await.expect("taken");
         rig.keeper.round().await;
@@ -320,8 +320,8 @@
     let mut first = rig().await;
     let newest = [document(1, 9, Some(9)), document(2, 2, Some(2)), document(4, 8, Some(4))];
     first.whole(9, newest.to_vec()).await.expect("taken");
-    let kept = first.store.kept().map(|kept| StoredScope { version: Version::NONE, ..kept });
-    first.store.put_back(kept);
+    let kept = first.store.content().map(|kept| StoredScope { version: Version::NONE, ..kept });
+    first.store.set_content(kept);
     let mut rig = rig_on(first.store).await;
     assert_eq!(rig.progress().in_force, Version::NONE);
     rig.whole(6, vec![document(1, 5, Some(1)), document(3, 6, Some(3))]).await.expect("taken");
--- a/crates/stepspur-distribution/tests/subscriber.rs
+++ b/crates/stepspur-distribution/tests/subscriber.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
 
-use stepspur_distribution::store::{MemoryStore, RedbStore, StoreError, StoredScope};
+use stepspur_distribution::scope_store::{MemoryStore, RedbStore, StoreError, StoredScope};
 use stepspur_distribution::subscriber::{Subscriber, SubscriberStartError};
 use stepspur_distribution::version::Version;
 use stepspur_proto::{from_control, from_subscriber, v1};
@@ -175,14 +175,14 @@
     let mut door = pipes.door(1);
     let rig = Rig::start(&pipes, &[1]).await;
     let mut call = door.welcome().await;
-    rig.store.refuse(Some("full".to_owned()));
+    rig.store.inject_failure(Some("full".to_owned()));
     call.delta(0, 3, &[document(1, 3, Some(5))]).await;
     call.ended().await;
     assert_eq!(rig.engine.acts_by(), []);
     assert!(
         rig.status(|status| status.control.is_none()).await.fault.is_some_and(|why| why.contains("full"))
     );
-    rig.store.refuse(None);
+    rig.store.inject_failure(None);
     let mut call = door.welcome().await;
     assert_eq!(call.holds(), Version::NONE);
     call.delta(0, 3, &[document(1, 3, Some(5))]).await;
@@ -192,9 +192,9 @@
 #[tokio::test(start_paused = true)]
 async fn what_is_kept_is_in_force_before_any_control_member_answers_and_its_age_is_told() {
     let store = MemoryStore::new();
-    let kept_at = SystemTime::now() - Duration::from_secs(100);
+    let stored_at = SystemTime::now() - Duration::from_secs(100);
     let documents = vec![document(1, 3, Some(5))];
-    store.put_back(Some(StoredScope { version: version(3), documents: documents.clone(), kept_at }));
+    store.set_content(Some(StoredScope { version: version(3), documents: documents.clone(), stored_at }));
     let pipes = Pipes::default();
     let rig = Rig::start_on(&pipes, &[1], store).await;
     assert_eq!(rig.engine.acts_by(), documents);
--- a/crates/stepspur-distribution/tests/subscriber_rig/mod.rs
+++ b/crates/stepspur-distribution/tests/subscriber_rig/mod.rs
@@ -9,7 +9,7 @@
 use futures_util::{SinkExt, StreamExt};
 use stepspur_consensus_node::{BoxFuture, Listen, Net, Stream};
 use stepspur_distribution::document::{Document, Interest, Key, Scope, ServiceInterest, Setting, Target};
-use stepspur_distribution::store::MemoryStore;
+use stepspur_distribution::scope_store::MemoryStore;
 use stepspur_distribution::subscriber::{DocumentApplier, Subscriber, SubscriberSettings, SubscriberStatus};
 use stepspur_distribution::version::{Version, version_of};
 use stepspur_proto::{Frames, FromControl, FromSubscriber, LARGEST_FRAME, from_control, from_subscriber, v1};
@@ -224,7 +224,7 @@
             let _ = self.held_up.subscribe().wait_for(|held_up| !held_up).await;
             let mut state = self.state.lock().expect("state");
             if let Some(disk) = &state.disk {
-                let kept = disk.kept().map_or(Version::NONE, |kept| kept.version);
+                let kept = disk.content().map_or(Version::NONE, |kept| kept.version);
                 assert!(kept >= document.version, "{document:?} is applied, and the disk has {kept}");
             }
             if let Some(why) = &state.refuses {
@@ -276,6 +276,6 @@
 
     /// What the store holds.
     pub(crate) fn kept(&self) -> (Version, Vec<Document>) {
-        self.store.kept().map_or((Version::NONE, Vec::new()), |kept| (kept.version, kept.documents))
+        self.store.content().map_or((Version::NONE, Vec::new()), |kept| (kept.version, kept.documents))
     }
 }
--- a/crates/stepspur-fault-tests/src/distribution/fleet.rs
+++ b/crates/stepspur-fault-tests/src/distribution/fleet.rs
@@ -10,7 +10,7 @@
 use stepspur_consensus::MemberId;
 use stepspur_distribution::control::{Control, ControlMember, ProposeError};
 use stepspur_distribution::document::{Change, Interest, Scope, ServiceInterest, Setting, Target};
-use stepspur_distribution::store::StoredScope;
+use stepspur_distribution::scope_store::StoredScope;
 use stepspur_distribution::subscriber::SubscriberStatus;
 use stepspur_distribution::version::Version;
 use stepspur_replication::OperationId;
@@ -143,7 +143,7 @@
 
     /// What a subscriber's disk holds.
     pub fn kept(&self, name: &str) -> Option<StoredScope> {
-        self.subscribers[name].store.kept()
+        self.subscribers[name].store.content()
     }
 
     /// How a subscriber stands.
@@ -196,7 +196,7 @@
     /// Ends a subscriber's process, puts an older disk in it, and starts it.
     pub async fn put_back(&mut self, name: &str, older: Option<StoredScope>) {
         self.end_subscriber(name).await;
-        self.subscribers[name].store.put_back(older);
+        self.subscribers[name].store.set_content(older);
         self.begin_subscriber(name).await;
     }
 
--- a/crates/stepspur-fault-tests/src/distribution/node.rs
+++ b/crates/stepspur-fault-tests/src/distribution/node.rs
@@ -10,7 +10,7 @@
 use stepspur_distribution::configuration::ConfigurationState;
 use stepspur_distribution::control::{Control, ControlMember, ControlSettings};
 use stepspur_distribution::document::Interest;
-use stepspur_distribution::store::MemoryStore;
+use stepspur_distribution::scope_store::MemoryStore;
 use stepspur_distribution::subscriber::{Subscriber, SubscriberSettings, SubscriberStatus};
 use stepspur_replication::{ProposalLimits, ReplicatedStateMachine, ReplicationClient, StateMachineRegistry};
 use tokio::sync::watch;
@@ -183,7 +183,7 @@
             name: self.name.clone(),
             interest: self.interest.clone(),
             acts_by: self.engine.acts_by(),
-            kept: self.store.kept().map_or_else(Vec::new, |kept| kept.documents),
+            kept: self.store.content().map_or_else(Vec::new, |kept| kept.documents),
         }
     }
 }
--- a/crates/stepspur-fault-tests/tests/distribution.rs
+++ b/crates/stepspur-fault-tests/tests/distribution.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use stepspur_distribution::document::{Change, Key};
-use stepspur_distribution::store::StoredScope;
+use stepspur_distribution::scope_store::StoredScope;
 use stepspur_distribution::subscriber::SubscriberStatus;
 use stepspur_distribution::version::Version;
 use stepspur_fault_tests::distribution::{ControlFleet, REGIONS};
--- a/crates/stepspur-scale/src/hollow_conductors/mod.rs
+++ b/crates/stepspur-scale/src/hollow_conductors/mod.rs
@@ -12,7 +12,7 @@
 use anyhow::Context;
 use stepspur_consensus_node::BoxFuture;
 use stepspur_distribution::document::Document;
-use stepspur_distribution::store::MemoryStore;
+use stepspur_distribution::scope_store::MemoryStore;
 use stepspur_distribution::subscriber::{DocumentApplier, Subscriber, SubscriberSettings, SubscriberStatus};
 use stepspur_distribution::version::Version;
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader, BufWriter};
