--- a/crates/stepspur-conductor/src/service/distribution/apply.rs
+++ b/crates/stepspur-conductor/src/service/distribution/apply.rs
@@ -11,7 +11,7 @@
 
 use stepspur_consensus_node::BoxFuture;
 use stepspur_distribution::document::{Document, Key, Setting, Target, WHOLE_PPM};
-use stepspur_distribution::subscriber::DocumentApplier;
+use stepspur_distribution::subscriber::{DocumentApplier, DocumentNotApplied};
 use stepspur_distribution::version::Version;
 use tokio::sync::{Mutex, mpsc, oneshot};
 use tokio::time::timeout;
@@ -86,8 +86,8 @@
 }
 
 impl DocumentApplier for TenantEngines {
-    fn apply<'a>(&'a self, document: &'a Document) -> BoxFuture<'a, Result<(), String>> {
-        Box::pin(self.apply(document))
+    fn apply<'a>(&'a self, document: &'a Document) -> BoxFuture<'a, Result<(), DocumentNotApplied>> {
+        Box::pin(async move { Ok(self.apply(document).await?) })
     }
 }
 
--- a/crates/stepspur-distribution/src/subscriber/candidates.rs
+++ b/crates/stepspur-distribution/src/subscriber/candidates.rs
@@ -1,4 +1,4 @@
-//! Which control member is dialled next.
+//! Decides which control member to connect to next.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -7,41 +7,43 @@
 use stepspur_proto::v1;
 use tokio::time::Instant;
 
+use super::connection::ConnectionEnd;
 use crate::placement::{ControlMember, MAX_MEMBERS, order, order_addresses};
 
-/// A control member that sends a subscriber on is heeded for so long at most.
-pub(crate) const RETRY_AFTER_MOST: Duration = Duration::from_secs(60);
+/// The longest time for which a redirect keeps a subscriber from a control member.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
 
-/// What comes next.
+/// The next step of connecting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Next {
-    /// This one is dialled.
+pub(super) enum NextCandidate {
+    /// Connect to this control member.
     Dial {
         /// Its address.
         address: SocketAddr,
-        /// True: all have sent it on, or do not answer.
+        /// Whether to ask to be accepted beyond its share: all control members have redirected or failed.
         insists: bool,
     },
-    /// None before that.
-    Wait(Instant),
+    /// No control member may be tried before this time.
+    WaitUntil(Instant),
 }
 
-/// The control members that a subscriber knows, and what became of its attempts.
+/// The known control members, and the attempts to connect to them.
 #[derive(Debug)]
-pub(crate) struct Candidates {
+pub(super) struct Candidates {
     name: String,
     region: String,
     configured: Vec<SocketAddr>,
     order: Vec<SocketAddr>,
-    /// Those of this round that sent it on, do not answer or were lost.
+    /// Those that redirected or failed in this round.
     tried: BTreeSet<SocketAddr>,
-    not_before: BTreeMap<SocketAddr, Instant>,
+    /// Until when those that redirected are not tried.
+    retry_at: BTreeMap<SocketAddr, Instant>,
     insists: bool,
 }
 
 impl Candidates {
-    /// Only the configured addresses, to begin with.
-    pub(crate) fn new(name: &str, region: &str, configured: &[SocketAddr]) -> Self {
+    /// Starts with the configured addresses.
+    pub(super) fn new(name: &str, region: &str, configured: &[SocketAddr]) -> Self {
         let configured = order_addresses(name, configured);
         Self {
             name: name.to_owned(),
@@ -49,51 +51,64 @@
             order: configured.clone(),
             configured,
             tried: BTreeSet::new(),
-            not_before: BTreeMap::new(),
+            retry_at: BTreeMap::new(),
             insists: false,
         }
     }
 
-    /// Which one is next. Once all have been tried a round begins in which the subscriber insists.
-    pub(crate) fn next(&mut self, now: Instant) -> Next {
+    /// The next candidate. Once all were tried a new round begins, in which the subscriber insists.
+    pub(super) fn next(&mut self, now: Instant) -> NextCandidate {
         if self.order.iter().all(|address| self.tried.contains(address)) {
             self.tried.clear();
             self.insists = true;
         }
-        let untried = || self.order.iter().filter(|address| !self.tried.contains(*address));
-        let from = |address: &SocketAddr| self.not_before.get(address).copied().unwrap_or(now);
-        if let Some(address) = untried().find(|address| from(address) <= now) {
-            return Next::Dial { address: *address, insists: self.insists };
+        let mut earliest: Option<Instant> = None;
+        for address in self.order.iter().filter(|address| !self.tried.contains(*address)) {
+            let retry_at = self.retry_at.get(address).copied().unwrap_or(now);
+            if retry_at <= now {
+                return NextCandidate::Dial { address: *address, insists: self.insists };
+            }
+            earliest = Some(earliest.map_or(retry_at, |earliest| earliest.min(retry_at)));
         }
-        Next::Wait(untried().map(from).min().unwrap_or(now))
+        NextCandidate::WaitUntil(earliest.unwrap_or(now))
     }
 
-    /// It does not answer, or was lost.
-    pub(crate) fn failed(&mut self, address: SocketAddr) {
+    /// A control member did not answer, or its connection was lost.
+    pub(super) fn mark_failed(&mut self, address: SocketAddr) {
         self.tried.insert(address);
     }
 
-    /// It sends the subscriber on, and wants to be left alone for a while.
-    pub(crate) fn redirected(&mut self, address: SocketAddr, retry_after: Duration, now: Instant) {
+    /// A control member redirects the subscriber: it is not tried again before the time that it names.
+    pub(super) fn follow_redirect(
+        &mut self,
+        address: SocketAddr,
+        redirect: v1::ConfigRedirect,
+    ) -> ConnectionEnd {
+        self.learn(redirect.members);
+        self.mark_redirected(address, Duration::from_micros(redirect.retry_after_us), Instant::now());
+        ConnectionEnd::Redirected(redirect.detail)
+    }
+
+    fn mark_redirected(&mut self, address: SocketAddr, retry_after: Duration, now: Instant) {
         self.tried.insert(address);
-        self.not_before.insert(address, now + retry_after.min(RETRY_AFTER_MOST));
+        self.retry_at.insert(address, now + retry_after.min(MAX_RETRY_AFTER));
     }
 
-    /// The subscriber is attached: the next round begins anew.
-    pub(crate) fn attached(&mut self) {
+    /// The subscriber is attached: the attempts are forgotten.
+    pub(super) fn mark_attached(&mut self) {
         self.tried.clear();
-        self.not_before.clear();
+        self.retry_at.clear();
         self.insists = false;
     }
 
-    /// True: it comes first in the order.
-    pub(crate) fn is_first(&self, address: SocketAddr) -> bool {
+    /// Whether a control member is first in the order.
+    pub(super) fn is_first(&self, address: SocketAddr) -> bool {
         self.order.first() == Some(&address)
     }
 
-    /// Takes the members that a control member names, in place of those known before. What cannot be read of it is left
-    /// out; of nothing that can be read nothing changes. The configured addresses always stay, behind them.
-    pub(crate) fn learn(&mut self, members: Vec<v1::ControlAddress>) {
+    /// Replaces the known members by those that a control member names. Members with an invalid address are omitted; if
+    /// none is valid nothing changes. The configured addresses always remain, last in the order.
+    pub(super) fn learn(&mut self, members: Vec<v1::ControlAddress>) {
         let mut learned: Vec<ControlMember> = Vec::new();
         for member in members.into_iter().take(MAX_MEMBERS) {
             match member.try_into() {
@@ -104,11 +119,12 @@
         if learned.is_empty() {
             return;
         }
-        let ranked = order(&self.name, &self.region, &learned).into_iter().map(|member| member.address);
-        let mut seen = BTreeSet::new();
-        self.order = ranked.chain(self.configured.iter().copied()).filter(|a| seen.insert(*a)).collect();
-        self.tried.retain(|address| seen.contains(address));
-        self.not_before.retain(|address, _| seen.contains(address));
+        let ordered = order(&self.name, &self.region, &learned).into_iter().map(|member| member.address);
+        let mut known = BTreeSet::new();
+        let all = ordered.chain(self.configured.iter().copied());
+        self.order = all.filter(|address| known.insert(*address)).collect();
+        self.tried.retain(|address| known.contains(address));
+        self.retry_at.retain(|address, _| known.contains(address));
     }
 }
 
--- a/crates/stepspur-distribution/src/subscriber/connection.rs
+++ b/crates/stepspur-distribution/src/subscriber/connection.rs
@@ -1,5 +1,6 @@
-//! One connection to a control member: frames both ways, counted, and each wait timed.
+//! One connection to a control member: frames with time limits, and byte counters.
 
+use std::fmt;
 use std::io;
 use std::pin::Pin;
 use std::sync::Arc;
@@ -9,26 +10,40 @@
 
 use futures_util::{SinkExt, StreamExt};
 use stepspur_consensus_node::Stream;
-use stepspur_proto::{FrameError, Frames, FromControl, FromSubscriber, from_control, from_subscriber, v1};
+use stepspur_proto::{FrameError, Frames, FromControl, FromSubscriber, from_control};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::timeout;
 use tokio_util::codec::Framed;
 
-use super::SubscriberSettings;
-use super::board::Board;
-use super::keeper::Progress;
-use super::status::Unapplied;
-use crate::document::Document;
-use crate::version::Version;
+use super::messages::MAX_FRAME_BYTES;
+use super::snapshot_assembler::SnapshotError;
+use super::status_publisher::StatusPublisher;
+use super::update::UpdateError;
+use crate::document::DocumentError;
+
+/// An operation with a time limit.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum TimedOperation {
+    Dial,
+    FirstFrame,
+    Write,
+}
 
-/// Bytes of a frame either way at most: the first one may name 10,000 tenants.
-pub(crate) const FRAME_BYTES_MOST: usize = 2 << 20;
+impl fmt::Display for TimedOperation {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Self::Dial => "dialling",
+            Self::FirstFrame => "the first frame",
+            Self::Write => "a write",
+        })
+    }
+}
 
-/// Why a connection, or an attempt at one, ended.
+/// Why a connection, or an attempt to connect, ended.
 #[derive(Debug, thiserror::Error)]
-pub(crate) enum Ended {
-    #[error("{0} took longer than {1:?}")]
-    Late(&'static str, Duration),
+pub(super) enum ConnectionEnd {
+    #[error("{operation} took longer than {limit:?}")]
+    Timeout { operation: TimedOperation, limit: Duration },
     #[error(transparent)]
     Dial(io::Error),
     #[error(transparent)]
@@ -36,108 +51,80 @@
     #[error("the control member ended the connection")]
     Closed,
     #[error("a frame without a kind, or one that is not due")]
-    Unexpected,
+    UnexpectedFrame,
     #[error("silent for {0:?}")]
     Silent(Duration),
+    /// The control member asks the subscriber to go to another one, for this reason.
     #[error("sent on: {0}")]
     Redirected(String),
-    #[error("{0}")]
-    Refused(String),
+    #[error(transparent)]
+    InvalidDocument(#[from] DocumentError),
+    #[error(transparent)]
+    InvalidSnapshot(#[from] SnapshotError),
+    #[error(transparent)]
+    UpdateFailed(#[from] UpdateError),
     #[error("another control member comes first in the order")]
-    Moves,
+    PrefersAnother,
     #[error("stopped")]
     Stopped,
 }
 
-/// A connection.
-pub(crate) struct Connection {
-    frames: Framed<Counted, Frames<FromControl, FromSubscriber>>,
+/// A connection to a control member.
+pub(super) struct Connection {
+    frames: Framed<CountedStream, Frames<FromControl, FromSubscriber>>,
     write_timeout: Duration,
 }
 
 impl Connection {
-    pub(crate) fn new(stream: Box<dyn Stream>, write_timeout: Duration, board: Arc<Board>) -> Self {
-        let frames = Framed::new(Counted { stream, board }, Frames::new(FRAME_BYTES_MOST));
+    pub(super) fn new(
+        stream: Box<dyn Stream>,
+        write_timeout: Duration,
+        publisher: Arc<StatusPublisher>,
+    ) -> Self {
+        let frames = Framed::new(CountedStream { stream, publisher }, Frames::new(MAX_FRAME_BYTES));
         Self { frames, write_timeout }
     }
 
     /// Writes a frame.
-    pub(crate) async fn send(&mut self, message: FromSubscriber) -> Result<(), Ended> {
-        let sent = timeout(self.write_timeout, self.frames.send(message)).await;
-        Ok(sent.map_err(|_| Ended::Late("a write", self.write_timeout))??)
+    pub(super) async fn send(&mut self, message: FromSubscriber) -> Result<(), ConnectionEnd> {
+        let limit = self.write_timeout;
+        let sent = timeout(limit, self.frames.send(message)).await;
+        sent.map_err(|_| ConnectionEnd::Timeout { operation: TimedOperation::Write, limit })??;
+        Ok(())
     }
 
-    /// The next frame. Waiting may be given up, and begun anew, without a loss.
-    pub(crate) async fn receive(&mut self) -> Result<from_control::Kind, Ended> {
-        let frame = self.frames.next().await.ok_or(Ended::Closed)??;
-        frame.kind.ok_or(Ended::Unexpected)
+    /// Reads the next frame. Cancel safe.
+    pub(super) async fn receive(&mut self) -> Result<from_control::Kind, ConnectionEnd> {
+        let frame = self.frames.next().await.ok_or(ConnectionEnd::Closed)??;
+        frame.kind.ok_or(ConnectionEnd::UnexpectedFrame)
     }
 }
 
-/// The first frame of a connection.
-pub(crate) fn subscribe(
-    settings: &SubscriberSettings,
-    holds: Version,
-    in_force: Version,
-    insists: bool,
-) -> FromSubscriber {
-    let subscribe = v1::ConfigSubscribe {
-        protocol: stepspur_proto::VERSION,
-        name: settings.name.clone(),
-        region: settings.interest.region.clone(),
-        services: settings.interest.clone().into(),
-        holds: Some(holds.into()),
-        in_force: Some(in_force.into()),
-        insists,
-    };
-    FromSubscriber { kind: Some(from_subscriber::Kind::Subscribe(subscribe)) }
-}
-
-/// How far the subscriber has come.
-pub(crate) fn acknowledgement(progress: &Progress) -> FromSubscriber {
-    let unapplied = |unapplied: &Unapplied| {
-        let document = Document { key: unapplied.key.clone(), setting: None, version: unapplied.version };
-        v1::UnappliedDocument { document: Some(document.into()), reason: unapplied.reason.clone() }
-    };
-    let acknowledgement = v1::ConfigAcknowledgement {
-        holds: Some(progress.holds.into()),
-        in_force: Some(progress.in_force.into()),
-        unapplied: progress.unapplied.iter().map(unapplied).collect(),
-    };
-    FromSubscriber { kind: Some(from_subscriber::Kind::Acknowledgement(acknowledgement)) }
-}
-
-/// Nothing else was to be told for a while.
-pub(crate) fn keep_alive() -> FromSubscriber {
-    let keep_alive = v1::ConfigKeepAlive { covered: None };
-    FromSubscriber { kind: Some(from_subscriber::Kind::KeepAlive(keep_alive)) }
-}
-
-/// A stream whose bytes are counted.
-struct Counted {
+/// A stream that counts its bytes.
+struct CountedStream {
     stream: Box<dyn Stream>,
-    board: Arc<Board>,
+    publisher: Arc<StatusPublisher>,
 }
 
-impl AsyncRead for Counted {
+impl AsyncRead for CountedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-        into: &mut ReadBuf<'_>,
+        buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let before = into.filled().len();
-        let polled = Pin::new(&mut self.stream).poll_read(cx, into);
-        let read = into.filled().len().saturating_sub(before);
-        self.board.traffic.read.fetch_add(read as u64, Ordering::Relaxed);
+        let before = buffer.filled().len();
+        let polled = Pin::new(&mut self.stream).poll_read(cx, buffer);
+        let read = buffer.filled().len().saturating_sub(before);
+        self.publisher.bytes.read.fetch_add(read as u64, Ordering::Relaxed);
         polled
     }
 }
 
-impl AsyncWrite for Counted {
+impl AsyncWrite for CountedStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.stream).poll_write(cx, bytes);
         if let Poll::Ready(Ok(written)) = polled {
-            self.board.traffic.written.fetch_add(written as u64, Ordering::Relaxed);
+            self.publisher.bytes.written.fetch_add(written as u64, Ordering::Relaxed);
         }
         polled
     }
--- /dev/null
+++ b/crates/stepspur-distribution/src/subscriber/session.rs
@@ -0,0 +1,197 @@
+//! One connection after its welcome: passes updates to the scope task, and acknowledges the progress.
+
+use std::time::Duration;
+
+use stepspur_proto::{FromSubscriber, from_control, v1};
+use tokio::sync::{mpsc, oneshot, watch};
+use tokio::time::{Instant, sleep_until};
+
+use super::connection::{Connection, ConnectionEnd};
+use super::messages::{acknowledgement, keep_alive};
+use super::snapshot_assembler::SnapshotAssembler;
+use super::status_publisher::StatusPublisher;
+use super::update::{ConfigUpdate, Progress, UpdateError, UpdateRequest};
+use crate::document::{Document, DocumentError};
+use crate::version::version_of;
+
+/// Keep-alive intervals without a frame that end a connection.
+const MAX_SILENT_INTERVALS: u32 = 3;
+
+/// Why a session ended.
+pub(super) enum SessionEnd {
+    /// The control member asks the subscriber to go to another one.
+    Redirect(v1::ConfigRedirect),
+    /// The connection ended or failed.
+    Connection(ConnectionEnd),
+}
+
+impl From<ConnectionEnd> for SessionEnd {
+    fn from(end: ConnectionEnd) -> Self {
+        Self::Connection(end)
+    }
+}
+
+/// A connection after its welcome.
+pub(super) struct Session<'a> {
+    connection: Connection,
+    keep_alive_interval: Duration,
+    updates: &'a mpsc::Sender<UpdateRequest>,
+    progress: &'a mut watch::Receiver<Progress>,
+    publisher: &'a StatusPublisher,
+    snapshot: SnapshotAssembler,
+    last_sent: Instant,
+    last_received: Instant,
+    /// The progress that the control member knows.
+    acknowledged: Progress,
+    /// The result of the update that the scope task handles.
+    pending_update: Option<oneshot::Receiver<Result<(), UpdateError>>>,
+}
+
+/// What a session waits for.
+enum SessionEvent {
+    Frame(from_control::Kind),
+    UpdateHandled(Result<(), UpdateError>),
+    ProgressChanged,
+    KeepAliveDue,
+    SilenceTimeout,
+}
+
+impl<'a> Session<'a> {
+    pub(super) fn new(
+        connection: Connection,
+        keep_alive_interval: Duration,
+        updates: &'a mpsc::Sender<UpdateRequest>,
+        progress: &'a mut watch::Receiver<Progress>,
+        publisher: &'a StatusPublisher,
+    ) -> Self {
+        let now = Instant::now();
+        // The first frame of the connection had the versions, but not the documents that were not applied.
+        let acknowledged = Progress { unapplied: Vec::new(), ..progress.borrow_and_update().clone() };
+        Self {
+            connection,
+            keep_alive_interval,
+            updates,
+            progress,
+            publisher,
+            snapshot: SnapshotAssembler::default(),
+            last_sent: now,
+            last_received: now,
+            acknowledged,
+            pending_update: None,
+        }
+    }
+
+    /// Serves the connection until it ends.
+    pub(super) async fn run(mut self) -> SessionEnd {
+        loop {
+            if let Err(end) = self.step().await {
+                return end;
+            }
+        }
+    }
+
+    async fn step(&mut self) -> Result<(), SessionEnd> {
+        self.acknowledge().await?;
+        match self.next_event().await? {
+            SessionEvent::Frame(frame) => {
+                self.last_received = Instant::now();
+                self.publisher.record_frame();
+                self.handle_frame(frame).await?;
+            }
+            SessionEvent::UpdateHandled(result) => {
+                self.pending_update = None;
+                // No frame was read meanwhile.
+                self.last_received = Instant::now();
+                result.map_err(ConnectionEnd::UpdateFailed)?;
+            }
+            SessionEvent::ProgressChanged => {}
+            SessionEvent::KeepAliveDue => self.send(keep_alive()).await?,
+            SessionEvent::SilenceTimeout => return Err(ConnectionEnd::Silent(self.max_silence()).into()),
+        }
+        Ok(())
+    }
+
+    /// Waits for the next event. No frame is read while an update is handled.
+    async fn next_event(&mut self) -> Result<SessionEvent, ConnectionEnd> {
+        let may_read = self.pending_update.is_none();
+        let silent_at = self.last_received + self.max_silence();
+        tokio::select! {
+            biased;
+            handled = update_result(&mut self.pending_update) => Ok(SessionEvent::UpdateHandled(handled?)),
+            changed = self.progress.changed() => match changed {
+                Ok(()) => Ok(SessionEvent::ProgressChanged),
+                Err(_) => Err(ConnectionEnd::Stopped),
+            },
+            () = sleep_until(self.last_sent + self.keep_alive_interval) => Ok(SessionEvent::KeepAliveDue),
+            frame = self.connection.receive(), if may_read => frame.map(SessionEvent::Frame),
+            () = sleep_until(silent_at), if may_read => Ok(SessionEvent::SilenceTimeout),
+        }
+    }
+
+    fn max_silence(&self) -> Duration {
+        self.keep_alive_interval * MAX_SILENT_INTERVALS
+    }
+
+    async fn handle_frame(&mut self, frame: from_control::Kind) -> Result<(), SessionEnd> {
+        match frame {
+            from_control::Kind::Delta(delta) => {
+                let update = delta_update(delta).map_err(ConnectionEnd::InvalidDocument)?;
+                self.pass_update(update).await?;
+            }
+            from_control::Kind::SnapshotPart(part) => {
+                let snapshot = self.snapshot.add(part).map_err(ConnectionEnd::InvalidSnapshot)?;
+                if let Some(snapshot) = snapshot {
+                    self.pass_update(ConfigUpdate::Snapshot(snapshot)).await?;
+                }
+            }
+            // A covered version counts from the update before it, and the snapshot is not complete.
+            from_control::Kind::KeepAlive(_) if self.snapshot.is_in_progress() => {}
+            from_control::Kind::KeepAlive(keep_alive) => {
+                self.pass_update(ConfigUpdate::Covered(version_of(keep_alive.covered))).await?;
+            }
+            from_control::Kind::Redirect(redirect) => return Err(SessionEnd::Redirect(redirect)),
+            from_control::Kind::Welcome(_) => return Err(ConnectionEnd::UnexpectedFrame.into()),
+        }
+        Ok(())
+    }
+
+    /// Passes an update to the scope task. The channel has capacity, as no other update is pending.
+    async fn pass_update(&mut self, update: ConfigUpdate) -> Result<(), ConnectionEnd> {
+        let (result, pending) = oneshot::channel();
+        let request = UpdateRequest { update, result };
+        self.updates.send(request).await.map_err(|_| ConnectionEnd::Stopped)?;
+        self.pending_update = Some(pending);
+        Ok(())
+    }
+
+    /// Acknowledges the progress if it has changed.
+    async fn acknowledge(&mut self) -> Result<(), ConnectionEnd> {
+        let progress = self.progress.borrow_and_update().clone();
+        if progress != self.acknowledged {
+            self.send(acknowledgement(&progress)).await?;
+            self.acknowledged = progress;
+        }
+        Ok(())
+    }
+
+    async fn send(&mut self, message: FromSubscriber) -> Result<(), ConnectionEnd> {
+        self.connection.send(message).await?;
+        self.last_sent = Instant::now();
+        Ok(())
+    }
+}
+
+/// Waits for the result of the pending update; forever if there is none.
+async fn update_result(
+    pending: &mut Option<oneshot::Receiver<Result<(), UpdateError>>>,
+) -> Result<Result<(), UpdateError>, ConnectionEnd> {
+    match pending {
+        Some(pending) => pending.await.map_err(|_| ConnectionEnd::Stopped),
+        None => std::future::pending().await,
+    }
+}
+
+fn delta_update(delta: v1::ConfigDelta) -> Result<ConfigUpdate, DocumentError> {
+    let documents = delta.documents.into_iter().map(Document::try_from).collect::<Result<_, _>>()?;
+    Ok(ConfigUpdate::Delta { from: version_of(delta.from), to: version_of(delta.to), documents })
+}
--- a/crates/stepspur-distribution/src/subscriber/status.rs
+++ b/crates/stepspur-distribution/src/subscriber/status.rs
@@ -1,4 +1,4 @@
-//! How a subscriber stands.
+//! The status of a subscriber.
 
 use std::net::SocketAddr;
 
@@ -7,51 +7,54 @@
 use crate::document::Key;
 use crate::version::Version;
 
-/// Documents that could not be applied, and are told one by one, at most.
+/// Documents that were not applied and are listed, at most.
 pub const MAX_UNAPPLIED_LISTED: usize = 16;
-/// Bytes of a reason at most.
-pub(crate) const REASON_MOST: usize = 256;
+/// Length of a reason, in bytes, at most.
+const MAX_REASON_BYTES: usize = 256;
 
-/// A document that the engine does not act by.
+/// A document that was not applied.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Unapplied {
-    /// What it stands for.
+    /// Identifies the document.
     pub key: Key,
     /// The version that changed it last.
     pub version: Version,
-    /// Why not.
+    /// Why it was not applied.
     pub reason: String,
 }
 
-/// How a subscriber stands.
+/// The status of a subscriber.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct SubscriberStatus {
-    /// All that concerns it up to here is on its disk.
-    pub holds: Version,
-    /// All that concerns it up to here is in force.
-    pub in_force: Version,
+    /// All changes of its interest up to this version are stored.
+    #[serde(rename = "holds")]
+    pub stored_version: Version,
+    /// All changes of its interest up to this version are applied.
+    #[serde(rename = "in_force")]
+    pub applied_version: Version,
     /// The control member that it is attached to.
     pub control: Option<SocketAddr>,
-    /// Seconds since a control member was last heard of, over restarts too; none: never.
+    /// Seconds since the last frame of a control member, over restarts too. `None` if there never was one.
     pub age_s: Option<f64>,
-    /// Documents that are not in force, [`MAX_UNAPPLIED_LISTED`] of them at most.
+    /// Documents that were not applied, [`MAX_UNAPPLIED_LISTED`] at most.
     pub unapplied: Vec<Unapplied>,
-    /// As many are not in force.
+    /// The number of documents that were not applied.
     pub unapplied_count: usize,
-    /// Documents that it holds.
+    /// The number of documents that it holds.
     pub documents: usize,
-    /// Attachments after the first one.
+    /// How often it was attached after the first time.
     pub reconnects: u64,
-    /// Bytes that came from control members.
+    /// Bytes read from control members.
     pub bytes_read: u64,
-    /// Bytes that went to control members.
+    /// Bytes written to control members.
     pub bytes_written: u64,
-    /// Why the last attempt or connection ended, or what the store refuses; none while all is well.
-    pub fault: Option<String>,
+    /// Why the last connection or attempt ended, or the last save failed. `None` since it is attached.
+    #[serde(rename = "fault")]
+    pub last_error: Option<String>,
 }
 
-/// The beginning of a text, of this many bytes at most.
-pub(crate) fn shortened(mut text: String, most: usize) -> String {
-    text.truncate(text.floor_char_boundary(most));
-    text
+/// Cuts a reason to its maximum length.
+pub(super) fn truncate_reason(mut reason: String) -> String {
+    reason.truncate(reason.floor_char_boundary(MAX_REASON_BYTES));
+    reason
 }
--- a/crates/stepspur-distribution/tests/subscriber.rs
+++ b/crates/stepspur-distribution/tests/subscriber.rs
@@ -41,7 +41,7 @@
     assert_eq!(rig.kept(), (version(5), stands));
     call.keep_alive(8).await;
     assert_eq!(call.acknowledged().await, (version(8), version(8), vec![]));
-    let status = rig.status(|status| status.in_force == version(8)).await;
+    let status = rig.status(|status| status.applied_version == version(8)).await;
     assert_eq!((status.control, status.documents, status.reconnects), (Some(address(1)), 2, 0));
     assert!(status.bytes_read > 0 && status.bytes_written > 0, "{status:?}");
     rig.subscriber.stop().await;
@@ -180,7 +180,10 @@
     call.ended().await;
     assert_eq!(rig.engine.acts_by(), []);
     assert!(
-        rig.status(|status| status.control.is_none()).await.fault.is_some_and(|why| why.contains("full"))
+        rig.status(|status| status.control.is_none())
+            .await
+            .last_error
+            .is_some_and(|why| why.contains("full"))
     );
     rig.store.inject_failure(None);
     let mut call = door.welcome().await;
@@ -201,7 +204,10 @@
     assert_eq!(pipes.dials(), []);
     sleep(Duration::from_secs(30)).await;
     let status = rig.subscriber.status().borrow().clone();
-    assert_eq!((status.holds, status.in_force, status.control), (version(3), version(3), None));
+    assert_eq!(
+        (status.stored_version, status.applied_version, status.control),
+        (version(3), version(3), None)
+    );
     let age = status.age_s.expect("it is known");
     assert!((128.0..140.0).contains(&age), "{age}");
     assert_eq!(rig.engine.acts_by(), documents);
@@ -411,15 +417,15 @@
     };
     let mut nameless = settings(&[1]);
     nameless.name = String::new();
-    assert!(matches!(start(nameless).await, Err(SubscriberStartError::Name)));
-    assert!(matches!(start(settings(&[])).await, Err(SubscriberStartError::NoControl)));
+    assert!(matches!(start(nameless).await, Err(SubscriberStartError::InvalidName)));
+    assert!(matches!(start(settings(&[])).await, Err(SubscriberStartError::NoControlMember)));
     let mut nowhere = settings(&[1]);
     nowhere.interest.region = String::new();
-    assert!(matches!(start(nowhere).await, Err(SubscriberStartError::Interest(_))));
+    assert!(matches!(start(nowhere).await, Err(SubscriberStartError::InvalidInterest(_))));
     let mut large = settings(&[1]);
     let tenant = |number| format!("{number:0>120}");
     large.interest.services[0].tenants = (0..10_001).map(tenant).collect();
-    assert!(matches!(start(large.clone()).await, Err(SubscriberStartError::Interest(_))));
+    assert!(matches!(start(large.clone()).await, Err(SubscriberStartError::InvalidInterest(_))));
     large.interest.services[0].tenants.pop();
     start(large).await.expect("the largest interest fits in a frame");
 }
--- a/crates/stepspur-distribution/tests/subscriber_rig/mod.rs
+++ b/crates/stepspur-distribution/tests/subscriber_rig/mod.rs
@@ -10,7 +10,9 @@
 use stepspur_consensus_node::{BoxFuture, Listen, Net, Stream};
 use stepspur_distribution::document::{Document, Interest, Key, Scope, ServiceInterest, Setting, Target};
 use stepspur_distribution::scope_store::MemoryStore;
-use stepspur_distribution::subscriber::{DocumentApplier, Subscriber, SubscriberSettings, SubscriberStatus};
+use stepspur_distribution::subscriber::{
+    DocumentApplier, DocumentNotApplied, Subscriber, SubscriberSettings, SubscriberStatus,
+};
 use stepspur_distribution::version::{Version, version_of};
 use stepspur_proto::{Frames, FromControl, FromSubscriber, LARGEST_FRAME, from_control, from_subscriber, v1};
 use tokio::io::{DuplexStream, duplex};
@@ -219,7 +221,7 @@
 }
 
 impl DocumentApplier for Engine {
-    fn apply<'a>(&'a self, document: &'a Document) -> BoxFuture<'a, Result<(), String>> {
+    fn apply<'a>(&'a self, document: &'a Document) -> BoxFuture<'a, Result<(), DocumentNotApplied>> {
         Box::pin(async move {
             let _ = self.held_up.subscribe().wait_for(|held_up| !held_up).await;
             let mut state = self.state.lock().expect("state");
@@ -228,7 +230,7 @@
                 assert!(kept >= document.version, "{document:?} is applied, and the disk has {kept}");
             }
             if let Some(why) = &state.refuses {
-                return Err(why.clone());
+                return Err(why.clone().into());
             }
             match document.setting {
                 Some(_) => state.acts_by.insert(document.key.clone(), document.clone()),
--- a/crates/stepspur-fault-tests/src/distribution/engine.rs
+++ b/crates/stepspur-fault-tests/src/distribution/engine.rs
@@ -6,7 +6,7 @@
 
 use stepspur_consensus_node::BoxFuture;
 use stepspur_distribution::document::{Document, Key};
-use stepspur_distribution::subscriber::DocumentApplier;
+use stepspur_distribution::subscriber::{DocumentApplier, DocumentNotApplied};
 use tokio::time::{Instant, sleep};
 
 /// An engine acted by a document.
@@ -129,7 +129,7 @@
 }
 
 impl DocumentApplier for Engine {
-    fn apply<'a>(&'a self, document: &'a Document) -> BoxFuture<'a, Result<(), String>> {
+    fn apply<'a>(&'a self, document: &'a Document) -> BoxFuture<'a, Result<(), DocumentNotApplied>> {
         Box::pin(async move {
             let (planted, takes) = {
                 let state = self.state();
--- a/crates/stepspur-fault-tests/src/distribution/fleet.rs
+++ b/crates/stepspur-fault-tests/src/distribution/fleet.rs
@@ -350,7 +350,7 @@
         let checker = self.checker();
         let is_behind = |one: &&SubscriberNode| {
             let Some(status) = one.status() else { return false };
-            status.control.is_none() || status.in_force < checker.last_concerning(&one.interest)
+            status.control.is_none() || status.applied_version < checker.last_concerning(&one.interest)
         };
         let expected = self.subscribers.values().filter(|one| !but.contains(&one.name));
         expected.filter(is_behind).map(|one| one.name.clone()).collect()
--- a/crates/stepspur-fault-tests/src/distribution/node.rs
+++ b/crates/stepspur-fault-tests/src/distribution/node.rs
@@ -198,7 +198,7 @@
     loop {
         let (holds, in_force) = {
             let now = status.borrow_and_update();
-            (now.holds, now.in_force)
+            (now.stored_version, now.applied_version)
         };
         checker.lock().unwrap_or_else(PoisonError::into_inner).told(&name, life, holds, in_force);
         if status.changed().await.is_err() {
--- a/crates/stepspur-fault-tests/tests/distribution.rs
+++ b/crates/stepspur-fault-tests/tests/distribution.rs
@@ -115,7 +115,7 @@
             fleet.pass(FAULT / 10).await;
         }
         for name in &lost {
-            assert!(fleet.status(name).in_force <= before, "{name} in {region} hears nothing");
+            assert!(fleet.status(name).applied_version <= before, "{name} in {region} hears nothing");
         }
         fleet.network().cut(region, false);
         let took = fleet.settles(IN_FORCE, &[]).await;
--- a/crates/stepspur-scale/src/hollow_conductors/mod.rs
+++ b/crates/stepspur-scale/src/hollow_conductors/mod.rs
@@ -13,7 +13,9 @@
 use stepspur_consensus_node::BoxFuture;
 use stepspur_distribution::document::Document;
 use stepspur_distribution::scope_store::MemoryStore;
-use stepspur_distribution::subscriber::{DocumentApplier, Subscriber, SubscriberSettings, SubscriberStatus};
+use stepspur_distribution::subscriber::{
+    DocumentApplier, DocumentNotApplied, Subscriber, SubscriberSettings, SubscriberStatus,
+};
 use stepspur_distribution::version::Version;
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader, BufWriter};
 use tokio::sync::{mpsc, watch};
@@ -204,7 +206,7 @@
 ) {
     let mut told = Version::NONE;
     loop {
-        let version = status.borrow_and_update().in_force;
+        let version = status.borrow_and_update().applied_version;
         let at = now();
         if version != told && version != Version::NONE {
             told = version;
@@ -246,7 +248,7 @@
 }
 
 impl DocumentApplier for Engine {
-    fn apply<'a>(&'a self, document: &'a Document) -> BoxFuture<'a, Result<(), String>> {
-        Box::pin(self.take(document))
+    fn apply<'a>(&'a self, document: &'a Document) -> BoxFuture<'a, Result<(), DocumentNotApplied>> {
+        Box::pin(async move { Ok(self.take(document).await?) })
     }
 }
