--- a/crates/stepspur-conductor/src/service/operator/configuration.rs
+++ b/crates/stepspur-conductor/src/service/operator/configuration.rs
@@ -115,7 +115,7 @@
 /// The same of what has no outcome, with the operation to propose again where that may have taken effect.
 fn fault_answer(error: &ProposeError) -> (StatusCode, String, Value) {
     let (status, operation) = match error {
-        ProposeError::Faulty(_) | ProposeError::TooLarge(_) | ProposeError::Refused(_) => {
+        ProposeError::InvalidCommand(_) | ProposeError::TooLarge(_) | ProposeError::Rejected(_) => {
             (StatusCode::UNPROCESSABLE_ENTITY, None)
         }
         ProposeError::TooOld { .. } => (StatusCode::CONFLICT, None),
--- a/crates/stepspur-distribution/src/control/connection.rs
+++ b/crates/stepspur-distribution/src/control/connection.rs
@@ -1,4 +1,4 @@
-//! One connection: frames with time limits, and the bytes that were written.
+//! One connection of a control member: frames with time limits, and a counter of written bytes.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -12,98 +12,115 @@
 use tokio::time::{Instant, timeout};
 use tokio_util::codec::FramedRead;
 
-use super::messages::{FIRST_FRAME_MOST, LATER_FRAME_MOST, WRITTEN_FRAME_MOST};
+use super::attached::AcknowledgedBeyondSent;
+use super::messages::{MAX_FIRST_FRAME_BYTES, MAX_LATER_FRAME_BYTES, MAX_WRITTEN_FRAME_BYTES};
+use super::summary_collector::SummaryError;
 
-/// A frame must be taken within this.
-const WRITE_WITHIN: Duration = Duration::from_secs(10);
-/// The other side must have closed within this after its last frame.
-const CLOSE_WITHIN: Duration = Duration::from_secs(1);
+/// Time limit of writing a frame.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time limit of closing a connection after the last frame.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// A violation of the protocol by the other side.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub(super) enum ProtocolError {
+    #[error("the first frame names neither a subscriber nor a summary")]
+    UnexpectedFirstFrame,
+    #[error("not a frame of an attached subscriber")]
+    NotOfSubscriber,
+    #[error("not a summary")]
+    NotASummary,
+    #[error(transparent)]
+    Acknowledgement(#[from] AcknowledgedBeyondSent),
+    #[error(transparent)]
+    Summary(#[from] SummaryError),
+}
 
 /// Why a connection ended.
 #[derive(Debug, thiserror::Error)]
-pub(crate) enum ConnectionFault {
-    /// The bytes are no frames, or the transport failed.
+pub(super) enum ConnectionError {
+    /// A frame is invalid, or the transport failed.
     #[error(transparent)]
     Frame(#[from] FrameError),
-    /// The other side closed it.
     #[error("closed by the other side")]
     Closed,
-    /// Nothing came in time.
     #[error("no frame within {0:?}")]
-    Silent(Duration),
-    /// A frame was not taken in time.
+    ReadTimeout(Duration),
     #[error("a frame was not taken within {0:?}")]
-    Slow(Duration),
-    /// The other side does not keep to the protocol.
-    #[error("{0}")]
-    Protocol(String),
-    /// It is ended from here.
-    #[error("{0}")]
-    Ended(&'static str),
+    WriteTimeout(Duration),
+    #[error(transparent)]
+    Protocol(#[from] ProtocolError),
+    #[error("replaced by a newer connection, or this member stops")]
+    Stopped,
 }
 
-/// The half that reads frames of a subscriber or control member.
-pub(crate) struct Reader(FramedRead<ReadHalf<Box<dyn Stream>>, Frames<FromSubscriber, FromControl>>);
+/// Reads frames of a subscriber or of another control member.
+pub(super) struct FrameReader(FramedRead<ReadHalf<Box<dyn Stream>>, Frames<FromSubscriber, FromControl>>);
 
-/// The half that writes frames.
-pub(crate) struct Writer {
+/// Writes frames.
+pub(super) struct FrameWriter {
     half: WriteHalf<Box<dyn Stream>>,
     /// Bytes written by all connections.
-    bytes: Arc<AtomicU64>,
-    /// When the last frame was written.
-    wrote_at: Instant,
+    bytes_written: Arc<AtomicU64>,
+    last_written: Instant,
 }
 
-/// Takes a connection apart. The bytes that are written are added up in `bytes`.
-pub(crate) fn split(socket: Box<dyn Stream>, bytes: Arc<AtomicU64>) -> (Reader, Writer) {
-    let (reader, half) = tokio::io::split(socket);
-    let reader = Reader(FramedRead::new(reader, Frames::new(FIRST_FRAME_MOST)));
-    (reader, Writer { half, bytes, wrote_at: Instant::now() })
+/// The two halves of a connection.
+pub(super) struct FrameStream {
+    pub(super) reader: FrameReader,
+    pub(super) writer: FrameWriter,
 }
 
-impl Reader {
-    /// The next frame.
-    pub(crate) async fn next(&mut self, within: Duration) -> Result<FromSubscriber, ConnectionFault> {
-        let next = timeout(within, self.0.next()).await.map_err(|_| ConnectionFault::Silent(within))?;
-        let frame = next.ok_or(ConnectionFault::Closed)??;
-        self.0.decoder_mut().set_largest(LATER_FRAME_MOST);
+impl FrameStream {
+    /// Splits a stream. Written bytes are added to `bytes_written`.
+    pub(super) fn new(stream: Box<dyn Stream>, bytes_written: Arc<AtomicU64>) -> Self {
+        let (reader, half) = tokio::io::split(stream);
+        let reader = FrameReader(FramedRead::new(reader, Frames::new(MAX_FIRST_FRAME_BYTES)));
+        Self { reader, writer: FrameWriter { half, bytes_written, last_written: Instant::now() } }
+    }
+
+    /// Writes a last frame, and closes the connection.
+    pub(super) async fn close_with(mut self, last: &FromControl) -> Result<(), ConnectionError> {
+        self.writer.write(last).await?;
+        // The connection ends in any case: an error or a timeout of the shutdown changes nothing.
+        drop(timeout(CLOSE_TIMEOUT, self.writer.half.shutdown()).await);
+        self.reader.wait_until_closed().await;
+        Ok(())
+    }
+}
+
+impl FrameReader {
+    /// Reads the next frame.
+    pub(super) async fn next(&mut self, limit: Duration) -> Result<FromSubscriber, ConnectionError> {
+        let next = timeout(limit, self.0.next()).await.map_err(|_| ConnectionError::ReadTimeout(limit))?;
+        let frame = next.ok_or(ConnectionError::Closed)??;
+        self.0.decoder_mut().set_largest(MAX_LATER_FRAME_BYTES);
         Ok(frame)
     }
 
-    /// Waits until the other side has closed, so that it reads what was written last. What it still writes is dropped.
-    async fn closed(self) {
+    /// Waits until the other side has closed, so that it reads the last frame. What it still writes is discarded.
+    async fn wait_until_closed(self) {
         let mut half = self.0.into_inner();
-        let mut bytes = [0; 1_024];
-        let closed = async { while matches!(half.read(&mut bytes).await, Ok(1..)) {} };
-        let _ = timeout(CLOSE_WITHIN, closed).await;
+        let mut buffer = [0; 1_024];
+        let discard_all = async { while matches!(half.read(&mut buffer).await, Ok(1..)) {} };
+        // After the timeout the connection is dropped all the same.
+        drop(timeout(CLOSE_TIMEOUT, discard_all).await);
     }
 }
 
-impl Writer {
-    /// Writes a frame: its bytes.
-    pub(crate) async fn write(&mut self, message: &FromControl) -> Result<usize, ConnectionFault> {
-        let bytes = frame(message, WRITTEN_FRAME_MOST)?;
-        let written = timeout(WRITE_WITHIN, self.half.write_all(&bytes)).await;
-        written.map_err(|_| ConnectionFault::Slow(WRITE_WITHIN))?.map_err(FrameError::from)?;
-        self.bytes.fetch_add(bytes.len() as u64, Ordering::Relaxed);
-        self.wrote_at = Instant::now();
-        Ok(bytes.len())
+impl FrameWriter {
+    /// Writes a frame.
+    pub(super) async fn write(&mut self, message: &FromControl) -> Result<(), ConnectionError> {
+        let bytes = frame(message, MAX_WRITTEN_FRAME_BYTES)?;
+        let written = timeout(WRITE_TIMEOUT, self.half.write_all(&bytes)).await;
+        written.map_err(|_| ConnectionError::WriteTimeout(WRITE_TIMEOUT))?.map_err(FrameError::from)?;
+        self.bytes_written.fetch_add(bytes.len() as u64, Ordering::Relaxed);
+        self.last_written = Instant::now();
+        Ok(())
     }
 
     /// When the last frame was written.
-    pub(crate) fn wrote_at(&self) -> Instant {
-        self.wrote_at
+    pub(super) fn last_written(&self) -> Instant {
+        self.last_written
     }
 }
-
-/// Writes a last frame, and closes the connection.
-pub(crate) async fn close_with(
-    last: &FromControl,
-    reader: Reader,
-    mut writer: Writer,
-) -> Result<(), ConnectionFault> {
-    writer.write(last).await?;
-    let _ = timeout(CLOSE_WITHIN, writer.half.shutdown()).await;
-    reader.closed().await;
-    Ok(())
-}
--- a/crates/stepspur-distribution/src/control/listener.rs
+++ b/crates/stepspur-distribution/src/control/listener.rs
@@ -1,4 +1,4 @@
-//! Lets subscribers and reporting control members in.
+//! Accepts subscribers, and control members that report summaries.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,52 +10,51 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-use super::Member;
-use super::connection::{ConnectionFault, split};
-use super::{reports, session};
+use super::connection::{ConnectionError, FrameStream, ProtocolError};
+use super::member::Member;
+use super::{subscriber_session, summary_receiver};
 
-/// Connections that have not told who they are, at most. Further ones wait in the system's queue.
-const STRANGERS: usize = 64;
-/// The first frame must come within this.
-const FIRST_WITHIN: Duration = Duration::from_secs(2);
-/// A listener that failed is asked again after this.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(10);
+/// Connections whose first frame has not come, at most. Further ones wait in the system's queue.
+const MAX_HANDSHAKES: usize = 64;
+/// Time limit of the first frame.
+const FIRST_FRAME_TIMEOUT: Duration = Duration::from_secs(2);
+/// The pause after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// Lets callers in until stopped.
-pub(crate) async fn run(
+/// Accepts connections until stopped.
+pub(super) async fn run(
     member: Arc<Member>,
     mut listener: Box<dyn Listen>,
     tasks: TaskTracker,
     stop: CancellationToken,
 ) {
-    let strangers = Arc::new(Semaphore::new(STRANGERS));
+    let handshakes = Arc::new(Semaphore::new(MAX_HANDSHAKES));
     loop {
-        let next = async {
-            let place = Arc::clone(&strangers).acquire_owned().await;
-            (place, listener.accept().await)
+        let permitted = async {
+            let permit = Arc::clone(&handshakes).acquire_owned().await;
+            (permit, listener.accept().await)
         };
-        let (place, accepted) = tokio::select! {
+        let (permit, accepted) = tokio::select! {
             () = stop.cancelled() => return,
-            next = next => next,
+            permitted = permitted => permitted,
         };
-        let (Ok(place), Ok(socket)) = (place, accepted) else {
-            sleep(ACCEPT_AGAIN).await;
+        let (Ok(permit), Ok(stream)) = (permit, accepted) else {
+            sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        tasks.spawn(connection(Arc::clone(&member), socket, place, stop.clone()));
+        tasks.spawn(run_connection(Arc::clone(&member), stream, permit, stop.clone()));
     }
 }
 
-async fn connection(
+async fn run_connection(
     member: Arc<Member>,
-    socket: Box<dyn Stream>,
-    place: OwnedSemaphorePermit,
+    stream: Box<dyn Stream>,
+    handshake: OwnedSemaphorePermit,
     stop: CancellationToken,
 ) {
-    let served = serve(&member, socket, place, &stop);
     let ended = tokio::select! {
-        ended = served => ended,
-        // Whoever is attached is told to end by its own token, and is detached first.
+        ended = serve(&member, stream, handshake, &stop) => ended,
+        // An attached subscriber's own token is cancelled as well, and it is detached first.
         () = stop.cancelled() => return,
     };
     if let Err(cause) = ended {
@@ -64,19 +63,19 @@
 }
 
 async fn serve(
-    member: &Arc<Member>,
-    socket: Box<dyn Stream>,
-    place: OwnedSemaphorePermit,
+    member: &Member,
+    stream: Box<dyn Stream>,
+    handshake: OwnedSemaphorePermit,
     stop: &CancellationToken,
-) -> Result<(), ConnectionFault> {
-    let (mut reader, writer) = split(socket, Arc::clone(&member.bytes_written));
-    match reader.next(FIRST_WITHIN).await?.kind {
+) -> Result<(), ConnectionError> {
+    let mut stream = FrameStream::new(stream, Arc::clone(&member.bytes_written));
+    match stream.reader.next(FIRST_FRAME_TIMEOUT).await?.kind {
         Some(from_subscriber::Kind::Subscribe(first)) => {
-            session::serve(member, first, reader, writer, stop, || drop(place)).await
+            subscriber_session::serve(member, first, stream, handshake, stop).await
         }
-        Some(from_subscriber::Kind::Summary(first)) => reports::take(member, first, reader, place).await,
-        _ => Err(ConnectionFault::Protocol(
-            "the first frame names neither a subscriber nor a summary".to_owned(),
-        )),
+        Some(from_subscriber::Kind::Summary(first)) => {
+            summary_receiver::receive(member, first, stream, handshake).await
+        }
+        _ => Err(ProtocolError::UnexpectedFirstFrame.into()),
     }
 }
--- /dev/null
+++ b/crates/stepspur-distribution/src/control/local_configuration.rs
@@ -0,0 +1,23 @@
+//! Reads of the configuration as this member has applied it.
+
+use stepspur_replication::ReplicationClient;
+
+use crate::configuration::{CONFIGURATION, ConfigurationState};
+
+/// Reads the local configuration, which may lag behind the leader's.
+#[derive(Clone)]
+pub(super) struct LocalConfiguration {
+    replication: ReplicationClient,
+}
+
+impl LocalConfiguration {
+    pub(super) fn new(replication: ReplicationClient) -> Self {
+        Self { replication }
+    }
+
+    /// Calls `read` with the configuration. [`super::Control::start`] checks that there is one; the default stands in
+    /// for the missing one.
+    pub(super) fn read<T: Default>(&self, read: impl FnOnce(&ConfigurationState) -> T) -> T {
+        self.replication.registry().inspect(CONFIGURATION, read).unwrap_or_default()
+    }
+}
--- a/crates/stepspur-distribution/src/control/messages.rs
+++ b/crates/stepspur-distribution/src/control/messages.rs
@@ -1,4 +1,4 @@
-//! Frames of control members, their bounds, and what they are made from.
+//! The frames that a control member sends, and their limits.
 
 use std::time::Duration;
 
@@ -8,60 +8,73 @@
 use crate::document::Document;
 use crate::version::Version;
 
-/// Bytes of a delta's documents, but for those of one version, which always go together.
+/// Length of the documents of a delta, in bytes, at most. The changes of one version are never divided and may exceed it.
 pub const MAX_DELTA_BYTES: usize = 64 << 10;
-/// Bytes of the documents of a snapshot's part.
+/// Length of the documents of a part of a snapshot, in bytes, at most.
 pub const MAX_PART_BYTES: usize = 16 << 10;
-/// Bytes of a first frame at most: an interest may name as many services and tenants as it may have.
-pub(crate) const FIRST_FRAME_MOST: usize = 2 << 20;
-/// Bytes of any later frame of a subscriber or control member.
-pub(crate) const LATER_FRAME_MOST: usize = 512 << 10;
-/// Bytes of a frame that a control member writes, at most.
-pub(crate) const WRITTEN_FRAME_MOST: usize = stepspur_proto::LARGEST_FRAME;
+/// Length of the first frame that is read, in bytes, at most: an interest of all allowed services and tenants fits.
+pub(super) const MAX_FIRST_FRAME_BYTES: usize = 2 << 20;
+/// Length of a later frame that is read, in bytes, at most. Also that of a summary that is written.
+pub(super) const MAX_LATER_FRAME_BYTES: usize = 512 << 10;
+/// Length of a frame to a subscriber, in bytes, at most.
+pub(super) const MAX_WRITTEN_FRAME_BYTES: usize = stepspur_proto::LARGEST_FRAME;
 
 fn frame(kind: from_control::Kind) -> FromControl {
     FromControl { kind: Some(kind) }
 }
 
-fn addresses(members: &[ControlMember]) -> Vec<v1::ControlAddress> {
+fn control_addresses(members: &[ControlMember]) -> Vec<v1::ControlAddress> {
     members.iter().cloned().map(v1::ControlAddress::from).collect()
 }
 
-pub(crate) fn micros(span: Duration) -> u64 {
-    u64::try_from(span.as_micros()).unwrap_or(u64::MAX)
+fn config_documents(documents: Vec<Document>) -> Vec<v1::ConfigDocument> {
+    documents.into_iter().map(v1::ConfigDocument::from).collect()
 }
 
-pub(crate) fn welcome(members: &[ControlMember], head: Version, keep_alive: Duration) -> FromControl {
+pub(super) fn saturating_micros(duration: Duration) -> u64 {
+    u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
+}
+
+/// The first frame to an accepted subscriber.
+pub(super) fn welcome(members: &[ControlMember], head: Version, keep_alive: Duration) -> FromControl {
     frame(from_control::Kind::Welcome(v1::ConfigWelcome {
-        members: addresses(members),
+        members: control_addresses(members),
         head: Some(head.into()),
-        keep_alive_us: micros(keep_alive),
+        keep_alive_us: saturating_micros(keep_alive),
     }))
 }
 
-pub(crate) fn redirect(detail: String, members: &[ControlMember], after: Duration) -> FromControl {
+/// Rejects a subscriber, which may go to one of `members`, or come back after `retry_after`.
+pub(super) fn redirect(detail: String, members: &[ControlMember], retry_after: Duration) -> FromControl {
     frame(from_control::Kind::Redirect(v1::ConfigRedirect {
         detail,
-        members: addresses(members),
-        retry_after_us: micros(after),
+        members: control_addresses(members),
+        retry_after_us: saturating_micros(retry_after),
     }))
 }
 
-pub(crate) fn delta(from: Version, to: Version, documents: Vec<Document>) -> FromControl {
-    let documents = documents.into_iter().map(v1::ConfigDocument::from).collect();
+/// All documents that changed after `from`, up to `to`.
+pub(super) fn delta(from: Version, to: Version, documents: Vec<Document>) -> FromControl {
     frame(from_control::Kind::Delta(v1::ConfigDelta {
         from: Some(from.into()),
         to: Some(to.into()),
-        documents,
+        documents: config_documents(documents),
     }))
 }
 
-pub(crate) fn part(version: Version, part: u32, last: bool, documents: Vec<Document>) -> FromControl {
-    let documents = documents.into_iter().map(v1::ConfigDocument::from).collect();
+/// A part of a snapshot. `part` counts from 0.
+pub(super) fn snapshot_part(
+    version: Version,
+    part: u32,
+    last: bool,
+    documents: Vec<Document>,
+) -> FromControl {
     let version = Some(version.into());
+    let documents = config_documents(documents);
     frame(from_control::Kind::SnapshotPart(v1::ConfigSnapshotPart { version, part, last, documents }))
 }
 
-pub(crate) fn keep_alive(covered: Version) -> FromControl {
+/// No document changed between the last update and `covered`.
+pub(super) fn keep_alive(covered: Version) -> FromControl {
     frame(from_control::Kind::KeepAlive(v1::ConfigKeepAlive { covered: Some(covered.into()) }))
 }
--- a/crates/stepspur-distribution/src/control/mod.rs
+++ b/crates/stepspur-distribution/src/control/mod.rs
@@ -1,29 +1,36 @@
-//! A control member: it serves the agreed book to its subscribers, and tells where a version is in force.
+//! A control member: it serves the configuration to its subscribers, and answers where a version is applied.
 //!
-//! [`Control::start`] runs these tasks, each of them until [`Control::stop`]:
-//! - the listener, which takes subscribers ([`session`](self)) and, at the leader, other members' reports;
-//! - the evaluator, which holds each new version against the attached subscribers and wakes those whom it concerns;
-//! - the registrar, which has the council agree on attached subscribers that it does not know;
-//! - the reporter, which tells the leader each second what has changed.
-
-mod admission;
-mod collector;
+//! [`Control::start`] runs these tasks until [`Control::stop`]:
+//! - the listener, which accepts subscribers and, at the leader, summaries of other control members;
+//! - the evaluator, which finds the subscribers that each new version concerns and wakes their connections;
+//! - the registrar, which registers attached subscribers in the replicated configuration;
+//! - the reporter, which sends the leader a summary of changed subscriber states each second.
+
+mod attached;
 mod connection;
+mod evaluator;
 mod listener;
+mod local_configuration;
+mod member;
 mod messages;
+mod progress_table;
 mod propose;
-mod registration;
-mod registry;
+mod registrar;
 mod reporter;
-mod reports;
-mod session;
+mod rollout_status;
 mod settings;
-mod standing;
-mod summary;
+mod snapshot_admission;
+mod subscribe_request;
+mod subscriber_session;
+mod subscriber_state;
+mod summary_collector;
+mod summary_encoder;
+mod summary_receiver;
+mod update_sender;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
-use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::atomic::Ordering;
 use std::time::Duration;
 
 use serde::Serialize;
@@ -33,71 +40,55 @@
 use tokio_util::sync::{CancellationToken, DropGuard};
 use tokio_util::task::TaskTracker;
 
-use self::admission::Admission;
-use self::collector::Collector;
+use self::member::Member;
 pub use self::messages::{MAX_DELTA_BYTES, MAX_PART_BYTES};
 pub use self::propose::ProposeError;
-use self::registry::{Counts, Registry};
 pub use self::reporter::SUMMARY_INTERVAL;
-pub use self::settings::{ControlMember, ControlSettings, ControlStartError, KEEP_ALIVE};
-pub use self::standing::{
+use self::rollout_status::RolloutEvaluation;
+pub use self::rollout_status::{
     MAX_PENDING_LISTED, PendingSubscriber, RolloutStatus, RolloutStatusError, SUMMARY_MAX_AGE,
 };
+pub use self::settings::{
+    ControlMember, ControlSettings, ControlStartError, InvalidControlSetting, KEEP_ALIVE,
+};
 use crate::configuration::{CONFIGURATION, ConfigurationState};
 use crate::document::{Change, Document};
 use crate::version::Version;
 
-/// The register is read within this to answer where a version is in force.
-const READ_WITHIN: Duration = Duration::from_secs(3);
-
-/// What the tasks of a control member share.
-pub(crate) struct Member {
-    settings: ControlSettings,
-    /// All members but this one.
-    others: Vec<ControlMember>,
-    shared: ReplicationClient,
-    net: Arc<dyn Net>,
-    registry: Registry,
-    admission: Admission,
-    collector: Collector,
-    /// Bytes written to subscribers.
-    bytes_written: Arc<AtomicU64>,
-    /// Who leads, as the reporter saw last; 0: unknown.
-    leader: AtomicU64,
-    began: Instant,
-}
+/// Time limit of the linearizable read of the registrations for a rollout status.
+const READ_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// A running control member.
 pub struct Control {
     member: Arc<Member>,
     address: SocketAddr,
     stop: CancellationToken,
-    _end: DropGuard,
+    _stop_on_drop: DropGuard,
     tasks: TaskTracker,
 }
 
-/// How a control member stands.
+/// The status of a control member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ControlStatus {
-    /// Its identity.
+    /// Its id in the consensus group.
     pub id: u64,
-    /// Who leads, as far as it knew a second ago.
+    /// The leader, as known a second ago.
     pub leader: Option<u64>,
-    /// True: itself.
+    /// Whether this member is the leader.
     pub leads: bool,
-    /// The last version that it has.
+    /// The last version that it has applied.
     pub head: Version,
-    /// Deltas reach back to this version.
+    /// The earliest version from which a delta can be computed.
     pub oldest: Version,
-    /// Documents that stand.
+    /// The number of documents.
     pub documents: usize,
-    /// Subscribers in the register, over all control members.
+    /// Registered subscribers of all control members.
     pub registered: usize,
-    /// Subscribers attached here.
+    /// Subscribers attached to this member.
     pub attached: usize,
-    /// Of them, those that have not in force what concerns them.
+    /// Attached subscribers that have not applied all changes that concern them.
     pub behind: usize,
-    /// Registered subscribers that were attached here last, as far as this member knows, and are not any more.
+    /// Registered subscribers that were attached to this member before, as far as it knows.
     pub detached: usize,
     /// Attached subscribers that wait for the rest of a snapshot.
     pub snapshots_waiting: usize,
@@ -105,145 +96,135 @@
     pub bytes_written: u64,
 }
 
+/// The configuration's part of a status.
+#[derive(Default)]
+struct ConfigurationSummary {
+    head: Version,
+    oldest: Version,
+    documents: usize,
+    registered: usize,
+}
+
+impl ConfigurationSummary {
+    fn of(state: &ConfigurationState) -> Self {
+        Self {
+            head: state.head(),
+            oldest: state.oldest(),
+            documents: state.len(),
+            registered: state.registered_count(),
+        }
+    }
+}
+
 impl Control {
-    /// Starts a control member on a member of the council whose books hold [`ConfigurationState`].
+    /// Starts a control member on a consensus member that replicates [`ConfigurationState`].
     ///
     /// # Errors
-    /// See [`ControlStartError`].
+    /// [`ControlStartError`] if a setting is invalid, the state machine is missing or the address cannot be listened on.
     pub async fn start(
         settings: ControlSettings,
-        shared: ReplicationClient,
+        replication: ReplicationClient,
         net: Arc<dyn Net>,
     ) -> Result<Self, ControlStartError> {
         settings.check()?;
-        if shared.registry().version(CONFIGURATION).is_none() {
-            return Err(ControlStartError::NoBook);
+        if replication.registry().version(CONFIGURATION).is_none() {
+            return Err(ControlStartError::MissingStateMachine);
         }
-        let at = settings.listen;
-        let listen = |cause| ControlStartError::Listen { address: at, cause };
-        let listener = net.listen(at).await.map_err(listen)?;
+        let address = settings.listen;
+        let listener = net.listen(address).await;
+        let listener = listener.map_err(|cause| ControlStartError::Listen { address, cause })?;
         let address = listener.address();
-        let (stop, tasks) = (CancellationToken::new(), TaskTracker::new());
-        let member = Arc::new(Member::new(settings, shared, net));
+        let stop = CancellationToken::new();
+        let tasks = TaskTracker::new();
+        let member = Arc::new(Member::new(settings, replication, net));
         tasks.spawn(listener::run(Arc::clone(&member), listener, tasks.clone(), stop.clone()));
-        tasks.spawn(evaluate(Arc::clone(&member), stop.clone()));
-        tasks.spawn(registration::run(Arc::clone(&member), stop.clone()));
+        tasks.spawn(evaluator::run(Arc::clone(&member), stop.clone()));
+        tasks.spawn(registrar::run(Arc::clone(&member), stop.clone()));
         tasks.spawn(reporter::run(Arc::clone(&member), stop.clone()));
-        Ok(Self { member, address, _end: stop.clone().drop_guard(), stop, tasks })
+        Ok(Self { member, address, _stop_on_drop: stop.clone().drop_guard(), stop, tasks })
     }
 
-    /// Where subscribers are served.
+    /// The address at which it accepts subscribers.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Has the council agree on changes, all or none: the version that they make. Under the id of an earlier proposal
-    /// they take effect once.
+    /// Proposes changes, and returns the version that they make: all of them or none. Proposed again with the id of an
+    /// earlier proposal they take effect once.
     ///
     /// # Errors
-    /// See [`ProposeError`].
+    /// [`ProposeError`] if the changes are invalid or rejected, or their outcome is unknown.
     pub async fn propose(
         &self,
         id: Option<OperationId>,
         changes: Vec<Change>,
         within: Duration,
     ) -> Result<Version, ProposeError> {
-        propose::change(&self.member.shared, id, changes, within).await
+        propose::change(&self.member.replication, id, changes, within).await
     }
 
-    /// Takes a subscriber out of the register, so that no version waits for it: true, if it was in it. One that is
-    /// attached is registered again.
+    /// Removes the registration of a subscriber, so that no version waits for it. Returns whether it was registered. An
+    /// attached subscriber is registered again.
     ///
     /// # Errors
-    /// See [`ProposeError`].
+    /// [`ProposeError`] if the removal is rejected or its outcome unknown.
     pub async fn remove(&self, subscriber: &str, within: Duration) -> Result<bool, ProposeError> {
-        propose::remove(&self.member.shared, subscriber, within).await
+        propose::remove(&self.member.replication, subscriber, within).await
     }
 
-    /// Where a version is in force. The register is read as it stands now; only the leader answers.
+    /// Where a version is applied. Only the leader answers, after a linearizable read of the registrations.
     ///
     /// # Errors
-    /// See [`RolloutStatusError`].
+    /// [`RolloutStatusError`] if this member is not the leader, the version is unknown or the read fails.
     pub async fn rollout_status(&self, version: Version) -> Result<RolloutStatus, RolloutStatusError> {
         let member = &self.member;
-        let leader = reporter::leader_of(member).await;
+        let leader = member.leader().await;
         if leader != Some(member.settings.id) {
             return Err(RolloutStatusError::NotLeader { leader });
         }
-        let read =
-            |book: &ConfigurationState| (book.subscribers_concerned(version), book.head(), book.oldest());
-        let (expected, head, oldest) = member.shared.read(CONFIGURATION, READ_WITHIN, read).await?;
-        let expected = expected.ok_or(RolloutStatusError::UnknownVersion { head, oldest })?;
-        let (now, runs_for) = (Instant::now(), member.began.elapsed());
-        let answer =
-            member.collector.look(|tables| standing::answer(version, &expected, tables, runs_for, now));
-        Ok(answer)
+        let read = |state: &ConfigurationState| {
+            let unknown = RolloutStatusError::UnknownVersion { head: state.head(), oldest: state.oldest() };
+            state.subscribers_concerned(version).ok_or(unknown)
+        };
+        let expected = member.replication.read(CONFIGURATION, READ_TIMEOUT, read).await??;
+        let now = Instant::now();
+        let leader_uptime = member.started.elapsed();
+        Ok(member
+            .collector
+            .read(|summaries| RolloutEvaluation { version, summaries, leader_uptime, now }.status(&expected)))
     }
 
-    /// What stands, as far as this member has applied, sorted by key.
+    /// All documents as this member has applied them, sorted by key.
     pub fn documents(&self) -> Vec<Document> {
-        self.member.registry.look(ConfigurationState::documents)
+        self.member.configuration.read(ConfigurationState::documents)
     }
 
-    /// How this member stands.
+    /// The status of this member.
     pub fn status(&self) -> ControlStatus {
         let member = &self.member;
-        let Counts { attached, behind, detached } = member.registry.counts();
-        let book =
-            |book: &ConfigurationState| (book.head(), book.oldest(), book.len(), book.registered_count());
-        let (head, oldest, documents, registered) = member.registry.look(book);
-        let leader = Some(member.leader.load(Ordering::Relaxed)).filter(|leader| *leader != 0);
+        let counts = member.progress.counts();
+        let configuration = member.configuration.read(ConfigurationSummary::of);
+        let leader = member.last_known_leader();
         ControlStatus {
             id: member.settings.id,
             leader,
             leads: leader == Some(member.settings.id),
-            head,
-            oldest,
-            documents,
-            registered,
-            attached,
-            behind,
-            detached,
-            snapshots_waiting: member.admission.waiting(),
+            head: configuration.head,
+            oldest: configuration.oldest,
+            documents: configuration.documents,
+            registered: configuration.registered,
+            attached: counts.attached,
+            behind: counts.behind,
+            detached: counts.detached,
+            snapshots_waiting: member.admission.waiting_count(),
             bytes_written: member.bytes_written.load(Ordering::Relaxed),
         }
     }
 
-    /// Ends every task and connection, and waits for them.
+    /// Stops all tasks and connections, and waits for them.
     pub async fn stop(self) {
         self.stop.cancel();
         self.tasks.close();
         self.tasks.wait().await;
     }
 }
-
-impl Member {
-    fn new(settings: ControlSettings, shared: ReplicationClient, net: Arc<dyn Net>) -> Self {
-        let others = settings.members.iter().filter(|other| other.id != settings.id).cloned().collect();
-        let ids = settings.members.iter().map(|member| member.id).chain([settings.id]).collect();
-        Self {
-            others,
-            registry: Registry::new(shared.clone(), settings.count(), settings.subscribers_max as usize),
-            admission: Admission::new(settings.snapshot_bytes_per_s),
-            collector: Collector::new(ids),
-            bytes_written: Arc::default(),
-            leader: AtomicU64::new(0),
-            began: Instant::now(),
-            settings,
-            shared,
-            net,
-        }
-    }
-}
-
-/// Holds what the council applies against the attached subscribers, until stopped.
-async fn evaluate(member: Arc<Member>, stop: CancellationToken) {
-    let mut progress = member.shared.node().applied();
-    loop {
-        member.registry.evaluate();
-        tokio::select! {
-            () = stop.cancelled() => return,
-            changed = progress.changed() => if changed.is_err() { return },
-        }
-    }
-}
--- a/crates/stepspur-distribution/src/control/propose.rs
+++ b/crates/stepspur-distribution/src/control/propose.rs
@@ -1,109 +1,116 @@
-//! Changes and removals, brought to the council.
+//! Proposals of changes, registrations and removals.
 
 use std::time::Duration;
 
 use stepspur_replication::{OperationId, ReplicationClient, ReplicationError};
 
-use crate::configuration::{CONFIGURATION, Command, CommandError};
+use crate::configuration::{CONFIGURATION, Command, CommandError, Registration};
 use crate::document::Change;
 use crate::version::Version;
 
-/// Under whose name operators' commands take their turns.
+/// The tenant under which operators' proposals are limited.
 const OPERATORS: &str = "operators";
-/// Under whose name registrations take their turns.
+/// The tenant under which registrations are limited.
 const SUBSCRIBERS: &str = "subscribers";
 
-/// Why a change or removal has no outcome.
+/// Why a proposal did not succeed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProposeError {
-    /// It is faulty: nothing was proposed.
+    /// The command is invalid: nothing was proposed.
     #[error(transparent)]
-    Faulty(#[from] CommandError),
-    /// It is too large for one command: nothing was proposed.
+    InvalidCommand(#[from] CommandError),
+    /// The command is too large: nothing was proposed.
     #[error("too large: {0}")]
     TooLarge(String),
-    /// Too much is under way: nothing was proposed.
+    /// Too many proposals are in flight: nothing was proposed.
     #[error("too much is under way; come again after {after:?}")]
     Full {
-        /// When to come again.
+        /// When to retry.
         after: Duration,
     },
-    /// The book's rules refuse it; nothing has changed.
+    /// The replicated configuration rejected the command; the state is unchanged.
     #[error("refused: {0}")]
-    Refused(String),
-    /// No answer came in time: it may have taken effect, and may yet. Proposed again under this id it takes effect once.
+    Rejected(String),
+    /// No outcome came in time: the operation may have taken effect, or may yet. It can be proposed again under this id
+    /// and takes effect once.
     #[error("the outcome of {id} is unknown")]
     Unknown {
         /// The operation.
         id: OperationId,
     },
-    /// It came so late that whether it took effect before is forgotten; it did not now.
+    /// The operation came so late that the outcome of an earlier proposal may be discarded. It was not applied now.
     #[error("{id} is too old to be told from what was forgotten")]
     TooOld {
         /// The operation.
         id: OperationId,
     },
-    /// This member applies no more.
+    /// This member has stopped applying entries, or no leader answered.
     #[error("this member has stopped: {0}")]
     Stopped(String),
 }
 
 impl From<ReplicationError> for ProposeError {
-    fn from(failed: ReplicationError) -> Self {
-        match failed {
+    fn from(error: ReplicationError) -> Self {
+        match error {
             ReplicationError::Full { after } => Self::Full { after },
             ReplicationError::InvalidCommand(invalid) => Self::TooLarge(invalid.to_string()),
-            ReplicationError::Refused(refusal) => Self::Refused(refusal.0),
+            ReplicationError::Refused(rejection) => Self::Rejected(rejection.0),
             ReplicationError::Unknown(id) => Self::Unknown { id },
             ReplicationError::TooOld(id) => Self::TooOld { id },
             ReplicationError::NoLeader => Self::Stopped("no leader answered".to_owned()),
-            ReplicationError::Stopped(why) => Self::Stopped(why),
+            ReplicationError::Stopped(reason) => Self::Stopped(reason),
         }
     }
 }
 
-/// Has the council agree on changes: the version that they made.
+/// Proposes changes. Returns the version that they made.
 pub(super) async fn change(
-    shared: &ReplicationClient,
+    replication: &ReplicationClient,
     id: Option<OperationId>,
     changes: Vec<Change>,
     within: Duration,
 ) -> Result<Version, ProposeError> {
     let command = Command::Change { changes };
-    let (id, answer) = bring(shared, id, OPERATORS, &command, within).await?;
+    let Applied { id, answer } = propose(replication, id, OPERATORS, &command, within).await?;
     postcard::from_bytes(&answer).map_err(|_| ProposeError::Unknown { id })
 }
 
-/// Has the council take a subscriber out of the register: true, if it was in it.
+/// Proposes the removal of a registration. Returns whether the subscriber was registered.
 pub(super) async fn remove(
-    shared: &ReplicationClient,
+    replication: &ReplicationClient,
     name: &str,
     within: Duration,
 ) -> Result<bool, ProposeError> {
     let command = Command::Remove { name: name.to_owned() };
-    let (id, answer) = bring(shared, None, OPERATORS, &command, within).await?;
+    let Applied { id, answer } = propose(replication, None, OPERATORS, &command, within).await?;
     postcard::from_bytes(&answer).map_err(|_| ProposeError::Unknown { id })
 }
 
-/// Has the council agree on registrations.
+/// Proposes registrations.
 pub(super) async fn register(
-    shared: &ReplicationClient,
-    registrations: Vec<crate::configuration::Registration>,
+    replication: &ReplicationClient,
+    registrations: Vec<Registration>,
     within: Duration,
 ) -> Result<(), ProposeError> {
     let command = Command::Register { registrations };
-    bring(shared, None, SUBSCRIBERS, &command, within).await.map(drop)
+    propose(replication, None, SUBSCRIBERS, &command, within).await.map(drop)
 }
 
-async fn bring(
-    shared: &ReplicationClient,
+/// An operation that was applied, with the answer of the configuration.
+struct Applied {
+    id: OperationId,
+    answer: Vec<u8>,
+}
+
+async fn propose(
+    replication: &ReplicationClient,
     id: Option<OperationId>,
-    whose: &str,
+    tenant: &str,
     command: &Command,
     within: Duration,
-) -> Result<(OperationId, Vec<u8>), ProposeError> {
+) -> Result<Applied, ProposeError> {
     command.check()?;
-    let id = id.unwrap_or_else(|| shared.new_id());
-    let answer = shared.propose(id, CONFIGURATION, whose, &command.encode(), within).await?;
-    Ok((id, answer))
+    let id = id.unwrap_or_else(|| replication.new_id());
+    let answer = replication.propose(id, CONFIGURATION, tenant, &command.encode(), within).await?;
+    Ok(Applied { id, answer })
 }
--- a/crates/stepspur-distribution/src/control/reporter.rs
+++ b/crates/stepspur-distribution/src/control/reporter.rs
@@ -1,44 +1,62 @@
-//! The task that reports to the leader each second.
+//! The task that reports a summary of the subscriber states to the leader each second.
 
-use std::net::SocketAddr;
+use std::io;
 use std::sync::Arc;
-use std::sync::atomic::Ordering;
 use std::time::Duration;
 
 use stepspur_consensus_node::Stream;
 use stepspur_proto::v1::{ControlSummary, FromSubscriber};
-use stepspur_proto::{frame, from_subscriber};
+use stepspur_proto::{FrameError, frame, from_subscriber};
 use tokio::io::AsyncWriteExt;
 use tokio::time::{MissedTickBehavior, interval, timeout};
 use tokio_util::sync::CancellationToken;
 
-use super::Member;
-use super::collector::Connection;
-use super::messages::LATER_FRAME_MOST;
-use super::summary::Teller;
+use super::member::Member;
+use super::messages::MAX_LATER_FRAME_BYTES;
+use super::summary_collector::{ReportingConnection, SummaryError};
+use super::summary_encoder::SummaryEncoder;
 
-/// The span between two summaries.
+/// The interval of summaries.
 pub const SUMMARY_INTERVAL: Duration = Duration::from_secs(1);
-/// Asking who leads, dialling the leader and writing a summary may take so long.
-const WITHIN: Duration = Duration::from_secs(1);
+/// Time limit of connecting to the leader, and of writing a part of a summary.
+const LEADER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Where the summaries go.
-enum Way {
+enum Destination {
     /// This member leads.
-    Here(Connection),
-    /// Another one does.
-    There(Box<dyn Stream>),
+    Local(ReportingConnection),
+    /// Another member leads.
+    Remote(Box<dyn Stream>),
 }
 
-/// A leader, the way to it, and what it was told.
-struct Report {
+/// Reports to one leader.
+struct LeaderReport {
     leader: u64,
-    way: Way,
-    teller: Teller,
+    destination: Destination,
+    encoder: SummaryEncoder,
+}
+
+/// Why a summary was not reported.
+#[derive(Debug, thiserror::Error)]
+enum ReportError {
+    #[error("the leader is none of the control members")]
+    UnknownLeader,
+    #[error("not dialled in time")]
+    DialTimeout,
+    #[error(transparent)]
+    Dial(io::Error),
+    #[error("not written in time")]
+    WriteTimeout,
+    #[error(transparent)]
+    Write(io::Error),
+    #[error(transparent)]
+    Frame(#[from] FrameError),
+    #[error(transparent)]
+    Summary(#[from] SummaryError),
 }
 
 /// Reports until stopped.
-pub(crate) async fn run(member: Arc<Member>, stop: CancellationToken) {
+pub(super) async fn run(member: Arc<Member>, stop: CancellationToken) {
     let mut ticks = interval(SUMMARY_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut report = None;
@@ -47,80 +65,75 @@
             () = stop.cancelled() => return,
             _ = ticks.tick() => {}
         }
-        let turn = turn(&member, report.take());
+        let next = report_once(&member, report.take());
         report = tokio::select! {
             () = stop.cancelled() => return,
-            report = turn => report,
+            next = next => next,
         };
     }
 }
 
-/// Tells the leader what has changed; all of it, if it leads newly or could not be told.
-async fn turn(member: &Member, report: Option<Report>) -> Option<Report> {
-    let leader = leader_of(member).await;
-    member.leader.store(leader.unwrap_or_default(), Ordering::Relaxed);
-    // While no leader is known, the last one is told further: it may lead still, and others ask nobody else.
-    let leader = leader.or(report.as_ref().map(|report| report.leader))?;
-    let known = report.filter(|report| report.leader == leader);
-    let told = async {
-        let mut report = match known {
-            Some(report) => report,
-            None => begin(member, leader).await?,
-        };
-        report.tell(member).await?;
-        Ok::<_, String>(report)
-    };
-    match told.await {
+/// Reports changes to the leader; all states if the leader is new or the last report failed.
+async fn report_once(member: &Member, last: Option<LeaderReport>) -> Option<LeaderReport> {
+    let current_leader = member.leader().await;
+    member.set_last_known_leader(current_leader);
+    // While no leader is known the reports go to the last one, which may still lead.
+    let leader = current_leader.or(last.as_ref().map(|report| report.leader))?;
+    let known = last.filter(|report| report.leader == leader);
+    match report_to(member, leader, known).await {
         Ok(report) => Some(report),
-        Err(cause) => {
-            tracing::warn!(event = "config_summary_not_sent", leader, cause);
+        Err(error) => {
+            tracing::warn!(event = "config_summary_not_sent", leader, cause = error.to_string());
             None
         }
     }
 }
 
-/// Who leads the council, as far as this member knows.
-pub(super) async fn leader_of(member: &Member) -> Option<u64> {
-    let status = timeout(WITHIN, member.shared.node().status()).await;
-    status.ok()?.ok()?.leader.map(|leader| leader.0)
-}
-
-async fn begin(member: &Member, leader: u64) -> Result<Report, String> {
-    let own = member.settings.id;
-    let way = if leader == own {
-        Way::Here(member.collector.connect(own).map_err(|fault| fault.to_string())?)
-    } else {
-        Way::There(dial(member, leader).await?)
+async fn report_to(
+    member: &Member,
+    leader: u64,
+    known: Option<LeaderReport>,
+) -> Result<LeaderReport, ReportError> {
+    let mut report = match known {
+        Some(report) => report,
+        None => LeaderReport::begin(member, leader).await?,
     };
-    Ok(Report { leader, way, teller: Teller::new(own) })
+    report.send(member).await?;
+    Ok(report)
 }
 
-async fn dial(member: &Member, leader: u64) -> Result<Box<dyn Stream>, String> {
-    let found = member.others.iter().find(|other| other.id == leader);
-    let address: SocketAddr = found.ok_or("the leader is none of the control members")?.address;
-    let socket = timeout(WITHIN, member.net.dial(address)).await;
-    socket.map_err(|_| "not dialled in time".to_owned())?.map_err(|cause| cause.to_string())
-}
+impl LeaderReport {
+    async fn begin(member: &Member, leader: u64) -> Result<Self, ReportError> {
+        let own_id = member.settings.id;
+        let destination = if leader == own_id {
+            Destination::Local(member.collector.connect(own_id)?)
+        } else {
+            Destination::Remote(dial(member, leader).await?)
+        };
+        Ok(Self { leader, destination, encoder: SummaryEncoder::new(own_id) })
+    }
 
-impl Report {
-    async fn tell(&mut self, member: &Member) -> Result<(), String> {
-        for part in self.teller.next(member.registry.overview()) {
-            match &mut self.way {
-                Way::Here(connection) => {
-                    member.collector.take(*connection, part).map_err(|fault| fault.to_string())?;
-                }
-                Way::There(socket) => {
-                    write(socket, part).await?;
-                }
+    async fn send(&mut self, member: &Member) -> Result<(), ReportError> {
+        for part in self.encoder.encode_changes(member.progress.states()) {
+            match &mut self.destination {
+                Destination::Local(connection) => member.collector.add(*connection, part)?,
+                Destination::Remote(stream) => write(stream, part).await?,
             }
         }
         Ok(())
     }
 }
 
-async fn write(socket: &mut Box<dyn Stream>, part: ControlSummary) -> Result<(), String> {
+async fn dial(member: &Member, leader: u64) -> Result<Box<dyn Stream>, ReportError> {
+    let found = member.others.iter().find(|other| other.id == leader);
+    let address = found.ok_or(ReportError::UnknownLeader)?.address;
+    let dialled = timeout(LEADER_TIMEOUT, member.net.dial(address)).await;
+    dialled.map_err(|_| ReportError::DialTimeout)?.map_err(ReportError::Dial)
+}
+
+async fn write(stream: &mut Box<dyn Stream>, part: ControlSummary) -> Result<(), ReportError> {
     let message = FromSubscriber { kind: Some(from_subscriber::Kind::Summary(part)) };
-    let bytes = frame(&message, LATER_FRAME_MOST).map_err(|fault| fault.to_string())?;
-    let written = timeout(WITHIN, socket.write_all(&bytes)).await;
-    written.map_err(|_| "not written in time".to_owned())?.map_err(|cause| cause.to_string())
+    let bytes = frame(&message, MAX_LATER_FRAME_BYTES)?;
+    let written = timeout(LEADER_TIMEOUT, stream.write_all(&bytes)).await;
+    written.map_err(|_| ReportError::WriteTimeout)?.map_err(ReportError::Write)
 }
--- a/crates/stepspur-distribution/src/control/settings.rs
+++ b/crates/stepspur-distribution/src/control/settings.rs
@@ -1,84 +1,97 @@
-//! What a control member is started with.
+//! The settings of a control member, and why it does not start.
 
+use std::collections::BTreeSet;
 use std::net::SocketAddr;
+use std::ops::RangeInclusive;
 use std::time::Duration;
 
+use crate::config::{MAX_KEEP_ALIVE, MIN_KEEP_ALIVE};
+use crate::configuration::CONFIGURATION;
 pub use crate::placement::ControlMember;
 
-/// What a control member is started with.
+/// The settings of a control member.
 #[derive(Clone, Debug)]
 pub struct ControlSettings {
-    /// Its identity in the council.
+    /// Its id in the consensus group.
     pub id: u64,
-    /// Where it serves subscribers, and other control members report.
+    /// The address at which it accepts subscribers and summaries of other control members.
     pub listen: SocketAddr,
-    /// Where it stands.
+    /// Its region.
     pub region: String,
-    /// All control members, this one among them or not.
+    /// All control members, with or without this one.
     pub members: Vec<ControlMember>,
-    /// Bytes of snapshots that it writes in a second, over all subscribers.
+    /// Rate limit of snapshots over all subscribers, in bytes per second.
     pub snapshot_bytes_per_s: u32,
-    /// Subscribers that it takes at most.
+    /// Subscribers at once, at most.
     pub subscribers_max: u32,
-    /// The largest span between two frames of either side. Three without a frame end a connection.
+    /// The longest interval between two frames of either side. Three intervals without a frame end a connection.
     pub keep_alive: Duration,
 }
 
-/// The shortest and the longest keep-alive.
-pub const KEEP_ALIVE: std::ops::RangeInclusive<Duration> =
-    Duration::from_millis(100)..=Duration::from_secs(600);
+/// The valid range of keep-alive intervals.
+pub const KEEP_ALIVE: RangeInclusive<Duration> = MIN_KEEP_ALIVE..=MAX_KEEP_ALIVE;
+
+/// Why a setting is invalid.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum InvalidControlSetting {
+    /// The rate limit of snapshots is 0.
+    #[error("snapshot_bytes_per_s: must be above 0")]
+    ZeroSnapshotRate,
+    /// The limit of subscribers is 0.
+    #[error("subscribers_max: must be above 0")]
+    ZeroSubscribers,
+    /// The keep-alive interval is outside [`KEEP_ALIVE`].
+    #[error("keep_alive: must lie between 100 ms and 10 min")]
+    KeepAlive(Duration),
+    /// Two members have the same id.
+    #[error("members: an id stands twice")]
+    DuplicateMember,
+}
 
 /// Why a control member does not start.
 #[derive(Debug, thiserror::Error)]
 pub enum ControlStartError {
-    /// A setting is out of bounds.
-    #[error("{setting}: {fault}")]
-    Setting {
-        /// Which.
-        setting: &'static str,
-        /// What is wrong.
-        fault: String,
-    },
-    /// The council was started without the book of configuration.
-    #[error("the council's member has no book {}", crate::configuration::CONFIGURATION)]
-    NoBook,
-    /// Callers cannot be let in.
+    /// A setting is invalid.
+    #[error(transparent)]
+    InvalidSetting(#[from] InvalidControlSetting),
+    /// The consensus member does not replicate the configuration.
+    #[error("the council's member has no state machine {CONFIGURATION}")]
+    MissingStateMachine,
+    /// The address cannot be listened on.
     #[error("cannot listen at {address}: {cause}")]
     Listen {
-        /// Where.
+        /// The address.
         address: SocketAddr,
-        /// Why.
+        /// Why not.
         cause: std::io::Error,
     },
 }
 
 impl ControlSettings {
-    /// Checks them.
+    /// Checks the settings.
     ///
     /// # Errors
-    /// [`ControlStartError::Setting`].
-    pub fn check(&self) -> Result<(), ControlStartError> {
-        let fault =
-            |setting, fault: &str| Err(ControlStartError::Setting { setting, fault: fault.to_owned() });
+    /// The first invalid setting.
+    pub fn check(&self) -> Result<(), InvalidControlSetting> {
         if self.snapshot_bytes_per_s == 0 {
-            return fault("snapshot_bytes_per_s", "must be above 0");
+            return Err(InvalidControlSetting::ZeroSnapshotRate);
         }
         if self.subscribers_max == 0 {
-            return fault("subscribers_max", "must be above 0");
+            return Err(InvalidControlSetting::ZeroSubscribers);
         }
         if !KEEP_ALIVE.contains(&self.keep_alive) {
-            return fault("keep_alive", "must lie between 100 ms and 10 min");
+            return Err(InvalidControlSetting::KeepAlive(self.keep_alive));
         }
-        let ids: std::collections::BTreeSet<u64> = self.members.iter().map(|member| member.id).collect();
+        let ids: BTreeSet<u64> = self.members.iter().map(|member| member.id).collect();
         if ids.len() != self.members.len() {
-            return fault("members", "an id stands twice");
+            return Err(InvalidControlSetting::DuplicateMember);
         }
         Ok(())
     }
 
-    /// How many control members there are, this one among them.
-    pub(crate) fn count(&self) -> usize {
-        let listed = self.members.iter().any(|member| member.id == self.id);
-        self.members.len() + usize::from(!listed)
+    /// The number of control members with this one.
+    pub(super) fn member_count(&self) -> usize {
+        let is_listed = self.members.iter().any(|member| member.id == self.id);
+        self.members.len() + usize::from(!is_listed)
     }
 }
--- a/crates/stepspur-distribution/src/control/admission/tests.rs
+++ b/crates/stepspur-distribution/src/control/snapshot_admission/tests.rs
@@ -5,8 +5,8 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 #[tokio::test(start_paused = true)]
-async fn parts_are_admitted_at_the_pace_and_in_turn() {
-    let admission = Arc::new(Admission::new(1_000));
+async fn admit_by_two_requesters_alternates_at_the_rate_limit() {
+    let admission = Arc::new(SnapshotAdmission::new(1_000));
     // Both wait from here on.
     admission.admit(500).await;
     let (began, mut tasks) = (Instant::now(), JoinSet::new());
@@ -23,15 +23,15 @@
     }
     let mut times: Vec<_> = tasks.join_all().await.into_iter().flatten().collect();
     times.sort();
-    let turns: Vec<&str> = times.iter().map(|(_, name)| *name).collect();
-    assert!(turns.windows(2).all(|two| two[0] != two[1]), "{turns:?}");
+    let order: Vec<&str> = times.iter().map(|(_, name)| *name).collect();
+    assert!(order.windows(2).all(|two| two[0] != two[1]), "{order:?}");
     let last = times.last().unwrap().0;
     assert!((SECOND * 3..SECOND * 31 / 10).contains(&last), "{last:?}");
 }
 
 #[tokio::test(start_paused = true)]
-async fn one_that_gives_up_costs_nothing() {
-    let admission = Admission::new(1_000);
+async fn admit_that_is_dropped_uses_no_rate() {
+    let admission = SnapshotAdmission::new(1_000);
     admission.admit(1_000).await;
     let (began, short) = (Instant::now(), SECOND / 2);
     assert!(tokio::time::timeout(short, admission.admit(100_000)).await.is_err());
@@ -40,13 +40,13 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn snapshots_in_memory_are_bounded_and_a_larger_one_takes_all() {
-    let admission = Admission::new(1_000);
-    let all = admission.memory(usize::MAX).await.unwrap();
-    assert!(tokio::time::timeout(SECOND, admission.memory(1)).await.is_err());
+async fn reserve_memory_beyond_the_limit_waits_and_a_larger_snapshot_takes_all() {
+    let admission = SnapshotAdmission::new(1_000);
+    let all = admission.reserve_memory(usize::MAX).await.unwrap();
+    assert!(tokio::time::timeout(SECOND, admission.reserve_memory(1)).await.is_err());
     drop(all);
-    let one = admission.memory(1).await.unwrap();
-    let other = admission.memory(UNIT_BYTES * (UNITS - 1)).await.unwrap();
-    assert!(tokio::time::timeout(SECOND, admission.memory(1)).await.is_err());
+    let one = admission.reserve_memory(1).await.unwrap();
+    let other = admission.reserve_memory(PERMIT_BYTES * (MAX_PERMITS as usize - 1)).await.unwrap();
+    assert!(tokio::time::timeout(SECOND, admission.reserve_memory(1)).await.is_err());
     drop((one, other));
 }
--- /dev/null
+++ b/crates/stepspur-distribution/src/control/subscriber_state.rs
@@ -0,0 +1,38 @@
+//! The states of subscribers as control members know and report them.
+
+use std::collections::BTreeMap;
+
+use tokio::time::Instant;
+
+use crate::version::Version;
+
+/// Why a subscriber is behind or detached.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(super) struct Lag {
+    /// It has applied all changes of its interest up to this version.
+    pub(super) applied_version: Version,
+    /// When it was last up to date, or its last frame came.
+    pub(super) since: Instant,
+    /// The reason in words.
+    pub(super) reason: String,
+}
+
+/// The state of a subscriber.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(super) enum SubscriberState {
+    /// Attached, and it has applied all changes that concern it up to the evaluated version.
+    UpToDate,
+    /// Attached, and it has not applied all changes that concern it.
+    Behind(Lag),
+    /// It was attached to this member, and is not any more.
+    Detached(Lag),
+}
+
+/// The states of all subscribers of a member at one time.
+#[derive(Debug)]
+pub(super) struct SubscriberStates {
+    /// Changes up to this version are evaluated for every attached subscriber.
+    pub(super) evaluated_version: Version,
+    /// The states by name.
+    pub(super) by_name: BTreeMap<String, SubscriberState>,
+}
--- a/crates/stepspur-distribution/tests/control/admission.rs
+++ b/crates/stepspur-distribution/tests/control/admission.rs
@@ -7,7 +7,7 @@
 use stepspur_distribution::version::Version;
 use tokio::time::Instant;
 
-use crate::support::{KEEP_ALIVE, Rig, Shape, first, level};
+use crate::common::{KEEP_ALIVE, Rig, Shape, first, level};
 
 /// A part every second.
 const PACE: Shape =
--- a/crates/stepspur-distribution/tests/control/standings.rs
+++ b/crates/stepspur-distribution/tests/control/rollout_status.rs
@@ -8,7 +8,7 @@
 use stepspur_proto::v1;
 use tokio::time::sleep;
 
-use crate::support::{PATIENCE, Rig, Shape, Subscriber, first, level, until};
+use crate::common::{PATIENCE, Rig, Shape, Subscriber, first, level, until};
 
 const WITHIN: Duration = Duration::from_secs(10);
 const THREE: Shape = Shape { voters: 1, members: 3, snapshot_bytes_per_s: 1 << 20, subscribers_max: 100 };
@@ -55,7 +55,7 @@
 }
 
 fn names(standing: &RolloutStatus) -> Vec<&str> {
-    standing.missing.iter().map(|missing| missing.name.as_str()).collect()
+    standing.pending.iter().map(|pending| pending.name.as_str()).collect()
 }
 
 #[tokio::test(start_paused = true)]
@@ -68,15 +68,15 @@
         assert_eq!(subscriber.delta().await.1, version);
     }
     let before =
-        rig.standing(version, |told| told.missing.iter().all(|m| m.reason == "not acknowledged yet")).await;
-    assert_eq!((before.expected, before.in_force, before.everywhere), (3, 0, false));
+        rig.standing(version, |told| told.pending.iter().all(|m| m.reason == "not acknowledged yet")).await;
+    assert_eq!((before.expected, before.applied, before.applied_everywhere), (3, 0, false));
     assert_eq!(names(&before), ["at 1", "at 2", "at 3"]);
-    assert!(before.missing.iter().all(|missing| missing.in_force < version));
+    assert!(before.pending.iter().all(|pending| pending.applied_version < version));
     for subscriber in &mut subscribers {
         subscriber.acknowledge(version).await;
     }
-    let after = rig.standing(version, |told| told.everywhere).await;
-    assert_eq!((after.expected, after.in_force, after.missing.len()), (3, 3, 0));
+    let after = rig.standing(version, |told| told.applied_everywhere).await;
+    assert_eq!((after.expected, after.applied, after.pending.len()), (3, 3, 0));
 }
 
 #[tokio::test(start_paused = true)]
@@ -94,11 +94,11 @@
     };
     let unapplied = v1::UnappliedDocument { document: Some(document), reason: "no such class".to_owned() };
     subscribers[1].unapplied(held, vec![unapplied]).await;
-    let wanted = |told: &RolloutStatus| told.in_force == 1 && told.missing[0].reason.contains("applied");
+    let wanted = |told: &RolloutStatus| told.applied == 1 && told.pending[0].reason.contains("applied");
     let told = rig.standing(version, wanted).await;
     assert_eq!(names(&told), ["at 2"]);
-    assert_eq!(told.missing[0].reason, "class bulk not applied: no such class");
-    assert_eq!(told.missing[0].in_force, held);
+    assert_eq!(told.pending[0].reason, "class bulk not applied: no such class");
+    assert_eq!(told.pending[0].applied_version, held);
 }
 
 #[tokio::test(start_paused = true)]
@@ -108,19 +108,19 @@
     drop(subscribers.pop());
     let here = Obedient::serve(subscribers.remove(0));
     let version = rig.change(vec![level("shop", "bulk", 7)]).await;
-    let wanted = |told: &RolloutStatus| told.in_force == 1 && told.missing[0].reason.starts_with("detached");
+    let wanted = |told: &RolloutStatus| told.applied == 1 && told.pending[0].reason.starts_with("detached");
     let told = rig.standing(version, wanted).await;
     assert_eq!((told.expected, names(&told)), (2, vec!["at 2"]));
-    assert!(told.missing[0].reason.starts_with("detached from control member 2"), "{told:?}");
-    let before = told.missing[0].since_s;
+    assert!(told.pending[0].reason.starts_with("detached from control member 2"), "{told:?}");
+    let before = told.pending[0].since_s;
     sleep(Duration::from_secs(5)).await;
-    let later = rig.standing(version, wanted).await.missing[0].since_s;
+    let later = rig.standing(version, wanted).await.pending[0].since_s;
     assert!((4.9..5.5).contains(&(later - before)), "{before} {later}");
     assert_eq!(rig.control(2).status().detached, 1);
     assert!(rig.control(2).remove("at 2", WITHIN).await.unwrap());
     assert!(!rig.control(2).remove("at 2", WITHIN).await.unwrap());
-    let told = rig.standing(version, |told| told.everywhere).await;
-    assert_eq!((told.expected, told.in_force), (1, 1));
+    let told = rig.standing(version, |told| told.applied_everywhere).await;
+    assert_eq!((told.expected, told.applied), (1, 1));
     until("it is forgotten", || rig.control(2).status().detached == 0).await;
     here.end();
 }
@@ -132,11 +132,11 @@
     let version = rig.change(vec![level("shop", "bulk", 7)]).await;
     assert_eq!(subscribers[0].delta().await.1, version);
     drop(subscribers);
-    rig.standing(version, |told| told.missing.iter().any(|m| m.reason.starts_with("detached"))).await;
+    rig.standing(version, |told| told.pending.iter().any(|m| m.reason.starts_with("detached"))).await;
     rig.reaches(3, version).await;
     let moved = rig.attach(3, first("at 2", "shop", version)).await;
-    let told = rig.standing(version, |told| told.everywhere).await;
-    assert_eq!((told.expected, told.in_force), (1, 1));
+    let told = rig.standing(version, |told| told.applied_everywhere).await;
+    assert_eq!((told.expected, told.applied), (1, 1));
     drop(moved);
 }
 
@@ -147,11 +147,11 @@
     let subscribers = attached(&rig, &[2]).await;
     let served: Vec<_> = subscribers.into_iter().map(Obedient::serve).collect();
     let version = rig.change(vec![level("shop", "bulk", 7)]).await;
-    rig.standing(version, |told| told.everywhere).await;
+    rig.standing(version, |told| told.applied_everywhere).await;
     rig.end(2).await;
-    let told = rig.standing(version, |told| !told.everywhere).await;
+    let told = rig.standing(version, |told| !told.applied_everywhere).await;
     assert_eq!(names(&told), ["at 2"]);
-    let wanted = |told: &RolloutStatus| told.missing[0].reason == "control member 2 does not report";
+    let wanted = |told: &RolloutStatus| told.pending[0].reason == "control member 2 does not report";
     rig.standing(version, wanted).await;
     served.into_iter().for_each(Obedient::end);
 }
@@ -166,10 +166,10 @@
     let version = rig.change(vec![level("shop", "bulk", 7)]).await;
     // Long after what it told before has become stale, too.
     sleep(SUMMARY_MAX_AGE * 3).await;
-    let wanted = |told: &RolloutStatus| told.missing[0].reason == "control member 2 is not at this version";
+    let wanted = |told: &RolloutStatus| told.pending[0].reason == "control member 2 is not at this version";
     let told = rig.standing(version, wanted).await;
     assert_eq!((told.expected, names(&told)), (1, vec!["at 2"]));
-    assert_eq!((told.missing[0].in_force, rig.control(2).status().head), (held, held));
+    assert_eq!((told.pending[0].applied_version, rig.control(2).status().head), (held, held));
     served.into_iter().for_each(Obedient::end);
 }
 
@@ -181,16 +181,16 @@
     let version = rig.change(vec![level("shop", "bulk", 7)]).await;
     assert_eq!(subscribers[0].delta().await.1, version);
     subscribers[0].acknowledge(version).await;
-    rig.standing(version, |told| told.everywhere).await;
+    rig.standing(version, |told| told.applied_everywhere).await;
     rig.reaches(2, version).await;
     cut_off(&rig, 2);
     let mut other = first("at 1", "mail", version);
     other.services.extend(first("at 1", "shop", version).services);
     subscribers.push(rig.attach(2, other).await);
-    let wanted = |told: &RolloutStatus| told.in_force == 0;
+    let wanted = |told: &RolloutStatus| told.applied == 0;
     let told = rig.standing(version, wanted).await;
-    assert_eq!(told.missing[0].reason, "attached, not registered yet");
-    assert_eq!(told.missing[0].in_force, Version::NONE);
+    assert_eq!(told.pending[0].reason, "attached, not registered yet");
+    assert_eq!(told.pending[0].applied_version, Version::NONE);
 }
 
 /// The new leader knows nothing until all have told it all.
@@ -200,14 +200,14 @@
     let subscribers = attached(&rig, &[4]).await;
     let served: Vec<_> = subscribers.into_iter().map(Obedient::serve).collect();
     let version = rig.change(vec![level("shop", "bulk", 7)]).await;
-    rig.standing(version, |told| told.everywhere).await;
+    rig.standing(version, |told| told.applied_everywhere).await;
     let gone = rig.leader().await;
     rig.end(gone).await;
-    let told = rig.standing(version, |told| told.everywhere).await;
-    assert_eq!((told.expected, told.in_force), (1, 1));
+    let told = rig.standing(version, |told| told.applied_everywhere).await;
+    assert_eq!((told.expected, told.applied), (1, 1));
     assert_ne!(rig.leader().await, gone);
     let next = rig.change(vec![level("shop", "bulk", 8)]).await;
-    rig.standing(next, |told| told.everywhere).await;
+    rig.standing(next, |told| told.applied_everywhere).await;
     served.into_iter().for_each(Obedient::end);
 }
 
@@ -218,12 +218,12 @@
     let subscribers = attached(&rig, &[1, 2, 3, 4]).await;
     let served: Vec<_> = subscribers.into_iter().map(Obedient::serve).collect();
     let version = rig.change(vec![level("shop", "bulk", 7)]).await;
-    rig.standing(version, |told| told.everywhere).await;
+    rig.standing(version, |told| told.applied_everywhere).await;
     let from = rig.leader().await;
     let to = (1..=3).find(|id| *id != from).unwrap();
     rig.hand_over(from, to).await;
     let next = rig.change(vec![level("shop", "bulk", 8)]).await;
-    let told = rig.standing(next, |told| told.everywhere).await;
+    let told = rig.standing(next, |told| told.applied_everywhere).await;
     assert_eq!((told.expected, rig.leader().await), (4, to));
     assert_eq!(
         rig.control(from).rollout_status(next).await,
@@ -241,13 +241,13 @@
     let version = rig.change(vec![level("shop", "bulk", 7)]).await;
     assert_eq!(subscribers[0].delta().await.1, version);
     subscribers[0].acknowledge(version).await;
-    rig.standing(version, |told| told.everywhere).await;
+    rig.standing(version, |told| told.applied_everywhere).await;
     let mut back = rig.attach(1, first("at 1", "shop", held)).await;
-    let told = rig.standing(version, |told| told.in_force == 0).await;
-    assert_eq!((names(&told), told.missing[0].in_force), (vec!["at 1"], held));
+    let told = rig.standing(version, |told| told.applied == 0).await;
+    assert_eq!((names(&told), told.pending[0].applied_version), (vec!["at 1"], held));
     assert_eq!(back.delta().await.1, version);
     back.acknowledge(version).await;
-    rig.standing(version, |told| told.everywhere).await;
+    rig.standing(version, |told| told.applied_everywhere).await;
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/stepspur-distribution/tests/control/sessions.rs
+++ b/crates/stepspur-distribution/tests/control/sessions.rs
@@ -9,7 +9,7 @@
 use stepspur_proto::{from_control, from_subscriber, v1};
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::support::{KEEP_ALIVE, PATIENCE, QUIET, Rig, Shape, Subscriber, first, level};
+use crate::common::{KEEP_ALIVE, PATIENCE, QUIET, Rig, Shape, Subscriber, first, level};
 
 fn document(change: &Change, version: Version) -> Document {
     Document { key: change.key(), setting: change.setting, version }
--- a/crates/stepspur-distribution/tests/subscriber.rs
+++ b/crates/stepspur-distribution/tests/subscriber/main.rs
@@ -1,15 +1,15 @@
 //! A subscriber against a control member that says what each test has it say, on the paused clock.
 
-mod subscriber_rig;
+mod common;
 
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
 
+use common::{Engine, Pipes, Rig, SPAN, address, document, settings, version};
 use stepspur_distribution::scope_store::{MemoryStore, RedbStore, StoreError, StoredScope};
 use stepspur_distribution::subscriber::{Subscriber, SubscriberStartError};
 use stepspur_distribution::version::Version;
 use stepspur_proto::{from_control, from_subscriber, v1};
-use subscriber_rig::{Engine, Pipes, Rig, SPAN, address, document, settings, version};
 use tokio::time::{Instant, sleep, timeout};
 
 /// Long against everything but the tests' patience, short against a span.
--- a/crates/stepspur-fault-tests/src/distribution/fleet.rs
+++ b/crates/stepspur-fault-tests/src/distribution/fleet.rs
@@ -327,8 +327,8 @@
                 let Ok(Ok(standing)) = timeout(ASK_WITHIN, control.rollout_status(*version)).await else {
                     break;
                 };
-                if standing.missing_unnamed == 0 {
-                    let missing = standing.missing.into_iter().map(|missing| missing.name).collect();
+                if standing.pending_unlisted == 0 {
+                    let missing = standing.pending.into_iter().map(|pending| pending.name).collect();
                     self.claim(*version, &missing);
                 }
             }
@@ -413,7 +413,7 @@
         loop {
             for control in self.running() {
                 if let Ok(Ok(standing)) = timeout(ASK_WITHIN, control.rollout_status(version)).await
-                    && standing.everywhere
+                    && standing.applied_everywhere
                 {
                     return began.elapsed();
                 }
