--- a/crates/stepspur-distribution/src/placement/tests.rs
+++ b/crates/stepspur-distribution/src/placement/tests.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn the_order_is_a_permutation_and_depends_on_no_order_given() {
+fn order_is_a_permutation_independent_of_the_given_order() {
     let mut members = members(15, 5);
     for name in names().iter().take(50) {
         let expected: Vec<u64> = order(name, "region-3", &members).iter().map(|member| member.id).collect();
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn members_of_the_subscribers_region_come_first() {
+fn order_has_members_of_the_subscribers_region_first() {
     let members = members(15, 5);
     for name in names() {
         let regions: Vec<bool> =
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn subscribers_spread_over_members_near_even() {
+fn order_spreads_subscribers_evenly_over_members() {
     // 160 each: the deviation of so many draws is 12, and each must lie within four of them.
     for (member, count) in firsts("elsewhere", &members(15, 5)) {
         assert!((112..=208).contains(&count), "member {member} has {count} of 2400");
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_lost_members_subscribers_spread_over_the_rest_and_nobody_else_moves() {
+fn order_without_a_lost_member_moves_only_its_subscribers() {
     let all = members(15, 5);
     let left: Vec<ControlMember> = all.iter().filter(|member| member.id != 7).cloned().collect();
     let mut taken_over: BTreeMap<u64, usize> = BTreeMap::new();
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_lost_region_moves_its_subscribers_to_all_others() {
+fn order_without_a_lost_region_spreads_its_subscribers_over_all_others() {
     let all = members(15, 5);
     let left: Vec<ControlMember> = all.iter().filter(|member| member.region != "region-1").cloned().collect();
     for (member, count) in firsts("region-1", &left) {
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn bare_addresses_are_spread_as_well_and_named_once() {
+fn order_addresses_spreads_subscribers_and_drops_repeated_addresses() {
     let addresses: Vec<SocketAddr> = members(15, 5).iter().map(|member| member.address).collect();
     let twice = [addresses.clone(), addresses].concat();
     let mut counts: BTreeMap<SocketAddr, usize> = BTreeMap::new();
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_member_goes_over_the_wire_and_back() {
+fn control_member_converted_to_its_message_and_back_is_the_same() {
     let member = members(1, 1).remove(0);
     let message = v1::ControlAddress::from(member.clone());
     assert_eq!(ControlMember::try_from(message.clone()), Ok(member));
--- a/crates/stepspur-distribution/tests/control/common.rs
+++ b/crates/stepspur-distribution/tests/control/common.rs
@@ -1,4 +1,4 @@
-//! Control members on a council in memory, and a subscriber that speaks frames.
+//! Control members on a consensus group in memory, and a scripted subscriber.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -22,71 +22,71 @@
 use tokio::time::{Instant, sleep, timeout};
 use tokio_util::codec::Framed;
 
-/// How long a test waits for what must come.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(60);
-/// How long nothing comes, where nothing must come but keep-alives.
-pub(crate) const QUIET: Duration = Duration::from_secs(5);
+/// Time limit of everything that a test waits for.
+pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(60);
+/// How long a test checks that nothing but keep-alives is sent.
+pub(crate) const QUIET_PERIOD: Duration = Duration::from_secs(5);
 /// The keep-alive of all control members here.
 pub(crate) const KEEP_ALIVE: Duration = Duration::from_secs(2);
-const WITHIN: Duration = Duration::from_secs(10);
-const PIPE: usize = 16 << 10;
+const PROPOSE_TIMEOUT: Duration = Duration::from_secs(10);
+const PIPE_BYTES: usize = 16 << 10;
 
-/// A network of pipes that carry both ways.
+/// A network of duplex pipes in memory.
 #[derive(Clone, Default)]
-pub(crate) struct Pipes(Arc<Mutex<BTreeMap<SocketAddr, mpsc::Sender<DuplexStream>>>>);
+pub(crate) struct MemoryNetwork(Arc<Mutex<BTreeMap<SocketAddr, mpsc::Sender<DuplexStream>>>>);
 
-struct Door(SocketAddr, mpsc::Receiver<DuplexStream>);
+struct MemoryListener(SocketAddr, mpsc::Receiver<DuplexStream>);
 
-impl Net for Pipes {
+impl Net for MemoryNetwork {
     fn listen(&self, at: SocketAddr) -> BoxFuture<'_, io::Result<Box<dyn Listen>>> {
-        let (calls, door) = mpsc::channel(64);
-        self.0.lock().unwrap().insert(at, calls);
-        Box::pin(async move { Ok(Box::new(Door(at, door)) as Box<dyn Listen>) })
+        let (connections, listener) = mpsc::channel(64);
+        self.0.lock().unwrap().insert(at, connections);
+        Box::pin(async move { Ok(Box::new(MemoryListener(at, listener)) as Box<dyn Listen>) })
     }
 
     fn dial(&self, to: SocketAddr) -> BoxFuture<'_, io::Result<Box<dyn Stream>>> {
-        let door = self.0.lock().unwrap().get(&to).cloned();
+        let listener = self.0.lock().unwrap().get(&to).cloned();
         Box::pin(async move {
-            let (near, far) = duplex(PIPE);
+            let (near, far) = duplex(PIPE_BYTES);
             let refused = || io::Error::from(io::ErrorKind::ConnectionRefused);
-            door.ok_or_else(refused)?.send(far).await.map_err(|_| refused())?;
+            listener.ok_or_else(refused)?.send(far).await.map_err(|_| refused())?;
             Ok(Box::new(near) as Box<dyn Stream>)
         })
     }
 }
 
-impl Listen for Door {
+impl Listen for MemoryListener {
     fn address(&self) -> SocketAddr {
         self.0
     }
 
     fn accept(&mut self) -> BoxFuture<'_, io::Result<Box<dyn Stream>>> {
         Box::pin(async {
-            let call = self.1.recv().await.ok_or(io::ErrorKind::ConnectionAborted)?;
-            Ok(Box::new(call) as Box<dyn Stream>)
+            let connection = self.1.recv().await.ok_or(io::ErrorKind::ConnectionAborted)?;
+            Ok(Box::new(connection) as Box<dyn Stream>)
         })
     }
 }
 
-/// Members of a council, the first ones with a vote; each is a control member.
-pub(crate) struct Rig {
-    pub pipes: Pipes,
+/// Members of a consensus group, the first ones voters. Each is a control member.
+pub(crate) struct Cluster {
+    pub network: MemoryNetwork,
     pub wire: Wire,
     pub controls: BTreeMap<u64, Control>,
-    shared: BTreeMap<u64, ReplicationClient>,
-    shape: Shape,
+    replication: BTreeMap<u64, ReplicationClient>,
+    settings: ClusterSettings,
 }
 
-/// How a rig begins.
+/// The settings of a cluster.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Shape {
+pub(crate) struct ClusterSettings {
     pub voters: u64,
     pub members: u64,
     pub snapshot_bytes_per_s: u32,
     pub subscribers_max: u32,
 }
 
-impl Default for Shape {
+impl Default for ClusterSettings {
     fn default() -> Self {
         Self { voters: 1, members: 1, snapshot_bytes_per_s: 1 << 20, subscribers_max: 100 }
     }
@@ -96,80 +96,81 @@
     SocketAddr::from(([127, 0, 0, 1], 20_000 + id as u16))
 }
 
-async fn shared(wire: &Wire, id: u64, shape: Shape) -> ReplicationClient {
+async fn replication(wire: &Wire, id: u64, cluster: ClusterSettings) -> ReplicationClient {
     let member = MemberId(id);
     let settings = Settings {
         id: member,
         listen: Wire::address(member),
-        peers: (1..=shape.members).map(MemberId).map(|id| (id, Wire::address(id))).collect(),
+        peers: (1..=cluster.members).map(MemberId).map(|id| (id, Wire::address(id))).collect(),
         council: stepspur_consensus::Settings::default(),
         wants: Vec::new(),
         weight: 1.0,
         within: Duration::from_secs(2),
         largest_frame: 16 << 20,
     };
-    let books = StateMachineRegistry::new([
+    let registry = StateMachineRegistry::new([
         Box::new(ConfigurationState::default()) as Box<dyn ReplicatedStateMachine>
     ]);
-    let voters: BTreeSet<_> = (1..=shape.voters).map(MemberId).collect();
-    let disk = (id <= shape.voters)
+    let voters: BTreeSet<_> = (1..=cluster.voters).map(MemberId).collect();
+    let disk = (id <= cluster.voters)
         .then(|| Image::new(member, RaftNode::bootstrap(voters), Duration::from_millis(2)).open());
-    let peers = NodeHandle::start_on(wire.of(member), settings, disk, id, books.clone()).await.unwrap();
-    ReplicationClient::new(Arc::new(peers), books, ProposalLimits::default(), id)
+    let node = NodeHandle::start_on(wire.of(member), settings, disk, id, registry.clone()).await.unwrap();
+    ReplicationClient::new(Arc::new(node), registry, ProposalLimits::default(), id)
 }
 
-impl Rig {
-    pub(crate) async fn start(shape: Shape) -> Self {
-        let (pipes, wire) = (Pipes::default(), Wire::default());
-        let mut rig = Self { pipes, wire, controls: BTreeMap::new(), shared: BTreeMap::new(), shape };
-        for id in 1..=shape.members {
-            rig.begin(id).await;
+impl Cluster {
+    pub(crate) async fn start(settings: ClusterSettings) -> Self {
+        let (network, wire) = (MemoryNetwork::default(), Wire::default());
+        let mut cluster =
+            Self { network, wire, controls: BTreeMap::new(), replication: BTreeMap::new(), settings };
+        for id in 1..=settings.members {
+            cluster.start_member(id).await;
         }
-        // The council has a leader once a change is agreed on.
-        rig.change(vec![level("nobody", "first", 1)]).await;
-        rig
+        // The group has a leader once a change is committed.
+        cluster.change(vec![level("nobody", "first", 1)]).await;
+        cluster
     }
 
-    /// Starts a member, with nothing but the voter's disk.
-    pub(crate) async fn begin(&mut self, id: u64) {
-        let shape = self.shape;
+    /// Starts a member with an empty disk.
+    pub(crate) async fn start_member(&mut self, id: u64) {
+        let cluster = self.settings;
         let member = |id| ControlMember { id, address: address(id), region: "north".to_owned() };
         let settings = ControlSettings {
             id,
             listen: address(id),
             region: "north".to_owned(),
-            members: (1..=shape.members).map(member).collect(),
-            snapshot_bytes_per_s: shape.snapshot_bytes_per_s,
-            subscribers_max: shape.subscribers_max,
+            members: (1..=cluster.members).map(member).collect(),
+            snapshot_bytes_per_s: cluster.snapshot_bytes_per_s,
+            subscribers_max: cluster.subscribers_max,
             keep_alive: KEEP_ALIVE,
         };
-        let shared = shared(&self.wire, id, shape).await;
-        self.shared.insert(id, shared.clone());
-        let control = Control::start(settings, shared, Arc::new(self.pipes.clone())).await.unwrap();
+        let replication = replication(&self.wire, id, cluster).await;
+        self.replication.insert(id, replication.clone());
+        let control = Control::start(settings, replication, Arc::new(self.network.clone())).await.unwrap();
         self.controls.insert(id, control);
     }
 
-    /// Ends a member, its part in the council as well.
-    pub(crate) async fn end(&mut self, id: u64) {
-        self.shared.remove(&id);
+    /// Stops a member, its consensus node as well.
+    pub(crate) async fn stop_member(&mut self, id: u64) {
+        self.replication.remove(&id);
         let control = self.controls.remove(&id).unwrap();
-        timeout(PATIENCE, control.stop()).await.unwrap();
+        timeout(TEST_TIMEOUT, control.stop()).await.unwrap();
     }
 
-    /// The leader hands the lead over, and lives on.
-    pub(crate) async fn hand_over(&self, from: u64, to: u64) {
-        let waits = Instant::now() + PATIENCE;
-        while self.shared[&from].node().transfer_leadership(MemberId(to)).await.unwrap().is_err() {
-            assert!(Instant::now() < waits, "it hands nothing over");
+    /// Transfers the leadership; the old leader keeps running.
+    pub(crate) async fn transfer_leadership(&self, from: u64, to: u64) {
+        let deadline = Instant::now() + TEST_TIMEOUT;
+        while self.replication[&from].node().transfer_leadership(MemberId(to)).await.unwrap().is_err() {
+            assert!(Instant::now() < deadline, "the leadership is not transferred");
             sleep(Duration::from_millis(100)).await;
         }
-        until("the lead is handed over", || self.control(to).status().leads).await;
+        wait_until("the new leader leads", || self.control(to).status().leads).await;
     }
 
-    /// The member that leads, once one of those that run does.
+    /// Waits until a running member leads, and returns it.
     pub(crate) async fn leader(&self) -> u64 {
         let leads = || self.controls.iter().find(|(_, control)| control.status().leads).map(|(id, _)| *id);
-        until("a leader that runs", || leads().is_some()).await;
+        wait_until("a running member leads", || leads().is_some()).await;
         leads().unwrap()
     }
 
@@ -179,39 +180,39 @@
 
     pub(crate) async fn change(&self, changes: Vec<Change>) -> Version {
         let any = self.controls.values().next().unwrap();
-        any.propose(None, changes, WITHIN).await.unwrap()
+        any.propose(None, changes, PROPOSE_TIMEOUT).await.unwrap()
     }
 
-    /// Waits until a member has this version.
-    pub(crate) async fn reaches(&self, id: u64, version: Version) {
+    /// Waits until a member has applied a version.
+    pub(crate) async fn wait_for_version(&self, id: u64, version: Version) {
         let reached = || self.control(id).status().head >= version;
-        until("the member has the version", reached).await;
+        wait_until("the member has the version", reached).await;
     }
 
-    /// Waits until so many are registered.
-    pub(crate) async fn registered(&self, count: usize) {
+    /// Waits until this many subscribers are registered at all members.
+    pub(crate) async fn wait_for_registered(&self, count: usize) {
         let all = || self.controls.values().all(|control| control.status().registered == count);
-        until("they are registered", all).await;
+        wait_until("they are registered", all).await;
     }
 
-    /// Waits for an answer of the leader that is as it should be.
-    pub(crate) async fn standing(
+    /// Waits until the leader returns an expected rollout status.
+    pub(crate) async fn wait_for_rollout(
         &self,
         version: Version,
-        wanted: impl Fn(&RolloutStatus) -> bool,
+        is_expected: impl Fn(&RolloutStatus) -> bool,
     ) -> RolloutStatus {
-        let waits = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + TEST_TIMEOUT;
         loop {
-            let told = self.control(self.leader().await).rollout_status(version).await;
-            if let Some(standing) = told.as_ref().ok().filter(|standing| wanted(standing)) {
-                return standing.clone();
+            let answer = self.control(self.leader().await).rollout_status(version).await;
+            if let Some(status) = answer.as_ref().ok().filter(|status| is_expected(status)) {
+                return status.clone();
             }
-            assert!(Instant::now() < waits, "{told:?}");
+            assert!(Instant::now() < deadline, "{answer:?}");
             sleep(Duration::from_millis(100)).await;
         }
     }
 
-    /// Dials a member and tells it this first.
+    /// Connects to a member and sends this first frame.
     pub(crate) async fn subscribe(&self, id: u64, first: v1::ConfigSubscribe) -> Subscriber {
         let mut subscriber = self.dial(id).await;
         subscriber.send(from_subscriber::Kind::Subscribe(first)).await;
@@ -219,11 +220,11 @@
     }
 
     pub(crate) async fn dial(&self, id: u64) -> Subscriber {
-        let socket = self.pipes.dial(address(id)).await.unwrap();
+        let socket = self.network.dial(address(id)).await.unwrap();
         Subscriber(Framed::new(socket, Frames::new(1 << 20)))
     }
 
-    /// As [`Rig::subscribe`], welcomed.
+    /// As [`Cluster::subscribe`], and receives the welcome.
     pub(crate) async fn attach(&self, id: u64, first: v1::ConfigSubscribe) -> Subscriber {
         let mut subscriber = self.subscribe(id, first).await;
         subscriber.welcome().await;
@@ -231,11 +232,11 @@
     }
 }
 
-/// Looks again and again until something is so.
-pub(crate) async fn until(what: &str, so: impl Fn() -> bool) {
-    let waits = Instant::now() + PATIENCE;
-    while !so() {
-        assert!(Instant::now() < waits, "never: {what}");
+/// Polls until a condition holds.
+pub(crate) async fn wait_until(condition: &str, holds: impl Fn() -> bool) {
+    let deadline = Instant::now() + TEST_TIMEOUT;
+    while !holds() {
+        assert!(Instant::now() < deadline, "never: {condition}");
         sleep(Duration::from_millis(10)).await;
     }
 }
@@ -245,7 +246,7 @@
     Change { scope, target: Target::Class(class.to_owned()), setting: Some(Setting::LevelPpm(ppm)) }
 }
 
-pub(crate) fn first(name: &str, service: &str, holds: Version) -> v1::ConfigSubscribe {
+pub(crate) fn subscribe_message(name: &str, service: &str, holds: Version) -> v1::ConfigSubscribe {
     v1::ConfigSubscribe {
         protocol: stepspur_proto::VERSION,
         name: name.to_owned(),
@@ -257,36 +258,40 @@
     }
 }
 
-/// A subscriber that speaks frames.
+/// A scripted subscriber that sends and receives frames.
 pub(crate) struct Subscriber(Framed<Box<dyn Stream>, Frames<FromControl, FromSubscriber>>);
 
 impl Subscriber {
     pub(crate) async fn send(&mut self, kind: from_subscriber::Kind) {
-        timeout(PATIENCE, self.0.send(FromSubscriber { kind: Some(kind) })).await.unwrap().unwrap();
+        timeout(TEST_TIMEOUT, self.0.send(FromSubscriber { kind: Some(kind) })).await.unwrap().unwrap();
     }
 
     pub(crate) async fn acknowledge(&mut self, version: Version) {
-        self.unapplied(version, vec![]).await;
+        self.acknowledge_with_unapplied(version, vec![]).await;
     }
 
-    pub(crate) async fn unapplied(&mut self, version: Version, unapplied: Vec<v1::UnappliedDocument>) {
+    pub(crate) async fn acknowledge_with_unapplied(
+        &mut self,
+        version: Version,
+        unapplied: Vec<v1::UnappliedDocument>,
+    ) {
         let (holds, in_force) = (Some(version.into()), Some(version.into()));
-        let told = v1::ConfigAcknowledgement { holds, in_force, unapplied };
-        self.send(from_subscriber::Kind::Acknowledgement(told)).await;
+        let acknowledgement = v1::ConfigAcknowledgement { holds, in_force, unapplied };
+        self.send(from_subscriber::Kind::Acknowledgement(acknowledgement)).await;
     }
 
     pub(crate) async fn keep_alive(&mut self) {
         self.send(from_subscriber::Kind::KeepAlive(v1::ConfigKeepAlive { covered: None })).await;
     }
 
-    /// The next frame; none once the other side has closed.
+    /// Receives the next frame; `None` once the other side has closed.
     pub(crate) async fn next(&mut self) -> Option<from_control::Kind> {
-        let next = timeout(PATIENCE, self.0.next()).await.expect("a frame in time");
+        let next = timeout(TEST_TIMEOUT, self.0.next()).await.expect("a frame in time");
         next.and_then(Result::ok).and_then(|frame| frame.kind)
     }
 
-    /// The next frame that is no keep-alive. Own keep-alives go out meanwhile.
-    pub(crate) async fn news(&mut self) -> Option<from_control::Kind> {
+    /// Receives the next frame that is no keep-alive, and answers keep-alives.
+    pub(crate) async fn next_update(&mut self) -> Option<from_control::Kind> {
         loop {
             match self.next().await {
                 Some(from_control::Kind::KeepAlive(_)) => self.keep_alive().await,
@@ -295,14 +300,14 @@
         }
     }
 
-    /// What it is covered to by keep-alives, for a time in which nothing else comes.
-    pub(crate) async fn quiet(&mut self, span: Duration) -> Version {
+    /// Asserts that only keep-alives come for a time. Returns the version that the last one covers.
+    pub(crate) async fn covered_while_quiet(&mut self, span: Duration) -> Version {
         let (until, mut covered) = (Instant::now() + span, Version::NONE);
         loop {
             match tokio::time::timeout_at(until, self.next()).await {
                 Err(_) => return covered,
-                Ok(Some(from_control::Kind::KeepAlive(told))) => {
-                    covered = version_of(told.covered);
+                Ok(Some(from_control::Kind::KeepAlive(keep_alive))) => {
+                    covered = version_of(keep_alive.covered);
                     self.keep_alive().await;
                 }
                 Ok(other) => panic!("{other:?} came"),
@@ -324,9 +329,9 @@
         }
     }
 
-    /// The next delta: from, to, documents.
+    /// Receives a delta: from, to, documents.
     pub(crate) async fn delta(&mut self) -> (Version, Version, Vec<Document>) {
-        match self.news().await {
+        match self.next_update().await {
             Some(from_control::Kind::Delta(delta)) => {
                 (version_of(delta.from), version_of(delta.to), documents(delta.documents))
             }
@@ -334,11 +339,11 @@
         }
     }
 
-    /// The next snapshot: its version, its parts' documents and when each came.
+    /// Receives a snapshot: its version, and the documents of each part with its time.
     pub(crate) async fn snapshot(&mut self) -> (Version, Vec<(Instant, Vec<Document>)>) {
         let mut parts = Vec::new();
         loop {
-            let part = match self.news().await {
+            let part = match self.next_update().await {
                 Some(from_control::Kind::SnapshotPart(part)) => part,
                 other => panic!("no part of a snapshot: {other:?}"),
             };
@@ -351,8 +356,8 @@
         }
     }
 
-    /// True: the other side closes it in time. What comes before is dropped.
-    pub(crate) async fn closes(&mut self) {
+    /// Waits until the other side closes, and discards earlier frames.
+    pub(crate) async fn wait_until_closed(&mut self) {
         while self.next().await.is_some() {}
     }
 }
--- a/crates/stepspur-distribution/tests/control/main.rs
+++ b/crates/stepspur-distribution/tests/control/main.rs
@@ -1,6 +1,6 @@
-//! Control members against scripted subscribers, on a council in memory with the clock paused.
+//! Control members against scripted subscribers, on a consensus group in memory with the clock paused.
 
-mod admission;
 mod common;
 mod rollout_status;
-mod sessions;
+mod snapshot_admission;
+mod subscriber_sessions;
--- a/crates/stepspur-distribution/tests/control/rollout_status.rs
+++ b/crates/stepspur-distribution/tests/control/rollout_status.rs
@@ -1,4 +1,4 @@
-//! Where a version is in force, as the leader answers.
+//! The rollout status, as the leader answers.
 
 use std::time::Duration;
 
@@ -8,18 +8,21 @@
 use stepspur_proto::v1;
 use tokio::time::sleep;
 
-use crate::common::{PATIENCE, Rig, Shape, Subscriber, first, level, until};
+use crate::common::{
+    Cluster, ClusterSettings, Subscriber, TEST_TIMEOUT, level, subscribe_message, wait_until,
+};
 
-const WITHIN: Duration = Duration::from_secs(10);
-const THREE: Shape = Shape { voters: 1, members: 3, snapshot_bytes_per_s: 1 << 20, subscribers_max: 100 };
+const PROPOSE_TIMEOUT: Duration = Duration::from_secs(10);
+const THREE_MEMBERS: ClusterSettings =
+    ClusterSettings { voters: 1, members: 3, snapshot_bytes_per_s: 1 << 20, subscribers_max: 100 };
 
-/// A subscriber that acknowledges all it is sent, until it is told to stop.
-struct Obedient {
+/// A subscriber that acknowledges all deltas until stopped.
+struct AcknowledgingSubscriber {
     task: tokio::task::JoinHandle<()>,
 }
 
-impl Obedient {
-    fn serve(mut subscriber: Subscriber) -> Self {
+impl AcknowledgingSubscriber {
+    fn start(mut subscriber: Subscriber) -> Self {
         let task = tokio::spawn(async move {
             loop {
                 let (_, to, _) = subscriber.delta().await;
@@ -29,62 +32,66 @@
         Self { task }
     }
 
-    fn end(self) {
+    fn stop(self) {
         self.task.abort();
     }
 }
 
-/// Attached and registered subscribers of the shop, one at each of these members.
-async fn attached(rig: &Rig, members: &[u64]) -> Vec<Subscriber> {
-    let head = rig.control(1).status().head;
+/// Attaches one subscriber of the shop to each of these members, and waits until they are registered.
+async fn attach_to_each(cluster: &Cluster, members: &[u64]) -> Vec<Subscriber> {
+    let head = cluster.control(1).status().head;
     let mut subscribers = Vec::new();
     for member in members {
-        rig.reaches(*member, head).await;
-        subscribers.push(rig.attach(*member, first(&format!("at {member}"), "shop", head)).await);
+        cluster.wait_for_version(*member, head).await;
+        subscribers
+            .push(cluster.attach(*member, subscribe_message(&format!("at {member}"), "shop", head)).await);
     }
-    rig.registered(members.len()).await;
+    cluster.wait_for_registered(members.len()).await;
     subscribers
 }
 
-/// Its links of the council are silent from now on; those to control addresses are not.
-fn cut_off(rig: &Rig, id: u64) {
-    for other in rig.controls.keys().filter(|other| **other != id) {
-        rig.wire.silence(MemberId(id), MemberId(*other), true);
-        rig.wire.silence(MemberId(*other), MemberId(id), true);
+/// Silences the consensus links of a member. Those between control members stay.
+fn disconnect_from_group(cluster: &Cluster, id: u64) {
+    for other in cluster.controls.keys().filter(|other| **other != id) {
+        cluster.wire.silence(MemberId(id), MemberId(*other), true);
+        cluster.wire.silence(MemberId(*other), MemberId(id), true);
     }
 }
 
-fn names(standing: &RolloutStatus) -> Vec<&str> {
-    standing.pending.iter().map(|pending| pending.name.as_str()).collect()
+fn names(status: &RolloutStatus) -> Vec<&str> {
+    status.pending.iter().map(|pending| pending.name.as_str()).collect()
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_version_is_everywhere_once_all_whom_it_concerns_have_acknowledged_it() {
-    let rig = Rig::start(THREE).await;
-    let mut subscribers = attached(&rig, &[1, 2, 3]).await;
-    rig.attach(1, first("other", "mail", Version::NONE)).await;
-    let version = rig.change(vec![level("shop", "bulk", 7)]).await;
+async fn version_is_applied_everywhere_once_all_concerned_have_acknowledged_it() {
+    let cluster = Cluster::start(THREE_MEMBERS).await;
+    let mut subscribers = attach_to_each(&cluster, &[1, 2, 3]).await;
+    cluster.attach(1, subscribe_message("other", "mail", Version::NONE)).await;
+    let version = cluster.change(vec![level("shop", "bulk", 7)]).await;
     for subscriber in &mut subscribers {
         assert_eq!(subscriber.delta().await.1, version);
     }
-    let before =
-        rig.standing(version, |told| told.pending.iter().all(|m| m.reason == "not acknowledged yet")).await;
+    let before = cluster
+        .wait_for_rollout(version, |status| {
+            status.pending.iter().all(|pending| pending.reason == "not acknowledged yet")
+        })
+        .await;
     assert_eq!((before.expected, before.applied, before.applied_everywhere), (3, 0, false));
     assert_eq!(names(&before), ["at 1", "at 2", "at 3"]);
     assert!(before.pending.iter().all(|pending| pending.applied_version < version));
     for subscriber in &mut subscribers {
         subscriber.acknowledge(version).await;
     }
-    let after = rig.standing(version, |told| told.applied_everywhere).await;
+    let after = cluster.wait_for_rollout(version, |status| status.applied_everywhere).await;
     assert_eq!((after.expected, after.applied, after.pending.len()), (3, 3, 0));
 }
 
 #[tokio::test(start_paused = true)]
-async fn one_that_cannot_apply_is_named_with_its_reason() {
-    let rig = Rig::start(THREE).await;
-    let mut subscribers = attached(&rig, &[1, 2]).await;
-    let held = rig.control(1).status().head;
-    let version = rig.change(vec![level("shop", "bulk", 7)]).await;
+async fn subscriber_that_cannot_apply_is_pending_with_its_reason() {
+    let cluster = Cluster::start(THREE_MEMBERS).await;
+    let mut subscribers = attach_to_each(&cluster, &[1, 2]).await;
+    let stored = cluster.control(1).status().head;
+    let version = cluster.change(vec![level("shop", "bulk", 7)]).await;
     assert_eq!(subscribers[0].delta().await.1, version);
     subscribers[0].acknowledge(version).await;
     assert_eq!(subscribers[1].delta().await.1, version);
@@ -93,191 +100,200 @@
         ..Default::default()
     };
     let unapplied = v1::UnappliedDocument { document: Some(document), reason: "no such class".to_owned() };
-    subscribers[1].unapplied(held, vec![unapplied]).await;
-    let wanted = |told: &RolloutStatus| told.applied == 1 && told.pending[0].reason.contains("applied");
-    let told = rig.standing(version, wanted).await;
-    assert_eq!(names(&told), ["at 2"]);
-    assert_eq!(told.pending[0].reason, "class bulk not applied: no such class");
-    assert_eq!(told.pending[0].applied_version, held);
+    subscribers[1].acknowledge_with_unapplied(stored, vec![unapplied]).await;
+    let is_expected =
+        |status: &RolloutStatus| status.applied == 1 && status.pending[0].reason.contains("applied");
+    let status = cluster.wait_for_rollout(version, is_expected).await;
+    assert_eq!(names(&status), ["at 2"]);
+    assert_eq!(status.pending[0].reason, "class bulk not applied: no such class");
+    assert_eq!(status.pending[0].applied_version, stored);
 }
 
 #[tokio::test(start_paused = true)]
-async fn one_that_is_cut_off_is_named_with_the_time_since_until_it_is_removed() {
-    let rig = Rig::start(THREE).await;
-    let mut subscribers = attached(&rig, &[1, 2]).await;
+async fn detached_subscriber_is_pending_with_its_time_until_removed() {
+    let cluster = Cluster::start(THREE_MEMBERS).await;
+    let mut subscribers = attach_to_each(&cluster, &[1, 2]).await;
     drop(subscribers.pop());
-    let here = Obedient::serve(subscribers.remove(0));
-    let version = rig.change(vec![level("shop", "bulk", 7)]).await;
-    let wanted = |told: &RolloutStatus| told.applied == 1 && told.pending[0].reason.starts_with("detached");
-    let told = rig.standing(version, wanted).await;
-    assert_eq!((told.expected, names(&told)), (2, vec!["at 2"]));
-    assert!(told.pending[0].reason.starts_with("detached from control member 2"), "{told:?}");
-    let before = told.pending[0].since_s;
+    let here = AcknowledgingSubscriber::start(subscribers.remove(0));
+    let version = cluster.change(vec![level("shop", "bulk", 7)]).await;
+    let is_expected =
+        |status: &RolloutStatus| status.applied == 1 && status.pending[0].reason.starts_with("detached");
+    let status = cluster.wait_for_rollout(version, is_expected).await;
+    assert_eq!((status.expected, names(&status)), (2, vec!["at 2"]));
+    assert!(status.pending[0].reason.starts_with("detached from control member 2"), "{status:?}");
+    let before = status.pending[0].since_s;
     sleep(Duration::from_secs(5)).await;
-    let later = rig.standing(version, wanted).await.pending[0].since_s;
+    let later = cluster.wait_for_rollout(version, is_expected).await.pending[0].since_s;
     assert!((4.9..5.5).contains(&(later - before)), "{before} {later}");
-    assert_eq!(rig.control(2).status().detached, 1);
-    assert!(rig.control(2).remove("at 2", WITHIN).await.unwrap());
-    assert!(!rig.control(2).remove("at 2", WITHIN).await.unwrap());
-    let told = rig.standing(version, |told| told.applied_everywhere).await;
-    assert_eq!((told.expected, told.applied), (1, 1));
-    until("it is forgotten", || rig.control(2).status().detached == 0).await;
-    here.end();
+    assert_eq!(cluster.control(2).status().detached, 1);
+    assert!(cluster.control(2).remove("at 2", PROPOSE_TIMEOUT).await.unwrap());
+    assert!(!cluster.control(2).remove("at 2", PROPOSE_TIMEOUT).await.unwrap());
+    let status = cluster.wait_for_rollout(version, |status| status.applied_everywhere).await;
+    assert_eq!((status.expected, status.applied), (1, 1));
+    wait_until("the detached subscriber is forgotten", || cluster.control(2).status().detached == 0).await;
+    here.stop();
 }
 
 #[tokio::test(start_paused = true)]
-async fn one_that_comes_back_elsewhere_counts_where_it_is() {
-    let rig = Rig::start(THREE).await;
-    let mut subscribers = attached(&rig, &[2]).await;
-    let version = rig.change(vec![level("shop", "bulk", 7)]).await;
+async fn subscriber_attached_to_another_member_counts_there() {
+    let cluster = Cluster::start(THREE_MEMBERS).await;
+    let mut subscribers = attach_to_each(&cluster, &[2]).await;
+    let version = cluster.change(vec![level("shop", "bulk", 7)]).await;
     assert_eq!(subscribers[0].delta().await.1, version);
     drop(subscribers);
-    rig.standing(version, |told| told.pending.iter().any(|m| m.reason.starts_with("detached"))).await;
-    rig.reaches(3, version).await;
-    let moved = rig.attach(3, first("at 2", "shop", version)).await;
-    let told = rig.standing(version, |told| told.applied_everywhere).await;
-    assert_eq!((told.expected, told.applied), (1, 1));
+    cluster
+        .wait_for_rollout(version, |status| {
+            status.pending.iter().any(|pending| pending.reason.starts_with("detached"))
+        })
+        .await;
+    cluster.wait_for_version(3, version).await;
+    let moved = cluster.attach(3, subscribe_message("at 2", "shop", version)).await;
+    let status = cluster.wait_for_rollout(version, |status| status.applied_everywhere).await;
+    assert_eq!((status.expected, status.applied), (1, 1));
     drop(moved);
 }
 
-/// A control member that is cut off from the leader: its subscribers may have anything, and nothing of it is known.
+/// Nothing is known of the subscribers of a control member that does not report.
 #[tokio::test(start_paused = true)]
-async fn a_control_member_that_reports_no_more_proves_nothing() {
-    let mut rig = Rig::start(THREE).await;
-    let subscribers = attached(&rig, &[2]).await;
-    let served: Vec<_> = subscribers.into_iter().map(Obedient::serve).collect();
-    let version = rig.change(vec![level("shop", "bulk", 7)]).await;
-    rig.standing(version, |told| told.applied_everywhere).await;
-    rig.end(2).await;
-    let told = rig.standing(version, |told| !told.applied_everywhere).await;
-    assert_eq!(names(&told), ["at 2"]);
-    let wanted = |told: &RolloutStatus| told.pending[0].reason == "control member 2 does not report";
-    rig.standing(version, wanted).await;
-    served.into_iter().for_each(Obedient::end);
+async fn subscriber_of_a_member_that_stopped_reporting_is_pending() {
+    let mut cluster = Cluster::start(THREE_MEMBERS).await;
+    let subscribers = attach_to_each(&cluster, &[2]).await;
+    let serving: Vec<_> = subscribers.into_iter().map(AcknowledgingSubscriber::start).collect();
+    let version = cluster.change(vec![level("shop", "bulk", 7)]).await;
+    cluster.wait_for_rollout(version, |status| status.applied_everywhere).await;
+    cluster.stop_member(2).await;
+    let status = cluster.wait_for_rollout(version, |status| !status.applied_everywhere).await;
+    assert_eq!(names(&status), ["at 2"]);
+    let is_expected = |status: &RolloutStatus| status.pending[0].reason == "control member 2 does not report";
+    cluster.wait_for_rollout(version, is_expected).await;
+    serving.into_iter().for_each(AcknowledgingSubscriber::stop);
 }
 
-/// Its summaries come, and speak of an earlier head: the member follows the council no more.
+/// The member still reports, but it does not follow the log any more.
 #[tokio::test(start_paused = true)]
-async fn a_control_member_that_has_not_the_version_proves_nothing() {
-    let rig = Rig::start(THREE).await;
-    let served: Vec<_> = attached(&rig, &[2]).await.into_iter().map(Obedient::serve).collect();
-    let held = rig.control(1).status().head;
-    cut_off(&rig, 2);
-    let version = rig.change(vec![level("shop", "bulk", 7)]).await;
-    // Long after what it told before has become stale, too.
+async fn subscriber_of_a_member_without_the_version_is_pending() {
+    let cluster = Cluster::start(THREE_MEMBERS).await;
+    let serving: Vec<_> =
+        attach_to_each(&cluster, &[2]).await.into_iter().map(AcknowledgingSubscriber::start).collect();
+    let stored = cluster.control(1).status().head;
+    disconnect_from_group(&cluster, 2);
+    let version = cluster.change(vec![level("shop", "bulk", 7)]).await;
+    // Until its earlier summaries are stale.
     sleep(SUMMARY_MAX_AGE * 3).await;
-    let wanted = |told: &RolloutStatus| told.pending[0].reason == "control member 2 is not at this version";
-    let told = rig.standing(version, wanted).await;
-    assert_eq!((told.expected, names(&told)), (1, vec!["at 2"]));
-    assert_eq!((told.pending[0].applied_version, rig.control(2).status().head), (held, held));
-    served.into_iter().for_each(Obedient::end);
+    let is_expected =
+        |status: &RolloutStatus| status.pending[0].reason == "control member 2 is not at this version";
+    let status = cluster.wait_for_rollout(version, is_expected).await;
+    assert_eq!((status.expected, names(&status)), (1, vec!["at 2"]));
+    assert_eq!((status.pending[0].applied_version, cluster.control(2).status().head), (stored, stored));
+    serving.into_iter().for_each(AcknowledgingSubscriber::stop);
 }
 
-/// Its interest is another than the one that is registered, and its member cannot have the new one agreed on.
+/// The interest differs from the registered one, and the member cannot have the new one committed.
 #[tokio::test(start_paused = true)]
-async fn one_that_is_attached_and_not_registered_as_it_is_counts_as_behind_everything() {
-    let rig = Rig::start(THREE).await;
-    let mut subscribers = attached(&rig, &[1]).await;
-    let version = rig.change(vec![level("shop", "bulk", 7)]).await;
+async fn attached_subscriber_with_an_unregistered_interest_is_pending() {
+    let cluster = Cluster::start(THREE_MEMBERS).await;
+    let mut subscribers = attach_to_each(&cluster, &[1]).await;
+    let version = cluster.change(vec![level("shop", "bulk", 7)]).await;
     assert_eq!(subscribers[0].delta().await.1, version);
     subscribers[0].acknowledge(version).await;
-    rig.standing(version, |told| told.applied_everywhere).await;
-    rig.reaches(2, version).await;
-    cut_off(&rig, 2);
-    let mut other = first("at 1", "mail", version);
-    other.services.extend(first("at 1", "shop", version).services);
-    subscribers.push(rig.attach(2, other).await);
-    let wanted = |told: &RolloutStatus| told.applied == 0;
-    let told = rig.standing(version, wanted).await;
-    assert_eq!(told.pending[0].reason, "attached, not registered yet");
-    assert_eq!(told.pending[0].applied_version, Version::NONE);
+    cluster.wait_for_rollout(version, |status| status.applied_everywhere).await;
+    cluster.wait_for_version(2, version).await;
+    disconnect_from_group(&cluster, 2);
+    let mut other = subscribe_message("at 1", "mail", version);
+    other.services.extend(subscribe_message("at 1", "shop", version).services);
+    subscribers.push(cluster.attach(2, other).await);
+    let is_expected = |status: &RolloutStatus| status.applied == 0;
+    let status = cluster.wait_for_rollout(version, is_expected).await;
+    assert_eq!(status.pending[0].reason, "attached, not registered yet");
+    assert_eq!(status.pending[0].applied_version, Version::NONE);
 }
 
-/// The new leader knows nothing until all have told it all.
+/// The new leader knows nothing until all members have reported all states.
 #[tokio::test(start_paused = true)]
-async fn another_leader_answers_once_the_leader_is_gone() {
-    let mut rig = Rig::start(Shape { voters: 3, members: 4, ..THREE }).await;
-    let subscribers = attached(&rig, &[4]).await;
-    let served: Vec<_> = subscribers.into_iter().map(Obedient::serve).collect();
-    let version = rig.change(vec![level("shop", "bulk", 7)]).await;
-    rig.standing(version, |told| told.applied_everywhere).await;
-    let gone = rig.leader().await;
-    rig.end(gone).await;
-    let told = rig.standing(version, |told| told.applied_everywhere).await;
-    assert_eq!((told.expected, told.applied), (1, 1));
-    assert_ne!(rig.leader().await, gone);
-    let next = rig.change(vec![level("shop", "bulk", 8)]).await;
-    rig.standing(next, |told| told.applied_everywhere).await;
-    served.into_iter().for_each(Obedient::end);
+async fn new_leader_answers_after_the_leader_stopped() {
+    let mut cluster = Cluster::start(ClusterSettings { voters: 3, members: 4, ..THREE_MEMBERS }).await;
+    let subscribers = attach_to_each(&cluster, &[4]).await;
+    let serving: Vec<_> = subscribers.into_iter().map(AcknowledgingSubscriber::start).collect();
+    let version = cluster.change(vec![level("shop", "bulk", 7)]).await;
+    cluster.wait_for_rollout(version, |status| status.applied_everywhere).await;
+    let stopped = cluster.leader().await;
+    cluster.stop_member(stopped).await;
+    let status = cluster.wait_for_rollout(version, |status| status.applied_everywhere).await;
+    assert_eq!((status.expected, status.applied), (1, 1));
+    assert_ne!(cluster.leader().await, stopped);
+    let next = cluster.change(vec![level("shop", "bulk", 8)]).await;
+    cluster.wait_for_rollout(next, |status| status.applied_everywhere).await;
+    serving.into_iter().for_each(AcknowledgingSubscriber::stop);
 }
 
-/// The old leader and its connections live on, and answer and take nothing more.
+/// The old leader and its connections continue, but it answers no more.
 #[tokio::test(start_paused = true)]
-async fn after_the_lead_was_handed_over_all_tell_the_new_leader() {
-    let rig = Rig::start(Shape { voters: 3, members: 4, ..THREE }).await;
-    let subscribers = attached(&rig, &[1, 2, 3, 4]).await;
-    let served: Vec<_> = subscribers.into_iter().map(Obedient::serve).collect();
-    let version = rig.change(vec![level("shop", "bulk", 7)]).await;
-    rig.standing(version, |told| told.applied_everywhere).await;
-    let from = rig.leader().await;
+async fn members_report_to_the_new_leader_after_a_transfer() {
+    let cluster = Cluster::start(ClusterSettings { voters: 3, members: 4, ..THREE_MEMBERS }).await;
+    let subscribers = attach_to_each(&cluster, &[1, 2, 3, 4]).await;
+    let serving: Vec<_> = subscribers.into_iter().map(AcknowledgingSubscriber::start).collect();
+    let version = cluster.change(vec![level("shop", "bulk", 7)]).await;
+    cluster.wait_for_rollout(version, |status| status.applied_everywhere).await;
+    let from = cluster.leader().await;
     let to = (1..=3).find(|id| *id != from).unwrap();
-    rig.hand_over(from, to).await;
-    let next = rig.change(vec![level("shop", "bulk", 8)]).await;
-    let told = rig.standing(next, |told| told.applied_everywhere).await;
-    assert_eq!((told.expected, rig.leader().await), (4, to));
+    cluster.transfer_leadership(from, to).await;
+    let next = cluster.change(vec![level("shop", "bulk", 8)]).await;
+    let status = cluster.wait_for_rollout(next, |status| status.applied_everywhere).await;
+    assert_eq!((status.expected, cluster.leader().await), (4, to));
     assert_eq!(
-        rig.control(from).rollout_status(next).await,
+        cluster.control(from).rollout_status(next).await,
         Err(RolloutStatusError::NotLeader { leader: Some(to) })
     );
-    served.into_iter().for_each(Obedient::end);
+    serving.into_iter().for_each(AcknowledgingSubscriber::stop);
 }
 
-/// Its disk was put back: what it acknowledged before counts no more.
+/// An older disk was put back: earlier acknowledgements do not count any more.
 #[tokio::test(start_paused = true)]
-async fn one_that_comes_back_with_less_is_behind_until_it_acknowledges_again() {
-    let rig = Rig::start(THREE).await;
-    let mut subscribers = attached(&rig, &[1]).await;
-    let held = rig.control(1).status().head;
-    let version = rig.change(vec![level("shop", "bulk", 7)]).await;
+async fn subscriber_with_an_older_version_is_pending_until_it_acknowledges_again() {
+    let cluster = Cluster::start(THREE_MEMBERS).await;
+    let mut subscribers = attach_to_each(&cluster, &[1]).await;
+    let stored = cluster.control(1).status().head;
+    let version = cluster.change(vec![level("shop", "bulk", 7)]).await;
     assert_eq!(subscribers[0].delta().await.1, version);
     subscribers[0].acknowledge(version).await;
-    rig.standing(version, |told| told.applied_everywhere).await;
-    let mut back = rig.attach(1, first("at 1", "shop", held)).await;
-    let told = rig.standing(version, |told| told.applied == 0).await;
-    assert_eq!((names(&told), told.pending[0].applied_version), (vec!["at 1"], held));
+    cluster.wait_for_rollout(version, |status| status.applied_everywhere).await;
+    let mut back = cluster.attach(1, subscribe_message("at 1", "shop", stored)).await;
+    let status = cluster.wait_for_rollout(version, |status| status.applied == 0).await;
+    assert_eq!((names(&status), status.pending[0].applied_version), (vec!["at 1"], stored));
     assert_eq!(back.delta().await.1, version);
     back.acknowledge(version).await;
-    rig.standing(version, |told| told.applied_everywhere).await;
+    cluster.wait_for_rollout(version, |status| status.applied_everywhere).await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn only_the_leader_answers_and_only_of_versions_that_are_kept() {
-    let rig = Rig::start(THREE).await;
-    let head = rig.control(1).status().head;
-    rig.standing(head, |_| true).await;
-    let other = rig.control(2).rollout_status(head).await;
+async fn rollout_status_of_another_member_or_unknown_version_is_an_error() {
+    let cluster = Cluster::start(THREE_MEMBERS).await;
+    let head = cluster.control(1).status().head;
+    cluster.wait_for_rollout(head, |_| true).await;
+    let other = cluster.control(2).rollout_status(head).await;
     assert!(matches!(other, Err(RolloutStatusError::NotLeader { leader: Some(1) | None })), "{other:?}");
     let oldest = Version::NONE;
     for unknown in [Version::NONE, Version { term: head.term, index: head.index + 1 }] {
-        let told = rig.control(1).rollout_status(unknown).await;
-        assert_eq!(told, Err(RolloutStatusError::UnknownVersion { head, oldest }));
+        let answer = cluster.control(1).rollout_status(unknown).await;
+        assert_eq!(answer, Err(RolloutStatusError::UnknownVersion { head, oldest }));
     }
 }
 
-/// More than one proposal's worth of subscribers, attached at once, and one that an operator removed while attached.
+/// More subscribers than fit in one proposal, and one that an operator removed while attached.
 #[tokio::test(start_paused = true)]
-async fn all_who_attach_are_registered_and_an_attached_one_is_again_after_its_removal() {
-    let rig = Rig::start(Shape { subscribers_max: 200, ..THREE }).await;
-    let head = rig.control(1).status().head;
+async fn attached_subscribers_are_registered_and_again_after_a_removal() {
+    let cluster = Cluster::start(ClusterSettings { subscribers_max: 200, ..THREE_MEMBERS }).await;
+    let head = cluster.control(1).status().head;
     let mut subscribers = Vec::new();
     for n in 0..150 {
-        let insists = v1::ConfigSubscribe { insists: true, ..first(&format!("{n:03}"), "shop", head) };
-        let mut subscriber = rig.attach(1, insists).await;
-        subscribers.push(tokio::spawn(async move { subscriber.quiet(PATIENCE * 2).await }));
+        let insists =
+            v1::ConfigSubscribe { insists: true, ..subscribe_message(&format!("{n:03}"), "shop", head) };
+        let mut subscriber = cluster.attach(1, insists).await;
+        subscribers.push(tokio::spawn(async move { subscriber.covered_while_quiet(TEST_TIMEOUT * 2).await }));
     }
-    rig.registered(150).await;
-    assert_eq!(rig.control(1).status().attached, 150);
-    assert!(rig.control(1).remove("007", WITHIN).await.unwrap());
-    rig.registered(150).await;
+    cluster.wait_for_registered(150).await;
+    assert_eq!(cluster.control(1).status().attached, 150);
+    assert!(cluster.control(1).remove("007", PROPOSE_TIMEOUT).await.unwrap());
+    cluster.wait_for_registered(150).await;
     subscribers.iter().for_each(tokio::task::JoinHandle::abort);
 }
--- a/crates/stepspur-distribution/tests/subscriber/common.rs
+++ b/crates/stepspur-distribution/tests/subscriber/common.rs
@@ -1,4 +1,4 @@
-//! A control member that says what a test has it say, a network of pipes to it, and an engine.
+//! A scripted control member, a network in memory, and an engine.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -20,10 +20,10 @@
 use tokio::time::{Instant, timeout};
 use tokio_util::codec::Framed;
 
-/// How long a test waits for what must come.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(60);
-/// The span between frames that the control member names.
-pub(crate) const SPAN: Duration = Duration::from_secs(5);
+/// Time limit of everything that a test waits for.
+pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(60);
+/// The keep-alive interval that the control member names.
+pub(crate) const KEEP_ALIVE: Duration = Duration::from_secs(5);
 
 pub(crate) fn address(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port))
@@ -51,18 +51,18 @@
     }
 }
 
-/// A network on which doors are opened and shut. Dials are kept, with their times.
+/// A network of duplex pipes in memory. It records attempts to connect, with their times.
 #[derive(Clone, Default)]
-pub(crate) struct Pipes {
-    doors: Arc<Mutex<BTreeMap<SocketAddr, mpsc::Sender<DuplexStream>>>>,
+pub(crate) struct MemoryNetwork {
+    listeners: Arc<Mutex<BTreeMap<SocketAddr, mpsc::Sender<DuplexStream>>>>,
     dials: Arc<Mutex<Vec<(SocketAddr, Instant)>>>,
 }
 
-impl Pipes {
-    pub(crate) fn door(&self, port: u16) -> Door {
-        let (calls, door) = mpsc::channel(4);
-        self.doors.lock().expect("doors").insert(address(port), calls);
-        Door { calls: door }
+impl MemoryNetwork {
+    pub(crate) fn listener(&self, port: u16) -> ControlListener {
+        let (connections, listener) = mpsc::channel(4);
+        self.listeners.lock().expect("listeners").insert(address(port), connections);
+        ControlListener { connections: listener }
     }
 
     pub(crate) fn dials(&self) -> Vec<(SocketAddr, Instant)> {
@@ -70,7 +70,7 @@
     }
 }
 
-impl Net for Pipes {
+impl Net for MemoryNetwork {
     fn listen(&self, _: SocketAddr) -> BoxFuture<'_, io::Result<Box<dyn Listen>>> {
         Box::pin(async { Err(io::ErrorKind::Unsupported.into()) })
     }
@@ -78,58 +78,60 @@
     fn dial(&self, to: SocketAddr) -> BoxFuture<'_, io::Result<Box<dyn Stream>>> {
         Box::pin(async move {
             self.dials.lock().expect("dials").push((to, Instant::now()));
-            let door = self.doors.lock().expect("doors").get(&to).cloned();
-            let door = door.ok_or(io::ErrorKind::ConnectionRefused)?;
+            let listener = self.listeners.lock().expect("listeners").get(&to).cloned();
+            let listener = listener.ok_or(io::ErrorKind::ConnectionRefused)?;
             let (near, far) = duplex(64 << 10);
-            door.try_send(far).map_err(|_| io::ErrorKind::ConnectionRefused)?;
+            listener.try_send(far).map_err(|_| io::ErrorKind::ConnectionRefused)?;
             Ok(Box::new(near) as Box<dyn Stream>)
         })
     }
 }
 
-/// Where subscribers call.
-pub(crate) struct Door {
-    calls: mpsc::Receiver<DuplexStream>,
+/// Accepts connections of subscribers.
+pub(crate) struct ControlListener {
+    connections: mpsc::Receiver<DuplexStream>,
 }
 
-impl Door {
-    /// The next call, and what it subscribes to.
-    pub(crate) async fn call(&mut self) -> Call {
-        let stream =
-            timeout(PATIENCE, self.calls.recv()).await.expect("a call in time").expect("the net stands");
-        let mut call = Call {
+impl ControlListener {
+    /// Accepts a connection, and receives its first frame.
+    pub(crate) async fn accept(&mut self) -> ControlConnection {
+        let stream = timeout(TEST_TIMEOUT, self.connections.recv())
+            .await
+            .expect("a connection in time")
+            .expect("the network exists");
+        let mut connection = ControlConnection {
             frames: Framed::new(stream, Frames::new(LARGEST_FRAME)),
             subscribe: v1::ConfigSubscribe::default(),
         };
-        match call.receive().await {
-            Some(from_subscriber::Kind::Subscribe(subscribe)) => call.subscribe = subscribe,
+        match connection.receive().await {
+            Some(from_subscriber::Kind::Subscribe(subscribe)) => connection.subscribe = subscribe,
             other => panic!("the first frame is {other:?}"),
         }
-        call
+        connection
     }
 
-    /// The next call, welcomed.
-    pub(crate) async fn welcome(&mut self) -> Call {
-        let mut call = self.call().await;
-        let keep_alive_us = u64::try_from(SPAN.as_micros()).expect("it fits");
+    /// Accepts a connection, and sends the welcome.
+    pub(crate) async fn accept_and_welcome(&mut self) -> ControlConnection {
+        let mut connection = self.accept().await;
+        let keep_alive_us = u64::try_from(KEEP_ALIVE.as_micros()).expect("it fits");
         let welcome = v1::ConfigWelcome { members: Vec::new(), head: None, keep_alive_us };
-        call.send(from_control::Kind::Welcome(welcome)).await;
-        call
+        connection.send(from_control::Kind::Welcome(welcome)).await;
+        connection
     }
 }
 
-/// A subscriber's connection, from the other side.
-pub(crate) struct Call {
+/// A subscriber's connection, at the control member.
+pub(crate) struct ControlConnection {
     frames: Framed<DuplexStream, Frames<FromSubscriber, FromControl>>,
     pub subscribe: v1::ConfigSubscribe,
 }
 
-impl Call {
-    pub(crate) fn holds(&self) -> Version {
+impl ControlConnection {
+    pub(crate) fn stored_version(&self) -> Version {
         version_of(self.subscribe.holds)
     }
 
-    pub(crate) fn in_force(&self) -> Version {
+    pub(crate) fn applied_version(&self) -> Version {
         version_of(self.subscribe.in_force)
     }
 
@@ -160,20 +162,25 @@
         self.send(from_control::Kind::Redirect(redirect)).await;
     }
 
-    /// The next frame; none: the subscriber ended the connection.
+    /// Receives the next frame; `None` if the subscriber ended the connection.
     pub(crate) async fn receive(&mut self) -> Option<from_subscriber::Kind> {
-        let frame = timeout(PATIENCE, self.frames.next()).await.expect("a frame in time")?;
-        frame.expect("a sound frame").kind
+        let frame = timeout(TEST_TIMEOUT, self.frames.next()).await.expect("a frame in time")?;
+        frame.expect("a valid frame").kind
     }
 
-    /// The next acknowledgement: what is held, what is in force, and the reasons for what is not.
-    pub(crate) async fn acknowledged(&mut self) -> (Version, Version, Vec<String>) {
+    /// Receives the next acknowledgement: the stored version, the applied version, and reason documents were not applied.
+    pub(crate) async fn next_acknowledgement(&mut self) -> (Version, Version, Vec<String>) {
         loop {
             match self.receive().await {
                 Some(from_subscriber::Kind::KeepAlive(_)) => {}
-                Some(from_subscriber::Kind::Acknowledgement(told)) => {
-                    let reasons = told.unapplied.into_iter().map(|unapplied| unapplied.reason).collect();
-                    return (version_of(told.holds), version_of(told.in_force), reasons);
+                Some(from_subscriber::Kind::Acknowledgement(acknowledgement)) => {
+                    let reasons =
+                        acknowledgement.unapplied.into_iter().map(|unapplied| unapplied.reason).collect();
+                    return (
+                        version_of(acknowledgement.holds),
+                        version_of(acknowledgement.in_force),
+                        reasons,
+                    );
                 }
                 other => panic!("{other:?} in place of an acknowledgement"),
             }
@@ -181,103 +188,123 @@
     }
 
     /// Waits until the subscriber ends the connection.
-    pub(crate) async fn ended(&mut self) {
+    pub(crate) async fn wait_until_closed(&mut self) {
         while self.receive().await.is_some() {}
     }
 }
 
-/// An engine that acts by what it is told, unless it refuses; while it is held up it does not answer.
+/// An engine that records applied documents. A test has it reject documents, or stall.
 #[derive(Clone, Default)]
 pub(crate) struct Engine {
     state: Arc<Mutex<EngineState>>,
-    held_up: Arc<watch::Sender<bool>>,
+    is_stalled: Arc<watch::Sender<bool>>,
 }
 
 #[derive(Default)]
 struct EngineState {
-    acts_by: BTreeMap<Key, Document>,
-    refuses: Option<String>,
-    /// Where it looks whether what it is told is kept.
-    disk: Option<MemoryStore>,
+    applied: BTreeMap<Key, Document>,
+    rejection: Option<String>,
+    /// Applied documents must be in this store.
+    store: Option<MemoryStore>,
 }
 
 impl Engine {
-    pub(crate) fn acts_by(&self) -> Vec<Document> {
-        self.state.lock().expect("state").acts_by.values().cloned().collect()
+    pub(crate) fn applied(&self) -> Vec<Document> {
+        self.state.lock().expect("state").applied.values().cloned().collect()
     }
 
-    pub(crate) fn refuse(&self, why: Option<&str>) {
-        self.state.lock().expect("state").refuses = why.map(str::to_owned);
+    pub(crate) fn reject(&self, reason: Option<&str>) {
+        self.state.lock().expect("state").rejection = reason.map(str::to_owned);
     }
 
-    pub(crate) fn hold_up(&self, held_up: bool) {
-        self.held_up.send_replace(held_up);
+    pub(crate) fn stall(&self, is_stalled: bool) {
+        self.is_stalled.send_replace(is_stalled);
     }
 
-    /// From now on what it is told must be on this disk.
-    pub(crate) fn watch_disk(&self, disk: &MemoryStore) {
-        self.state.lock().expect("state").disk = Some(disk.clone());
+    /// Asserts from now on that documents are stored before they are applied.
+    pub(crate) fn require_stored_in(&self, store: &MemoryStore) {
+        self.state.lock().expect("state").store = Some(store.clone());
     }
 }
 
 impl DocumentApplier for Engine {
     fn apply<'a>(&'a self, document: &'a Document) -> BoxFuture<'a, Result<(), DocumentNotApplied>> {
         Box::pin(async move {
-            let _ = self.held_up.subscribe().wait_for(|held_up| !held_up).await;
+            let mut is_stalled = self.is_stalled.subscribe();
+            is_stalled.wait_for(|is_stalled| !is_stalled).await.expect("the engine exists");
             let mut state = self.state.lock().expect("state");
-            if let Some(disk) = &state.disk {
-                let kept = disk.content().map_or(Version::NONE, |kept| kept.version);
-                assert!(kept >= document.version, "{document:?} is applied, and the disk has {kept}");
+            if let Some(store) = &state.store {
+                let stored = store.content().map_or(Version::NONE, |stored| stored.version);
+                assert!(stored >= document.version, "{document:?} is applied, and the store has {stored}");
             }
-            if let Some(why) = &state.refuses {
-                return Err(why.clone().into());
+            if let Some(reason) = &state.rejection {
+                return Err(reason.clone().into());
             }
             match document.setting {
-                Some(_) => state.acts_by.insert(document.key.clone(), document.clone()),
-                None => state.acts_by.remove(&document.key),
+                Some(_) => state.applied.insert(document.key.clone(), document.clone()),
+                None => state.applied.remove(&document.key),
             };
             Ok(())
         })
     }
 }
 
-/// A subscriber and all that it stands on.
-pub(crate) struct Rig {
+/// A running subscriber, its engine and its store.
+pub(crate) struct RunningSubscriber {
     pub engine: Engine,
     pub store: MemoryStore,
     pub subscriber: Subscriber,
 }
 
-impl Rig {
-    pub(crate) async fn start(pipes: &Pipes, control: &[u16]) -> Self {
-        Self::start_on(pipes, control, MemoryStore::new()).await
+impl RunningSubscriber {
+    pub(crate) async fn start(network: &MemoryNetwork, control: &[u16]) -> Self {
+        Self::start_on(network, control, MemoryStore::new()).await
     }
 
-    pub(crate) async fn start_on(pipes: &Pipes, control: &[u16], store: MemoryStore) -> Self {
-        Self::start_with(pipes, control, store, Engine::default()).await
+    pub(crate) async fn start_on(network: &MemoryNetwork, control: &[u16], store: MemoryStore) -> Self {
+        Self::start_with(network, control, store, Engine::default()).await
     }
 
     pub(crate) async fn start_with(
-        pipes: &Pipes,
+        network: &MemoryNetwork,
         control: &[u16],
         store: MemoryStore,
         engine: Engine,
     ) -> Self {
-        engine.watch_disk(&store);
-        let (apply, net) = (Arc::new(engine.clone()), Arc::new(pipes.clone()));
+        engine.require_stored_in(&store);
+        let (apply, net) = (Arc::new(engine.clone()), Arc::new(network.clone()));
         let subscriber = Subscriber::start(settings(control), Box::new(store.clone()), apply, net).await;
         Self { engine, store, subscriber: subscriber.expect("it starts") }
     }
 
-    /// Waits until the status is so.
-    pub(crate) async fn status(&self, is_so: impl Fn(&SubscriberStatus) -> bool) -> SubscriberStatus {
+    /// Waits for an expected status.
+    pub(crate) async fn status(&self, is_expected: impl Fn(&SubscriberStatus) -> bool) -> SubscriberStatus {
         let mut status = self.subscriber.status();
-        let found = timeout(PATIENCE, status.wait_for(is_so)).await.expect("in time").expect("it runs");
+        let found =
+            timeout(TEST_TIMEOUT, status.wait_for(is_expected)).await.expect("in time").expect("it runs");
         found.clone()
     }
 
-    /// What the store holds.
-    pub(crate) fn kept(&self) -> (Version, Vec<Document>) {
-        self.store.content().map_or((Version::NONE, Vec::new()), |kept| (kept.version, kept.documents))
+    /// The stored version and documents.
+    pub(crate) fn stored(&self) -> (Version, Vec<Document>) {
+        self.store.content().map_or((Version::NONE, Vec::new()), |stored| (stored.version, stored.documents))
+    }
+}
+
+/// A running subscriber that is attached to its only control member.
+pub(crate) struct AttachedSubscriber {
+    pub network: MemoryNetwork,
+    pub running: RunningSubscriber,
+    pub listener: ControlListener,
+    pub connection: ControlConnection,
+}
+
+impl AttachedSubscriber {
+    pub(crate) async fn start() -> Self {
+        let network = MemoryNetwork::default();
+        let mut listener = network.listener(1);
+        let running = RunningSubscriber::start(&network, &[1]).await;
+        let connection = listener.accept_and_welcome().await;
+        Self { network, running, listener, connection }
     }
 }
--- a/crates/stepspur-distribution/tests/subscriber/main.rs
+++ b/crates/stepspur-distribution/tests/subscriber/main.rs
@@ -1,27 +1,28 @@
-//! A subscriber against a control member that says what each test has it say, on the paused clock.
+//! A subscriber against a scripted control member, with the clock paused.
 
 mod common;
 
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
 
-use common::{Engine, Pipes, Rig, SPAN, address, document, settings, version};
+use common::{
+    AttachedSubscriber, Engine, KEEP_ALIVE, MemoryNetwork, RunningSubscriber, address, document, settings,
+    version,
+};
 use stepspur_distribution::scope_store::{MemoryStore, RedbStore, StoreError, StoredScope};
 use stepspur_distribution::subscriber::{Subscriber, SubscriberStartError};
 use stepspur_distribution::version::Version;
 use stepspur_proto::{from_control, from_subscriber, v1};
 use tokio::time::{Instant, sleep, timeout};
 
-/// Long against everything but the tests' patience, short against a span.
-const MOMENT: Duration = Duration::from_millis(500);
+/// Long compared to all steps of a subscriber, short compared to a keep-alive interval.
+const SHORT_WAIT: Duration = Duration::from_millis(500);
 
 #[tokio::test(start_paused = true)]
-async fn a_snapshot_then_deltas_are_kept_applied_and_acknowledged() {
-    let pipes = Pipes::default();
-    let mut door = pipes.door(1);
-    let rig = Rig::start(&pipes, &[1]).await;
-    let mut call = door.welcome().await;
-    let expected = v1::ConfigSubscribe {
+async fn snapshot_then_deltas_are_stored_applied_and_acknowledged() {
+    let AttachedSubscriber { running, mut connection, listener: _listener, .. } =
+        AttachedSubscriber::start().await;
+    let expected_first_frame = v1::ConfigSubscribe {
         protocol: 1,
         name: "conductor-1".to_owned(),
         region: "north".to_owned(),
@@ -30,246 +31,225 @@
         in_force: Some(Version::NONE.into()),
         insists: false,
     };
-    assert_eq!(call.subscribe, expected);
-    call.part(3, 0, false, &[document(1, 2, Some(5))]).await;
-    call.part(3, 1, true, &[document(2, 3, Some(6))]).await;
-    assert_eq!(call.acknowledged().await, (version(3), version(3), vec![]));
-    call.delta(3, 5, &[document(1, 5, None), document(3, 4, Some(7))]).await;
-    assert_eq!(call.acknowledged().await, (version(5), version(5), vec![]));
-    let stands = vec![document(2, 3, Some(6)), document(3, 4, Some(7))];
-    assert_eq!(rig.engine.acts_by(), stands);
-    assert_eq!(rig.kept(), (version(5), stands));
-    call.keep_alive(8).await;
-    assert_eq!(call.acknowledged().await, (version(8), version(8), vec![]));
-    let status = rig.status(|status| status.applied_version == version(8)).await;
+    assert_eq!(connection.subscribe, expected_first_frame);
+    connection.part(3, 0, false, &[document(1, 2, Some(5))]).await;
+    connection.part(3, 1, true, &[document(2, 3, Some(6))]).await;
+    assert_eq!(connection.next_acknowledgement().await, (version(3), version(3), vec![]));
+    connection.delta(3, 5, &[document(1, 5, None), document(3, 4, Some(7))]).await;
+    assert_eq!(connection.next_acknowledgement().await, (version(5), version(5), vec![]));
+    let expected = vec![document(2, 3, Some(6)), document(3, 4, Some(7))];
+    assert_eq!(running.engine.applied(), expected);
+    assert_eq!(running.stored(), (version(5), expected));
+    connection.keep_alive(8).await;
+    assert_eq!(connection.next_acknowledgement().await, (version(8), version(8), vec![]));
+    let status = running.status(|status| status.applied_version == version(8)).await;
     assert_eq!((status.control, status.documents, status.reconnects), (Some(address(1)), 2, 0));
     assert!(status.bytes_read > 0 && status.bytes_written > 0, "{status:?}");
-    rig.subscriber.stop().await;
-    call.ended().await;
+    running.subscriber.stop().await;
+    connection.wait_until_closed().await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn nothing_is_acknowledged_before_the_engine_has_answered() {
-    let pipes = Pipes::default();
-    let mut door = pipes.door(1);
-    let rig = Rig::start(&pipes, &[1]).await;
-    let mut call = door.welcome().await;
-    rig.engine.hold_up(true);
-    call.delta(0, 3, &[document(1, 3, Some(5))]).await;
-    assert!(timeout(MOMENT, call.receive()).await.is_err(), "it was told before it was applied");
-    assert_eq!(rig.kept().0, version(3));
-    rig.engine.hold_up(false);
-    assert_eq!(call.acknowledged().await, (version(3), version(3), vec![]));
-    assert_eq!(rig.engine.acts_by(), [document(1, 3, Some(5))]);
+async fn update_is_not_acknowledged_before_the_engine_has_answered() {
+    let AttachedSubscriber { running, mut connection, listener: _listener, .. } =
+        AttachedSubscriber::start().await;
+    running.engine.stall(true);
+    connection.delta(0, 3, &[document(1, 3, Some(5))]).await;
+    assert!(
+        timeout(SHORT_WAIT, connection.receive()).await.is_err(),
+        "it was acknowledged before it was applied"
+    );
+    assert_eq!(running.stored().0, version(3));
+    running.engine.stall(false);
+    assert_eq!(connection.next_acknowledgement().await, (version(3), version(3), vec![]));
+    assert_eq!(running.engine.applied(), [document(1, 3, Some(5))]);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_gap_ends_the_connection_and_the_next_one_begins_by_what_is_held() {
-    let pipes = Pipes::default();
-    let mut door = pipes.door(1);
-    let rig = Rig::start(&pipes, &[1]).await;
-    let mut call = door.welcome().await;
-    call.delta(0, 3, &[document(1, 3, Some(5))]).await;
-    call.acknowledged().await;
-    call.delta(4, 6, &[document(2, 5, Some(6))]).await;
-    call.ended().await;
-    let call = door.welcome().await;
-    assert_eq!((call.holds(), call.in_force()), (version(3), version(3)));
-    assert_eq!(rig.engine.acts_by(), [document(1, 3, Some(5))]);
-    assert_eq!(rig.status(|status| status.control.is_some()).await.reconnects, 1);
+async fn gap_ends_the_connection_and_the_next_one_begins_at_the_stored_version() {
+    let AttachedSubscriber { running, mut listener, mut connection, .. } = AttachedSubscriber::start().await;
+    connection.delta(0, 3, &[document(1, 3, Some(5))]).await;
+    connection.next_acknowledgement().await;
+    connection.delta(4, 6, &[document(2, 5, Some(6))]).await;
+    connection.wait_until_closed().await;
+    let connection = listener.accept_and_welcome().await;
+    assert_eq!((connection.stored_version(), connection.applied_version()), (version(3), version(3)));
+    assert_eq!(running.engine.applied(), [document(1, 3, Some(5))]);
+    assert_eq!(running.status(|status| status.control.is_some()).await.reconnects, 1);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_gap_ends_the_connection_whatever_has_come_after_it() {
-    let pipes = Pipes::default();
-    let mut door = pipes.door(1);
-    let rig = Rig::start(&pipes, &[1]).await;
-    let mut call = door.welcome().await;
-    rig.engine.hold_up(true);
-    call.delta(0, 3, &[document(1, 3, Some(5))]).await;
-    call.delta(4, 6, &[document(2, 5, Some(6))]).await;
-    call.delta(3, 7, &[document(3, 7, Some(7))]).await;
-    sleep(MOMENT).await;
-    rig.engine.hold_up(false);
-    call.ended().await;
-    assert_eq!(door.welcome().await.holds(), version(3));
-    assert_eq!(rig.engine.acts_by(), [document(1, 3, Some(5))]);
+async fn gap_ends_the_connection_and_later_frames_are_not_applied() {
+    let AttachedSubscriber { running, mut listener, mut connection, .. } = AttachedSubscriber::start().await;
+    running.engine.stall(true);
+    connection.delta(0, 3, &[document(1, 3, Some(5))]).await;
+    connection.delta(4, 6, &[document(2, 5, Some(6))]).await;
+    connection.delta(3, 7, &[document(3, 7, Some(7))]).await;
+    sleep(SHORT_WAIT).await;
+    running.engine.stall(false);
+    connection.wait_until_closed().await;
+    assert_eq!(listener.accept_and_welcome().await.stored_version(), version(3));
+    assert_eq!(running.engine.applied(), [document(1, 3, Some(5))]);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_torn_snapshot_changes_nothing() {
-    let pipes = Pipes::default();
-    let mut door = pipes.door(1);
-    let rig = Rig::start(&pipes, &[1]).await;
-    let mut call = door.welcome().await;
-    call.delta(0, 3, &[document(1, 3, Some(5))]).await;
-    call.acknowledged().await;
-    call.part(9, 0, false, &[document(2, 8, Some(6))]).await;
-    call.keep_alive(9).await;
-    drop(call);
-    let mut call = door.welcome().await;
-    assert_eq!((call.holds(), call.in_force()), (version(3), version(3)));
-    call.part(9, 1, true, &[document(4, 9, Some(6))]).await;
-    call.ended().await;
-    let mut call = door.welcome().await;
-    assert_eq!(call.holds(), version(3));
-    assert_eq!(rig.engine.acts_by(), [document(1, 3, Some(5))]);
-    call.part(9, 0, false, &[document(2, 8, Some(6))]).await;
-    call.part(9, 1, true, &[document(4, 9, Some(6))]).await;
-    assert_eq!(call.acknowledged().await.1, version(9));
-    assert_eq!(rig.engine.acts_by(), [document(2, 8, Some(6)), document(4, 9, Some(6))]);
+async fn incomplete_snapshot_changes_nothing() {
+    let AttachedSubscriber { running, mut listener, mut connection, .. } = AttachedSubscriber::start().await;
+    connection.delta(0, 3, &[document(1, 3, Some(5))]).await;
+    connection.next_acknowledgement().await;
+    connection.part(9, 0, false, &[document(2, 8, Some(6))]).await;
+    connection.keep_alive(9).await;
+    drop(connection);
+    let mut connection = listener.accept_and_welcome().await;
+    assert_eq!((connection.stored_version(), connection.applied_version()), (version(3), version(3)));
+    connection.part(9, 1, true, &[document(4, 9, Some(6))]).await;
+    connection.wait_until_closed().await;
+    let mut connection = listener.accept_and_welcome().await;
+    assert_eq!(connection.stored_version(), version(3));
+    assert_eq!(running.engine.applied(), [document(1, 3, Some(5))]);
+    connection.part(9, 0, false, &[document(2, 8, Some(6))]).await;
+    connection.part(9, 1, true, &[document(4, 9, Some(6))]).await;
+    assert_eq!(connection.next_acknowledgement().await.1, version(9));
+    assert_eq!(running.engine.applied(), [document(2, 8, Some(6)), document(4, 9, Some(6))]);
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_is_older_is_not_taken() {
-    let pipes = Pipes::default();
-    let mut door = pipes.door(1);
-    let rig = Rig::start(&pipes, &[1]).await;
-    let mut call = door.welcome().await;
-    call.delta(0, 5, &[document(1, 5, Some(5))]).await;
-    call.acknowledged().await;
-    call.delta(1, 4, &[document(1, 4, Some(9))]).await;
-    call.part(4, 0, true, &[]).await;
-    call.keep_alive(4).await;
-    call.delta(5, 6, &[document(2, 6, Some(6))]).await;
-    assert_eq!(call.acknowledged().await, (version(6), version(6), vec![]));
-    assert_eq!(rig.engine.acts_by(), [document(1, 5, Some(5)), document(2, 6, Some(6))]);
+async fn update_of_an_older_version_is_ignored() {
+    let AttachedSubscriber { running, mut connection, listener: _listener, .. } =
+        AttachedSubscriber::start().await;
+    connection.delta(0, 5, &[document(1, 5, Some(5))]).await;
+    connection.next_acknowledgement().await;
+    connection.delta(1, 4, &[document(1, 4, Some(9))]).await;
+    connection.part(4, 0, true, &[]).await;
+    connection.keep_alive(4).await;
+    connection.delta(5, 6, &[document(2, 6, Some(6))]).await;
+    assert_eq!(connection.next_acknowledgement().await, (version(6), version(6), vec![]));
+    assert_eq!(running.engine.applied(), [document(1, 5, Some(5)), document(2, 6, Some(6))]);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_document_that_cannot_be_applied_is_told_and_tried_again_each_second() {
-    let pipes = Pipes::default();
-    let mut door = pipes.door(1);
-    let rig = Rig::start(&pipes, &[1]).await;
-    let mut call = door.welcome().await;
-    rig.engine.refuse(Some("no such class"));
-    call.delta(0, 3, &[document(1, 3, Some(5))]).await;
+async fn failed_document_is_reported_and_retried_each_second() {
+    let AttachedSubscriber { running, mut connection, listener: _listener, .. } =
+        AttachedSubscriber::start().await;
+    running.engine.reject(Some("no such class"));
+    connection.delta(0, 3, &[document(1, 3, Some(5))]).await;
     let reason = vec!["no such class".to_owned()];
-    assert_eq!(call.acknowledged().await, (version(3), Version::NONE, reason));
-    let status = rig.status(|status| status.unapplied_count == 1).await;
+    assert_eq!(connection.next_acknowledgement().await, (version(3), Version::NONE, reason));
+    let status = running.status(|status| status.unapplied_count == 1).await;
     assert_eq!(status.unapplied[0].key, document(1, 3, None).key);
-    rig.engine.refuse(None);
-    let began = Instant::now();
-    assert_eq!(call.acknowledged().await, (version(3), version(3), vec![]));
-    assert!(began.elapsed() <= Duration::from_secs(1), "{:?}", began.elapsed());
+    running.engine.reject(None);
+    let started = Instant::now();
+    assert_eq!(connection.next_acknowledgement().await, (version(3), version(3), vec![]));
+    assert!(started.elapsed() <= Duration::from_secs(1), "{:?}", started.elapsed());
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_is_unapplied_is_told_to_the_next_control_member_too() {
-    let pipes = Pipes::default();
-    let mut door = pipes.door(1);
-    let rig = Rig::start(&pipes, &[1]).await;
-    let mut call = door.welcome().await;
-    rig.engine.refuse(Some("no such class"));
-    call.delta(0, 3, &[document(1, 3, Some(5))]).await;
-    call.acknowledged().await;
-    drop(call);
-    let mut call = door.welcome().await;
-    assert_eq!((call.holds(), call.in_force()), (version(3), Version::NONE));
-    assert_eq!(call.acknowledged().await.2, ["no such class"]);
+async fn failed_document_is_reported_to_the_next_control_member_as_well() {
+    let AttachedSubscriber { running, mut listener, mut connection, .. } = AttachedSubscriber::start().await;
+    running.engine.reject(Some("no such class"));
+    connection.delta(0, 3, &[document(1, 3, Some(5))]).await;
+    connection.next_acknowledgement().await;
+    drop(connection);
+    let mut connection = listener.accept_and_welcome().await;
+    assert_eq!((connection.stored_version(), connection.applied_version()), (version(3), Version::NONE));
+    assert_eq!(connection.next_acknowledgement().await.2, ["no such class"]);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_full_disk_ends_the_connection_and_nothing_is_applied() {
-    let pipes = Pipes::default();
-    let mut door = pipes.door(1);
-    let rig = Rig::start(&pipes, &[1]).await;
-    let mut call = door.welcome().await;
-    rig.store.inject_failure(Some("full".to_owned()));
-    call.delta(0, 3, &[document(1, 3, Some(5))]).await;
-    call.ended().await;
-    assert_eq!(rig.engine.acts_by(), []);
+async fn full_disk_ends_the_connection_and_nothing_is_applied() {
+    let AttachedSubscriber { running, mut listener, mut connection, .. } = AttachedSubscriber::start().await;
+    running.store.inject_failure(Some("full".to_owned()));
+    connection.delta(0, 3, &[document(1, 3, Some(5))]).await;
+    connection.wait_until_closed().await;
+    assert_eq!(running.engine.applied(), []);
     assert!(
-        rig.status(|status| status.control.is_none())
+        running
+            .status(|status| status.control.is_none())
             .await
             .last_error
-            .is_some_and(|why| why.contains("full"))
+            .is_some_and(|reason| reason.contains("full"))
     );
-    rig.store.inject_failure(None);
-    let mut call = door.welcome().await;
-    assert_eq!(call.holds(), Version::NONE);
-    call.delta(0, 3, &[document(1, 3, Some(5))]).await;
-    assert_eq!(call.acknowledged().await.1, version(3));
+    running.store.inject_failure(None);
+    let mut connection = listener.accept_and_welcome().await;
+    assert_eq!(connection.stored_version(), Version::NONE);
+    connection.delta(0, 3, &[document(1, 3, Some(5))]).await;
+    assert_eq!(connection.next_acknowledgement().await.1, version(3));
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_is_kept_is_in_force_before_any_control_member_answers_and_its_age_is_told() {
+async fn stored_documents_are_applied_before_any_control_member_answers() {
     let store = MemoryStore::new();
     let stored_at = SystemTime::now() - Duration::from_secs(100);
     let documents = vec![document(1, 3, Some(5))];
     store.set_content(Some(StoredScope { version: version(3), documents: documents.clone(), stored_at }));
-    let pipes = Pipes::default();
-    let rig = Rig::start_on(&pipes, &[1], store).await;
-    assert_eq!(rig.engine.acts_by(), documents);
-    assert_eq!(pipes.dials(), []);
+    let network = MemoryNetwork::default();
+    let running = RunningSubscriber::start_on(&network, &[1], store).await;
+    assert_eq!(running.engine.applied(), documents);
+    assert_eq!(network.dials(), []);
     sleep(Duration::from_secs(30)).await;
-    let status = rig.subscriber.status().borrow().clone();
+    let status = running.subscriber.status().borrow().clone();
     assert_eq!(
         (status.stored_version, status.applied_version, status.control),
         (version(3), version(3), None)
     );
     let age = status.age_s.expect("it is known");
     assert!((128.0..140.0).contains(&age), "{age}");
-    assert_eq!(rig.engine.acts_by(), documents);
+    assert_eq!(running.engine.applied(), documents);
 
-    let mut door = pipes.door(1);
-    let _call = door.welcome().await;
-    let status = rig.status(|status| status.control.is_some()).await;
+    let mut listener = network.listener(1);
+    let _connection = listener.accept_and_welcome().await;
+    let status = running.status(|status| status.control.is_some()).await;
     assert!(status.age_s.is_some_and(|age| age < 1.0), "{status:?}");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_subscriber_that_never_heard_of_any_knows_no_age() {
-    let rig = Rig::start(&Pipes::default(), &[1]).await;
+async fn age_is_unknown_before_the_first_control_member_answers() {
+    let running = RunningSubscriber::start(&MemoryNetwork::default(), &[1]).await;
     sleep(Duration::from_secs(5)).await;
-    assert_eq!(rig.subscriber.status().borrow().age_s, None);
+    assert_eq!(running.subscriber.status().borrow().age_s, None);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_restart_begins_by_what_was_acknowledged() {
-    let pipes = Pipes::default();
-    let mut door = pipes.door(1);
-    let rig = Rig::start(&pipes, &[1]).await;
-    let mut call = door.welcome().await;
-    call.delta(0, 3, &[document(1, 3, Some(5))]).await;
-    call.keep_alive(7).await;
-    while call.acknowledged().await.1 < version(7) {}
-    rig.subscriber.stop().await;
-    let rig = Rig::start_on(&pipes, &[1], rig.store).await;
-    let call = door.welcome().await;
-    assert_eq!((call.holds(), call.in_force()), (version(7), version(7)));
-    assert_eq!(rig.engine.acts_by(), [document(1, 3, Some(5))]);
+async fn restart_begins_at_the_acknowledged_version() {
+    let AttachedSubscriber { network, running, mut listener, mut connection, .. } =
+        AttachedSubscriber::start().await;
+    connection.delta(0, 3, &[document(1, 3, Some(5))]).await;
+    connection.keep_alive(7).await;
+    while connection.next_acknowledgement().await.1 < version(7) {}
+    running.subscriber.stop().await;
+    let running = RunningSubscriber::start_on(&network, &[1], running.store).await;
+    let connection = listener.accept_and_welcome().await;
+    assert_eq!((connection.stored_version(), connection.applied_version()), (version(7), version(7)));
+    assert_eq!(running.engine.applied(), [document(1, 3, Some(5))]);
 }
 
 #[tokio::test(start_paused = true)]
-async fn keep_alives_are_sent_and_three_spans_of_silence_end_the_connection() {
-    let pipes = Pipes::default();
-    let mut door = pipes.door(1);
-    let _rig = Rig::start(&pipes, &[1]).await;
-    let mut call = door.welcome().await;
-    let began = Instant::now();
-    let mut alive = Vec::new();
-    while let Some(frame) = call.receive().await {
+async fn keep_alives_are_sent_and_three_silent_intervals_end_the_connection() {
+    let network = MemoryNetwork::default();
+    let mut listener = network.listener(1);
+    let _running = RunningSubscriber::start(&network, &[1]).await;
+    let mut connection = listener.accept_and_welcome().await;
+    let started = Instant::now();
+    let mut keep_alives = Vec::new();
+    while let Some(frame) = connection.receive().await {
         assert!(matches!(frame, from_subscriber::Kind::KeepAlive(_)), "{frame:?}");
-        alive.push(began.elapsed());
-        assert!(alive.len() <= 3, "the silence does not end the connection");
+        keep_alives.push(started.elapsed());
+        assert!(keep_alives.len() <= 3, "the silence has not ended the connection");
     }
-    assert_eq!(alive, [SPAN, SPAN * 2, SPAN * 3]);
-    assert_eq!(began.elapsed(), SPAN * 3);
+    assert_eq!(keep_alives, [KEEP_ALIVE, KEEP_ALIVE * 2, KEEP_ALIVE * 3]);
+    assert_eq!(started.elapsed(), KEEP_ALIVE * 3);
 }
 
 #[tokio::test(start_paused = true)]
-async fn any_frame_of_the_control_member_breaks_the_silence() {
-    let pipes = Pipes::default();
-    let mut door = pipes.door(1);
-    let rig = Rig::start(&pipes, &[1]).await;
-    let mut call = door.welcome().await;
+async fn frame_of_the_control_member_ends_its_silence() {
+    let AttachedSubscriber { running, mut connection, listener: _listener, .. } =
+        AttachedSubscriber::start().await;
     for _ in 0..10 {
-        sleep(SPAN * 2).await;
-        call.keep_alive(0).await;
+        sleep(KEEP_ALIVE * 2).await;
+        connection.keep_alive(0).await;
     }
-    sleep(MOMENT).await;
-    assert_eq!(rig.subscriber.status().borrow().control, Some(address(1)));
+    sleep(SHORT_WAIT).await;
+    assert_eq!(running.subscriber.status().borrow().control, Some(address(1)));
 }
 
 fn members(ports: &[u16]) -> Vec<v1::ControlAddress> {
@@ -282,44 +262,44 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn one_that_is_sent_on_by_all_insists() {
-    let pipes = Pipes::default();
-    let (mut first, mut second) = (pipes.door(1), pipes.door(2));
-    let _rig = Rig::start(&pipes, &[1]).await;
-    let mut call = first.call().await;
-    assert!(!call.subscribe.insists);
-    call.redirect(members(&[1, 2]), Duration::ZERO).await;
-    let mut call = second.call().await;
-    assert!(!call.subscribe.insists);
-    call.redirect(members(&[1, 2]), Duration::ZERO).await;
-    let call = tokio::select! {
-        call = first.call() => call,
-        call = second.call() => call,
+async fn subscriber_redirected_by_all_members_insists() {
+    let network = MemoryNetwork::default();
+    let (mut first, mut second) = (network.listener(1), network.listener(2));
+    let _running = RunningSubscriber::start(&network, &[1]).await;
+    let mut connection = first.accept().await;
+    assert!(!connection.subscribe.insists);
+    connection.redirect(members(&[1, 2]), Duration::ZERO).await;
+    let mut connection = second.accept().await;
+    assert!(!connection.subscribe.insists);
+    connection.redirect(members(&[1, 2]), Duration::ZERO).await;
+    let connection = tokio::select! {
+        connection = first.accept() => connection,
+        connection = second.accept() => connection,
     };
-    assert!(call.subscribe.insists);
+    assert!(connection.subscribe.insists);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_control_member_that_sends_on_is_left_alone_for_as_long_as_it_says() {
-    let pipes = Pipes::default();
-    let mut door = pipes.door(1);
-    let _rig = Rig::start(&pipes, &[1]).await;
+async fn redirecting_member_is_not_tried_before_its_retry_after() {
+    let network = MemoryNetwork::default();
+    let mut listener = network.listener(1);
+    let _running = RunningSubscriber::start(&network, &[1]).await;
     let retry_after = Duration::from_secs(20);
-    door.call().await.redirect(Vec::new(), retry_after).await;
-    let began = Instant::now();
-    door.call().await;
-    assert!((retry_after..retry_after + Duration::from_secs(1)).contains(&began.elapsed()));
+    listener.accept().await.redirect(Vec::new(), retry_after).await;
+    let started = Instant::now();
+    listener.accept().await;
+    assert!((retry_after..retry_after + Duration::from_secs(1)).contains(&started.elapsed()));
 }
 
 #[tokio::test(start_paused = true)]
-async fn one_that_sends_an_attached_subscriber_on_is_left_for_another() {
-    let pipes = Pipes::default();
-    let (mut first, mut second) = (pipes.door(1), pipes.door(2));
-    let rig = Rig::start(&pipes, &[1]).await;
-    let mut call = first.welcome().await;
-    call.redirect(members(&[1, 2]), Duration::from_secs(60)).await;
-    let _call = second.welcome().await;
-    assert_eq!(rig.status(|status| status.control.is_some()).await.control, Some(address(2)));
+async fn attached_subscriber_follows_a_redirect() {
+    let network = MemoryNetwork::default();
+    let (mut first, mut second) = (network.listener(1), network.listener(2));
+    let running = RunningSubscriber::start(&network, &[1]).await;
+    let mut connection = first.accept_and_welcome().await;
+    connection.redirect(members(&[1, 2]), Duration::from_secs(60)).await;
+    let _connection = second.accept_and_welcome().await;
+    assert_eq!(running.status(|status| status.control.is_some()).await.control, Some(address(2)));
 }
 
 /// A welcome that names control members with their regions.
@@ -334,34 +314,34 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_newcomer_moves_to_a_near_member_once_it_has_learned_of_it() {
-    let pipes = Pipes::default();
-    let (mut far, mut near) = (pipes.door(1), pipes.door(2));
-    let rig = Rig::start(&pipes, &[1]).await;
+async fn new_subscriber_moves_to_a_nearer_member_once() {
+    let network = MemoryNetwork::default();
+    let (mut far, mut near) = (network.listener(1), network.listener(2));
+    let running = RunningSubscriber::start(&network, &[1]).await;
     let members = [(1, "south"), (2, "north")];
-    let mut call = far.call().await;
-    call.send(welcome(&members)).await;
-    call.ended().await;
-    let mut call = near.call().await;
-    assert!(!call.subscribe.insists);
-    call.send(welcome(&members)).await;
-    let status = rig.status(|status| status.control == Some(address(2))).await;
+    let mut connection = far.accept().await;
+    connection.send(welcome(&members)).await;
+    connection.wait_until_closed().await;
+    let mut connection = near.accept().await;
+    assert!(!connection.subscribe.insists);
+    connection.send(welcome(&members)).await;
+    let status = running.status(|status| status.control == Some(address(2))).await;
     assert_eq!(status.reconnects, 0);
-    // Later it stays where it is.
-    drop((call, near));
-    let mut call = far.call().await;
-    call.send(welcome(&members)).await;
-    rig.status(|status| status.control == Some(address(1))).await;
-    call.delta(0, 3, &[document(1, 3, Some(5))]).await;
-    assert_eq!(call.acknowledged().await.1, version(3));
+    // Later it stays attached to a farther member.
+    drop((connection, near));
+    let mut connection = far.accept().await;
+    connection.send(welcome(&members)).await;
+    running.status(|status| status.control == Some(address(1))).await;
+    connection.delta(0, 3, &[document(1, 3, Some(5))]).await;
+    assert_eq!(connection.next_acknowledgement().await.1, version(3));
 }
 
 #[tokio::test(start_paused = true)]
-async fn dials_go_on_with_backoff_while_none_answers() {
-    let pipes = Pipes::default();
-    let _rig = Rig::start(&pipes, &[1, 2, 3]).await;
+async fn dials_back_off_while_no_member_answers() {
+    let network = MemoryNetwork::default();
+    let _running = RunningSubscriber::start(&network, &[1, 2, 3]).await;
     sleep(Duration::from_secs(300)).await;
-    let dials = pipes.dials();
+    let dials = network.dials();
     let waits: Vec<Duration> = dials.windows(2).map(|two| two[1].1 - two[0].1).collect();
     // Half of three seconds on average.
     assert!((120..=300).contains(&dials.len()), "{} dials", dials.len());
@@ -371,57 +351,57 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_control_member_that_does_not_say_welcome_is_left_in_time() {
-    let pipes = Pipes::default();
-    let (mut first, mut second) = (pipes.door(1), pipes.door(2));
-    let _rig = Rig::start(&pipes, &[1, 2]).await;
-    let began = Instant::now();
-    let (mut stalled, _call) = tokio::select! {
-        call = first.call() => (call, second.welcome().await),
-        call = second.call() => (call, first.welcome().await),
+async fn member_without_a_welcome_is_left_after_the_dial_timeout() {
+    let network = MemoryNetwork::default();
+    let (mut first, mut second) = (network.listener(1), network.listener(2));
+    let _running = RunningSubscriber::start(&network, &[1, 2]).await;
+    let started = Instant::now();
+    let (mut stalled, _connection) = tokio::select! {
+        connection = first.accept() => (connection, second.accept_and_welcome().await),
+        connection = second.accept() => (connection, first.accept_and_welcome().await),
     };
-    assert!(began.elapsed() <= Duration::from_millis(2_200), "{:?}", began.elapsed());
-    stalled.ended().await;
+    assert!(started.elapsed() <= Duration::from_millis(2_200), "{:?}", started.elapsed());
+    stalled.wait_until_closed().await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn one_that_ends_each_connection_at_once_is_not_dialled_without_pause() {
-    let pipes = Pipes::default();
-    let mut door = pipes.door(1);
-    let _rig = Rig::start(&pipes, &[1]).await;
-    let began = Instant::now();
+async fn member_that_closes_each_connection_is_dialled_with_backoff() {
+    let network = MemoryNetwork::default();
+    let mut listener = network.listener(1);
+    let _running = RunningSubscriber::start(&network, &[1]).await;
+    let started = Instant::now();
     for _ in 0..40 {
-        drop(door.welcome().await);
+        drop(listener.accept_and_welcome().await);
     }
-    assert!(began.elapsed() > Duration::from_secs(20), "{:?}", began.elapsed());
+    assert!(started.elapsed() > Duration::from_secs(20), "{:?}", started.elapsed());
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_subscriber_that_is_stopped_dials_no_more() {
-    let pipes = Pipes::default();
-    let rig = Rig::start(&pipes, &[1]).await;
+async fn stopped_subscriber_does_not_dial() {
+    let network = MemoryNetwork::default();
+    let running = RunningSubscriber::start(&network, &[1]).await;
     sleep(Duration::from_secs(10)).await;
-    let mut status = rig.subscriber.status();
-    rig.subscriber.stop().await;
-    let dials = pipes.dials().len();
+    let mut status = running.subscriber.status();
+    running.subscriber.stop().await;
+    let dials = network.dials().len();
     sleep(Duration::from_secs(60)).await;
-    assert_eq!(pipes.dials().len(), dials);
+    assert_eq!(network.dials().len(), dials);
     while status.changed().await.is_ok() {}
 }
 
 #[tokio::test(start_paused = true)]
-async fn settings_and_stores_that_are_not_sound_are_refused_with_their_place() {
+async fn start_with_invalid_settings_is_an_error() {
     let start = |settings| {
         let (store, apply) = (Box::new(MemoryStore::new()), Arc::new(Engine::default()));
-        Subscriber::start(settings, store, apply, Arc::new(Pipes::default()))
+        Subscriber::start(settings, store, apply, Arc::new(MemoryNetwork::default()))
     };
-    let mut nameless = settings(&[1]);
-    nameless.name = String::new();
-    assert!(matches!(start(nameless).await, Err(SubscriberStartError::InvalidName)));
+    let mut without_name = settings(&[1]);
+    without_name.name = String::new();
+    assert!(matches!(start(without_name).await, Err(SubscriberStartError::InvalidName)));
     assert!(matches!(start(settings(&[])).await, Err(SubscriberStartError::NoControlMember)));
-    let mut nowhere = settings(&[1]);
-    nowhere.interest.region = String::new();
-    assert!(matches!(start(nowhere).await, Err(SubscriberStartError::InvalidInterest(_))));
+    let mut without_region = settings(&[1]);
+    without_region.interest.region = String::new();
+    assert!(matches!(start(without_region).await, Err(SubscriberStartError::InvalidInterest(_))));
     let mut large = settings(&[1]);
     let tenant = |number| format!("{number:0>120}");
     large.interest.services[0].tenants = (0..10_001).map(tenant).collect();
@@ -431,7 +411,7 @@
 }
 
 #[tokio::test]
-async fn a_damaged_file_is_refused_with_its_place() {
+async fn open_of_a_damaged_file_is_an_error_with_its_path() {
     let directory = tempfile::TempDir::new().expect("a directory");
     let path = directory.path().join("scopes");
     std::fs::write(&path, b"not a database").expect("it is written");
@@ -440,22 +420,22 @@
 }
 
 #[tokio::test]
-async fn a_restart_from_a_file_begins_by_what_is_held() {
+async fn restart_from_a_file_begins_at_the_stored_version() {
     let directory = tempfile::TempDir::new().expect("a directory");
     let path = directory.path().join("scopes");
-    let pipes = Pipes::default();
-    let mut door = pipes.door(1);
-    for life in 0..3_u64 {
+    let network = MemoryNetwork::default();
+    let mut listener = network.listener(1);
+    for run in 0..3_u64 {
         let store = RedbStore::open(&path, &settings(&[1]).interest).expect("it opens");
         let engine = Engine::default();
-        let (apply, net) = (Arc::new(engine.clone()), Arc::new(pipes.clone()));
+        let (apply, net) = (Arc::new(engine.clone()), Arc::new(network.clone()));
         let subscriber =
             Subscriber::start(settings(&[1]), Box::new(store), apply, net).await.expect("it starts");
-        assert_eq!(engine.acts_by().len() as u64, life);
-        let mut call = door.welcome().await;
-        assert_eq!(call.holds().index, life);
-        call.delta(life, life + 1, &[document(life, life + 1, Some(5))]).await;
-        assert_eq!(call.acknowledged().await.1, version(life + 1));
+        assert_eq!(engine.applied().len() as u64, run);
+        let mut connection = listener.accept_and_welcome().await;
+        assert_eq!(connection.stored_version().index, run);
+        connection.delta(run, run + 1, &[document(run, run + 1, Some(5))]).await;
+        assert_eq!(connection.next_acknowledgement().await.1, version(run + 1));
         subscriber.stop().await;
     }
 }
