--- a/crates/stepspur-distribution/tests/control/main.rs
+++ b/crates/stepspur-distribution/tests/control/main.rs
@@ -1,6 +1,6 @@
-//! Control members against scripted subscribers, on a council in memory with the clock paused.
+//! Control members against scripted subscribers, on a consensus group in memory with the clock paused.
 
-mod admission;
-mod sessions;
-mod standings;
-mod support;
+mod common;
+mod rollout_status;
+mod snapshot_admission;
+mod subscriber_sessions;
--- a/crates/stepspur-fault-tests/src/distribution/fleet.rs
+++ b/crates/stepspur-fault-tests/src/distribution/fleet.rs
@@ -10,7 +10,7 @@
 use stepspur_consensus::MemberId;
 use stepspur_distribution::control::{Control, ControlMember, ProposeError};
 use stepspur_distribution::document::{Change, Interest, Scope, ServiceInterest, Setting, Target};
-use stepspur_distribution::store::StoredScope;
+use stepspur_distribution::scope_store::StoredScope;
 use stepspur_distribution::subscriber::SubscriberStatus;
 use stepspur_distribution::version::Version;
 use stepspur_replication::OperationId;
@@ -143,7 +143,7 @@
 
     /// What a subscriber's disk holds.
     pub fn kept(&self, name: &str) -> Option<StoredScope> {
-        self.subscribers[name].store.kept()
+        self.subscribers[name].store.content()
     }
 
     /// How a subscriber stands.
@@ -196,7 +196,7 @@
     /// Ends a subscriber's process, puts an older disk in it, and starts it.
     pub async fn put_back(&mut self, name: &str, older: Option<StoredScope>) {
         self.end_subscriber(name).await;
-        self.subscribers[name].store.put_back(older);
+        self.subscribers[name].store.set_content(older);
         self.begin_subscriber(name).await;
     }
 
@@ -327,8 +327,8 @@
                 let Ok(Ok(standing)) = timeout(ASK_WITHIN, control.rollout_status(*version)).await else {
                     break;
                 };
-                if standing.missing_unnamed == 0 {
-                    let missing = standing.missing.into_iter().map(|missing| missing.name).collect();
+                if standing.pending_unlisted == 0 {
+                    let missing = standing.pending.into_iter().map(|pending| pending.name).collect();
                     self.claim(*version, &missing);
                 }
             }
@@ -350,7 +350,7 @@
         let checker = self.checker();
         let is_behind = |one: &&SubscriberNode| {
             let Some(status) = one.status() else { return false };
-            status.control.is_none() || status.in_force < checker.last_concerning(&one.interest)
+            status.control.is_none() || status.applied_version < checker.last_concerning(&one.interest)
         };
         let expected = self.subscribers.values().filter(|one| !but.contains(&one.name));
         expected.filter(is_behind).map(|one| one.name.clone()).collect()
@@ -413,7 +413,7 @@
         loop {
             for control in self.running() {
                 if let Ok(Ok(standing)) = timeout(ASK_WITHIN, control.rollout_status(version)).await
-                    && standing.everywhere
+                    && standing.applied_everywhere
                 {
                     return began.elapsed();
                 }
--- a/crates/stepspur-fault-tests/src/distribution/node.rs
+++ b/crates/stepspur-fault-tests/src/distribution/node.rs
@@ -7,10 +7,10 @@
 
 use stepspur_consensus::{MemberId, RaftNode};
 use stepspur_consensus_node::{NodeHandle, Settings};
-use stepspur_distribution::book::ConfigurationState;
+use stepspur_distribution::configuration::ConfigurationState;
 use stepspur_distribution::control::{Control, ControlMember, ControlSettings};
 use stepspur_distribution::document::Interest;
-use stepspur_distribution::store::MemoryStore;
+use stepspur_distribution::scope_store::MemoryStore;
 use stepspur_distribution::subscriber::{Subscriber, SubscriberSettings, SubscriberStatus};
 use stepspur_replication::{ProposalLimits, ReplicatedStateMachine, ReplicationClient, StateMachineRegistry};
 use tokio::sync::watch;
@@ -183,7 +183,7 @@
             name: self.name.clone(),
             interest: self.interest.clone(),
             acts_by: self.engine.acts_by(),
-            kept: self.store.kept().map_or_else(Vec::new, |kept| kept.documents),
+            kept: self.store.content().map_or_else(Vec::new, |kept| kept.documents),
         }
     }
 }
@@ -198,7 +198,7 @@
     loop {
         let (holds, in_force) = {
             let now = status.borrow_and_update();
-            (now.holds, now.in_force)
+            (now.stored_version, now.applied_version)
         };
         checker.lock().unwrap_or_else(PoisonError::into_inner).told(&name, life, holds, in_force);
         if status.changed().await.is_err() {
--- a/crates/stepspur-fault-tests/src/fleet.rs
+++ b/crates/stepspur-fault-tests/src/fleet.rs
@@ -131,19 +131,19 @@
     /// If it cannot start.
     pub async fn begin(&mut self, id: MemberId) {
         let council = stepspur_consensus::Settings {
-            max_log_entries: self.shape.log_max,
-            snapshot_chunk_bytes: self.shape.chunk,
+            log_max: self.shape.log_max,
+            chunk: self.shape.chunk,
             ..Default::default()
         };
         let set = Settings {
             id,
             listen: Wire::address(id),
             peers: self.ids().into_iter().map(|id| (id, Wire::address(id))).collect(),
-            consensus: council,
-            role_prefixes: Vec::new(),
-            role_weight: 1.0,
-            io_timeout: Duration::from_secs(2),
-            max_frame_bytes: 16 << 20,
+            council,
+            wants: Vec::new(),
+            weight: 1.0,
+            within: Duration::from_secs(2),
+            largest_frame: 16 << 20,
         };
         let [seed, life] = [self.rng.random(), self.rng.random()];
         let node = &self.nodes[&id];
@@ -199,8 +199,8 @@
         loop {
             let mut votes: BTreeMap<MemberId, usize> = BTreeMap::new();
             for id in self.running() {
-                if let Ok(status) = self.shared(id).peers().status().await
-                    && let Some(leader) = status.leader.filter(|_| status.is_voter && !status.is_halted)
+                if let Ok(status) = self.shared(id).node().status().await
+                    && let Some(leader) = status.leader.filter(|_| status.votes && !status.retired)
                 {
                     *votes.entry(leader).or_default() += 1;
                 }
@@ -303,7 +303,7 @@
         loop {
             let digests: Vec<_> = self.running().into_iter().map(|id| self.shared(id)).collect();
             let digests: Vec<_> =
-                digests.iter().map(|s| (s.books().applied(), s.books().digests())).collect();
+                digests.iter().map(|s| (s.registry().applied(), s.registry().digests())).collect();
             if digests.windows(2).all(|two| two[0] == two[1]) {
                 return;
             }
@@ -326,8 +326,7 @@
 ) -> Result<u32, ReplicationError> {
     let body = postcard::to_stdvec(&Add(name.to_owned(), more)).unwrap_or_default();
     let answer = shared.propose(id, TALLY, "tests", &body, within).await?;
-    let sum = answer.as_slice().try_into().map(u32::from_be_bytes);
-    sum.map_err(|_| ReplicationError::Senseless("an answer that is no sum".to_owned()))
+    Ok(u32::from_be_bytes(answer.as_slice().try_into().expect("the answer is a sum of four bytes")))
 }
 
 /// Reads the sum under a name by a member's handle, linearizably.
--- a/crates/stepspur-fault-tests/tests/distribution.rs
+++ b/crates/stepspur-fault-tests/tests/distribution.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use stepspur_distribution::document::{Change, Key};
-use stepspur_distribution::store::StoredScope;
+use stepspur_distribution::scope_store::StoredScope;
 use stepspur_distribution::subscriber::SubscriberStatus;
 use stepspur_distribution::version::Version;
 use stepspur_fault_tests::distribution::{ControlFleet, REGIONS};
@@ -115,7 +115,7 @@
             fleet.pass(FAULT / 10).await;
         }
         for name in &lost {
-            assert!(fleet.status(name).in_force <= before, "{name} in {region} hears nothing");
+            assert!(fleet.status(name).applied_version <= before, "{name} in {region} hears nothing");
         }
         fleet.network().cut(region, false);
         let took = fleet.settles(IN_FORCE, &[]).await;
