--- a/crates/stepspur-conductor/src/config/mod.rs
+++ b/crates/stepspur-conductor/src/config/mod.rs
@@ -106,8 +106,8 @@
             }
         }
         if let Some(distribution) = &self.distribution {
-            for (key, what) in distribution.faults_beside(self.council.as_ref()) {
-                invalid.push(InvalidSetting { key, what });
+            for error in distribution.check_against(self.council.as_ref()) {
+                invalid.push(InvalidSetting { key: error.key, what: error.reason });
             }
         }
         invalid
--- a/crates/stepspur-conductor/src/service/distribution/apply.rs
+++ b/crates/stepspur-conductor/src/service/distribution/apply.rs
@@ -17,7 +17,7 @@
 use tokio::time::timeout;
 
 use super::super::engine_handle::{EngineHandle, EnginesByTenant, OperateError};
-use crate::engine::{OverrideState, Operation, OperationError};
+use crate::engine::{Operation, OperationError, OverrideState};
 
 /// How long an engine may take to execute an order; the subscriber retries later. It waits for two seconds
 /// itself.
--- a/crates/stepspur-conductor/src/service/distribution/apply/tests.rs
+++ b/crates/stepspur-conductor/src/service/distribution/apply/tests.rs
@@ -9,7 +9,7 @@
 use tokio::sync::mpsc;
 
 use super::TenantEngines;
-use crate::engine::{OverrideState, Operation, OperationError};
+use crate::engine::{Operation, OperationError, OverrideState};
 use crate::service::engine_handle::{EngineCommand, EngineHandle};
 
 /// An engine's task that records its orders, and rejects them while it is told to.
--- a/crates/stepspur-conductor/src/service/distribution/consensus_member.rs
+++ b/crates/stepspur-conductor/src/service/distribution/consensus_member.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use stepspur_consensus_node::{ConsensusConfig, NodeHandle};
-use stepspur_distribution::book::ConfigurationState;
+use stepspur_distribution::configuration::ConfigurationState;
 use stepspur_replication::{ProposalLimits, ReplicatedStateMachine, ReplicationClient, StateMachineRegistry};
 
 use super::super::error::StartError;
--- a/crates/stepspur-conductor/src/service/distribution/mod.rs
+++ b/crates/stepspur-conductor/src/service/distribution/mod.rs
@@ -8,13 +8,13 @@
 use std::time::Duration;
 
 use serde::Serialize;
-use stepspur_consensus_node::{Transport, Tcp};
+use stepspur_consensus_node::{Tcp, Transport};
 use stepspur_distribution::config::{
     ControlConfig, ControlMemberAddress, Distribution as Settings, SubscriberConfig,
 };
 use stepspur_distribution::control::{Control, ControlMember, ControlSettings, ControlStatus};
 use stepspur_distribution::document::Interest;
-use stepspur_distribution::store::{MemoryStore, RedbStore, ScopeStore, StoreError};
+use stepspur_distribution::scope_store::{MemoryStore, RedbStore, ScopeStore, StoreError};
 use stepspur_distribution::subscriber::{Subscriber, SubscriberSettings, SubscriberStatus};
 use stepspur_replication::ReplicationClient;
 use tokio::sync::watch;
@@ -147,8 +147,8 @@
     replication: &ReplicationClient,
     network: Arc<dyn Transport>,
 ) -> Result<Control, StartError> {
-    let id = replication.peers().id().0;
-    let own = config.place(id);
+    let id = replication.node().id().0;
+    let own = config.member(id);
     let settings = ControlSettings {
         id,
         // The checks of the settings reject a member that does not list itself.
--- a/crates/stepspur-conductor/src/service/error.rs
+++ b/crates/stepspur-conductor/src/service/error.rs
@@ -7,7 +7,7 @@
 
 use stepspur_distribution::control::ControlStartError;
 use stepspur_distribution::document::DocumentError;
-use stepspur_distribution::store::StoreError;
+use stepspur_distribution::scope_store::StoreError;
 use stepspur_distribution::subscriber::SubscriberStartError;
 use stepspur_identity::keys::KeyError;
 
--- a/crates/stepspur-conductor/src/service/operator/configuration.rs
+++ b/crates/stepspur-conductor/src/service/operator/configuration.rs
@@ -169,7 +169,7 @@
 
 fn not_agreed(error: &ProposeError) -> Outcome<ChangeAnswer> {
     let status = match error {
-        ProposeError::Faulty(_) | ProposeError::TooLarge(_) | ProposeError::Refused(_) => {
+        ProposeError::InvalidCommand(_) | ProposeError::TooLarge(_) | ProposeError::Rejected(_) => {
             StatusCode::UNPROCESSABLE_ENTITY
         }
         ProposeError::TooOld { .. } => StatusCode::CONFLICT,
--- a/crates/stepspur-distribution/src/control/member.rs
+++ b/crates/stepspur-distribution/src/control/member.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-use stepspur_consensus_node::Net;
+use stepspur_consensus_node::Transport;
 use stepspur_replication::ReplicationClient;
 use tokio::time::{Instant, timeout};
 
@@ -25,7 +25,7 @@
     /// All control members but this one.
     pub(super) others: Vec<ControlMember>,
     pub(super) replication: ReplicationClient,
-    pub(super) net: Arc<dyn Net>,
+    pub(super) net: Arc<dyn Transport>,
     pub(super) configuration: LocalConfiguration,
     pub(super) progress: ProgressTable,
     pub(super) admission: SnapshotAdmission,
@@ -37,7 +37,11 @@
 }
 
 impl Member {
-    pub(super) fn new(settings: ControlSettings, replication: ReplicationClient, net: Arc<dyn Net>) -> Self {
+    pub(super) fn new(
+        settings: ControlSettings,
+        replication: ReplicationClient,
+        net: Arc<dyn Transport>,
+    ) -> Self {
         let others = settings.members.iter().filter(|other| other.id != settings.id).cloned().collect();
         let ids = settings.members.iter().map(|member| member.id).chain([settings.id]).collect();
         let configuration = LocalConfiguration::new(replication.clone());
--- a/crates/stepspur-distribution/src/control/mod.rs
+++ b/crates/stepspur-distribution/src/control/mod.rs
@@ -34,7 +34,7 @@
 use std::time::Duration;
 
 use serde::Serialize;
-use stepspur_consensus_node::Net;
+use stepspur_consensus_node::Transport;
 use stepspur_replication::{OperationId, ReplicationClient};
 use tokio::time::Instant;
 use tokio_util::sync::{CancellationToken, DropGuard};
@@ -124,7 +124,7 @@
     pub async fn start(
         settings: ControlSettings,
         replication: ReplicationClient,
-        net: Arc<dyn Net>,
+        net: Arc<dyn Transport>,
     ) -> Result<Self, ControlStartError> {
         settings.check()?;
         if replication.registry().version(CONFIGURATION).is_none() {
--- a/crates/stepspur-distribution/src/subscriber/connector.rs
+++ b/crates/stepspur-distribution/src/subscriber/connector.rs
@@ -6,7 +6,7 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use stepspur_consensus_node::Net;
+use stepspur_consensus_node::Transport;
 use stepspur_proto::{from_control, v1};
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, sleep, sleep_until, timeout};
@@ -30,7 +30,7 @@
 /// Owns the connection.
 pub(super) struct Connector {
     settings: SubscriberSettings,
-    net: Arc<dyn Net>,
+    net: Arc<dyn Transport>,
     updates: mpsc::Sender<UpdateRequest>,
     progress: watch::Receiver<Progress>,
     publisher: Arc<StatusPublisher>,
@@ -53,7 +53,7 @@
 impl Connector {
     pub(super) fn new(
         settings: SubscriberSettings,
-        net: Arc<dyn Net>,
+        net: Arc<dyn Transport>,
         updates: mpsc::Sender<UpdateRequest>,
         progress: watch::Receiver<Progress>,
         publisher: Arc<StatusPublisher>,
--- a/crates/stepspur-distribution/src/subscriber/mod.rs
+++ b/crates/stepspur-distribution/src/subscriber/mod.rs
@@ -24,7 +24,7 @@
 
 use std::sync::Arc;
 
-use stepspur_consensus_node::Net;
+use stepspur_consensus_node::Transport;
 use tokio::sync::{mpsc, watch};
 use tokio_util::sync::{CancellationToken, DropGuard};
 use tokio_util::task::TaskTracker;
@@ -60,7 +60,7 @@
         settings: SubscriberSettings,
         store: Box<dyn ScopeStore>,
         applier: Arc<dyn DocumentApplier>,
-        net: Arc<dyn Net>,
+        net: Arc<dyn Transport>,
     ) -> Result<Self, SubscriberStartError> {
         let settings = settings.checked()?;
         let LoadedStore { store, stored } = load(store).await?;
--- a/crates/stepspur-distribution/tests/control/common.rs
+++ b/crates/stepspur-distribution/tests/control/common.rs
@@ -8,7 +8,7 @@
 
 use futures_util::{SinkExt, StreamExt};
 use stepspur_consensus::{MemberId, RaftNode};
-use stepspur_consensus_node::{BoxFuture, Listen, Net, NodeHandle, Settings, Stream};
+use stepspur_consensus_node::{BoxFuture, Listener, NodeHandle, Settings, Stream, Transport};
 use stepspur_distribution::configuration::ConfigurationState;
 use stepspur_distribution::control::{Control, ControlMember, ControlSettings, RolloutStatus};
 use stepspur_distribution::document::{Change, Document, Scope, Setting, Target};
@@ -37,11 +37,11 @@
 
 struct MemoryListener(SocketAddr, mpsc::Receiver<DuplexStream>);
 
-impl Net for MemoryNetwork {
-    fn listen(&self, at: SocketAddr) -> BoxFuture<'_, io::Result<Box<dyn Listen>>> {
+impl Transport for MemoryNetwork {
+    fn listen(&self, at: SocketAddr) -> BoxFuture<'_, io::Result<Box<dyn Listener>>> {
         let (connections, listener) = mpsc::channel(64);
         self.0.lock().unwrap().insert(at, connections);
-        Box::pin(async move { Ok(Box::new(MemoryListener(at, listener)) as Box<dyn Listen>) })
+        Box::pin(async move { Ok(Box::new(MemoryListener(at, listener)) as Box<dyn Listener>) })
     }
 
     fn dial(&self, to: SocketAddr) -> BoxFuture<'_, io::Result<Box<dyn Stream>>> {
@@ -55,7 +55,7 @@
     }
 }
 
-impl Listen for MemoryListener {
+impl Listener for MemoryListener {
     fn address(&self) -> SocketAddr {
         self.0
     }
@@ -102,11 +102,11 @@
         id: member,
         listen: Wire::address(member),
         peers: (1..=cluster.members).map(MemberId).map(|id| (id, Wire::address(id))).collect(),
-        council: stepspur_consensus::Settings::default(),
-        wants: Vec::new(),
-        weight: 1.0,
-        within: Duration::from_secs(2),
-        largest_frame: 16 << 20,
+        consensus: stepspur_consensus::Settings::default(),
+        role_prefixes: Vec::new(),
+        role_weight: 1.0,
+        io_timeout: Duration::from_secs(2),
+        max_frame_bytes: 16 << 20,
     };
     let registry = StateMachineRegistry::new([
         Box::new(ConfigurationState::default()) as Box<dyn ReplicatedStateMachine>
--- a/crates/stepspur-distribution/tests/format.rs
+++ b/crates/stepspur-distribution/tests/format.rs
@@ -3,11 +3,11 @@
 use std::path::Path;
 
 use redb::{Database, TableDefinition};
-use stepspur_distribution::book;
+use stepspur_distribution::configuration;
 use stepspur_distribution::document::{
     Change, Document, Interest, Key, Scope, ServiceInterest, Setting, Target,
 };
-use stepspur_distribution::store::{RedbStore, ScopeStore};
+use stepspur_distribution::scope_store::{RedbStore, ScopeStore};
 use stepspur_distribution::version::Version;
 use stepspur_replication::Command;
 
@@ -83,18 +83,18 @@
         }
         let command = Command::decode(&entry[ENTRY_HEAD..]).expect("a command");
         assert_eq!(command.encode(), entry[ENTRY_HEAD..]);
-        let change = book::Command::decode(&command.body).expect("a configuration command");
+        let change = configuration::Command::decode(&command.body).expect("a configuration command");
         assert_eq!(change.encode(), command.body);
         decoded.push(change);
     }
     let registered = |name: &str| {
-        let registrations = vec![book::Registration::new(name, &interest()).unwrap()];
-        book::Command::Register { registrations }
+        let registrations = vec![configuration::Registration::new(name, &interest()).unwrap()];
+        configuration::Command::Register { registrations }
     };
     let changed = |class: &str, ppm| {
         let target = Target::Class(class.to_owned());
         let change = Change { scope: shop(), target, setting: Some(Setting::LevelPpm(ppm)) };
-        book::Command::Change { changes: vec![change] }
+        configuration::Command::Change { changes: vec![change] }
     };
     let wanted = [registered("one"), registered("two"), changed("read", 500_000), changed("read", 250_000)];
     assert_eq!(decoded, wanted);
--- a/crates/stepspur-distribution/tests/subscriber/common.rs
+++ b/crates/stepspur-distribution/tests/subscriber/common.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use futures_util::{SinkExt, StreamExt};
-use stepspur_consensus_node::{BoxFuture, Listen, Net, Stream};
+use stepspur_consensus_node::{BoxFuture, Listener, Stream, Transport};
 use stepspur_distribution::document::{Document, Interest, Key, Scope, ServiceInterest, Setting, Target};
 use stepspur_distribution::scope_store::MemoryStore;
 use stepspur_distribution::subscriber::{
@@ -70,8 +70,8 @@
     }
 }
 
-impl Net for MemoryNetwork {
-    fn listen(&self, _: SocketAddr) -> BoxFuture<'_, io::Result<Box<dyn Listen>>> {
+impl Transport for MemoryNetwork {
+    fn listen(&self, _: SocketAddr) -> BoxFuture<'_, io::Result<Box<dyn Listener>>> {
         Box::pin(async { Err(io::ErrorKind::Unsupported.into()) })
     }
 
--- a/crates/stepspur-fault-tests/src/fleet.rs
+++ b/crates/stepspur-fault-tests/src/fleet.rs
@@ -131,19 +131,19 @@
     /// If it cannot start.
     pub async fn begin(&mut self, id: MemberId) {
         let council = stepspur_consensus::Settings {
-            log_max: self.shape.log_max,
-            chunk: self.shape.chunk,
+            max_log_entries: self.shape.log_max,
+            snapshot_chunk_bytes: self.shape.chunk,
             ..Default::default()
         };
         let set = Settings {
             id,
             listen: Wire::address(id),
             peers: self.ids().into_iter().map(|id| (id, Wire::address(id))).collect(),
-            council,
-            wants: Vec::new(),
-            weight: 1.0,
-            within: Duration::from_secs(2),
-            largest_frame: 16 << 20,
+            consensus: council,
+            role_prefixes: Vec::new(),
+            role_weight: 1.0,
+            io_timeout: Duration::from_secs(2),
+            max_frame_bytes: 16 << 20,
         };
         let [seed, life] = [self.rng.random(), self.rng.random()];
         let node = &self.nodes[&id];
@@ -200,7 +200,7 @@
             let mut votes: BTreeMap<MemberId, usize> = BTreeMap::new();
             for id in self.running() {
                 if let Ok(status) = self.shared(id).node().status().await
-                    && let Some(leader) = status.leader.filter(|_| status.votes && !status.retired)
+                    && let Some(leader) = status.leader.filter(|_| status.is_voter && !status.is_halted)
                 {
                     *votes.entry(leader).or_default() += 1;
                 }
--- a/crates/stepspur-fault-tests/tests/processes.rs
+++ b/crates/stepspur-fault-tests/tests/processes.rs
@@ -10,7 +10,7 @@
 
 use serde::{Deserialize, Serialize};
 use stepspur_consensus::MemberId;
-use stepspur_consensus_node::{Disk, NodeHandle, Settings, Tcp};
+use stepspur_consensus_node::{NodeHandle, Settings, Storage, Tcp};
 use stepspur_consensus_storage::Store;
 use stepspur_fault_tests::{Asked, History, Op, Tally};
 use stepspur_replication::{
@@ -20,9 +20,9 @@
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt};
 
 #[allow(dead_code, reason = "of the peers' own rig, of which this test needs a part")]
-#[path = "../../stepspur-consensus-node/tests/rig/mod.rs"]
-mod rig;
-use rig::{CHILD, Mode, PATIENCE, Rig, Told};
+#[path = "../../stepspur-consensus-node/tests/process_group/mod.rs"]
+mod process_group;
+use process_group::{CHILD_VARIABLE, ChildSettings, Mode, ProcessGroup, TIMEOUT};
 
 /// How long a member's process tries before it answers that it does not know.
 const WITHIN: Duration = Duration::from_millis(1_200);
@@ -52,30 +52,30 @@
 /// Not a test of its own: a member with a book, which serves clients.
 #[test]
 fn child_that_is_a_member() {
-    let Ok(told) = std::env::var(CHILD) else { return };
-    let told: Told = serde_json::from_str(&told).expect("what it is told");
+    let Ok(told) = std::env::var(CHILD_VARIABLE) else { return };
+    let told: ChildSettings = serde_json::from_str(&told).expect("what it is told");
     let (store, stored) = Store::open(&told.state).expect("its disk");
     let set = Settings {
         id: MemberId(told.id),
         listen: "127.0.0.1:0".parse().expect("an address"),
         peers: told.peers.iter().map(|(m, at)| (MemberId(*m), *at)).collect(),
-        council: stepspur_consensus::Settings {
-            election: 300_000,
-            heartbeat: 60_000,
-            renew: 120_000,
-            log_max: 32,
+        consensus: stepspur_consensus::Settings {
+            election_timeout: 300_000,
+            heartbeat_interval: 60_000,
+            renewal_interval: 120_000,
+            max_log_entries: 32,
             ..Default::default()
         },
-        wants: Vec::new(),
-        weight: 1.0,
-        within: Duration::from_millis(500),
-        largest_frame: 16 << 20,
+        role_prefixes: Vec::new(),
+        role_weight: 1.0,
+        io_timeout: Duration::from_millis(500),
+        max_frame_bytes: 16 << 20,
     };
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
     runtime.expect("a runtime").block_on(async {
         let life = told.id << 32 | u64::from(std::process::id());
         let books = StateMachineRegistry::new([Box::new(Tally::new(1)) as Box<dyn ReplicatedStateMachine>]);
-        let disk: (Box<dyn Disk>, _) = (Box::new(store), stored);
+        let disk: (Box<dyn Storage>, _) = (Box::new(store), stored);
         let peers = NodeHandle::start_on(Arc::new(Tcp), set, Some(disk), life, books.clone()).await;
         let peers = Arc::new(peers.expect("starts"));
         let shared = ReplicationClient::new(Arc::clone(&peers), books, ProposalLimits::default(), life);
@@ -101,7 +101,7 @@
             Request::Read(name) => sum(stepspur_fault_tests::read(&shared, &name, WITHIN).await),
             Request::Leader => {
                 let status = shared.node().status().await.expect("it runs");
-                Answer::Leader(status.leader.filter(|_| status.votes).map(|m| m.0))
+                Answer::Leader(status.leader.filter(|_| status.is_voter).map(|m| m.0))
             }
         };
         let answer = serde_json::to_string(&answer).expect("a form") + "\n";
@@ -128,7 +128,7 @@
 
 /// Asks members the same thing until one knows: first the one that knew last, then in turn.
 fn until_known(places: &Places, turn: &mut u64, request: &Request) -> Answer {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + TIMEOUT;
     loop {
         match ask(places, 1 + *turn % 3, request) {
             None | Some(Answer::Unknown | Answer::Leader(None)) => *turn += 1,
@@ -173,9 +173,9 @@
 
 #[test]
 fn operations_take_effect_once_whatever_fails_between_processes() {
-    let mut rig = Rig::new(3, &[]);
+    let mut rig = ProcessGroup::new(3, &[]);
     let places = Places::default();
-    let told = |rig: &Rig| (1..=3).map(|m| (m, rig.served(m))).collect::<BTreeMap<_, _>>();
+    let told = |rig: &ProcessGroup| (1..=3).map(|m| (m, rig.client_address(m))).collect::<BTreeMap<_, _>>();
     *places.lock().expect("places") = told(&rig);
     let faults =
         ["leader killed", "leader stopped", "leader unheard", "leader deaf", "all killed", "links down"];
@@ -191,9 +191,9 @@
         match fault {
             "leader killed" => rig.kill(leader),
             "leader stopped" => rig.signal(leader, "-STOP"),
-            "leader unheard" => rig.from(leader, Mode::Silent),
-            "leader deaf" => rig.to(leader, Mode::Silent),
-            "links down" => rig.from(leader, Mode::Down),
+            "leader unheard" => rig.set_outbound(leader, Mode::Silent),
+            "leader deaf" => rig.set_inbound(leader, Mode::Silent),
+            "links down" => rig.set_outbound(leader, Mode::Down),
             _ => {
                 (1..=3).for_each(|m| rig.kill(m));
                 (1..=3).for_each(|m| rig.start(m));
@@ -209,8 +209,8 @@
             }
             "leader stopped" => rig.signal(leader, "-CONT"),
             _ => (1..=3).for_each(|m| {
-                rig.from(m, Mode::Pass);
-                rig.to(m, Mode::Pass);
+                rig.set_outbound(m, Mode::Pass);
+                rig.set_inbound(m, Mode::Pass);
             }),
         }
         let mut history = History::default();
@@ -219,7 +219,7 @@
         assert_eq!(history.judge(), Ok(()), "{fault}");
         // Each member itself, the one that was away as well, comes to exactly what was asked for.
         for member in 1..=3 {
-            let end = Instant::now() + PATIENCE;
+            let end = Instant::now() + TIMEOUT;
             let found = loop {
                 match ask(&places, member, &Request::Read(fault.to_owned())) {
                     Some(Answer::Sum(found)) => break found,
--- a/crates/stepspur-replication/src/client.rs
+++ b/crates/stepspur-replication/src/client.rs
@@ -195,7 +195,7 @@
     /// Repeats the proposal until it is applied here; the id makes it take effect once. `None` if the node has ended.
     async fn propose_until_applied(&self, command: &Bytes, waiter: &mut OutcomeWaiter) -> Option<Outcome> {
         loop {
-            self.node.command(command.clone()).await.ok()?;
+            self.node.propose_command(command.clone()).await.ok()?;
             if let Ok(outcome) = timeout(self.limits.retry_interval, waiter.outcome()).await {
                 return outcome;
             }
@@ -217,7 +217,7 @@
         let index = timeout_at(deadline, self.read_index()).await;
         let index = index.map_err(|_| ReplicationError::NoLeader)??;
         let mut progress = self.node.applied();
-        let reached = progress.wait_for(|progress| progress.index >= index || progress.stopped.is_some());
+        let reached = progress.wait_for(|progress| progress.index >= index || progress.halt_reason.is_some());
         let reached = timeout_at(deadline, reached).await;
         reached.map_err(|_| ReplicationError::NoLeader)?.map_err(|_| ReplicationError::NoLeader)?;
         self.check_running()?;
@@ -262,7 +262,7 @@
     }
 
     fn check_running(&self) -> Result<(), ReplicationError> {
-        match &self.node.applied().borrow().stopped {
+        match &self.node.applied().borrow().halt_reason {
             Some(reason) => Err(ReplicationError::Stopped(reason.clone())),
             None => Ok(()),
         }
