--- a/src/policy/health_check.rs
+++ b/src/policy/health_check.rs
@@ -74,13 +74,31 @@
     }
 }
 
+/// What probes show about the fleet.
+#[derive(Default)]
+pub(super) struct FleetProbes {
+    /// Ratio of recent probes that ready servers rejected.
+    rejected_ratio: f64,
+}
+
+impl FleetProbes {
+    /// True: most probes of late were rejected, so that servers are likely full.
+    pub(super) fn show_full_servers(&self) -> bool {
+        self.rejected_ratio > FULL_REJECTED_RATIO
+    }
+
+    fn record(&mut self, outcome: ProbeOutcome) {
+        let rejected = if outcome == ProbeOutcome::Rejected { 1.0 } else { 0.0 };
+        self.rejected_ratio += REJECTED_RATIO_GAIN * (rejected - self.rejected_ratio);
+    }
+}
+
 impl Policy {
     /// Records a probe's result, and probes a suspect server sooner.
     pub(super) fn learn_probe(&mut self, server: ServerId, outcome: ProbeOutcome) {
         let Some(server) = self.servers.get_mut(&server) else { return };
         if server.is_ready() {
-            let rejected = if outcome == ProbeOutcome::Rejected { 1.0 } else { 0.0 };
-            self.rejected_probe_ratio += REJECTED_RATIO_GAIN * (rejected - self.rejected_probe_ratio);
+            self.fleet_probes.record(outcome);
         }
         server.health.record(outcome);
         if server.health.is_suspect() {
@@ -102,11 +120,6 @@
         self.now + (self.servers.len() as u64 * ROUND_PERIOD) % MIN_PROBE_INTERVAL
     }
 
-    /// True: most probes of late were rejected, so that servers are likely full.
-    pub(super) fn probes_show_full_servers(&self) -> bool {
-        self.rejected_probe_ratio > FULL_REJECTED_RATIO
-    }
-
     /// Takes servers out of service whose probes fail, and brings back those whose probes succeed again.
     ///
     /// Guards against servers that are gone, silent or unreachable from here. Reports that show responses
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -250,8 +250,8 @@
         let errors = f64::from(report.errors).min(attempts);
         let success_latency = (attempts - errors) * report.latency as f64 / objective;
         let stats = server.zone_stats.entry(report.zone).or_default();
-        let kept = decay(self.now - stats.updated_at);
-        stats.add(kept, &AttemptCounts { attempts, errors, success_latency });
+        let retained = decay(self.now - stats.updated_at);
+        stats.add(retained, &AttemptCounts { attempts, errors, success_latency });
         stats.updated_at = self.now;
     }
 
--- a/src/policy/locality.rs
+++ b/src/policy/locality.rs
@@ -84,11 +84,11 @@
     fn next_loan(&self, weights: &SubsetWeights) -> Option<Transfer> {
         let borrower = self.neediest_borrower(weights)?;
         let utilization = weights.utilization(borrower);
-        let zone = self.zone_of(borrower);
-        let lender = self.best_lender(borrower, weights)?;
         if utilization <= BORROW_ABOVE_RATIO {
             return None;
         }
+        let zone = self.zone_of(borrower);
+        let lender = self.best_lender(borrower, weights)?;
         let held = || {
             let members = self.servers.values().filter(move |server| server.subset == lender);
             members.filter(|server| self.usable_weight(server) > 0.0)
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -31,7 +31,9 @@
 use admission::AdmissionController;
 use channel::ChannelQueue;
 use endpoints::DiscoveryPolling;
+use health_check::FleetProbes;
 use load::{FleetLoad, UpstreamReport};
+use outlier_detection::OutlierDetection;
 use proxy::Proxy;
 use server::Server;
 use sharding::Shard;
@@ -64,9 +66,8 @@
 
     discovery: DiscoveryPolling,
     load: FleetLoad,
-    /// Ratio of recent probes that ready servers rejected.
-    rejected_probe_ratio: f64,
-    outlier_weights_updated_at: Micros,
+    fleet_probes: FleetProbes,
+    outlier_detection: OutlierDetection,
     admission: AdmissionController,
     /// True: tables are by zone; false: all proxies share one.
     zone_aware: bool,
@@ -92,8 +93,8 @@
             shards: BTreeMap::new(),
             discovery: DiscoveryPolling::start(first_poll_at),
             load: FleetLoad::new(),
-            rejected_probe_ratio: 0.0,
-            outlier_weights_updated_at: 0,
+            fleet_probes: FleetProbes::default(),
+            outlier_detection: OutlierDetection::default(),
             admission: AdmissionController::default(),
             zone_aware: false,
             channel: ChannelQueue::default(),
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -33,6 +33,13 @@
 /// Least interval between updates of the outlier weights.
 const OUTLIER_WEIGHT_INTERVAL: Micros = 1_000_000;
 
+/// State of outlier detection beside each server's.
+#[derive(Default)]
+pub(super) struct OutlierDetection {
+    /// When the outlier weights were last updated.
+    weights_updated_at: Micros,
+}
+
 /// Servers that the subsets of a zone hold.
 #[derive(Default)]
 struct ZoneServers {
@@ -109,10 +116,10 @@
     pub(super) fn update_outlier_weights(&mut self) {
         let median = self.load.current_latency_ratio;
         let interval = self.settings.report_period.max(OUTLIER_WEIGHT_INTERVAL);
-        if median == 0.0 || self.now < self.outlier_weights_updated_at + interval {
+        if median == 0.0 || self.now < self.outlier_detection.weights_updated_at + interval {
             return;
         }
-        self.outlier_weights_updated_at = self.now;
+        self.outlier_detection.weights_updated_at = self.now;
         let recent_since = self.load.recent_since(self.now);
         for server in self.servers.values_mut() {
             let target = target_outlier_weight(server, median, recent_since);
--- a/src/policy/publish.rs
+++ b/src/policy/publish.rs
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Assigns connected proxies to their tables, as long as the channel has room. No proxy is assigned to an
+    /// Assigns connected proxies to their tables, as long as the channel has capacity. No proxy is assigned to an
     /// empty table.
     pub(super) fn assign_tables(&mut self) {
         for proxy in self.unassigned_proxies.clone() {
--- a/src/policy/server.rs
+++ b/src/policy/server.rs
@@ -13,7 +13,7 @@
     pub(super) subset: TableId,
     /// What the proxies of each zone measured at it.
     pub(super) zone_stats: BTreeMap<ZoneId, ZoneStats>,
-    /// True: proxies were told to avoid it, whatever their tables say.
+    /// True: it is ejected at the proxies, whatever their tables say.
     pub(super) ejected_at_proxies: bool,
     /// Start of its slow start, which may lie ahead; 0: it has full weight.
     pub(super) slow_start_at: Micros,
@@ -100,11 +100,11 @@
 }
 
 impl ZoneStats {
-    /// Adds a report; of the sums so far the ratio `kept` remains.
-    pub(super) fn add(&mut self, kept: f64, report: &AttemptCounts) {
-        self.attempts = self.attempts * kept + report.attempts;
-        self.errors = self.errors * kept + report.errors;
-        self.success_latency = self.success_latency * kept + report.success_latency;
+    /// Adds a report; of the sums so far the ratio `retained` remains.
+    pub(super) fn add(&mut self, retained: f64, report: &AttemptCounts) {
+        self.attempts = self.attempts * retained + report.attempts;
+        self.errors = self.errors * retained + report.errors;
+        self.success_latency = self.success_latency * retained + report.success_latency;
         if report.errors >= report.attempts {
             self.consecutive_failures += report.attempts;
         } else {
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -61,13 +61,13 @@
     ///
     /// Guards against pushing warming servers over while the fleet is overloaded, or may be: probes show full
     /// servers, or reports came late. Cost: a release under overload regains its capacity later; ends where
-    /// warming servers can bear what is admitted ([`Policy::warming_servers_suffice`]).
+    /// warming servers can serve what is admitted ([`Policy::warming_servers_suffice`]).
     pub(super) fn is_held_back(&self, server: &Server, zone: ZoneId) -> bool {
         if self.admission.warming_servers_suffice {
             return false;
         }
         let overload_likely = self.load.latency_ratio > OVERLOADED_LATENCY_RATIO
-            || self.probes_show_full_servers()
+            || self.fleet_probes.show_full_servers()
             || self.now < self.load.late_reports_until;
         if overload_likely && self.is_below_warm_up(server, OVERLOAD_WARM_UP_RATIO) {
             return true;
@@ -97,7 +97,7 @@
         ratio.min(safe_load / load_per_weight.max(1e-9)).max(MIN_WARMING_WEIGHT_RATIO)
     }
 
-    /// True: warming servers can bear their part of the admitted ratio of requests, at their initial capacity
+    /// True: warming servers can serve their part of the admitted ratio of requests, at their initial capacity
     /// and measured by the peak goodput.
     ///
     /// Guards against a deadlock: servers that all conductors hold back because the rest are overloaded keep
