--- a/src/policy/publish.rs
+++ b/src/policy/publish.rs
@@ -137,8 +137,8 @@
         }
     }
 
-    /// Assigns connected proxies to their tables, as long as the channel has capacity. No proxy is assigned to an
-    /// empty table.
+    /// Assigns connected proxies to their tables, as long as the channel has capacity. No proxy is assigned
+    /// to an empty table.
     pub(super) fn assign_tables(&mut self) {
         for proxy in self.unassigned_proxies.clone() {
             let id = self.table_of(self.proxies[&proxy].subset);
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -97,8 +97,8 @@
         ratio.min(safe_load / load_per_weight.max(1e-9)).max(MIN_WARMING_WEIGHT_RATIO)
     }
 
-    /// True: warming servers can serve their part of the admitted ratio of requests, at their initial capacity
-    /// and measured by the peak goodput.
+    /// True: warming servers can serve their part of the admitted ratio of requests, at their initial
+    /// capacity and measured by the peak goodput.
     ///
     /// Guards against a deadlock: servers that all conductors hold back because the rest are overloaded keep
     /// the rest overloaded. Cost: a wrong goodput exposes warming servers; their weight stays bounded.
