--- a/crates/stepspur-conductor/tests/common/mod.rs
+++ b/crates/stepspur-conductor/tests/common/mod.rs
@@ -1,8 +1,8 @@
-//! What the engine's and the service's tests share: small settings and a list.
+//! Settings, endpoint lists and helpers that the engine's and the service's tests share.
 #![allow(dead_code)]
 
 pub(crate) mod closing;
-pub(crate) mod day;
+pub(crate) mod engine_harness;
 pub(crate) mod peer;
 pub(crate) mod rules;
 
@@ -15,6 +15,7 @@
 use stepspur_conductor::engine::{DiscoveredEndpoint, ProbeTarget};
 use stepspur_proto::{FromProxy, VERSION, from_proxy, v1};
 
+/// Settings of a small deployment with two zones and two classes.
 pub(crate) fn config() -> Config {
     let class = |name: &str, effect| ClassConfig {
         name: name.into(),
@@ -61,18 +62,19 @@
     }
 }
 
+/// The address of the server of this index.
 pub(crate) fn address(k: usize) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 9000 + k as u16))
 }
 
-/// What a probe is sent to of a server that started then.
+/// The target of a probe of a server that started at `started`.
 pub(crate) fn probe_target(k: usize, started: u64) -> ProbeTarget {
     let address = address(k);
     let [high, low] = address.port().to_be_bytes();
     ProbeTarget { server: ServerId([127, 0, 0, 1, high, low]), address, started }
 }
 
-/// Servers of both zones in turn, all ready and warm.
+/// Servers alternating between the two zones, all ready and warm.
 pub(crate) fn nodes(count: usize) -> Vec<DiscoveredEndpoint> {
     let zone = |k: usize| ["a", "b"][k % 2].to_owned();
     let entry = |k| DiscoveredEndpoint {
@@ -86,6 +88,7 @@
     (0..count).map(entry).collect()
 }
 
+/// A proxy's first frame.
 pub(crate) fn hello(name: &str, zone: &str) -> FromProxy {
     let hello = v1::Hello {
         version: VERSION,
@@ -97,10 +100,12 @@
     FromProxy::new(0, 0, from_proxy::Kind::Hello(hello))
 }
 
+/// The addresses of the first servers.
 pub(crate) fn all(count: usize) -> BTreeSet<SocketAddr> {
     (0..count).map(address).collect()
 }
 
+/// The entries, one of them with another state.
 pub(crate) fn with_state(
     mut entries: Vec<DiscoveredEndpoint>,
     k: usize,
--- a/crates/stepspur-conductor/tests/common/peer.rs
+++ b/crates/stepspur-conductor/tests/common/peer.rs
@@ -1,4 +1,4 @@
-//! A conductor on loopback, a file of servers, and a proxy that does as the protocol says.
+//! A conductor on loopback, a node list file, and a proxy that follows the protocol.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
 
 pub(crate) const LONG: Duration = Duration::from_secs(10);
 
-/// A file of servers that goes with the test.
+/// A node list file that is removed with the test.
 pub(crate) struct Nodes(pub PathBuf);
 
 impl Nodes {
@@ -29,7 +29,7 @@
         nodes
     }
 
-    /// In one step, as an operator should: a reader sees the old text or the new.
+    /// Replaces the file atomically, as an operator should: a reader sees the old text or the new one.
     pub(crate) fn write(&self, text: &str) {
         let beside = self.0.with_extension("new");
         std::fs::write(&beside, text).unwrap();
@@ -61,19 +61,20 @@
     Conductor::start(config, Box::new(source)).await.unwrap()
 }
 
-/// A proxy that keeps its table as the protocol says and answers marks.
+/// A proxy that keeps its table as the protocol says and acknowledges updates.
 pub(crate) struct Proxy {
     pub frames: Framed<TcpStream, Frames<FromConductor, FromProxy>>,
     epoch: u64,
     pub held: BTreeSet<SocketAddr>,
-    /// The rules that it is checked by, and the number of its stream there.
+    /// The rules that check it, and its stream's number there.
     checked: Option<(Checker, u64)>,
 }
 
-/// The rules of a test's proxies, shared by them.
+/// The rules that all proxies of a test share.
 pub(crate) type Checker = Arc<Mutex<Rules>>;
 
-/// The rules for servers that are all ready. Sockets take the machine's time, so every grace is ten times as long.
+/// The rules for servers that are all ready. Sockets run in real time, so the grace periods are ten times as
+/// long.
 pub(crate) fn checker(servers: usize) -> Checker {
     let mut set = config();
     for grace in [&mut set.fleet.drain_grace, &mut set.fleet.unserved_max] {
@@ -88,7 +89,7 @@
     SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap().as_micros() as u64
 }
 
-/// Waits until nothing of an ended stream is left, and checks the five rules.
+/// Waits until no state of an ended stream is left, checks the five rules and stops the conductor.
 pub(crate) async fn close(conductor: Conductor, rules: Checker) {
     let settled = async {
         loop {
@@ -99,7 +100,7 @@
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    let stats = timeout(LONG, settled).await.expect("all is settled");
+    let stats = timeout(LONG, settled).await.expect("the conductor settles in time");
     rules.lock().unwrap().end(now(), &stats);
     timeout(LONG, conductor.stop()).await.expect("every task ends");
 }
@@ -112,7 +113,7 @@
         Self { frames, epoch: 0, held: BTreeSet::new(), checked: None }
     }
 
-    /// Joins, and is checked by the rules until its stream ends.
+    /// Connects a proxy that the rules check until its stream ends.
     pub(crate) async fn checked(conductor: &Conductor, name: &str, rules: &Checker, key: u64) -> Self {
         let mut proxy = Self::join(conductor, name).await;
         rules.lock().unwrap().joined(key, now());
@@ -120,7 +121,7 @@
         proxy
     }
 
-    /// The next frame, or none at the stream's end.
+    /// The next frame; none at the end of the stream.
     pub(crate) async fn next(&mut self) -> Option<from_conductor::Kind> {
         let frame = timeout(LONG, self.frames.next()).await.expect("a frame in time")?.ok()?;
         self.epoch = frame.epoch;
@@ -153,14 +154,14 @@
         }
     }
 
-    /// Reads until the token of a ping comes back: all that was ordered before has been read.
+    /// Sends a ping and reads until its token comes back: all earlier updates have been read then.
     pub(crate) async fn settle(&mut self) {
         let token = now();
         self.frames.send(FromProxy::new(0, 0, from_proxy::Kind::Ping(v1::Ping { token }))).await.unwrap();
         while self.next().await != Some(from_conductor::Kind::Pong(v1::Pong { token })) {}
     }
 
-    /// The reason of the goodbye that ends the stream.
+    /// Reads to the end of the stream; the reason of the last message.
     pub(crate) async fn end(&mut self) -> Option<v1::Reason> {
         let mut reason = None;
         while let Some(kind) = self.next().await {
--- a/crates/stepspur-conductor/tests/engine.rs
+++ b/crates/stepspur-conductor/tests/engine.rs
@@ -1,10 +1,10 @@
-//! The engine through its public door: events with their time in, outputs out.
+//! The engine through its public interface, in virtual time.
 
 mod common;
 
 use std::collections::BTreeSet;
 
-use common::day::{Day, EPOCH, SECOND};
+use common::engine_harness::{EPOCH, EngineHarness, SECOND};
 use common::{address, all, config, hello, nodes, probe_target, with_state};
 use proptest::prelude::*;
 use stepspur::interface::{EndpointState, ListUpdate, ProbeOutcome};
@@ -12,115 +12,120 @@
 use stepspur_proto::{FromProxy, from_proxy, split_frame, v1};
 
 #[test]
-fn a_proxy_is_bound_and_a_drain_reaches_it() {
-    let mut day = Day::new(config());
-    day.list(ListUpdate::Full, nodes(4));
-    day.join(1, "p", "a");
-    day.run(SECOND);
-    assert_eq!(day.names(1), all(4), "below the switch all share one table");
-    day.list(ListUpdate::Delta, vec![with_state(nodes(4), 2, EndpointState::Draining)[2].clone()]);
-    day.run(SECOND / 10);
-    assert!(!day.names(1).contains(&address(2)));
-    assert_eq!(day.engine.stats().pending_acks, 0, "all marks were answered");
-    day.close();
+fn a_connected_proxy_gets_its_table_and_a_drain() {
+    let mut harness = EngineHarness::new(config());
+    harness.change_list(ListUpdate::Full, nodes(4));
+    harness.connect(1, "p", "a");
+    harness.run_for(SECOND);
+    assert_eq!(harness.usable_servers(1), all(4), "small deployments share one table");
+    harness.change_list(ListUpdate::Delta, vec![with_state(nodes(4), 2, EndpointState::Draining)[2].clone()]);
+    harness.run_for(SECOND / 10);
+    assert!(!harness.usable_servers(1).contains(&address(2)));
+    assert_eq!(harness.engine.stats().pending_acks, 0, "all updates were acknowledged");
+    harness.finish();
 }
 
-/// All proxies join within 100 ms: each is bound, within the pace, and no more lines wait than may.
+/// All proxies connect within 100 ms: each gets a table at the channel's pace, and the queue stays within its
+/// limit.
 #[test]
-fn a_join_storm_is_paced_and_leaves_nobody_bare() {
+fn a_connection_storm_is_paced_and_every_proxy_gets_a_table() {
     let mut config = config();
     config.fleet.proxies = 600;
     config.channel.lines_per_s = 20_000.0;
     config.channel.waiting_max = 40_000.0;
-    let mut day = Day::new(config);
-    day.list(ListUpdate::Full, nodes(30));
+    let mut harness = EngineHarness::new(config);
+    harness.change_list(ListUpdate::Full, nodes(30));
     for k in 0..600 {
-        day.join(k, &format!("p{k}"), ["a", "b"][k as usize % 2]);
-        day.run(100_000 / 600);
+        harness.connect(k, &format!("p{k}"), ["a", "b"][k as usize % 2]);
+        harness.run_for(100_000 / 600);
     }
-    day.run(2 * SECOND);
-    assert!((0..600).all(|k| !day.names(k).is_empty()));
-    let stats = day.engine.stats();
+    harness.run_for(2 * SECOND);
+    assert!((0..600).all(|k| !harness.usable_servers(k).is_empty()));
+    let stats = harness.engine.stats();
     assert!(stats.channel.peak_lines <= 40_000.0 && stats.unassigned == 0, "{stats:?}");
-    day.close();
+    harness.finish();
 }
 
 #[test]
-fn of_two_streams_with_one_name_the_newer_wins_and_the_older_is_told() {
-    let mut day = Day::new(config());
-    day.list(ListUpdate::Full, nodes(4));
-    day.join(1, "p", "a");
-    day.run(SECOND);
-    day.join(2, "p", "a");
-    day.run(SECOND);
-    assert_eq!(day.closed, [(StreamId(1), v1::Reason::Replaced)]);
-    assert_eq!(day.names(2), all(4));
-    assert_eq!((day.engine.stats().connected, day.engine.stats().known_proxies), (1, 1));
-    // The end of the old stream is no news of the new one.
-    day.engine.handle(day.now, Input::StreamEnded { stream: StreamId(1) });
-    day.run(SECOND);
-    assert_eq!(day.engine.stats().connected, 1);
-    day.close();
+fn the_newer_of_two_streams_with_one_name_replaces_the_older() {
+    let mut harness = EngineHarness::new(config());
+    harness.change_list(ListUpdate::Full, nodes(4));
+    harness.connect(1, "p", "a");
+    harness.run_for(SECOND);
+    harness.connect(2, "p", "a");
+    harness.run_for(SECOND);
+    assert_eq!(harness.closed, [(StreamId(1), v1::Reason::Replaced)]);
+    assert_eq!(harness.usable_servers(2), all(4));
+    assert_eq!((harness.engine.stats().connected, harness.engine.stats().known_proxies), (1, 1));
+    // The end of the older stream does not concern the newer one.
+    harness.engine.handle(harness.now, Input::StreamEnded { stream: StreamId(1) });
+    harness.run_for(SECOND);
+    assert_eq!(harness.engine.stats().connected, 1);
+    harness.finish();
 }
 
-/// Without the time limit one silent proxy would hold up the ordinary changes of all.
+/// Without the time limit one silent proxy would delay the ordinary changes of all.
 #[test]
-fn a_mark_that_is_never_answered_ends_its_stream_alone() {
-    let mut day = Day::new(config());
-    day.list(ListUpdate::Full, nodes(4));
-    (1..4).for_each(|k| day.join(k, &format!("p{k}"), "a"));
-    day.answers = false;
-    day.run(SECOND);
-    let owed = std::mem::take(&mut day.marks);
-    assert!(owed.iter().any(|(s, _)| s.0 == 2));
-    owed.into_iter().filter(|(s, _)| s.0 != 2).for_each(|(s, mark)| day.answer(s, mark, EPOCH));
-    day.answers = true;
-    day.run(10 * SECOND);
-    assert_eq!(day.closed, [(StreamId(2), v1::Reason::Slow)]);
-    assert_eq!((day.engine.stats().connected, day.engine.stats().pending_acks), (2, 0));
-    day.close();
+fn a_missing_acknowledgement_closes_only_its_stream() {
+    let mut harness = EngineHarness::new(config());
+    harness.change_list(ListUpdate::Full, nodes(4));
+    (1..4).for_each(|k| harness.connect(k, &format!("p{k}"), "a"));
+    harness.acknowledges = false;
+    harness.run_for(SECOND);
+    let unacknowledged = std::mem::take(&mut harness.unacknowledged);
+    assert!(unacknowledged.iter().any(|(s, _)| s.0 == 2));
+    unacknowledged
+        .into_iter()
+        .filter(|(s, _)| s.0 != 2)
+        .for_each(|(s, mark)| harness.acknowledge(s, mark, EPOCH));
+    harness.acknowledges = true;
+    harness.run_for(10 * SECOND);
+    assert_eq!(harness.closed, [(StreamId(2), v1::Reason::Slow)]);
+    assert_eq!((harness.engine.stats().connected, harness.engine.stats().pending_acks), (2, 0));
+    harness.finish();
 }
 
-/// After a pause of its own the answers wait unread: without the guard all proxies would be cut off at once.
+/// After the engine was suspended, acknowledgements wait unread: without the extended deadline all streams
+/// would be closed at once.
 #[test]
-fn a_conductor_that_stood_still_blames_nobody() {
-    let mut day = Day::new(config());
-    day.list(ListUpdate::Full, nodes(4));
-    (1..4).for_each(|k| day.join(k, &format!("p{k}"), "a"));
-    day.answers = false;
-    day.run(SECOND);
-    let owed = std::mem::take(&mut day.marks);
-    day.now += 30 * SECOND;
-    day.run(SECOND / 10);
-    owed.into_iter().for_each(|(s, mark)| day.answer(s, mark, EPOCH));
-    day.answers = true;
-    day.run(10 * SECOND);
-    assert_eq!((day.closed.len(), day.engine.stats().connected), (0, 3));
-    day.close();
+fn a_suspended_conductor_closes_no_stream() {
+    let mut harness = EngineHarness::new(config());
+    harness.change_list(ListUpdate::Full, nodes(4));
+    (1..4).for_each(|k| harness.connect(k, &format!("p{k}"), "a"));
+    harness.acknowledges = false;
+    harness.run_for(SECOND);
+    let unacknowledged = std::mem::take(&mut harness.unacknowledged);
+    harness.now += 30 * SECOND;
+    harness.run_for(SECOND / 10);
+    unacknowledged.into_iter().for_each(|(s, mark)| harness.acknowledge(s, mark, EPOCH));
+    harness.acknowledges = true;
+    harness.run_for(10 * SECOND);
+    assert_eq!((harness.closed.len(), harness.engine.stats().connected), (0, 3));
+    harness.finish();
 }
 
-/// A proxy that rejoins may still answer orders of an epoch before: they clear nothing.
+/// A proxy that reconnects may still acknowledge updates of an earlier epoch.
 #[test]
-fn answers_of_an_old_epoch_count_for_nothing() {
-    let mut day = Day::new(config());
-    day.list(ListUpdate::Full, nodes(4));
-    day.answers = false;
+fn acknowledgements_of_an_old_epoch_are_ignored() {
+    let mut harness = EngineHarness::new(config());
+    harness.change_list(ListUpdate::Full, nodes(4));
+    harness.acknowledges = false;
     let mut old = hello("p", "a");
     old.epoch = EPOCH - 1;
-    day.frame(1, old);
-    day.run(SECOND);
-    let (stream, mark) = day.marks[0];
-    day.answer(stream, mark, EPOCH - 1);
-    day.run(1000);
-    assert_eq!(day.engine.stats().pending_acks, 1);
-    day.answer(stream, mark, EPOCH);
-    day.run(1000);
-    assert_eq!(day.engine.stats().pending_acks, 0);
-    day.close();
+    harness.send_frame(1, old);
+    harness.run_for(SECOND);
+    let (stream, mark) = harness.unacknowledged[0];
+    harness.acknowledge(stream, mark, EPOCH - 1);
+    harness.run_for(1000);
+    assert_eq!(harness.engine.stats().pending_acks, 1);
+    harness.acknowledge(stream, mark, EPOCH);
+    harness.run_for(1000);
+    assert_eq!(harness.engine.stats().pending_acks, 0);
+    harness.finish();
 }
 
 #[test]
-fn reports_that_make_no_sense_are_passed_over_with_a_note() {
+fn invalid_reports_are_skipped_and_logged() {
     let met = |k: usize, total, errors, load: Vec<f32>| v1::Met {
         server: Some(address(k).into()),
         total,
@@ -132,7 +137,7 @@
     let sound = report(vec![met(0, 3, 1, vec![1.0, 2.0])], 0, SECOND);
     let none = v1::Met { server: None, ..met(0, 1, 0, vec![]) };
     let port = v1::Server { ip: vec![127, 0, 0, 1].into(), port: 70_000 };
-    // What, the report, its sequence, parts passed over.
+    // What, the report, its sequence number, parts that are skipped.
     let cases = [
         ("sound", sound.clone(), 0, 0),
         ("unknown server", report(vec![met(77, 3, 1, vec![])], 0, SECOND), 0, 1),
@@ -158,81 +163,89 @@
             1,
         ),
     ];
-    for (what, report, sequence, passed_over) in cases {
-        let mut day = Day::new(config());
-        day.list(ListUpdate::Full, nodes(4));
-        day.join(1, "p", "a");
-        day.run(SECOND);
-        day.frame(1, FromProxy::new(EPOCH, sequence, from_proxy::Kind::Report(report)));
-        day.run(SECOND);
-        let notes = day.notes.iter().filter(|n| matches!(n, LogEvent::InvalidReport { .. })).count();
-        assert_eq!((notes, day.engine.stats().invalid_inputs), (passed_over, passed_over as u64), "{what}");
-        assert_eq!((day.engine.stats().connected, day.closed.len()), (1, 0), "{what}: the stream stands");
+    for (what, report, sequence, skipped) in cases {
+        let mut harness = EngineHarness::new(config());
+        harness.change_list(ListUpdate::Full, nodes(4));
+        harness.connect(1, "p", "a");
+        harness.run_for(SECOND);
+        harness.send_frame(1, FromProxy::new(EPOCH, sequence, from_proxy::Kind::Report(report)));
+        harness.run_for(SECOND);
+        let notes = harness.log.iter().filter(|n| matches!(n, LogEvent::InvalidReport { .. })).count();
+        assert_eq!((notes, harness.engine.stats().invalid_inputs), (skipped, skipped as u64), "{what}");
+        assert_eq!(
+            (harness.engine.stats().connected, harness.closed.len()),
+            (1, 0),
+            "{what}: the stream stands"
+        );
     }
 }
 
-/// Without the doubt all proxies would be left bare by a registry that restarts empty.
+/// Without the guard a registry that restarts empty would leave all proxies without servers.
 #[test]
-fn a_list_that_turns_empty_or_lacks_most_is_doubted() {
-    let mut day = Day::new(config());
-    day.list(ListUpdate::Full, nodes(8));
-    day.join(1, "p", "a");
-    day.run(SECOND);
+fn a_list_that_is_empty_or_lacks_most_servers_is_a_suspected_mass_removal() {
+    let mut harness = EngineHarness::new(config());
+    harness.change_list(ListUpdate::Full, nodes(8));
+    harness.connect(1, "p", "a");
+    harness.run_for(SECOND);
     for entries in [vec![], with_state(nodes(3), 1, EndpointState::Draining)] {
-        day.list(ListUpdate::Full, entries);
-        day.run(SECOND);
+        harness.change_list(ListUpdate::Full, entries);
+        harness.run_for(SECOND);
     }
     let left: BTreeSet<_> = all(8).into_iter().filter(|a| *a != address(1)).collect();
-    assert!(day.names(1).iter().all(|a| left.contains(a)) && day.names(1).len() >= 3, "{:?}", day.names(1));
+    assert!(
+        harness.usable_servers(1).iter().all(|a| left.contains(a)) && harness.usable_servers(1).len() >= 3,
+        "{:?}",
+        harness.usable_servers(1)
+    );
     assert_eq!(
-        day.engine.stats().servers,
+        harness.engine.stats().servers,
         ServerCounts { ready: 7, draining: 1, total: 8 },
         "the drain that it names counts at once"
     );
-    day.list(ListUpdate::Full, nodes(3));
-    day.run(40 * SECOND);
-    day.list(ListUpdate::Full, nodes(3));
-    day.run(SECOND);
-    assert_eq!(day.names(1), all(3), "said again for long enough, it is believed");
+    harness.change_list(ListUpdate::Full, nodes(3));
+    harness.run_for(40 * SECOND);
+    harness.change_list(ListUpdate::Full, nodes(3));
+    harness.run_for(SECOND);
+    assert_eq!(harness.usable_servers(1), all(3), "said again for long enough, it is believed");
 }
 
-/// A node that restarts on the same port is cold again: the time of its start tells.
+/// A server that restarts on the same port warms up again: its start time shows it.
 #[test]
-fn a_restart_on_the_same_address_is_a_cold_start() {
-    let mut day = Day::new(config());
-    day.list(ListUpdate::Full, nodes(4));
-    day.join(1, "p", "a");
-    day.run(5 * SECOND);
-    let restarted = DiscoveredEndpoint { started: day.now, ..nodes(4)[1].clone() };
-    day.list(ListUpdate::Delta, vec![restarted]);
-    day.run(SECOND / 2);
-    assert!(!day.names(1).contains(&address(1)), "cold: nothing at first");
-    day.run(4 * SECOND);
-    let weight = day.rules.held(1)[&address(1)];
+fn a_restart_on_the_same_address_is_a_slow_start() {
+    let mut harness = EngineHarness::new(config());
+    harness.change_list(ListUpdate::Full, nodes(4));
+    harness.connect(1, "p", "a");
+    harness.run_for(5 * SECOND);
+    let restarted = DiscoveredEndpoint { started: harness.now, ..nodes(4)[1].clone() };
+    harness.change_list(ListUpdate::Delta, vec![restarted]);
+    harness.run_for(SECOND / 2);
+    assert!(!harness.usable_servers(1).contains(&address(1)), "cold: nothing at first");
+    harness.run_for(4 * SECOND);
+    let weight = harness.rules.held(1)[&address(1)];
     assert!(weight < 0.6, "and then a part: {weight}");
-    day.run(30 * SECOND);
-    assert!(day.rules.held(1)[&address(1)] > 0.9, "warm again");
-    day.close();
+    harness.run_for(30 * SECOND);
+    assert!(harness.rules.held(1)[&address(1)] > 0.9, "warm again");
+    harness.finish();
 }
 
 #[test]
-fn strangers_and_nonsense_are_refused_with_a_reason() {
+fn unknown_callers_and_invalid_frames_are_rejected_with_a_reason() {
     let mut numbered = config();
     numbered.listen.proxies_max = 1;
-    let mut day = Day::new(numbered);
-    day.list(ListUpdate::Full, nodes(2));
+    let mut harness = EngineHarness::new(numbered);
+    harness.change_list(ListUpdate::Full, nodes(2));
     let later = hello_with(|h| h.version = 9);
-    day.frame(1, later);
-    day.frame(2, hello_with(|h| h.name.clear()));
-    day.frame(3, hello_with(|h| h.zone = "nowhere".into()));
-    day.frame(4, FromProxy::new(0, 0, from_proxy::Kind::Applied(v1::Applied::default())));
-    day.join(5, "p", "a");
-    day.join(6, "q", "a");
-    day.frame(5, hello("p", "a"));
-    day.frame(7, FromProxy::default());
-    day.run(SECOND);
+    harness.send_frame(1, later);
+    harness.send_frame(2, hello_with(|h| h.name.clear()));
+    harness.send_frame(3, hello_with(|h| h.zone = "nowhere".into()));
+    harness.send_frame(4, FromProxy::new(0, 0, from_proxy::Kind::Applied(v1::Applied::default())));
+    harness.connect(5, "p", "a");
+    harness.connect(6, "q", "a");
+    harness.send_frame(5, hello("p", "a"));
+    harness.send_frame(7, FromProxy::default());
+    harness.run_for(SECOND);
     use v1::Reason::*;
-    let reasons: Vec<_> = day.closed.iter().map(|(s, r)| (s.0, *r)).collect();
+    let reasons: Vec<_> = harness.closed.iter().map(|(s, r)| (s.0, *r)).collect();
     assert_eq!(
         reasons,
         [(1, Version), (2, BadMessage), (3, UnknownZone), (4, BadMessage), (6, Full), (5, BadMessage)]
@@ -247,19 +260,20 @@
     frame
 }
 
-/// A table beyond the largest frame cannot be sent: that stream ends with the reason, the engine goes on.
+/// A table larger than the largest frame cannot be sent: the stream is closed with the reason, the engine
+/// continues.
 #[test]
-fn a_table_beyond_the_largest_frame_ends_its_stream() {
+fn a_table_larger_than_the_largest_frame_closes_its_stream() {
     let mut small = config();
     (small.listen.largest_frame, small.listen.largest_first_frame) = (1024, 1024);
-    let mut day = Day::new(small);
-    day.list(ListUpdate::Full, nodes(7));
-    day.join(1, "p", "a");
-    day.run(SECOND);
-    assert!(day.closed.is_empty() && !day.names(1).is_empty());
-    day.list(ListUpdate::Delta, nodes(200).split_off(7));
-    day.run(SECOND);
-    assert_eq!(day.closed, [(StreamId(1), v1::Reason::BadFrame)]);
+    let mut harness = EngineHarness::new(small);
+    harness.change_list(ListUpdate::Full, nodes(7));
+    harness.connect(1, "p", "a");
+    harness.run_for(SECOND);
+    assert!(harness.closed.is_empty() && !harness.usable_servers(1).is_empty());
+    harness.change_list(ListUpdate::Delta, nodes(200).split_off(7));
+    harness.run_for(SECOND);
+    assert_eq!(harness.closed, [(StreamId(1), v1::Reason::BadFrame)]);
 }
 
 #[derive(Clone, Debug)]
@@ -285,14 +299,14 @@
 }
 
 fn play(steps: &[Step]) -> Vec<Output> {
-    let mut day = Day::new(config());
+    let mut harness = EngineHarness::new(config());
     for step in steps.iter().cloned() {
         match step {
-            Step::Join(s, p) => day.join(s, &format!("p{p}"), ["a", "b"][usize::from(p) % 2]),
-            Step::End(s) => day.engine.handle(day.now, Input::StreamEnded { stream: StreamId(s) }),
+            Step::Join(s, p) => harness.connect(s, &format!("p{p}"), ["a", "b"][usize::from(p) % 2]),
+            Step::End(s) => harness.engine.handle(harness.now, Input::StreamEnded { stream: StreamId(s) }),
             Step::Frame(s, bytes) => {
                 if let Ok(frame) = prost_decode(&bytes) {
-                    day.frame(s, frame);
+                    harness.send_frame(s, frame);
                 }
             }
             Step::List(entries) => {
@@ -301,25 +315,25 @@
                 };
                 let entry =
                     |(k, s): (u8, u8)| with_state(nodes(12), k.into(), state(s)).swap_remove(k.into());
-                day.list(ListUpdate::Full, entries.into_iter().map(entry).collect());
+                harness.change_list(ListUpdate::Full, entries.into_iter().map(entry).collect());
             }
             Step::Probe(k, ok) => {
                 let outcome = if ok { ProbeOutcome::Ok } else { ProbeOutcome::Timeout };
                 let target = probe_target(k.into(), 0);
                 let probed = Input::ProbeResult { target, outcome, latency: 5, load: vec![] };
-                day.engine.handle(day.now, probed);
+                harness.engine.handle(harness.now, probed);
             }
-            Step::Wait(span) => day.run(span),
+            Step::Wait(span) => harness.run_for(span),
         }
-        let stats = day.engine.stats();
+        let stats = harness.engine.stats();
         assert!(
             stats.channel.pending_lines >= 0.0
                 && stats.connected <= 40
                 && stats.unassigned <= stats.connected
         );
     }
-    day.run(SECOND);
-    day.outputs
+    harness.run_for(SECOND);
+    harness.outputs
 }
 
 fn prost_decode(body: &[u8]) -> Result<FromProxy, stepspur_proto::FrameError> {
@@ -331,9 +345,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(64) })]
 
-    /// No clock, no chance: the same events at the same times give the same outputs, whatever they are.
+    /// The engine has no clock and no randomness of its own: the same inputs at the same times give the same
+    /// outputs.
     #[test]
-    fn the_same_events_give_the_same_orders(steps in steps()) {
+    fn the_same_inputs_give_the_same_outputs(steps in steps()) {
         prop_assert_eq!(play(&steps), play(&steps));
     }
 }
