--- a/crates/stepspur-consensus-node/src/config.rs
+++ b/crates/stepspur-consensus-node/src/config.rs
@@ -90,9 +90,10 @@
 }
 
 fn is_loopback(address: &SocketAddr, (): &()) -> garde::Result {
-    match address.ip().is_loopback() {
-        true => Ok(()),
-        false => Err(garde::Error::new("must be a loopback address: peers carry no identity yet")),
+    if address.ip().is_loopback() {
+        Ok(())
+    } else {
+        Err(garde::Error::new("must be a loopback address: peers carry no identity yet"))
     }
 }
 
@@ -146,7 +147,7 @@
     }
 
     /// Starts the member, without replicated state beside the roles. If its state file cannot be used, that
-    /// is logged, and the member only follows: the conductor goes on. Random numbers come from `seed`.
+    /// is logged, and the member only follows: the conductor still runs. Random numbers come from `seed`.
     ///
     /// # Errors
     /// See [`StartError`].
--- a/crates/stepspur-consensus-node/src/schema/member.rs
+++ b/crates/stepspur-consensus-node/src/schema/member.rs
@@ -10,8 +10,7 @@
     match message {
         PeerMessage::Raft(message) => raft::encode(message),
         PeerMessage::RenewLeases { request, last_answered, weight, role_prefixes } => {
-            let (number, heard, wants) = (request, last_answered, role_prefixes);
-            Kind::Renew(v1::PeerRenew { number, weight, wants, heard })
+            Kind::Renew(v1::PeerRenew { number: request, weight, wants: role_prefixes, heard: last_answered })
         }
         PeerMessage::LeasesRenewed { request, applied } => {
             Kind::Renewed(v1::PeerRenewed { number: request, applied: applied.0 })
@@ -30,8 +29,8 @@
             Kind::Fetched(v1::PeerFetched { entries, leader: encode_leader(leader) })
         }
         PeerMessage::CommittedState { index, state, leader } => {
-            let (index, leader) = (index.0, encode_leader(leader));
-            Kind::FetchedState(v1::PeerFetchedState { index, state, leader })
+            let leader = encode_leader(leader);
+            Kind::FetchedState(v1::PeerFetchedState { index: index.0, state, leader })
         }
     }
 }
--- a/crates/stepspur-consensus-node/src/startup.rs
+++ b/crates/stepspur-consensus-node/src/startup.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use stepspur_consensus::{Member, MemberId, PersistentState, StateMachine};
+use stepspur_consensus::{Member, MemberConfig, MemberId, Micros, PersistentState, StateMachine};
 use tokio::sync::{mpsc, watch};
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
@@ -23,7 +23,7 @@
 /// The most messages, and the most requests, that wait for the member's task; further senders wait.
 const QUEUE_CAPACITY: usize = 1_024;
 /// The member's clock starts with it.
-const STARTED_AT: stepspur_consensus::Micros = 0;
+const STARTED_AT: Micros = 0;
 
 /// The tasks of a running member, and the ends of their channels that its handle needs.
 pub(crate) struct RunningMember {
@@ -98,9 +98,13 @@
     seed: u64,
     state: S,
 ) -> Member<S> {
-    let voters = settings.peers.keys().copied().collect();
-    let consensus = settings.consensus.clone();
-    let mut member = Member::with_state(settings.id, stored, voters, consensus, seed, STARTED_AT, state);
+    let config = MemberConfig {
+        id: settings.id,
+        initial_voters: settings.peers.keys().copied().collect(),
+        settings: settings.consensus.clone(),
+        seed,
+    };
+    let mut member = Member::with_state(config, stored, STARTED_AT, state);
     member.set_role_preferences(settings.role_prefixes.clone(), settings.role_weight);
     member
 }
--- a/crates/stepspur-consensus-node/tests/common/log.rs
+++ b/crates/stepspur-consensus-node/tests/common/log.rs
@@ -1,5 +1,5 @@
-//! What the project's own code logs in this test process, for tests that wait for a line of it.
-#![allow(dead_code, reason = "not every test that has this module waits in both ways")]
+//! The log of the project's crates in this test process, for tests that wait for a line.
+#![allow(dead_code, reason = "not every test uses both kinds of waits")]
 
 use std::fmt::{Debug, Write as _};
 use std::sync::LazyLock;
@@ -9,43 +9,43 @@
 use tracing::span::{Attributes, Id, Record};
 use tracing::{Event, Level, Metadata, Subscriber};
 
-/// All lines of this process so far: tests that run side by side write to the same log.
+/// All lines of this process so far: concurrent tests write to the same log.
 static LINES: LazyLock<watch::Sender<Vec<String>>> = LazyLock::new(|| {
-    tracing::subscriber::set_global_default(Recorder).expect("nobody else records");
+    tracing::subscriber::set_global_default(Recorder).expect("the only subscriber");
     watch::Sender::default()
 });
 
-/// A reader of the log. It waits without a bound, so its waits belong under a timeout.
+/// A reader of the log. Its waits are unbounded, so they belong under a timeout.
 pub(crate) struct Log {
     lines: watch::Receiver<Vec<String>>,
-    /// Lines that it has read, or that were there before it.
+    /// Lines that it has read, or that were written before it started.
     read: usize,
 }
 
 impl Log {
-    /// Reads from here on.
+    /// Reads the lines from now on.
     pub(crate) fn follow() -> Self {
         let lines = LINES.subscribe();
         let read = lines.borrow().len();
         Self { lines, read }
     }
 
-    /// Waits for a line, whatever it says, and counts all that are there as read.
+    /// Waits for any line, and skips all lines up to it.
     pub(crate) async fn next(&mut self) {
         let read = self.read;
         let lines = self.lines.wait_for(|lines| lines.len() > read).await.expect("it is recorded");
         self.read = lines.len();
     }
 
-    /// Waits for the next line that holds all of these words.
+    /// Waits for the next line that contains all of these words.
     pub(crate) async fn next_with(&mut self, words: &[&str]) -> String {
         let read = self.read;
         let holds = |line: &String| words.iter().all(|word| line.contains(word));
         let found = |lines: &Vec<String>| lines[read..].iter().any(holds);
         let lines = self.lines.wait_for(found).await.expect("it is recorded");
-        let place = lines[read..].iter().position(holds).expect("it was found") + read;
-        self.read = place + 1;
-        lines[place].clone()
+        let position = lines[read..].iter().position(holds).expect("it was found") + read;
+        self.read = position + 1;
+        lines[position].clone()
     }
 }
 
--- a/crates/stepspur-consensus-node/tests/shutdown.rs
+++ b/crates/stepspur-consensus-node/tests/shutdown.rs
@@ -54,7 +54,8 @@
 /// Waits until a member's status meets a condition. It is checked whenever the member has applied more, or
 /// has logged something, as it does for each change of its term or leader.
 async fn wait_for(node: &NodeHandle, what: &str, condition: impl Fn(&Status) -> bool) -> Status {
-    let (mut log, mut applied) = (Log::follow(), node.applied());
+    let mut log = Log::follow();
+    let mut applied = node.applied();
     let end = Instant::now() + TIMEOUT;
     loop {
         applied.mark_unchanged();
--- a/crates/stepspur-consensus-storage/src/state_file.rs
+++ b/crates/stepspur-consensus-storage/src/state_file.rs
@@ -34,7 +34,7 @@
     lock(file.map_err(|source| StorageError::Io { operation: Operation::Create, source })?)
 }
 
-/// Gives a complete file its name, durably, and never in place of another file.
+/// Gives a complete file its name, durably, and never replaces another file.
 pub(crate) fn publish(path: &Path) -> Result<(), StorageError> {
     link_and_sync(path).map_err(|source| match source.kind() {
         io::ErrorKind::AlreadyExists => StorageError::AlreadyExists(path.to_owned()),
--- a/crates/stepspur-consensus-storage/tests/store.rs
+++ b/crates/stepspur-consensus-storage/tests/store.rs
@@ -29,7 +29,8 @@
 fn random_write(rng: &mut ChaCha8Rng, stored: &PersistentState, number: u64) -> WriteRequest {
     let term = Term(stored.term.0 + rng.random_range(0..2));
     let vote = rng.random_bool(0.5).then(|| MemberId(rng.random_range(1..4)));
-    let (base, last) = (stored.log.base().index.0, stored.log.last_index().0);
+    let base = stored.log.base().index.0;
+    let last = stored.log.last_index().0;
     let mut write =
         WriteRequest { number, term, vote, snapshot: None, first_index: None, entries: Vec::new() };
     let mut first = last + 1;
@@ -181,7 +182,8 @@
                 continue;
             }
             disk.fail(None);
-            let (operations, next) = (disk.operations(), random_write(&mut rng, &after, 2));
+            let operations = disk.operations();
+            let next = random_write(&mut rng, &after, 2);
             let error = store.write(&[next]).expect_err("it may have lost a vote");
             assert!(matches!(error, StorageError::EarlierWriteFailed(_)), "{error}");
             assert_eq!(disk.operations(), operations, "it wrote after a write that failed");
@@ -273,7 +275,8 @@
 fn file_size_stays_bounded_while_snapshots_replace_the_log() {
     let disk = Disk::default();
     let mut store = Store::create_on(disk.clone(), ME, &initial_state()).expect("created");
-    let (mut index, mut early) = (1, 0);
+    let mut index = 1;
+    let mut early = 0;
     for round in 0..40 {
         let mut writes = Vec::new();
         for number in 0..50 {
--- a/crates/stepspur-consensus/src/ids.rs
+++ b/crates/stepspur-consensus/src/ids.rs
@@ -7,7 +7,7 @@
 /// A time or a duration in microseconds, by the member's own monotonic clock.
 pub type Micros = u64;
 
-/// A member's identity, kept in its storage. A member that has lost its storage gets another one.
+/// A member's identity, which its storage holds. A member that has lost its storage gets another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MemberId(pub u64);
 
--- a/crates/stepspur-consensus/src/leader_state.rs
+++ b/crates/stepspur-consensus/src/leader_state.rs
@@ -55,10 +55,8 @@
         own: T,
         of_follower: impl Fn(Option<&Progress>) -> T,
     ) -> Option<T> {
-        let value = |voter: &MemberId| match *voter == leader {
-            true => own,
-            false => of_follower(self.followers.get(voter)),
-        };
+        let value =
+            |voter: &MemberId| if *voter == leader { own } else { of_follower(self.followers.get(voter)) };
         let mut values: Vec<T> = voters.iter().map(value).collect();
         values.sort_unstable_by(|a, b| b.cmp(a));
         values.get(voters.len() / 2).copied()
--- a/crates/stepspur-consensus/src/lease.rs
+++ b/crates/stepspur-consensus/src/lease.rs
@@ -1,6 +1,6 @@
 //! Both sides of the leases on roles.
 //!
-//! The holder counts a lease from before it asked for the renewal, less the clock drift. The grantor waits
+//! The holder counts a lease from when it requested the renewal, less the clock drift. The grantor waits
 //! for the lease and the drift from when the request came. So the next holder begins after the last one has
 //! stopped, whatever was lost, late or stalled between them.
 //!
--- a/crates/stepspur-consensus/src/lib.rs
+++ b/crates/stepspur-consensus/src/lib.rs
@@ -54,7 +54,7 @@
 pub use fencing::{Fence, StaleToken};
 pub use ids::{Index, LogPosition, MemberId, Micros, Term};
 pub use lease::HeldLease;
-pub use member::Member;
+pub use member::{Member, MemberConfig};
 pub use member_output::{MemberOutput, StartedRead};
 pub use membership::MembershipChange;
 pub use message::{AppendEntries, AppendEntriesResponse, InstallSnapshot, InstallSnapshotResponse, Message};
--- a/crates/stepspur-consensus/src/member.rs
+++ b/crates/stepspur-consensus/src/member.rs
@@ -69,33 +69,30 @@
     outputs: Vec<MemberOutput>,
 }
 
+/// What a member is started with.
+#[derive(Clone, Debug)]
+pub struct MemberConfig {
+    /// Its identity.
+    pub id: MemberId,
+    /// The voters that it asks for committed entries while its log names none.
+    pub initial_voters: Voters,
+    /// The settings that all members share.
+    pub settings: Settings,
+    /// The seed of its random numbers.
+    pub seed: u64,
+}
+
 impl Member {
-    /// A member with its persistent state, without replicated state beside the roles. See
-    /// [`Member::with_state`].
-    pub fn new(
-        id: MemberId,
-        stored: PersistentState,
-        initial_voters: Voters,
-        settings: Settings,
-        seed: u64,
-        now: Micros,
-    ) -> Self {
-        Self::with_state(id, stored, initial_voters, settings, seed, now, ())
+    /// A member with its persistent state, without replicated state beside the roles.
+    pub fn new(config: MemberConfig, stored: PersistentState, now: Micros) -> Self {
+        Self::with_state(config, stored, now, ())
     }
 }
 
 impl<S: StateMachine> Member<S> {
-    /// A member with its persistent state, and with `state` as in a new group. A member whose log names no
-    /// voters asks `initial_voters` for committed entries. Random numbers come from `seed`.
-    pub fn with_state(
-        id: MemberId,
-        stored: PersistentState,
-        initial_voters: Voters,
-        settings: Settings,
-        seed: u64,
-        now: Micros,
-        state: S,
-    ) -> Self {
+    /// A member with its persistent state, and with `state` as in a new group.
+    pub fn with_state(config: MemberConfig, stored: PersistentState, now: Micros, state: S) -> Self {
+        let MemberConfig { id, initial_voters, settings, seed } = config;
         let mut member = Self {
             raft: RaftNode::new(id, stored, settings.clone(), seed, now),
             state,
--- a/crates/stepspur-consensus/src/member/apply.rs
+++ b/crates/stepspur-consensus/src/member/apply.rs
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Applies no more entries: one that this program does not know can be neither skipped nor guessed, as
-    /// the member would come to another state than the others.
+    /// Applies no more entries. Skipping an unknown entry would make the member's state differ from the
+    /// others'.
     fn halt(&mut self, reason: String) {
         if self.halt_reason.is_none() {
             self.raft.on_storage_failure(reason.clone());
--- a/crates/stepspur-consensus/src/member/fetch_state.rs
+++ b/crates/stepspur-consensus/src/member/fetch_state.rs
@@ -56,14 +56,14 @@
         settings: &Settings,
     ) {
         if self.awaited.is_some() && knows_leader {
-            // A late answer of a voter that was asked before is as good.
+            // Late answers to earlier fetches count as well.
             self.awaited = None;
             self.source = Some(from);
             self.leaderless_answers = 0;
             self.due_at = now + settings.election_timeout;
         } else if self.awaited == Some(from) {
             self.awaited = None;
-            // The next voter is asked at once, until all were: then one is asked per heartbeat interval.
+            // Fetch from the next voter at once, until all have answered; then one per heartbeat interval.
             self.leaderless_answers += 1;
             if self.leaderless_answers <= other_voters {
                 self.due_at = now;
--- a/crates/stepspur-consensus/src/member/proposals.rs
+++ b/crates/stepspur-consensus/src/member/proposals.rs
@@ -84,7 +84,7 @@
         let leader = self.leader().filter(|leader| *leader != self.raft.id());
         match leader {
             Some(leader) => {
-                // If it does not answer, the next request goes to another voter. A fetch tells who leads.
+                // If it does not answer, the next request goes to another voter. A fetch finds the leader.
                 self.leader_hint = None;
                 self.fetching.hasten(self.now + self.settings.heartbeat_interval);
                 self.send(leader, message);
--- a/crates/stepspur-consensus/src/member/reads.rs
+++ b/crates/stepspur-consensus/src/member/reads.rs
@@ -18,9 +18,10 @@
         self.advance_clock(now);
         self.read_requests += 1;
         let request = FIRST_READ_REQUEST + self.read_requests;
-        match self.raft.is_leader() {
-            true => self.handle_read(self.raft.id(), request),
-            false => self.send_to_leader(PeerMessage::ReadIndex { request }),
+        if self.raft.is_leader() {
+            self.handle_read(self.raft.id(), request)
+        } else {
+            self.send_to_leader(PeerMessage::ReadIndex { request })
         }
         StartedRead { request, outputs: self.take_outputs() }
     }
--- a/crates/stepspur-consensus/src/membership.rs
+++ b/crates/stepspur-consensus/src/membership.rs
@@ -85,7 +85,8 @@
         if self.log.voters().contains(&member) {
             return Err(RequestError::InvalidChange);
         }
-        let (now, target) = (self.now, self.log.last_index());
+        let now = self.now;
+        let target = self.log.last_index();
         let RaftRole::Leader(state) = &mut self.role else { return Err(RequestError::NotLeader(None)) };
         state.catch_up = Some(CatchUp { member, target, round_started_at: now, round: 1 });
         state.followers.insert(member, Progress::new(target.next(), now));
@@ -103,7 +104,8 @@
 
     /// Makes a new member a voter once one of its rounds took less than an election timeout (thesis 4.2.1).
     pub(crate) fn update_catch_up(&mut self) {
-        let (now, last_index) = (self.now, self.log.last_index());
+        let now = self.now;
+        let last_index = self.log.last_index();
         let timeout = self.settings.election_timeout;
         let RaftRole::Leader(state) = &mut self.role else { return };
         let Some(catch_up) = &mut state.catch_up else { return };
--- a/crates/stepspur-consensus/src/persistent_state.rs
+++ b/crates/stepspur-consensus/src/persistent_state.rs
@@ -38,10 +38,14 @@
     pub fn with_write(&self, write: &WriteRequest) -> Self {
         let base = write.snapshot.as_ref().unwrap_or(self.log.base());
         let stored = self.log.entries_from(Index(0), usize::MAX).into_iter();
-        let kept = stored.filter(|entry| {
+        let remaining = stored.filter(|entry| {
             entry.index > base.index && write.first_index.is_none_or(|first| entry.index < first)
         });
         let appended = write.entries.iter().filter(|entry| entry.index > base.index).cloned();
-        Self { term: write.term, vote: write.vote, log: RaftLog::new(Arc::clone(base), kept.chain(appended)) }
+        Self {
+            term: write.term,
+            vote: write.vote,
+            log: RaftLog::new(Arc::clone(base), remaining.chain(appended)),
+        }
     }
 }
--- a/crates/stepspur-consensus/src/raft_log.rs
+++ b/crates/stepspur-consensus/src/raft_log.rs
@@ -27,7 +27,7 @@
 /// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its place in the log.
+    /// Its index in the log.
     pub index: Index,
     /// The term of the leader that appended it.
     pub term: Term,
@@ -42,7 +42,7 @@
     }
 }
 
-/// The state after an entry, in place of all entries up to it (paper 7).
+/// The state after an entry, which replaces all entries up to it (paper 7).
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Snapshot {
     /// The last entry that it covers.
@@ -117,8 +117,8 @@
 
     /// An entry, if it follows the snapshot.
     pub fn get(&self, index: Index) -> Option<&Entry> {
-        let place = index.0.checked_sub(self.base.index.0 + 1)?;
-        self.entries.get(usize::try_from(place).ok()?)
+        let offset = index.0.checked_sub(self.base.index.0 + 1)?;
+        self.entries.get(usize::try_from(offset).ok()?)
     }
 
     /// Up to `limit` entries from an index on.
--- a/crates/stepspur-consensus/src/replication.rs
+++ b/crates/stepspur-consensus/src/replication.rs
@@ -182,9 +182,10 @@
     /// Where the leader tries again after a conflict at `previous`: after the log's end, or one entry before
     /// the conflict (paper 5.3).
     fn retry_after(&self, previous: Index) -> Index {
-        match previous > self.log.last_index() {
-            true => self.log.last_index(),
-            false => previous.previous().max(self.log.base().index),
+        if previous > self.log.last_index() {
+            self.log.last_index()
+        } else {
+            previous.previous().max(self.log.base().index)
         }
     }
 
--- a/crates/stepspur-consensus/src/roles.rs
+++ b/crates/stepspur-consensus/src/roles.rs
@@ -32,9 +32,10 @@
     /// [`InvalidRoleName`] if it is empty, too long or has a control character.
     pub fn new(name: &str) -> Result<Self, InvalidRoleName> {
         let valid = (1..=MAX_NAME_BYTES).contains(&name.len()) && !name.chars().any(char::is_control);
-        match valid {
-            true => Ok(Self(name.to_owned())),
-            false => Err(InvalidRoleName(name.chars().take(MAX_REPORTED_CHARS).collect())),
+        if valid {
+            Ok(Self(name.to_owned()))
+        } else {
+            Err(InvalidRoleName(name.chars().take(MAX_REPORTED_CHARS).collect()))
         }
     }
 
--- a/crates/stepspur-consensus/src/snapshot.rs
+++ b/crates/stepspur-consensus/src/snapshot.rs
@@ -112,10 +112,7 @@
         progress.record_snapshot(response.last_included, response.next_offset, size);
         self.confirm_reads();
         self.maybe_commit();
-        let mode = match self.is_sending_snapshot(from) {
-            true => SendMode::Always,
-            false => SendMode::IfNew,
-        };
+        let mode = if self.is_sending_snapshot(from) { SendMode::Always } else { SendMode::IfNew };
         self.send_append(from, mode);
     }
 
--- a/crates/stepspur-consensus/src/state_machine.rs
+++ b/crates/stepspur-consensus/src/state_machine.rs
@@ -38,9 +38,6 @@
     }
 
     fn restore(&mut self, _: Index, state: &[u8]) -> Result<(), String> {
-        match state.is_empty() {
-            true => Ok(()),
-            false => Err("it holds books, and this program keeps none".to_owned()),
-        }
+        if state.is_empty() { Ok(()) } else { Err("it holds books, and this program keeps none".to_owned()) }
     }
 }
--- a/crates/stepspur-consensus/tests/following.rs
+++ b/crates/stepspur-consensus/tests/following.rs
@@ -5,8 +5,8 @@
 
 use bytes::Bytes;
 use stepspur_consensus::{
-    Index, LogPosition, Member, MemberId, MemberOutput, Micros, PeerMessage, PersistentState, RaftNode,
-    RoleCommand, RoleName, Settings, StateMachine,
+    Index, LogPosition, Member, MemberConfig, MemberId, MemberOutput, Micros, PeerMessage, PersistentState,
+    RaftNode, RoleCommand, RoleName, Settings, StateMachine,
 };
 
 /// The shortest time between two ticks of a member, as in service.
@@ -78,7 +78,9 @@
             let stored = if has_disk { bootstrapped.clone() } else { PersistentState::default() };
             let named = all.iter().copied().collect();
             let state = Letters { is_later_version: id.0 <= voters, ..Letters::default() };
-            let member = Member::with_state(*id, stored, named, Settings::default(), id.0, 0, state);
+            let config =
+                MemberConfig { id: *id, initial_voters: named, settings: Settings::default(), seed: id.0 };
+            let member = Member::with_state(config, stored, 0, state);
             nodes.insert(*id, Node { member, has_disk, wakes: 0, fetches: 0 });
         }
         let mut group = Self { now: 0, nodes, events: BTreeMap::new(), next_event: 0, lost: |_, _, _| false };
--- a/crates/stepspur-consensus/tests/lease_renewal.rs
+++ b/crates/stepspur-consensus/tests/lease_renewal.rs
@@ -1,7 +1,8 @@
 //! Renewals of a holder whose requests arrive and that receives no answers.
 
 use stepspur_consensus::{
-    Member, MemberId, MemberOutput, PeerMessage, RaftNode, RoleChange, RoleCommand, RoleName, Settings,
+    Member, MemberConfig, MemberId, MemberOutput, PeerMessage, RaftNode, RoleChange, RoleCommand, RoleName,
+    Settings,
 };
 
 const LEADER: MemberId = MemberId(1);
@@ -27,10 +28,12 @@
 fn holder_without_answers_loses_its_role() {
     let settings = Settings::default();
     let role = RoleName::new("probe/a").expect("a name");
-    let mut member =
-        Member::new(LEADER, RaftNode::bootstrap([LEADER].into()), [LEADER].into(), settings.clone(), 1, 0);
+    let config =
+        MemberConfig { id: LEADER, initial_voters: [LEADER].into(), settings: settings.clone(), seed: 1 };
+    let mut member = Member::new(config, RaftNode::bootstrap([LEADER].into()), 0);
     let mut holders = Vec::new();
-    let (mut now, mut declared) = (0, false);
+    let mut now = 0;
+    let mut declared = false;
     for request in 1..60 {
         now += settings.renewal_interval;
         let outputs = member.tick(now);
--- a/crates/stepspur-consensus/tests/search.rs
+++ b/crates/stepspur-consensus/tests/search.rs
@@ -216,7 +216,8 @@
 
 /// Searches breadth first, so that a violation is found by the shortest run to it.
 fn search(first: State, bounds: Bounds) -> Coverage {
-    let (mut seen, mut queue) = (HashSet::from([first.key()]), VecDeque::from([(first, 0)]));
+    let mut seen = HashSet::from([first.key()]);
+    let mut queue = VecDeque::from([(first, 0)]);
     let mut deepest = 0;
     while let Some((state, depth)) = queue.pop_front() {
         deepest = depth;
--- a/crates/stepspur-consensus/tests/world/checker.rs
+++ b/crates/stepspur-consensus/tests/world/checker.rs
@@ -7,7 +7,7 @@
 
 use super::World;
 
-/// States that are kept for comparison.
+/// The most states to compare with.
 const MAX_STATES: usize = 512;
 /// With more roles than this, holders are checked every so many steps: at each step it would take longer than
 /// the run.
--- a/crates/stepspur-consensus/tests/world/mod.rs
+++ b/crates/stepspur-consensus/tests/world/mod.rs
@@ -9,7 +9,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use stepspur_consensus::{
-    FencingToken, Index, Member, MemberId, MemberOutput, MembershipChange, Micros, PeerMessage,
+    FencingToken, Index, Member, MemberConfig, MemberId, MemberOutput, MembershipChange, Micros, PeerMessage,
     PersistentState, RaftEvent, RaftNode, RoleChange, RoleCommand, RoleName, Settings, Term, Voters,
 };
 
@@ -160,7 +160,8 @@
         node.incarnation += 1;
         node.wake_at = Micros::MAX;
         let local_now = node.clock.local(self.now);
-        let mut member = Member::new(node.id, node.stored.clone(), voters, settings, seed, local_now);
+        let config = MemberConfig { id: node.id, initial_voters: voters, settings, seed };
+        let mut member = Member::new(config, node.stored.clone(), local_now);
         let weight = if self.plan.heavy && k == 0 { 6.0 } else { 1.0 };
         member.set_role_preferences(["duty/".to_owned(), "after".to_owned()], weight);
         node.member = Some(member);
