--- a/crates/stepspur-consensus/src/member/fetch_state.rs
+++ b/crates/stepspur-consensus/src/member/fetch_state.rs
@@ -16,6 +16,16 @@
     leaderless_answers: usize,
 }
 
+/// A voter's answer to a fetch, or what it sent to a subscriber.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct FetchAnswer {
+    pub(super) from: MemberId,
+    /// True: the voter has a leader, and sends further entries as they are committed.
+    pub(super) knows_leader: bool,
+    /// True: the voter has more entries now.
+    pub(super) is_incomplete: bool,
+}
+
 impl FetchState {
     /// A first fetch is due at once.
     pub(super) fn new(now: Micros) -> Self {
@@ -44,24 +54,21 @@
         self.awaited = Some(from);
     }
 
-    /// A voter has sent entries or a state. `knows_leader`: it has a leader, and sends further entries as
-    /// they are committed. `incomplete`: it has more now. `other_voters`: how many there are to ask.
+    /// An answer has come. `other_voters`: how many voters there are to fetch from.
     pub(super) fn on_answer(
         &mut self,
-        from: MemberId,
-        knows_leader: bool,
-        incomplete: bool,
+        answer: FetchAnswer,
         other_voters: usize,
         now: Micros,
         settings: &Settings,
     ) {
-        if self.awaited.is_some() && knows_leader {
+        if self.awaited.is_some() && answer.knows_leader {
             // Late answers to earlier fetches count as well.
             self.awaited = None;
-            self.source = Some(from);
+            self.source = Some(answer.from);
             self.leaderless_answers = 0;
             self.due_at = now + settings.election_timeout;
-        } else if self.awaited == Some(from) {
+        } else if self.awaited == Some(answer.from) {
             self.awaited = None;
             // Fetch from the next voter at once, until all have answered; then one per heartbeat interval.
             self.leaderless_answers += 1;
@@ -69,7 +76,7 @@
                 self.due_at = now;
             }
         }
-        if incomplete && self.awaited.is_none() {
+        if answer.is_incomplete && self.awaited.is_none() {
             self.due_at = now;
         }
     }
--- a/crates/stepspur-consensus/src/member/following.rs
+++ b/crates/stepspur-consensus/src/member/following.rs
@@ -9,6 +9,7 @@
 //! [`Settings::heartbeat_interval`]: crate::Settings::heartbeat_interval
 
 use super::Member;
+use super::fetch_state::FetchAnswer;
 use crate::ids::{Index, MemberId};
 use crate::member_output::MemberOutput;
 use crate::peer_message::PeerMessage;
@@ -77,10 +78,11 @@
         self.on_fetch_answer(from, leader, is_newer);
     }
 
-    fn on_fetch_answer(&mut self, from: MemberId, leader: Option<MemberId>, incomplete: bool) {
+    fn on_fetch_answer(&mut self, from: MemberId, leader: Option<MemberId>, is_incomplete: bool) {
         self.leader_hint = leader.or(self.leader_hint);
         let other_voters = self.other_voters().len();
-        self.fetching.on_answer(from, leader.is_some(), incomplete, other_voters, self.now, &self.settings);
+        let answer = FetchAnswer { from, knows_leader: leader.is_some(), is_incomplete };
+        self.fetching.on_answer(answer, other_voters, self.now, &self.settings);
     }
 
     /// A follower fetches committed entries from an index on.
