--- a/crates/stepspur-conductor/src/service/engine_task.rs
+++ b/crates/stepspur-conductor/src/service/engine_task.rs
@@ -140,8 +140,8 @@
                     tracing::warn!(event = "probe_dropped", %server, cause = "too many wait");
                 }
             }
-            Output::WatchEndpoints => self.request_endpoints(DiscoveryRequest::Track),
-            Output::FetchEndpoints => self.request_endpoints(DiscoveryRequest::Lookup),
+            Output::WatchEndpoints => self.request_endpoints(DiscoveryRequest::Watch),
+            Output::FetchEndpoints => self.request_endpoints(DiscoveryRequest::Fetch),
             Output::Log(event) => self.log(event),
         }
     }
--- a/crates/stepspur-conductor/src/service/engine_tasks.rs
+++ b/crates/stepspur-conductor/src/service/engine_tasks.rs
@@ -42,18 +42,18 @@
         let stop = &supervisor.shutdown.stop;
         let (command_sender, commands) = mpsc::channel(COMMAND_QUEUE);
         let (probe_sender, probes) = mpsc::channel(PROBE_QUEUE);
-        let (feed, discovery, updates) = EndpointFeed::new(stop.clone());
+        let (feed, driver) = EndpointFeed::new(stop.clone());
         let handle = EngineHandle::new(command_sender);
 
         let now = self.clock.now();
         let engine =
             Engine::with(self.config.clone(), self.settings, self.protocol, self.epoch, self.seed, now);
-        let outputs = EngineOutputs { discovery, probes: probe_sender };
+        let outputs = EngineOutputs { discovery: driver.requests, probes: probe_sender };
         let engine_task = EngineTask::new(engine, self.clock, commands, outputs, stop.clone());
         supervisor.spawn_engine(engine_tasks, engine_task.run());
 
         supervisor.spawn(TaskName::EndpointSource, source.run(feed));
-        supervisor.tasks.spawn(forward_updates(updates, handle.clone()));
+        supervisor.tasks.spawn(forward_updates(driver.updates, handle.clone()));
 
         let prober = Prober::new(self.config, self.parse_load_report, handle.clone());
         supervisor.spawn(TaskName::Prober, prober.run(probes, stop.clone()));
--- a/crates/stepspur-conductor/src/source/file.rs
+++ b/crates/stepspur-conductor/src/source/file.rs
@@ -1,106 +1,149 @@
-//! A TOML file that is watched.
+//! An endpoint list in a TOML file that is polled for changes.
 
+use std::io;
 use std::path::PathBuf;
 use std::time::Duration;
 
 use serde::Deserialize;
 use stepspur::interface::ListUpdate;
+use tokio::time::sleep;
 
+use super::record::to_endpoints;
 use super::{DiscoveryFuture, DiscoveryRequest, EndpointFeed, EndpointRecord, ServiceDiscovery};
 
-/// Servers in a TOML file, one `[[node]]` each. It is looked at every so often: a change that is whole and sound is
-/// told as a whole list, one that is not is a failure, and the old list stands.
+/// The largest file that is read, in bytes.
+const MAX_FILE_BYTES: u64 = 64 << 20;
+/// A text that has changed is read again after this time, or after the poll interval if that is shorter.
+const CONFIRM_DELAY: Duration = Duration::from_millis(200);
+
+/// Endpoints in a TOML file, one `[[node]]` each. A change that is complete and valid is sent as a complete
+/// list; an invalid one is reported as a failure, and the list before stays in use.
 ///
-/// A text is whole once two looks in a row have found the same: one that is still written may be cut at an entry's
-/// end, which is sound TOML. Against a writer that died, the file may count its entries: `servers = 12`.
+/// A text counts as complete once two reads in a row have found the same: one that is still being written may
+/// end between two entries, which is valid TOML. Against a writer that died, the file may state the number of
+/// its entries: `servers = 12`.
 #[derive(Debug)]
 pub struct FileSource {
     path: PathBuf,
-    every: Duration,
+    poll_interval: Duration,
 }
 
-/// The largest file that is read, in bytes.
-const LARGEST: u64 = 64 << 20;
-/// A text that is new is looked at again after this, or sooner.
-const AGAIN: Duration = Duration::from_millis(200);
-
+/// The file's form.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct NodeFile {
-    /// How many entries there are.
+struct EndpointFile {
+    /// The number of entries, if the file states it.
     servers: Option<usize>,
     #[serde(default)]
     node: Vec<EndpointRecord>,
 }
 
-/// What is known of the file's text.
+/// Why a file is not used.
+#[derive(Debug, thiserror::Error)]
+#[error("{}: {fault}", .path.display())]
+struct FileError {
+    path: PathBuf,
+    fault: FileFault,
+}
+
+/// What is wrong with a file.
+#[derive(Debug, thiserror::Error)]
+enum FileFault {
+    /// It cannot be read.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// It is too large.
+    #[error("{bytes} bytes are more than {MAX_FILE_BYTES}")]
+    TooLarge { bytes: u64 },
+    /// It is not TOML of the file's form.
+    #[error(transparent)]
+    Toml(#[from] toml::de::Error),
+    /// It lacks entries, or has too many.
+    #[error("`servers` counts {stated}, and {listed} are listed")]
+    Count { stated: usize, listed: usize },
+}
+
+/// The state of a source between two reads.
 #[derive(Debug, Default)]
-struct Texts {
-    /// At the last look.
-    seen: Option<String>,
-    /// Told last.
-    told: Option<String>,
+struct PollState {
+    /// Whether changes are to be sent without a request.
+    watching: bool,
+    /// Whether a request has not been answered yet.
+    request_pending: bool,
+    /// Whether the last text has changed and is to be confirmed by a further read.
+    unconfirmed: bool,
+    /// The text at the last read.
+    last_read: Option<String>,
+    /// The text that was sent last.
+    last_sent: Option<String>,
 }
 
 impl FileSource {
-    /// Watches a file, looking so often.
-    pub fn new(path: PathBuf, every: Duration) -> Self {
-        Self { path, every }
+    /// A source that reads the file at this interval.
+    pub fn new(path: PathBuf, poll_interval: Duration) -> Self {
+        Self { path, poll_interval }
     }
 
-    async fn read(&self) -> Result<String, String> {
-        let failed = |e: std::io::Error| format!("{}: {e}", self.path.display());
-        let size = tokio::fs::metadata(&self.path).await.map_err(failed)?.len();
-        if size > LARGEST {
-            return Err(format!("{}: {size} bytes are more than {LARGEST}", self.path.display()));
+    async fn serve(self, mut feed: EndpointFeed) {
+        let mut state = PollState::default();
+        loop {
+            let interval = match state.unconfirmed {
+                true => self.poll_interval.min(CONFIRM_DELAY),
+                false => self.poll_interval,
+            };
+            let request = tokio::select! {
+                () = feed.stop.cancelled() => return,
+                request = feed.requests.recv() => match request {
+                    Some(request) => Some(request),
+                    None => return,
+                },
+                () = sleep(interval), if state.watching || state.request_pending => None,
+            };
+            // Each request is answered, even if nothing has changed.
+            state.request_pending |= request.is_some();
+            state.watching |= request == Some(DiscoveryRequest::Watch);
+            if let Err(fault) = self.poll(&feed, &mut state).await {
+                state.watching = false;
+                state.request_pending = false;
+                state.unconfirmed = false;
+                feed.updates.send_failure(FileError { path: self.path.clone(), fault }).await;
+            }
         }
-        tokio::fs::read_to_string(&self.path).await.map_err(failed)
     }
 
-    /// Looks at the file and tells its list, if it is whole and news, or asked for. False: not whole yet.
-    async fn tell(&self, feed: &EndpointFeed, texts: &mut Texts, asked: bool) -> Result<bool, String> {
+    /// Reads the file, and sends its list if that is complete and either requested or changed.
+    async fn poll(&self, feed: &EndpointFeed, state: &mut PollState) -> Result<(), FileFault> {
         let text = self.read().await?;
-        if texts.seen.as_ref() != Some(&text) {
-            texts.seen = Some(text);
-            return Ok(false);
-        }
-        if !asked && texts.told.as_ref() == Some(&text) {
-            return Ok(true);
+        if state.last_read.as_ref() != Some(&text) {
+            state.last_read = Some(text);
+            state.unconfirmed = true;
+            return Ok(());
         }
-        let failed = |what: String| format!("{}: {what}", self.path.display());
-        let file: NodeFile = toml::from_str(&text).map_err(|e| failed(e.to_string()))?;
-        if let Some(counted) = file.servers.filter(|n| *n != file.node.len()) {
-            return Err(failed(format!("`servers` counts {counted}, and {} are listed", file.node.len())));
+        if state.request_pending || state.last_sent.as_ref() != Some(&text) {
+            let records = parse(&text)?;
+            feed.updates.send(ListUpdate::Full, to_endpoints(records)).await;
+            state.last_sent = Some(text);
         }
-        feed.news.list(ListUpdate::Full, file.node.into_iter().map(Into::into).collect()).await;
-        texts.told = Some(text);
-        Ok(true)
+        state.unconfirmed = false;
+        state.request_pending = false;
+        Ok(())
     }
 
-    async fn serve(self, mut feed: EndpointFeed) {
-        let (mut tracking, mut asked, mut whole) = (false, false, true);
-        let mut texts = Texts::default();
-        loop {
-            let pause = if whole { self.every } else { self.every.min(AGAIN) };
-            let ask = tokio::select! {
-                () = feed.stop.cancelled() => return,
-                ask = feed.asks.recv() => match ask {
-                    Some(ask) => Some(ask),
-                    None => return,
-                },
-                () = tokio::time::sleep(pause), if tracking || asked => None,
-            };
-            // Each ask has its answer, also if nothing is new.
-            asked |= ask.is_some();
-            tracking |= ask == Some(DiscoveryRequest::Track);
-            match self.tell(&feed, &mut texts, asked).await {
-                Ok(settled) => (whole, asked) = (settled, asked && !settled),
-                Err(cause) => {
-                    (tracking, asked, whole) = (false, false, true);
-                    feed.news.failed(cause).await;
-                }
-            }
+    async fn read(&self) -> Result<String, FileFault> {
+        let bytes = tokio::fs::metadata(&self.path).await?.len();
+        if bytes > MAX_FILE_BYTES {
+            return Err(FileFault::TooLarge { bytes });
         }
+        Ok(tokio::fs::read_to_string(&self.path).await?)
+    }
+}
+
+fn parse(text: &str) -> Result<Vec<EndpointRecord>, FileFault> {
+    let file: EndpointFile = toml::from_str(text)?;
+    let listed = file.node.len();
+    match file.servers {
+        Some(stated) if stated != listed => Err(FileFault::Count { stated, listed }),
+        _ => Ok(file.node),
     }
 }
 
--- /dev/null
+++ b/crates/stepspur-conductor/tests/identity/join.rs
@@ -0,0 +1,182 @@
+//! Joins by certificates and tokens, and the end of grants in streams.
+
+use std::time::Duration;
+
+use rcgen::{BasicConstraints, CertificateParams, DnType, IsCa, Issuer, KeyPair, SanType};
+use stepspur_identity::keys::{AnchorEntry, KeyState, write_manifest};
+use stepspur_identity::pki::{Authority, Leaf};
+use stepspur_identity::rights::{Right, Rights};
+use stepspur_identity::tls;
+use stepspur_proto::{from_proxy, v1};
+use tokio::time::{Instant, sleep};
+use tokio_rustls::rustls::pki_types::PrivateKeyDer;
+
+use crate::support::{Join, Keys, Proxy, lifetime, not_allowed, now};
+
+/// A proxy joins its own tenant's engine. All rejections look alike, whatever their reason.
+#[tokio::test]
+async fn join_with_any_credentials_admits_only_valid_ones_and_rejects_alike() {
+    let keys = Keys::new("callers");
+    let conductor = keys.start(keys.config()).await;
+    let address = conductor.address();
+    let good = |tenant: &str, name: &str| keys.token(tenant, name, Rights::PROXY, 600);
+    let uri = Some("stepspur://north/proxy/a/p");
+    let none = None::<&str>;
+    let empty = Vec::new;
+    let no_tables: Rights = [Right::Join, Right::Report].into_iter().collect();
+    let cases = [
+        ("a certificate alone", uri, "p", "a", empty(), Join::Bound(6)),
+        ("a token alone", none, "p", "a", good("north", "p"), Join::Bound(6)),
+        ("both", uri, "p", "a", good("north", "p"), Join::Bound(6)),
+        ("the same name of another tenant", none, "p", "a", good("south", "p"), Join::Bound(4)),
+        ("nothing", none, "p", "a", empty(), not_allowed()),
+        ("another's name", uri, "q", "a", empty(), not_allowed()),
+        ("a certificate for another zone", uri, "p", "b", empty(), not_allowed()),
+        ("a tenant that is not here", none, "p", "a", good("west", "p"), not_allowed()),
+        ("another tenant's token", uri, "p", "a", good("south", "p"), not_allowed()),
+        ("no right to tables", none, "p", "a", keys.token("north", "p", no_tables, 600), not_allowed()),
+        (
+            "no right to join",
+            none,
+            "p",
+            "a",
+            keys.token("north", "p", [Right::ReadTables].into_iter().collect(), 600),
+            not_allowed(),
+        ),
+        ("an operator", Some("stepspur://north/operator/ann"), "ann", "a", empty(), not_allowed()),
+        ("no token", none, "p", "a", b"e30.e30.e30".to_vec(), not_allowed()),
+        ("a name that is none of ours", Some("https://elsewhere/"), "p", "a", empty(), Join::Closed),
+    ];
+    for (what, uri, name, zone, token, expected) in cases {
+        let started_at = Instant::now();
+        let (end, _held) = Proxy::join(address, keys.client(uri), name, zone, token).await;
+        let rejected = end == not_allowed();
+        assert_eq!(end, expected, "{what}");
+        assert!(
+            !rejected || started_at.elapsed() >= Duration::from_millis(100),
+            "{what}: rejected after the same time"
+        );
+    }
+    conductor.stop().await;
+}
+
+/// A certificate of an unknown authority, and one that has expired, end at the handshake.
+#[tokio::test]
+async fn join_with_untrusted_or_expired_certificate_ends_at_handshake() {
+    let keys = Keys::new("untrusted");
+    let conductor = keys.start(keys.config()).await;
+    let address = conductor.address();
+    let (other, _) = Authority::new("other").unwrap();
+    let own =
+        other.issue(&Leaf::Caller("stepspur://north/proxy/a/p".into()), now() - 60, lifetime()).unwrap();
+    let untrusted =
+        tls::client_config(&[keys.authority.anchor().unwrap()], Some(own.for_tls().unwrap())).unwrap();
+    assert_eq!(Proxy::join(address, untrusted, "p", "a", Vec::new()).await.0, Join::Closed);
+    let expired = keys
+        .authority
+        .issue(&Leaf::Caller("stepspur://north/proxy/a/p".into()), now() - 7200, lifetime())
+        .unwrap();
+    let late =
+        tls::client_config(&[keys.authority.anchor().unwrap()], Some(expired.for_tls().unwrap())).unwrap();
+    assert_eq!(Proxy::join(address, late, "p", "a", Vec::new()).await.0, Join::Closed);
+    conductor.stop().await;
+}
+
+/// A grant's end is announced. It is renewed in the stream by a token of the same caller alone.
+#[tokio::test]
+async fn grant_in_stream_ends_unless_its_caller_renews_it() {
+    let keys = Keys::new("ends");
+    let conductor = keys.start(keys.config()).await;
+    let address = conductor.address();
+    let token = |name: &str, seconds| keys.token("north", name, Rights::PROXY, seconds);
+    let anyone = || keys.client(None);
+    let (_, proxy) = Proxy::join(address, anyone(), "renews", "a", token("renews", 3)).await;
+    let mut renews = proxy.unwrap();
+    let (_, proxy) = Proxy::join(address, anyone(), "ends", "a", token("ends", 3)).await;
+    let mut ends = proxy.unwrap();
+    let (_, proxy) = Proxy::join(address, anyone(), "cheats", "a", token("cheats", 3)).await;
+    let mut cheats = proxy.unwrap();
+    while !renews.expiring {
+        assert!(renews.next().await.is_some());
+    }
+    renews.send(from_proxy::Kind::Renew(v1::Renew { credentials: token("renews", 600).into() })).await;
+    cheats.send(from_proxy::Kind::Renew(v1::Renew { credentials: token("another", 600).into() })).await;
+    assert_eq!(cheats.go_away().await, Some(v1::Reason::NotAllowed));
+    let started_at = Instant::now();
+    assert_eq!(ends.go_away().await, Some(v1::Reason::Expired));
+    assert!(started_at.elapsed() < Duration::from_secs(4));
+    sleep(Duration::from_millis(700)).await;
+    renews.ping(7).await;
+    // A token for reading tables and joining alone does not allow reports.
+    let quiet: Rights = [Right::ReadTables, Right::Join].into_iter().collect();
+    let (end, proxy) =
+        Proxy::join(address, anyone(), "quiet", "a", keys.token("north", "quiet", quiet, 600)).await;
+    assert_eq!(end, Join::Bound(6));
+    let mut quiet = proxy.unwrap();
+    quiet.send(from_proxy::Kind::Report(v1::Report { period_us: 1, ..Default::default() })).await;
+    assert_eq!(quiet.go_away().await, Some(v1::Reason::NotAllowed));
+    conductor.stop().await;
+    let audit = keys.audit_log();
+    for line in ["\"who\":\"quiet\"", "\"what\":\"report\"", "\"who\":\"cheats\"", "\"what\":\"renew\""] {
+        assert!(audit.contains(line), "{line}: {audit}");
+    }
+}
+
+/// A table that still waits for the channel when the grant ends is never sent.
+#[tokio::test]
+async fn grant_that_ends_before_table_is_sent_ends_stream_without_it() {
+    let keys = Keys::new("middle");
+    let mut set = keys.config();
+    set.channel.lines_per_s = 1.0;
+    let conductor = keys.start(set).await;
+    let token = keys.token("north", "p", Rights::PROXY, 2);
+    let (end, _) = Proxy::join(conductor.address(), keys.client(None), "p", "a", token).await;
+    assert!(matches!(end, Join::Rejected(v1::Reason::Expired, _)), "{end:?}");
+    conductor.stop().await;
+}
+
+/// An intermediate certificate must be valid, and an authority's.
+#[tokio::test]
+async fn join_with_invalid_intermediate_certificate_ends_at_handshake() {
+    let keys = Keys::new("chain");
+    let root_key = KeyPair::generate().unwrap();
+    let intermediate_key = KeyPair::generate().unwrap();
+    let leaf_key = KeyPair::generate().unwrap();
+    let authority = |name: &str| {
+        let mut params = CertificateParams::default();
+        params.distinguished_name.push(DnType::CommonName, name);
+        params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
+        params
+    };
+    let root = authority("root");
+    let root_pem = root.self_signed(&root_key).unwrap().pem();
+    std::fs::write(keys.folder.join("root.pem"), root_pem).unwrap();
+    let mut manifest = keys.manifest.clone();
+    manifest.anchor.push(AnchorEntry { file: "root.pem".into(), state: KeyState::Active });
+    write_manifest(&keys.folder, &manifest).unwrap();
+    let conductor = keys.start(keys.config()).await;
+    let root = Issuer::new(root, root_key);
+    let mut leaf = CertificateParams::default();
+    leaf.subject_alt_names = vec![SanType::URI("stepspur://north/proxy/a/p".try_into().unwrap())];
+    for (what, end_year, is_ca, expected) in [
+        ("good", 2100, IsCa::Ca(BasicConstraints::Unconstrained), Join::Bound(6)),
+        ("expired", 2001, IsCa::Ca(BasicConstraints::Unconstrained), Join::Closed),
+        ("no authority", 2100, IsCa::NoCa, Join::Closed),
+    ] {
+        let mut params = authority("intermediate");
+        params.is_ca = is_ca;
+        params.not_after = rcgen::date_time_ymd(end_year, 1, 1);
+        let intermediate = params.signed_by(&intermediate_key, &root).unwrap();
+        let issuer = Issuer::from_params(&params, &intermediate_key);
+        let own = leaf.signed_by(&leaf_key, &issuer).unwrap();
+        let chain = vec![own.der().clone(), intermediate.der().clone()];
+        let key = PrivateKeyDer::try_from(leaf_key.serialize_der()).unwrap();
+        let client = tls::client_config(&[keys.authority.anchor().unwrap()], Some((chain, key))).unwrap();
+        assert_eq!(
+            Proxy::join(conductor.address(), client, "p", "a", Vec::new()).await.0,
+            expected,
+            "{what}"
+        );
+    }
+    conductor.stop().await;
+}
--- /dev/null
+++ b/crates/stepspur-conductor/tests/identity/rotation.rs
@@ -0,0 +1,164 @@
+//! Keys and certificates that change while streams are open.
+
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use stepspur_identity::cert;
+use stepspur_identity::keys::{KeyId, KeyState, Signer};
+use stepspur_identity::pki::{Authority, Leaf};
+use stepspur_identity::rights::Rights;
+use stepspur_identity::tls;
+use stepspur_proto::{from_conductor, from_proxy, v1};
+use tokio::task::JoinHandle;
+use tokio::time::{Instant, sleep, timeout};
+
+use crate::support::{Join, Keys, LONG, Proxy, lifetime, not_allowed, now};
+
+/// Streams with steady traffic.
+const STREAMS: usize = 200;
+
+/// What a stream with steady traffic saw until its end.
+struct TrafficEnd {
+    answered: u64,
+    reason: Option<v1::Reason>,
+}
+
+/// Joins proxies, each of which sends a ping every 20 ms until its stream ends.
+async fn start_traffic(keys: &Keys, address: SocketAddr) -> Vec<JoinHandle<TrafficEnd>> {
+    let mut proxies = Vec::new();
+    for k in 0..STREAMS {
+        let name = format!("p{k}");
+        let token = keys.token("north", &name, Rights::PROXY, 600);
+        let (end, proxy) = Proxy::join(address, keys.client(None), &name, "a", token).await;
+        assert_eq!(end, Join::Bound(6));
+        proxies.push(proxy.unwrap());
+    }
+    proxies.into_iter().map(|proxy| tokio::spawn(ping_until_end(proxy))).collect()
+}
+
+async fn ping_until_end(mut proxy: Proxy) -> TrafficEnd {
+    let mut answered = 0u64;
+    loop {
+        proxy.send(from_proxy::Kind::Ping(v1::Ping { token: answered })).await;
+        loop {
+            match proxy.next().await {
+                Some(from_conductor::Kind::Pong(_)) => break,
+                Some(from_conductor::Kind::Goodbye(go_away)) => {
+                    return TrafficEnd { answered, reason: Some(go_away.reason()) };
+                }
+                Some(_) => {}
+                None => return TrafficEnd { answered, reason: None },
+            }
+        }
+        answered += 1;
+        sleep(Duration::from_millis(20)).await;
+    }
+}
+
+/// Leaves a half-written manifest for a while, and then none.
+async fn break_manifest(keys: &Keys) {
+    let manifest = keys.folder.join("identity.toml");
+    let text = std::fs::read_to_string(&manifest).unwrap();
+    std::fs::write(&manifest, &text[..text.len() / 2]).unwrap();
+    sleep(Duration::from_millis(200)).await;
+    std::fs::remove_file(&manifest).unwrap();
+    sleep(Duration::from_millis(200)).await;
+}
+
+/// Server certificate, authority and signing key change under steady traffic. No stream ends, and old and new
+/// callers join throughout; a half-written set changes nothing; a revocation ends the streams that rest on
+/// the key.
+#[tokio::test(flavor = "multi_thread")]
+async fn rotation_under_traffic_loses_no_stream_and_revocation_ends_them() {
+    let mut keys = Keys::new("rotation");
+    let conductor = keys.start(keys.config()).await;
+    let address = conductor.address();
+    let traffic = start_traffic(&keys, address).await;
+    let old_client = keys.client(Some("stepspur://north/proxy/a/old"));
+    // A new authority and server certificate; the old authority retires.
+    let (authority, _) = Authority::new("second").unwrap();
+    let first = std::mem::replace(&mut keys.authority, authority);
+    keys.manifest.anchor[0].state = KeyState::Retiring;
+    keys.trust("ca-2");
+    break_manifest(&keys).await;
+    let (end, _proxy) = Proxy::join(address, old_client, "old", "a", Vec::new()).await;
+    assert_eq!(end, Join::Bound(6), "the old set stays in use");
+    // A new signing key: next, then active.
+    let new_signer = Signer::new(KeyId::try_from("k2".to_owned()).unwrap());
+    keys.manifest.rotate(Some(&new_signer));
+    keys.write();
+    let new_client = keys.client(Some("stepspur://north/proxy/a/new"));
+    let joined = async {
+        while Proxy::join(address, new_client.clone(), "new", "a", Vec::new()).await.0 != Join::Bound(6) {
+            sleep(Duration::from_millis(50)).await;
+        }
+    };
+    timeout(LONG, joined).await.expect("the new authority is trusted");
+    let old_token = keys.token("north", "t-old", Rights::PROXY, 600);
+    keys.signer = new_signer;
+    keys.manifest.rotate(None);
+    keys.write();
+    sleep(Duration::from_millis(300)).await;
+    let new_token = keys.token("north", "t-new", Rights::PROXY, 600);
+    for (name, token) in [("t-old", old_token.clone()), ("t-new", new_token)] {
+        let (end, _) = Proxy::join(address, keys.client(None), name, "a", token).await;
+        assert_eq!(end, Join::Bound(6), "{name}");
+    }
+    // A client of the retiring authority that trusts the new one; its certificate is still valid.
+    let uri = "stepspur://north/proxy/a/old";
+    let own = first.issue(&Leaf::Caller(uri.into()), now() - 60, lifetime()).unwrap().for_tls().unwrap();
+    let retiring = tls::client_config(&[keys.authority.anchor().unwrap()], Some(own)).unwrap();
+    assert_eq!(Proxy::join(address, retiring.clone(), "old", "a", Vec::new()).await.0, Join::Bound(6));
+    assert!(traffic.iter().all(|stream| !stream.is_finished()), "a stream was lost by the rotation");
+    revoke_first(&mut keys, traffic).await;
+    for _ in 0..5 {
+        let by_token = Proxy::join(address, keys.client(None), "t-old", "a", old_token.clone()).await.0;
+        assert_eq!(by_token, not_allowed());
+        assert_eq!(Proxy::join(address, retiring.clone(), "old", "a", Vec::new()).await.0, Join::Closed);
+    }
+    assert_eq!(Proxy::join(address, new_client, "new", "a", Vec::new()).await.0, Join::Bound(6));
+    conductor.stop().await;
+}
+
+/// Revokes the first key and the first authority: the streams that rest on them end within three seconds.
+async fn revoke_first(keys: &mut Keys, traffic: Vec<JoinHandle<TrafficEnd>>) {
+    let revoked_at = Instant::now();
+    keys.manifest.signing[0].state = KeyState::Revoked;
+    keys.manifest.anchor[0].state = KeyState::Revoked;
+    keys.write();
+    for stream in traffic {
+        let TrafficEnd { answered, reason } = timeout(LONG, stream).await.unwrap().unwrap();
+        assert!(answered > 10 && reason == Some(v1::Reason::NotAllowed), "{answered} {reason:?}");
+    }
+    assert!(revoked_at.elapsed() < Duration::from_secs(3), "{:?}", revoked_at.elapsed());
+}
+
+/// A certificate that is revoked by its serial number ends its own stream alone, and cannot join again.
+#[tokio::test]
+async fn revoked_serial_ends_its_stream_and_rejects_its_joins() {
+    let mut keys = Keys::new("serial");
+    let conductor = keys.start(keys.config()).await;
+    let address = conductor.address();
+    let client = |name: &str| {
+        let uri = format!("stepspur://north/proxy/a/{name}");
+        let own =
+            keys.authority.issue(&Leaf::Caller(uri), now() - 60, lifetime()).unwrap().for_tls().unwrap();
+        let serial = cert::parse_caller(&own.0[0]).unwrap().serial;
+        (tls::client_config(&[keys.authority.anchor().unwrap()], Some(own)).unwrap(), serial)
+    };
+    let (bad, serial) = client("bad");
+    let (good, _) = client("good");
+    let (_, stream) = Proxy::join(address, bad.clone(), "bad", "a", Vec::new()).await;
+    let mut stream = stream.unwrap();
+    let (_, other) = Proxy::join(address, good, "good", "a", Vec::new()).await;
+    let mut other = other.unwrap();
+    keys.manifest.revoked_serials = vec![serial.iter().map(|b| format!("{b:02x}")).collect()];
+    keys.write();
+    assert_eq!(stream.go_away().await, Some(v1::Reason::NotAllowed));
+    for _ in 0..3 {
+        // A resumed TLS session is rejected, too: it is the revoked certificate's.
+        assert_eq!(Proxy::join(address, bad.clone(), "bad", "a", Vec::new()).await.0, not_allowed());
+    }
+    other.ping(3).await;
+    conductor.stop().await;
+}
--- a/crates/stepspur-platform/src/discovery.rs
+++ b/crates/stepspur-platform/src/discovery.rs
@@ -212,9 +212,9 @@
         let serve = async {
             loop {
                 tokio::select! {
-                    ask = feed.asks.recv() => match ask {
-                        Some(DiscoveryRequest::Track) => self.open(&mut calls),
-                        Some(DiscoveryRequest::Lookup) => self.look_up(&mut calls),
+                    ask = feed.requests.recv() => match ask {
+                        Some(DiscoveryRequest::Watch) => self.open(&mut calls),
+                        Some(DiscoveryRequest::Fetch) => self.look_up(&mut calls),
                         None => return,
                     },
                     Some((number, what)) = said.recv() => self.take(number, what, &mut calls, &feed).await,
@@ -296,11 +296,11 @@
             Said::List(answer) if self.is_overtaken(&answer, address, seen) => {
                 tracing::debug!(event = "reply_superseded", index = answer.index, known = self.index);
                 if looked || opened {
-                    feed.news.list(ListUpdate::Delta, Vec::new()).await;
+                    feed.updates.send(ListUpdate::Delta, Vec::new()).await;
                 }
             }
             Said::List(answer) => self.tell(answer, address, feed).await,
-            Said::Unchanged => feed.news.list(ListUpdate::Delta, Vec::new()).await,
+            Said::Unchanged => feed.updates.send(ListUpdate::Delta, Vec::new()).await,
             Said::Quiet => {
                 tracing::warn!(event = "watch_idle", %address);
                 return self.open(calls);
@@ -313,7 +313,7 @@
                 }
                 // While another watch is being opened that one answers for both.
                 if !stood || calls.opening.is_none() {
-                    feed.news.failed(cause).await;
+                    feed.updates.send_failure(cause).await;
                 }
             }
         }
@@ -335,7 +335,7 @@
         }
         if !whole && self.index.is_none() {
             // Changes to a list that is not known are no list.
-            return feed.news.failed("changes came where the whole list was asked for").await;
+            return feed.updates.send_failure("changes came where the whole list was asked for").await;
         }
         (self.index, self.told_by) = (Some(index), Some(address));
         if whole {
@@ -350,7 +350,7 @@
                 _ => self.told.insert(name.clone(), entry.clone()),
             };
         }
-        feed.news.list(if whole { ListUpdate::Full } else { ListUpdate::Delta }, entries).await;
+        feed.updates.send(if whole { ListUpdate::Full } else { ListUpdate::Delta }, entries).await;
     }
 }
 
--- a/crates/stepspur-platform/tests/discovery.rs
+++ b/crates/stepspur-platform/tests/discovery.rs
@@ -8,7 +8,7 @@
 use serde_json::Value;
 use stepspur::interface::{EndpointState, ListUpdate};
 use stepspur_conductor::engine::Input;
-use stepspur_conductor::source::{DiscoveryRequest, EndpointFeed, ServiceDiscovery};
+use stepspur_conductor::source::{DiscoveryRequest, EndpointFeed, FeedDriver, ServiceDiscovery};
 use stepspur_platform::discovery::{Answer, Discovery};
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinSet;
@@ -28,7 +28,7 @@
     fn start(address: SocketAddr, known: Answer) -> Self {
         let (address, newest) = watch::channel(address);
         let (is_ready, ready) = watch::channel(false);
-        let (feed, ask, told) = EndpointFeed::new(CancellationToken::new());
+        let (feed, FeedDriver { requests: ask, updates: told }) = EndpointFeed::new(CancellationToken::new());
         let source = Discovery::new(newest, &known, is_ready);
         let mut task = JoinSet::new();
         task.spawn(Box::new(source).run(feed));
@@ -38,7 +38,7 @@
     /// One that has a watch, which has told this list.
     async fn standing(script: &Script, first: &Value) -> (Self, Call) {
         let mut driven = Self::start(script.address, Answer::default());
-        driven.ask.send(DiscoveryRequest::Track).await.unwrap();
+        driven.ask.send(DiscoveryRequest::Watch).await.unwrap();
         let mut watch = script.next().await.begin().await;
         watch.line(first).await;
         assert_eq!(driven.told().await.0, ListUpdate::Full);
@@ -53,7 +53,7 @@
     }
 
     async fn look_up(&self, script: &Script) -> Call {
-        self.ask.send(DiscoveryRequest::Lookup).await.unwrap();
+        self.ask.send(DiscoveryRequest::Fetch).await.unwrap();
         let call = script.next().await;
         assert!(!call.path.contains("watch"));
         call
@@ -103,7 +103,7 @@
     assert_eq!(driven.told().await, (ListUpdate::Full, named(&[(1, Ready)])));
     drop(watch);
     assert_eq!(driven.told().await.0, ListUpdate::Failed);
-    driven.ask.send(DiscoveryRequest::Track).await.unwrap();
+    driven.ask.send(DiscoveryRequest::Watch).await.unwrap();
     let mut watch = script.next().await.begin().await;
     watch.line(&list(2, true, &[node(2, "ready", 0)])).await;
     assert_eq!(driven.told().await, (ListUpdate::Full, named(&[(2, Ready)])));
@@ -116,8 +116,8 @@
 async fn what_is_under_way_when_discovery_moves_goes_on_at_the_new_address() {
     let (old, new) = (Script::start().await, Script::start().await);
     let mut driven = Driven::start(old.address, Answer::default());
-    driven.ask.send(DiscoveryRequest::Track).await.unwrap();
-    driven.ask.send(DiscoveryRequest::Lookup).await.unwrap();
+    driven.ask.send(DiscoveryRequest::Watch).await.unwrap();
+    driven.ask.send(DiscoveryRequest::Fetch).await.unwrap();
     let hangs = [old.next().await, old.next().await];
     driven.address.send_replace(new.address);
     let calls = [new.next().await, new.next().await];
@@ -144,7 +144,7 @@
     let (old, new) = (Script::start().await, Script::start().await);
     let known = serde_json::from_value(list(41, true, &[node(0, "ready", 0)])).unwrap();
     let mut driven = Driven::start(old.address, known);
-    driven.ask.send(DiscoveryRequest::Track).await.unwrap();
+    driven.ask.send(DiscoveryRequest::Watch).await.unwrap();
     let mut watch = old.next().await.begin().await;
     assert!(watch.path.ends_with("after=41"));
     watch.chunk("\n").await;
@@ -193,7 +193,7 @@
     let hang = async |stage: usize| {
         let script = Script::start().await;
         let mut driven = Driven::start(script.address, Answer::default());
-        driven.ask.send(DiscoveryRequest::Track).await.unwrap();
+        driven.ask.send(DiscoveryRequest::Watch).await.unwrap();
         let call = script.next().await;
         let mut trickle = JoinSet::new();
         let _held = match stage {
