--- a/crates/stepspur-conductor/src/service/session/mod.rs
+++ b/crates/stepspur-conductor/src/service/session/mod.rs
@@ -199,6 +199,8 @@
         let listen = &self.context.config.listen;
         // Frames have a largest size, so that their number bounds their bytes.
         let limits = QueueLimits { messages: listen.frames_waiting_max, bytes: usize::MAX };
+        // This handle keeps the queue open: the engine's last frame, a broken connection or a cut ends the
+        // writer.
         let (queue, outbound) = SendQueue::new(limits);
         let cut = self.context.shutdown.kill.child_token();
         if !engine.open_with(stream, queue.clone(), cut.clone()).await
@@ -229,7 +231,7 @@
     }
 
     /// Reads and writes until the writer has ended or the stream is cut. A reader that ends first reports why
-    /// to the engine, which answers with a last frame or by dropping the queue: both end the writer.
+    /// to the engine, whose last frame, if it sends one, ends the writer.
     async fn run_halves(
         &self,
         reading: impl Future<Output = Result<(), StreamFault>>,
--- a/crates/stepspur-conductor/tests/faults_service.rs
+++ b/crates/stepspur-conductor/tests/faults_service.rs
@@ -1,5 +1,5 @@
-//! Faults at the sockets: sources, tasks and streams. `docs/hardening-review.md` has the table; each test ends with
-//! the shared checker of the five rules, in [`close`], or with the end of every stream.
+//! Faults at the sockets: sources, tasks and streams. `docs/hardening-review.md` has the table; each test
+//! ends with the shared checker of the five rules, in [`close`], or with the end of every stream.
 
 mod common;
 
@@ -21,7 +21,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 
-/// A conductor with a file of servers, and a proxy that has its table.
+/// A conductor with a file of endpoints, and a proxy that has its table.
 async fn running(test: &str, set: Config, servers: usize) -> (Nodes, Conductor, Checker, Proxy) {
     let nodes = Nodes::new(test, &listed(servers, None));
     let conductor = start(set, &nodes).await;
@@ -31,7 +31,7 @@
     (nodes, conductor, rules, proxy)
 }
 
-/// The proxy answers what it is sent until the test's own work is done.
+/// Lets the proxy acknowledge updates until the test's own work is done.
 async fn meanwhile<T>(proxy: &mut Proxy, work: impl Future<Output = T>) -> T {
     tokio::pin!(work);
     loop {
@@ -42,20 +42,20 @@
     }
 }
 
-/// Waits until so many streams are joined.
-async fn joined(conductor: &Conductor, many: usize) {
+/// Waits until this number of streams is joined.
+async fn joined(conductor: &Conductor, count: usize) {
     let wait = async {
-        while conductor.stats().await.unwrap().joined != many {
+        while conductor.stats().await.unwrap().joined != count {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
     timeout(LONG, wait).await.expect("the others have left");
 }
 
-/// A writer that takes its time: the file is cut at an entry's end at every look. A reader that takes it for a list
-/// believes a loss under the doubt's limit.
+/// While a slow writer works, the file ends between two entries at every read. A reader that took that for a
+/// list would remove servers, fewer than the mass-removal guard notices.
 #[tokio::test]
-async fn a_file_that_is_still_written_is_not_believed() {
+async fn file_that_is_still_written_is_not_used() {
     let (file, conductor, rules, mut proxy) = running("cut", config(), 4).await;
     let write = async {
         for k in 0..40 {
@@ -71,9 +71,9 @@
     close(conductor, rules).await;
 }
 
-/// A writer that died: the file stays cut. Its own count of entries tells.
+/// A writer that died leaves a truncated file: the stated number of entries shows it.
 #[tokio::test]
-async fn a_file_that_lacks_entries_it_counts_is_not_believed() {
+async fn file_with_fewer_entries_than_stated_is_not_used() {
     let (file, conductor, rules, mut proxy) = running("count", config(), 4).await;
     file.write(&("servers = 4\n".to_owned() + &listed(3, None)));
     meanwhile(&mut proxy, tokio::time::sleep(Duration::from_millis(300))).await;
@@ -83,9 +83,9 @@
     close(conductor, rules).await;
 }
 
-/// A loss beyond the doubt's limit that is real is believed in its time, though nobody edits the file again.
+/// A real loss beyond the mass-removal guard's limit is accepted in time, though nobody edits the file again.
 #[tokio::test]
-async fn a_real_loss_in_a_file_is_believed_without_an_edit() {
+async fn mass_removal_in_file_is_accepted_after_its_confirmation_time() {
     let mut set = config();
     if let Source::File { doubt, .. } = &mut set.source {
         doubt.confirm_after = Duration::from_millis(1200);
@@ -96,15 +96,15 @@
     rules.lock().unwrap().truth(common::peer::now(), &gone);
     file.write(&listed(1, None));
     meanwhile(&mut proxy, tokio::time::sleep(Duration::from_millis(300))).await;
-    assert_eq!(proxy.held.len(), 4, "doubted");
+    assert_eq!(proxy.held.len(), 4, "the removal waits for its confirmation");
     proxy.until(|held| held.len() == 1).await;
     close(conductor, rules).await;
 }
 
-/// Empty, gone, no TOML, an unknown zone, too many bytes of nothing: whatever the file turns into, what was told
-/// stands, and the next sound text counts.
+/// Whatever a file becomes (empty, missing, no TOML, of an unknown zone), the list before stays in use until
+/// the next valid text.
 #[tokio::test]
-async fn a_file_that_turns_into_nonsense_changes_nothing() {
+async fn file_that_becomes_invalid_changes_nothing() {
     let (file, conductor, rules, mut proxy) = running("nonsense", config(), 4).await;
     let zones = listed(4, None).replace("\"a\"", "\"A\"");
     for text in ["", "[[node]]\n", "\u{0}\u{0}", "node = 3", "[[node]]\naddress = \"x\"\nzone = 1", &zones] {
@@ -119,9 +119,8 @@
     close(conductor, rules).await;
 }
 
-/// A zone without servers: its proxies get those of others.
 #[tokio::test]
-async fn a_proxy_of_a_zone_without_servers_gets_those_of_others() {
+async fn proxy_in_zone_without_servers_gets_those_of_other_zones() {
     let only_b: String = listed(8, None)
         .split_inclusive("[[node]]\n")
         .skip(1)
@@ -137,7 +136,7 @@
     close(conductor, rules).await;
 }
 
-/// A list over HTTP whose answers the test makes.
+/// An endpoint list over HTTP whose answers the test generates, and the number of its calls.
 async fn http_list(answer: impl Fn(usize) -> String + Send + 'static) -> (HttpSource, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let source = HttpSource::new(
@@ -160,21 +159,23 @@
     (source, calls)
 }
 
-fn answer(status: &str, body: &str, claimed: usize) -> String {
-    format!("HTTP/1.1 {status}\r\ncontent-length: {claimed}\r\nconnection: close\r\n\r\n{body}")
+/// An HTTP answer that states this length of its body.
+fn answer(status: &str, body: &str, stated_length: usize) -> String {
+    format!("HTTP/1.1 {status}\r\ncontent-length: {stated_length}\r\nconnection: close\r\n\r\n{body}")
 }
 
-fn whole(version: u64, servers: usize) -> String {
+/// A complete list in JSON.
+fn complete_list(version: u64, servers: usize) -> String {
     let node = |k: usize| format!("{{\"address\":\"{}\",\"zone\":\"{}\"}}", address(k), ["a", "b"][k % 2]);
     let nodes: Vec<_> = (0..servers).map(node).collect();
     format!("{{\"version\":{version},\"nodes\":[{}]}}", nodes.join(","))
 }
 
-/// A list that does not wait as it was asked to must not be called in a tight loop for months.
+/// A list that answers long polls at once must not be called in a tight loop.
 #[tokio::test]
-async fn a_list_that_answers_at_once_is_called_at_a_pace() {
+async fn list_that_ignores_long_polls_is_called_at_the_minimum_interval() {
     let (source, calls) = http_list(|call| match call {
-        0 => answer("200 OK", &whole(1, 4), whole(1, 4).len()),
+        0 => answer("200 OK", &complete_list(1, 4), complete_list(1, 4).len()),
         _ => answer("304 Not Modified", "", 0),
     })
     .await;
@@ -182,19 +183,22 @@
     let rules = checker(4);
     let mut proxy = Proxy::checked(&conductor, "p", &rules, 0).await;
     proxy.until(|held| held.len() == 4).await;
-    let (from, before) = (std::time::Instant::now(), calls.load(Ordering::Relaxed));
+    let started_at = std::time::Instant::now();
+    let calls_before = calls.load(Ordering::Relaxed);
     meanwhile(&mut proxy, tokio::time::sleep(Duration::from_millis(500))).await;
-    let most = from.elapsed().as_millis() as usize / 50 + 2;
-    let made = calls.load(Ordering::Relaxed) - before;
-    assert!(made <= most, "{made} calls where {most} may be");
+    let max_calls = started_at.elapsed().as_millis() as usize / 50 + 2;
+    let made = calls.load(Ordering::Relaxed) - calls_before;
+    assert!(made <= max_calls, "{made} calls, at most {max_calls} are allowed");
     close(conductor, rules).await;
 }
 
-/// Cut in its body, no JSON, a status, neither nodes nor changes: failures, and the old list stands.
+/// A truncated body, no JSON, a status of an error, neither nodes nor changes: each is a failure, and the
+/// list before stays in use.
 #[tokio::test]
-async fn an_answer_that_is_cut_or_no_list_changes_nothing() {
+async fn truncated_or_invalid_answer_changes_nothing() {
     let (source, calls) = http_list(|call| {
-        let (good, two) = (whole(1, 4), whole(2, 2));
+        let good = complete_list(1, 4);
+        let two = complete_list(2, 2);
         match call {
             0 => answer("200 OK", &good, good.len()),
             1 => answer("200 OK", &two[..two.len() - 2], two.len()),
@@ -219,71 +223,75 @@
     close(conductor, rules).await;
 }
 
-/// A source that tells four servers and then ends, or panics.
-struct Dies {
+/// A source that sends four servers and then ends, or panics.
+struct FailingSource {
     panics: bool,
-    told: Arc<Mutex<Vec<DiscoveryRequest>>>,
+    served: Arc<Mutex<Vec<DiscoveryRequest>>>,
 }
 
-impl ServiceDiscovery for Dies {
+impl ServiceDiscovery for FailingSource {
     fn run(self: Box<Self>, mut feed: EndpointFeed) -> DiscoveryFuture {
         Box::pin(async move {
-            let ask = feed.requests.recv().await.unwrap();
+            let request = feed.requests.recv().await.unwrap();
             feed.updates.send(ListUpdate::Full, nodes(4)).await;
-            self.told.lock().unwrap().push(ask);
+            self.served.lock().unwrap().push(request);
             tokio::time::sleep(Duration::from_millis(50)).await;
-            assert!(!self.panics, "as the test has it");
+            assert!(!self.panics, "the test wants a panic");
         })
     }
 }
 
-/// Without anybody who notices, the conductor would go on for months by its last list.
+/// Without supervision the conductor would use its last list forever.
 #[tokio::test]
-async fn a_source_that_dies_ends_the_conductor_cleanly() {
+async fn source_that_ends_or_panics_stops_the_conductor() {
     for panics in [false, true] {
-        let source = Dies { panics, told: Arc::default() };
+        let source = FailingSource { panics, served: Arc::default() };
         let mut conductor = Conductor::start(config(), Box::new(source)).await.unwrap();
         let mut proxy = Proxy::join(&conductor, "p").await;
         proxy.until(|held| held.len() == 4).await;
-        let failed = timeout(LONG, conductor.ended()).await.expect("it is noticed");
-        assert!(failed.unwrap_err().to_string().contains("source"), "and told which");
+        let failed = timeout(LONG, conductor.ended()).await.expect("the failure is noticed");
+        assert!(failed.unwrap_err().to_string().contains("source"), "the error names the task");
         assert_eq!(proxy.end().await, Some(v1::Reason::Stopping), "proxies go elsewhere");
         timeout(LONG, conductor.stop()).await.expect("every task ends");
     }
 }
 
-/// A request that ends at its receipt: half a frame, a Hello and no more, a Hello and half a report. Nothing stays.
+/// Streams that end with half a frame, after a Hello, or after a Hello and half a report leave no state.
 #[tokio::test]
-async fn a_stream_that_ends_at_its_receipt_leaves_nothing() {
+async fn stream_that_ends_at_its_first_message_leaves_no_state() {
     let mut set = config();
     set.listen.hello_timeout = Duration::from_millis(300);
     let (_file, conductor, rules, mut good) = running("receipt", set, 8).await;
     let hello = stepspur_proto::frame(&hello("gone", "a"), usize::MAX).unwrap();
     let half = [&hello[..], &[0, 0, 0, 9, 1]].concat();
     let nowhere = stepspur_proto::frame(&common::hello("gone", "nowhere"), usize::MAX).unwrap();
-    let nonsense = [0, 0, 0, 3, 0xff, 0xff, 0xff];
-    let mut kept = Vec::new();
+    let invalid = [0, 0, 0, 3, 0xff, 0xff, 0xff];
+    let mut open_sockets = Vec::new();
     for (bytes, closes) in [
         (&hello[..3], true),
         (&hello[..9], true),
         (&hello, true),
         (&half, true),
         (&nowhere, true),
-        (&nonsense, true),
+        (&invalid, true),
         (&hello[..9], false),
     ] {
         for _ in 0..20 {
             let mut socket = TcpStream::connect(conductor.address()).await.unwrap();
             socket.write_all(bytes).await.unwrap();
             if !closes {
-                // One that falls silent is cut off in time.
-                kept.push(socket);
+                // A silent one is closed after the timeout.
+                open_sockets.push(socket);
             }
         }
     }
     meanwhile(&mut good, joined(&conductor, 1)).await;
-    for mut socket in kept {
-        assert_eq!(timeout(LONG, socket.read(&mut [0; 9])).await.unwrap().unwrap_or(0), 0, "cut off");
+    for mut socket in open_sockets {
+        assert_eq!(
+            timeout(LONG, socket.read(&mut [0; 9])).await.unwrap().unwrap_or(0),
+            0,
+            "the stream is closed"
+        );
     }
     let mut back = Proxy::checked(&conductor, "gone", &rules, 1).await;
     meanwhile(&mut good, back.until(|held| held.len() == 4)).await;
@@ -292,14 +300,15 @@
     close(conductor, rules).await;
 }
 
-/// A request that ends part-way through the send of its table: the peer closes, or takes nothing until the write has
-/// timed out. Nothing is written after the part of a frame, and the proxy that returns gets its whole table.
+/// Streams that end during the send of their table: the peer closes, or reads nothing until the write times
+/// out. Nothing is written after a part of a frame, and a proxy that joins again gets its complete table.
 #[tokio::test]
-async fn a_stream_that_ends_within_a_send_leaves_nothing() {
+async fn stream_that_ends_during_a_send_leaves_no_state() {
     let servers = 20_000;
     let mut set = config();
     set.listen.write_timeout = Duration::from_millis(300);
-    (set.listen.largest_frame, set.listen.keepalive) = (8 << 20, Duration::from_millis(400));
+    set.listen.largest_frame = 8 << 20;
+    set.listen.keepalive = Duration::from_millis(400);
     let mut many = String::new();
     for k in 0..servers {
         let [high, low] = (k as u16).to_be_bytes();
@@ -339,9 +348,9 @@
     close(conductor, rules).await;
 }
 
-/// Joined and gone at once, many times over, while tables are computed and the list changes.
+/// Proxies join and leave at once, many times, while tables are computed and the list changes.
 #[tokio::test]
-async fn streams_that_end_while_tables_are_computed_leave_nothing() {
+async fn streams_that_end_while_tables_are_computed_leave_no_state() {
     let (file, conductor, rules, mut good) = running("computed", config(), 8).await;
     for k in 0..200 {
         drop(Proxy::join(&conductor, &format!("p{}", k % 7)).await);
@@ -356,9 +365,9 @@
     close(conductor, rules).await;
 }
 
-/// A change while the proxy takes nothing: it is behind, not lost.
+/// Changes while the proxy reads nothing are late, not lost.
 #[tokio::test]
-async fn changes_while_a_proxy_does_not_read_reach_it_in_order() {
+async fn changes_while_proxy_does_not_read_reach_it_in_order() {
     let (file, conductor, rules, mut proxy) = running("behind", config(), 8).await;
     for k in 0..8 {
         file.write(&listed(8, Some(k)));
@@ -373,9 +382,8 @@
     close(conductor, rules).await;
 }
 
-/// The file's source is named so that its type is part of what is driven here.
 #[tokio::test]
-async fn a_file_that_never_was_is_asked_for_until_it_is() {
+async fn missing_file_is_polled_until_it_exists() {
     let file = Nodes::new("late", "");
     std::fs::remove_file(&file.0).unwrap();
     let source = FileSource::new(file.0.clone(), Duration::from_millis(10));
--- a/crates/stepspur-conductor/tests/service.rs
+++ b/crates/stepspur-conductor/tests/service.rs
@@ -1,4 +1,4 @@
-//! The service through its sockets: a small proxy on the other end.
+//! The service through its sockets, with a small proxy at the other end.
 
 mod common;
 
@@ -17,7 +17,7 @@
 use tokio::time::timeout;
 
 #[tokio::test]
-async fn a_drain_in_the_file_reaches_the_proxy_and_a_broken_file_changes_nothing() {
+async fn drain_in_file_reaches_proxy_and_invalid_file_changes_nothing() {
     let nodes = Nodes::new("drain", &listed(4, None));
     let conductor = start(config(), &nodes).await;
     let mut proxy = Proxy::join(&conductor, "p").await;
@@ -30,20 +30,23 @@
     assert_eq!(proxy.end().await, Some(v1::Reason::Stopping));
 }
 
-/// Torn, no protobuf, too large by a byte: each ends its own stream with a reason, none another's.
+/// A torn frame, one that is no protobuf, and one that is too large by a byte end their own streams alone,
+/// with a reason.
 #[tokio::test]
-async fn a_bad_frame_ends_its_stream_alone() {
+async fn invalid_frame_ends_its_own_stream_alone() {
     let nodes = Nodes::new("frames", &listed(4, None));
     let mut set = config();
-    (set.listen.largest_frame, set.listen.largest_first_frame) = (4096, 512);
+    set.listen.largest_frame = 4096;
+    set.listen.largest_first_frame = 512;
     let conductor = start(set, &nodes).await;
     let mut good = Proxy::join(&conductor, "good").await;
     good.until(|held| held.len() == 4).await;
-    // A frame of just the largest size is taken: filled by a field that nobody knows.
+    // A frame of exactly the largest size is accepted: an unknown field fills it.
     let filled = |size: usize| {
         let mut body = vec![0xa2, 0x06, 0, 0];
         let inner = size - body.len();
-        (body[2], body[3]) = ((inner & 0x7f) as u8 | 0x80, (inner >> 7) as u8);
+        body[2] = (inner & 0x7f) as u8 | 0x80;
+        body[3] = (inner >> 7) as u8;
         body.resize(size, 0);
         [(size as u32).to_be_bytes().to_vec(), body].concat()
     };
@@ -69,35 +72,37 @@
     torn.frames.get_mut().write_all(&[0, 0, 0, 9, 1]).await.unwrap();
     torn.frames.get_mut().shutdown().await.unwrap();
     assert_eq!(torn.end().await, Some(v1::Reason::BadFrame));
-    // A stranger whose first bytes are no message is told, and never reaches the engine.
-    let mut stranger = TcpStream::connect(conductor.address()).await.unwrap();
-    // Its first four bytes say 1,024: more than a first frame may have, though later ones may.
-    stranger.write_all(&[0, 0, 4, 0, 1]).await.unwrap();
+    // A peer whose first bytes are no message is answered, and never reaches the engine.
+    let mut unknown_peer = TcpStream::connect(conductor.address()).await.unwrap();
+    // The first four bytes state a length of 1,024: too much for a first frame, though not for a later one.
+    unknown_peer.write_all(&[0, 0, 4, 0, 1]).await.unwrap();
     let mut answer = Vec::new();
-    timeout(LONG, stranger.read_to_end(&mut answer)).await.unwrap().unwrap();
+    timeout(LONG, unknown_peer.read_to_end(&mut answer)).await.unwrap().unwrap();
     assert!(answer.len() > 4);
     nodes.write(&listed(4, Some(0)));
     good.until(|held| held.len() == 3).await;
     conductor.stop().await;
 }
 
-/// One proxy reads nothing, whatever it asks for; it is cut off, and the other's orders are not delayed by it.
-/// Each of the two guards is enough alone: the bounded queue, and the time for a write.
+/// A proxy that sends pings and reads nothing is cut, and delays no other proxy's updates. Each of the two
+/// limits suffices alone: the bounded send queue, and the write timeout.
 #[tokio::test]
-async fn a_proxy_that_does_not_read_is_cut_off_and_delays_nobody() {
+async fn proxy_that_does_not_read_is_cut_and_delays_no_other() {
     let minute = Duration::from_secs(60);
     for (frames, write) in [(8, minute), (10_000, Duration::from_millis(300))] {
         let nodes = Nodes::new(&format!("slow-{frames}"), &listed(6, None));
         let mut set = config();
-        (set.listen.frames_waiting_max, set.listen.write_timeout) = (frames, write);
-        (set.channel.mark_timeout, set.listen.keepalive) = (minute, minute);
+        set.listen.frames_waiting_max = frames;
+        set.listen.write_timeout = write;
+        set.channel.mark_timeout = minute;
+        set.listen.keepalive = minute;
         let conductor = start(set, &nodes).await;
         let mut good = Proxy::join(&conductor, "good").await;
         let mut slow = Proxy::join(&conductor, "slow").await;
         good.until(|held| held.len() == 6).await;
         let ping = from_proxy::Kind::Ping(v1::Ping { token: u64::MAX });
         let pings = stepspur_proto::frame(&FromProxy::new(0, 0, ping), 99).unwrap().repeat(1000);
-        // A queue that is full ends the stream while it is flooded; a write that is not taken, once it is quiet.
+        // A full queue ends the stream during the flood; a write timeout ends it after the flood.
         let flood = tokio::spawn(async move {
             for _ in 0..2_000 {
                 let sent = timeout(Duration::from_secs(20), slow.frames.get_mut().write_all(&pings)).await;
@@ -114,7 +119,7 @@
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         };
-        timeout(Duration::from_secs(30), cut).await.expect("the slow one is cut off");
+        timeout(Duration::from_secs(30), cut).await.expect("the slow proxy is cut");
         nodes.write(&listed(6, Some(2)));
         good.until(|held| !held.contains(&address(2))).await;
         drop(flood.await.unwrap());
@@ -122,9 +127,10 @@
     }
 }
 
-/// Stopped in the middle of a table: every stream ends, with a goodbye where the peer reads, and no task is left.
+/// A stop while tables are sent ends every stream, with a go-away message where the peer reads, and every
+/// task.
 #[tokio::test]
-async fn stopping_ends_every_stream_and_every_task() {
+async fn stop_during_tables_ends_every_stream_and_task() {
     let nodes = Nodes::new("stop", &listed(400, None));
     let mut set = config();
     set.channel.lines_per_s = 20_000.0;
@@ -137,21 +143,23 @@
     proxies[0].until(|held| !held.is_empty()).await;
     let silent = TcpStream::connect(conductor.address()).await.unwrap();
     let before = conductor.stats().await.unwrap();
-    assert!(before.channel[0] > 0.0, "tables are still on their way");
+    assert!(before.channel[0] > 0.0, "tables are still waiting");
     let address = conductor.address();
     timeout(LONG, conductor.stop()).await.expect("all tasks have ended");
     for mut proxy in proxies {
         assert_eq!(proxy.end().await, Some(v1::Reason::Stopping));
     }
     drop(silent);
-    assert!(TcpStream::connect(address).await.is_err(), "nobody listens any more");
+    assert!(TcpStream::connect(address).await.is_err(), "the address is closed");
 }
 
-/// Two conductors in one process share nothing: not names, not numbers, not lists.
+/// Two conductors in one process share neither names nor numbers nor lists.
 #[tokio::test]
-async fn two_conductors_share_nothing() {
-    let (one, two) = (Nodes::new("one", &listed(4, None)), Nodes::new("two", &listed(6, None)));
-    let (first, second) = (start(config(), &one).await, start(config(), &two).await);
+async fn two_conductors_in_one_process_share_nothing() {
+    let one = Nodes::new("one", &listed(4, None));
+    let two = Nodes::new("two", &listed(6, None));
+    let first = start(config(), &one).await;
+    let second = start(config(), &two).await;
     let mut p = Proxy::join(&first, "p").await;
     let mut q = Proxy::join(&second, "p").await;
     p.until(|held| held.len() == 4).await;
@@ -165,7 +173,7 @@
 }
 
 #[tokio::test]
-async fn settings_out_of_bounds_are_all_named() {
+async fn start_with_settings_out_of_bounds_names_all_of_them() {
     let mut set = config();
     set.fleet.my_zone = Some("nowhere".into());
     set.fleet.classes[0].deadline = Duration::from_millis(1);
@@ -179,23 +187,24 @@
     assert!(Conductor::start(set, Box::new(source)).await.is_err());
 }
 
-/// What a peer goes on sending does not cost it the reason of its end: the kernel would reset a socket that is closed
-/// over unread bytes.
+/// A peer that goes on sending still reads the reason of its rejection: the kernel would reset a socket that
+/// is closed over unread bytes.
 #[tokio::test]
-async fn an_end_is_told_in_order_though_bytes_lie_unread() {
+async fn rejection_over_unread_bytes_reaches_the_peer() {
     let nodes = Nodes::new("unread", &listed(4, None));
     let mut set = config();
-    (set.listen.largest_frame, set.listen.largest_first_frame) = (4096, 512);
+    set.listen.largest_frame = 4096;
+    set.listen.largest_first_frame = 512;
     let conductor = start(set, &nodes).await;
     let flood = vec![0xff; 200 << 10];
-    let mut stranger = TcpStream::connect(conductor.address()).await.unwrap();
-    let ends = Ends::of(&stranger);
-    stranger.write_all(&flood).await.unwrap();
+    let mut unknown_peer = TcpStream::connect(conductor.address()).await.unwrap();
+    let ends = Ends::of(&unknown_peer);
+    unknown_peer.write_all(&flood).await.unwrap();
     let mut answer = Vec::new();
-    timeout(LONG, stranger.read_to_end(&mut answer)).await.unwrap().unwrap();
+    timeout(LONG, unknown_peer.read_to_end(&mut answer)).await.unwrap().unwrap();
     assert!(answer.len() > 4);
-    stranger.shutdown().await.unwrap();
-    ends.closed_in_order(&stranger).await;
+    unknown_peer.shutdown().await.unwrap();
+    ends.closed_in_order(&unknown_peer).await;
     let mut joined = Proxy::join(&conductor, "p").await;
     joined.until(|held| held.len() == 4).await;
     let ends = Ends::of(joined.frames.get_ref());
