--- a/crates/stepspur-distribution/src/control/settings.rs
+++ b/crates/stepspur-distribution/src/control/settings.rs
@@ -55,7 +55,7 @@
     #[error(transparent)]
     InvalidSetting(#[from] InvalidControlSetting),
     /// The consensus member does not replicate the configuration.
-    #[error("the council's member has no state machine {CONFIGURATION}")]
+    #[error("the council's member has no book {CONFIGURATION}")]
     MissingStateMachine,
     /// The address cannot be listened on.
     #[error("cannot listen at {address}: {cause}")]
--- a/crates/stepspur-replication/src/client.rs
+++ b/crates/stepspur-replication/src/client.rs
@@ -55,7 +55,7 @@
     #[error("{0} bytes, {MAX_BODY_BYTES} at most")]
     TooLarge(usize),
     /// This member has no such state machine, or none of the expected type.
-    #[error("state machine {0} is not known here")]
+    #[error("book {0} is not known here")]
     UnknownStateMachine(StateMachineId),
 }
 
--- a/crates/stepspur-replication/src/registry.rs
+++ b/crates/stepspur-replication/src/registry.rs
@@ -95,15 +95,17 @@
 }
 
 /// Why the member stops before an entry.
+///
+/// The texts are what operators read; `book` is their earlier word for a state machine.
 #[derive(Debug, thiserror::Error)]
 enum ApplyError {
     #[error("a command of {0} bytes")]
     TooLarge(usize),
     #[error(transparent)]
     Decode(#[from] DecodeCommandError),
-    #[error("state machine {0} is not known to this program: start a newer one")]
+    #[error("book {0} is not known to this program: start a newer one")]
     UnknownStateMachine(StateMachineId),
-    #[error("state machine {id} in version {version}, and this program knows {supported:?}")]
+    #[error("book {id} in version {version}, and this program knows {supported:?}")]
     UnsupportedVersion { id: StateMachineId, version: u16, supported: RangeInclusive<u16> },
 }
 
@@ -112,9 +114,9 @@
 enum RegistryRestoreError {
     #[error(transparent)]
     Malformed(#[from] postcard::Error),
-    #[error("state machine {id} in version {version} is not known to this program")]
+    #[error("book {id} in version {version} is not known to this program")]
     Unsupported { id: StateMachineId, version: u16 },
-    #[error("state machine {id}: {cause}")]
+    #[error("book {id}: {cause}")]
     StateMachine { id: StateMachineId, cause: RestoreError },
 }
 
