--- a/crates/stepspur-distribution/src/config.rs
+++ b/crates/stepspur-distribution/src/config.rs
@@ -12,6 +12,7 @@
 use crate::document::{
     DocumentError, Interest, MAX_NAME_BYTES, MAX_SERVICES, MAX_TENANTS, ServiceInterest, is_valid_name,
 };
+use crate::keep_alive::{MAX_KEEP_ALIVE, MIN_KEEP_ALIVE};
 
 /// Control members in the settings, at most.
 pub const MAX_CONTROL_MEMBERS: usize = 1_000;
@@ -24,10 +25,6 @@
 const MAX_SNAPSHOT_BYTES_PER_S: u32 = 1 << 30;
 const MIN_TIMEOUT: Duration = Duration::from_millis(10);
 const MAX_TIMEOUT: Duration = Duration::from_secs(3_600);
-/// The shortest interval of keep-alives.
-pub(crate) const MIN_KEEP_ALIVE: Duration = Duration::from_millis(100);
-/// The longest interval of keep-alives.
-pub(crate) const MAX_KEEP_ALIVE: Duration = Duration::from_secs(600);
 
 /// The roles of a conductor in the distribution: control member, subscriber, or both.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, Validate)]
@@ -47,7 +44,8 @@
 #[derive(Clone, Debug, Deserialize, Serialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct ControlConfig {
-    /// All control members with this one, the same in the settings of each. Each is a conductor of the council.
+    /// All control members with this one, the same in the settings of each. Each is a conductor of the
+    /// council.
     #[garde(dive, length(min = 1, max = MAX_CONTROL_MEMBERS), custom(distinct_ids))]
     pub members: Vec<ControlMemberAddress>,
     /// Rate limit of snapshots over all subscribers, in bytes per second. Deltas are not limited.
@@ -153,7 +151,8 @@
 }
 
 impl Distribution {
-    /// Checks the settings against those of the consensus group. [`Validate`] checks the bounds of single values.
+    /// Checks the settings against those of the consensus group. [`Validate`] checks the bounds of single
+    /// values.
     pub fn check_against(&self, council: Option<&ConsensusConfig>) -> Vec<SettingError> {
         if self.control.is_none() && self.subscriber.is_none() {
             return vec![SettingError::new("distribution", "needs `control`, `subscriber` or both")];
--- a/crates/stepspur-distribution/src/configuration/command.rs
+++ b/crates/stepspur-distribution/src/configuration/command.rs
@@ -1,7 +1,7 @@
 //! Commands of the configuration, and their checks.
 //!
-//! The texts of [`CommandError`] and [`RegistrationError`] are replicated as a rejection's reason. They must not change:
-//! members of different program versions must reject a command with the same text.
+//! The texts of [`CommandError`] and [`RegistrationError`] are replicated as a rejection's reason. They must
+//! not change: members of different program versions must reject a command with the same text.
 
 use std::collections::BTreeSet;
 
@@ -19,7 +19,8 @@
 /// A command of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// Makes a version of all these changes, or of none if any is invalid. One to [`MAX_CHANGES`], each key once.
+    /// Makes a version of all these changes, or of none if any is invalid. One to [`MAX_CHANGES`], each key
+    /// once.
     Change {
         /// The changes.
         changes: Vec<Change>,
--- a/crates/stepspur-distribution/src/configuration/query.rs
+++ b/crates/stepspur-distribution/src/configuration/query.rs
@@ -59,8 +59,8 @@
 
     /// The next update of a subscriber that holds all changes up to `from`.
     ///
-    /// A delta has `max_bytes` of documents at most, but the changes of its first version always; the first version that
-    /// does not fit is left for the next delta.
+    /// A delta has `max_bytes` of documents at most, but the changes of its first version always; the first
+    /// version that does not fit is left for the next delta.
     pub fn next_update(&self, from: Version, interest: &Interest, max_bytes: usize) -> SubscriberUpdate {
         if from < self.oldest {
             return SubscriberUpdate::Snapshot;
@@ -87,7 +87,8 @@
         SubscriberUpdate::Delta(Delta { to, documents: changed.into_values().collect() })
     }
 
-    /// The last version after `from` that concerns this interest; the head if `from` is before the retained changes.
+    /// The last version after `from` that concerns this interest; the head if `from` is before the retained
+    /// changes.
     pub fn last_concerning(&self, from: Version, interest: &Interest) -> Option<Version> {
         if from < self.oldest {
             return Some(self.head);
@@ -97,7 +98,8 @@
         self.versions_after(from).rev().find(concerns).map(|version| version.version)
     }
 
-    /// The scopes of changes after `from`, by ascending version; `None` if `from` is before the retained changes.
+    /// The scopes of changes after `from`, by ascending version; `None` if `from` is before the retained
+    /// changes.
     pub fn scopes_after(&self, from: Version) -> Option<impl Iterator<Item = (Version, &Scope)>> {
         if from < self.oldest {
             return None;
@@ -108,8 +110,8 @@
         }))
     }
 
-    /// All documents of an interest, sorted by service and tenant. The cost grows with the interest and the result, not
-    /// with the number of all documents.
+    /// All documents of an interest, sorted by service and tenant. The cost grows with the interest and the
+    /// result, not with the number of all documents.
     pub fn snapshot(&self, interest: &Interest) -> Vec<Document> {
         self.covered_by(interest).map(document_of).collect()
     }
@@ -129,7 +131,8 @@
         self.registrations.len()
     }
 
-    /// The names of the registered subscribers that a version concerns, sorted; `None` if the version is not retained.
+    /// The names of the registered subscribers that a version concerns, sorted; `None` if the version is not
+    /// retained.
     pub fn subscribers_concerned(&self, version: Version) -> Option<Vec<String>> {
         let index = self.recent.binary_search_by_key(&version, |recent| recent.version).ok()?;
         let changes = &self.recent[index].changes;
--- a/crates/stepspur-distribution/src/configuration/tests.rs
+++ b/crates/stepspur-distribution/src/configuration/tests.rs
@@ -1,4 +1,4 @@
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -203,8 +203,8 @@
     assert_eq!(state.subscribers_concerned(version(12)).unwrap(), ["shop north"]);
 }
 
-/// The log and the registrations stay small for every interest: a subscriber with too many tenants is registered for
-/// all of them, so that every version that concerns it waits for it.
+/// The log and the registrations stay small for every interest: a subscriber with too many tenants is
+/// registered for all of them, so that every version that concerns it waits for it.
 #[test]
 fn interest_with_many_tenants_is_registered_without_them_and_covers_all() {
     let tenants: Vec<String> = (0..5_000).map(|n| format!("tenant {n}")).collect();
@@ -308,7 +308,8 @@
         prop_assert_eq!(restored.encode(), state.encode());
     }
 
-    /// From every version and with every size of deltas, each delta leads to the documents of its last version.
+    /// From every version and with every size of deltas, each delta leads to the documents of its last
+    /// version.
     #[test]
     fn deltas_lead_to_the_documents_of_their_version(
         commands in vec(some_command(), 1..40),
@@ -349,7 +350,7 @@
     ) {
         let (state, documents_at) = apply_all(&commands, &interest);
         let snapshot = state.snapshot(&interest);
-        let keys = snapshot.iter().map(|document| document.key.clone()).collect::<std::collections::BTreeSet<_>>();
+        let keys: BTreeSet<Key> = snapshot.iter().map(|document| document.key.clone()).collect();
         prop_assert_eq!(keys.len(), snapshot.len());
         let all: Vec<_> = documents_at[&state.head()].values().cloned().collect();
         let mut sorted = snapshot;
--- a/crates/stepspur-distribution/src/control/attached.rs
+++ b/crates/stepspur-distribution/src/control/attached.rs
@@ -81,7 +81,8 @@
         self.progress().last_frame = Instant::now();
     }
 
-    /// The subscriber has applied all changes up to a version. `reason` says why it has not applied later ones.
+    /// The subscriber has applied all changes up to a version. `reason` says why it has not applied later
+    /// ones.
     pub(super) fn acknowledge(
         &self,
         applied_version: Version,
--- a/crates/stepspur-distribution/src/control/connection.rs
+++ b/crates/stepspur-distribution/src/control/connection.rs
@@ -98,7 +98,8 @@
         Ok(frame)
     }
 
-    /// Waits until the other side has closed, so that it reads the last frame. What it still writes is discarded.
+    /// Waits until the other side has closed, so that it reads the last frame. What it still writes is
+    /// discarded.
     async fn wait_until_closed(self) {
         let mut half = self.0.into_inner();
         let mut buffer = [0; 1_024];
--- a/crates/stepspur-distribution/src/control/local_configuration.rs
+++ b/crates/stepspur-distribution/src/control/local_configuration.rs
@@ -15,8 +15,8 @@
         Self { replication }
     }
 
-    /// Calls `read` with the configuration. [`super::Control::start`] checks that there is one; the default stands in
-    /// for the missing one.
+    /// Calls `read` with the configuration. [`super::Control::start`] checks that there is one; the default
+    /// stands in for the missing one.
     pub(super) fn read<T: Default>(&self, read: impl FnOnce(&ConfigurationState) -> T) -> T {
         self.replication.registry().inspect(CONFIGURATION, read).unwrap_or_default()
     }
--- a/crates/stepspur-distribution/src/control/messages.rs
+++ b/crates/stepspur-distribution/src/control/messages.rs
@@ -8,11 +8,13 @@
 use crate::document::Document;
 use crate::version::Version;
 
-/// Length of the documents of a delta, in bytes, at most. The changes of one version are never divided and may exceed it.
+/// Length of the documents of a delta, in bytes, at most. The changes of one version are never divided and
+/// may exceed it.
 pub const MAX_DELTA_BYTES: usize = 64 << 10;
 /// Length of the documents of a part of a snapshot, in bytes, at most.
 pub const MAX_PART_BYTES: usize = 16 << 10;
-/// Length of the first frame that is read, in bytes, at most: an interest of all allowed services and tenants fits.
+/// Length of the first frame that is read, in bytes, at most: an interest of all allowed services and tenants
+/// fits.
 pub(super) const MAX_FIRST_FRAME_BYTES: usize = 2 << 20;
 /// Length of a later frame that is read, in bytes, at most. Also that of a summary that is written.
 pub(super) const MAX_LATER_FRAME_BYTES: usize = 512 << 10;
--- a/crates/stepspur-distribution/src/control/mod.rs
+++ b/crates/stepspur-distribution/src/control/mod.rs
@@ -120,7 +120,8 @@
     /// Starts a control member on a consensus member that replicates [`ConfigurationState`].
     ///
     /// # Errors
-    /// [`ControlStartError`] if a setting is invalid, the state machine is missing or the address cannot be listened on.
+    /// [`ControlStartError`] if a setting is invalid, the state machine is missing or the address cannot be
+    /// listened on.
     pub async fn start(
         settings: ControlSettings,
         replication: ReplicationClient,
@@ -149,8 +150,8 @@
         self.address
     }
 
-    /// Proposes changes, and returns the version that they make: all of them or none. Proposed again with the id of an
-    /// earlier proposal they take effect once.
+    /// Proposes changes, and returns the version that they make: all of them or none. Proposed again with the
+    /// id of an earlier proposal they take effect once.
     ///
     /// # Errors
     /// [`ProposeError`] if the changes are invalid or rejected, or their outcome is unknown.
@@ -163,8 +164,8 @@
         propose::change(&self.member.replication, id, changes, within).await
     }
 
-    /// Removes the registration of a subscriber, so that no version waits for it. Returns whether it was registered. An
-    /// attached subscriber is registered again.
+    /// Removes the registration of a subscriber, so that no version waits for it. Returns whether it was
+    /// registered. An attached subscriber is registered again.
     ///
     /// # Errors
     /// [`ProposeError`] if the removal is rejected or its outcome unknown.
--- a/crates/stepspur-distribution/src/control/progress_table.rs
+++ b/crates/stepspur-distribution/src/control/progress_table.rs
@@ -14,9 +14,11 @@
 use crate::document::{Interest, Scope};
 use crate::version::Version;
 
-/// A member with fewer subscribers redirects none, as those may not be registered yet that count for its share.
+/// A member with fewer subscribers redirects none, as those may not be registered yet that count for its
+/// share.
 const MIN_SHARE: usize = 64;
-/// A member accepts this percentage of its even share of the registered subscribers, and redirects further ones.
+/// A member accepts this percentage of its even share of the registered subscribers, and redirects further
+/// ones.
 const MAX_SHARE_PERCENT: usize = 125;
 
 /// The numbers of subscribers by state.
@@ -144,7 +146,8 @@
         }
     }
 
-    /// Evaluates the versions that were applied since the last call, and wakes the subscribers that they concern.
+    /// Evaluates the versions that were applied since the last call, and wakes the subscribers that they
+    /// concern.
     pub(super) fn evaluate(&self) {
         let mut inner = self.inner();
         let from = inner.evaluated_version;
--- a/crates/stepspur-distribution/src/control/propose.rs
+++ b/crates/stepspur-distribution/src/control/propose.rs
@@ -31,14 +31,15 @@
     /// The replicated configuration rejected the command; the state is unchanged.
     #[error("refused: {0}")]
     Rejected(String),
-    /// No outcome came in time: the operation may have taken effect, or may yet. It can be proposed again under this id
-    /// and takes effect once.
+    /// No outcome came in time: the operation may have taken effect, or may yet. It can be proposed again
+    /// under this id and takes effect once.
     #[error("the outcome of {id} is unknown")]
     Unknown {
         /// The operation.
         id: OperationId,
     },
-    /// The operation came so late that the outcome of an earlier proposal may be discarded. It was not applied now.
+    /// The operation came so late that the outcome of an earlier proposal may be discarded. It was not
+    /// applied now.
     #[error("{id} is too old to be told from what was forgotten")]
     TooOld {
         /// The operation.
--- a/crates/stepspur-distribution/src/control/rollout_status.rs
+++ b/crates/stepspur-distribution/src/control/rollout_status.rs
@@ -1,4 +1,5 @@
-//! Where a version is applied: the leader's answer from the registrations and the summaries of all control members.
+//! Where a version is applied: the leader's answer from the registrations and the summaries of all control
+//! members.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -55,7 +56,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RolloutStatusError {
     /// This member is not the leader.
-    #[error("this control member does not lead; {}", .leader.map_or("nobody that it knows of does".to_owned(), |id| format!("member {id} does")))]
+    #[error("this control member does not lead; {}", describe_leader(*.leader))]
     NotLeader {
         /// The leader, if known.
         leader: Option<u64>,
@@ -73,6 +74,13 @@
     NoAnswer(#[from] ReplicationError),
 }
 
+fn describe_leader(leader: Option<u64>) -> String {
+    match leader {
+        Some(id) => format!("member {id} does"),
+        None => "nobody that it knows of does".to_owned(),
+    }
+}
+
 /// What the summaries show of one subscriber.
 #[derive(Clone, Debug, PartialEq)]
 enum SubscriberRollout {
@@ -131,8 +139,8 @@
         }
     }
 
-    /// What the summaries show of a subscriber. If several members list it as attached, all of them must prove the
-    /// version. A subscriber that is attached nowhere is pending, whatever it applied last.
+    /// What the summaries show of a subscriber. If several members list it as attached, all of them must
+    /// prove the version. A subscriber that is attached nowhere is pending, whatever it applied last.
     fn rollout_at(&self, name: &str) -> SubscriberRollout {
         let mut is_proven = false;
         let mut most_recent: Option<PendingDetail> = None;
--- a/crates/stepspur-distribution/src/control/settings.rs
+++ b/crates/stepspur-distribution/src/control/settings.rs
@@ -5,8 +5,8 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-use crate::config::{MAX_KEEP_ALIVE, MIN_KEEP_ALIVE};
 use crate::configuration::CONFIGURATION;
+use crate::keep_alive::{MAX_KEEP_ALIVE, MIN_KEEP_ALIVE};
 pub use crate::placement::ControlMember;
 
 /// The settings of a control member.
@@ -24,7 +24,8 @@
     pub snapshot_bytes_per_s: u32,
     /// Subscribers at once, at most.
     pub subscribers_max: u32,
-    /// The longest interval between two frames of either side. Three intervals without a frame end a connection.
+    /// The longest interval between two frames of either side. Three intervals without a frame end a
+    /// connection.
     pub keep_alive: Duration,
 }
 
--- a/crates/stepspur-distribution/src/control/snapshot_admission.rs
+++ b/crates/stepspur-distribution/src/control/snapshot_admission.rs
@@ -16,7 +16,8 @@
 /// Admits snapshots part by part, in the order of the requests.
 #[derive(Debug)]
 pub(super) struct SnapshotAdmission {
-    /// When the rate limit admits the next part. The lock is fair, so that requests are served in their order.
+    /// When the rate limit admits the next part. The lock is fair, so that requests are served in their
+    /// order.
     next_at: Mutex<Instant>,
     bytes_per_s: u32,
     memory: Arc<Semaphore>,
@@ -55,8 +56,8 @@
         self.waiting.load(Ordering::Relaxed)
     }
 
-    /// Waits for memory for a snapshot, released when the permit is dropped. A snapshot larger than the limit takes all
-    /// of it.
+    /// Waits for memory for a snapshot, released when the permit is dropped. A snapshot larger than the limit
+    /// takes all of it.
     pub(super) async fn reserve_memory(&self, bytes: usize) -> Option<OwnedSemaphorePermit> {
         let permits = u32::try_from(bytes.div_ceil(PERMIT_BYTES)).unwrap_or(u32::MAX);
         Arc::clone(&self.memory).acquire_many_owned(permits.clamp(1, MAX_PERMITS)).await.ok()
--- a/crates/stepspur-distribution/src/control/subscribe_request.rs
+++ b/crates/stepspur-distribution/src/control/subscribe_request.rs
@@ -14,7 +14,8 @@
 use crate::document_messages::interest_of;
 use crate::version::{Version, version_of};
 
-/// How long a subscriber with a later version than this member waits for the member to catch up, before a redirect.
+/// How long a subscriber with a later version than this member waits for the member to catch up, before a
+/// redirect.
 const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(2);
 /// When a subscriber may retry that another control member may accept.
 const REDIRECT_RETRY_AFTER: Duration = Duration::from_secs(1);
--- a/crates/stepspur-distribution/src/control/subscriber_session.rs
+++ b/crates/stepspur-distribution/src/control/subscriber_session.rs
@@ -14,11 +14,9 @@
 use super::subscribe_request::{self, SubscribeError};
 use super::update_sender::UpdateSender;
 use crate::configuration::ConfigurationState;
+use crate::keep_alive::MAX_SILENT_INTERVALS;
 use crate::version::{Version, version_of};
 
-/// Keep-alive intervals without a frame that end a connection.
-const MAX_SILENT_INTERVALS: u32 = 3;
-
 /// Serves a subscriber with this first frame until its connection ends.
 pub(super) async fn serve(
     member: &Member,
--- a/crates/stepspur-distribution/src/control/summary_collector.rs
+++ b/crates/stepspur-distribution/src/control/summary_collector.rs
@@ -81,7 +81,8 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A member begins to report. Its last summary stays valid until the first one of this connection is complete.
+    /// A member begins to report. Its last summary stays valid until the first one of this connection is
+    /// complete.
     pub(super) fn connect(&self, control: u64) -> Result<ReportingConnection, SummaryError> {
         if !self.members.contains(&control) {
             return Err(SummaryError::UnknownMember(control));
--- a/crates/stepspur-distribution/src/control/summary_encoder.rs
+++ b/crates/stepspur-distribution/src/control/summary_encoder.rs
@@ -58,8 +58,8 @@
         parts
     }
 
-    /// Puts the reported states in place of those of subscribers behind beyond [`MAX_BEHIND_LISTED`], so that they are
-    /// not listed. Returns their number.
+    /// Puts the reported states in place of those of subscribers behind beyond [`MAX_BEHIND_LISTED`], so that
+    /// they are not listed. Returns their number.
     fn leave_out_unlisted(&self, states: &mut BTreeMap<String, SubscriberState>) -> u32 {
         let behind = states.iter().filter(|(_, state)| matches!(state, SubscriberState::Behind(_)));
         let unlisted: Vec<String> = behind.skip(MAX_BEHIND_LISTED).map(|(name, _)| name.clone()).collect();
--- a/crates/stepspur-distribution/src/control/update_sender.rs
+++ b/crates/stepspur-distribution/src/control/update_sender.rs
@@ -69,7 +69,8 @@
         next.unwrap_or(SubscriberUpdate::Covered(from))
     }
 
-    /// Records what the next frame covers. This is done before the write, as the acknowledgement may come at once.
+    /// Records what the next frame covers. This is done before the write, as the acknowledgement may come at
+    /// once.
     fn mark_sent(&mut self, version: Version) {
         self.attached.mark_sent(version);
         self.sent_version = version;
--- a/crates/stepspur-distribution/src/document.rs
+++ b/crates/stepspur-distribution/src/document.rs
@@ -1,4 +1,5 @@
-//! Documents: a setting for a server or a request class within a scope, and which documents concern a subscriber.
+//! Documents: a setting for a server or a request class within a scope, and which documents concern a
+//! subscriber.
 
 use std::fmt;
 use std::net::SocketAddr;
--- a/crates/stepspur-distribution/src/lib.rs
+++ b/crates/stepspur-distribution/src/lib.rs
@@ -1,8 +1,9 @@
 //! Configuration from control members to subscribing conductors, by scope and version.
 //!
-//! Operators change documents in a replicated state machine ([`configuration`]). Control members serve it ([`control`]).
-//! A conductor is a subscriber ([`subscriber`]): it names the documents that concern it and the version that it holds,
-//! and is sent the changes after that version. docs/distribution.md has the design.
+//! Operators change documents in a replicated state machine ([`configuration`]). Control members serve it
+//! ([`control`]). A conductor is a subscriber ([`subscriber`]): it names the documents that concern it and
+//! the version that it holds, and is sent the changes after that version. docs/distribution.md has the
+//! design.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -11,6 +12,7 @@
 pub mod control;
 pub mod document;
 mod document_messages;
+mod keep_alive;
 pub mod placement;
 pub mod scope_store;
 pub mod subscriber;
--- a/crates/stepspur-distribution/src/placement.rs
+++ b/crates/stepspur-distribution/src/placement.rs
@@ -1,8 +1,8 @@
 //! The order in which a subscriber tries control members.
 //!
-//! Members of its own region come first. Within each group the order is that of a hash of the subscriber's name and the
-//! member (rendezvous hashing, Thaler and Ravishankar 1998). So subscribers spread evenly, and when a member is lost
-//! only its own subscribers move, evenly to all the others.
+//! Members of its own region come first. Within each group the order is that of a hash of the subscriber's
+//! name and the member (rendezvous hashing, Thaler and Ravishankar 1998). So subscribers spread evenly, and
+//! when a member is lost only its own subscribers move, evenly to all the others.
 
 use std::cmp::Reverse;
 use std::net::SocketAddr;
--- a/crates/stepspur-distribution/src/scope_store/error.rs
+++ b/crates/stepspur-distribution/src/scope_store/error.rs
@@ -24,8 +24,8 @@
         /// The newest known format.
         known: u32,
     },
-    /// The file cannot be read and was left unchanged. Once it is moved away a new one is created, and all documents are
-    /// fetched again.
+    /// The file cannot be read and was left unchanged. Once it is moved away a new one is created, and all
+    /// documents are fetched again.
     #[error("{}: cannot be read and was left as it is: {cause}", .path.display())]
     Damaged {
         /// The file.
--- a/crates/stepspur-distribution/src/scope_store/mod.rs
+++ b/crates/stepspur-distribution/src/scope_store/mod.rs
@@ -23,8 +23,8 @@
 /// The content of a store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredScope {
-    /// The documents include all changes of the interest up to this version. [`Version::NONE`] if that is not known: a
-    /// snapshot is needed then.
+    /// The documents include all changes of the interest up to this version. [`Version::NONE`] if that is not
+    /// known: a snapshot is needed then.
     pub version: Version,
     /// The current documents, each key once and each with a setting.
     pub documents: Vec<Document>,
@@ -64,8 +64,8 @@
     /// [`StoreError`] if the content cannot be read.
     fn load(&mut self) -> Result<Option<StoredScope>, StoreError>;
 
-    /// Saves an update, durably once the future completes. If the future is dropped the update may still be saved, but
-    /// before any later one.
+    /// Saves an update, durably once the future completes. If the future is dropped the update may still be
+    /// saved, but before any later one.
     ///
     /// # Errors
     /// [`StoreError`] if the update cannot be saved. The content is unchanged then.
--- a/crates/stepspur-distribution/src/scope_store/redb_file.rs
+++ b/crates/stepspur-distribution/src/scope_store/redb_file.rs
@@ -24,7 +24,8 @@
     open_database(path, backend)
 }
 
-/// Creates the file under a temporary name first, so that a crash leaves no incomplete file under its own name.
+/// Creates the file under a temporary name first, so that a crash leaves no incomplete file under its own
+/// name.
 pub(super) fn create(path: &Path, interest: &Interest) -> Result<(), StoreError> {
     let temporary = temporary_path(path);
     let file = OpenOptions::new().read(true).write(true).create(true).truncate(true).open(&temporary);
@@ -60,8 +61,8 @@
     })
 }
 
-/// Reads the file completely on a copy. Opening the file itself would repair one that was not closed, and a file that
-/// cannot be read must stay unchanged.
+/// Reads the file completely on a copy. Opening the file itself would repair one that was not closed, and a
+/// file that cannot be read must stay unchanged.
 fn check(path: &Path, backend: &FileBackend) -> Result<(), StoreError> {
     let read_error = |cause: io::Error| disk_error(path, DiskOperation::Read, cause);
     let bytes = backend.len().map_err(read_error)?;
--- a/crates/stepspur-distribution/src/scope_store/redb_store.rs
+++ b/crates/stepspur-distribution/src/scope_store/redb_store.rs
@@ -27,9 +27,9 @@
 impl RedbStore {
     /// Opens the file, or creates it. Blocks.
     ///
-    /// An existing file is first read on a copy, and left unchanged if it cannot be read. If the interest differs from
-    /// that of the last start, documents that it does not cover are deleted. If it covers more than before, the version
-    /// is reset to [`Version::NONE`], so that a snapshot is requested.
+    /// An existing file is first read on a copy, and left unchanged if it cannot be read. If the interest
+    /// differs from that of the last start, documents that it does not cover are deleted. If it covers more
+    /// than before, the version is reset to [`Version::NONE`], so that a snapshot is requested.
     ///
     /// # Errors
     /// [`StoreError`] if the interest is invalid or the file cannot be opened, read or written.
--- a/crates/stepspur-distribution/src/scope_store/tests.rs
+++ b/crates/stepspur-distribution/src/scope_store/tests.rs
@@ -148,8 +148,8 @@
     (interest, bytes)
 }
 
-/// Opens a file of these bytes. Returns whether that is an error, which names the path and leaves the file unchanged;
-/// otherwise everything is loaded.
+/// Opens a file of these bytes. Returns whether that is an error, which names the path and leaves the file
+/// unchanged; otherwise everything is loaded.
 fn opens_with_an_error(path: &Path, interest: &Interest, bytes: &[u8], what: &str) -> bool {
     fs::write(path, bytes).expect("it is written");
     match RedbStore::open(path, interest) {
--- a/crates/stepspur-distribution/src/subscriber/candidates.rs
+++ b/crates/stepspur-distribution/src/subscriber/candidates.rs
@@ -106,8 +106,8 @@
         self.order.first() == Some(&address)
     }
 
-    /// Replaces the known members by those that a control member names. Members with an invalid address are omitted; if
-    /// none is valid nothing changes. The configured addresses always remain, last in the order.
+    /// Replaces the known members by those that a control member names. Members with an invalid address are
+    /// omitted; if none is valid nothing changes. The configured addresses always remain, last in the order.
     pub(super) fn learn(&mut self, members: Vec<v1::ControlAddress>) {
         let mut learned: Vec<ControlMember> = Vec::new();
         for member in members.into_iter().take(MAX_MEMBERS) {
--- a/crates/stepspur-distribution/src/subscriber/connector.rs
+++ b/crates/stepspur-distribution/src/subscriber/connector.rs
@@ -19,9 +19,10 @@
 use super::settings::SubscriberSettings;
 use super::status_publisher::StatusPublisher;
 use super::update::{Progress, UpdateRequest};
-use crate::config::{MAX_KEEP_ALIVE, MIN_KEEP_ALIVE};
+use crate::keep_alive::{MAX_KEEP_ALIVE, MIN_KEEP_ALIVE};
 
-/// Backoff with full jitter: a wait is random between zero and a bound that doubles from the minimum to the maximum.
+/// Backoff with full jitter: a wait is random between zero and a bound that doubles from the minimum to the
+/// maximum.
 const MIN_BACKOFF: Duration = Duration::from_millis(100);
 const MAX_BACKOFF: Duration = Duration::from_secs(3);
 /// A connection that lasted longer resets the backoff.
@@ -38,7 +39,8 @@
     jitter: ChaCha8Rng,
     backoff: Duration,
     attach_count: u64,
-    /// Whether a control member was attached once. Before that, the first welcome may lead to a nearer member.
+    /// Whether a control member was attached once. Before that, the first welcome may lead to a nearer
+    /// member.
     has_been_welcomed: bool,
 }
 
@@ -127,7 +129,8 @@
             self.backoff = MIN_BACKOFF;
         }
         let age_s = self.publisher.age().map(|age| age.as_secs());
-        tracing::info!(event = "control_member_lost", name = self.settings.name, %address, ended = %end, age_s);
+        let name = &self.settings.name;
+        tracing::info!(event = "control_member_lost", name, %address, ended = %end, age_s);
         self.publisher.set_detached(format!("{address}: {end}"));
         let wait = self.jitter.random_range(Duration::ZERO..=self.backoff);
         sleep(wait).await;
--- a/crates/stepspur-distribution/src/subscriber/document_applier.rs
+++ b/crates/stepspur-distribution/src/subscriber/document_applier.rs
@@ -20,8 +20,8 @@
 
 /// Applies documents to the engines.
 pub trait DocumentApplier: Send + Sync + 'static {
-    /// Applies one document; one without a setting ends the effect of the earlier one. The same document may be passed
-    /// again. No result within two seconds counts as a failure.
+    /// Applies one document; one without a setting ends the effect of the earlier one. The same document may
+    /// be passed again. No result within two seconds counts as a failure.
     ///
     /// # Errors
     /// [`DocumentNotApplied`]; the earlier document stays in effect then. The call is repeated each second.
--- a/crates/stepspur-distribution/src/subscriber/document_cache.rs
+++ b/crates/stepspur-distribution/src/subscriber/document_cache.rs
@@ -77,8 +77,9 @@
         Ok(changes)
     }
 
-    /// Removals of the documents that a snapshot of this version lacks. A document that is newer than the snapshot
-    /// stays: that happens if the interest has grown and a control member that lags behind sends the snapshot.
+    /// Removals of the documents that a snapshot of this version lacks. A document that is newer than the
+    /// snapshot stays: that happens if the interest has grown and a control member that lags behind sends the
+    /// snapshot.
     fn removals_of_snapshot(&self, version: Version, documents: &[Document]) -> Vec<Document> {
         let keys: BTreeSet<&Key> = documents.iter().map(|document| &document.key).collect();
         let is_removed = |document: &&Document| document.version <= version && !keys.contains(&document.key);
--- a/crates/stepspur-distribution/src/subscriber/mod.rs
+++ b/crates/stepspur-distribution/src/subscriber/mod.rs
@@ -1,11 +1,12 @@
 //! A subscriber: the conductor's side of the distribution.
 //!
-//! It connects to one control member, names the documents that concern it and the version that it holds, and is sent
-//! the changes after that version. Each update is stored, then applied, then acknowledged. Without a control member the
-//! stored documents stay in effect, and the status tells their age.
+//! It connects to one control member, names the documents that concern it and the version that it holds, and
+//! is sent the changes after that version. Each update is stored, then applied, then acknowledged. Without a
+//! control member the stored documents stay in effect, and the status tells their age.
 //!
-//! Two tasks: the scope task (`scope_task`) owns the store, the documents and the applier; the connector (`connector`)
-//! owns the connection. The connector passes one update at a time, and reads nothing until it is stored and applied.
+//! Two tasks: the scope task (`scope_task`) owns the store, the documents and the applier; the connector
+//! (`connector`) owns the connection. The connector passes one update at a time, and reads nothing until it
+//! is stored and applied.
 
 mod candidates;
 mod connection;
@@ -54,8 +55,8 @@
     /// Starts the subscriber. The stored documents are applied before it connects to control members.
     ///
     /// # Errors
-    /// [`SubscriberStartError`] if the settings are invalid or the store cannot be read. It is no error if no control
-    /// member answers.
+    /// [`SubscriberStartError`] if the settings are invalid or the store cannot be read. It is no error if no
+    /// control member answers.
     pub async fn start(
         settings: SubscriberSettings,
         store: Box<dyn ScopeStore>,
--- a/crates/stepspur-distribution/src/subscriber/retrying_applier.rs
+++ b/crates/stepspur-distribution/src/subscriber/retrying_applier.rs
@@ -126,7 +126,8 @@
     fn record_failure(&mut self, document: &Document, error: &ApplyError) {
         let reason = truncate_reason(error.to_string());
         if !self.failed.contains_key(&document.key) {
-            tracing::warn!(event = "document_not_applied", key = ?document.key, version = %document.version, reason);
+            let Document { key, version, .. } = document;
+            tracing::warn!(event = "document_not_applied", ?key, %version, reason);
         }
         self.failed.insert(document.key.clone(), FailedDocument { document: document.clone(), reason });
     }
--- a/crates/stepspur-distribution/src/subscriber/scope_task.rs
+++ b/crates/stepspur-distribution/src/subscriber/scope_task.rs
@@ -1,4 +1,5 @@
-//! The task that owns a subscriber's documents: it stores each update, applies it, and publishes the progress.
+//! The task that owns a subscriber's documents: it stores each update, applies it, and publishes the
+//! progress.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/stepspur-distribution/src/subscriber/scope_task/tests.rs
+++ b/crates/stepspur-distribution/src/subscriber/scope_task/tests.rs
@@ -360,16 +360,20 @@
 
 proptest! {
     #[test]
-    fn versions_never_decrease_and_applied_documents_are_the_stored_ones(updates in generated_updates(), rejected in 0_u64..5) {
+    fn versions_never_decrease_and_applied_documents_are_the_stored_ones(
+        updates in generated_updates(),
+        rejected in 0_u64..5,
+    ) {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
         runtime.expect("a runtime").block_on(async {
             let mut rig = rig().await;
             let mut before = Progress::default();
             for (step, (kind, from, to, documents)) in updates.into_iter().enumerate() {
-                let rejected_keys = if step % 3 == 0 { vec![document(rejected, 0, None).key] } else { vec![] };
+                let rejected_key = document(rejected, 0, None).key;
+                let rejected_keys = if step % 3 == 0 { vec![rejected_key] } else { vec![] };
                 rig.engine.reject(&rejected_keys);
-                let documents = documents.into_iter().map(|(class, index, level)| document(class, index, level));
-                let documents = documents.collect();
+                let documents = documents.into_iter();
+                let documents = documents.map(|(class, index, level)| document(class, index, level)).collect();
                 let result = match kind {
                     0 => rig.snapshot(to, documents).await,
                     1 => rig.task.handle(ConfigUpdate::Covered(version(to))).await,
@@ -379,7 +383,8 @@
                 drop(result);
                 rig.task.tick().await;
                 let now = rig.progress();
-                assert!(now.stored_version >= before.stored_version && now.applied_version >= before.applied_version, "{before:?} then {now:?}");
+                assert!(now.stored_version >= before.stored_version, "{before:?} then {now:?}");
+                assert!(now.applied_version >= before.applied_version, "{before:?} then {now:?}");
                 assert!(now.applied_version <= now.stored_version);
                 let cached: Vec<Document> = rig.task.cache.documents();
                 if now.applied_version == now.stored_version {
--- a/crates/stepspur-distribution/src/subscriber/session.rs
+++ b/crates/stepspur-distribution/src/subscriber/session.rs
@@ -12,11 +12,9 @@
 use super::status_publisher::StatusPublisher;
 use super::update::{ConfigUpdate, Progress, UpdateError, UpdateRequest};
 use crate::document::{Document, DocumentError};
+use crate::keep_alive::MAX_SILENT_INTERVALS;
 use crate::version::version_of;
 
-/// Keep-alive intervals without a frame that end a connection.
-const MAX_SILENT_INTERVALS: u32 = 3;
-
 /// Why a session ended.
 pub(super) enum SessionEnd {
     /// The control member asks the subscriber to go to another one.
--- a/crates/stepspur-distribution/src/version.rs
+++ b/crates/stepspur-distribution/src/version.rs
@@ -11,7 +11,8 @@
 
 /// A version of the configuration: the position of the log entry that made it.
 ///
-/// Versions compare by term, then by index. So of two committed versions the later one is greater, whichever member led.
+/// Versions compare by term, then by index. So of two committed versions the later one is greater, whichever
+/// member led.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Version {
     /// The term of the leader that wrote the entry.
--- a/crates/stepspur-distribution/tests/subscriber/common.rs
+++ b/crates/stepspur-distribution/tests/subscriber/common.rs
@@ -168,7 +168,8 @@
         frame.expect("a valid frame").kind
     }
 
-    /// Receives the next acknowledgement: the stored version, the applied version, and reason documents were not applied.
+    /// Receives the next acknowledgement: the stored version, the applied version, and reason documents were
+    /// not applied.
     pub(crate) async fn next_acknowledgement(&mut self) -> (Version, Version, Vec<String>) {
         loop {
             match self.receive().await {
--- a/crates/stepspur-replication/src/client.rs
+++ b/crates/stepspur-replication/src/client.rs
@@ -33,11 +33,12 @@
     /// The rules of the state machine reject the command, at every member. The state is unchanged.
     #[error("refused: {0}")]
     Refused(#[from] Rejection),
-    /// No outcome came in time: the operation may have taken effect, or may yet. It can be proposed again under this id
-    /// and takes effect once.
+    /// No outcome came in time: the operation may have taken effect, or may yet. It can be proposed again
+    /// under this id and takes effect once.
     #[error("the outcome of {0} is unknown")]
     Unknown(OperationId),
-    /// The operation came so late that the outcome of an earlier proposal may be discarded. It was not applied now.
+    /// The operation came so late that the outcome of an earlier proposal may be discarded. It was not
+    /// applied now.
     #[error("{0} is too old to be told from what was forgotten")]
     TooOld(OperationId),
     /// No leader answered in time.
@@ -64,8 +65,8 @@
 pub struct StaleRead {
     /// The last entry that this member has applied.
     pub applied: Index,
-    /// The time since it last applied an entry, by its own clock. Entries that were committed elsewhere meanwhile are
-    /// not visible here.
+    /// The time since it last applied an entry, by its own clock. Entries that were committed elsewhere
+    /// meanwhile are not visible here.
     pub since: Duration,
 }
 
@@ -116,8 +117,8 @@
 }
 
 impl ReplicationClient {
-    /// The client of a member that was started with this registry. `incarnation` is a random number that differs from
-    /// that of every earlier start of the member.
+    /// The client of a member that was started with this registry. `incarnation` is a random number that
+    /// differs from that of every earlier start of the member.
     pub fn new(
         node: Arc<NodeHandle>,
         registry: StateMachineRegistry,
@@ -147,12 +148,13 @@
         OperationId { member: self.node.id(), incarnation: self.incarnation, number, since }
     }
 
-    /// Proposes a command and waits until it is applied at this member, for the time `within` at most. Returns the
-    /// answer of the state machine.
+    /// Proposes a command and waits until it is applied at this member, for the time `within` at most.
+    /// Returns the answer of the state machine.
     ///
     /// # Errors
-    /// [`ReplicationError::InvalidCommand`], [`ReplicationError::Full`] and [`ReplicationError::Stopped`] before it is
-    /// proposed; [`ReplicationError::Refused`], [`ReplicationError::TooOld`] or [`ReplicationError::Unknown`] after.
+    /// [`ReplicationError::InvalidCommand`], [`ReplicationError::Full`] and [`ReplicationError::Stopped`]
+    /// before it is proposed; [`ReplicationError::Refused`], [`ReplicationError::TooOld`] or
+    /// [`ReplicationError::Unknown`] after.
     pub async fn propose(
         &self,
         id: OperationId,
@@ -192,7 +194,8 @@
         permit.ok_or(ReplicationError::Full { after: self.limits.retry_after })
     }
 
-    /// Repeats the proposal until it is applied here; the id makes it take effect once. `None` if the node has ended.
+    /// Repeats the proposal until it is applied here; the id makes it take effect once. `None` if the node
+    /// has ended.
     async fn propose_until_applied(&self, command: &Bytes, waiter: &mut OutcomeWaiter) -> Option<Outcome> {
         loop {
             self.node.command(command.clone()).await.ok()?;
@@ -202,7 +205,8 @@
         }
     }
 
-    /// Calls `read` with a state machine that has applied all that was committed before this call (Raft thesis, 6.4).
+    /// Calls `read` with a state machine that has applied all that was committed before this call (Raft
+    /// thesis, 6.4).
     ///
     /// # Errors
     /// [`ReplicationError::NoLeader`] if no leader answers within the time, [`ReplicationError::Stopped`],
--- a/crates/stepspur-replication/src/command.rs
+++ b/crates/stepspur-replication/src/command.rs
@@ -15,7 +15,8 @@
 /// Characters of an invalid operation id that its error repeats, at most.
 const MAX_QUOTED_CHARS: usize = 64;
 
-/// Identifies an operation. Repeated proposals of an operation carry the same id, so that it takes effect once.
+/// Identifies an operation. Repeated proposals of an operation carry the same id, so that it takes effect
+/// once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct OperationId {
     /// The member that proposed it first.
@@ -24,8 +25,8 @@
     pub incarnation: u64,
     /// Increases with each operation of the incarnation.
     pub number: u64,
-    /// The last entry that the proposer had applied at the first proposal. Outcomes are retained for a number of
-    /// entries, and an operation whose outcome may be discarded already is rejected.
+    /// The last entry that the proposer had applied at the first proposal. Outcomes are retained for a number
+    /// of entries, and an operation whose outcome may be discarded already is rejected.
     pub since: Index,
 }
 
@@ -81,7 +82,8 @@
     Done(Vec<u8>),
     /// The rules of the state machine rejected it; the state is unchanged.
     Refused(Rejection),
-    /// It came so late that it might have been applied before and its outcome discarded. It was not applied now.
+    /// It came so late that it might have been applied before and its outcome discarded. It was not applied
+    /// now.
     TooOld,
 }
 
--- a/crates/stepspur-replication/src/lib.rs
+++ b/crates/stepspur-replication/src/lib.rs
@@ -1,12 +1,12 @@
 //! Replicated state machines above consensus: proposals that take effect once, and linearizable reads.
 //!
-//! - [`ReplicatedStateMachine`]: one kind of replicated state with a deterministic `apply`, its version and its part of
-//!   the snapshot.
-//! - [`StateMachineRegistry`]: all state machines of a member. It applies each command once, however often it is
-//!   proposed. A command for an unknown state machine or version stops the member before that entry.
-//! - [`ReplicationClient`]: the handle of a running member. `propose` returns the outcome or says that it is unknown,
-//!   `read` is linearizable, `read_stale` returns the entry up to which it reads. Proposals in flight are limited per
-//!   state machine and per tenant.
+//! - [`ReplicatedStateMachine`]: one kind of replicated state with a deterministic `apply`, its version and
+//!   its part of the snapshot.
+//! - [`StateMachineRegistry`]: all state machines of a member. It applies each command once, however often it
+//!   is proposed. A command for an unknown state machine or version stops the member before that entry.
+//! - [`ReplicationClient`]: the handle of a running member. `propose` returns the outcome or says that it is
+//!   unknown, `read` is linearizable, `read_stale` returns the entry up to which it reads. Proposals in
+//!   flight are limited per state machine and per tenant.
 //!
 //! docs/shared.md has the design and the alternatives considered.
 #![forbid(unsafe_code)]
--- a/crates/stepspur-replication/src/registry.rs
+++ b/crates/stepspur-replication/src/registry.rs
@@ -14,8 +14,8 @@
 use crate::command::{Command, DecodeCommandError, MAX_BODY_BYTES, OperationId, Outcome};
 use crate::state_machine::{Rejection, ReplicatedStateMachine, RestoreError, StateMachineId};
 
-/// Outcomes are retained for this many entries. A repeated operation within them is recognized; one that was first
-/// proposed before them is rejected, as it might have been applied and its outcome discarded.
+/// Outcomes are retained for this many entries. A repeated operation within them is recognized; one that was
+/// first proposed before them is rejected, as it might have been applied and its outcome discarded.
 pub const MAX_OUTCOMES: u64 = 16_384;
 /// Length of a state machine's answer, in bytes, at most. A longer one is cut, as it is stored with its id.
 pub const MAX_OUTCOME_BYTES: usize = 1_024;
@@ -158,7 +158,8 @@
         state_machine.downcast_ref::<S>().map(read)
     }
 
-    /// The version of a state machine's commands that this program writes; `None` if there is no such state machine.
+    /// The version of a state machine's commands that this program writes; `None` if there is no such state
+    /// machine.
     pub fn version(&self, id: StateMachineId) -> Option<u16> {
         self.inner().state_machines.get(&id).map(|state_machine| state_machine.version())
     }
@@ -170,7 +171,8 @@
         state_machines.map(|(id, machine)| (*id, Sha256::digest(machine.encode()).into())).collect()
     }
 
-    /// Waits for the outcome of an operation, which may be there already. Several callers may wait for the same one.
+    /// Waits for the outcome of an operation, which may be there already. Several callers may wait for the
+    /// same one.
     pub(crate) fn wait_for_outcome(&self, operation: OperationId) -> OutcomeWaiter {
         let (sender, receiver) = oneshot::channel();
         let key = self.update(|inner| inner.add_waiter(operation, sender));
@@ -212,8 +214,8 @@
         Ok(())
     }
 
-    /// An operation of `since` is rejected after `since + MAX_OUTCOMES`, and its entry lies after `since`. So the
-    /// outcome is not needed once the log has passed its entry by [`MAX_OUTCOMES`].
+    /// An operation of `since` is rejected after `since + MAX_OUTCOMES`, and its entry lies after `since`. So
+    /// the outcome is not needed once the log has passed its entry by [`MAX_OUTCOMES`].
     fn discard_old_outcomes(&mut self, applied: Index) {
         let is_old = |operation: &mut CompletedOperation| operation.index.0 + MAX_OUTCOMES < applied.0;
         while let Some(operation) = self.completed.pop_front_if(is_old) {
--- a/crates/stepspur-replication/src/registry/tests.rs
+++ b/crates/stepspur-replication/src/registry/tests.rs
@@ -43,8 +43,8 @@
     Command { id, state_machine: StateMachineId(1), version: 1, body: b"x".to_vec() }.encode().to_vec()
 }
 
-/// A caller gives up while another waits for the same operation, as after a lost answer. The other one still gets the
-/// outcome, by an entry or by a snapshot, and the one that gave up leaves no waiter behind.
+/// A caller gives up while another waits for the same operation, as after a lost answer. The other one still
+/// gets the outcome, by an entry or by a snapshot, and the one that gave up leaves no waiter behind.
 #[tokio::test]
 async fn waiter_dropped_while_another_waits_leaves_the_others_outcome() {
     let mut registry = registry();
--- a/crates/stepspur-replication/src/state_machine.rs
+++ b/crates/stepspur-replication/src/state_machine.rs
@@ -19,7 +19,8 @@
     }
 }
 
-/// The rules of a state machine reject a command. The text is replicated: every member rejects with the same one.
+/// The rules of a state machine reject a command. The text is replicated: every member rejects with the same
+/// one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[error("{0}")]
 pub struct Rejection(pub String);
@@ -38,8 +39,8 @@
 
 /// One kind of replicated state.
 ///
-/// Every member reaches the same state by the same entries. So `apply` uses no clock, no random numbers, no floating
-/// point and no iteration in hash order.
+/// Every member reaches the same state by the same entries. So `apply` uses no clock, no random numbers, no
+/// floating point and no iteration in hash order.
 pub trait ReplicatedStateMachine: Any + Send + Sync {
     /// Identifies this state machine.
     fn id(&self) -> StateMachineId;
