--- a/crates/stepspur-conductor/src/service/engine_tasks.rs
+++ b/crates/stepspur-conductor/src/service/engine_tasks.rs
@@ -46,8 +46,14 @@
         let handle = EngineHandle::new(command_sender);
 
         let now = self.clock.now();
-        let engine =
-            Engine::with(self.config.clone(), self.settings, self.protocol, self.epoch, self.seed, now);
+        let engine = Engine::with_protocol(
+            self.config.clone(),
+            self.settings,
+            self.protocol,
+            self.epoch,
+            self.seed,
+            now,
+        );
         let outputs = EngineOutputs { discovery: driver.requests, probes: probe_sender };
         let engine_task = EngineTask::new(engine, self.clock, commands, outputs, stop.clone());
         supervisor.spawn_engine(engine_tasks, engine_task.run());
--- a/crates/stepspur-conductor/src/source/feed.rs
+++ b/crates/stepspur-conductor/src/source/feed.rs
@@ -57,7 +57,7 @@
     /// Sends endpoints; `how` says whether they are the complete list, its changes, or a cached list.
     pub async fn send(&self, how: ListUpdate, endpoints: Vec<DiscoveredEndpoint>) {
         // The source is stopped by its token: there is nothing to do here once the conductor has ended.
-        let _ = self.0.send(Input::EndpointList { how, entries: endpoints }).await;
+        let _ = self.0.send(Input::EndpointList { update: how, entries: endpoints }).await;
     }
 
     /// Logs and reports that a request or the watch has failed. The list before stays in use.
--- a/crates/stepspur-conductor/tests/faults_service.rs
+++ b/crates/stepspur-conductor/tests/faults_service.rs
@@ -228,8 +228,8 @@
 impl ServiceDiscovery for Dies {
     fn run(self: Box<Self>, mut feed: EndpointFeed) -> DiscoveryFuture {
         Box::pin(async move {
-            let ask = feed.asks.recv().await.unwrap();
-            feed.news.list(ListUpdate::Full, nodes(4)).await;
+            let ask = feed.requests.recv().await.unwrap();
+            feed.updates.send(ListUpdate::Full, nodes(4)).await;
             self.told.lock().unwrap().push(ask);
             tokio::time::sleep(Duration::from_millis(50)).await;
             assert!(!self.panics, "as the test has it");
--- a/crates/stepspur-conductor/tests/service.rs
+++ b/crates/stepspur-conductor/tests/service.rs
@@ -115,7 +115,7 @@
         nodes.write(&listed(6, Some(1)));
         good.until(|held| held.len() == 5).await;
         let cut = async {
-            while conductor.stats().await.unwrap().joined != 1 {
+            while conductor.stats().await.unwrap().connected != 1 {
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         };
@@ -143,7 +143,7 @@
     proxies[0].until(|held| !held.is_empty()).await;
     let silent = TcpStream::connect(conductor.address()).await.unwrap();
     let before = conductor.stats().await.unwrap();
-    assert!(before.channel[0] > 0.0, "tables are still waiting");
+    assert!(before.channel.pending_lines > 0.0, "tables are still waiting");
     let address = conductor.address();
     timeout(LONG, conductor.stop()).await.expect("all tasks have ended");
     for mut proxy in proxies {
@@ -168,7 +168,7 @@
     assert_eq!(p.end().await, Some(v1::Reason::Stopping));
     two.write(&listed(6, Some(5)));
     q.until(|held| held.len() == 5).await;
-    assert_eq!(second.stats().await.unwrap().joined, 1);
+    assert_eq!(second.stats().await.unwrap().connected, 1);
     second.stop().await;
 }
 
