--- a/crates/stepspur-consensus-node/src/events.rs
+++ b/crates/stepspur-consensus-node/src/events.rs
@@ -6,18 +6,15 @@
 pub(crate) fn log_role_change(member: MemberId, change: &RoleChange) {
     match change {
         RoleChange::Granted { role, holder, token, previous_holder } => {
-            let duty = role.as_str();
-            let before = previous_holder.map(|holder| holder.to_string()).unwrap_or_default();
-            tracing::info!(event = "lease_acquired", %member, duty, %holder, %token, before);
+            let previous = previous_holder.map(|holder| holder.to_string()).unwrap_or_default();
+            tracing::info!(event = "lease_acquired", %member, role = role.as_str(), %holder, %token, previous_holder = previous);
         }
         RoleChange::Released { role, previous_holder } => {
-            let duty = role.as_str();
-            let before = previous_holder.map(|holder| holder.to_string()).unwrap_or_default();
-            tracing::info!(event = "lease_released", %member, duty, before);
+            let previous = previous_holder.map(|holder| holder.to_string()).unwrap_or_default();
+            tracing::info!(event = "lease_released", %member, role = role.as_str(), previous_holder = previous);
         }
         RoleChange::Revoked { role } => {
-            let duty = role.as_str();
-            tracing::info!(event = "lease_revoked", %member, duty);
+            tracing::info!(event = "lease_revoked", %member, role = role.as_str());
         }
     }
 }
@@ -26,15 +23,13 @@
 pub(crate) fn log_raft_event(member: MemberId, event: &RaftEvent) {
     match event {
         RaftEvent::BecameCandidate { term, reason } => {
-            let why = reason.to_string();
-            tracing::info!(event = "consensus_candidate", %member, %term, why);
+            tracing::info!(event = "consensus_candidate", %member, %term, reason = reason.to_string());
         }
         RaftEvent::BecameLeader { term } => {
             tracing::info!(event = "consensus_leader", %member, %term);
         }
         RaftEvent::SteppedDown { term, reason } => {
-            let why = reason.to_string();
-            tracing::warn!(event = "consensus_stepped_down", %member, %term, why);
+            tracing::warn!(event = "consensus_stepped_down", %member, %term, reason = reason.to_string());
         }
         RaftEvent::BecameFollower { term, leader } => {
             tracing::info!(event = "consensus_follower", %member, %term, %leader);
@@ -43,10 +38,10 @@
             tracing::info!(event = "consensus_membership", %member, ?voters);
         }
         RaftEvent::CatchUpFailed { member: other } => {
-            tracing::warn!(event = "consensus_member_failed", %member, %other);
+            tracing::warn!(event = "consensus_catch_up_failed", %member, %other);
         }
         RaftEvent::Halted { reason } => {
-            tracing::error!(event = "consensus_member_removed", %member, why = reason);
+            tracing::error!(event = "consensus_halted", %member, reason);
         }
     }
 }
