--- a/crates/stepspur-consensus-node/src/events.rs
+++ b/crates/stepspur-consensus-node/src/events.rs
@@ -7,7 +7,14 @@
     match change {
         RoleChange::Granted { role, holder, token, previous_holder } => {
             let previous = previous_holder.map(|holder| holder.to_string()).unwrap_or_default();
-            tracing::info!(event = "lease_acquired", %member, role = role.as_str(), %holder, %token, previous_holder = previous);
+            tracing::info!(
+                event = "lease_acquired",
+                %member,
+                role = role.as_str(),
+                %holder,
+                %token,
+                previous_holder = previous
+            );
         }
         RoleChange::Released { role, previous_holder } => {
             let previous = previous_holder.map(|holder| holder.to_string()).unwrap_or_default();
