--- a/crates/stepspur-distribution/src/scope_store/memory.rs
+++ b/crates/stepspur-distribution/src/scope_store/memory.rs
@@ -6,7 +6,8 @@
 
 use stepspur_consensus_node::BoxFuture;
 
-use super::{ScopeStore, ScopeUpdate, StoreError, StoredScope};
+use super::error::StoreError;
+use super::interface::{ScopeStore, ScopeUpdate, StoredScope};
 use crate::document::{Document, Key};
 
 #[derive(Debug, Default)]
--- a/crates/stepspur-distribution/src/scope_store/redb_file.rs
+++ b/crates/stepspur-distribution/src/scope_store/redb_file.rs
@@ -8,8 +8,7 @@
 use redb::backends::{FileBackend, InMemoryBackend};
 use redb::{Database, DatabaseError, StorageBackend, StorageError};
 
-use super::StoreError;
-use super::error::{DiskOperation, damaged, disk_error};
+use super::error::{DiskOperation, StoreError, damaged, disk_error};
 use super::redb_tables::{read_tables, write_tables};
 use crate::document::Interest;
 
--- a/crates/stepspur-distribution/src/scope_store/redb_store.rs
+++ b/crates/stepspur-distribution/src/scope_store/redb_store.rs
@@ -8,10 +8,10 @@
 use stepspur_consensus_node::BoxFuture;
 use tokio::task::JoinHandle;
 
-use super::error::{DiskOperation, disk_error};
+use super::error::{DiskOperation, StoreError, disk_error};
+use super::interface::{ScopeStore, ScopeUpdate, StoredScope};
 use super::redb_file;
 use super::redb_tables::{StoredPosition, read_tables, write_tables};
-use super::{ScopeStore, ScopeUpdate, StoreError, StoredScope};
 use crate::document::{Interest, ServiceInterest};
 use crate::version::Version;
 
--- a/crates/stepspur-distribution/src/scope_store/redb_tables.rs
+++ b/crates/stepspur-distribution/src/scope_store/redb_tables.rs
@@ -8,8 +8,7 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-use super::StoreError;
-use super::error::{DiskOperation, damaged, disk_error};
+use super::error::{DiskOperation, StoreError, damaged, disk_error};
 use crate::document::{Document, Interest, Key};
 use crate::version::Version;
 
--- a/crates/stepspur-distribution/src/scope_store/tests.rs
+++ b/crates/stepspur-distribution/src/scope_store/tests.rs
@@ -1,6 +1,6 @@
 use std::fs;
 use std::path::{Path, PathBuf};
-use std::time::Duration;
+use std::time::{Duration, SystemTime};
 
 use crc::{CRC_32_ISCSI, Crc};
 use proptest::prelude::*;
@@ -8,7 +8,8 @@
 use tempfile::TempDir;
 
 use super::*;
-use crate::document::{Interest, Key, Scope, ServiceInterest, Setting, Target};
+use crate::document::{Document, Interest, Key, Scope, ServiceInterest, Setting, Target};
+use crate::version::Version;
 
 fn version(index: u64) -> Version {
     Version { term: 1, index }
@@ -279,3 +280,11 @@
         prop_assert_eq!(sorted(open(&path, &interest).1), sorted(memory.content()));
     }
 }
+
+/// Files of earlier versions have the position as a tuple.
+#[test]
+fn stored_position_encoded_has_the_bytes_of_a_tuple() {
+    let position = super::redb_tables::StoredPosition { version: version(300), stored_at_micros: 1_700_000 };
+    let encoded = postcard::to_stdvec(&Some(position)).expect("it is encoded");
+    assert_eq!(encoded, postcard::to_stdvec(&Some((version(300), 1_700_000_u64))).expect("it is encoded"));
+}
--- a/crates/stepspur-distribution/src/subscriber/scope_task/tests.rs
+++ b/crates/stepspur-distribution/src/subscriber/scope_task/tests.rs
@@ -373,7 +373,9 @@
                 let rejected_keys = if step % 3 == 0 { vec![rejected_key] } else { vec![] };
                 rig.engine.reject(&rejected_keys);
                 let documents = documents.into_iter();
-                let documents = documents.map(|(class, index, level)| document(class, index, level)).collect();
+                let documents = documents
+                    .map(|(class, index, level)| document(class, index, level))
+                    .collect();
                 let result = match kind {
                     0 => rig.snapshot(to, documents).await,
                     1 => rig.task.handle(ConfigUpdate::Covered(version(to))).await,
