--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! [`Policy::decide`] is one round of decisions: it learns events, judges servers and load, and sends what
 //! has changed. State that one rule owns is a type of that rule's module. What several rules need is computed
-//! once a round by [`load`].
+//! once a round by `load`.
 
 mod admission;
 mod channel;
