--- a/crates/stepspur-simulator-protocol/src/frame.rs
+++ b/crates/stepspur-simulator-protocol/src/frame.rs
@@ -55,6 +55,9 @@
 
 impl Decoder {
     /// Reads one batch, given its header and all bytes that follow.
+    ///
+    /// # Errors
+    /// The body is cut short, or a record is unknown or malformed; see [`WireError`].
     pub fn decode(&mut self, header: [u8; HEADER_LEN], body: &[u8]) -> Result<Batch, WireError> {
         let want = body_len(header);
         if want < FIXED_LEN {
--- a/crates/stepspur-simulator-protocol/src/settings.rs
+++ b/crates/stepspur-simulator-protocol/src/settings.rs
@@ -112,6 +112,9 @@
 }
 
 /// Reads the settings of a `provision` record.
+///
+/// # Errors
+/// The bytes are no JSON, or a setting is missing or has another type.
 pub fn parse_settings(json: &[u8]) -> Result<Settings, serde_json::Error> {
     let raw: Raw = serde_json::from_slice(json)?;
     let info = raw.family_info;
