--- a/crates/stepspur-conductor/src/config/fleet.rs
+++ b/crates/stepspur-conductor/src/config/fleet.rs
@@ -20,7 +20,7 @@
     pub my_zone: Option<String>,
     /// Number of conductors, default 1, up to 1000. Proxies connect to one at random, and each conductor
     /// knows only its own proxies.
-    #[serde(default = "one")]
+    #[serde(default = "default_conductors")]
     #[garde(range(min = 1, max = 1000))]
     pub conductors: u32,
     /// Number of proxies over all conductors, up to 65,000; subsets of servers are sized by it.
@@ -40,24 +40,24 @@
     pub connections_min: u32,
     /// Warm-up time: a restarted server has its full capacity after this at the latest; default 20 s, up to 1
     /// h.
-    #[serde(default = "cold", with = "humantime_serde")]
+    #[serde(default = "default_cold", with = "humantime_serde")]
     #[garde(custom(between(Duration::ZERO, HOUR)))]
     pub cold: Duration,
     /// Least fraction of its capacity that a server starts with; default 0.3, 0.01 to 1.
-    #[serde(default = "start_capacity")]
+    #[serde(default = "default_start_capacity")]
     #[garde(range(min = 0.01, max = 1.0))]
     pub start_capacity: f64,
     /// A server that is warming up collapses at this multiple of its current capacity; default 3, 1 to 100.
-    #[serde(default = "fall_multiple")]
+    #[serde(default = "default_fall_multiple")]
     #[garde(range(min = 1.0, max = 100.0))]
     pub fall_multiple: f64,
     /// Proxies stop sending to a server within this time after it is known to drain or to be removed; default
     /// 2 s, 100 ms to 1 h.
-    #[serde(default = "drain_grace", with = "humantime_serde")]
+    #[serde(default = "default_drain_grace", with = "humantime_serde")]
     #[garde(custom(between(Duration::from_millis(100), HOUR)))]
     pub drain_grace: Duration,
     /// Longest time that a connected proxy may be without a server; default 3 s, 100 ms to 1 h.
-    #[serde(default = "unserved", with = "humantime_serde")]
+    #[serde(default = "default_unserved_max", with = "humantime_serde")]
     #[garde(custom(between(Duration::from_millis(100), HOUR)))]
     pub unserved_max: Duration,
     /// True: a server that a list lacks may stay in tables, only `draining` forbids its use; default false.
@@ -85,7 +85,7 @@
     #[garde(custom(between(self.aim, HOUR)))]
     pub deadline: Duration,
     /// Priority weight: the value of one request relative to other classes; default 1, up to 1,000,000.
-    #[serde(default = "worth")]
+    #[serde(default = "default_worth")]
     #[garde(range(min = 0.0, max = 1e6))]
     pub worth: f64,
     /// For requests with an idempotency key: which servers drop repeats; default all.
@@ -140,24 +140,30 @@
     Silent,
 }
 
-fn one() -> u32 {
+fn default_conductors() -> u32 {
     1
 }
-fn worth() -> f64 {
+
+fn default_worth() -> f64 {
     1.0
 }
-fn cold() -> Duration {
+
+fn default_cold() -> Duration {
     Duration::from_secs(20)
 }
-fn start_capacity() -> f64 {
+
+fn default_start_capacity() -> f64 {
     0.3
 }
-fn fall_multiple() -> f64 {
+
+fn default_fall_multiple() -> f64 {
     3.0
 }
-fn drain_grace() -> Duration {
+
+fn default_drain_grace() -> Duration {
     Duration::from_secs(2)
 }
-fn unserved() -> Duration {
+
+fn default_unserved_max() -> Duration {
     Duration::from_secs(3)
 }
--- a/crates/stepspur-conductor/src/config/identity.rs
+++ b/crates/stepspur-conductor/src/config/identity.rs
@@ -33,32 +33,32 @@
     #[garde(skip)]
     pub tokens_required: bool,
     /// Tolerated clock difference; default 30 s, up to 300 s.
-    #[serde(default = "leeway", with = "humantime_serde")]
+    #[serde(default = "default_leeway", with = "humantime_serde")]
     #[garde(custom(between(Duration::ZERO, Duration::from_secs(300))))]
     pub leeway: Duration,
     /// Longest lifetime of a token; default 24 h, 1 s to 30 days.
-    #[serde(default = "token_life", with = "humantime_serde")]
+    #[serde(default = "default_longest_token_life", with = "humantime_serde")]
     #[garde(custom(between(Duration::from_secs(1), HOUR * 24 * 30)))]
     pub longest_token_life: Duration,
     /// Interval between checks of the directory; default 1 s, 10 ms to 1 h. A revocation closes streams
     /// within this time plus half a second.
-    #[serde(default = "reload_every", with = "humantime_serde")]
+    #[serde(default = "default_reload_every", with = "humantime_serde")]
     #[garde(custom(between(Duration::from_millis(10), HOUR)))]
     pub reload_every: Duration,
     /// Time limit of the handshake and the first message together; default 5 s, 10 ms to 1 h.
-    #[serde(default = "handshake_timeout", with = "humantime_serde")]
+    #[serde(default = "default_handshake_timeout", with = "humantime_serde")]
     #[garde(custom(between(Duration::from_millis(10), HOUR)))]
     pub handshake_timeout: Duration,
     /// Concurrent handshakes; default 512, 2 to 65,000.
-    #[serde(default = "handshakes")]
+    #[serde(default = "default_handshakes_max")]
     #[garde(range(min = 2, max = 65_000))]
     pub handshakes_max: usize,
     /// Of them, those reserved for sources that authenticated within the last hour; default 256.
-    #[serde(default = "handshakes_kept")]
+    #[serde(default = "default_handshakes_kept")]
     #[garde(range(min = 1, max = self.handshakes_max - 1))]
     pub handshakes_kept: usize,
     /// Of them, those of one source that has not; default 64, 1 to 65,000.
-    #[serde(default = "handshakes_of_source")]
+    #[serde(default = "default_handshakes_of_source")]
     #[garde(range(min = 1, max = 65_000))]
     pub handshakes_of_source: usize,
     /// Address of the operators' HTTPS API; default: none.
@@ -73,25 +73,32 @@
 fn default_tenant() -> String {
     "default".into()
 }
-fn leeway() -> Duration {
+
+fn default_leeway() -> Duration {
     Duration::from_secs(30)
 }
-fn token_life() -> Duration {
+
+fn default_longest_token_life() -> Duration {
     HOUR * 24
 }
-fn reload_every() -> Duration {
+
+fn default_reload_every() -> Duration {
     Duration::from_secs(1)
 }
-fn handshake_timeout() -> Duration {
+
+fn default_handshake_timeout() -> Duration {
     Duration::from_secs(5)
 }
-fn handshakes() -> usize {
+
+fn default_handshakes_max() -> usize {
     512
 }
-fn handshakes_kept() -> usize {
+
+fn default_handshakes_kept() -> usize {
     256
 }
-fn handshakes_of_source() -> usize {
+
+fn default_handshakes_of_source() -> usize {
     64
 }
 
--- a/crates/stepspur-conductor/src/config/source.rs
+++ b/crates/stepspur-conductor/src/config/source.rs
@@ -19,7 +19,7 @@
         #[garde(skip)]
         path: PathBuf,
         /// Interval between checks; default 500 ms, 10 ms to 1 h.
-        #[serde(default = "file_every", with = "humantime_serde")]
+        #[serde(default = "default_every", with = "humantime_serde")]
         #[garde(custom(between(Duration::from_millis(10), HOUR)))]
         every: Duration,
         /// The guard against mass removals.
@@ -33,15 +33,15 @@
         #[garde(custom(loopback))]
         address: SocketAddr,
         /// Path of the list; default `/v1/nodes`.
-        #[serde(default = "list_path")]
+        #[serde(default = "default_path")]
         #[garde(custom(absolute_path))]
         path: String,
         /// Longest time that the server holds a long poll; default 10 s, 100 ms to 1 h.
-        #[serde(default = "poll", with = "humantime_serde")]
+        #[serde(default = "default_poll", with = "humantime_serde")]
         #[garde(custom(between(Duration::from_millis(100), HOUR)))]
         poll: Duration,
         /// A poll without a response this long after `poll` has failed; default 2 s, 100 ms to 1 h.
-        #[serde(default = "call_timeout", with = "humantime_serde")]
+        #[serde(default = "default_timeout", with = "humantime_serde")]
         #[garde(custom(between(Duration::from_millis(100), HOUR)))]
         timeout: Duration,
         /// The guard against mass removals.
@@ -78,16 +78,19 @@
     pub empty_allowed: bool,
 }
 
-fn file_every() -> Duration {
+fn default_every() -> Duration {
     Duration::from_millis(500)
 }
-fn list_path() -> String {
+
+fn default_path() -> String {
     "/v1/nodes".into()
 }
-fn poll() -> Duration {
+
+fn default_poll() -> Duration {
     Duration::from_secs(10)
 }
-fn call_timeout() -> Duration {
+
+fn default_timeout() -> Duration {
     Duration::from_secs(2)
 }
 
--- a/crates/stepspur-conductor/src/engine/endpoints/known.rs
+++ b/crates/stepspur-conductor/src/engine/endpoints/known.rs
@@ -41,7 +41,7 @@
         started == 0 || started.abs_diff(self.entry.started) < SAME_START_TOLERANCE
     }
 
-    /// True if `started` lies before the known start. One that was in the future was wrong and may be
+    /// True if `started` is earlier than the known start. One that was in the future was wrong and may be
     /// corrected.
     pub(super) fn is_newer_than(&self, started: Micros) -> bool {
         started < self.entry.started && !self.start.was_in_future && !self.has_same_start(started)
--- a/crates/stepspur-conductor/src/engine/endpoints/merge.rs
+++ b/crates/stepspur-conductor/src/engine/endpoints/merge.rs
@@ -131,7 +131,8 @@
         }
         let weight = entry.weight;
         if weight != 0.0 && !WEIGHT_RANGE.contains(&weight) {
-            let (min, max) = (*WEIGHT_RANGE.start(), *WEIGHT_RANGE.end());
+            let min = *WEIGHT_RANGE.start();
+            let max = *WEIGHT_RANGE.end();
             draft.log_invalid(&entry, &InvalidEntry::WeightOutOfRange { weight, min, max });
             entry.weight = known.map_or(0.0, |known| known.weight);
         }
--- a/crates/stepspur-conductor/src/engine/stats.rs
+++ b/crates/stepspur-conductor/src/engine/stats.rs
@@ -70,3 +70,6 @@
         [counts.ready, counts.draining, counts.total]
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/stepspur-conductor/tests/engine.rs
+++ b/crates/stepspur-conductor/tests/engine.rs
@@ -64,20 +64,27 @@
     harness.finish();
 }
 
-/// Without the time limit one silent proxy would delay the ordinary changes of all.
-#[test]
-fn a_missing_acknowledgement_closes_only_its_stream() {
+/// Three proxies that have got their tables and not acknowledged them, with the nonces.
+fn three_unacknowledged_tables() -> (EngineHarness, Vec<(StreamId, u32)>) {
     let mut harness = EngineHarness::new(config());
     harness.change_list(ListUpdate::Full, nodes(4));
-    (1..4).for_each(|k| harness.connect(k, &format!("p{k}"), "a"));
+    for stream in 1..4 {
+        harness.connect(stream, &format!("p{stream}"), "a");
+    }
     harness.acknowledges = false;
     harness.run_for(SECOND);
     let unacknowledged = std::mem::take(&mut harness.unacknowledged);
-    assert!(unacknowledged.iter().any(|(s, _)| s.0 == 2));
-    unacknowledged
-        .into_iter()
-        .filter(|(s, _)| s.0 != 2)
-        .for_each(|(s, mark)| harness.acknowledge(s, mark, EPOCH));
+    (harness, unacknowledged)
+}
+
+/// Without the time limit one silent proxy would delay the ordinary changes of all.
+#[test]
+fn a_missing_acknowledgement_closes_only_its_stream() {
+    let (mut harness, unacknowledged) = three_unacknowledged_tables();
+    assert!(unacknowledged.iter().any(|(stream, _)| stream.0 == 2));
+    for (stream, nonce) in unacknowledged.into_iter().filter(|(stream, _)| stream.0 != 2) {
+        harness.acknowledge(stream, nonce, EPOCH);
+    }
     harness.acknowledges = true;
     harness.run_for(10 * SECOND);
     assert_eq!(harness.closed, [(StreamId(2), v1::Reason::Slow)]);
@@ -89,15 +96,12 @@
 /// would be closed at once.
 #[test]
 fn a_suspended_conductor_closes_no_stream() {
-    let mut harness = EngineHarness::new(config());
-    harness.change_list(ListUpdate::Full, nodes(4));
-    (1..4).for_each(|k| harness.connect(k, &format!("p{k}"), "a"));
-    harness.acknowledges = false;
-    harness.run_for(SECOND);
-    let unacknowledged = std::mem::take(&mut harness.unacknowledged);
+    let (mut harness, unacknowledged) = three_unacknowledged_tables();
     harness.now += 30 * SECOND;
     harness.run_for(SECOND / 10);
-    unacknowledged.into_iter().for_each(|(s, mark)| harness.acknowledge(s, mark, EPOCH));
+    for (stream, nonce) in unacknowledged {
+        harness.acknowledge(stream, nonce, EPOCH);
+    }
     harness.acknowledges = true;
     harness.run_for(10 * SECOND);
     assert_eq!((harness.closed.len(), harness.engine.stats().connected), (0, 3));
