--- a/crates/stepspur-conductor/src/engine/connect.rs
+++ b/crates/stepspur-conductor/src/engine/connect.rs
@@ -122,7 +122,7 @@
         self.streams.connect(stream, proxy, zone);
         self.tables.add_proxy(proxy);
         self.batch.push(Event::ProxyConnected { proxy, zone, rate, fresh });
-        self.log(LogEvent::Joined { proxy: self.proxy_name(proxy), stream });
+        self.log(LogEvent::ProxyConnected { proxy: self.proxy_name(proxy), stream });
     }
 
     /// A stream has ended.
@@ -140,7 +140,7 @@
         self.tables.remove_proxy(proxy);
         self.proxy_ids.release(proxy, now);
         self.batch.push(Event::ProxyDisconnected { proxy });
-        self.log(LogEvent::Left { proxy: self.proxy_name(proxy), stream });
+        self.log(LogEvent::ProxyDisconnected { proxy: self.proxy_name(proxy), stream });
     }
 
     /// Disconnects a stream's proxy and closes the stream with a reason.
@@ -155,7 +155,7 @@
         self.streams.close(stream);
         let frame = self.protocol.go_away(self.stamp(), go_away);
         self.outputs.push_back(Output::Close { stream, reason, frame });
-        self.log(LogEvent::Refused { stream, reason, detail: detail.to_owned() });
+        self.log(LogEvent::StreamClosed { stream, reason, detail: detail.to_owned() });
     }
 
     /// Sends a frame that does not wait in the channel.
--- a/crates/stepspur-conductor/src/engine/endpoints/draft.rs
+++ b/crates/stepspur-conductor/src/engine/endpoints/draft.rs
@@ -12,7 +12,7 @@
 pub(crate) struct ListChange {
     /// The event for the decision module.
     pub(crate) event: Event,
-    /// Servers that were out of service or have restarted.
+    /// Servers that are not ready, or whose start is listed: proxies may have them ejected from before.
     pub(crate) interrupted: Vec<ServerId>,
     /// Events for the log.
     pub(crate) log: Vec<LogEvent>,
--- a/crates/stepspur-conductor/src/engine/input.rs
+++ b/crates/stepspur-conductor/src/engine/input.rs
@@ -145,7 +145,8 @@
         /// The stream.
         stream: StreamId,
     },
-    /// A stream must be closed: its bytes were no frame, or it timed out.
+    /// A stream must be closed: its bytes were no frame, it was silent, or its grant has ended or lacks a
+    /// right.
     StreamFailed {
         /// The stream.
         stream: StreamId,
--- a/crates/stepspur-conductor/src/engine/operation.rs
+++ b/crates/stepspur-conductor/src/engine/operation.rs
@@ -11,7 +11,7 @@
 /// change.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Operation {
-    /// Treats a listed server as draining, whatever the list says, until it is lifted.
+    /// Treats a listed server as draining, unless the list has removed it, until it is lifted.
     Drain {
         /// The server.
         server: SocketAddr,
@@ -25,9 +25,9 @@
         /// False: lifted.
         on: bool,
     },
-    /// Overrides a server's state, whatever the list says, until it is lifted; if no list has named the
-    /// server yet, from the first list that does. The distributed configuration uses it, since it is applied
-    /// before the first list.
+    /// Overrides a server's state until it is lifted, unless the list's state is further on (ready, draining,
+    /// removed); if no list has named the server yet, from the first list that does. The distributed
+    /// configuration uses it, since it is applied before the first list.
     Override {
         /// The server.
         server: SocketAddr,
--- a/crates/stepspur-conductor/src/engine/output.rs
+++ b/crates/stepspur-conductor/src/engine/output.rs
@@ -1,4 +1,4 @@
-//! What the engine asks its caller to do.
+//! The engine's outputs: what its caller is to do.
 
 use bytes::Bytes;
 use stepspur_proto::v1;
@@ -15,8 +15,8 @@
         /// The complete frame.
         frame: Bytes,
     },
-    /// Close a stream after a last frame; no [`Input::StreamEnded`](super::Input::StreamEnded) is needed for
-    /// it.
+    /// Close a stream after a last frame. If its send queue is full it is cut without that frame. No
+    /// [`Input::StreamEnded`](super::Input::StreamEnded) is needed for it.
     Close {
         /// The stream.
         stream: StreamId,
@@ -44,21 +44,22 @@
     /// A line of the decision module.
     Decision(String),
     /// A proxy connected.
-    Joined {
+    ProxyConnected {
         /// Its name.
         proxy: String,
         /// Its stream.
         stream: StreamId,
     },
     /// A proxy's stream ended.
-    Left {
+    ProxyDisconnected {
         /// Its name.
         proxy: String,
         /// Its stream.
         stream: StreamId,
     },
-    /// A stream was rejected or closed by the conductor.
-    Refused {
+    /// The engine closed a stream, for any reason. Rate limited: under a flood the line, and with it the
+    /// reason, is missing.
+    StreamClosed {
         /// The stream.
         stream: StreamId,
         /// Why.
@@ -92,11 +93,12 @@
 }
 
 impl LogEvent {
-    /// True for events that invalid input causes; a faulty or hostile peer may cause any number of them.
-    pub fn is_about_invalid_input(&self) -> bool {
+    /// True for events that a faulty or hostile peer can cause in any number: closed streams and invalid
+    /// input. The service limits how many of them it logs.
+    pub fn is_rate_limited(&self) -> bool {
         matches!(
             self,
-            LogEvent::InvalidReport { .. } | LogEvent::InvalidEntry { .. } | LogEvent::Refused { .. }
+            LogEvent::InvalidReport { .. } | LogEvent::InvalidEntry { .. } | LogEvent::StreamClosed { .. }
         )
     }
 }
--- a/crates/stepspur-conductor/src/engine/protocol.rs
+++ b/crates/stepspur-conductor/src/engine/protocol.rs
@@ -1,4 +1,4 @@
-//! The seam between the engine and the protocols that proxies speak.
+//! The interface between the engine and the protocols of proxies.
 
 use bytes::Bytes;
 use stepspur::interface::Micros;
--- a/crates/stepspur-conductor/src/engine/proxy_update.rs
+++ b/crates/stepspur-conductor/src/engine/proxy_update.rs
@@ -5,7 +5,7 @@
 /// An update for a proxy: one message.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ProxyUpdate {
-    /// Set: the update holds this complete table; else it changes the table that the proxy has.
+    /// Set: the update contains this complete table; else it changes the table that the proxy has.
     pub complete_table: Option<TableId>,
     /// Weights of servers.
     pub weights: Vec<ServerWeight>,
--- a/crates/stepspur-conductor/src/engine/server_ids.rs
+++ b/crates/stepspur-conductor/src/engine/server_ids.rs
@@ -1,4 +1,4 @@
-//! Ids by which the decision module knows servers.
+//! Ids by which the decision module identifies servers.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, Ipv6Addr, SocketAddr, SocketAddrV4, SocketAddrV6};
--- a/crates/stepspur-conductor/src/engine/state.rs
+++ b/crates/stepspur-conductor/src/engine/state.rs
@@ -61,7 +61,7 @@
 }
 
 impl Engine {
-    /// Creates an engine that knows no endpoint list and no proxy, and that speaks the project's own
+    /// Creates an engine that has no endpoint list and no proxies yet, and that uses the project's own
     /// protocol. `epoch` must exceed that of every earlier start; `config` must be valid.
     pub fn new(config: Config, epoch: u64, seed: u64, now: Micros) -> Self {
         let settings = config.settings();
@@ -120,7 +120,7 @@
         UpdateStamp { epoch: self.epoch, sequence: self.sequence }
     }
 
-    /// Asks the caller to log an event.
+    /// Adds an output that logs an event.
     pub(super) fn log(&mut self, event: LogEvent) {
         self.outputs.push_back(Output::Log(event));
     }
--- a/crates/stepspur-conductor/src/engine/tables.rs
+++ b/crates/stepspur-conductor/src/engine/tables.rs
@@ -58,8 +58,8 @@
     /// Connected proxies without a table: they use what they have cached.
     unassigned: BTreeSet<ProxyId>,
     ejected: BTreeSet<ServerId>,
-    /// Servers that were out of service or restarted. Where ejections persist, a proxy may still have one
-    /// ejected, by another conductor or by this one before its start.
+    /// Servers that were at some time not ready, or listed with a start. Where ejections persist, proxies may
+    /// have them ejected from before, by another conductor or by an earlier run of this one.
     interrupted: BTreeSet<ServerId>,
     ejections_persist: bool,
     admission_mode: AdmissionMode,
@@ -72,7 +72,7 @@
         Self { admission_mode, ejections_persist, ..Self::default() }
     }
 
-    /// A server was out of service or has restarted.
+    /// A server is not ready, or its start is listed.
     pub(crate) fn mark_interrupted(&mut self, server: ServerId) {
         self.interrupted.insert(server);
     }
--- a/crates/stepspur-conductor/src/lib.rs
+++ b/crates/stepspur-conductor/src/lib.rs
@@ -1,8 +1,8 @@
 //! The stepspur conductor as a library.
 //!
-//! [`engine::Engine`] is the sans-IO half: it handles events with their times and returns outputs. The [`service`]
-//! half owns sockets, clocks and tasks, and makes no decisions. [`source`] has the sources of the endpoint list. Two
-//! conductors in one process share nothing. See `docs/architecture.md`.
+//! [`engine::Engine`] is the sans-IO half: it handles events with their times and returns outputs. The
+//! [`service`] half owns sockets, clocks and tasks, and makes no decisions. [`source`] has the sources of the
+//! endpoint list. Two conductors in one process share nothing. See `docs/architecture.md`.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/stepspur-conductor/src/service/audit.rs
+++ b/crates/stepspur-conductor/src/service/audit.rs
@@ -1,5 +1,5 @@
-//! The audit log: a line of JSON for each change and each rejected call. A change is on the disk before its
-//! caller is answered.
+//! The audit log: a line of JSON for each change, and for each rejected call of an identified caller as far
+//! as the queue has room. A change is on the disk before its caller is answered.
 
 use std::fs::{File, OpenOptions};
 use std::io::{self, Write};
--- a/crates/stepspur-conductor/src/service/distribution/apply.rs
+++ b/crates/stepspur-conductor/src/service/distribution/apply.rs
@@ -19,8 +19,8 @@
 use super::super::engine_handle::{EngineHandle, EnginesByTenant, OperateError};
 use crate::engine::{Operation, OperationError, OverrideState};
 
-/// How long an engine may take to execute an order; the subscriber retries later. It waits for two seconds
-/// itself.
+/// How long an engine may take to execute an operation. Less than the subscriber's own timeout of two seconds
+/// for the whole document, which is retried each second.
 const ENGINE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The engines of a conductor's tenants, with the documents applied to each.
@@ -47,7 +47,7 @@
     /// The setting does not fit the target.
     #[error("a server drains or is withdrawn, a class has a level")]
     Mismatch,
-    /// The engine rejects the order, or has ended.
+    /// The engine rejects the operation, or has ended.
     #[error(transparent)]
     Operate(#[from] OperateError),
     /// The engine did not answer in time.
@@ -105,8 +105,8 @@
         }
     }
 
-    /// Orders the strictest setting of the target. A version that is already applied is not ordered again: an
-    /// order that an operator has given at this conductor since then stays.
+    /// Requests the strictest setting of the target. A version that is already applied is not requested
+    /// again: an operation that an operator has requested at this conductor since then stays in effect.
     async fn set(&mut self, document: &Document, setting: Setting) -> Result<(), ApplyError> {
         let new = AppliedSetting { setting, version: document.version };
         if self.applied.get(&document.key) == Some(&new) {
@@ -121,7 +121,7 @@
         Ok(())
     }
 
-    /// Lifts what the document ordered, unless another document still orders it.
+    /// Lifts the document's setting, unless another document still requires it.
     async fn remove(&mut self, key: &Key) -> Result<(), ApplyError> {
         let Some(AppliedSetting { setting, .. }) = self.applied.get(key).copied() else { return Ok(()) };
         let operation = match self.strictest_other(key) {
@@ -131,7 +131,7 @@
         };
         if let Some(operation) = operation {
             match self.operate(operation).await {
-                // The engine has forgotten the server, and so its hold.
+                // The engine has forgotten the server, and so its override.
                 Ok(()) | Err(ApplyError::Operate(OperateError::Rejected(OperationError::UnknownServer))) => {}
                 Err(error) => return Err(error),
             }
@@ -161,34 +161,34 @@
     }
 }
 
-/// The order of a setting. An engine holds a server in one state at a time: the last order replaces the one
-/// before.
+/// The operation that applies a setting. A server has one override at a time: the last operation replaces the
+/// one before.
 fn set_operation(target: &Target, setting: Setting) -> Result<Operation, ApplyError> {
     match (target, setting) {
         (Target::Class(class), Setting::LevelPpm(ppm)) => {
             Ok(Operation::Level { class: class.clone(), share: f64::from(ppm) / f64::from(WHOLE_PPM) })
         }
-        (Target::Server(server), setting) => Ok(hold(*server, hold_kind(setting)?, true)),
+        (Target::Server(server), setting) => Ok(override_operation(*server, override_state(setting)?, true)),
         _ => Err(ApplyError::Mismatch),
     }
 }
 
-/// The order that lifts a setting.
+/// The operation that lifts a setting.
 fn lift_operation(target: &Target, setting: Setting) -> Result<Operation, ApplyError> {
     match (target, setting) {
         (Target::Class(class), Setting::LevelPpm(_)) => {
             Ok(Operation::Level { class: class.clone(), share: 1.0 })
         }
-        (Target::Server(server), setting) => Ok(hold(*server, hold_kind(setting)?, false)),
+        (Target::Server(server), setting) => Ok(override_operation(*server, override_state(setting)?, false)),
         _ => Err(ApplyError::Mismatch),
     }
 }
 
-fn hold(server: SocketAddr, kind: OverrideState, on: bool) -> Operation {
-    Operation::Override { server, state: kind, on }
+fn override_operation(server: SocketAddr, state: OverrideState, on: bool) -> Operation {
+    Operation::Override { server, state, on }
 }
 
-fn hold_kind(setting: Setting) -> Result<OverrideState, ApplyError> {
+fn override_state(setting: Setting) -> Result<OverrideState, ApplyError> {
     match setting {
         Setting::Draining => Ok(OverrideState::Draining),
         Setting::Withdrawn => Ok(OverrideState::Removed),
--- a/crates/stepspur-conductor/src/service/distribution/apply/tests.rs
+++ b/crates/stepspur-conductor/src/service/distribution/apply/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of documents applied to engines that record their orders.
+//! Tests of documents applied to engines that record their operations.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,10 +12,10 @@
 use crate::engine::{Operation, OperationError, OverrideState};
 use crate::service::engine_handle::{EngineCommand, EngineHandle};
 
-/// An engine's task that records its orders, and rejects them while it is told to.
+/// An engine's task that records its operations, or rejects them while a rejection is set.
 #[derive(Clone, Default)]
 struct Engine {
-    orders: Arc<Mutex<Vec<Operation>>>,
+    operations: Arc<Mutex<Vec<Operation>>>,
     rejection: Arc<Mutex<Option<OperationError>>>,
 }
 
@@ -27,7 +27,7 @@
             while let Some(EngineCommand::Operate { operation, reply }) = commands.recv().await {
                 let rejection = *engine.rejection.lock().unwrap();
                 if rejection.is_none() {
-                    engine.orders.lock().unwrap().push(operation);
+                    engine.operations.lock().unwrap().push(operation);
                 }
                 let _ = reply.send(rejection.map_or(Ok(()), Err));
             }
@@ -35,9 +35,9 @@
         EngineHandle::new(sender)
     }
 
-    /// The orders since the last call.
-    fn take_orders(&self) -> Vec<Operation> {
-        std::mem::take(&mut *self.orders.lock().unwrap())
+    /// The operations since the last call.
+    fn take_operations(&self) -> Vec<Operation> {
+        std::mem::take(&mut *self.operations.lock().unwrap())
     }
 
     fn reject_with(&self, rejection: Option<OperationError>) {
@@ -74,7 +74,7 @@
     Document { key: Key { scope, target }, setting, version: Version { term: 1, index } }
 }
 
-fn hold(tenant: Option<&str>, setting: Option<Setting>, index: u64) -> Document {
+fn state_override(tenant: Option<&str>, setting: Option<Setting>, index: u64) -> Document {
     document(tenant, Target::Server(server()), setting, index)
 }
 
@@ -86,47 +86,47 @@
 async fn apply_document_with_scope_reaches_only_engines_of_that_scope() {
     let (engines, north, south) = tenants();
     engines.apply(&cap(None, Some(500_000), 1)).await.unwrap();
-    assert_eq!((north.take_orders(), south.take_orders()), (vec![level(0.5)], vec![level(0.5)]));
-    engines.apply(&hold(Some("south"), Some(Setting::Draining), 2)).await.unwrap();
-    assert_eq!((north.take_orders(), south.take_orders()), (vec![], vec![drain(true)]));
+    assert_eq!((north.take_operations(), south.take_operations()), (vec![level(0.5)], vec![level(0.5)]));
+    engines.apply(&state_override(Some("south"), Some(Setting::Draining), 2)).await.unwrap();
+    assert_eq!((north.take_operations(), south.take_operations()), (vec![], vec![drain(true)]));
     let rejected = engines.apply(&cap(Some("west"), Some(1), 3)).await.unwrap_err();
     assert_eq!(rejected, "this conductor has no tenant `west`");
     assert_eq!(engines.apply(&cap(Some("west"), None, 4)).await, Ok(()));
-    assert_eq!((north.take_orders(), south.take_orders()), (vec![], vec![]));
+    assert_eq!((north.take_operations(), south.take_operations()), (vec![], vec![]));
 }
 
 #[tokio::test]
-async fn apply_hold_changed_and_removed_orders_each_step_once() {
+async fn apply_override_changed_and_removed_executes_each_step_once() {
     let (engines, north, _) = tenants();
-    engines.apply(&hold(None, Some(Setting::Draining), 1)).await.unwrap();
-    engines.apply(&hold(None, Some(Setting::Withdrawn), 2)).await.unwrap();
-    engines.apply(&hold(None, None, 3)).await.unwrap();
-    assert_eq!(north.take_orders(), [drain(true), withdraw(true), withdraw(false)]);
-    // Removing a setting that no document ordered leaves an operator's order alone, and so does a repeated
-    // document.
-    engines.apply(&hold(None, None, 4)).await.unwrap();
+    engines.apply(&state_override(None, Some(Setting::Draining), 1)).await.unwrap();
+    engines.apply(&state_override(None, Some(Setting::Withdrawn), 2)).await.unwrap();
+    engines.apply(&state_override(None, None, 3)).await.unwrap();
+    assert_eq!(north.take_operations(), [drain(true), withdraw(true), withdraw(false)]);
+    // Removing a setting that no document requested does not change an operator's operation, nor does a
+    // repeated document.
+    engines.apply(&state_override(None, None, 4)).await.unwrap();
     engines.apply(&cap(None, Some(250_000), 5)).await.unwrap();
     engines.apply(&cap(None, Some(250_000), 5)).await.unwrap();
-    assert_eq!(north.take_orders(), [level(0.25)]);
+    assert_eq!(north.take_operations(), [level(0.25)]);
     engines.apply(&cap(None, Some(250_000), 6)).await.unwrap();
     engines.apply(&cap(None, None, 7)).await.unwrap();
-    assert_eq!(north.take_orders(), [level(0.25), level(1.0)]);
+    assert_eq!(north.take_operations(), [level(0.25), level(1.0)]);
 }
 
 #[tokio::test]
 async fn apply_several_documents_in_any_order_enforces_the_strictest() {
     let (engines, north, south) = tenants();
-    engines.apply(&hold(Some("north"), Some(Setting::Withdrawn), 1)).await.unwrap();
-    engines.apply(&hold(None, Some(Setting::Draining), 2)).await.unwrap();
-    assert_eq!(north.take_orders(), [withdraw(true), withdraw(true)]);
-    assert_eq!(south.take_orders(), [drain(true)]);
-    engines.apply(&hold(Some("north"), None, 3)).await.unwrap();
-    assert_eq!((north.take_orders(), south.take_orders()), (vec![drain(true)], vec![]));
+    engines.apply(&state_override(Some("north"), Some(Setting::Withdrawn), 1)).await.unwrap();
+    engines.apply(&state_override(None, Some(Setting::Draining), 2)).await.unwrap();
+    assert_eq!(north.take_operations(), [withdraw(true), withdraw(true)]);
+    assert_eq!(south.take_operations(), [drain(true)]);
+    engines.apply(&state_override(Some("north"), None, 3)).await.unwrap();
+    assert_eq!((north.take_operations(), south.take_operations()), (vec![drain(true)], vec![]));
     engines.apply(&cap(None, Some(500_000), 4)).await.unwrap();
     engines.apply(&cap(Some("north"), Some(800_000), 5)).await.unwrap();
     engines.apply(&cap(Some("north"), None, 6)).await.unwrap();
     engines.apply(&cap(None, None, 7)).await.unwrap();
-    assert_eq!(north.take_orders(), [level(0.5), level(0.5), level(1.0)]);
+    assert_eq!(north.take_operations(), [level(0.5), level(0.5), level(1.0)]);
 }
 
 #[tokio::test]
@@ -136,15 +136,18 @@
     south.reject_with(Some(OperationError::UnknownClass));
     let rejected = engines.apply(&cap(None, Some(250_000), 2)).await.unwrap_err();
     assert_eq!(rejected, "tenant `south`: no class of this name");
-    assert_eq!((north.take_orders(), south.take_orders()), (vec![level(0.5), level(0.25)], vec![level(0.5)]));
+    assert_eq!(
+        (north.take_operations(), south.take_operations()),
+        (vec![level(0.5), level(0.25)], vec![level(0.5)])
+    );
     south.reject_with(None);
     engines.apply(&cap(None, Some(250_000), 2)).await.unwrap();
-    assert_eq!((north.take_orders(), south.take_orders()), (vec![], vec![level(0.25)]));
-    // A server that the engine has forgotten has no hold: its document can be removed.
-    engines.apply(&hold(None, Some(Setting::Draining), 3)).await.unwrap();
+    assert_eq!((north.take_operations(), south.take_operations()), (vec![], vec![level(0.25)]));
+    // A server that the engine has forgotten has no override: its document can be removed.
+    engines.apply(&state_override(None, Some(Setting::Draining), 3)).await.unwrap();
     south.reject_with(Some(OperationError::UnknownServer));
-    assert_eq!(engines.apply(&hold(None, None, 4)).await, Ok(()));
-    let rejected = engines.apply(&hold(None, Some(Setting::Draining), 5)).await;
+    assert_eq!(engines.apply(&state_override(None, None, 4)).await, Ok(()));
+    let rejected = engines.apply(&state_override(None, Some(Setting::Draining), 5)).await;
     assert_eq!(rejected, Err("tenant `south`: no list has named this server".to_owned()));
 }
 
--- a/crates/stepspur-conductor/src/service/distribution/mod.rs
+++ b/crates/stepspur-conductor/src/service/distribution/mod.rs
@@ -60,7 +60,7 @@
     /// The subscriber.
     #[serde(skip_serializing_if = "Option::is_none")]
     subscriber: Option<SubscriberStatus>,
-    /// Why the subscriber's state file is not used: it holds the documents in memory alone.
+    /// Why the subscriber's state file is not used: it stores the documents in memory alone.
     #[serde(skip_serializing_if = "Option::is_none")]
     store_fault: Option<String>,
 }
@@ -189,7 +189,7 @@
     fault: Option<String>,
 }
 
-/// Opens the subscriber's state file. A file that cannot be used is left as it is; the subscriber then holds
+/// Opens the subscriber's state file. A file that cannot be used is left as it is; the subscriber then stores
 /// its documents in memory, and the status says so.
 ///
 /// # Errors
--- a/crates/stepspur-conductor/src/service/engine_handle.rs
+++ b/crates/stepspur-conductor/src/service/engine_handle.rs
@@ -15,7 +15,7 @@
     Input(Input),
     /// Register a stream that has sent its first message: its frames go to `queue`.
     Open { stream: StreamId, queue: SendQueue, cut: CancellationToken },
-    /// Execute an operator's order and reply with the outcome.
+    /// Execute an operation and reply with the outcome.
     Operate { operation: Operation, reply: oneshot::Sender<Result<(), OperationError>> },
     /// Reply with the engine's counters.
     Stats { reply: oneshot::Sender<Stats> },
@@ -25,13 +25,13 @@
 /// name.
 pub(crate) type EnginesByTenant = BTreeMap<String, EngineHandle>;
 
-/// Why an operator's order was not executed.
+/// Why an operation was not executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum OperateError {
     /// The engine's task has ended.
     #[error("the conductor stops")]
     Stopped,
-    /// The engine rejects the order.
+    /// The engine rejects the operation.
     #[error(transparent)]
     Rejected(#[from] OperationError),
 }
@@ -78,10 +78,10 @@
         answer.await.ok()
     }
 
-    /// Executes an operator's order.
+    /// Executes an operation.
     ///
     /// # Errors
-    /// The engine rejects the order, or has ended.
+    /// The engine rejects the operation, or has ended.
     pub(crate) async fn operate(&self, operation: Operation) -> Result<(), OperateError> {
         let (reply, answer) = oneshot::channel();
         let command = EngineCommand::Operate { operation, reply };
--- a/crates/stepspur-conductor/src/service/engine_log.rs
+++ b/crates/stepspur-conductor/src/service/engine_log.rs
@@ -6,13 +6,13 @@
 pub(super) fn write(event: LogEvent, epoch: u64) {
     match event {
         LogEvent::Decision(text) => tracing::info!(event = "decision", epoch, text),
-        LogEvent::Joined { proxy, stream } => {
+        LogEvent::ProxyConnected { proxy, stream } => {
             tracing::info!(event = "proxy_connected", epoch, proxy, stream = stream.0)
         }
-        LogEvent::Left { proxy, stream } => {
+        LogEvent::ProxyDisconnected { proxy, stream } => {
             tracing::info!(event = "proxy_disconnected", epoch, proxy, stream = stream.0)
         }
-        LogEvent::Refused { stream, reason, detail } => {
+        LogEvent::StreamClosed { stream, reason, detail } => {
             tracing::warn!(
                 event = "stream_closed",
                 epoch,
--- a/crates/stepspur-conductor/src/service/engine_task.rs
+++ b/crates/stepspur-conductor/src/service/engine_task.rs
@@ -20,7 +20,7 @@
 /// Commands that are handled before the engine's outputs are executed, at most.
 const COMMAND_BATCH: usize = 1024;
 
-/// A stream, as the engine's task knows it.
+/// What the engine's task needs of a stream.
 struct StreamHandle {
     queue: SendQueue,
     /// Ends the stream at once.
@@ -43,7 +43,7 @@
     outputs: EngineOutputs,
     stop: CancellationToken,
     streams: BTreeMap<StreamId, StreamHandle>,
-    invalid_input_log: LogRateLimiter,
+    rate_limiter: LogRateLimiter,
 }
 
 impl EngineTask {
@@ -56,8 +56,8 @@
         stop: CancellationToken,
     ) -> Self {
         let streams = BTreeMap::new();
-        let invalid_input_log = LogRateLimiter::default();
-        Self { engine, clock, commands, outputs, stop, streams, invalid_input_log }
+        let rate_limiter = LogRateLimiter::default();
+        Self { engine, clock, commands, outputs, stop, streams, rate_limiter }
     }
 
     /// Runs until `stop` is cancelled; then queues a go-away message on every stream.
@@ -72,7 +72,7 @@
                 self.execute(output);
             }
         }
-        self.say_go_away();
+        self.queue_go_away();
     }
 
     /// Waits for commands or for the engine's next timer. Returns false once the task is to end.
@@ -100,7 +100,7 @@
             }
             EngineCommand::Operate { operation, reply } => {
                 let result = self.engine.operate(now, operation);
-                // The operator may have hung up: the order counts all the same.
+                // The caller may no longer wait for the reply: the operation takes effect all the same.
                 let _ = reply.send(result);
             }
             EngineCommand::Stats { reply } => {
@@ -163,15 +163,16 @@
 
     fn log(&mut self, event: LogEvent) {
         let now = self.clock.now();
-        if !event.is_about_invalid_input() || self.invalid_input_log.allow(now) {
+        if !event.is_rate_limited() || self.rate_limiter.allow(now) {
             engine_log::write(event, self.engine.epoch());
         }
     }
 
-    fn say_go_away(&self) {
+    fn queue_go_away(&self) {
         let go_away = self.engine.go_away_frame(Reason::Stopping, "the conductor stops");
         for handle in self.streams.values() {
-            // Where the queue is full, its end says the same after the messages that wait in it.
+            // If the queue is full, the peer gets what waits in it, but no go-away message; its stream ends
+            // with the grace period at the latest.
             let _ = handle.queue.try_send(OutboundMessage::Last(go_away.clone()));
         }
     }
--- a/crates/stepspur-conductor/src/service/identity.rs
+++ b/crates/stepspur-conductor/src/service/identity.rs
@@ -187,7 +187,8 @@
     /// The grant of a caller by its certificate and its token; empty credentials are no token.
     ///
     /// # Errors
-    /// The token is invalid or missing, or is another caller's than the certificate.
+    /// The token is invalid or missing, or is another caller's than the certificate, or the credentials were
+    /// revoked.
     pub(super) fn grant(&self, certificate: Option<CertCaller>, credentials: &[u8]) -> Result<Grant, Denied> {
         let keys = self.keys();
         let token = self.verify_token(credentials, &keys.keys)?;
--- a/crates/stepspur-conductor/src/service/log_rate_limiter.rs
+++ b/crates/stepspur-conductor/src/service/log_rate_limiter.rs
@@ -1,4 +1,4 @@
-//! A rate limit for log lines about invalid input, so that a peer that sends it cannot fill the disk.
+//! A rate limit for log lines that a peer can cause in any number, so that it cannot fill the disk.
 
 use stepspur::interface::Micros;
 
--- a/crates/stepspur-conductor/src/service/operator/call.rs
+++ b/crates/stepspur-conductor/src/service/operator/call.rs
@@ -52,7 +52,8 @@
 }
 
 impl Call {
-    /// Authorizes the caller; `name` is the call's name in the audit log.
+    /// Authorizes the caller; `name` is the call's name in the audit log. A caller without a grant is denied
+    /// without a record (a rejected token is logged as `token_rejected`).
     ///
     /// # Errors
     /// [`CallError::Denied`], whatever the reason.
--- a/crates/stepspur-conductor/src/service/operator/error.rs
+++ b/crates/stepspur-conductor/src/service/operator/error.rs
@@ -15,7 +15,7 @@
 /// Why a call is not executed.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum CallError {
-    /// The caller lacks the right. It does not learn why.
+    /// The caller lacks the right. The answer does not contain the reason.
     #[error("{}", Denied::PUBLIC_MESSAGE)]
     Denied,
     /// The request's body or path cannot be parsed.
--- a/crates/stepspur-conductor/src/service/operator/servers.rs
+++ b/crates/stepspur-conductor/src/service/operator/servers.rs
@@ -27,7 +27,7 @@
         .route("/v1/level", post(level))
 }
 
-/// A server, and whether it is to be held in a state or released.
+/// A server, and whether its state is to be overridden or the override lifted.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ServerRequest {
@@ -74,7 +74,7 @@
     operate(&call, Operation::Level { class, share }).await
 }
 
-/// Executes an order at the engine of the caller's tenant, records it and answers.
+/// Executes an operation at the engine of the caller's tenant, records it and answers.
 async fn operate(call: &AuthorizedCall, operation: Operation) -> Result<Response, CallError> {
     let change = format!("{operation:?}");
     let outcome = match call.engine()?.operate(operation).await {
--- a/crates/stepspur-conductor/src/service/session/mod.rs
+++ b/crates/stepspur-conductor/src/service/session/mod.rs
@@ -65,7 +65,7 @@
 }
 
 /// A proxy that may join.
-struct Admission {
+struct AdmittedProxy {
     /// The engine of its tenant.
     engine: EngineHandle,
     /// None without identity.
@@ -125,11 +125,11 @@
         };
         reader.decoder_mut().set_largest(listen.largest_frame);
         let received_at = Instant::now();
-        let Some(admission) = self.admit(&hello, tls_peer) else {
+        let Some(admitted) = self.admit(&hello, tls_peer) else {
             sleep_until(received_at + REJECTION_DELAY).await;
             return self.reject(reader, write, v1::Reason::NotAllowed, Denied::PUBLIC_MESSAGE).await;
         };
-        self.exchange(reader, write, hello, admission).await;
+        self.exchange(reader, write, hello, admitted).await;
     }
 
     async fn first_message<R: AsyncRead + Unpin>(&self, reader: &mut FrameReader<R>) -> FirstMessage {
@@ -152,12 +152,13 @@
         }
     }
 
-    /// Admits a proxy to its tenant's engine. None: it is rejected, with the reason in the logs alone.
-    fn admit(&self, first_message: &FromProxy, tls_peer: Option<TlsPeer>) -> Option<Admission> {
+    /// Admits a proxy to its tenant's engine. None: it is rejected; the reason is in the logs alone. A first
+    /// message that is no `Hello` is not logged.
+    fn admit(&self, first_message: &FromProxy, tls_peer: Option<TlsPeer>) -> Option<AdmittedProxy> {
         let (Some(identity), Some(TlsPeer { certificate, handshake })) = (&self.context.identity, tls_peer)
         else {
             let engine = self.context.engines.values().next()?.clone();
-            return Some(Admission { engine, grant: None });
+            return Some(AdmittedProxy { engine, grant: None });
         };
         let Some(from_proxy::Kind::Hello(hello)) = &first_message.kind else { return None };
         let grant = match identity.grant(certificate.clone(), &hello.credentials) {
@@ -181,7 +182,7 @@
         };
         handshake.authenticated();
         let grant = StreamGrant::new(Arc::clone(identity), certificate, grant, self.peer);
-        Some(Admission { engine, grant: Some(grant) })
+        Some(AdmittedProxy { engine, grant: Some(grant) })
     }
 
     /// Opens the stream at the engine and exchanges frames until one side ends it.
@@ -190,7 +191,7 @@
         mut reader: FrameReader<R>,
         write: W,
         hello: FromProxy,
-        Admission { engine, grant }: Admission,
+        AdmittedProxy { engine, grant }: AdmittedProxy,
     ) where
         R: AsyncRead + Unpin,
         W: AsyncWrite + Unpin,
--- a/crates/stepspur-conductor/src/service/session/reader.rs
+++ b/crates/stepspur-conductor/src/service/session/reader.rs
@@ -137,7 +137,7 @@
 /// Waits for a change of the keys; forever without identity.
 async fn keys_changed(keys: &mut Option<watch::Receiver<Arc<ActiveKeys>>>) {
     match keys {
-        // The keys outlive the stream, which holds their owner.
+        // The keys outlive the stream, which has a reference to their owner.
         Some(keys) => drop(keys.changed().await),
         None => pending().await,
     }
--- a/crates/stepspur-conductor/src/service/start.rs
+++ b/crates/stepspur-conductor/src/service/start.rs
@@ -204,9 +204,8 @@
     }
 }
 
-/// The settings without the further tenants, of which an engine knows nothing. With them every engine and
-/// every prober would hold the settings of all tenants, and memory would grow with the square of their
-/// number.
+/// The settings without the further tenants, which an engine does not need. With them every engine and every
+/// prober would store the settings of all tenants, and memory would grow with the square of their number.
 fn without_tenants(config: &Config) -> Config {
     Config {
         fleet: config.fleet.clone(),
--- a/crates/stepspur-consensus-node/src/config.rs
+++ b/crates/stepspur-consensus-node/src/config.rs
@@ -37,8 +37,8 @@
     /// first voters.
     #[garde(dive, length(min = 1, max = 1000), custom(lists_members_once(&self.id)))]
     pub conductors: Vec<MemberAddress>,
-    /// The election timeout: a conductor that hears no leader for one to two times this long campaigns. 10 ms
-    /// to 10 minutes; default: 1 s.
+    /// The election timeout: a conductor without a leader's messages for one to two times this long
+    /// campaigns. 10 ms to 10 minutes; default: 1 s.
     #[serde(default = "default_election", with = "humantime_serde")]
     #[garde(custom(fits_other_settings(self)))]
     pub election: Duration,
--- a/crates/stepspur-consensus-node/src/events.rs
+++ b/crates/stepspur-consensus-node/src/events.rs
@@ -2,7 +2,8 @@
 
 use stepspur_consensus::{MemberId, RaftEvent, RoleChange};
 
-/// Logs a change of a role's holder.
+/// Logs a role command as it is applied here: every member logs it, whoever the holder is. `lease_acquired`
+/// means granted in the log; the holder may act once a renewal is confirmed.
 pub(crate) fn log_role_change(member: MemberId, change: &RoleChange) {
     match change {
         RoleChange::Granted { role, holder, token, previous_holder } => {
@@ -18,7 +19,12 @@
         }
         RoleChange::Released { role, previous_holder } => {
             let previous = previous_holder.map(|holder| holder.to_string()).unwrap_or_default();
-            tracing::info!(event = "lease_released", %member, role = role.as_str(), previous_holder = previous);
+            tracing::info!(
+                event = "lease_released",
+                %member,
+                role = role.as_str(),
+                previous_holder = previous
+            );
         }
         RoleChange::Revoked { role } => {
             tracing::info!(event = "lease_revoked", %member, role = role.as_str());
--- a/crates/stepspur-consensus-node/src/schema/member.rs
+++ b/crates/stepspur-consensus-node/src/schema/member.rs
@@ -1,4 +1,4 @@
-//! Messages between conductors in the schema.
+//! Messages between members in the schema.
 
 use stepspur_consensus::{Index, MemberId, PeerMessage};
 use stepspur_proto::v1::{self, from_peer::Kind};
--- a/crates/stepspur-consensus-node/src/status.rs
+++ b/crates/stepspur-consensus-node/src/status.rs
@@ -17,7 +17,8 @@
     /// True: it is a voter.
     #[serde(rename = "votes")]
     pub is_voter: bool,
-    /// True: it takes no part until it is restarted, as its storage has failed or it cannot apply an entry.
+    /// True: it leads and votes no more until it is restarted. After a storage failure it still follows;
+    /// after an entry that it cannot apply it does not.
     #[serde(rename = "retired")]
     pub is_halted: bool,
     /// The last entry that it has applied.
@@ -31,7 +32,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(into = "(Option<MemberId>, u64)")]
 pub struct RoleStatus {
-    /// The member that holds it.
+    /// The member that it was granted to last, until it is released. Its lease may have expired or be
+    /// revoked: only the member itself knows whether it may act.
     pub holder: Option<MemberId>,
     /// The fencing token of the last grant; 0 before the first.
     pub token: u64,
--- a/crates/stepspur-consensus-storage/src/error.rs
+++ b/crates/stepspur-consensus-storage/src/error.rs
@@ -6,13 +6,14 @@
 /// Why a state file cannot be opened or written.
 #[derive(Debug, thiserror::Error)]
 pub enum StorageError {
-    /// There is no such file. It is never created implicitly: a member without its state is another member.
+    /// No such file. Check the path; for a new member run `bootstrap` once. It is never created implicitly:
+    /// an existing member that lost its state may have voted, and must be replaced under a new number.
     #[error("{}: no such state file", .0.display())]
     NotFound(PathBuf),
     /// There is such a file already. It is never overwritten.
     #[error("{}: there is a state file already", .0.display())]
     AlreadyExists(PathBuf),
-    /// Another process has opened the file.
+    /// Another process has locked the file: end it.
     #[error("the state file is in use by another process")]
     InUse,
     /// A later version of the program wrote the file.
@@ -26,11 +27,12 @@
         /// The newest format that this version reads.
         supported: u32,
     },
-    /// The file cannot be read. It was left as it is.
+    /// The file is empty, larger than [`MAX_FILE_BYTES`](crate::MAX_FILE_BYTES), or damaged. It was left as
+    /// it is: replace the member under a new number, do not bootstrap it again.
     #[error("the state file cannot be read and was left as it is: {0}")]
     Corrupted(String),
     /// An earlier write failed, so that the file's content is uncertain: nothing is written until it is
-    /// opened again.
+    /// opened again. Free or replace the disk and restart the member.
     #[error("an earlier write failed: {0}")]
     EarlierWriteFailed(String),
     /// The system rejects an operation, for example as the disk is full.
@@ -54,7 +56,7 @@
 /// What was tried with a state file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Operation {
-    /// Looking for the file.
+    /// Checking that a file to be created does not exist yet.
     Find,
     /// Opening it.
     Open,
@@ -64,11 +66,12 @@
     Lock,
     /// Creating it under a temporary name.
     Create,
-    /// Giving a created file its name.
+    /// Linking a complete file under its name.
     Rename,
     /// Writing it.
     Write,
-    /// The second commit of a write, see [`Store::write`](crate::Store::write).
+    /// The second commit of a write, which guards the first against a roll-back, see
+    /// [`Store::write`](crate::Store::write).
     Seal,
 }
 
--- a/crates/stepspur-consensus-storage/src/lib.rs
+++ b/crates/stepspur-consensus-storage/src/lib.rs
@@ -1,6 +1,6 @@
 //! Stable storage of a consensus member.
 //!
-//! - [`Store`] keeps a member's identity, term, vote, log and snapshot in one redb file. A file that it
+//! - [`Store`] holds a member's identity, term, vote, log and snapshot in one redb file. A file that it
 //!   cannot read it leaves as it is, and after a failed write it writes no more: a member that may have lost
 //!   its vote must not vote again.
 //! - [`Writer`] writes in a thread of its own, so that a slow disk delays only what depends on the writes.
--- a/crates/stepspur-consensus-storage/src/store.rs
+++ b/crates/stepspur-consensus-storage/src/store.rs
@@ -11,7 +11,8 @@
 use crate::state_file;
 use crate::tables::{self, Tables};
 
-/// The largest state file that is opened, in bytes: a larger one is no state file.
+/// The largest state file that is opened, in bytes; a larger one is reported as
+/// [`StorageError::Corrupted`].
 pub const MAX_FILE_BYTES: u64 = 1 << 30;
 
 /// An open state file.
@@ -135,7 +136,7 @@
     Ok(transaction.commit()?)
 }
 
-/// Checks a copy of a file completely.
+/// Checks a copy in memory, as redb would repair the file itself in place.
 fn check(copy: MemoryCopy) -> Result<(), StorageError> {
     let mut database = open_database(copy)?;
     database.check_integrity().map_err(|cause| StorageError::Corrupted(cause.to_string()))?;
--- a/crates/stepspur-consensus/src/election.rs
+++ b/crates/stepspur-consensus/src/election.rs
@@ -16,14 +16,14 @@
 use crate::raft_role::RaftRole;
 
 impl RaftNode {
-    /// Draws the time at which the member campaigns unless it hears of a leader: between one and two election
-    /// timeouts from now (paper 5.2).
+    /// Draws the time at which the member campaigns unless it receives a leader's message: between one and
+    /// two election timeouts from now (paper 5.2).
     pub(crate) fn reset_election_timeout(&mut self) {
         let timeout = self.settings.election_timeout;
         self.election_at = self.now + self.rng.random_range(timeout..=timeout * 2);
     }
 
-    /// True: it leads, or heard a leader within the last election timeout.
+    /// True: it leads, or received a leader's message within the last election timeout.
     pub(crate) fn has_live_leader(&self) -> bool {
         matches!(self.role, RaftRole::Leader(_))
             || self.leader_heard_at.is_some_and(|at| self.now < at + self.settings.election_timeout)
@@ -92,7 +92,7 @@
         self.count_votes();
     }
 
-    /// Stands for election in the next term (paper 5.2).
+    /// Becomes a candidate of the next term (paper 5.2).
     fn become_candidate(&mut self, reason: CampaignReason) {
         self.enter_term(self.term.next(), reason.into());
         self.vote = Some(self.id);
--- a/crates/stepspur-consensus/src/fencing.rs
+++ b/crates/stepspur-consensus/src/fencing.rs
@@ -27,7 +27,7 @@
 }
 
 impl Fence {
-    /// Checks an order's token, and remembers it.
+    /// Checks an order's token, and records it.
     ///
     /// # Errors
     /// [`StaleToken`] if a higher one was seen.
--- a/crates/stepspur-consensus/src/leader_state.rs
+++ b/crates/stepspur-consensus/src/leader_state.rs
@@ -1,4 +1,4 @@
-//! What a leader keeps during its term (paper, figure 2: volatile state on leaders).
+//! A leader's state during its term (paper, figure 2: volatile state on leaders).
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 use crate::progress::Progress;
 use crate::raft_log::Voters;
 
-/// What a leader keeps during its term.
+/// A leader's state during its term.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct LeaderState {
     /// The other members that it replicates to.
--- a/crates/stepspur-consensus/src/lease.rs
+++ b/crates/stepspur-consensus/src/lease.rs
@@ -14,7 +14,7 @@
 use crate::roles::{FencingToken, Role, RoleChange, RoleName, RoleTable};
 use crate::settings::Settings;
 
-/// Renewals that may await an answer; the oldest is forgotten first.
+/// Renewals that may await an answer; the oldest is dropped first.
 const MAX_PENDING_RENEWALS: usize = 64;
 
 /// The granting side: what a leader knows of the holders. It starts empty with each leadership.
--- a/crates/stepspur-consensus/src/lib.rs
+++ b/crates/stepspur-consensus/src/lib.rs
@@ -1,10 +1,10 @@
-//! A consensus group of conductors: a replicated log, and named roles that one member holds at a time.
+//! A consensus group: a replicated log, and named roles that one member holds at a time.
 //!
 //! - [`RaftNode`] is a member's Raft state (Ongaro and Ousterhout 2014, "the paper"; Ongaro's thesis):
 //!   elections with pre-vote and check-quorum, replication, snapshots, membership changes of one voter at a
 //!   time, leadership transfer and linearizable reads.
 //! - [`RoleTable`] is the replicated state of the roles: who holds each, and by which fencing token.
-//! - [`Member`] is a conductor: it votes or follows, holds roles by leases, and grants them while it leads.
+//! - [`Member`] votes or follows, holds roles by leases, and grants them while it leads.
 //! - [`StateMachine`] is replicated state beside the roles, of any kind.
 //! - [`Fence`] rejects the orders of a role's former holders.
 //!
--- a/crates/stepspur-consensus/src/member.rs
+++ b/crates/stepspur-consensus/src/member.rs
@@ -1,4 +1,4 @@
-//! A conductor of the consensus group: a voter, or a follower without a vote. It holds roles by leases, and
+//! A member of the consensus group: a voter, or a follower without a vote. It holds roles by leases, and
 //! grants them while it leads.
 //!
 //! - `raft_outputs`: does what [`RaftNode`] asks for; `apply`: committed entries and snapshots.
@@ -24,28 +24,28 @@
 mod following;
 mod pending_request;
 mod proposals;
+mod pushed_followers;
 mod raft_outputs;
 mod reads;
 mod renewals;
 mod role_assigner;
 mod role_assignment;
 mod snapshot_codec;
-mod subscribers;
 
 use fetch_state::FetchState;
 use pending_request::{FIRST_READ_REQUEST, PendingRequest};
+use pushed_followers::PushedFollowers;
 use role_assigner::{RoleAssigner, RolePreferences};
-use subscribers::Subscribers;
 
-/// A conductor of the consensus group, with replicated state `S` beside the roles.
+/// A member of the consensus group, with replicated state `S` beside the roles.
 #[derive(Clone, Debug)]
 pub struct Member<S = ()> {
     raft: RaftNode,
     state: S,
-    /// Why it applies no more entries: one is unknown to this program.
+    /// Why it applies no more entries: one is unknown to this program, or a snapshot cannot be read.
     halt_reason: Option<String>,
     settings: Settings,
-    /// The voters to ask while the log names none.
+    /// The voters to send requests to while the log names none.
     initial_voters: Voters,
     roles: RoleTable,
     /// What a leader needs to grant roles; none while the member does not lead.
@@ -56,12 +56,12 @@
     preferences: RolePreferences,
     /// Rotates over the other voters, see `next_other_voter`.
     next_voter: usize,
-    /// The leader that another conductor named or was, for members to which no leader replicates.
+    /// The leader that another member named or was, for members to which no leader replicates.
     leader_hint: Option<MemberId>,
     /// When the next renewal is due.
     renewal_due_at: Micros,
     fetching: FetchState,
-    subscribers: Subscribers,
+    pushed_followers: PushedFollowers,
     /// Reads requested so far.
     read_requests: u64,
     /// The latest time that an event came with.
@@ -74,7 +74,7 @@
 pub struct MemberConfig {
     /// Its identity.
     pub id: MemberId,
-    /// The voters that it asks for committed entries while its log names none.
+    /// The voters from which it fetches committed entries while its log names none.
     pub initial_voters: Voters,
     /// The settings that all members share.
     pub settings: Settings,
@@ -108,7 +108,7 @@
             leader_hint: None,
             renewal_due_at: now,
             fetching: FetchState::new(now),
-            subscribers: Subscribers::default(),
+            pushed_followers: PushedFollowers::default(),
             read_requests: 0,
             now,
             outputs: Vec::new(),
@@ -184,7 +184,7 @@
         self.take_outputs()
     }
 
-    /// Handles a message of another conductor.
+    /// Handles a message of another member.
     pub fn receive(&mut self, now: Micros, from: MemberId, message: PeerMessage) -> Vec<MemberOutput> {
         self.advance_clock(now);
         match message {
@@ -233,7 +233,7 @@
         self.take_outputs()
     }
 
-    /// Another conductor has rejected a request.
+    /// Another member has rejected a request.
     fn handle_not_leader(&mut self, request: u64, leader: Option<MemberId>) {
         if request >= FIRST_READ_REQUEST {
             self.outputs.push(MemberOutput::ReadCompleted { request, index: None });
@@ -258,7 +258,7 @@
         self.outputs.push(MemberOutput::Send { to, message });
     }
 
-    /// Rejects a request of another conductor.
+    /// Rejects a request of another member.
     fn send_not_leader(&mut self, to: MemberId, request: u64) {
         let leader = self.raft.leader();
         self.send(to, PeerMessage::NotLeader { request, leader });
--- a/crates/stepspur-consensus/src/member/apply.rs
+++ b/crates/stepspur-consensus/src/member/apply.rs
@@ -54,7 +54,8 @@
     }
 
     /// Applies no more entries. Skipping an unknown entry would make the member's state differ from the
-    /// others'.
+    /// others'. The member halts as after a storage failure: its log says `consensus_stepped_down` "its disk
+    /// has failed" if it led, and `consensus_halted` with the true reason.
     fn halt(&mut self, reason: String) {
         if self.halt_reason.is_none() {
             self.raft.on_storage_failure(reason.clone());
--- a/crates/stepspur-consensus/src/member/fetch_state.rs
+++ b/crates/stepspur-consensus/src/member/fetch_state.rs
@@ -16,7 +16,7 @@
     leaderless_answers: usize,
 }
 
-/// A voter's answer to a fetch, or what it sent to a subscriber.
+/// A voter's answer to a fetch, or entries that it sent without a request.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct FetchAnswer {
     pub(super) from: MemberId,
--- a/crates/stepspur-consensus/src/member/following.rs
+++ b/crates/stepspur-consensus/src/member/following.rs
@@ -1,7 +1,7 @@
 //! How a member to which no leader replicates gets committed entries.
 //!
-//! It fetches them from a voter that has a leader. That voter keeps it as a subscriber for a while, and sends
-//! it each entry as soon as that is committed. So an idle group costs one request and one answer per
+//! It fetches them from a voter that has a leader. For a while, that voter then sends it each entry as soon
+//! as that is committed. So an idle group costs one request and one answer per
 //! [`Settings::election_timeout`]. A lost entry shows as a gap before the next one, or is found by the next
 //! fetch; a fetch without an answer goes to another voter after [`Settings::heartbeat_interval`].
 //!
@@ -44,7 +44,7 @@
         self.send(to, PeerMessage::Fetch { from });
     }
 
-    /// Committed entries have come, by a fetch or a subscription.
+    /// Committed entries have come, by a fetch or without a request.
     pub(super) fn handle_committed_entries(
         &mut self,
         from: MemberId,
@@ -104,29 +104,29 @@
             self.send(follower, PeerMessage::CommittedState { index, state, leader });
             index.next()
         };
-        // A voter without a leader learns of no new entries: the follower asks another one.
+        // A voter without a leader learns of no new entries: the follower fetches from another one.
         if leader.is_some() {
-            self.subscribers.subscribe(follower, next, self.now, &self.settings);
+            self.pushed_followers.add_or_renew(follower, next, self.now, &self.settings);
         }
     }
 
-    /// Sends newly committed entries to the subscribers.
-    pub(super) fn send_to_subscribers(&mut self) {
+    /// Sends newly committed entries to the pushed followers.
+    pub(super) fn push_committed_entries(&mut self) {
         let commit = self.raft.commit();
-        if commit <= self.subscribers.sent_commit {
+        if commit <= self.pushed_followers.sent_commit {
             return;
         }
-        self.subscribers.sent_commit = commit;
-        self.subscribers.remove_expired(self.now);
+        self.pushed_followers.sent_commit = commit;
+        self.pushed_followers.remove_expired(self.now);
         let leader = self.replicating_leader();
         let log = self.raft.log();
-        for (to, subscriber) in self.subscribers.iter_mut() {
+        for (to, pushed) in self.pushed_followers.iter_mut() {
             // Entries that the log no longer has reach the follower as a state, by its next fetch.
-            if subscriber.next > commit || subscriber.next <= log.base().index {
+            if pushed.next > commit || pushed.next <= log.base().index {
                 continue;
             }
-            let entries = committed_entries(log, commit, subscriber.next, self.settings.max_batch_entries);
-            subscriber.next = Index(subscriber.next.0 + entries.len() as u64);
+            let entries = committed_entries(log, commit, pushed.next, self.settings.max_batch_entries);
+            pushed.next = Index(pushed.next.0 + entries.len() as u64);
             let message = PeerMessage::CommittedEntries { entries, leader };
             self.outputs.push(MemberOutput::Send { to, message });
         }
--- a/crates/stepspur-consensus/src/member/pending_request.rs
+++ b/crates/stepspur-consensus/src/member/pending_request.rs
@@ -3,11 +3,11 @@
 use crate::ids::{Index, MemberId};
 use crate::pending_reads::ReadRequestId;
 
-/// Requests for reads are numbered from here on, those for renewals below, so that a rejection tells which it
-/// is.
+/// Requests for reads are numbered from here on, those for renewals below, so that a rejection's
+/// number shows which it is.
 pub(super) const FIRST_READ_REQUEST: u64 = 1 << 62;
 
-/// What a request asks for.
+/// What a request is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RequestKind {
     /// A renewal of all leases of a holder.
--- a/crates/stepspur-consensus/src/member/proposals.rs
+++ b/crates/stepspur-consensus/src/member/proposals.rs
@@ -59,7 +59,7 @@
         Ok(self.take_outputs())
     }
 
-    /// Another conductor forwards a command.
+    /// Another member forwards a command.
     pub(super) fn handle_proposal(&mut self, from: MemberId, request: u64, command: Bytes) {
         if self.raft.propose(self.now, command).is_err() {
             self.send_not_leader(from, request);
--- a/crates/stepspur-consensus/src/member/raft_outputs.rs
+++ b/crates/stepspur-consensus/src/member/raft_outputs.rs
@@ -23,7 +23,7 @@
         }
         self.update_leadership();
         self.answer_requests();
-        self.send_to_subscribers();
+        self.push_committed_entries();
         self.compact_if_due();
     }
 
--- a/crates/stepspur-consensus/src/member_output.rs
+++ b/crates/stepspur-consensus/src/member_output.rs
@@ -1,4 +1,4 @@
-//! What a member asks its surroundings to do.
+//! What a member requests of its caller.
 
 use crate::ids::{Index, MemberId};
 use crate::peer_message::PeerMessage;
@@ -9,7 +9,7 @@
 /// Something to do. Outputs are done in the order given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MemberOutput {
-    /// Send a message to a conductor.
+    /// Send a message to another member.
     Send {
         /// The receiver.
         to: MemberId,
--- a/crates/stepspur-consensus/src/peer_message.rs
+++ b/crates/stepspur-consensus/src/peer_message.rs
@@ -1,4 +1,4 @@
-//! Messages between conductors of a consensus group.
+//! Messages between members of a consensus group.
 
 use bytes::Bytes;
 
@@ -6,7 +6,7 @@
 use crate::message::Message;
 use crate::raft_log::Entry;
 
-/// A message from one conductor to another. `request` numbers are the sender's, and answers repeat them.
+/// A message from one member to another. `request` numbers are the sender's, and answers repeat them.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PeerMessage {
     /// Raft's messages between voters.
@@ -15,7 +15,7 @@
     RenewLeases {
         /// The number of the request.
         request: u64,
-        /// The newest renewal that was answered: a holder that hears no answers must not keep its roles.
+        /// The newest renewal that was answered: a holder that receives no answers must not keep its roles.
         last_answered: u64,
         /// The sender's share of the roles, relative to others'; 0: no further ones.
         weight: f64,
--- a/crates/stepspur-consensus/src/persistence.rs
+++ b/crates/stepspur-consensus/src/persistence.rs
@@ -21,7 +21,8 @@
         self.maybe_commit();
     }
 
-    /// The storage has failed: the member halts, as nothing that it has not written yet may be promised.
+    /// The storage has failed, or an entry cannot be applied: the member halts, as nothing that it has not
+    /// written yet may be promised.
     pub fn on_storage_failure(&mut self, reason: impl Into<String>) {
         self.step_down(StepDownReason::StorageFailed);
         self.role = RaftRole::Halted;
--- a/crates/stepspur-consensus/src/persistent_state.rs
+++ b/crates/stepspur-consensus/src/persistent_state.rs
@@ -1,11 +1,11 @@
-//! What a member keeps in stable storage (paper, figure 2: persistent state), and requests to write it.
+//! What a member has in stable storage (paper, figure 2: persistent state), and requests to write it.
 
 use std::sync::Arc;
 
 use crate::ids::{Index, MemberId, Term};
 use crate::raft_log::{Entry, RaftLog, Snapshot};
 
-/// What a member keeps in stable storage.
+/// What a member has in stable storage.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PersistentState {
     /// Its current term.
--- a/crates/stepspur-consensus/src/progress.rs
+++ b/crates/stepspur-consensus/src/progress.rs
@@ -34,7 +34,7 @@
 }
 
 impl Progress {
-    /// A member that the leader has not heard of yet.
+    /// A member from which the leader has received no answer yet.
     pub(crate) fn new(next_index: Index, now: Micros) -> Self {
         Self { next_index, heard_at: now, ..Self::default() }
     }
--- a/crates/stepspur-consensus/src/raft_event.rs
+++ b/crates/stepspur-consensus/src/raft_event.rs
@@ -42,7 +42,8 @@
         /// The member.
         member: MemberId,
     },
-    /// The member takes no part until it is restarted: its storage has failed, or it cannot apply an entry.
+    /// The member leads and votes no more until it is restarted. After a storage failure it still follows;
+    /// after an entry that it cannot apply it does not.
     Halted {
         /// Why.
         reason: String,
@@ -52,7 +53,7 @@
 /// Why a member became a candidate. The text is a field of the log event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CampaignReason {
-    /// It heard of no leader for an election timeout.
+    /// It received no message of a leader for an election timeout.
     #[error("no leader was heard of")]
     ElectionTimeout,
     /// The leader transferred its leadership to it (thesis 3.10).
@@ -75,7 +76,7 @@
     /// A write takes longer than the timeout.
     #[error("its disk does not answer")]
     StorageStalled,
-    /// The storage has failed.
+    /// The storage has failed, or an entry cannot be applied.
     #[error("its disk has failed")]
     StorageFailed,
     /// It became a candidate of a new term.
--- a/crates/stepspur-consensus/src/raft_node.rs
+++ b/crates/stepspur-consensus/src/raft_node.rs
@@ -37,7 +37,7 @@
     pub(crate) commit: Index,
     pub(crate) role: RaftRole,
     pub(crate) leader: Option<MemberId>,
-    /// When a leader of the current term was last heard.
+    /// When the last message of a leader of the current term was received.
     pub(crate) leader_heard_at: Option<Micros>,
     /// When the election timeout ends.
     pub(crate) election_at: Micros,
@@ -114,8 +114,9 @@
         matches!(&self.role, RaftRole::Leader(state) if self.commit >= state.first_index)
     }
 
-    /// True: it takes no part until it is restarted, see
-    /// [`on_storage_failure`](RaftNode::on_storage_failure).
+    /// True: it leads and votes no more until it is restarted, see
+    /// [`on_storage_failure`](RaftNode::on_storage_failure). After a storage failure its
+    /// [`Member`](crate::Member) still follows; after an entry that it cannot apply it does not.
     pub fn is_halted(&self) -> bool {
         matches!(self.role, RaftRole::Halted)
     }
--- a/crates/stepspur-consensus/src/raft_output.rs
+++ b/crates/stepspur-consensus/src/raft_output.rs
@@ -1,4 +1,4 @@
-//! What Raft's state machine asks its surroundings to do.
+//! What Raft's state machine requests of its caller.
 
 use std::sync::Arc;
 
--- a/crates/stepspur-consensus/src/raft_role.rs
+++ b/crates/stepspur-consensus/src/raft_role.rs
@@ -12,10 +12,11 @@
     Follower,
     /// It asks who would vote for it in the next term (pre-vote, thesis 9.6), with the votes so far.
     PreCandidate(BTreeSet<MemberId>),
-    /// It stands for election, with the votes so far.
+    /// It is a candidate of its term, with the votes so far.
     Candidate(BTreeSet<MemberId>),
     /// It leads.
     Leader(LeaderState),
-    /// It takes no part until it is restarted.
+    /// It leads and votes no more until it is restarted. After a storage failure it still follows; after an
+    /// entry that it cannot apply it does not.
     Halted,
 }
--- a/crates/stepspur-consensus/src/replication.rs
+++ b/crates/stepspur-consensus/src/replication.rs
@@ -225,8 +225,8 @@
         self.announce_commit(from);
     }
 
-    /// Tells a member that entries which it has just confirmed are committed: it would otherwise apply them
-    /// only with the next heartbeat.
+    /// Notifies a member that entries which it has just confirmed are committed: it would otherwise apply
+    /// them only with the next heartbeat.
     fn announce_commit(&mut self, member: MemberId) {
         let RaftRole::Leader(state) = &self.role else { return };
         let Some(progress) = state.followers.get(&member) else { return };
--- a/crates/stepspur-consensus/src/roles.rs
+++ b/crates/stepspur-consensus/src/roles.rs
@@ -82,7 +82,8 @@
 pub struct Role {
     /// How long its holder may act without a renewal, by the holder's clock.
     pub lease: Micros,
-    /// The member that holds it.
+    /// The member that it was granted to last, until it is released. Its lease may have expired or be
+    /// revoked: only the member itself knows whether it may act.
     pub holder: Option<MemberId>,
     /// The token of the last grant; 0 before the first.
     pub token: FencingToken,
@@ -240,7 +241,7 @@
         serde_json::to_vec(self).unwrap_or_default().into()
     }
 
-    /// Decodes the table of a snapshot at an index. No bytes stand for the empty table of a new group.
+    /// Decodes the table of a snapshot at an index. Empty bytes decode to the empty table of a new group.
     ///
     /// # Errors
     /// The bytes are no table.
--- a/crates/stepspur-consensus/src/settings.rs
+++ b/crates/stepspur-consensus/src/settings.rs
@@ -11,8 +11,8 @@
 /// earlier versions.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Settings {
-    /// A member that hears no leader for one to two times this long campaigns; a leader without answers of a
-    /// majority for this long steps down. 10 ms to 10 minutes; default: 1 s.
+    /// A member without a leader's messages for one to two times this long campaigns; a leader without
+    /// answers of a majority for this long steps down. 10 ms to 10 minutes; default: 1 s.
     #[serde(rename = "election")]
     pub election_timeout: Micros,
     /// A leader sends to each member at least this often. 1 ms to a third of `election_timeout`; default: 200
--- a/crates/stepspur-consensus/src/state_machine.rs
+++ b/crates/stepspur-consensus/src/state_machine.rs
@@ -20,7 +20,7 @@
     /// The state's form in a snapshot; no bytes if there is no state.
     fn encode(&self) -> Bytes;
 
-    /// Replaces the state by that of a snapshot; no bytes stand for the state of a new group.
+    /// Replaces the state by that of a snapshot; empty bytes encode the state of a new group.
     ///
     /// # Errors
     /// What is wrong with the bytes, or why they are unknown to this program. The state is unchanged then.
--- a/crates/stepspur-distribution/src/control/rollout_status.rs
+++ b/crates/stepspur-distribution/src/control/rollout_status.rs
@@ -100,7 +100,7 @@
     /// The subscriber has applied the version.
     Proof,
     /// The subscriber is attached there and has not certainly applied the version.
-    Counterproof(PendingDetail),
+    Unproven(PendingDetail),
     /// The subscriber was attached there before, or the summary is too old.
     Outdated(PendingDetail),
 }
@@ -148,7 +148,7 @@
             let Some(state) = summary.states.get(name) else { continue };
             match self.evidence(*control, summary, state) {
                 Evidence::Proof => is_proven = true,
-                Evidence::Counterproof(detail) => return SubscriberRollout::Pending(detail),
+                Evidence::Unproven(detail) => return SubscriberRollout::Pending(detail),
                 Evidence::Outdated(detail) => {
                     if most_recent.as_ref().is_none_or(|known| known.since > detail.since) {
                         most_recent = Some(detail);
@@ -164,8 +164,8 @@
 
     fn evidence(&self, control: u64, summary: &MemberSummary, state: &SubscriberState) -> Evidence {
         let age = self.now.saturating_duration_since(summary.received_at);
-        let counterproof = |applied_version, reason| {
-            Evidence::Counterproof(PendingDetail { applied_version, since: age, reason })
+        let unproven = |applied_version, reason| {
+            Evidence::Unproven(PendingDetail { applied_version, since: age, reason })
         };
         match state {
             SubscriberState::Detached(lag) => {
@@ -177,15 +177,15 @@
                 since: age,
                 reason: format!("control member {control} does not report"),
             }),
-            SubscriberState::UpToDate if summary.evaluated_version < self.version => counterproof(
+            SubscriberState::UpToDate if summary.evaluated_version < self.version => unproven(
                 summary.evaluated_version,
                 format!("control member {control} is not at this version"),
             ),
             SubscriberState::UpToDate if summary.behind_unlisted > 0 => {
-                counterproof(Version::NONE, format!("control member {control} names not all who are behind"))
+                unproven(Version::NONE, format!("control member {control} names not all who are behind"))
             }
             SubscriberState::Behind(lag) if lag.applied_version < self.version => {
-                Evidence::Counterproof(self.pending_by(lag, lag.reason.clone()))
+                Evidence::Unproven(self.pending_by(lag, lag.reason.clone()))
             }
             SubscriberState::UpToDate | SubscriberState::Behind(_) => Evidence::Proof,
         }
--- a/crates/stepspur-identity/src/grant.rs
+++ b/crates/stepspur-identity/src/grant.rs
@@ -9,7 +9,7 @@
 /// A caller and its rights.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Caller {
-    /// The caller's tenant: it learns of no other.
+    /// The caller's tenant: it gets data of no other.
     pub tenant: String,
     /// The caller's name.
     pub name: String,
@@ -39,7 +39,8 @@
 /// Why a call is denied. It is for logs and the audit log: the caller gets [`Denied::PUBLIC_MESSAGE`] alone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Denied {
-    /// The caller showed no valid credentials.
+    /// The caller showed no credentials, or a token that was rejected (`token_rejected` says why), or no
+    /// token where one is required.
     #[error("the caller shows nothing")]
     NoCredentials,
     /// Certificate and token name different callers.
@@ -81,7 +82,7 @@
     Ended(Denied),
 }
 
-/// How long before a grant's end its caller is asked to renew it, in microseconds.
+/// How long before a grant's end its caller is notified, so that it renews it, in microseconds.
 pub const EXPIRY_NOTICE: Micros = 60 * crate::MICROS_PER_SECOND;
 
 impl Grant {
--- a/crates/stepspur-identity/src/handshake_limiter.rs
+++ b/crates/stepspur-identity/src/handshake_limiter.rs
@@ -19,7 +19,8 @@
     pub max_per_unknown_source: usize,
     /// How long a source stays known after it has authenticated, in microseconds.
     pub known_for: Micros,
-    /// Known sources that are remembered; beyond that the one that authenticated first is forgotten.
+    /// Known sources that are remembered; beyond that the one whose last authentication is the oldest is
+    /// forgotten.
     pub max_known_sources: usize,
 }
 
@@ -47,10 +48,10 @@
 pub enum HandshakeRejected {
     /// No permit is left for a source of this kind.
     #[error("too many handshakes are under way")]
-    All,
+    NoPermit,
     /// This unknown source has as many handshakes in progress as it may.
     #[error("too many handshakes of one source are under way")]
-    Source,
+    SourceLimit,
 }
 
 /// How a handshake ended.
@@ -99,7 +100,7 @@
     pub fn begin(&mut self, source: IpAddr, now: Micros) -> Result<HandshakePermit, HandshakeRejected> {
         let known = self.is_known(source, now);
         if self.in_progress.unknown + self.in_progress.known >= self.limits.max_handshakes {
-            return Err(HandshakeRejected::All);
+            return Err(HandshakeRejected::NoPermit);
         }
         if known {
             self.in_progress.known += 1;
@@ -117,11 +118,11 @@
     fn begin_unknown(&mut self, source: IpAddr) -> Result<(), HandshakeRejected> {
         let unreserved = self.limits.max_handshakes.saturating_sub(self.limits.reserved_for_known);
         if self.in_progress.unknown >= unreserved {
-            return Err(HandshakeRejected::All);
+            return Err(HandshakeRejected::NoPermit);
         }
         let of_source = self.per_unknown_source.entry(source).or_default();
         if *of_source >= self.limits.max_per_unknown_source {
-            return Err(HandshakeRejected::Source);
+            return Err(HandshakeRejected::SourceLimit);
         }
         *of_source += 1;
         self.in_progress.unknown += 1;
--- a/crates/stepspur-identity/src/keys/mod.rs
+++ b/crates/stepspur-identity/src/keys/mod.rs
@@ -1,7 +1,7 @@
 //! Signing keys, trust anchors and the server's certificate: several of a kind at once, each with a state.
 //!
-//! A folder holds `identity.toml`, the manifest that lists everything, and the files that it refers to. A set
-//! is loaded and checked completely or rejected, so that a reload can fall back on the set before.
+//! A folder contains `identity.toml`, the manifest that lists everything, and the files that it refers to. A
+//! set is loaded and checked completely or rejected, so that a reload can fall back on the set before.
 
 mod error;
 mod key_id;
--- a/crates/stepspur-identity/src/keys/signer.rs
+++ b/crates/stepspur-identity/src/keys/signer.rs
@@ -45,7 +45,7 @@
     /// Reads `ID.key` of a folder.
     ///
     /// # Errors
-    /// The file cannot be read, or holds no key.
+    /// The file cannot be read, or contains no key.
     pub fn load(folder: &Path, id: KeyId) -> Result<Self, KeyError> {
         let path = key_file(folder, &id);
         let text = std::fs::read_to_string(&path).map_err(|error| KeyError::new(&path, error))?;
--- a/crates/stepspur-identity/src/tls.rs
+++ b/crates/stepspur-identity/src/tls.rs
@@ -21,11 +21,11 @@
     Required,
     /// A client may show a certificate; one that is shown must be of a trusted authority.
     Optional,
-    /// Clients are not asked for certificates: they authenticate by tokens alone.
+    /// No client certificates are requested: clients authenticate by tokens alone.
     Off,
 }
 
-/// Sessions that a server keeps for resumption.
+/// Sessions that a server stores for resumption.
 const SESSION_CACHE: usize = 32_768;
 /// Session tickets that a server sends after a handshake.
 const SESSION_TICKETS: usize = 1;
--- a/crates/stepspur-identity/src/token.rs
+++ b/crates/stepspur-identity/src/token.rs
@@ -61,7 +61,7 @@
     }
 }
 
-/// Why a token is rejected. It is for logs: the caller does not learn it.
+/// Why a token is rejected. It is for logs: the caller does not get it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TokenError {
     /// Not three parts of base64, or too long.
@@ -104,10 +104,10 @@
     pub expires_at: Micros,
 }
 
-/// What a token says of itself, without any verification.
+/// The content of a token, without any verification.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UnverifiedToken {
-    /// The name of the key that is said to have signed it.
+    /// The name of the key that signed it, as its header states.
     pub key: String,
     /// The token's claims.
     pub claims: Claims,
--- a/crates/stepspur-identity/tests/handshake_limiter.rs
+++ b/crates/stepspur-identity/tests/handshake_limiter.rs
@@ -26,11 +26,11 @@
     limiter.finish(permit, HandshakeOutcome::Authenticated, 0);
     let mut begin = |source: u8| limiter.begin(address(source), 1);
     let of_one_source: Vec<HandshakePermit> = (0..3).map(|_| begin(2).unwrap()).collect();
-    assert_eq!(begin(2), Err(HandshakeRejected::Source));
+    assert_eq!(begin(2), Err(HandshakeRejected::SourceLimit));
     let of_others: Vec<HandshakePermit> = (3..6).map(|source| begin(source).unwrap()).collect();
-    assert_eq!(begin(9), Err(HandshakeRejected::All), "unknown sources have six permits");
+    assert_eq!(begin(9), Err(HandshakeRejected::NoPermit), "unknown sources have six permits");
     let of_known: Vec<HandshakePermit> = (0..4).map(|_| begin(1).unwrap()).collect();
-    assert_eq!(begin(1), Err(HandshakeRejected::All));
+    assert_eq!(begin(1), Err(HandshakeRejected::NoPermit));
     assert_eq!(limiter.in_progress(), HandshakesInProgress { unknown: 6, known: 4 });
     for permit in of_one_source.into_iter().chain(of_others).chain(of_known) {
         limiter.finish(permit, HandshakeOutcome::Failed, 2);
@@ -40,5 +40,5 @@
         limiter.begin(address(1), 101).unwrap();
     }
     let after_known_time = limiter.begin(address(1), 101);
-    assert_eq!(after_known_time, Err(HandshakeRejected::Source), "a source is known for a time only");
+    assert_eq!(after_known_time, Err(HandshakeRejected::SourceLimit), "a source is known for a time only");
 }
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -9,19 +9,19 @@
 
 /// A median queue of this length counts as the overloaded latency ratio.
 const OVERLOADED_QUEUE_LENGTH: f64 = 2.0;
-/// Fewer attempts than this don't show overload: the first reports after a start tell of a few requests.
+/// Fewer attempts than this don't show overload: the first reports after a start cover a few requests only.
 const MIN_OVERLOAD_ATTEMPTS: f64 = 30.0;
 /// Queue lengths that only probes report show recovery while no more than this ratio of attempts fails, as
 /// servers that reject attempts reject probes, too.
 const MAX_ERROR_RATIO: f64 = 0.1;
 
-/// A cut admits no less than this ratio of what the peak goodput allows.
-const MIN_CUT_RATIO: f64 = 0.55;
+/// A cut leaves at least this multiple of the ratio that the servers can serve.
+const MIN_RATIO_AFTER_CUT: f64 = 0.55;
 /// Until reports can show the effect of a cut, a further one must be below this ratio of what is admitted.
 const FURTHER_CUT_RATIO: f64 = 0.75;
 /// Least time until reports can show the effect of a cut.
 const CUT_EFFECT_DELAY: Micros = 2_500_000;
-/// Recovery is fast up to this ratio of what servers bore when overload began, then slow.
+/// Recovery is fast up to this multiple of the ratio that servers could serve when overload began, then slow.
 const FAST_RECOVERY_RATIO: f64 = 0.75;
 /// Growth of the admitted ratio in fast recovery, per second at a latency ratio of 0.
 const FAST_RECOVERY_PER_SECOND: f64 = 1.0;
@@ -35,12 +35,13 @@
 
 /// A rate that admits everything, in requests per second.
 const UNLIMITED_PER_SECOND: f64 = 1e6;
-/// Clients draw up to this often for a request; each draw is admitted or rejected.
-const DRAWS_PER_REQUEST: f64 = 3.0;
+/// A client whose request is rejected at admission repeats it, up to this many attempts in all.
+const CLIENT_ATTEMPTS_PER_REQUEST: f64 = 3.0;
 /// Number of classes that get admission levels.
 const MAX_CLASSES: usize = 16;
 
-/// Whether the fleet is overloaded.
+/// Whether the next cut begins a new overload. Not whether requests are shed: that ends when `shed_fraction`
+/// is back at 0, as a rule later than `Recovered`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum OverloadState {
     #[default]
@@ -54,10 +55,10 @@
 pub(super) struct AdmissionController {
     /// Ratio of all requests that is shed.
     pub(super) shed_fraction: f64,
-    /// True: so little is admitted that servers still warming up can bear their part of it.
+    /// True: so little is admitted that servers still warming up can serve their part of it.
     pub(super) warming_servers_suffice: bool,
     state: OverloadState,
-    /// Admitted ratio that servers bore when overload last began.
+    /// The ratio that servers could serve when overload last began.
     sustainable_ratio: f64,
     /// Admitted ratio before the newest cut.
     ratio_before_cut: f64,
@@ -71,31 +72,34 @@
 struct OverloadSignal {
     /// The latency ratio that is taken for the fleet's.
     latency_ratio: f64,
-    /// The latency ratio that queues stand for, where load reports tell their length.
+    /// The latency ratio that the median queue length counts as, where load reports contain it.
     queue_latency_ratio: Option<f64>,
     /// True: there is evidence enough to shed.
     shows_overload: bool,
 }
 
 impl OverloadSignal {
-    /// True: reports told something.
+    /// True: recent reports show a latency or a queue length.
     fn is_known(&self) -> bool {
         self.latency_ratio > 0.0 || self.queue_latency_ratio.is_some()
     }
 }
 
 impl AdmissionController {
-    /// Starts a cut whose effect reports will show: `bearable_ratio` is what the servers bear now.
-    fn start_cut(&mut self, admitted: f64, bearable_ratio: f64) {
+    /// Begins a cut from the ratio `admitted`. `servable_ratio` is what the servers can serve: the admitted
+    /// ratio, or peak goodput over usual request rate if that is less.
+    fn start_cut(&mut self, admitted: f64, servable_ratio: f64) {
         if self.state == OverloadState::Recovered {
-            self.sustainable_ratio = bearable_ratio;
+            self.sustainable_ratio = servable_ratio;
         }
         self.state = OverloadState::Overloaded;
         self.ratio_before_cut = admitted;
-        self.cut_floor = MIN_CUT_RATIO * bearable_ratio;
+        self.cut_floor = MIN_RATIO_AFTER_CUT * servable_ratio;
     }
 
-    /// The admitted ratio after the newest cut, as if the latency had been as high as now when it began.
+    /// Ratio to admit at this latency ratio: `ratio_before_cut` times (overloaded / latency ratio)², and no
+    /// less than `cut_floor`. It is computed from the ratio before the cut, so that repeated calls do not add
+    /// up.
     fn cut(&self, latency_ratio: f64) -> f64 {
         let factor = (OVERLOADED_LATENCY_RATIO / latency_ratio).powi(2);
         (self.ratio_before_cut * factor).max(self.cut_floor)
@@ -141,8 +145,9 @@
 
     /// Judges overload by latency, and by queues where most servers report them.
     ///
-    /// Latency tells late of the end of overload: failed attempts began long ago. So short queues, or while
-    /// half of the attempts succeed the latency of successful ones, show recovery first.
+    /// Latency shows the end of overload late, as failed attempts began long ago. So recovery is also judged
+    /// by short queues, and by the latency of successful attempts while more than half of the attempts
+    /// succeed.
     fn overload_signal(&self) -> OverloadSignal {
         let queue_length = self.median_queue_length(self.load.recent_since(self.now));
         let queue_latency_ratio =
@@ -151,11 +156,11 @@
         let queues_trusted = load.responses_carry_load || load.errors <= MAX_ERROR_RATIO * load.attempts;
         let recovered_queues =
             queue_latency_ratio.filter(|ratio| *ratio <= RECOVERED_LATENCY_RATIO && queues_trusted);
-        let successes_tell = self.admission.shed_fraction > 0.0
+        let successes_show_recovery = self.admission.shed_fraction > 0.0
             && load.errors * 2.0 < load.attempts
             && load.success_latency_ratio > 0.0;
         let recovered_successes = Some(load.success_latency_ratio)
-            .filter(|ratio| successes_tell && *ratio <= RECOVERED_LATENCY_RATIO);
+            .filter(|ratio| successes_show_recovery && *ratio <= RECOVERED_LATENCY_RATIO);
         let latency_ratio = recovered_queues
             .or(recovered_successes)
             .unwrap_or(load.current_latency_ratio.max(queue_latency_ratio.unwrap_or(0.0)));
@@ -170,8 +175,8 @@
         let effect_known = self.now >= self.admission.effect_unknown_until;
         if effect_known {
             let request_rate = self.load.usual_request_rate();
-            let bearable_ratio = self.load.goodput.peak_per_second / request_rate.max(1e-9);
-            self.admission.start_cut(admitted, admitted.min(bearable_ratio));
+            let peak_ratio = self.load.goodput.peak_per_second / request_rate.max(1e-9);
+            self.admission.start_cut(admitted, admitted.min(peak_ratio));
         }
         let cut = self.admission.cut(latency_ratio);
         let threshold = if effect_known { 1.0 } else { FURTHER_CUT_RATIO };
@@ -182,6 +187,8 @@
         cut
     }
 
+    /// Logged when more is shed than before, and when nothing is shed any more; not while less and less is
+    /// shed.
     fn log_admission(&mut self, signal: &OverloadSignal) {
         let admitted = 1.0 - self.admission.shed_fraction;
         let OverloadSignal { latency_ratio, queue_latency_ratio, .. } = signal;
@@ -234,18 +241,21 @@
         admissions
     }
 
-    /// The level that admits this ratio of requests at a proxy that usually gets `usual_rate` per second.
+    /// The level to send so that this ratio of *requests* is admitted at a proxy that usually gets
+    /// `usual_rate` of them per second.
     ///
-    /// A client draws [`DRAWS_PER_REQUEST`] times for a request, so each draw must be admitted less often. A
-    /// rate spaces evenly what arrives at random, and must be higher than the ratio to admit it.
+    /// In mode `Ratio` it is lower than the ratio, as each of [`CLIENT_ATTEMPTS_PER_REQUEST`] attempts of a
+    /// request is admitted or rejected by itself: 1 - (1 - admitted)^(1/3). In mode `RequestsPerSecond` it is
+    /// the admitted part of the usual rate over (1 - admitted)^(1/3), so higher than that part: a rate limit
+    /// admits requests at even intervals, but they arrive at random.
     fn admission_level(&self, admitted: f64, usual_rate: f64) -> f64 {
-        let rejected_per_draw = (1.0 - admitted).powf(1.0 / DRAWS_PER_REQUEST);
+        let rejected_per_attempt = (1.0 - admitted).powf(1.0 / CLIENT_ATTEMPTS_PER_REQUEST);
         match self.settings.admission_mode {
             AdmissionMode::RequestsPerSecond if admitted >= 1.0 || usual_rate <= 0.0 => UNLIMITED_PER_SECOND,
             AdmissionMode::RequestsPerSecond => {
-                (admitted * usual_rate / rejected_per_draw).min(UNLIMITED_PER_SECOND)
+                (admitted * usual_rate / rejected_per_attempt).min(UNLIMITED_PER_SECOND)
             }
-            AdmissionMode::Ratio | AdmissionMode::Ignored => 1.0 - rejected_per_draw,
+            AdmissionMode::Ratio | AdmissionMode::Ignored => 1.0 - rejected_per_attempt,
         }
     }
 
--- a/src/policy/channel.rs
+++ b/src/policy/channel.rs
@@ -1,12 +1,15 @@
-//! Lines in flight in the channel to the proxies, as acknowledgements tell. No decisions and no constants.
+//! Lines in flight in the channel to the proxies, counted by their acknowledgements. No decisions and no
+//! constants.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::interface::ProxyId;
 
-/// The lines of one reply, which its messages' nonce identifies.
+/// The lines that one [`Policy::decide`] call sends. The nonce of its messages identifies it.
+///
+/// [`Policy::decide`]: super::Policy::decide
 #[derive(Clone, Debug, Default)]
-struct Reply {
+struct SentDecision {
     nonce: u16,
     /// Lines by proxy that may still be in flight.
     lines: BTreeMap<ProxyId, f64>,
@@ -14,29 +17,29 @@
 
 /// Lines that may still be in the channel.
 ///
-/// Messages leave the channel in order. An acknowledgement shows that all earlier replies have left it, and
-/// the acknowledging proxy's own message of this reply, however slow the channel is.
+/// Messages leave the channel in order. An acknowledgement shows that all earlier decisions have left it, and
+/// the acknowledging proxy's own message of this decision, however slow the channel is.
 #[derive(Debug, Default)]
 pub(super) struct ChannelQueue {
-    unacknowledged: VecDeque<Reply>,
-    current: Reply,
+    unacknowledged: VecDeque<SentDecision>,
+    current: SentDecision,
     lines_in_flight: f64,
 }
 
 impl ChannelQueue {
-    /// Starts a reply.
-    pub(super) fn begin_reply(&mut self) {
+    /// Begins a decision.
+    pub(super) fn begin_decision(&mut self) {
         self.current.lines = BTreeMap::new();
     }
 
-    /// Counts lines that this reply writes to a proxy.
+    /// Counts lines that this decision sends to a proxy.
     pub(super) fn enqueue(&mut self, proxy: ProxyId, lines: f64) {
         *self.current.lines.entry(proxy).or_default() += lines;
         self.lines_in_flight += lines;
     }
 
-    /// Ends the reply. Gives the nonce to acknowledge, if it writes to any proxy.
-    pub(super) fn finish_reply(&mut self) -> Option<u16> {
+    /// Ends the decision. Gives the nonce to acknowledge, if it sends lines to any proxy.
+    pub(super) fn finish_decision(&mut self) -> Option<u16> {
         if self.current.lines.is_empty() {
             return None;
         }
@@ -47,10 +50,10 @@
 
     /// A proxy has acknowledged a nonce; unknown nonces are ignored.
     pub(super) fn acknowledge(&mut self, proxy: ProxyId, nonce: u32) {
-        let position = self.unacknowledged.iter().position(|reply| u32::from(reply.nonce) == nonce);
+        let position = self.unacknowledged.iter().position(|sent| u32::from(sent.nonce) == nonce);
         let Some(position) = position else { return };
         let earlier = self.unacknowledged.drain(..position);
-        let earlier_lines: f64 = earlier.flat_map(|reply| reply.lines.into_values()).sum();
+        let earlier_lines: f64 = earlier.flat_map(|sent| sent.lines.into_values()).sum();
         let own_lines = self.unacknowledged[0].lines.remove(&proxy).unwrap_or(0.0);
         self.lines_in_flight -= earlier_lines + own_lines;
         self.remove_delivered();
@@ -58,18 +61,18 @@
 
     /// A proxy has disconnected: its messages in flight are lost.
     pub(super) fn disconnect(&mut self, proxy: ProxyId) {
-        let lost = self.unacknowledged.iter_mut().filter_map(|reply| reply.lines.remove(&proxy));
+        let lost = self.unacknowledged.iter_mut().filter_map(|sent| sent.lines.remove(&proxy));
         self.lines_in_flight -= lost.sum::<f64>();
         self.remove_delivered();
     }
 
-    /// Lines that may still be in the channel, including this reply's.
+    /// Lines that may still be in the channel, including this decision's.
     pub(super) fn lines_in_flight(&self) -> f64 {
         self.lines_in_flight
     }
 
     fn remove_delivered(&mut self) {
-        while self.unacknowledged.front().is_some_and(|reply| reply.lines.is_empty()) {
+        while self.unacknowledged.front().is_some_and(|sent| sent.lines.is_empty()) {
             self.unacknowledged.pop_front();
         }
         // Removes what rounding leaves.
--- a/src/policy/channel/tests.rs
+++ b/src/policy/channel/tests.rs
@@ -6,15 +6,15 @@
 fn only_acknowledgements_reduce_the_lines_in_flight() {
     let mut channel = ChannelQueue::default();
     for _ in 0..3 {
-        channel.begin_reply();
+        channel.begin_decision();
         (0..4).for_each(|proxy| channel.enqueue(ProxyId(proxy), 10.0));
-        assert!(channel.finish_reply().is_some());
+        assert!(channel.finish_decision().is_some());
     }
     assert_eq!(channel.lines_in_flight(), 120.0);
-    channel.begin_reply();
-    assert_eq!((channel.finish_reply(), channel.lines_in_flight()), (None, 120.0));
+    channel.begin_decision();
+    assert_eq!((channel.finish_decision(), channel.lines_in_flight()), (None, 120.0));
     channel.acknowledge(ProxyId(1), 2);
-    assert_eq!(channel.lines_in_flight(), 70.0, "all earlier replies, and this message");
+    assert_eq!(channel.lines_in_flight(), 70.0, "all earlier decisions, and this message");
     channel.acknowledge(ProxyId(1), 1);
     assert_eq!(channel.lines_in_flight(), 70.0, "an old acknowledgement changes nothing");
     channel.disconnect(ProxyId(3));
--- a/src/policy/connections.rs
+++ b/src/policy/connections.rs
@@ -12,7 +12,7 @@
     pub(super) fn connect_proxy(&mut self, proxy: ProxyId, zone: ZoneId, listed_rate: f64) {
         self.disconnect_proxy(proxy);
         if !self.has_connected_proxies(zone) {
-            self.clear_probe_failures(zone);
+            self.reset_zone_health(zone);
         }
         let previous = self.proxies.get(&proxy).filter(|known| known.zone == zone).map(|known| known.subset);
         let subset = previous.or(self.least_loaded_subset(zone)).unwrap_or(SHARED_TABLE);
--- a/src/policy/eligibility.rs
+++ b/src/policy/eligibility.rs
@@ -15,8 +15,8 @@
         server.zone_stats.get(&zone).is_none_or(|stats| stats.ejected_until.is_none())
     }
 
-    /// What a server counts for: its listed weight, in part while it is in slow start or slow, so that its
-    /// zone borrows.
+    /// Listed weight × slow-start ratio × outlier weight: what a server counts for in sums and lending, not
+    /// the weight in a table.
     pub(super) fn effective_weight(&self, server: &Server) -> f64 {
         self.slow_start_ratio(server) * server.endpoint.weight * server.outlier_weight
     }
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -98,7 +98,7 @@
         };
         let changed_zone = known.zone() != entry.zone;
         let new_subset = changed_zone.then(|| self.neediest_subset(entry.zone, false, subsets));
-        let slow_start_at = self.slow_start_of(&entry);
+        let slow_start_at = self.listed_slow_start_at(&entry);
         let absence_is_advisory = self.settings.absence_is_advisory;
         let Some(server) = self.servers.get_mut(&entry.server) else { return };
         if let Some(subset) = new_subset {
@@ -121,7 +121,7 @@
     fn add_server(&mut self, entry: Endpoint, may_join_other_zone: bool, subsets: &mut SubsetWeights) {
         let subset = self.neediest_subset(entry.zone, may_join_other_zone, subsets);
         subsets.add(subset, entry.weight);
-        let slow_start_at = self.slow_start_of(&entry);
+        let slow_start_at = self.listed_slow_start_at(&entry);
         let server = Server::new(entry, subset, slow_start_at, self.first_probe_at());
         self.servers.insert(server.id(), server);
     }
--- a/src/policy/flow_control.rs
+++ b/src/policy/flow_control.rs
@@ -13,12 +13,12 @@
 /// How urgent a change is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Urgency {
-    /// May wait for its table's turn.
+    /// May wait until its table's routine interval is over.
     Routine,
     /// Reacts to a fault, or assigns a table.
     Fault,
-    /// Keeps proxies off a server that drains or is gone, or fills an empty table.
-    Drain,
+    /// Keeps proxies off a server that drains or is gone, ends such an ejection, or fills an empty table.
+    Critical,
 }
 
 impl Urgency {
@@ -28,14 +28,14 @@
         match self {
             Urgency::Routine => 0.5,
             Urgency::Fault => 0.75,
-            Urgency::Drain => 0.95,
+            Urgency::Critical => 0.95,
         }
     }
 }
 
 impl Policy {
     /// True: a change of so many lines for each of these proxies may be sent now. `table_changed_at` is when
-    /// their table last changed; routine changes of a table keep a distance.
+    /// their table last changed; routine changes of a table keep an interval.
     ///
     /// Guards against long queues in the channel and too many messages to a proxy. Cost: a proxy that never
     /// acknowledges occupies the queue until its stream ends.
@@ -64,7 +64,7 @@
             || self.now >= table_changed_at + self.routine_interval(cost, message_limit)
     }
 
-    /// Counts lines that are written to each of these proxies in this reply, one message each.
+    /// Counts lines that this decision sends to each of these proxies, in one message each.
     pub(super) fn record_sent<'a>(&mut self, proxies: impl IntoIterator<Item = &'a ProxyId>, lines: usize) {
         let window_start = self.now.saturating_sub(self.settings.message_window);
         let message_overhead = self.settings.message_overhead_lines + 1.0;
--- a/src/policy/health_check.rs
+++ b/src/policy/health_check.rs
@@ -49,16 +49,16 @@
         self.status == HealthStatus::Unhealthy
     }
 
-    /// True: its newest probe failed.
-    pub(super) fn is_failing(&self) -> bool {
+    /// True: a probe has failed since the last success; rejected probes do not count.
+    pub(super) fn has_recent_failure(&self) -> bool {
         self.consecutive_failures > 0
     }
 
     fn is_suspect(&self) -> bool {
-        self.is_failing() || self.is_unhealthy()
+        self.has_recent_failure() || self.is_unhealthy()
     }
 
-    /// A rejected probe tells nothing about the server's health.
+    /// A rejected probe is no evidence about the server's health, and changes nothing.
     fn record(&mut self, outcome: ProbeOutcome) {
         match outcome {
             ProbeOutcome::Ok => {
@@ -106,9 +106,10 @@
         }
     }
 
-    /// The first proxy of a zone has connected: failed probes of the zone's servers may only have shown that
-    /// the zone was cut off from here.
-    pub(super) fn clear_probe_failures(&mut self, zone: ZoneId) {
+    /// What probes said of a zone's servers while its proxies were away may only have shown that the zone was
+    /// cut off from here. Its servers are healthy again at once, without slow start and without a line in the
+    /// log.
+    pub(super) fn reset_zone_health(&mut self, zone: ZoneId) {
         for server in self.servers.values_mut().filter(|server| server.zone() == zone) {
             server.health.consecutive_failures = 0;
             server.health.status = HealthStatus::Healthy;
@@ -124,8 +125,9 @@
     ///
     /// Guards against servers that are gone, silent or unreachable from here. Reports that show responses
     /// outweigh probes, as probes wait in the queue of a busy server. Where half of the fleet and half of the
-    /// local zone fail, the fault is likely on this side, and nobody is taken out. Cost: a zone that is cut
-    /// off together with its proxies looks dead; [`Policy::clear_probe_failures`] ends that.
+    /// local zone fail, the fault is likely on this side: nobody is taken out, and all that were out return
+    /// (logged as `probes succeed`, too). Cost: a zone that is cut off together with its proxies looks dead;
+    /// [`Policy::reset_zone_health`] ends that.
     pub(super) fn update_health(&mut self) {
         let trusted = self.probes_are_trusted();
         let period = self.settings.report_period;
@@ -152,12 +154,13 @@
         }
     }
 
-    /// True: fewer than half of all servers, or of the local zone's, fail their probes.
+    /// True: fewer than half of all ready servers, or of the local zone's, are at [`UNHEALTHY_THRESHOLD`].
     fn probes_are_trusted(&self) -> bool {
-        self.minority_fails(None) || self.minority_fails(Some(self.settings.local_zone))
+        self.minority_at_unhealthy_threshold(None)
+            || self.minority_at_unhealthy_threshold(Some(self.settings.local_zone))
     }
 
-    fn minority_fails(&self, zone: Option<ZoneId>) -> bool {
+    fn minority_at_unhealthy_threshold(&self, zone: Option<ZoneId>) -> bool {
         let mut ready = 0;
         let mut failing = 0;
         for server in self.servers.values().filter(|server| server.is_ready()) {
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -46,7 +46,7 @@
 pub(super) const MIN_RETRY_AMPLIFICATION: f64 = 2.5;
 const MAX_RETRY_AMPLIFICATION: f64 = 6.0;
 
-/// The name of the load report's column that tells the queue's length.
+/// The name of the load report's column that contains the queue's length.
 const QUEUE_COLUMN: &str = "q";
 
 /// Load and latency of the fleet. Only this module writes it.
@@ -255,7 +255,7 @@
         stats.updated_at = self.now;
     }
 
-    /// Stores the queue's length of a server, if its load report tells it.
+    /// Stores the queue's length of a server, if its load report contains it.
     pub(super) fn learn_load_report(&mut self, server: ServerId, load: &[f32]) {
         let column = self.settings.load_columns.iter().position(|name| name == QUEUE_COLUMN);
         let Some(length) = column.and_then(|column| load.get(column)) else { return };
@@ -327,8 +327,8 @@
         all.filter(move |(_, _, stats)| stats.updated_at >= since)
     }
 
-    /// Requests waiting at the server that the median attempt meets, if recent load reports tell it for the
-    /// servers of most attempts.
+    /// Requests waiting at the server that the median attempt meets, if recent load reports contain it for
+    /// the servers of most attempts.
     pub(super) fn median_queue_length(&self, since: Micros) -> Option<f64> {
         let mut queues = Vec::new();
         let mut attempts_at = Vec::new();
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -104,7 +104,7 @@
     /// Takes a batch of events and its time, and gives the actions.
     pub fn decide(&mut self, now: Micros, events: &[Event]) -> Vec<Action> {
         self.now = now;
-        self.channel.begin_reply();
+        self.channel.begin_decision();
         for event in events {
             self.learn(event);
         }
@@ -118,7 +118,7 @@
             self.update_tables();
         }
         self.assign_tables();
-        if let Some(nonce) = self.channel.finish_reply() {
+        if let Some(nonce) = self.channel.finish_decision() {
             self.actions.push(Action::RequestAck { nonce });
         }
         std::mem::take(&mut self.actions)
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -16,8 +16,10 @@
 const MAX_EJECTION_TIME: Micros = 30_000_000;
 /// Bound of the doublings, against overflow.
 const MAX_EJECTION_DOUBLINGS: u32 = 8;
-/// Part of the slow start that a server has behind it after an ejection, as it has not restarted.
-const SLOW_START_AFTER_EJECTION: Micros = SLOW_START_SPAN / 3;
+/// After an ejection for failures a server resumes its slow start here, in microseconds into
+/// [`SLOW_START_SPAN`]: at 0.4 of its weight, in all zones, as its process has not restarted. A slow start
+/// that began later than that goes on unchanged.
+const SLOW_START_HEAD_START: Micros = SLOW_START_SPAN / 3;
 
 /// A server below this latency ratio is not slow.
 const SLOW_LATENCY_RATIO: f64 = 0.3;
@@ -66,20 +68,22 @@
 
 impl Policy {
     /// Ejects servers from the tables of a zone whose proxies only meet failures there, and ends ejections
-    /// that are over unless probes fail.
+    /// that are over unless a probe has failed since the last success.
     ///
-    /// Guards against servers that hang or fail for the proxies of a zone, whatever their probes say. At most
-    /// half of a zone's servers are out, and none is ejected while the fleet is congested: that would
-    /// overload the rest. Cost: a server with few attempts may be out for some seconds without need.
+    /// Guards against servers that hang or fail for the proxies of a zone, whatever their probes say. A
+    /// server is ejected only while more than half of the ready servers of the zone's subsets are usable: so
+    /// ejections stop once half of them, rounded up, are unusable for whatever reason, and a zone's only
+    /// server may be ejected. None is ejected while the fleet is congested: that would overload the rest.
+    /// Cost: a server with few attempts may be out for some seconds without need.
     pub(super) fn eject_outliers(&mut self) {
         let mut zone_servers = self.count_zone_servers();
         let congested = self.load.current_latency_ratio >= CONGESTED_LATENCY_RATIO;
         for (id, server) in &mut self.servers {
             for (zone, stats) in &mut server.zone_stats {
                 let ejection_over = stats.ejected_until.is_some_and(|until| self.now >= until);
-                if ejection_over && !server.health.is_failing() {
+                if ejection_over && !server.health.has_recent_failure() {
                     stats.uneject(self.now);
-                    let slow_start_at = self.now.saturating_sub(SLOW_START_AFTER_EJECTION);
+                    let slow_start_at = self.now.saturating_sub(SLOW_START_HEAD_START);
                     server.slow_start_at = server.slow_start_at.max(slow_start_at);
                     self.actions.push(Action::Log(format!("uneject {id:?}: ejection time over")));
                 }
--- a/src/policy/publish.rs
+++ b/src/policy/publish.rs
@@ -8,7 +8,9 @@
 use super::table_plan::TablePlan;
 use crate::interface::{Action, ClassId, ProxyId, RetryPolicy, ServerId, TableId};
 
-/// Changes of a weight or level by less than this ratio are not worth a message.
+/// A weight is sent only if it changes by more than this ratio of the largest planned weight of its table,
+/// unless it is new, removed, or cut below [`URGENT_CUT_RATIO`]; a level only if it changes by more than this
+/// ratio of its new value, or if the retry policy of its class changes.
 const MIN_CHANGE_RATIO: f64 = 0.08;
 /// A weight cut below this ratio of the old one is urgent.
 const URGENT_CUT_RATIO: f64 = 0.75;
@@ -53,15 +55,17 @@
         self.eject_at_proxies();
     }
 
-    /// Sends all changes of a table in one message; where they don't fit, those that can't wait.
+    /// Sends all changes of a table in one message. If that may not be sent now, only weight changes of
+    /// urgency `Fault` or more, then of the highest one; changes of admission are part of every attempt. What
+    /// is left is planned again next round.
     fn publish_table(&mut self, plan: &TablePlan, admitted_ratios: &[f64]) {
         let id = plan.table;
         let table = self.tables.entry(id).or_default();
         let proxies = table.proxies.clone();
         let changed_at = table.changed_at;
         let mut changes = self.table_changes(plan, admitted_ratios);
-        for least in [Urgency::Routine, Urgency::Fault, Urgency::Drain] {
-            changes.weights.retain(|change| change.urgency >= least);
+        for min_urgency in [Urgency::Routine, Urgency::Fault, Urgency::Critical] {
+            changes.weights.retain(|change| change.urgency >= min_urgency);
             let lines = changes.line_count();
             if lines > 0 && self.may_send(changes.urgency(), changed_at, &proxies, lines) {
                 self.send_changes(id, &proxies, &changes);
@@ -111,14 +115,14 @@
         let largest = plan.values().copied().fold(0.0, f64::max);
         for (server, weight) in plan {
             let old = table.weights.get(server).copied().unwrap_or(0.0);
-            // The cut of a small server may be less than the least change of the largest, but protects it.
+            // A cut that is small beside the largest weight still protects a server of small weight.
             let is_urgent_cut = *weight < old * URGENT_CUT_RATIO;
             let is_large = (weight - old).abs() > MIN_CHANGE_RATIO * largest;
             if old != 0.0 && !is_urgent_cut && !is_large {
                 continue;
             }
             let urgency = if table.weights.is_empty() {
-                Urgency::Drain
+                Urgency::Critical
             } else if is_urgent_cut {
                 Urgency::Fault
             } else {
@@ -133,7 +137,7 @@
         match self.servers.get(&server) {
             Some(server) if self.is_usable(server, self.zone_of(server.subset)) => Urgency::Routine,
             Some(server) if server.is_ready() => Urgency::Fault,
-            _ => Urgency::Drain,
+            _ => Urgency::Critical,
         }
     }
 
@@ -171,7 +175,7 @@
             return;
         }
         let receivers = self.proxies_that_may_use(&changing);
-        if !self.may_send(Urgency::Drain, 0, &receivers, changing.len()) {
+        if !self.may_send(Urgency::Critical, 0, &receivers, changing.len()) {
             return;
         }
         self.record_sent(&receivers, changing.len());
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -5,7 +5,7 @@
 use crate::interface::{DedupScope, Idempotency, RequestClass, RetryPolicy};
 
 /// Latency ratio below which proxies may retry attempts that may have run. Above it queues form, and retries
-/// would feed them.
+/// would lengthen them.
 const MAX_RETRY_LATENCY_RATIO: f64 = 0.35;
 
 impl Policy {
--- a/src/policy/server.rs
+++ b/src/policy/server.rs
@@ -21,7 +21,7 @@
     pub(super) health: HealthState,
     /// Weight factor of a slow endpoint, in (0, 1]; 1: not slow.
     pub(super) outlier_weight: f64,
-    /// Its newest load report that tells the queue's length.
+    /// The queue's length by its newest load report that contains it.
     pub(super) queue: Option<QueueReport>,
     /// When a report last showed that it answers.
     pub(super) last_success_at: Micros,
@@ -79,13 +79,14 @@
     pub(super) errors: f64,
     /// Total latency of the successful attempts, in latency objectives.
     pub(super) success_latency: f64,
-    /// Attempts that failed since one succeeded.
+    /// Attempts of the newest reports in a row that show no success; 0 after a report with any.
     pub(super) consecutive_failures: f64,
     /// When the newest report came.
     pub(super) updated_at: Micros,
     /// End of its ejection from the zone's tables, if it is ejected.
     pub(super) ejected_until: Option<Micros>,
-    /// Ejections so far.
+    /// Ejections from the zone's tables since the server was first listed; it never falls, so each further
+    /// one lasts longer, up to the maximum.
     pub(super) ejection_count: u32,
 }
 
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -23,8 +23,8 @@
 const SAFE_LOAD_RATIO: f64 = 0.65;
 
 impl Policy {
-    /// When a listed server may start its slow start; 0: it is warm.
-    pub(super) fn slow_start_of(&self, endpoint: &Endpoint) -> Micros {
+    /// When a listed server may begin its slow start; 0: it is not warming up.
+    pub(super) fn listed_slow_start_at(&self, endpoint: &Endpoint) -> Micros {
         let started_at = endpoint.started_at;
         if started_at == 0 || started_at + self.settings.warm_up <= self.now {
             return 0;
@@ -59,7 +59,7 @@
 
     /// True: a warming server gets no traffic from a zone's proxies for now.
     ///
-    /// Guards against pushing warming servers over while the fleet is overloaded, or may be: probes show full
+    /// Guards against overloading warming servers while the fleet is overloaded, or may be: probes show full
     /// servers, or reports came late. Cost: a release under overload regains its capacity later; ends where
     /// warming servers can serve what is admitted ([`Policy::warming_servers_suffice`]).
     pub(super) fn is_held_back(&self, server: &Server, zone: ZoneId) -> bool {
@@ -81,12 +81,13 @@
         zone_ratio.max(self.load.latency_ratio) > CONGESTED_LATENCY_RATIO
     }
 
-    /// The ratio of its weight at which a server stays under the load that it can take.
+    /// [`Policy::slow_start_ratio`], lowered while the server warms up so that its load stays safe. A table's
+    /// line is listed weight × outlier weight × this.
     ///
     /// `load_per_weight` is the load that a server of full weight would get, as a multiple of its capacity,
-    /// were the fleet fully loaded. Guards against releases and zones that come back cold. Cost: they stay
-    /// slow for longer.
-    pub(super) fn slow_start_weight(&self, server: &Server, load_per_weight: f64) -> f64 {
+    /// were the fleet fully loaded. Guards against overload of servers that have just started, at releases
+    /// and when whole zones restart. Cost: they reach their full weight later.
+    pub(super) fn load_limited_slow_start_ratio(&self, server: &Server, load_per_weight: f64) -> f64 {
         let ratio = self.slow_start_ratio(server);
         if !self.is_warming_up(server) {
             return ratio;
--- a/src/policy/subset.rs
+++ b/src/policy/subset.rs
@@ -59,7 +59,8 @@
 }
 
 impl Policy {
-    /// The subsets of a zone: one, or as few as spare its servers' connections.
+    /// The subsets of a zone: one, or as few as keep within [`MAX_CONNECTION_FILL_RATIO`], as far as
+    /// [`MIN_PROXIES_PER_SUBSET`] allows.
     ///
     /// Guards against servers whose connections fill, where hundreds of proxies share a table: they slow
     /// down, and most requests open a new connection. Cost: smaller tables, so more of them and less pooling.
--- a/src/policy/table.rs
+++ b/src/policy/table.rs
@@ -1,11 +1,12 @@
-//! The record of a table as last sent. It holds no decisions and no constants.
+//! The record of a table as published last: what the policy has put into actions. The engine may not have
+//! sent it yet. It holds no decisions and no constants.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::Policy;
 use crate::interface::{ClassId, Micros, ProxyId, RetryPolicy, ServerId, TableId};
 
-/// A table as last sent.
+/// A table as published last.
 #[derive(Default)]
 pub(super) struct Table {
     /// Weights of its servers.
--- a/src/policy/table_plan.rs
+++ b/src/policy/table_plan.rs
@@ -89,7 +89,7 @@
         for server in chosen {
             let weight = server.endpoint.weight
                 * server.outlier_weight
-                * self.slow_start_weight(server, load_per_weight);
+                * self.load_limited_slow_start_ratio(server, load_per_weight);
             weights.insert(server.id(), weight);
             if self.is_warming_up(server) {
                 warming_weight += weight;
@@ -102,10 +102,11 @@
         weights
     }
 
-    /// The subset's usable servers; if those are too few, its siblings' in other zones, then any usable. With
-    /// nobody usable the evidence is distrusted: all that are listed ready.
+    /// The subset's usable servers; if those are too few, its siblings' in other zones, then any usable. If
+    /// no server is usable the evidence is distrusted, and all that are listed ready are used.
     ///
-    /// Guards against a table without usable servers, or with cold ones only. Cost: attempts cross zones.
+    /// Guards against a table without usable servers, or with servers in slow start only. Cost: attempts
+    /// cross zones.
     fn choose_servers<'a>(&'a self, demand: &TableDemand<'a>) -> Vec<&'a Server> {
         let usable = demand.usable.iter().copied();
         let mut chosen: Vec<&Server> =
@@ -135,11 +136,11 @@
         servers.iter().map(|server| self.effective_weight(server)).sum::<f64>().max(1e-9)
     }
 
-    /// Adds servers of other subsets until the table bears its load: those past slow start and of its own
-    /// zone first, and each table others.
+    /// Adds servers of other subsets until the table's weight covers its load: those past slow start and of
+    /// its own zone first. Each table begins at another server, so that they add different ones.
     ///
-    /// Guards against a table with one or two cold servers: a line that is alone gets all, whatever its
-    /// weight. Cost: these tables are long, and cross zones.
+    /// Guards against a table with only one or two servers in slow start: a server that is alone in a table
+    /// gets all its traffic, whatever its weight. Cost: these tables are long, and cross zones.
     fn spill_over<'a>(&'a self, demand: &TableDemand<'a>, chosen: &mut Vec<&'a Server>) {
         let zone = self.zone_of(demand.subset);
         let already: BTreeSet<ServerId> = chosen.iter().map(|server| server.id()).collect();
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -87,7 +87,8 @@
     harness
 }
 
-/// The ratio of the first class that is admitted, where levels are ratios: a client draws three times.
+/// The ratio of the first class that is admitted, where levels are ratios: a client makes up to three
+/// attempts.
 fn admitted_ratio(harness: &Harness) -> f64 {
     let level = harness.admission[&(harness.assigned[&ProxyId(0)], ClassId(0))].1;
     1.0 - (1.0 - f64::from(level)).powi(3)
@@ -99,7 +100,7 @@
 }
 
 /// Found on `join+mass` (seeds 88123 and 302): five conductors held 120 servers back for ten seconds
-/// because the 80 others were overloaded, and those were overloaded because they bore it all; one third
+/// because the 80 others were overloaded, and those were overloaded because they served it all; one third
 /// was admitted meanwhile.
 #[test]
 fn warming_servers_are_used_in_an_overloaded_fleet_once_little_is_admitted() {
@@ -160,7 +161,7 @@
 }
 
 /// Found on `herd+mass` (seed 305): a conductor that had just started had reports of few responses, took
-/// them for all that the fleet can bear, and admitted a quarter.
+/// them for all that the fleet can serve, and admitted a quarter.
 #[test]
 fn conductor_just_started_does_not_take_its_first_reports_for_peak_goodput() {
     let after = |load_for: Micros| {
--- a/tests/policy/admission.rs
+++ b/tests/policy/admission.rs
@@ -12,7 +12,7 @@
     assert!(harness.admission[&(table, ClassId(0))].1 < 0.9);
     assert_eq!(harness.admission[&(table, ClassId(1))].1, 1.0, "the whole cheap class is shed first");
     harness.run_for(40 * SECOND, |_| successful_stats(12, 1_200_000));
-    // Each of a client's draws is admitted or rejected anew: 0.26 a draw admits six tenths.
+    // Each of a client's three attempts is admitted or rejected by itself: 0.26 for each admits six tenths.
     assert!(harness.admission[&(table, ClassId(0))].1 < 0.1);
     assert!(harness.admission[&(table, ClassId(1))].1 > 0.2);
     harness.run_for(60 * SECOND, |_| successful_stats(12, 150_000));
