--- a/crates/stepspur-conductor/tests/probes.rs
+++ b/crates/stepspur-conductor/tests/probes.rs
@@ -49,7 +49,7 @@
 
 /// True if the decision module has ejected this server.
 fn is_ejected(harness: &EngineHarness, name: &str) -> bool {
-    let text = format!("withdraw {name}: probes fail");
+    let text = format!("eject {name}: probes fail");
     harness.log.contains(&LogEvent::Decision(text))
 }
 
