--- a/crates/stepspur-cli/src/bench/drain.rs
+++ b/crates/stepspur-cli/src/bench/drain.rs
@@ -4,8 +4,8 @@
 
 use anyhow::Context;
 use stepspur_conductor::source::NodeState;
-use stepspur_rehearsal::launch::Running;
-use stepspur_rehearsal::usage::Usage;
+use stepspur_emulator::launch::Running;
+use stepspur_emulator::usage::Usage;
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep, timeout};
 
--- a/crates/stepspur-cli/src/bench/joins.rs
+++ b/crates/stepspur-cli/src/bench/joins.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use bytes::Bytes;
+use stepspur_emulator::identity::DayKeys;
 use stepspur_proto::{frame, from_proxy};
-use stepspur_rehearsal::identity::DayKeys;
 use tokio::net::{TcpSocket, TcpStream};
 use tokio::sync::{Semaphore, mpsc};
 use tokio::task::JoinSet;
--- a/crates/stepspur-cli/src/bench/rights.rs
+++ b/crates/stepspur-cli/src/bench/rights.rs
@@ -4,11 +4,11 @@
 use std::time::{Instant, SystemTime};
 
 use anyhow::Context;
+use stepspur_emulator::identity::DayKeys;
 use stepspur_identity::grant::Grant;
 use stepspur_identity::keys::KeySet;
 use stepspur_identity::rights::Right;
 use stepspur_identity::token;
-use stepspur_rehearsal::identity::DayKeys;
 
 const CHECKS: u32 = 10_000_000;
 
--- a/crates/stepspur-cli/src/fleet.rs
+++ b/crates/stepspur-cli/src/fleet.rs
@@ -5,12 +5,12 @@
 
 use anyhow::Context;
 use indicatif::{ProgressBar, ProgressStyle};
-use stepspur_fleet::experiment::{ArmResult, Estimate, ExperimentError, Lab};
-use stepspur_fleet::{Options, run};
-use stepspur_rehearsal::plan::Plan;
-use stepspur_rehearsal::replay;
-use stepspur_rehearsal::scenario::Scenario;
+use stepspur_emulator::plan::Plan;
+use stepspur_emulator::replay;
+use stepspur_emulator::scenario::Scenario;
 use stepspur_report::{Chart, Line, Page, Table};
+use stepspur_simulation::experiment::{ArmResult, Estimate, ExperimentError, Lab};
+use stepspur_simulation::{Options, run};
 
 use crate::End;
 
--- a/crates/stepspur-cli/src/main.rs
+++ b/crates/stepspur-cli/src/main.rs
@@ -245,7 +245,7 @@
         }
         Command::Council(CouncilCommand::Status { address, json }) => run::council(address, json).await,
         Command::Rehearse { schema: true, .. } => {
-            println!("{}", serde_json::to_string_pretty(&stepspur_rehearsal::scenario::schema())?);
+            println!("{}", serde_json::to_string_pretty(&stepspur_emulator::scenario::schema())?);
             Ok(End::Well)
         }
         Command::Rehearse { scenario, seed, check, runs, play, .. } => {
--- a/crates/stepspur-cli/src/model_bench.rs
+++ b/crates/stepspur-cli/src/model_bench.rs
@@ -6,9 +6,9 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp};
 use serde::Serialize;
+use stepspur_emulator::usage::Usage;
 use stepspur_model::server::{Ask, Job, Server, Spec};
 use stepspur_model::work::{Form, Work};
-use stepspur_rehearsal::usage::Usage;
 
 use crate::End;
 
--- a/crates/stepspur-cli/src/platform.rs
+++ b/crates/stepspur-cli/src/platform.rs
@@ -5,8 +5,8 @@
 
 use anyhow::Context;
 use stepspur_conductor::Conductor;
+use stepspur_emulator::Announcement;
 use stepspur_platform::{PlatformConfig, front};
-use stepspur_rehearsal::Announcement;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::watch;
 
--- a/crates/stepspur-cli/src/play.rs
+++ b/crates/stepspur-cli/src/play.rs
@@ -6,11 +6,11 @@
 
 use anyhow::Context;
 use indicatif::{MultiProgress, ProgressBar, ProgressStyle};
-use stepspur_rehearsal::clients::Tally;
-use stepspur_rehearsal::plan::Plan;
-use stepspur_rehearsal::report::{self, Summary};
-use stepspur_rehearsal::scenario::{BAD_DAY, Scenario};
-use stepspur_rehearsal::{Launcher, Progress, Report, play, replay as days};
+use stepspur_emulator::clients::Tally;
+use stepspur_emulator::plan::Plan;
+use stepspur_emulator::report::{self, Summary};
+use stepspur_emulator::scenario::{BAD_DAY, Scenario};
+use stepspur_emulator::{Launcher, Progress, Report, play, replay as days};
 use tokio::sync::watch;
 
 use crate::{End, PlayArgs};
--- a/crates/stepspur-cli/src/run.rs
+++ b/crates/stepspur-cli/src/run.rs
@@ -5,7 +5,7 @@
 
 use anyhow::Context;
 use stepspur_conductor::{Conductor, Config, http, source};
-use stepspur_rehearsal::Announcement;
+use stepspur_emulator::Announcement;
 use tokio::signal::unix::{SignalKind, signal};
 
 use crate::End;
@@ -32,7 +32,7 @@
         eprintln!("stepspur: the settings name no [council]");
         return Ok(End::WrongUse);
     };
-    council.found()?;
+    council.bootstrap()?;
     println!("{}", council.state.display());
     Ok(End::Well)
 }
--- a/crates/stepspur-cli/tests/fleet.rs
+++ b/crates/stepspur-cli/tests/fleet.rs
@@ -3,8 +3,8 @@
 
 use std::path::Path;
 
-use stepspur_rehearsal::scenario::Scenario;
-use stepspur_rehearsal::{Launcher, Report, play};
+use stepspur_emulator::scenario::Scenario;
+use stepspur_emulator::{Launcher, Report, play};
 
 /// Plays a rehearsal through processes of the program.
 async fn played(file: &str) -> Report {
--- a/crates/stepspur-conductor/src/config/mod.rs
+++ b/crates/stepspur-conductor/src/config/mod.rs
@@ -21,8 +21,8 @@
 use garde::Validate;
 use serde::{Deserialize, Serialize};
 use stepspur::interface::Micros;
+use stepspur_consensus_node::ConsensusConfig;
 use stepspur_distribution::config::Distribution;
-use stepspur_peers::Council;
 
 use channel::holds_a_table;
 use identity::{known_or_plain, tenants_need_identity};
@@ -73,7 +73,7 @@
     /// A council with other conductors, for work that one of them does at a time; none where left out.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[garde(dive)]
-    pub council: Option<Council>,
+    pub council: Option<ConsensusConfig>,
     /// Configuration that many conductors share, served or subscribed to; none where left out.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[garde(dive)]
--- a/crates/stepspur-conductor/src/config/settings.rs
+++ b/crates/stepspur-conductor/src/config/settings.rs
@@ -1,6 +1,6 @@
 //! The settings as the decision module takes them.
 
-use stepspur::interface::{Admit, Class, Effect, Group, Settings, ZoneId};
+use stepspur::interface::{AdmissionMode, DedupScope, Idempotency, RequestClass, Settings, ZoneId};
 
 use super::{AdmitConfig, ClassConfig, Config, EffectConfig, GroupConfig, micros};
 
@@ -11,55 +11,55 @@
         let mine = |zone: &String| fleet.zones.iter().position(|z| z == zone);
         let my_zone = fleet.my_zone.as_ref().and_then(mine).unwrap_or(0);
         Settings {
-            zones: fleet.zones.len(),
-            my_zone: ZoneId(my_zone as u16),
-            conductors: fleet.conductors,
+            zone_count: fleet.zones.len(),
+            local_zone: ZoneId(my_zone as u16),
+            conductor_count: fleet.conductors,
             classes: fleet.classes.iter().map(class).collect(),
-            list_on_request: true,
-            probing: self.probes.enabled,
+            poll_discovery: true,
+            health_checks: self.probes.enabled,
             load_columns: self.reports.load_columns.clone(),
-            admit: match fleet.admit {
-                AdmitConfig::Share => Admit::Ratio,
-                AdmitConfig::Rate => Admit::Rps,
-                AdmitConfig::Silent => Admit::Silent,
+            admission_mode: match fleet.admit {
+                AdmitConfig::Share => AdmissionMode::Ratio,
+                AdmitConfig::Rate => AdmissionMode::RequestsPerSecond,
+                AdmitConfig::Silent => AdmissionMode::Ignored,
             },
-            proxies: fleet.proxies,
-            pending_max: self.channel.waiting_max,
-            lines_per_s: self.channel.lines_per_s,
-            message_head: self.channel.message_head,
-            messages_max: self.channel.messages_max,
+            proxy_count: fleet.proxies,
+            max_pending_lines: self.channel.waiting_max,
+            lines_per_second: self.channel.lines_per_s,
+            message_overhead_lines: self.channel.message_head,
+            max_messages: self.channel.messages_max,
             message_window: micros(self.channel.message_window),
-            connections_min: f64::from(fleet.connections_min),
-            transit_max: micros(self.channel.transit_max),
+            min_server_connections: f64::from(fleet.connections_min),
+            max_transit: micros(self.channel.transit_max),
             report_period: micros(self.reports.every),
-            slices: 0,
+            shard_count: 0,
             single_writer: false,
-            keeps_writing: 0,
-            in_flight_max: 0,
-            cold: micros(fleet.cold),
-            fall_multiple: fleet.fall_multiple,
-            start_capacity: fleet.start_capacity,
-            drain_binds_alone: fleet.drain_binds_alone,
+            orphan_write_period: 0,
+            max_write_duration: 0,
+            warm_up: micros(fleet.cold),
+            collapse_ratio: fleet.fall_multiple,
+            initial_capacity_ratio: fleet.start_capacity,
+            absence_is_advisory: fleet.drain_binds_alone,
         }
     }
 }
 
-fn class(class: &ClassConfig) -> Class {
-    Class {
-        effect: match class.effect {
-            EffectConfig::ReadLike => Effect::ReadLike,
-            EffectConfig::IdempotencyKey => Effect::IdempotencyKey,
-            EffectConfig::NonIdempotent => Effect::NonIdempotent,
+fn class(class: &ClassConfig) -> RequestClass {
+    RequestClass {
+        idempotency: match class.effect {
+            EffectConfig::ReadLike => Idempotency::Safe,
+            EffectConfig::IdempotencyKey => Idempotency::IdempotencyKey,
+            EffectConfig::NonIdempotent => Idempotency::NonIdempotent,
         },
-        group: match class.group {
-            GroupConfig::All => Group::All,
-            GroupConfig::Zone => Group::Zone,
-            GroupConfig::Cell => Group::Cell,
+        dedup_scope: match class.group {
+            GroupConfig::All => DedupScope::All,
+            GroupConfig::Zone => DedupScope::Zone,
+            GroupConfig::Cell => DedupScope::Cell,
         },
-        window: micros(class.window),
-        aim: micros(class.aim),
+        dedup_window: micros(class.window),
+        latency_objective: micros(class.aim),
         deadline: micros(class.deadline),
-        worth: class.worth,
-        own_zone: class.own_zone,
+        priority_weight: class.worth,
+        zone_local: class.own_zone,
     }
 }
--- a/crates/stepspur-conductor/src/engine/decisions.rs
+++ b/crates/stepspur-conductor/src/engine/decisions.rs
@@ -61,7 +61,7 @@
     fn take_alarms(&mut self, now: Micros) {
         while let Some((at, token)) = self.alarms.first().copied().filter(|(at, _)| *at <= now) {
             self.alarms.remove(&(at, token));
-            self.batch.push(Event::Alarm { token });
+            self.batch.push(Event::Timer { token });
         }
     }
 
@@ -73,17 +73,17 @@
         let actions = self.policy.decide(now, &batch);
         for action in &actions {
             match action {
-                Action::Wake { after, token } => _ = self.alarms.insert((now + after.max(&1), *token)),
+                Action::SetTimer { after, token } => _ = self.alarms.insert((now + after.max(&1), *token)),
                 Action::Probe { server } => self.probe(*server),
-                Action::Track => self.out.push_back(Output::Track),
-                Action::Lookup => self.out.push_back(Output::Lookup),
+                Action::WatchEndpoints => self.out.push_back(Output::Track),
+                Action::FetchEndpoints => self.out.push_back(Output::Lookup),
                 Action::Log(text) => self.note(Note::Decision(self.servers.ids().readable(text))),
                 // The tables' matter.
-                Action::Line { .. }
-                | Action::Level { .. }
-                | Action::Bind { .. }
-                | Action::Withdraw { .. }
-                | Action::Mark { .. } => {}
+                Action::SetWeight { .. }
+                | Action::SetAdmission { .. }
+                | Action::AssignTable { .. }
+                | Action::SetEjected { .. }
+                | Action::RequestAck { .. } => {}
             }
         }
         let orders = self.tables.apply(&actions, now);
--- a/crates/stepspur-conductor/src/engine/doubt.rs
+++ b/crates/stepspur-conductor/src/engine/doubt.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeSet;
 
-use stepspur::interface::{ListHow, Micros, ServerId};
+use stepspur::interface::{ListUpdate, Micros, ServerId};
 
 use crate::config::{Doubt, micros};
 
@@ -42,12 +42,12 @@
     /// Judges a list that names `named` against the servers that were ready before.
     pub(crate) fn judge(
         &mut self,
-        how: ListHow,
+        how: ListUpdate,
         ready: &BTreeSet<ServerId>,
         named: &BTreeSet<ServerId>,
         now: Micros,
     ) -> Taken {
-        if !matches!(how, ListHow::Full | ListHow::Cached) {
+        if !matches!(how, ListUpdate::Full | ListUpdate::Cached) {
             return Taken::Whole;
         }
         let lacking = ready.difference(named).count();
--- a/crates/stepspur-conductor/src/engine/input.rs
+++ b/crates/stepspur-conductor/src/engine/input.rs
@@ -3,7 +3,9 @@
 use std::net::SocketAddr;
 
 use serde::Serialize;
-use stepspur::interface::{ClassId, ListHow, ListState, Micros, ProbeOutcome, ProxyId, ServerId, ZoneId};
+use stepspur::interface::{
+    ClassId, EndpointState, ListUpdate, Micros, ProbeOutcome, ProxyId, ServerId, ZoneId,
+};
 use stepspur_proto::{FromProxy, v1};
 
 use super::ProbeTarget;
@@ -22,7 +24,7 @@
     /// The name of its zone.
     pub zone: String,
     /// Its state.
-    pub state: ListState,
+    pub state: EndpointState,
     /// Its weight; 0: none is listed.
     pub weight: f64,
     /// Its last start, microseconds since 1970; 0: long ago.
@@ -35,7 +37,7 @@
     /// News of the list of servers.
     List {
         /// How it builds on the list before.
-        how: ListHow,
+        how: ListUpdate,
         /// The servers that it names.
         entries: Vec<NodeEntry>,
     },
--- a/crates/stepspur-conductor/src/engine/intake.rs
+++ b/crates/stepspur-conductor/src/engine/intake.rs
@@ -101,9 +101,9 @@
         Key::Met(server, zone) => {
             let good = counts.total - counts.errors;
             let latency = if good > 0 { (counts.time / good as f64) as Micros } else { 0 };
-            Event::Tally { server, zone, period, total, errors, latency, load: counts.load }
+            Event::UpstreamStats { server, zone, period, total, errors, latency, load: counts.load }
         }
-        Key::Came(proxy, class) => Event::Traffic { proxy, class, period, total, errors },
+        Key::Came(proxy, class) => Event::ClientStats { proxy, class, period, total, errors },
     }
 }
 
--- a/crates/stepspur-conductor/src/engine/joins.rs
+++ b/crates/stepspur-conductor/src/engine/joins.rs
@@ -89,7 +89,7 @@
         }
         self.streams.join(stream, proxy, zone);
         self.tables.join(proxy);
-        self.batch.push(Event::Joined { proxy, zone, rate, fresh });
+        self.batch.push(Event::ProxyConnected { proxy, zone, rate, fresh });
         self.note(Note::Joined { proxy: self.proxy_name(proxy), stream });
     }
 
@@ -107,7 +107,7 @@
         self.intake.forget(proxy);
         self.tables.leave(proxy);
         self.numbers.release(proxy, now);
-        self.batch.push(Event::Left { proxy });
+        self.batch.push(Event::ProxyDisconnected { proxy });
         self.note(Note::Left { proxy: self.proxy_name(proxy), stream });
     }
 
--- a/crates/stepspur-conductor/src/engine/mod.rs
+++ b/crates/stepspur-conductor/src/engine/mod.rs
@@ -36,7 +36,7 @@
 
 use bytes::Bytes;
 use stepspur::Policy;
-use stepspur::interface::{Event, ListHow, Micros, Settings};
+use stepspur::interface::{Event, ListUpdate, Micros, Settings};
 use stepspur_proto::v1;
 
 use crate::config::{Config, micros};
@@ -107,11 +107,11 @@
         seed: u64,
         now: Micros,
     ) -> Self {
-        let no_list = Event::List { how: ListHow::Cached, entries: [].into() };
+        let no_list = Event::EndpointList { update: ListUpdate::Cached, entries: [].into() };
         Self {
             epoch,
             sequence: 0,
-            tables: Tables::new(settings.admit, dialect.keeps_withdrawals()),
+            tables: Tables::new(settings.admission_mode, dialect.keeps_withdrawals()),
             dialect,
             policy: Policy::new(settings, seed, now),
             batch: vec![no_list],
@@ -193,7 +193,7 @@
     }
 
     /// News of the list of servers.
-    fn take_list(&mut self, now: Micros, how: ListHow, entries: Vec<NodeEntry>) {
+    fn take_list(&mut self, now: Micros, how: ListUpdate, entries: Vec<NodeEntry>) {
         let update = self.servers.update(now, how, entries);
         for server in update.suspects {
             self.tables.suspect(server);
--- a/crates/stepspur-conductor/src/engine/operation.rs
+++ b/crates/stepspur-conductor/src/engine/operation.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use stepspur::interface::{ClassId, Event, ListHow, ListState, Micros};
+use stepspur::interface::{ClassId, EndpointState, Event, ListUpdate, Micros};
 
 use super::Engine;
 use crate::config::AdmitConfig;
@@ -53,10 +53,10 @@
 }
 
 impl HoldKind {
-    fn state(self) -> ListState {
+    fn state(self) -> EndpointState {
         match self {
-            Self::Draining => ListState::Draining,
-            Self::Withdrawn => ListState::Gone,
+            Self::Draining => EndpointState::Draining,
+            Self::Withdrawn => EndpointState::Removed,
         }
     }
 }
@@ -88,8 +88,8 @@
     /// See [`OperationError`]; nothing has changed then.
     pub fn operate(&mut self, now: Micros, operation: Operation) -> Result<(), OperationError> {
         match operation {
-            Operation::Drain { server, on } => self.override_state(server, ListState::Draining, on),
-            Operation::Withdraw { server, on } => self.override_state(server, ListState::Gone, on),
+            Operation::Drain { server, on } => self.override_state(server, EndpointState::Draining, on),
+            Operation::Withdraw { server, on } => self.override_state(server, EndpointState::Removed, on),
             Operation::Hold { server, kind, on } => self.hold(server, kind.state(), on),
             Operation::Level { class, share } => self.cap_level(now, &class, share),
         }
@@ -99,16 +99,16 @@
     fn override_state(
         &mut self,
         server: SocketAddr,
-        state: ListState,
+        state: EndpointState,
         on: bool,
     ) -> Result<(), OperationError> {
         let entry = self.servers.override_state(server, state, on).ok_or(OperationError::UnknownServer)?;
-        self.batch.push(Event::List { how: ListHow::Delta, entries: [entry].into() });
+        self.batch.push(Event::EndpointList { update: ListUpdate::Delta, entries: [entry].into() });
         Ok(())
     }
 
     /// As [`Engine::override_state`], also for a server that no list has named yet.
-    fn hold(&mut self, server: SocketAddr, state: ListState, on: bool) -> Result<(), OperationError> {
+    fn hold(&mut self, server: SocketAddr, state: EndpointState, on: bool) -> Result<(), OperationError> {
         match self.override_state(server, state, on) {
             Err(OperationError::UnknownServer) if on => self.servers.hold_unlisted(server, state),
             Err(OperationError::UnknownServer) => self.servers.lift_unlisted(server, state),
--- a/crates/stepspur-conductor/src/engine/order.rs
+++ b/crates/stepspur-conductor/src/engine/order.rs
@@ -1,7 +1,7 @@
 //! Orders in the engine's own words, and what turns them into the bytes of a protocol.
 
 use bytes::Bytes;
-use stepspur::interface::{ClassId, Micros, Resend, ServerId, TableId};
+use stepspur::interface::{ClassId, Micros, RetryPolicy, ServerId, TableId};
 use stepspur_proto::{FrameError, FromConductor, frame, from_conductor, v1};
 
 use super::ServerIds;
@@ -29,7 +29,7 @@
     /// The class.
     pub class: ClassId,
     /// When they try again.
-    pub resend: Resend,
+    pub resend: RetryPolicy,
     /// How much is let in.
     pub admit: Admitted,
 }
@@ -137,10 +137,10 @@
 
 fn level(level: &Level) -> v1::Level {
     let resend = match level.resend {
-        Resend::Never => v1::Resend::Never,
-        Resend::Unsent => v1::Resend::Unsent,
-        Resend::Once => v1::Resend::Once,
-        Resend::Twice => v1::Resend::Twice,
+        RetryPolicy::Never => v1::Resend::Never,
+        RetryPolicy::IfNeverStarted => v1::Resend::Unsent,
+        RetryPolicy::Once => v1::Resend::Once,
+        RetryPolicy::Twice => v1::Resend::Twice,
     };
     let admit = match level.admit {
         Admitted::All => None,
--- a/crates/stepspur-conductor/src/engine/probes.rs
+++ b/crates/stepspur-conductor/src/engine/probes.rs
@@ -67,7 +67,7 @@
         let Some(current) = self.servers.probe_target(server) else { return };
         if current == target {
             let load = if load.iter().all(|value| value.is_finite()) { load } else { Vec::new() };
-            self.batch.push(Event::Probed { server, outcome, latency, load });
+            self.batch.push(Event::ProbeResult { server, outcome, latency, load });
         } else if self.servers.is_ready(server) && !self.probes.is_newest(&current) {
             self.probe(server);
         }
--- a/crates/stepspur-conductor/src/engine/reports.rs
+++ b/crates/stepspur-conductor/src/engine/reports.rs
@@ -67,7 +67,7 @@
     fn acknowledge(&mut self, now: Micros, proxy: ProxyId, mark: u32, latency: Option<Micros>) -> bool {
         let Some(since_sent) = self.marks.answered(proxy, mark, now) else { return false };
         let latency = latency.unwrap_or(since_sent);
-        self.batch.push(Event::Applied { proxy, mark, latency });
+        self.batch.push(Event::Acknowledged { proxy, nonce: mark, latency });
         true
     }
 
@@ -125,7 +125,7 @@
             return;
         }
         let ZoneTally { zone, period, tries: [total, errors], latency, load } = report;
-        self.batch.push(Event::Tally { server, zone, period, total, errors, latency, load });
+        self.batch.push(Event::UpstreamStats { server, zone, period, total, errors, latency, load });
     }
 
     /// A sum of the requests of a class that came to a proxy; nothing is kept of one that is not joined.
@@ -137,7 +137,7 @@
         [total, errors]: [u32; 2],
     ) {
         if self.streams.stream(proxy).is_some() {
-            self.batch.push(Event::Traffic { proxy, class, period, total, errors });
+            self.batch.push(Event::ClientStats { proxy, class, period, total, errors });
         }
     }
 
--- a/crates/stepspur-conductor/src/engine/servers.rs
+++ b/crates/stepspur-conductor/src/engine/servers.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 
-use stepspur::interface::{Event, ListEntry, ListHow, ListState, Micros, ServerId, ZoneId};
+use stepspur::interface::{Endpoint, EndpointState, Event, ListUpdate, Micros, ServerId, ZoneId};
 
 use super::doubt::{Doubter, Taken};
 use super::ids::{ServerIds, named_id};
@@ -52,7 +52,7 @@
 
 /// What news of the list changed.
 #[derive(Debug)]
-pub(crate) struct ListUpdate {
+pub(crate) struct ListChange {
     /// What the decisions are told.
     pub event: Event,
     /// Servers that have been out or have restarted.
@@ -64,7 +64,7 @@
 /// An update that is being made.
 #[derive(Debug, Default)]
 struct Draft {
-    entries: Vec<ListEntry>,
+    entries: Vec<Endpoint>,
     /// Servers that the news names.
     named: BTreeSet<ServerId>,
     suspects: Vec<ServerId>,
@@ -85,9 +85,9 @@
     ids: ServerIds,
     servers: BTreeMap<ServerId, Listed>,
     /// States that operators hold servers to be in.
-    overrides: BTreeMap<ServerId, ListState>,
+    overrides: BTreeMap<ServerId, EndpointState>,
     /// States of servers that no list has named yet: they count from the first list that does.
-    held_unlisted: BTreeMap<SocketAddr, ListState>,
+    held_unlisted: BTreeMap<SocketAddr, EndpointState>,
     doubter: Doubter,
     /// How far the engine's time is ahead of the machine's clock, in microseconds.
     clock_offset: i64,
@@ -125,7 +125,7 @@
 
     /// True: the list has it as ready.
     pub(crate) fn is_ready(&self, server: ServerId) -> bool {
-        self.servers.get(&server).is_some_and(|listed| listed.entry.state == ListState::Ready)
+        self.servers.get(&server).is_some_and(|listed| listed.entry.state == EndpointState::Ready)
     }
 
     /// What a probe of a server is sent to now; none if it is not listed.
@@ -140,7 +140,7 @@
     }
 
     /// Servers that the list has in a state.
-    pub(crate) fn count(&self, state: ListState) -> usize {
+    pub(crate) fn count(&self, state: EndpointState) -> usize {
         self.servers.values().filter(|listed| listed.entry.state == state).count()
     }
 
@@ -160,10 +160,10 @@
     }
 
     /// Takes news of the list.
-    pub(crate) fn update(&mut self, now: Micros, how: ListHow, entries: Vec<NodeEntry>) -> ListUpdate {
-        if how == ListHow::Failed {
-            let event = Event::List { how, entries: [].into() };
-            return ListUpdate { event, suspects: Vec::new(), notes: vec![Note::ListFailed] };
+    pub(crate) fn update(&mut self, now: Micros, how: ListUpdate, entries: Vec<NodeEntry>) -> ListChange {
+        if how == ListUpdate::Failed {
+            let event = Event::EndpointList { update: how, entries: [].into() };
+            return ListChange { event, suspects: Vec::new(), notes: vec![Note::ListFailed] };
         }
         let ready_before = self.ready();
         let mut draft = Draft::default();
@@ -174,14 +174,14 @@
             Taken::Whole => how,
             Taken::Named { lacking } => {
                 draft.notes.push(Note::DoubtedList { lacking, named: draft.named.len() });
-                ListHow::Delta
+                ListUpdate::Delta
             }
         };
-        if how != ListHow::Delta {
+        if how != ListUpdate::Delta {
             self.remove_unnamed(now, &mut draft);
         }
-        let event = Event::List { how, entries: draft.entries.into() };
-        ListUpdate { event, suspects: draft.suspects, notes: draft.notes }
+        let event = Event::EndpointList { update: how, entries: draft.entries.into() };
+        ListChange { event, suspects: draft.suspects, notes: draft.notes }
     }
 
     fn ready(&self) -> BTreeSet<ServerId> {
@@ -189,7 +189,7 @@
     }
 
     /// Takes one entry of the list's news.
-    fn take_entry(&mut self, now: Micros, how: ListHow, entry: NodeEntry, draft: &mut Draft) {
+    fn take_entry(&mut self, now: Micros, how: ListUpdate, entry: NodeEntry, draft: &mut Draft) {
         let Some((server, entry)) = self.usable(entry, draft) else { return };
         if let Some(state) = self.held_unlisted.remove(&entry.address) {
             self.overrides.insert(server, state);
@@ -203,7 +203,7 @@
             return;
         }
         let is_repeated = !draft.named.insert(server);
-        if how != ListHow::Delta && is_repeated {
+        if how != ListUpdate::Delta && is_repeated {
             let further = known.is_some_and(|known| entry.state as u8 > known.entry.state as u8);
             draft.bad_entry(&entry, "it is named twice: the state further on counts".to_owned());
             if !further {
@@ -212,7 +212,7 @@
         }
         let listed = self.listed(now, server, entry);
         draft.entries.push(self.list_entry(server, &listed));
-        if listed.entry.started > 0 || listed.entry.state != ListState::Ready {
+        if listed.entry.started > 0 || listed.entry.state != EndpointState::Ready {
             draft.suspects.push(server);
         }
         self.servers.insert(server, listed);
@@ -223,7 +223,7 @@
         let known = self.servers.get(&server).filter(|known| known.is_same_start(entry.started));
         let (born, ahead) = known.map_or_else(|| self.birth(now, entry.started), |k| (k.born, k.ahead));
         let started = known.map_or(entry.started, |known| known.entry.started);
-        let gone_at = (entry.state == ListState::Gone).then_some(now);
+        let gone_at = (entry.state == EndpointState::Removed).then_some(now);
         Listed { entry: NodeEntry { started, ..entry }, born, ahead, gone_at }
     }
 
@@ -239,7 +239,7 @@
         let unnamed = self.servers.iter_mut().filter(|(server, _)| !draft.named.contains(server));
         for (server, listed) in unnamed {
             draft.suspects.push(*server);
-            listed.entry.state = ListState::Gone;
+            listed.entry.state = EndpointState::Removed;
             listed.gone_at.get_or_insert(now);
         }
     }
@@ -284,12 +284,12 @@
     }
 
     /// A server as the decisions are told of it: an operator's state counts where the list's is not further on.
-    fn list_entry(&self, server: ServerId, listed: &Listed) -> ListEntry {
+    fn list_entry(&self, server: ServerId, listed: &Listed) -> Endpoint {
         let state = listed.entry.state;
         let forced = self.overrides.get(&server).copied().filter(|forced| *forced as u8 > state as u8);
         let zone = self.zone(&listed.entry.zone).unwrap_or_default();
         let weight = listed.entry.weight;
-        ListEntry { server, born: listed.born, zone, state: forced.unwrap_or(state), weight }
+        Endpoint { server, started_at: listed.born, zone, state: forced.unwrap_or(state), weight }
     }
 
     /// Holds a server to be in a state, or believes the list again: its entry as the decisions are told; none if no
@@ -297,9 +297,9 @@
     pub(crate) fn override_state(
         &mut self,
         address: SocketAddr,
-        state: ListState,
+        state: EndpointState,
         on: bool,
-    ) -> Option<ListEntry> {
+    ) -> Option<Endpoint> {
         let server = self.at(address)?;
         if on {
             self.overrides.insert(server, state);
@@ -316,7 +316,7 @@
     pub(crate) fn hold_unlisted(
         &mut self,
         address: SocketAddr,
-        state: ListState,
+        state: EndpointState,
     ) -> Result<(), OperationError> {
         if self.held_unlisted.len() >= HELD_UNLISTED_MOST && !self.held_unlisted.contains_key(&address) {
             return Err(OperationError::TooManyHeld);
@@ -332,7 +332,7 @@
     pub(crate) fn lift_unlisted(
         &mut self,
         address: SocketAddr,
-        state: ListState,
+        state: EndpointState,
     ) -> Result<(), OperationError> {
         let held = self.held_unlisted.get(&address).ok_or(OperationError::UnknownServer)?;
         if *held == state {
--- a/crates/stepspur-conductor/src/engine/stats.rs
+++ b/crates/stepspur-conductor/src/engine/stats.rs
@@ -1,7 +1,7 @@
 //! Counts for the status page and the tests.
 
 use serde::Serialize;
-use stepspur::interface::ListState;
+use stepspur::interface::EndpointState;
 
 use super::Engine;
 
@@ -54,8 +54,8 @@
             unbound: self.tables.unbound(),
             proxies_known: self.numbers.known(),
             servers: [
-                self.servers.count(ListState::Ready),
-                self.servers.count(ListState::Draining),
+                self.servers.count(EndpointState::Ready),
+                self.servers.count(EndpointState::Draining),
                 self.servers.len(),
             ],
             tables: self.tables.all().values().filter(|table| !table.users.is_empty()).count(),
--- a/crates/stepspur-conductor/src/engine/tables.rs
+++ b/crates/stepspur-conductor/src/engine/tables.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use stepspur::interface::{Action, Admit, ClassId, ProxyId, Resend, ServerId, TableId};
+use stepspur::interface::{Action, AdmissionMode, ClassId, ProxyId, RetryPolicy, ServerId, TableId};
 
 use super::order::{Admitted, Level, Order};
 
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Table {
     pub lines: BTreeMap<ServerId, f32>,
-    pub levels: BTreeMap<ClassId, (Resend, f32)>,
+    pub levels: BTreeMap<ClassId, (RetryPolicy, f32)>,
     pub users: BTreeSet<ProxyId>,
 }
 
@@ -20,7 +20,7 @@
     lines: BTreeMap<ServerId, f32>,
     /// Of them, those that were not there before.
     new: BTreeSet<ServerId>,
-    levels: BTreeMap<ClassId, (Resend, f32)>,
+    levels: BTreeMap<ClassId, (RetryPolicy, f32)>,
 }
 
 /// One order, and those who get it.
@@ -42,13 +42,13 @@
     /// another conductor's word or on this one's from before its start.
     suspects: BTreeSet<ServerId>,
     keeps_withdrawals: bool,
-    admit: Admit,
+    admit: AdmissionMode,
     /// Shares that operators let in at most.
     caps: BTreeMap<ClassId, f32>,
 }
 
 impl Tables {
-    pub(crate) fn new(admit: Admit, keeps_withdrawals: bool) -> Self {
+    pub(crate) fn new(admit: AdmissionMode, keeps_withdrawals: bool) -> Self {
         Self { admit, keeps_withdrawals, ..Self::default() }
     }
 
@@ -99,7 +99,7 @@
         let mut mark = None;
         for action in actions {
             match action {
-                Action::Line { table, server, weight } => {
+                Action::SetWeight { table, server, weight } => {
                     let lines = &mut self.tables.entry(*table).or_default().lines;
                     let change = changes.entry(*table).or_default();
                     if *weight > 0.0 && lines.insert(*server, *weight).is_none() {
@@ -109,11 +109,11 @@
                     }
                     change.lines.insert(*server, *weight);
                 }
-                Action::Level { table, class, resend, level } => {
+                Action::SetAdmission { table, class, retry_policy: resend, level } => {
                     self.tables.entry(*table).or_default().levels.insert(*class, (*resend, *level));
                     changes.entry(*table).or_default().levels.insert(*class, (*resend, *level));
                 }
-                Action::Bind { proxy, table } => {
+                Action::AssignTable { proxy, table } => {
                     // One that has left meanwhile is bound to nothing.
                     if self.unbound.contains(proxy) || self.bound.contains_key(proxy) {
                         self.leave(*proxy);
@@ -122,16 +122,16 @@
                         bound.insert(*proxy);
                     }
                 }
-                Action::Withdraw { server, out } => {
+                Action::SetEjected { server, ejected: out } => {
                     match out {
                         true => self.withdrawn.insert(*server),
                         false => self.withdrawn.remove(server),
                     };
                     turned.insert(*server, *out);
                 }
-                Action::Mark { mark: number } => mark = Some(*number),
-                Action::Wake { .. } | Action::Probe { .. } => {}
-                Action::Track | Action::Lookup | Action::Log(_) => {}
+                Action::RequestAck { nonce: number } => mark = Some(*number),
+                Action::SetTimer { .. } | Action::Probe { .. } => {}
+                Action::WatchEndpoints | Action::FetchEndpoints | Action::Log(_) => {}
             }
         }
         let mut orders = Vec::new();
@@ -209,11 +209,11 @@
         (out || self.keeps_withdrawals && self.suspects.contains(&id)).then_some((id, out))
     }
 
-    fn level(&self, class: ClassId, (resend, level): (Resend, f32)) -> Level {
+    fn level(&self, class: ClassId, (resend, level): (RetryPolicy, f32)) -> Level {
         let admit = match self.admit {
-            Admit::Ratio => Admitted::Share(level.min(self.caps.get(&class).copied().unwrap_or(1.0))),
-            Admit::Rps => Admitted::Rate(level),
-            Admit::Silent => Admitted::All,
+            AdmissionMode::Ratio => Admitted::Share(level.min(self.caps.get(&class).copied().unwrap_or(1.0))),
+            AdmissionMode::RequestsPerSecond => Admitted::Rate(level),
+            AdmissionMode::Ignored => Admitted::All,
         };
         Level { class, resend, admit }
     }
--- a/crates/stepspur-conductor/src/service/distribution/apply.rs
+++ b/crates/stepspur-conductor/src/service/distribution/apply.rs
@@ -9,10 +9,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use stepspur_consensus_node::BoxFuture;
 use stepspur_distribution::document::{Document, Key, Setting, Target, WHOLE_PPM};
-use stepspur_distribution::subscriber::Apply;
+use stepspur_distribution::subscriber::DocumentApplier;
 use stepspur_distribution::version::Version;
-use stepspur_peers::Later;
 use tokio::sync::{Mutex, mpsc, oneshot};
 use tokio::time::timeout;
 
@@ -85,8 +85,8 @@
     }
 }
 
-impl Apply for TenantEngines {
-    fn apply<'a>(&'a self, document: &'a Document) -> Later<'a, Result<(), String>> {
+impl DocumentApplier for TenantEngines {
+    fn apply<'a>(&'a self, document: &'a Document) -> BoxFuture<'a, Result<(), String>> {
         Box::pin(self.apply(document))
     }
 }
--- a/crates/stepspur-conductor/src/service/distribution/mod.rs
+++ b/crates/stepspur-conductor/src/service/distribution/mod.rs
@@ -9,16 +9,16 @@
 use std::time::Duration;
 
 use serde::Serialize;
-use stepspur_distribution::book::ConfigurationBook;
+use stepspur_consensus_node::{ConsensusConfig, Net, NodeHandle, Tcp};
+use stepspur_distribution::book::ConfigurationState;
 use stepspur_distribution::config::{
-    ControlConfig, ControlPlace, Distribution as Settings, SubscriberConfig,
+    ControlConfig, ControlMemberAddress, Distribution as Settings, SubscriberConfig,
 };
 use stepspur_distribution::control::{Control, ControlMember, ControlSettings, ControlStatus};
 use stepspur_distribution::document::Interest;
-use stepspur_distribution::store::{MemoryStore, RedbStore, ScopeStore, StoreFault};
+use stepspur_distribution::store::{MemoryStore, RedbStore, ScopeStore, StoreError};
 use stepspur_distribution::subscriber::{Subscriber, SubscriberSettings, SubscriberStatus};
-use stepspur_peers::{Council, Net, Peers, Tcp};
-use stepspur_shared::{Book, Books, Limits, Shared};
+use stepspur_replication::{ProposalLimits, ReplicatedStateMachine, ReplicationClient, StateMachineRegistry};
 use tokio::sync::{mpsc, watch};
 
 use super::StartError;
@@ -32,8 +32,8 @@
 /// The council's member of a conductor, with its books where it is a control member.
 #[derive(Default)]
 pub(crate) struct Member {
-    peers: Option<Arc<Peers>>,
-    shared: Option<Shared>,
+    peers: Option<Arc<NodeHandle>>,
+    shared: Option<ReplicationClient>,
 }
 
 impl Member {
@@ -49,17 +49,19 @@
         Ok(Self { peers: Some(Arc::new(council.start(seed).await?)), shared: None })
     }
 
-    async fn start_with_books(council: &Council, seed: u64) -> Result<Self, StartError> {
-        let books = Books::new([Box::new(ConfigurationBook::default()) as Box<dyn Book>]);
+    async fn start_with_books(council: &ConsensusConfig, seed: u64) -> Result<Self, StartError> {
+        let books = StateMachineRegistry::new([
+            Box::new(ConfigurationState::default()) as Box<dyn ReplicatedStateMachine>
+        ]);
         let peers = Arc::new(council.start_with(seed, books.clone()).await?);
         // It must differ from that of any earlier start.
         let life = RandomState::new().hash_one(seed);
-        let shared = Shared::new(Arc::clone(&peers), books, Limits::default(), life);
+        let shared = ReplicationClient::new(Arc::clone(&peers), books, ProposalLimits::default(), life);
         Ok(Self { peers: Some(peers), shared: Some(shared) })
     }
 
     /// The council's member alone.
-    pub(crate) fn into_peers(self) -> Option<Arc<Peers>> {
+    pub(crate) fn into_peers(self) -> Option<Arc<NodeHandle>> {
         self.peers
     }
 }
@@ -171,7 +173,7 @@
 
 async fn start_control(
     set: &ControlConfig,
-    shared: &Shared,
+    shared: &ReplicationClient,
     net: Arc<dyn Net>,
 ) -> Result<Control, StartError> {
     let id = shared.peers().id().0;
@@ -221,7 +223,7 @@
     let (path, interest) = (set.state.clone(), interest.clone());
     let fault = match tokio::task::spawn_blocking(move || RedbStore::open(&path, &interest)).await {
         Ok(Ok(store)) => return Ok((Box::new(store), None)),
-        Ok(Err(fault @ StoreFault::InUse { .. })) => return Err(StartError::ConfigurationStore(fault)),
+        Ok(Err(fault @ StoreError::InUse { .. })) => return Err(StartError::ConfigurationStore(fault)),
         Ok(Err(fault)) => fault.to_string(),
         Err(cause) => cause.to_string(),
     };
@@ -229,6 +231,6 @@
     Ok((Box::new(MemoryStore::new()), Some(fault)))
 }
 
-fn control_member(place: &ControlPlace) -> ControlMember {
+fn control_member(place: &ControlMemberAddress) -> ControlMember {
     ControlMember { id: place.id, address: place.address, region: place.region.clone() }
 }
--- a/crates/stepspur-conductor/src/service/front.rs
+++ b/crates/stepspur-conductor/src/service/front.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, OnceLock};
 use std::time::Duration;
 
-use stepspur::interface::{ListHow, Settings};
+use stepspur::interface::{ListUpdate, Settings};
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 use tokio::task::JoinSet;
@@ -116,7 +116,7 @@
         let heart = Heart { config, settings, dialect, read_load, epoch, seed, clock };
         let inbox = heart.start(source, &tied, &mut cores);
         // Room is left for it: the queue is new.
-        let cached = Input::List { how: ListHow::Cached, entries: known };
+        let cached = Input::List { how: ListUpdate::Cached, entries: known };
         let _ = inbox.send(Inbox::Input(cached)).await;
         let engine = EngineLink { inbox: inbox.clone() };
         let kill = CancellationToken::new();
--- a/crates/stepspur-conductor/src/service/mod.rs
+++ b/crates/stepspur-conductor/src/service/mod.rs
@@ -23,12 +23,12 @@
 use std::time::{Duration, SystemTime};
 
 use stepspur::interface::{Micros, Settings};
+use stepspur_consensus_node::NodeHandle;
 use stepspur_distribution::control::ControlStartError;
-use stepspur_distribution::document::DocumentFault;
-use stepspur_distribution::store::StoreFault;
+use stepspur_distribution::document::DocumentError;
+use stepspur_distribution::store::StoreError;
 use stepspur_distribution::subscriber::SubscriberStartError;
 use stepspur_identity::keys::KeyFault;
-use stepspur_peers::Peers;
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::sync::{Semaphore, mpsc, oneshot};
 use tokio::task::JoinSet;
@@ -70,7 +70,7 @@
     },
     /// The council's member does not start.
     #[error("council: {0}")]
-    Council(#[from] stepspur_peers::StartError),
+    Council(#[from] stepspur_consensus_node::StartError),
     /// The control member of the distribution does not start.
     #[error("distribution.control: {0}")]
     Control(#[from] ControlStartError),
@@ -79,10 +79,10 @@
     Subscriber(#[from] SubscriberStartError),
     /// The subscriber's services or tenants are not sound.
     #[error("distribution.subscriber.services: {0}")]
-    Interest(#[from] DocumentFault),
+    Interest(#[from] DocumentError),
     /// The subscriber's file is in use.
     #[error("distribution.subscriber.state: {0}")]
-    ConfigurationStore(StoreFault),
+    ConfigurationStore(StoreError),
     /// An address cannot be listened on.
     #[error("cannot listen on {address}: {cause}")]
     Listen {
@@ -113,7 +113,7 @@
     failed: Arc<OnceLock<Failed>>,
     inbox: mpsc::Sender<Inbox>,
     grace: Duration,
-    council: Option<Arc<Peers>>,
+    council: Option<Arc<NodeHandle>>,
     distribution: Distribution,
 }
 
--- a/crates/stepspur-conductor/src/service/operator/configuration.rs
+++ b/crates/stepspur-conductor/src/service/operator/configuration.rs
@@ -12,12 +12,12 @@
 use axum::{Extension, Json, Router};
 use serde::{Deserialize, Deserializer};
 use serde_json::{Value, json};
-use stepspur_distribution::control::{Control, ProposeError, StandingError};
+use stepspur_distribution::control::{Control, ProposeError, RolloutStatusError};
 use stepspur_distribution::document::{Change, Document, Scope, Setting, Target};
 use stepspur_distribution::version::Version;
 use stepspur_identity::grant::{Denied, Grant};
 use stepspur_identity::rights::Right;
-use stepspur_shared::OpId;
+use stepspur_replication::OperationId;
 
 use super::{Asked, OperatorApi, Told, administers, denied, read};
 
@@ -88,7 +88,7 @@
     let grant = api.caller(&seen, &headers, Right::Change, "config propose")?;
     let control = api.control()?;
     let Proposal { operation, changes } = read(&body)?;
-    let operation = operation.map(|id| id.parse::<OpId>().map_err(|e| bad_request(&e))).transpose()?;
+    let operation = operation.map(|id| id.parse::<OperationId>().map_err(|e| bad_request(&e))).transpose()?;
     let changes: Vec<Change> = changes.into_iter().map(Change::from).collect();
     let own = changes.iter().all(|change| of_own_tenant(&grant, &change.scope));
     if !own && !administers(&grant) {
@@ -145,25 +145,25 @@
 ) -> Result<Response, Told> {
     api.caller(&seen, &headers, Right::ReadStatus, "config version")?;
     let version: Version = version.parse().map_err(|e| bad_request(&e))?;
-    match api.control()?.standing(version).await {
+    match api.control()?.rollout_status(version).await {
         Ok(standing) => Ok(Json(standing).into_response()),
         Err(error) => Ok(standing_fault(&error).into_response()),
     }
 }
 
 /// How a question that has no answer here is answered.
-fn standing_fault(error: &StandingError) -> (StatusCode, Json<Value>) {
+fn standing_fault(error: &RolloutStatusError) -> (StatusCode, Json<Value>) {
     let told = |status, body| (status, Json(body));
     match error {
-        StandingError::NotLeader { leader } => {
+        RolloutStatusError::NotLeader { leader } => {
             let name = leader.map_or("nobody that it knows of".to_owned(), |leader| leader.to_string());
             let result = format!("this control member does not lead; the leader is {name}");
             told(StatusCode::CONFLICT, json!({ "result": result, "leader": leader }))
         }
-        StandingError::UnknownVersion { .. } => {
+        RolloutStatusError::UnknownVersion { .. } => {
             told(StatusCode::NOT_FOUND, json!({ "result": error.to_string() }))
         }
-        StandingError::NoAnswer(_) => {
+        RolloutStatusError::NoAnswer(_) => {
             told(StatusCode::SERVICE_UNAVAILABLE, json!({ "result": error.to_string() }))
         }
     }
--- a/crates/stepspur-conductor/src/service/operator/council.rs
+++ b/crates/stepspur-conductor/src/service/operator/council.rs
@@ -8,9 +8,9 @@
 use axum::routing::{get, post};
 use axum::{Extension, Json, Router};
 use serde::Deserialize;
+use stepspur_consensus_node::{MemberId, MembershipChange, NodeHandle, NodeStopped, RequestError};
 use stepspur_identity::grant::Grant;
 use stepspur_identity::rights::Right;
-use stepspur_peers::{Change, Gone, MemberId, Peers, Refused};
 
 use super::{Asked, Connected, OperatorApi, Told, read};
 
@@ -23,7 +23,7 @@
 }
 
 impl OperatorApi {
-    fn member(&self) -> Result<&Peers, Told> {
+    fn member(&self) -> Result<&NodeHandle, Told> {
         let none = || Told(StatusCode::NOT_FOUND, "this conductor is in no council".to_owned());
         self.council.as_deref().ok_or_else(none)
     }
@@ -34,11 +34,11 @@
         seen: &Connected,
         grant: &Grant,
         what: String,
-        done: Result<Result<(), Refused>, Gone>,
+        done: Result<Result<(), RequestError>, NodeStopped>,
     ) -> Response {
         let (status, result) = match done {
             Ok(Ok(())) => (StatusCode::OK, "begun".to_owned()),
-            Ok(Err(Refused::NotLeader(leader))) => {
+            Ok(Err(RequestError::NotLeader(leader))) => {
                 let leader = leader.map_or("nobody that it knows of".to_owned(), |m| m.0.to_string());
                 (StatusCode::CONFLICT, format!("this conductor does not lead; the leader is {leader}"))
             }
@@ -68,20 +68,20 @@
 async fn transfer((State(api), Extension(seen), headers): Asked, body: String) -> Result<Response, Told> {
     let grant = api.caller(&seen, &headers, Right::Administer, "council transfer")?;
     let OnMember { member } = read(&body)?;
-    let done = api.member()?.hand_over(MemberId(member)).await;
+    let done = api.member()?.transfer_leadership(MemberId(member)).await;
     Ok(api.council_changed(&seen, &grant, format!("council transfer {member}"), done).await)
 }
 
 async fn add((State(api), Extension(seen), headers): Asked, body: String) -> Result<Response, Told> {
     let grant = api.caller(&seen, &headers, Right::Administer, "council add")?;
     let OnMember { member } = read(&body)?;
-    let done = api.member()?.change(Change::Add(MemberId(member))).await;
+    let done = api.member()?.change(MembershipChange::Add(MemberId(member))).await;
     Ok(api.council_changed(&seen, &grant, format!("council add {member}"), done).await)
 }
 
 async fn remove((State(api), Extension(seen), headers): Asked, body: String) -> Result<Response, Told> {
     let grant = api.caller(&seen, &headers, Right::Administer, "council remove")?;
     let OnMember { member } = read(&body)?;
-    let done = api.member()?.change(Change::Remove(MemberId(member))).await;
+    let done = api.member()?.change(MembershipChange::Remove(MemberId(member))).await;
     Ok(api.council_changed(&seen, &grant, format!("council remove {member}"), done).await)
 }
--- a/crates/stepspur-conductor/src/service/operator/mod.rs
+++ b/crates/stepspur-conductor/src/service/operator/mod.rs
@@ -28,10 +28,10 @@
 use hyper_util::rt::TokioIo;
 use hyper_util::service::TowerToHyperService;
 use serde::Deserialize;
+use stepspur_consensus_node::NodeHandle;
 use stepspur_identity::cert::CertCaller;
 use stepspur_identity::grant::{Denied, Grant};
 use stepspur_identity::rights::Right;
-use stepspur_peers::Peers;
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot};
 use tokio_util::task::TaskTracker;
@@ -55,7 +55,7 @@
 pub(crate) struct OperatorApi {
     pub identity: Arc<Identity>,
     pub tenants: Arc<BTreeMap<String, mpsc::Sender<Inbox>>>,
-    pub council: Option<Arc<Peers>>,
+    pub council: Option<Arc<NodeHandle>>,
     pub distribution: DistributionView,
 }
 
--- a/crates/stepspur-conductor/src/service/prober.rs
+++ b/crates/stepspur-conductor/src/service/prober.rs
@@ -63,7 +63,7 @@
     let (outcome, load) = match answer {
         Ok((status, body)) => match status.as_u16() {
             200..300 => (ProbeOutcome::Ok, read_load(&config.reports.load_columns, &body)),
-            503 => (ProbeOutcome::Full, Vec::new()),
+            503 => (ProbeOutcome::Rejected, Vec::new()),
             _ => (ProbeOutcome::Error, Vec::new()),
         },
         Err(HttpError::Connect(_)) => (ProbeOutcome::Unreachable, Vec::new()),
--- a/crates/stepspur-conductor/src/service/status.rs
+++ b/crates/stepspur-conductor/src/service/status.rs
@@ -8,7 +8,7 @@
 use axum::routing::get;
 use axum::{Json, Router};
 use serde::Serialize;
-use stepspur_peers::Peers;
+use stepspur_consensus_node::NodeHandle;
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 use tokio_util::sync::CancellationToken;
@@ -21,7 +21,7 @@
 #[derive(Clone)]
 pub(crate) struct Shown {
     pub inbox: mpsc::Sender<Inbox>,
-    pub council: Option<Arc<Peers>>,
+    pub council: Option<Arc<NodeHandle>>,
     pub distribution: DistributionView,
 }
 
@@ -61,7 +61,7 @@
     status.map(Json).ok_or(StatusCode::SERVICE_UNAVAILABLE)
 }
 
-async fn member(State(shown): State<Shown>) -> Result<Json<stepspur_peers::Status>, StatusCode> {
+async fn member(State(shown): State<Shown>) -> Result<Json<stepspur_consensus_node::Status>, StatusCode> {
     let council = shown.council.ok_or(StatusCode::NOT_FOUND)?;
     council.status().await.map(Json).map_err(|_| StatusCode::SERVICE_UNAVAILABLE)
 }
--- a/crates/stepspur-conductor/src/source/file.rs
+++ b/crates/stepspur-conductor/src/source/file.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use serde::Deserialize;
-use stepspur::interface::ListHow;
+use stepspur::interface::ListUpdate;
 
 use super::{Ask, Feed, NodeRecord, NodeSource, Running};
 
@@ -72,7 +72,7 @@
         if let Some(counted) = file.servers.filter(|n| *n != file.node.len()) {
             return Err(failed(format!("`servers` counts {counted}, and {} are listed", file.node.len())));
         }
-        feed.news.list(ListHow::Full, file.node.into_iter().map(Into::into).collect()).await;
+        feed.news.list(ListUpdate::Full, file.node.into_iter().map(Into::into).collect()).await;
         texts.told = Some(text);
         Ok(true)
     }
--- a/crates/stepspur-conductor/src/source/http.rs
+++ b/crates/stepspur-conductor/src/source/http.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
-use stepspur::interface::ListHow;
+use stepspur::interface::ListUpdate;
 use tokio::time::{Instant, sleep_until};
 
 use super::{Ask, Feed, NodeRecord, NodeSource, Running};
@@ -66,8 +66,8 @@
     async fn tell(&self, feed: &Feed, since: Option<u64>) -> Result<Option<u64>, String> {
         let Some(answer) = self.call(since).await? else { return Ok(since) };
         let (how, records) = match (answer.nodes, answer.changes) {
-            (Some(nodes), _) => (ListHow::Full, nodes),
-            (None, Some(changes)) if since.is_some() => (ListHow::Delta, changes),
+            (Some(nodes), _) => (ListUpdate::Full, nodes),
+            (None, Some(changes)) if since.is_some() => (ListUpdate::Delta, changes),
             _ => return Err("an answer with neither `nodes` nor `changes`".to_owned()),
         };
         feed.news.list(how, records.into_iter().map(Into::into).collect()).await;
--- a/crates/stepspur-conductor/src/source/mod.rs
+++ b/crates/stepspur-conductor/src/source/mod.rs
@@ -11,7 +11,7 @@
 use std::pin::Pin;
 
 use serde::{Deserialize, Serialize};
-use stepspur::interface::{ListHow, ListState};
+use stepspur::interface::{EndpointState, ListUpdate};
 use tokio::sync::mpsc;
 use tokio_util::sync::CancellationToken;
 
@@ -59,14 +59,14 @@
 
 impl News {
     /// Tells of entries: `Delta`, `Full` or `Cached`.
-    pub async fn list(&self, how: ListHow, entries: Vec<NodeEntry>) {
+    pub async fn list(&self, how: ListUpdate, entries: Vec<NodeEntry>) {
         let _ = self.0.send(Input::List { how, entries }).await;
     }
 
     /// Tells that a call or the subscription failed; the old list stands.
     pub async fn failed(&self, cause: impl std::fmt::Display) {
         tracing::warn!(event = "source_failed", %cause);
-        let _ = self.0.send(Input::List { how: ListHow::Failed, entries: Vec::new() }).await;
+        let _ = self.0.send(Input::List { how: ListUpdate::Failed, entries: Vec::new() }).await;
     }
 }
 
@@ -131,9 +131,9 @@
             address: record.address,
             zone: record.zone,
             state: match record.state {
-                NodeState::Ready => ListState::Ready,
-                NodeState::Draining => ListState::Draining,
-                NodeState::Gone => ListState::Gone,
+                NodeState::Ready => EndpointState::Ready,
+                NodeState::Draining => EndpointState::Draining,
+                NodeState::Gone => EndpointState::Removed,
             },
             weight: record.weight,
             started: record.started_unix_ms.saturating_mul(1000),
--- a/crates/stepspur-peers/src/config.rs
+++ b/crates/stepspur-consensus-node/src/config.rs
@@ -8,10 +8,10 @@
 
 use garde::Validate;
 use serde::{Deserialize, Serialize};
-use stepspur_council::{Core, MemberId, State, Stored};
-use stepspur_state::{Fault, Store};
+use stepspur_consensus::{MemberId, PersistentState, RaftNode, StateMachine};
+use stepspur_consensus_storage::{StorageError, Store};
 
-use crate::handle::Peers;
+use crate::handle::NodeHandle;
 use crate::settings::{Settings, StartError};
 use crate::storage::Storage;
 use crate::tcp::Tcp;
@@ -19,7 +19,7 @@
 /// A council of conductors, and this one's place in it.
 #[derive(Clone, Debug, Deserialize, Serialize, Validate)]
 #[serde(deny_unknown_fields)]
-pub struct Council {
+pub struct ConsensusConfig {
     /// This conductor's number, never used twice: one whose disk is lost is replaced by another number.
     #[garde(range(min = 1))]
     pub id: u64,
@@ -28,7 +28,7 @@
     pub state: PathBuf,
     /// All conductors of the council, this one too, alike in all their settings. The first council is of these.
     #[garde(dive, length(min = 1, max = 1000), custom(sound(&self.id)))]
-    pub conductors: Vec<Place>,
+    pub conductors: Vec<MemberAddress>,
     /// One that hears no leader for a time between this and its double stands for election.
     #[serde(default = "election", with = "humantime_serde")]
     #[garde(custom(alike(self)))]
@@ -54,7 +54,7 @@
 /// Where a conductor of the council listens to the others.
 #[derive(Clone, Debug, Deserialize, Serialize, Validate)]
 #[serde(deny_unknown_fields)]
-pub struct Place {
+pub struct MemberAddress {
     /// Its number.
     #[garde(range(min = 1))]
     pub id: u64,
@@ -86,7 +86,7 @@
     }
 }
 
-fn sound(own: &u64) -> impl FnOnce(&Vec<Place>, &()) -> garde::Result + '_ {
+fn sound(own: &u64) -> impl FnOnce(&Vec<MemberAddress>, &()) -> garde::Result + '_ {
     move |places, ()| {
         let ids: BTreeSet<u64> = places.iter().map(|place| place.id).collect();
         match (ids.len() == places.len(), ids.contains(own)) {
@@ -98,7 +98,7 @@
 }
 
 /// The times must fit each other.
-fn alike(council: &Council) -> impl FnOnce(&Duration, &()) -> garde::Result + '_ {
+fn alike(council: &ConsensusConfig) -> impl FnOnce(&Duration, &()) -> garde::Result + '_ {
     move |_, ()| match council.council().faults().first() {
         None => Ok(()),
         Some(fault) => Err(garde::Error::new(format!("does not fit: {fault}"))),
@@ -110,10 +110,10 @@
 /// The largest frame, in bytes: a batch of the longest commands.
 const LARGEST: usize = 16 << 20;
 
-impl Council {
-    fn council(&self) -> stepspur_council::Settings {
+impl ConsensusConfig {
+    fn council(&self) -> stepspur_consensus::Settings {
         let micros = |span: Duration| u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
-        stepspur_council::Settings {
+        stepspur_consensus::Settings {
             election: micros(self.election),
             heartbeat: micros(self.heartbeat),
             renew: micros(self.renew),
@@ -125,7 +125,7 @@
 
     /// As a member takes it.
     pub fn settings(&self) -> Settings {
-        let place = |place: &Place| (MemberId(place.id), place.address);
+        let place = |place: &MemberAddress| (MemberId(place.id), place.address);
         let own = self.conductors.iter().find(|place| place.id == self.id);
         Settings {
             id: MemberId(self.id),
@@ -144,30 +144,30 @@
     ///
     /// # Errors
     /// [`Fault::Exists`] if there is one, and those of the disk.
-    pub fn found(&self) -> Result<(), Fault> {
+    pub fn bootstrap(&self) -> Result<(), StorageError> {
         let voters = self.conductors.iter().map(|place| MemberId(place.id)).collect();
-        Store::create(&self.state, MemberId(self.id), &Core::founding(voters)).map(drop)
+        Store::create(&self.state, MemberId(self.id), &RaftNode::bootstrap(voters)).map(drop)
     }
 
     /// Starts the member. One whose state cannot be used only follows, and says so: the conductor goes on.
     ///
     /// # Errors
     /// See [`StartError`].
-    pub async fn start(&self, seed: u64) -> Result<Peers, StartError> {
+    pub async fn start(&self, seed: u64) -> Result<NodeHandle, StartError> {
         self.start_with(seed, ()).await
     }
 
-    /// As [`Council::start`], with a state that is agreed on beside duties.
+    /// As [`ConsensusConfig::start`], with a state that is agreed on beside duties.
     ///
     /// # Errors
     /// See [`StartError`].
-    pub async fn start_with<S: State + Send + Sync + 'static>(
+    pub async fn start_with<S: StateMachine + Send + Sync + 'static>(
         &self,
         seed: u64,
         state: S,
-    ) -> Result<Peers, StartError> {
+    ) -> Result<NodeHandle, StartError> {
         let path = self.state.clone();
-        let opened: Result<Result<(Store, Stored), Fault>, _> =
+        let opened: Result<Result<(Store, PersistentState), StorageError>, _> =
             tokio::task::spawn_blocking(move || Store::open(&path)).await;
         let disk = match opened {
             Ok(Ok((store, stored))) => Some((Box::new(store) as Box<dyn Storage>, stored)),
@@ -180,6 +180,6 @@
                 None
             }
         };
-        Peers::start_on(Arc::new(Tcp), self.settings(), disk, seed ^ self.id, state).await
+        NodeHandle::start_on(Arc::new(Tcp), self.settings(), disk, seed ^ self.id, state).await
     }
 }
--- a/crates/stepspur-peers/src/events.rs
+++ b/crates/stepspur-consensus-node/src/events.rs
@@ -1,19 +1,19 @@
 //! What a member writes to the program's log.
 
-use stepspur_council::{Changed, MemberId, Note};
+use stepspur_consensus::{MemberId, Note, RoleChange};
 
 /// A duty has another holder, none, or one that must stop.
-pub(crate) fn duty_changed(me: MemberId, changed: &Changed) {
+pub(crate) fn duty_changed(me: MemberId, changed: &RoleChange) {
     match changed {
-        Changed::Held { duty, holder, token, before } => {
+        RoleChange::Held { duty, holder, token, before } => {
             let before = before.map(|m| m.to_string()).unwrap_or_default();
             tracing::info!(event = "duty_held", member = %me, duty = duty.as_str(), %holder, %token, before);
         }
-        Changed::Free { duty, before } => {
+        RoleChange::Free { duty, before } => {
             let before = before.map(|m| m.to_string()).unwrap_or_default();
             tracing::info!(event = "duty_free", member = %me, duty = duty.as_str(), before);
         }
-        Changed::Revoked { duty } => {
+        RoleChange::Revoked { duty } => {
             tracing::info!(event = "duty_revoked", member = %me, duty = duty.as_str());
         }
     }
--- a/crates/stepspur-peers/src/handle.rs
+++ b/crates/stepspur-consensus-node/src/handle.rs
@@ -6,8 +6,11 @@
 
 use bytes::Bytes;
 use serde::Serialize;
-use stepspur_council::{Change, Command, DutyName, Index, Member, MemberId, Refused, State, Stored, Token};
-use stepspur_state::Store;
+use stepspur_consensus::{
+    FencingToken, Index, Member, MemberId, MembershipChange, PersistentState, RequestError, RoleCommand,
+    RoleName, StateMachine,
+};
+use stepspur_consensus_storage::Store;
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio_util::sync::{CancellationToken, DropGuard};
 use tokio_util::task::TaskTracker;
@@ -26,7 +29,7 @@
 /// The member has stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the council's member has stopped")]
-pub struct Gone;
+pub struct NodeStopped;
 
 /// How a member stands.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
@@ -49,20 +52,20 @@
 
 /// How far a member has come.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Applied {
+pub struct AppliedState {
     /// The last entry that it applied.
     pub index: Index,
     /// Why it applies no more, if so.
     pub stopped: Option<String>,
 }
 
-/// A running council member. Dropping it stops it without waiting; [`Peers::stop`] waits.
+/// A running council member. Dropping it stops it without waiting; [`NodeHandle::stop`] waits.
 #[derive(Debug)]
-pub struct Peers {
+pub struct NodeHandle {
     address: SocketAddr,
     requests: mpsc::Sender<Request>,
     leases: Arc<Leases>,
-    applied: watch::Receiver<Applied>,
+    applied: watch::Receiver<AppliedState>,
     id: MemberId,
     clock: Clock,
     stop: CancellationToken,
@@ -70,24 +73,28 @@
     tasks: TaskTracker,
 }
 
-impl Peers {
+impl NodeHandle {
     /// Starts a member: one that votes with its store and what was read from it, one that only follows without.
     ///
     /// # Errors
     /// See [`StartError`].
-    pub async fn start(set: Settings, disk: Option<(Store, Stored)>, seed: u64) -> Result<Self, StartError> {
+    pub async fn start(
+        set: Settings,
+        disk: Option<(Store, PersistentState)>,
+        seed: u64,
+    ) -> Result<Self, StartError> {
         let storage = disk.map(|(store, stored)| (Box::new(store) as Box<dyn Storage>, stored));
         Self::start_on(Arc::new(Tcp), set, storage, seed, ()).await
     }
 
-    /// As [`Peers::start`], on this transport and storage, with a state that is agreed on beside duties.
+    /// As [`NodeHandle::start`], on this transport and storage, with a state that is agreed on beside duties.
     ///
     /// # Errors
     /// See [`StartError`].
-    pub async fn start_on<S: State + Send + Sync + 'static>(
+    pub async fn start_on<S: StateMachine + Send + Sync + 'static>(
         transport: Arc<dyn Transport>,
         set: Settings,
-        storage: Option<(Box<dyn Storage>, Stored)>,
+        storage: Option<(Box<dyn Storage>, PersistentState)>,
         seed: u64,
         state: S,
     ) -> Result<Self, StartError> {
@@ -95,12 +102,13 @@
         let failed = |cause| StartError::Listen { address: set.listen, cause };
         let listener = transport.listen(set.listen).await.map_err(failed)?;
         let address = listener.address();
-        let (storage, stored) = storage.map_or((None, Stored::default()), |(s, stored)| (Some(s), stored));
+        let (storage, stored) =
+            storage.map_or((None, PersistentState::default()), |(s, stored)| (Some(s), stored));
         let (storage, saves) = open_saves(storage)?;
         let (stop, tasks) = (CancellationToken::new(), TaskTracker::new());
         let (heard, messages) = mpsc::channel(QUEUE);
         let (asks, requests) = mpsc::channel(QUEUE);
-        let (progress, applied) = watch::channel(Applied::default());
+        let (progress, applied) = watch::channel(AppliedState::default());
         let (leases, clock) = (Arc::new(Leases::default()), Clock::start());
         let outboxes = start_links(&transport, &set, &stop, &tasks);
         let peers = PeerListener::new(set.clone(), heard, stop.clone(), tasks.clone());
@@ -141,7 +149,7 @@
     }
 
     /// How far it has come, as it goes on.
-    pub fn applied(&self) -> watch::Receiver<Applied> {
+    pub fn applied(&self) -> watch::Receiver<AppliedState> {
         self.applied.clone()
     }
 
@@ -149,8 +157,8 @@
     /// applied shows there alone; brought twice it may be applied twice.
     ///
     /// # Errors
-    /// [`Gone`].
-    pub async fn command(&self, command: Bytes) -> Result<(), Gone> {
+    /// [`NodeStopped`].
+    pub async fn command(&self, command: Bytes) -> Result<(), NodeStopped> {
         self.send(Request::Command(command)).await
     }
 
@@ -158,8 +166,8 @@
     /// where no leader answers.
     ///
     /// # Errors
-    /// [`Gone`].
-    pub async fn read_index(&self) -> Result<Option<Index>, Gone> {
+    /// [`NodeStopped`].
+    pub async fn read_index(&self) -> Result<Option<Index>, NodeStopped> {
         let (reply, answer) = oneshot::channel();
         self.send(Request::Read(reply)).await?;
         Ok(answer.await.unwrap_or_default())
@@ -171,8 +179,8 @@
     }
 
     /// The token by which this member may act on a duty now; none if it may not. To be asked right before each act,
-    /// and told with it: who obeys refuses a token lower than one that it has seen ([`stepspur_council::Fence`]).
-    pub fn token(&self, duty: &DutyName) -> Option<Token> {
+    /// and told with it: who obeys refuses a token lower than one that it has seen ([`stepspur_consensus::Fence`]).
+    pub fn token(&self, duty: &RoleName) -> Option<FencingToken> {
         let leases = self.leases.read().unwrap_or_else(PoisonError::into_inner);
         let (until, token) = *leases.get(duty)?;
         (self.clock.now() < until).then_some(token)
@@ -181,39 +189,39 @@
     /// How it stands.
     ///
     /// # Errors
-    /// [`Gone`].
-    pub async fn status(&self) -> Result<Status, Gone> {
+    /// [`NodeStopped`].
+    pub async fn status(&self) -> Result<Status, NodeStopped> {
         let (reply, answer) = oneshot::channel();
         self.send(Request::Status(reply)).await?;
-        answer.await.map_err(|_| Gone)
+        answer.await.map_err(|_| NodeStopped)
     }
 
     /// Has the council agree on a command, if a leader can be reached: what became of it shows in the status.
     ///
     /// # Errors
-    /// [`Gone`].
-    pub async fn order(&self, command: Command) -> Result<(), Gone> {
+    /// [`NodeStopped`].
+    pub async fn order(&self, command: RoleCommand) -> Result<(), NodeStopped> {
         self.send(Request::Order(command)).await
     }
 
-    /// Changes who votes; to be asked of the leader. See [`stepspur_council::Core::change`].
+    /// Changes who votes; to be asked of the leader. See [`stepspur_consensus::Core::change`].
     ///
     /// # Errors
-    /// [`Gone`], and within it what the council refuses.
-    pub async fn change(&self, change: Change) -> Result<Result<(), Refused>, Gone> {
+    /// [`NodeStopped`], and within it what the council refuses.
+    pub async fn change(&self, change: MembershipChange) -> Result<Result<(), RequestError>, NodeStopped> {
         let (reply, answer) = oneshot::channel();
         self.send(Request::Change(change, reply)).await?;
-        answer.await.map_err(|_| Gone)
+        answer.await.map_err(|_| NodeStopped)
     }
 
     /// Hands the lead over; to be asked of the leader.
     ///
     /// # Errors
-    /// [`Gone`], and within it what the council refuses.
-    pub async fn hand_over(&self, to: MemberId) -> Result<Result<(), Refused>, Gone> {
+    /// [`NodeStopped`], and within it what the council refuses.
+    pub async fn transfer_leadership(&self, to: MemberId) -> Result<Result<(), RequestError>, NodeStopped> {
         let (reply, answer) = oneshot::channel();
         self.send(Request::HandOver(to, reply)).await?;
-        answer.await.map_err(|_| Gone)
+        answer.await.map_err(|_| NodeStopped)
     }
 
     /// Ends every task and waits for them, and for what the storage was given; storage that hangs is left behind after
@@ -224,8 +232,8 @@
         self.tasks.wait().await;
     }
 
-    async fn send(&self, request: Request) -> Result<(), Gone> {
-        self.requests.send(request).await.map_err(|_| Gone)
+    async fn send(&self, request: Request) -> Result<(), NodeStopped> {
+        self.requests.send(request).await.map_err(|_| NodeStopped)
     }
 }
 
--- a/crates/stepspur-peers/src/lib.rs
+++ b/crates/stepspur-consensus-node/src/lib.rs
@@ -1,6 +1,6 @@
 //! A council of conductors in service.
 //!
-//! [`Peers`] runs a [`stepspur_council::Member`]: one task owns it, one task a peer writes to that peer, and the storage
+//! [`NodeHandle`] runs a [`stepspur_consensus::Member`]: one task owns it, one task a peer writes to that peer, and the storage
 //! has a thread of its own, so that one slow peer or a slow disk delays nobody else. What waits is bounded, and of old
 //! and new messages the new ones win: the council mends what is lost. docs/council.md has the design.
 //!
@@ -23,12 +23,12 @@
 mod tcp;
 mod transport;
 
-pub use config::{Council, Place};
-pub use handle::{Applied, Gone, Peers, Status};
-pub use schema::{BadPeer, from_peer, to_peer};
+pub use config::{ConsensusConfig, MemberAddress};
+pub use handle::{AppliedState, NodeHandle, NodeStopped, Status};
+pub use schema::{InvalidPeerMessage, from_peer, to_peer};
 pub use settings::{Settings, StartError};
 // The older names stay until those who code against them have moved on.
-pub use stepspur_council::{Change, MemberId, Refused};
-pub use storage::{SaveQueue, SaveQueue as Saves, Storage, Storage as Disk, Tell};
+pub use stepspur_consensus::{MemberId, MembershipChange, RequestError};
+pub use storage::{SaveQueue, SaveQueue as Saves, Storage, Storage as Disk, WriteCallback};
 pub use tcp::Tcp;
-pub use transport::{Later, Listener, Listener as Listen, Stream, Transport, Transport as Net};
+pub use transport::{BoxFuture, Listener, Listener as Listen, Stream, Transport, Transport as Net};
--- a/crates/stepspur-peers/src/listener.rs
+++ b/crates/stepspur-consensus-node/src/listener.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use futures_util::StreamExt;
-use stepspur_council::{MemberId, Peer};
+use stepspur_consensus::{MemberId, PeerMessage};
 use stepspur_proto::Frames;
 use stepspur_proto::v1::FromPeer;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, mpsc};
@@ -30,7 +30,7 @@
 /// What the connections of a member share.
 struct Shared {
     settings: Settings,
-    messages: mpsc::Sender<(MemberId, Peer)>,
+    messages: mpsc::Sender<(MemberId, PeerMessage)>,
     newest: Newest,
 }
 
@@ -44,7 +44,7 @@
 impl PeerListener {
     pub(crate) fn new(
         settings: Settings,
-        messages: mpsc::Sender<(MemberId, Peer)>,
+        messages: mpsc::Sender<(MemberId, PeerMessage)>,
         stop: CancellationToken,
         tasks: TaskTracker,
     ) -> Self {
@@ -96,7 +96,7 @@
     #[error("{0}")]
     Frame(#[from] stepspur_proto::FrameError),
     #[error("{0}")]
-    Message(#[from] crate::schema::BadPeer),
+    Message(#[from] crate::schema::InvalidPeerMessage),
     #[error("{from} means {to}, and this is {me}")]
     Elsewhere { from: MemberId, to: MemberId, me: MemberId },
     #[error("{0} is none of this council's conductors")]
--- a/crates/stepspur-peers/src/schema.rs
+++ b/crates/stepspur-consensus-node/src/schema.rs
@@ -1,11 +1,11 @@
 //! The council's messages in the schema's words, and back. What cannot be is refused, not guessed.
 
-use stepspur_council::{Entry, Index, MemberId, Message, Payload, Peer, Term, Voters};
+use stepspur_consensus::{Entry, Index, MemberId, Message, Payload, PeerMessage, Term, Voters};
 use stepspur_proto::v1::{self, from_peer::Kind, peer_entry};
 
 /// Why a frame is no message of the council.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum BadPeer {
+pub enum InvalidPeerMessage {
     /// A part that must be there is not.
     #[error("a message without its {0}")]
     Lacks(&'static str),
@@ -18,8 +18,8 @@
     Some(v1::PeerPlace { index: index.0, term: term.0 })
 }
 
-fn placed(place: Option<v1::PeerPlace>, what: &'static str) -> Result<(Index, Term), BadPeer> {
-    place.map(|p| (Index(p.index), Term(p.term))).ok_or(BadPeer::Lacks(what))
+fn placed(place: Option<v1::PeerPlace>, what: &'static str) -> Result<(Index, Term), InvalidPeerMessage> {
+    place.map(|p| (Index(p.index), Term(p.term))).ok_or(InvalidPeerMessage::Lacks(what))
 }
 
 fn voters(voters: &Voters) -> v1::PeerVoters {
@@ -39,9 +39,9 @@
     v1::PeerEntry { place: place((entry.index, entry.term)), payload: Some(payload) }
 }
 
-fn entered(entry: v1::PeerEntry) -> Result<Entry, BadPeer> {
+fn entered(entry: v1::PeerEntry) -> Result<Entry, InvalidPeerMessage> {
     let (index, term) = placed(entry.place, "entry's place")?;
-    let payload = match entry.payload.ok_or(BadPeer::Lacks("entry's payload"))? {
+    let payload = match entry.payload.ok_or(InvalidPeerMessage::Lacks("entry's payload"))? {
         peer_entry::Payload::Nothing(_) => Payload::Nothing,
         peer_entry::Payload::Voters(voters) => Payload::Members(voted(voters)),
         peer_entry::Payload::Command(command) => Payload::Command(command),
@@ -49,7 +49,7 @@
     Ok(Entry { index, term, payload })
 }
 
-fn all_entered(entries: Vec<v1::PeerEntry>) -> Result<Vec<Entry>, BadPeer> {
+fn all_entered(entries: Vec<v1::PeerEntry>) -> Result<Vec<Entry>, InvalidPeerMessage> {
     entries.into_iter().map(entered).collect()
 }
 
@@ -58,11 +58,11 @@
 }
 
 /// A message as it goes over a link.
-pub fn to_peer(from: MemberId, to: MemberId, message: Peer) -> v1::FromPeer {
+pub fn to_peer(from: MemberId, to: MemberId, message: PeerMessage) -> v1::FromPeer {
     let ballot = |term: Term, last, handed| v1::PeerBallot { term: term.0, last: place(last), handed };
     let verdict = |term: Term, granted| v1::PeerVerdict { term: term.0, granted };
     let kind = match message {
-        Peer::Log(message) => match message {
+        PeerMessage::Log(message) => match message {
             Message::PreVote { term, last } => Kind::PreVote(ballot(term, last, false)),
             Message::PreVoted { term, granted } => Kind::PreVoted(verdict(term, granted)),
             Message::Vote { term, last, handed } => Kind::Vote(ballot(term, last, handed)),
@@ -93,22 +93,24 @@
             }
             Message::Stand { term } => Kind::Stand(v1::PeerStand { term: term.0 }),
         },
-        Peer::Renew { number, heard, weight, wants } => {
+        PeerMessage::Renew { number, heard, weight, wants } => {
             Kind::Renew(v1::PeerRenew { number, weight, wants, heard })
         }
-        Peer::Renewed { number, applied } => Kind::Renewed(v1::PeerRenewed { number, applied: applied.0 }),
-        Peer::Order { number, command } => Kind::Order(v1::PeerOrder { number, command }),
-        Peer::Elsewhere { number, leader: l } => {
+        PeerMessage::Renewed { number, applied } => {
+            Kind::Renewed(v1::PeerRenewed { number, applied: applied.0 })
+        }
+        PeerMessage::Order { number, command } => Kind::Order(v1::PeerOrder { number, command }),
+        PeerMessage::Elsewhere { number, leader: l } => {
             Kind::Elsewhere(v1::PeerElsewhere { number, leader: leader(l) })
         }
-        Peer::Read { number } => Kind::Read(v1::PeerRead { number }),
-        Peer::ReadAt { number, index } => Kind::ReadAt(v1::PeerReadAt { number, index: index.0 }),
-        Peer::Fetch { from } => Kind::Fetch(v1::PeerFetch { next: from.0 }),
-        Peer::Fetched { entries, leader: l } => {
+        PeerMessage::Read { number } => Kind::Read(v1::PeerRead { number }),
+        PeerMessage::ReadAt { number, index } => Kind::ReadAt(v1::PeerReadAt { number, index: index.0 }),
+        PeerMessage::Fetch { from } => Kind::Fetch(v1::PeerFetch { next: from.0 }),
+        PeerMessage::Fetched { entries, leader: l } => {
             let entries = entries.into_iter().map(entry).collect();
             Kind::Fetched(v1::PeerFetched { entries, leader: leader(l) })
         }
-        Peer::FetchedState { index, state, leader: l } => {
+        PeerMessage::FetchedState { index, state, leader: l } => {
             Kind::FetchedState(v1::PeerFetchedState { index: index.0, state, leader: leader(l) })
         }
     };
@@ -118,10 +120,10 @@
 /// What came over a link: who writes, who is meant, and what.
 ///
 /// # Errors
-/// [`BadPeer`]; it ends that link alone.
-pub fn from_peer(frame: v1::FromPeer) -> Result<(MemberId, MemberId, Peer), BadPeer> {
-    let log = Peer::Log;
-    let message = match frame.kind.ok_or(BadPeer::Lacks("kind"))? {
+/// [`InvalidPeerMessage`]; it ends that link alone.
+pub fn from_peer(frame: v1::FromPeer) -> Result<(MemberId, MemberId, PeerMessage), InvalidPeerMessage> {
+    let log = PeerMessage::Log;
+    let message = match frame.kind.ok_or(InvalidPeerMessage::Lacks("kind"))? {
         Kind::PreVote(b) => log(Message::PreVote { term: Term(b.term), last: placed(b.last, "log's end")? }),
         Kind::PreVoted(v) => log(Message::PreVoted { term: Term(v.term), granted: v.granted }),
         Kind::Vote(b) => {
@@ -145,7 +147,7 @@
         Kind::Snapshot(s) => log(Message::Snapshot {
             term: Term(s.term),
             covers: placed(s.covers, "snapshot's place")?,
-            voters: voted(s.voters.ok_or(BadPeer::Lacks("voters"))?),
+            voters: voted(s.voters.ok_or(InvalidPeerMessage::Lacks("voters"))?),
             offset: s.offset,
             bytes: s.part,
             last: s.last,
@@ -157,21 +159,25 @@
         }
         Kind::Stand(s) => log(Message::Stand { term: Term(s.term) }),
         Kind::Renew(r) if !(r.weight.is_finite() && r.weight >= 0.0) => {
-            return Err(BadPeer::Impossible("weight"));
+            return Err(InvalidPeerMessage::Impossible("weight"));
         }
-        Kind::Renew(r) => Peer::Renew { number: r.number, heard: r.heard, weight: r.weight, wants: r.wants },
-        Kind::Renewed(r) => Peer::Renewed { number: r.number, applied: Index(r.applied) },
-        Kind::Order(o) => Peer::Order { number: o.number, command: o.command },
-        Kind::Elsewhere(e) => Peer::Elsewhere { number: e.number, leader: e.leader.map(MemberId) },
-        Kind::Read(r) => Peer::Read { number: r.number },
-        Kind::ReadAt(r) => Peer::ReadAt { number: r.number, index: Index(r.index) },
-        Kind::Fetch(f) => Peer::Fetch { from: Index(f.next) },
-        Kind::Fetched(f) => {
-            Peer::Fetched { entries: all_entered(f.entries)?, leader: f.leader.map(MemberId) }
+        Kind::Renew(r) => {
+            PeerMessage::Renew { number: r.number, heard: r.heard, weight: r.weight, wants: r.wants }
         }
-        Kind::FetchedState(f) => {
-            Peer::FetchedState { index: Index(f.index), state: f.state, leader: f.leader.map(MemberId) }
+        Kind::Renewed(r) => PeerMessage::Renewed { number: r.number, applied: Index(r.applied) },
+        Kind::Order(o) => PeerMessage::Order { number: o.number, command: o.command },
+        Kind::Elsewhere(e) => PeerMessage::Elsewhere { number: e.number, leader: e.leader.map(MemberId) },
+        Kind::Read(r) => PeerMessage::Read { number: r.number },
+        Kind::ReadAt(r) => PeerMessage::ReadAt { number: r.number, index: Index(r.index) },
+        Kind::Fetch(f) => PeerMessage::Fetch { from: Index(f.next) },
+        Kind::Fetched(f) => {
+            PeerMessage::Fetched { entries: all_entered(f.entries)?, leader: f.leader.map(MemberId) }
         }
+        Kind::FetchedState(f) => PeerMessage::FetchedState {
+            index: Index(f.index),
+            state: f.state,
+            leader: f.leader.map(MemberId),
+        },
     };
     Ok((MemberId(frame.from), MemberId(frame.to), message))
 }
--- a/crates/stepspur-peers/src/settings.rs
+++ b/crates/stepspur-consensus-node/src/settings.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use stepspur_council::{MemberId, SettingsFault};
+use stepspur_consensus::{InvalidSetting, MemberId};
 
 /// A council member's settings.
 #[derive(Clone, Debug)]
@@ -17,7 +17,7 @@
     /// The others, and where they listen.
     pub peers: BTreeMap<MemberId, SocketAddr>,
     /// What all members go by.
-    pub council: stepspur_council::Settings,
+    pub council: stepspur_consensus::Settings,
     /// Beginnings of the names of duties that it would hold.
     pub wants: Vec<String>,
     /// How much of them, against others.
@@ -33,7 +33,7 @@
 pub enum StartError {
     /// Settings are out of bounds.
     #[error("council.{0}")]
-    Settings(#[from] SettingsFault),
+    Settings(#[from] InvalidSetting),
     /// The storage is another member's.
     #[error("the state file is that of {found}, and the settings name {named}")]
     Identity {
--- a/crates/stepspur-peers/src/task.rs
+++ b/crates/stepspur-consensus-node/src/task.rs
@@ -6,15 +6,16 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use stepspur_council::{
-    Change, Command, DutyName, Index, Member, MemberId, Micros, Out, Peer, Refused, State, Token,
+use stepspur_consensus::{
+    FencingToken, Index, Member, MemberId, MembershipChange, Micros, Output, PeerMessage, RequestError,
+    RoleCommand, RoleName, StateMachine,
 };
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{Instant, sleep_until, timeout};
 use tokio_util::sync::CancellationToken;
 
 use crate::events;
-use crate::handle::{Applied, Status};
+use crate::handle::{AppliedState, Status};
 use crate::link::Outbox;
 use crate::schema::to_peer;
 use crate::storage::SaveQueue;
@@ -39,19 +40,19 @@
 /// A request of the member's handle.
 pub(crate) enum Request {
     Status(oneshot::Sender<Status>),
-    Order(Command),
+    Order(RoleCommand),
     Command(Bytes),
     Read(oneshot::Sender<Option<Index>>),
-    Change(Change, oneshot::Sender<Result<(), Refused>>),
-    HandOver(MemberId, oneshot::Sender<Result<(), Refused>>),
+    Change(MembershipChange, oneshot::Sender<Result<(), RequestError>>),
+    HandOver(MemberId, oneshot::Sender<Result<(), RequestError>>),
 }
 
 /// Until when duties may be acted on, by the member's own clock.
-pub(crate) type Leases = RwLock<BTreeMap<DutyName, (Micros, Token)>>;
+pub(crate) type Leases = RwLock<BTreeMap<RoleName, (Micros, FencingToken)>>;
 
 /// What comes to the task.
 pub(crate) struct Inputs {
-    pub(crate) messages: mpsc::Receiver<(MemberId, Peer)>,
+    pub(crate) messages: mpsc::Receiver<(MemberId, PeerMessage)>,
     pub(crate) requests: mpsc::Receiver<Request>,
     pub(crate) saves: watch::Receiver<SaveProgress>,
     pub(crate) stop: CancellationToken,
@@ -63,7 +64,7 @@
     pub(crate) outboxes: BTreeMap<MemberId, Arc<Outbox>>,
     pub(crate) storage: Option<Box<dyn SaveQueue>>,
     pub(crate) leases: Arc<Leases>,
-    pub(crate) progress: watch::Sender<Applied>,
+    pub(crate) progress: watch::Sender<AppliedState>,
     /// Reads that wait, by their number.
     pub(crate) reads: BTreeMap<u64, oneshot::Sender<Option<Index>>>,
     pub(crate) clock: Clock,
@@ -90,7 +91,7 @@
     }
 }
 
-impl<S: State> MemberTask<S> {
+impl<S: StateMachine> MemberTask<S> {
     /// Runs until stopped; then waits for the storage, [`LEFT_BEHIND`] at most.
     pub(crate) async fn run(mut self, mut inputs: Inputs) {
         while let Some(out) = self.next(&mut inputs).await {
@@ -110,7 +111,7 @@
     }
 
     /// What the next event makes the member ask for; none: it is stopped.
-    async fn next(&mut self, inputs: &mut Inputs) -> Option<Vec<Out>> {
+    async fn next(&mut self, inputs: &mut Inputs) -> Option<Vec<Output>> {
         let wake = self.wake_at();
         // In this order, so that the same events give the same course; requests are bounded by who asks, and the clock
         // is looked at after each.
@@ -136,7 +137,7 @@
         due.unwrap_or(soonest + Duration::from_secs(86_400)).max(soonest)
     }
 
-    fn saved(&mut self, progress: SaveProgress) -> Vec<Out> {
+    fn saved(&mut self, progress: SaveProgress) -> Vec<Output> {
         let mut out = self.member.saved(self.clock.now(), progress.durable);
         if let Some(why) = progress.failed {
             out.extend(self.member.disk_failed(why));
@@ -144,7 +145,7 @@
         out
     }
 
-    fn answer(&mut self, request: Request) -> Vec<Out> {
+    fn answer(&mut self, request: Request) -> Vec<Output> {
         let now = self.clock.now();
         match request {
             Request::Status(reply) => {
@@ -155,11 +156,11 @@
             Request::Command(command) => self.member.command(now, &command),
             Request::Read(reply) => self.read(reply),
             Request::Change(change, reply) => answered(self.member.change(now, change), reply),
-            Request::HandOver(to, reply) => answered(self.member.hand_over(now, to), reply),
+            Request::HandOver(to, reply) => answered(self.member.transfer_leadership(now, to), reply),
         }
     }
 
-    fn read(&mut self, reply: oneshot::Sender<Option<Index>>) -> Vec<Out> {
+    fn read(&mut self, reply: oneshot::Sender<Option<Index>>) -> Vec<Output> {
         if self.reads.len() >= READS_MAX {
             self.reads.retain(|_, waits| !waits.is_closed());
         }
@@ -174,7 +175,7 @@
 
     fn status(&self) -> Status {
         let core = self.member.core();
-        let duty = |(name, duty): (&DutyName, &stepspur_council::Duty)| {
+        let duty = |(name, duty): (&RoleName, &stepspur_consensus::Role)| {
             (name.as_str().to_owned(), (duty.holder, duty.token.0))
         };
         Status {
@@ -189,12 +190,12 @@
     }
 
     /// Does what the member asks for. A save that cannot be queued retires it, which may ask for more.
-    fn act(&mut self, out: Vec<Out>) {
+    fn act(&mut self, out: Vec<Output>) {
         let mut left = VecDeque::from(out);
         while let Some(out) = left.pop_front() {
             match out {
-                Out::Send(to, message) => self.send(to, message),
-                Out::Save(save) => {
+                Output::Send(to, message) => self.send(to, message),
+                Output::Save(save) => {
                     let queued = match &self.storage {
                         Some(storage) => storage.save(save),
                         None => Err("it has no disk".to_owned()),
@@ -203,18 +204,18 @@
                         left.extend(self.member.disk_failed(why));
                     }
                 }
-                Out::Read(number, index) => {
+                Output::Read(number, index) => {
                     if let Some(reply) = self.reads.remove(&number) {
                         let _ = reply.send(index);
                     }
                 }
-                Out::Changed(changed) => events::duty_changed(self.id, &changed),
-                Out::Note(note) => events::council_note(self.id, &note),
+                Output::Changed(changed) => events::duty_changed(self.id, &changed),
+                Output::Note(note) => events::council_note(self.id, &note),
             }
         }
     }
 
-    fn send(&mut self, to: MemberId, message: Peer) {
+    fn send(&mut self, to: MemberId, message: PeerMessage) {
         let Some(outbox) = self.outboxes.get(&to) else { return };
         if outbox.push(to_peer(self.id, to, message)) {
             return;
@@ -231,7 +232,7 @@
         self.progress.send_if_modified(|now| {
             let news = now.index != index || now.stopped.as_deref() != stopped;
             if news {
-                *now = Applied { index, stopped: stopped.map(str::to_owned) };
+                *now = AppliedState { index, stopped: stopped.map(str::to_owned) };
             }
             news
         });
@@ -242,7 +243,10 @@
     }
 }
 
-fn answered(result: Result<Vec<Out>, Refused>, reply: oneshot::Sender<Result<(), Refused>>) -> Vec<Out> {
+fn answered(
+    result: Result<Vec<Output>, RequestError>,
+    reply: oneshot::Sender<Result<(), RequestError>>,
+) -> Vec<Output> {
     let (out, told) = match result {
         Ok(out) => (out, Ok(())),
         Err(refused) => (Vec::new(), Err(refused)),
--- a/crates/stepspur-peers/src/tcp.rs
+++ b/crates/stepspur-consensus-node/src/tcp.rs
@@ -5,14 +5,14 @@
 
 use tokio::net::{TcpListener, TcpStream};
 
-use crate::transport::{Later, Listener, Stream, Transport};
+use crate::transport::{BoxFuture, Listener, Stream, Transport};
 
 /// Plain TCP. It listens on loopback alone, as links carry no identity yet.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tcp;
 
 impl Transport for Tcp {
-    fn listen(&self, at: SocketAddr) -> Later<'_, io::Result<Box<dyn Listener>>> {
+    fn listen(&self, at: SocketAddr) -> BoxFuture<'_, io::Result<Box<dyn Listener>>> {
         Box::pin(async move {
             if !at.ip().is_loopback() {
                 return Err(io::Error::other("peers' links carry no identity yet: loopback only"));
@@ -23,7 +23,7 @@
         })
     }
 
-    fn dial(&self, to: SocketAddr) -> Later<'_, io::Result<Box<dyn Stream>>> {
+    fn dial(&self, to: SocketAddr) -> BoxFuture<'_, io::Result<Box<dyn Stream>>> {
         Box::pin(async move {
             let socket = TcpStream::connect(to).await?;
             socket.set_nodelay(true)?;
@@ -42,7 +42,7 @@
         self.address
     }
 
-    fn accept(&mut self) -> Later<'_, io::Result<Box<dyn Stream>>> {
+    fn accept(&mut self) -> BoxFuture<'_, io::Result<Box<dyn Stream>>> {
         Box::pin(async { Ok(Box::new(self.listener.accept().await?.0) as Box<dyn Stream>) })
     }
 }
--- a/crates/stepspur-peers/src/transport.rs
+++ b/crates/stepspur-consensus-node/src/transport.rs
@@ -7,7 +7,7 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 
 /// A boxed future, for traits that are used as objects.
-pub type Later<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
+pub type BoxFuture<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
 
 /// A connection.
 pub trait Stream: AsyncRead + AsyncWrite + Send + Unpin {}
@@ -16,10 +16,10 @@
 /// Connects members to each other.
 pub trait Transport: Send + Sync + 'static {
     /// Listens at an address.
-    fn listen(&self, at: SocketAddr) -> Later<'_, io::Result<Box<dyn Listener>>>;
+    fn listen(&self, at: SocketAddr) -> BoxFuture<'_, io::Result<Box<dyn Listener>>>;
 
     /// Connects to an address.
-    fn dial(&self, to: SocketAddr) -> Later<'_, io::Result<Box<dyn Stream>>>;
+    fn dial(&self, to: SocketAddr) -> BoxFuture<'_, io::Result<Box<dyn Stream>>>;
 }
 
 /// An address at which connections are accepted.
@@ -28,5 +28,5 @@
     fn address(&self) -> SocketAddr;
 
     /// The next connection. The future may be dropped and asked for again without losing one.
-    fn accept(&mut self) -> Later<'_, io::Result<Box<dyn Stream>>>;
+    fn accept(&mut self) -> BoxFuture<'_, io::Result<Box<dyn Stream>>>;
 }
--- a/crates/stepspur-state/src/fault.rs
+++ b/crates/stepspur-consensus-storage/src/fault.rs
@@ -4,7 +4,7 @@
 
 /// Why a store cannot be opened, or takes no more.
 #[derive(Debug, thiserror::Error)]
-pub enum Fault {
+pub enum StorageError {
     /// There is no file: a member without its disk is not its former self, so that one is made only when asked for.
     #[error("{}: no such state file", .0.display())]
     NotThere(PathBuf),
--- a/crates/stepspur-state/src/file.rs
+++ b/crates/stepspur-consensus-storage/src/file.rs
@@ -6,14 +6,14 @@
 
 use redb::backends::FileBackend;
 
-use crate::fault::Fault;
+use crate::fault::StorageError;
 
 /// Opens a file that is there, and locks it.
-pub(crate) fn open(path: &Path) -> Result<FileBackend, Fault> {
+pub(crate) fn open(path: &Path) -> Result<FileBackend, StorageError> {
     let file =
         OpenOptions::new().read(true).write(true).open(path).map_err(|source| match source.kind() {
-            io::ErrorKind::NotFound => Fault::NotThere(path.to_owned()),
-            _ => Fault::Disk { what: "opening the state file", source },
+            io::ErrorKind::NotFound => StorageError::NotThere(path.to_owned()),
+            _ => StorageError::Disk { what: "opening the state file", source },
         })?;
     lock(file)
 }
@@ -26,16 +26,19 @@
 }
 
 /// Makes the file under another name: a crash in between leaves none under its own. What an earlier crash left goes.
-pub(crate) fn make(path: &Path) -> Result<FileBackend, Fault> {
-    if path.try_exists().map_err(|source| Fault::Disk { what: "looking for the state file", source })? {
-        return Err(Fault::Exists(path.to_owned()));
+pub(crate) fn make(path: &Path) -> Result<FileBackend, StorageError> {
+    if path
+        .try_exists()
+        .map_err(|source| StorageError::Disk { what: "looking for the state file", source })?
+    {
+        return Err(StorageError::Exists(path.to_owned()));
     }
     let file = OpenOptions::new().read(true).write(true).create(true).truncate(true).open(unfinished(path));
-    lock(file.map_err(|source| Fault::Disk { what: "making the state file", source })?)
+    lock(file.map_err(|source| StorageError::Disk { what: "making the state file", source })?)
 }
 
 /// Gives a made file its name, for good once the directory is on disk, and never in place of another.
-pub(crate) fn finish(path: &Path) -> Result<(), Fault> {
+pub(crate) fn finish(path: &Path) -> Result<(), StorageError> {
     let name = || {
         std::fs::hard_link(unfinished(path), path)?;
         std::fs::remove_file(unfinished(path))?;
@@ -43,14 +46,14 @@
         File::open(parent)?.sync_all()
     };
     name().map_err(|source| match source.kind() {
-        io::ErrorKind::AlreadyExists => Fault::Exists(path.to_owned()),
-        _ => Fault::Disk { what: "naming the state file", source },
+        io::ErrorKind::AlreadyExists => StorageError::Exists(path.to_owned()),
+        _ => StorageError::Disk { what: "naming the state file", source },
     })
 }
 
-fn lock(file: File) -> Result<FileBackend, Fault> {
+fn lock(file: File) -> Result<FileBackend, StorageError> {
     FileBackend::new(file).map_err(|cause| match cause {
-        redb::DatabaseError::DatabaseAlreadyOpen => Fault::InUse,
-        other => Fault::Store { what: "locking the state file", cause: other.to_string() },
+        redb::DatabaseError::DatabaseAlreadyOpen => StorageError::InUse,
+        other => StorageError::Store { what: "locking the state file", cause: other.to_string() },
     })
 }
--- a/crates/stepspur-state/src/lib.rs
+++ b/crates/stepspur-consensus-storage/src/lib.rs
@@ -15,6 +15,6 @@
 mod store;
 mod writer;
 
-pub use fault::Fault;
-pub use store::{FORMAT, MOST_BYTES, Store};
-pub use writer::{Busy, Told, Writer};
+pub use fault::StorageError;
+pub use store::{FORMAT_VERSION, MAX_FILE_BYTES, Store};
+pub use writer::{QueueFull, WriteOutcome, Writer};
--- a/crates/stepspur-state/src/store.rs
+++ b/crates/stepspur-consensus-storage/src/store.rs
@@ -7,16 +7,16 @@
 use redb::{Database, Durability, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
-use stepspur_council::{Entry, Index, Log, MemberId, Save, Snapshot, Stored, Term};
+use stepspur_consensus::{Entry, Index, Log, MemberId, PersistentState, Snapshot, Term, WriteRequest};
 
-use crate::fault::Fault;
+use crate::fault::StorageError;
 use crate::file;
 use crate::image::Image;
 
 /// The format that this version writes. A later one is refused; an earlier one is read, and written anew as this.
-pub const FORMAT: u32 = 1;
+pub const FORMAT_VERSION: u32 = 1;
 /// The largest state file that is opened, in bytes: one beyond it is none of ours.
-pub const MOST_BYTES: u64 = 1 << 30;
+pub const MAX_FILE_BYTES: u64 = 1 << 30;
 
 const FACTS: TableDefinition<&str, &[u8]> = TableDefinition::new("facts");
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
@@ -41,8 +41,8 @@
     /// Makes a state file for a member that has none. It has its name only once it is whole.
     ///
     /// # Errors
-    /// [`Fault::Exists`] if there is one, and those of the disk.
-    pub fn create(path: &Path, id: MemberId, first: &Stored) -> Result<Self, Fault> {
+    /// [`StorageError::Exists`] if there is one, and those of the disk.
+    pub fn create(path: &Path, id: MemberId, first: &PersistentState) -> Result<Self, StorageError> {
         let store = Self::create_on(file::make(path)?, id, first)?;
         file::finish(path)?;
         Ok(store)
@@ -51,8 +51,8 @@
     /// Opens a member's state file and reads all of it.
     ///
     /// # Errors
-    /// See [`Fault`]. The file is left as it is unless it could be read.
-    pub fn open(path: &Path) -> Result<(Self, Stored), Fault> {
+    /// See [`StorageError`]. The file is left as it is unless it could be read.
+    pub fn open(path: &Path) -> Result<(Self, PersistentState), StorageError> {
         Self::open_on(file::open(path)?)
     }
 
@@ -60,16 +60,21 @@
     ///
     /// # Errors
     /// Those of the disk.
-    pub fn create_on(disk: impl StorageBackend, id: MemberId, first: &Stored) -> Result<Self, Fault> {
+    pub fn create_on(
+        disk: impl StorageBackend,
+        id: MemberId,
+        first: &PersistentState,
+    ) -> Result<Self, StorageError> {
         let db = start(disk)?;
         let mut store = Self { db, id, failed: None };
         store.write("making the state file", |facts, _| {
-            put(facts, FORMAT_AT, &FORMAT)?;
+            put(facts, FORMAT_AT, &FORMAT_VERSION)?;
             put(facts, IDENTITY, &id)
         })?;
         let entries = first.log.from(Index(0), usize::MAX);
         let snapshot = Some(Arc::clone(first.log.base()));
-        let all = Save { number: 0, term: first.term, vote: first.vote, snapshot, from: None, entries };
+        let all =
+            WriteRequest { number: 0, term: first.term, vote: first.vote, snapshot, from: None, entries };
         store.save(&[all])?;
         Ok(store)
     }
@@ -77,18 +82,18 @@
     /// As [`Store::open`], on a disk.
     ///
     /// # Errors
-    /// See [`Fault`].
-    pub fn open_on(disk: impl StorageBackend) -> Result<(Self, Stored), Fault> {
-        let io = |source| Fault::Disk { what: "reading the state file", source };
+    /// See [`StorageError`].
+    pub fn open_on(disk: impl StorageBackend) -> Result<(Self, PersistentState), StorageError> {
+        let io = |source| StorageError::Disk { what: "reading the state file", source };
         match disk.len().map_err(io)? {
             // An empty file would be made anew by redb, with an identity that never was.
-            0 => return Err(Fault::Damaged("it is empty".to_owned())),
-            len if len > MOST_BYTES => return Err(Fault::Damaged(format!("it has {len} bytes"))),
+            0 => return Err(StorageError::Damaged("it is empty".to_owned())),
+            len if len > MAX_FILE_BYTES => return Err(StorageError::Damaged(format!("it has {len} bytes"))),
             _ => {}
         }
         // Read on a copy first: repairs must not touch what cannot be read.
         let mut copy = start(Image::of(&disk).map_err(io)?)?;
-        let damaged = |cause: &dyn std::fmt::Display| Fault::Damaged(cause.to_string());
+        let damaged = |cause: &dyn std::fmt::Display| StorageError::Damaged(cause.to_string());
         copy.check_integrity().map_err(|cause| damaged(&cause))?;
         read(&copy)?;
         drop(copy);
@@ -109,8 +114,8 @@
     /// but a count, so that going back by one forgets nothing that was told.
     ///
     /// # Errors
-    /// After the first error nothing more is written until the file is opened anew: [`Fault::Failed`].
-    pub fn save(&mut self, saves: &[Save]) -> Result<(), Fault> {
+    /// After the first error nothing more is written until the file is opened anew: [`StorageError::Failed`].
+    pub fn save(&mut self, saves: &[WriteRequest]) -> Result<(), StorageError> {
         self.write("writing the state file", |facts, log| {
             for save in saves {
                 put(facts, VOTE, &(save.term, save.vote))?;
@@ -142,9 +147,9 @@
             &mut redb::Table<&str, &[u8]>,
             &mut redb::Table<u64, &[u8]>,
         ) -> Result<(), redb::Error>,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), StorageError> {
         if let Some(why) = &self.failed {
-            return Err(Fault::Failed(why.clone()));
+            return Err(StorageError::Failed(why.clone()));
         }
         let transact = || -> Result<(), redb::Error> {
             let mut write = self.db.begin_write()?;
@@ -155,20 +160,20 @@
         transact().map_err(|cause| {
             self.failed = Some(cause.to_string());
             match cause {
-                redb::Error::Io(source) => Fault::Disk { what, source },
-                other => Fault::Store { what, cause: other.to_string() },
+                redb::Error::Io(source) => StorageError::Disk { what, source },
+                other => StorageError::Store { what, cause: other.to_string() },
             }
         })
     }
 }
 
-fn start(disk: impl StorageBackend) -> Result<Database, Fault> {
+fn start(disk: impl StorageBackend) -> Result<Database, StorageError> {
     redb::Builder::new().create_with_backend(disk).map_err(|cause| match cause {
-        redb::DatabaseError::DatabaseAlreadyOpen => Fault::InUse,
+        redb::DatabaseError::DatabaseAlreadyOpen => StorageError::InUse,
         redb::DatabaseError::Storage(redb::StorageError::Io(source)) => {
-            Fault::Disk { what: "opening the state file", source }
+            StorageError::Disk { what: "opening the state file", source }
         }
-        other => Fault::Damaged(other.to_string()),
+        other => StorageError::Damaged(other.to_string()),
     })
 }
 
@@ -182,23 +187,23 @@
     Ok(())
 }
 
-fn decode<T: DeserializeOwned>(what: &str, bytes: &[u8]) -> Result<T, Fault> {
+fn decode<T: DeserializeOwned>(what: &str, bytes: &[u8]) -> Result<T, StorageError> {
     postcard::from_bytes_crc32(bytes, SUM.digest())
-        .map_err(|cause| Fault::Damaged(format!("{what}: {cause}")))
+        .map_err(|cause| StorageError::Damaged(format!("{what}: {cause}")))
 }
 
-fn read(db: &Database) -> Result<(MemberId, Stored), Fault> {
-    let damaged = |cause: redb::Error| Fault::Damaged(cause.to_string());
+fn read(db: &Database) -> Result<(MemberId, PersistentState), StorageError> {
+    let damaged = |cause: redb::Error| StorageError::Damaged(cause.to_string());
     let begun = db.begin_read().map_err(|cause| damaged(cause.into()))?;
     let facts = begun.open_table(FACTS).map_err(|cause| damaged(cause.into()))?;
     let log = begun.open_table(LOG).map_err(|cause| damaged(cause.into()))?;
     let fact = |name: &str| {
         let value = facts.get(name).map_err(|cause| damaged(cause.into()))?;
-        value.ok_or_else(|| Fault::Damaged(format!("{name} is missing")))
+        value.ok_or_else(|| StorageError::Damaged(format!("{name} is missing")))
     };
     let format: u32 = decode(FORMAT_AT, fact(FORMAT_AT)?.value())?;
-    if format > FORMAT {
-        return Err(Fault::Newer { found: format, known: FORMAT });
+    if format > FORMAT_VERSION {
+        return Err(StorageError::Newer { found: format, known: FORMAT_VERSION });
     }
     let id = decode(IDENTITY, fact(IDENTITY)?.value())?;
     let (term, vote): (Term, Option<MemberId>) = decode(VOTE, fact(VOTE)?.value())?;
@@ -210,10 +215,12 @@
         let entry: Entry = decode("an entry of the log", bytes.value())?;
         if entry.index != Index(index.value()) || entry.index != next {
             let found = entry.index;
-            return Err(Fault::Damaged(format!("entry {next} is missing: {found} stands in its place")));
+            return Err(StorageError::Damaged(format!(
+                "entry {next} is missing: {found} stands in its place"
+            )));
         }
         next = next.next();
         entries.push(entry);
     }
-    Ok((id, Stored { term, vote, log: Log::new(Arc::new(snapshot), entries) }))
+    Ok((id, PersistentState { term, vote, log: Log::new(Arc::new(snapshot), entries) }))
 }
--- a/crates/stepspur-state/src/writer.rs
+++ b/crates/stepspur-consensus-storage/src/writer.rs
@@ -3,9 +3,9 @@
 use std::sync::mpsc::{Receiver, SyncSender, TrySendError, sync_channel};
 use std::thread::JoinHandle;
 
-use stepspur_council::Save;
+use stepspur_consensus::WriteRequest;
 
-use crate::fault::Fault;
+use crate::fault::StorageError;
 use crate::store::Store;
 
 /// Saves of one transaction at most: while one is written the next gather, so that a slow disk sees fewer of them.
@@ -13,18 +13,18 @@
 
 /// What became of saves.
 #[derive(Debug)]
-pub enum Told {
+pub enum WriteOutcome {
     /// The disk has all saves up to this number.
     Kept(u64),
     /// The disk failed: nothing more is written, and nothing more is told.
-    Failed(Fault),
+    Failed(StorageError),
 }
 
 /// So many saves wait that no more are taken: the disk is stalled. The save must not be forgotten: its member takes no
 /// part from here on.
 #[derive(Debug, thiserror::Error)]
 #[error("the disk takes no more: {waiting} saves wait")]
-pub struct Busy {
+pub struct QueueFull {
     /// So many wait.
     pub waiting: usize,
 }
@@ -32,7 +32,7 @@
 /// Writes saves in a thread of its own.
 #[derive(Debug)]
 pub struct Writer {
-    to: SyncSender<Save>,
+    to: SyncSender<WriteRequest>,
     room: usize,
     thread: JoinHandle<Store>,
 }
@@ -45,7 +45,7 @@
     pub fn start(
         store: Store,
         room: usize,
-        told: impl FnMut(Told) + Send + 'static,
+        told: impl FnMut(WriteOutcome) + Send + 'static,
     ) -> std::io::Result<Self> {
         let (to, saves) = sync_channel(room);
         let thread = std::thread::Builder::new().name("state".to_owned());
@@ -55,11 +55,13 @@
     /// Gives a save to be written. It never waits.
     ///
     /// # Errors
-    /// [`Busy`], if too many wait, or the disk has failed.
-    pub fn save(&self, save: Save) -> Result<(), Busy> {
+    /// [`QueueFull`], if too many wait, or the disk has failed.
+    pub fn save(&self, save: WriteRequest) -> Result<(), QueueFull> {
         match self.to.try_send(save) {
             Ok(()) => Ok(()),
-            Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => Err(Busy { waiting: self.room }),
+            Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => {
+                Err(QueueFull { waiting: self.room })
+            }
         }
     }
 
@@ -71,14 +73,15 @@
 }
 
 /// What is given last goes first at the end: once nobody tells any more, no save is taken either.
-fn write(mut told: impl FnMut(Told), mut store: Store, saves: Receiver<Save>) -> Store {
+fn write(mut told: impl FnMut(WriteOutcome), mut store: Store, saves: Receiver<WriteRequest>) -> Store {
     while let Ok(first) = saves.recv() {
-        let together: Vec<Save> = std::iter::once(first).chain(saves.try_iter().take(TOGETHER - 1)).collect();
+        let together: Vec<WriteRequest> =
+            std::iter::once(first).chain(saves.try_iter().take(TOGETHER - 1)).collect();
         let last = together.last().map_or(0, |save| save.number);
         match store.save(&together) {
-            Ok(()) => told(Told::Kept(last)),
+            Ok(()) => told(WriteOutcome::Kept(last)),
             Err(fault) => {
-                told(Told::Failed(fault));
+                told(WriteOutcome::Failed(fault));
                 break;
             }
         }
--- a/crates/stepspur-council/src/core.rs
+++ b/crates/stepspur-consensus/src/core.rs
@@ -11,14 +11,14 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::ids::{Index, MemberId, Micros, Term};
-use crate::leading::{Leading, Peer};
+use crate::leading::{Leading, PeerMessage};
 use crate::log::{Entry, Log, Payload, Snapshot, Voters};
 use crate::message::{Message, Note};
 use crate::settings::Settings;
 
 /// What a member keeps on its disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Stored {
+pub struct PersistentState {
     /// Its term.
     pub term: Term,
     /// Whom it voted for in that term.
@@ -29,8 +29,8 @@
 
 /// What has to be on disk before what depends on it leaves.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Save {
-    /// Its number; [`Core::saved`] tells it once the disk has it.
+pub struct WriteRequest {
+    /// Its number; [`RaftNode::saved`] tells it once the disk has it.
     pub number: u64,
     /// The term.
     pub term: Term,
@@ -44,9 +44,9 @@
     pub entries: Vec<Entry>,
 }
 
-impl Stored {
+impl PersistentState {
     /// The disk after a save.
-    pub fn after(&self, save: &Save) -> Self {
+    pub fn after(&self, save: &WriteRequest) -> Self {
         let base = save.snapshot.as_ref().unwrap_or(self.log.base());
         let old = self.log.from(Index(0), usize::MAX).into_iter();
         let old = old.filter(|e| e.index > base.index && save.from.is_none_or(|from| e.index < from));
@@ -61,26 +61,26 @@
     /// Write to a member.
     Send(MemberId, Message),
     /// Bring to disk.
-    Save(Save),
+    Save(WriteRequest),
     /// An entry is agreed: apply it to the state above.
     Apply(Entry),
     /// The state above is this one now.
     Restore(Arc<Snapshot>),
-    /// A question asked at [`Core::ask`] is confirmed: it led after it was asked, and all agreed up to here counts.
-    Confirmed(Question, Index),
+    /// A question asked at [`RaftNode::ask`] is confirmed: it led after it was asked, and all agreed up to here counts.
+    Confirmed(ReadRequestId, Index),
     /// It is no more the leader that could confirm it.
-    Lost(Question),
+    Lost(ReadRequestId),
     /// For the log.
     Note(Note),
 }
 
 /// The number of a question to a leader whether it still leads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Question(pub u64);
+pub struct ReadRequestId(pub u64);
 
 /// Why something cannot be asked of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refused {
+pub enum RequestError {
     /// It does not lead; this one may.
     #[error("it does not lead")]
     NotLeader(Option<MemberId>),
@@ -100,7 +100,7 @@
 
 /// A change of the members that vote: one at a time (thesis 4.1).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Change {
+pub enum MembershipChange {
     /// It votes once it has caught up.
     Add(MemberId),
     /// It votes no more.
@@ -120,7 +120,7 @@
 
 /// A member of the council.
 #[derive(Clone, Debug)]
-pub struct Core {
+pub struct RaftNode {
     pub(crate) id: MemberId,
     pub(crate) set: Settings,
     rng: ChaCha8Rng,
@@ -156,10 +156,10 @@
     snapshot: bool,
 }
 
-impl Core {
+impl RaftNode {
     /// A member as its disk has it. The first members of a council have a log whose snapshot names all of them, at
     /// index 1 and term 1; a conductor that only follows has an empty one.
-    pub fn new(id: MemberId, stored: Stored, set: Settings, seed: u64, now: Micros) -> Self {
+    pub fn new(id: MemberId, stored: PersistentState, set: Settings, seed: u64, now: Micros) -> Self {
         let mut core = Self {
             id,
             set,
@@ -189,9 +189,9 @@
     }
 
     /// The snapshot that the first members of a council begin with.
-    pub fn founding(voters: Voters) -> Stored {
+    pub fn bootstrap(voters: Voters) -> PersistentState {
         let base = Snapshot { index: Index(1), term: Term(1), voters, state: Bytes::new() };
-        Stored { term: Term(1), vote: None, log: Log::new(Arc::new(base), []) }
+        PersistentState { term: Term(1), vote: None, log: Log::new(Arc::new(base), []) }
     }
 
     /// Its identity.
@@ -218,7 +218,7 @@
     }
 
     /// True: it leads, and the first entry of its term is agreed, so that it knows all that is.
-    pub fn leads(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         matches!(&self.role, Role::Leader(leading) if self.commit >= leading.first)
     }
 
@@ -227,7 +227,7 @@
         matches!(self.role, Role::Retired)
     }
 
-    /// When [`Core::tick`] is due at the latest.
+    /// When [`RaftNode::tick`] is due at the latest.
     pub fn next_at(&self) -> Micros {
         match &self.role {
             Role::Leader(_) => self.now + self.set.heartbeat / 2,
@@ -359,19 +359,19 @@
     /// Asks a leader whether it still leads: [`Effect::Confirmed`] or [`Effect::Lost`] tells (thesis 6.4).
     ///
     /// # Errors
-    /// [`Refused::NotLeader`], [`Refused::Full`].
-    pub fn ask(&mut self, now: Micros) -> Result<Question, Refused> {
+    /// [`RequestError::NotLeader`], [`RequestError::Full`].
+    pub fn ask(&mut self, now: Micros) -> Result<ReadRequestId, RequestError> {
         self.now = self.now.max(now);
-        if !self.leads() {
-            return Err(Refused::NotLeader(self.leader));
+        if !self.is_leader() {
+            return Err(RequestError::NotLeader(self.leader));
         }
         let most = self.set.waiting_max;
-        let Role::Leader(leading) = &mut self.role else { return Err(Refused::NotLeader(self.leader)) };
+        let Role::Leader(leading) = &mut self.role else { return Err(RequestError::NotLeader(self.leader)) };
         if leading.questions.len() >= most {
-            return Err(Refused::Full);
+            return Err(RequestError::Full);
         }
         self.questions += 1;
-        let question = Question(self.questions);
+        let question = ReadRequestId(self.questions);
         // A round that begins from now on: one under way may have begun before it was asked.
         leading.questions.push_back((question, leading.round + 1));
         self.begin_round();
@@ -476,7 +476,7 @@
     fn become_leader(&mut self) {
         let last = self.log.last_index();
         let peers = self.log.voters().0.iter().filter(|m| **m != self.id);
-        let peer = Peer { next: last.next(), heard_at: self.now, ..Peer::default() };
+        let peer = PeerMessage { next: last.next(), heard_at: self.now, ..PeerMessage::default() };
         let peers = peers.map(|m| (*m, peer.clone())).collect();
         self.role = Role::Leader(Leading { peers, first: last.next(), ..Leading::default() });
         self.leader = Some(self.id);
@@ -537,7 +537,8 @@
         let entries = from.map_or(Vec::new(), |from| self.log.from(from, usize::MAX));
         let snapshot = unsaved.snapshot.then(|| Arc::clone(self.log.base()));
         self.outstanding.push_back((self.asked, self.now, self.log.last_index()));
-        let save = Save { number: self.asked, term: self.term, vote: self.vote, snapshot, from, entries };
+        let save =
+            WriteRequest { number: self.asked, term: self.term, vote: self.vote, snapshot, from, entries };
         // Before all else of this step: what it gives back may depend on it.
         self.out.push_front(Effect::Save(save));
     }
--- a/crates/stepspur-council/src/fence.rs
+++ b/crates/stepspur-consensus/src/fence.rs
@@ -2,24 +2,24 @@
 
 use std::collections::BTreeMap;
 
-use crate::duty::{DutyName, Token};
+use crate::duty::{FencingToken, RoleName};
 
 /// An order that came too late: its holder was stopped between its check and its act, and another has acted since.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{duty}: token {token} is lower than {highest}, which was seen")]
-pub struct Stale {
+pub struct StaleToken {
     /// The duty.
-    pub duty: DutyName,
+    pub duty: RoleName,
     /// The order's token.
-    pub token: Token,
+    pub token: FencingToken,
     /// The highest seen.
-    pub highest: Token,
+    pub highest: FencingToken,
 }
 
 /// What a receiver of orders keeps. It must be kept as long as orders by lower tokens may be on their way.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Fence {
-    highest: BTreeMap<DutyName, Token>,
+    highest: BTreeMap<RoleName, FencingToken>,
     refused: u64,
 }
 
@@ -27,12 +27,12 @@
     /// Takes an order by this token.
     ///
     /// # Errors
-    /// [`Stale`] if a higher one was seen.
-    pub fn pass(&mut self, duty: &DutyName, token: Token) -> Result<(), Stale> {
+    /// [`StaleToken`] if a higher one was seen.
+    pub fn pass(&mut self, duty: &RoleName, token: FencingToken) -> Result<(), StaleToken> {
         let highest = self.highest.entry(duty.clone()).or_default();
         if token < *highest {
             self.refused += 1;
-            return Err(Stale { duty: duty.clone(), token, highest: *highest });
+            return Err(StaleToken { duty: duty.clone(), token, highest: *highest });
         }
         *highest = token;
         Ok(())
--- a/crates/stepspur-council/src/leading.rs
+++ b/crates/stepspur-consensus/src/leading.rs
@@ -2,25 +2,25 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::core::Question;
+use crate::core::ReadRequestId;
 use crate::ids::{Index, MemberId, Micros};
 
 /// What a leader knows.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct Leading {
-    pub peers: BTreeMap<MemberId, Peer>,
+    pub peers: BTreeMap<MemberId, PeerMessage>,
     /// Its first entry: once agreed, all before is, too.
     pub first: Index,
     pub round: u64,
     /// Questions, and the round that confirms each.
-    pub questions: VecDeque<(Question, u64)>,
+    pub questions: VecDeque<(ReadRequestId, u64)>,
     pub hand_to: Option<(MemberId, Micros)>,
     pub joining: Option<Joining>,
 }
 
 /// A member as its leader sees it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub(crate) struct Peer {
+pub(crate) struct PeerMessage {
     /// The next entry to send.
     pub next: Index,
     /// The last that it surely holds.
--- a/crates/stepspur-council/src/lease.rs
+++ b/crates/stepspur-consensus/src/lease.rs
@@ -7,23 +7,23 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::duty::{Changed, Duties, Duty, DutyName, Token};
+use crate::duty::{FencingToken, Role, RoleChange, RoleName, RoleTable};
 use crate::ids::{Index, MemberId, Micros};
 use crate::settings::Settings;
 
 /// The granting side: what a leader knows of its holders. It begins empty with each lead.
 #[derive(Clone, Debug, Default)]
-pub struct Keeper {
+pub struct LeaseGrantor {
     /// Since when it leads.
     since: Micros,
     /// When each member was last heard to ask.
     asked: BTreeMap<MemberId, Micros>,
     /// When each duty's grant, and its revocation, was applied here.
-    granted: BTreeMap<DutyName, Micros>,
-    revoked: BTreeMap<DutyName, Micros>,
+    granted: BTreeMap<RoleName, Micros>,
+    revoked: BTreeMap<RoleName, Micros>,
 }
 
-impl Keeper {
+impl LeaseGrantor {
     /// A leader begins.
     pub fn new(now: Micros) -> Self {
         Self { since: now, ..Self::default() }
@@ -41,22 +41,22 @@
     }
 
     /// An entry was applied.
-    pub fn note(&mut self, changed: &Changed, now: Micros) {
+    pub fn note(&mut self, changed: &RoleChange, now: Micros) {
         match changed {
-            Changed::Held { duty, .. } => {
+            RoleChange::Held { duty, .. } => {
                 self.granted.insert(duty.clone(), now);
                 self.revoked.remove(duty);
             }
-            Changed::Free { duty, .. } => {
+            RoleChange::Free { duty, .. } => {
                 self.granted.remove(duty);
                 self.revoked.remove(duty);
             }
-            Changed::Revoked { duty } => _ = self.revoked.entry(duty.clone()).or_insert(now),
+            RoleChange::Revoked { duty } => _ = self.revoked.entry(duty.clone()).or_insert(now),
         }
     }
 
     /// When a duty may be given to another: its holder's lease has surely run out by then.
-    pub fn free_at(&self, name: &DutyName, duty: &Duty, set: &Settings) -> Micros {
+    pub fn free_at(&self, name: &RoleName, duty: &Role, set: &Settings) -> Micros {
         let Some(holder) = duty.holder else { return 0 };
         let asked = self.asked.get(&holder).copied().unwrap_or(0);
         // A revoked one was renewed no more from then on; if that was before this lead, by this lead's begin.
@@ -66,13 +66,13 @@
             None => asked,
         };
         let last = self.since.max(asked).max(self.granted.get(name).copied().unwrap_or(0));
-        last + set.with_drift(duty.lease)
+        last + set.extended_by_drift(duty.lease)
     }
 }
 
 /// The holding side.
 #[derive(Clone, Debug, Default)]
-pub struct Holder {
+pub struct LeaseHolder {
     next: u64,
     /// Requests without an answer, and when they were sent.
     asked: VecDeque<(u64, Micros)>,
@@ -85,7 +85,7 @@
 /// Requests that may wait for an answer.
 const WAITING: usize = 64;
 
-impl Holder {
+impl LeaseHolder {
     /// It asks to renew: the number of the request. Time runs from here.
     pub fn ask(&mut self, now: Micros) -> u64 {
         self.next += 1;
@@ -122,13 +122,13 @@
     pub fn until(
         &self,
         me: MemberId,
-        name: &DutyName,
-        duties: &Duties,
+        name: &RoleName,
+        duties: &RoleTable,
         set: &Settings,
-    ) -> Option<(Micros, Token)> {
+    ) -> Option<(Micros, FencingToken)> {
         let duty = duties.get(name).filter(|d| d.holder == Some(me) && !d.revoked)?;
         let (asked, applied) = self.proved?;
         // The grant counts what was agreed by then: one that has not heard of it may hold what was taken from it.
-        (duties.applied() >= applied).then(|| (asked + set.less_drift(duty.lease), duty.token))
+        (duties.applied() >= applied).then(|| (asked + set.reduced_by_drift(duty.lease), duty.token))
     }
 }
--- a/crates/stepspur-council/src/log.rs
+++ b/crates/stepspur-consensus/src/log.rs
@@ -140,7 +140,7 @@
     }
 
     /// Takes a snapshot in place of the entries that it covers. Entries after it stay if they follow from it.
-    pub fn cover(&mut self, snapshot: Arc<Snapshot>) {
+    pub fn compact_to(&mut self, snapshot: Arc<Snapshot>) {
         if snapshot.index <= self.base.index {
             return;
         }
