--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,4 +1,4 @@
-//! Admission control: how much is shed when servers are overloaded, and which classes first.
+//! Admission control: what ratio of requests is shed when servers are overloaded, and which classes first.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,43 +7,47 @@
 use super::table::ClassAdmission;
 use crate::interface::{Action, AdmissionMode, ClassId, Micros, ProxyId};
 
-/// A median queue of this length counts as the overloaded latency ratio.
+/// A median queue of this many requests counts as [`OVERLOADED_LATENCY_RATIO`].
 const OVERLOADED_QUEUE_LENGTH: f64 = 2.0;
-/// Fewer attempts than this don't show overload: the first reports after a start cover a few requests only.
+/// Lower bound of the recent attempts that may show overload by their latency. The first reports after a
+/// start cover only a few requests.
 const MIN_OVERLOAD_ATTEMPTS: f64 = 30.0;
-/// Queue lengths that only probes report show recovery while no more than this ratio of attempts fails, as
-/// servers that reject attempts reject probes, too.
+/// If only probes carry load reports, short queues show recovery only while at most this ratio of attempts
+/// fails. Servers that reject attempts also reject probes, so that their queues are not reported.
 const MAX_ERROR_RATIO: f64 = 0.1;
 
-/// A cut leaves at least this multiple of the ratio that the servers can serve.
+/// Lower bound of the admitted ratio after a cut, as a multiple of the ratio that the servers can serve.
 const MIN_RATIO_AFTER_CUT: f64 = 0.55;
-/// Until reports can show the effect of a cut, a further one must be below this ratio of what is admitted.
+/// Until reports can show the effect of a cut, a further cut is made only to below this multiple of the
+/// admitted ratio.
 const FURTHER_CUT_RATIO: f64 = 0.75;
-/// Least time until reports can show the effect of a cut.
+/// Time until attempts show the effect of a cut; the delay of two reports is added.
 const CUT_EFFECT_DELAY: Micros = 2_500_000;
-/// Recovery is fast up to this multiple of the ratio that servers could serve when overload began, then slow.
+/// Recovery is fast up to this multiple of the ratio that the servers could serve when overload began, and
+/// slow above.
 const FAST_RECOVERY_RATIO: f64 = 0.75;
-/// Growth of the admitted ratio in fast recovery, per second at a latency ratio of 0.
+/// Relative growth of the admitted ratio per second in fast recovery, at a latency ratio of 0.
 const FAST_RECOVERY_PER_SECOND: f64 = 1.0;
-/// The same in slow recovery.
+/// Relative growth of the admitted ratio per second in slow recovery, at a latency ratio of 0.
 const SLOW_RECOVERY_PER_SECOND: f64 = 0.1;
 
-/// Least admitted ratio of all requests, and of each class.
+/// Lower bound of the admitted ratio of all requests, and of each class except the most valuable.
 const MIN_ADMITTED_RATIO: f64 = 0.15;
-/// Least admitted ratio of the most valuable class.
+/// Lower bound of the admitted ratio of the most valuable class.
 const MIN_TOP_CLASS_ADMITTED_RATIO: f64 = 0.6;
 
-/// A rate that admits everything, in requests per second.
+/// The level that stands for no limit in mode `RequestsPerSecond`, in requests per second.
 const UNLIMITED_PER_SECOND: f64 = 1e6;
-/// A client whose request is rejected at admission repeats it, up to this many attempts in all.
+/// Attempts that a client makes at most for a request that is rejected at admission, the first included.
 const CLIENT_ATTEMPTS_PER_REQUEST: f64 = 3.0;
-/// Number of classes that get admission levels.
+/// Upper bound of the number of classes that get admission levels. Further classes get none.
 const MAX_CLASSES: usize = 16;
 
-/// Whether the next cut begins a new overload. Not whether requests are shed: that ends when `shed_fraction`
-/// is back at 0, as a rule later than `Recovered`.
+/// Whether the next cut begins a new overload. This is independent of whether requests are shed: shedding
+/// ends when `shed_fraction` is 0 again, usually after the state becomes `Recovered`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum OverloadState {
+    /// The next cut begins a new overload.
     #[default]
     Recovered,
     /// From the first cut until the latency ratio falls to [`RECOVERED_LATENCY_RATIO`].
@@ -53,41 +57,42 @@
 /// State of admission control.
 #[derive(Default)]
 pub(super) struct AdmissionController {
-    /// Ratio of all requests that is shed.
+    /// Fraction of all requests that is shed, from 0 to 1 - [`MIN_ADMITTED_RATIO`].
     pub(super) shed_fraction: f64,
-    /// True: so little is admitted that servers still warming up can serve their part of it.
+    /// True: requests are shed, and the admitted ones are few enough for warming servers to serve their part.
+    /// Then warming servers get traffic even while the fleet is overloaded.
     pub(super) warming_servers_suffice: bool,
     state: OverloadState,
-    /// The ratio that servers could serve when overload last began.
+    /// The ratio of requests that the servers could serve when overload last began.
     sustainable_ratio: f64,
-    /// Admitted ratio before the newest cut.
+    /// The admitted ratio before the newest cut.
     ratio_before_cut: f64,
-    /// Least admitted ratio that the newest cut may leave.
+    /// Lower bound of the admitted ratio for the newest cut and those that deepen it.
     cut_floor: f64,
-    /// Until then reports can't show the effect of the newest cut.
+    /// Until this time reports can not show the effect of the newest cut.
     effect_unknown_until: Micros,
 }
 
-/// What a round knows about overload.
+/// The evidence about overload in one round.
 struct OverloadSignal {
-    /// The latency ratio that is taken for the fleet's.
+    /// The latency ratio to act on, from latencies or from queue lengths; 0 if neither is known.
     latency_ratio: f64,
-    /// The latency ratio that the median queue length counts as, where load reports contain it.
+    /// The latency ratio that corresponds to the median queue length; `None` if too few servers report it.
     queue_latency_ratio: Option<f64>,
-    /// True: there is evidence enough to shed.
-    shows_overload: bool,
+    /// True: there is enough evidence to shed requests.
+    has_enough_evidence: bool,
 }
 
 impl OverloadSignal {
-    /// True: recent reports show a latency or a queue length.
+    /// True: recent reports contain attempts or enough queue lengths.
     fn is_known(&self) -> bool {
         self.latency_ratio > 0.0 || self.queue_latency_ratio.is_some()
     }
 }
 
 impl AdmissionController {
-    /// Begins a cut from the ratio `admitted`. `servable_ratio` is what the servers can serve: the admitted
-    /// ratio, or peak goodput over usual request rate if that is less.
+    /// Begins a cut from the ratio `admitted`. `servable_ratio` is the ratio of requests that the servers can
+    /// serve: peak goodput over usual request rate, but at most `admitted`.
     fn start_cut(&mut self, admitted: f64, servable_ratio: f64) {
         if self.state == OverloadState::Recovered {
             self.sustainable_ratio = servable_ratio;
@@ -97,16 +102,16 @@
         self.cut_floor = MIN_RATIO_AFTER_CUT * servable_ratio;
     }
 
-    /// Ratio to admit at this latency ratio: `ratio_before_cut` times (overloaded / latency ratio)², and no
-    /// less than `cut_floor`. It is computed from the ratio before the cut, so that repeated calls do not add
-    /// up.
+    /// The ratio to admit at this latency ratio: `ratio_before_cut` × ([`OVERLOADED_LATENCY_RATIO`] / latency
+    /// ratio)², and at least `cut_floor`. It starts from the ratio before the cut, so that repeated calls do
+    /// not compound.
     fn cut(&self, latency_ratio: f64) -> f64 {
         let factor = (OVERLOADED_LATENCY_RATIO / latency_ratio).powi(2);
         (self.ratio_before_cut * factor).max(self.cut_floor)
     }
 
-    /// The admitted ratio after `elapsed_seconds` of recovery; growth falls to 0 as the latency ratio nears
-    /// [`OVERLOADED_LATENCY_RATIO`].
+    /// The admitted ratio after `elapsed_seconds` of recovery. Its growth decreases linearly with the latency
+    /// ratio and is 0 at [`OVERLOADED_LATENCY_RATIO`].
     fn recover(&mut self, admitted: f64, latency_ratio: f64, elapsed_seconds: f64) -> f64 {
         if latency_ratio <= RECOVERED_LATENCY_RATIO {
             self.state = OverloadState::Recovered;
@@ -119,16 +124,16 @@
 }
 
 impl Policy {
-    /// Updates how much is shed, `elapsed_seconds` after the last round.
+    /// Updates the fraction of requests that is shed, `elapsed_seconds` after the last round.
     ///
-    /// Guards against overload: cuts what is admitted by the square of how far the latency ratio lies above
-    /// [`OVERLOADED_LATENCY_RATIO`], and lets it grow again below. Cost: other trouble that slows most
-    /// attempts sheds, too.
+    /// Guards against overload: while the latency ratio is above [`OVERLOADED_LATENCY_RATIO`], the admitted
+    /// ratio is divided by the square of (latency ratio / limit); below, it grows again. Cost: any other
+    /// fault that slows most attempts also causes shedding.
     pub(super) fn update_admission(&mut self, elapsed_seconds: f64) {
         let signal = self.overload_signal();
         let latency_ratio = signal.latency_ratio;
         let mut admitted = 1.0 - self.admission.shed_fraction;
-        if latency_ratio > OVERLOADED_LATENCY_RATIO && signal.shows_overload {
+        if latency_ratio > OVERLOADED_LATENCY_RATIO && signal.has_enough_evidence {
             admitted = self.cut_admission(admitted, latency_ratio);
         } else if signal.is_known() && latency_ratio < OVERLOADED_LATENCY_RATIO {
             admitted = self.admission.recover(admitted, latency_ratio, elapsed_seconds);
@@ -143,11 +148,11 @@
         }
     }
 
-    /// Judges overload by latency, and by queues where most servers report them.
+    /// Evaluates overload by the latency ratio, and by queue lengths if load reports cover most attempts.
     ///
-    /// Latency shows the end of overload late, as failed attempts began long ago. So recovery is also judged
-    /// by short queues, and by the latency of successful attempts while more than half of the attempts
-    /// succeed.
+    /// The latency ratio shows the end of overload late, as the failed attempts in it began much earlier. So
+    /// recovery is also recognized by short queues, and while requests are shed and more than half of the
+    /// attempts succeed, by the latency of the successful ones.
     fn overload_signal(&self) -> OverloadSignal {
         let queue_length = self.median_queue_length(self.load.recent_since(self.now));
         let queue_latency_ratio =
@@ -165,12 +170,13 @@
             .or(recovered_successes)
             .unwrap_or(load.current_latency_ratio.max(queue_latency_ratio.unwrap_or(0.0)));
         let queues_show_overload = queue_latency_ratio.is_some_and(|ratio| ratio > OVERLOADED_LATENCY_RATIO);
-        let shows_overload = load.attempts >= MIN_OVERLOAD_ATTEMPTS || queues_show_overload;
-        OverloadSignal { latency_ratio, queue_latency_ratio, shows_overload }
+        let has_enough_evidence = load.attempts >= MIN_OVERLOAD_ATTEMPTS || queues_show_overload;
+        OverloadSignal { latency_ratio, queue_latency_ratio, has_enough_evidence }
     }
 
-    /// The admitted ratio after a cut, if one is due. Until reports can show the effect of the last one, only
-    /// a latency that grew much deepens it.
+    /// The admitted ratio after a cut, or `admitted` unchanged if no cut is due. Until reports can show the
+    /// effect of the last cut, it is deepened only to below [`FURTHER_CUT_RATIO`] of the admitted ratio, so
+    /// that old measurements do not cause a second cut.
     fn cut_admission(&mut self, admitted: f64, latency_ratio: f64) -> f64 {
         let effect_known = self.now >= self.admission.effect_unknown_until;
         if effect_known {
@@ -183,12 +189,12 @@
         if cut >= admitted * threshold {
             return admitted;
         }
-        self.admission.effect_unknown_until = self.now + CUT_EFFECT_DELAY + self.load.two_report_spans();
+        self.admission.effect_unknown_until = self.now + CUT_EFFECT_DELAY + self.load.two_report_periods();
         cut
     }
 
-    /// Logged when more is shed than before, and when nothing is shed any more; not while less and less is
-    /// shed.
+    /// Logs the admitted ratio with the evidence for it. Called when shedding increases or ends, not while it
+    /// decreases.
     fn log_admission(&mut self, signal: &OverloadSignal) {
         let admitted = 1.0 - self.admission.shed_fraction;
         let OverloadSignal { latency_ratio, queue_latency_ratio, .. } = signal;
@@ -199,8 +205,8 @@
         )));
     }
 
-    /// The admitted ratio of each class. Classes of the least value for their work are shed first; the
-    /// latency objective stands for the work.
+    /// The admitted ratio of each class, by its index. Classes with the lowest [`Policy::class_value`] are
+    /// shed first, each down to its lower bound, until the shed requests add up to the shed fraction.
     pub(super) fn admitted_ratios(&self) -> Vec<f64> {
         let mut classes: Vec<usize> = (0..self.settings.classes.len()).collect();
         classes.sort_by(|a, b| self.class_value(*a).total_cmp(&self.class_value(*b)));
@@ -211,21 +217,22 @@
             let share =
                 if total > 0.0 { self.load.class_rates[*class] / total } else { 1.0 / classes.len() as f64 };
             let is_top = classes.last() == Some(class);
-            let least = if is_top { MIN_TOP_CLASS_ADMITTED_RATIO } else { MIN_ADMITTED_RATIO };
-            let shed = (to_shed / share.max(1e-9)).clamp(0.0, 1.0 - least);
+            let min_ratio = if is_top { MIN_TOP_CLASS_ADMITTED_RATIO } else { MIN_ADMITTED_RATIO };
+            let shed = (to_shed / share.max(1e-9)).clamp(0.0, 1.0 - min_ratio);
             admitted[*class] = 1.0 - shed;
             to_shed = (to_shed - shed * share).max(0.0);
         }
         admitted
     }
 
-    /// Priority weight for each microsecond of the latency objective.
+    /// The value of a class: its priority weight per microsecond of its latency objective, which approximates
+    /// the work that a request costs.
     fn class_value(&self, class: usize) -> f64 {
         let class = &self.settings.classes[class];
         class.priority_weight / class.latency_objective.max(1) as f64
     }
 
-    /// Admission and retries of each class at the proxies of a table.
+    /// Admission level and retry policy of each class at these proxies of a table.
     pub(super) fn class_admissions(
         &self,
         admitted_ratios: &[f64],
@@ -241,13 +248,13 @@
         admissions
     }
 
-    /// The level to send so that this ratio of *requests* is admitted at a proxy that usually gets
-    /// `usual_rate` of them per second.
+    /// The level that admits the ratio `admitted` of *requests* at a proxy whose usual rate is `usual_rate`
+    /// per second.
     ///
-    /// In mode `Ratio` it is lower than the ratio, as each of [`CLIENT_ATTEMPTS_PER_REQUEST`] attempts of a
-    /// request is admitted or rejected by itself: 1 - (1 - admitted)^(1/3). In mode `RequestsPerSecond` it is
-    /// the admitted part of the usual rate over (1 - admitted)^(1/3), so higher than that part: a rate limit
-    /// admits requests at even intervals, but they arrive at random.
+    /// In mode `Ratio` the level is lower than that ratio, as a client makes [`CLIENT_ATTEMPTS_PER_REQUEST`]
+    /// attempts and each is admitted or rejected independently: 1 - (1 - admitted)^(1/3). In mode
+    /// `RequestsPerSecond` the level is the admitted part of the usual rate over (1 - admitted)^(1/3), so
+    /// higher than that part: a rate limit admits requests at even intervals, but they arrive at random.
     fn admission_level(&self, admitted: f64, usual_rate: f64) -> f64 {
         let rejected_per_attempt = (1.0 - admitted).powf(1.0 / CLIENT_ATTEMPTS_PER_REQUEST);
         match self.settings.admission_mode {
@@ -259,7 +266,7 @@
         }
     }
 
-    /// Requests per second of a class that one of these proxies usually gets.
+    /// Mean usual rate of a class at these proxies, in requests per second for each proxy.
     fn mean_usual_rate(&self, proxies: &BTreeSet<ProxyId>, class: ClassId) -> f64 {
         let records = proxies.iter().filter_map(|proxy| self.proxies.get(proxy));
         let rates = records.filter_map(|record| record.usual_rates.get(&class));
--- a/src/policy/channel/tests.rs
+++ b/src/policy/channel/tests.rs
@@ -1,7 +1,8 @@
 use super::*;
 
-/// Found on a day with two slow spells at once: the channel sent 16 times slower than its nominal throughput,
-/// and an estimate from that throughput let the queue pass its limit. Only acknowledgements reduce it.
+/// Guards against an overfull queue in a slow channel. While two faults slowed the channel to a sixteenth of
+/// its nominal throughput, an estimate of the queue from that throughput let it exceed its limit. So only
+/// acknowledgements and disconnects reduce the lines in flight.
 #[test]
 fn only_acknowledgements_reduce_the_lines_in_flight() {
     let mut channel = ChannelQueue::default();
--- a/src/policy/connections.rs
+++ b/src/policy/connections.rs
@@ -1,15 +1,17 @@
-//! Proxies that connect and disconnect, and the tables that they are assigned to.
+//! Connections of proxies: the subset that a connecting proxy joins, and the table that it is assigned to.
 
 use super::Policy;
 use super::subset::SHARED_TABLE;
 use crate::interface::{Micros, ProxyId, TableId, ZoneId};
 
-/// A disconnected proxy keeps its share of the load for this long, as it goes on sending by its tables.
+/// How long the load of a disconnected proxy still counts, as it continues to route by the tables it has.
 const DISCONNECTED_PROXY_RETENTION: Micros = 20_000_000;
 
 impl Policy {
-    /// A proxy has opened a stream. It returns to its subset, or joins the least loaded one of its zone.
-    pub(super) fn connect_proxy(&mut self, proxy: ProxyId, zone: ZoneId, listed_rate: f64) {
+    /// Records that a proxy has opened a stream. It returns to its previous subset if that is known and its
+    /// zone is the same; else it joins the subset of its zone whose proxies declared the least traffic. An
+    /// invalid declared rate counts as 1.
+    pub(super) fn connect_proxy(&mut self, proxy: ProxyId, zone: ZoneId, declared_rate: f64) {
         self.disconnect_proxy(proxy);
         if !self.has_connected_proxies(zone) {
             self.reset_zone_health(zone);
@@ -20,25 +22,27 @@
         if table.is_none_or(|table| table.proxies.is_empty()) {
             self.tables_outdated = true;
         }
-        let listed_rate = if listed_rate.is_finite() && listed_rate > 0.0 { listed_rate } else { 1.0 };
+        let declared_rate =
+            if declared_rate.is_finite() && declared_rate > 0.0 { declared_rate } else { 1.0 };
         *self.connected_by_zone.entry(zone).or_default() += 1;
         self.unassigned_proxies.insert(proxy);
-        self.tables.entry(subset).or_default().listed_rate += listed_rate;
+        self.tables.entry(subset).or_default().declared_rate += declared_rate;
         let record = self.proxies.entry(proxy).or_default();
         record.zone = zone;
         record.subset = subset;
         record.connected = true;
-        record.listed_rate = listed_rate;
+        record.declared_rate = declared_rate;
         record.assigned_table = None;
         record.message_times.clear();
     }
 
     fn least_loaded_subset(&self, zone: ZoneId) -> Option<TableId> {
-        let load = |subset: &TableId| self.tables.get(subset).map_or(0.0, |table| table.listed_rate);
+        let load = |subset: &TableId| self.tables.get(subset).map_or(0.0, |table| table.declared_rate);
         self.subsets_of(zone).min_by(|a, b| load(a).total_cmp(&load(b)))
     }
 
-    /// A proxy's stream has ended: messages in flight to it are lost, and its assignment ends.
+    /// Records that a proxy's stream has ended: its messages in flight are lost, and it has no table
+    /// assigned.
     pub(super) fn disconnect_proxy(&mut self, proxy: ProxyId) {
         let Some(record) = self.proxies.get_mut(&proxy).filter(|record| record.connected) else { return };
         record.connected = false;
@@ -49,7 +53,7 @@
             *connected -= 1;
         }
         if let Some(table) = self.tables.get_mut(&record.subset) {
-            table.listed_rate -= record.listed_rate;
+            table.declared_rate -= record.declared_rate;
         }
         let assigned = record.assigned_table.take();
         if let Some(table) = assigned.and_then(|table| self.tables.get_mut(&table)) {
@@ -57,7 +61,7 @@
         }
     }
 
-    /// Records that a proxy is assigned to a table, and to no other.
+    /// Records that a proxy is assigned to a table, which replaces its previous one.
     pub(super) fn record_assignment(&mut self, proxy: ProxyId, table: TableId) {
         self.unassigned_proxies.remove(&proxy);
         let previous = self.proxies.get_mut(&proxy).and_then(|record| record.assigned_table.replace(table));
@@ -67,12 +71,12 @@
         self.tables.entry(table).or_default().proxies.insert(proxy);
     }
 
-    /// True: proxies of the zone are connected.
+    /// True: at least one proxy of the zone is connected.
     pub(super) fn has_connected_proxies(&self, zone: ZoneId) -> bool {
         self.connected_by_zone.get(&zone).is_some_and(|connected| *connected > 0)
     }
 
-    /// Forgets proxies that disconnected long ago.
+    /// Deletes the records of proxies that disconnected more than [`DISCONNECTED_PROXY_RETENTION`] ago.
     pub(super) fn remove_proxies(&mut self) {
         self.proxies.retain(|_, proxy| {
             proxy.connected || self.now < proxy.disconnected_at + DISCONNECTED_PROXY_RETENTION
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: polling discovery with backoff, merging its updates, and removing endpoints.
+//! The endpoint list: polls discovery with exponential backoff, merges updates and removes servers.
 
 use std::collections::BTreeSet;
 
@@ -7,23 +7,24 @@
 use super::subset::SubsetWeights;
 use crate::interface::{Action, Endpoint, EndpointState, ListUpdate, Micros};
 
-/// Wait before discovery is polled again after a failure; it doubles with each further one.
+/// Wait before discovery is polled again after a failed update; it doubles with each further failure.
 const MIN_POLL_BACKOFF: Micros = 500_000;
-/// Longest wait after a failure, and the wait without any response.
+/// Upper bound of that wait, and the wait after a poll that gets no response.
 const MAX_POLL_BACKOFF: Micros = 4_000_000;
-/// A server that the list lacks and that answers nobody is removed after this, even if absence is advisory.
+/// Where absence is advisory, a server that is absent from the list is removed this long after it disappeared
+/// and last responded to proxies.
 const ABSENT_SERVER_RETENTION: Micros = 600_000_000;
 
-/// Polling of discovery, where it sends updates only on request.
+/// When to poll discovery, in deployments where it sends updates only on request.
 pub(super) struct DiscoveryPolling {
-    /// When to poll next; `None`: updates arrive unasked.
+    /// When to poll next; `None` while updates arrive without a poll.
     next_poll_at: Option<Micros>,
-    /// Wait after the next failure.
+    /// Wait after the next failed update.
     backoff: Micros,
 }
 
 impl DiscoveryPolling {
-    /// Polling that starts at this time, if at all.
+    /// Creates the state for polling that starts at `next_poll_at`; `None`: without a first poll.
     pub(super) fn start(next_poll_at: Option<Micros>) -> Self {
         DiscoveryPolling { next_poll_at, backoff: MIN_POLL_BACKOFF }
     }
@@ -40,7 +41,7 @@
 }
 
 impl Policy {
-    /// Polls discovery if that is due.
+    /// Requests the endpoint list if a poll is due.
     pub(super) fn poll_discovery(&mut self) {
         if self.discovery.next_poll_at.is_some_and(|at| self.now >= at) {
             self.actions.push(Action::WatchEndpoints);
@@ -48,9 +49,9 @@
         }
     }
 
-    /// Merges an update of the endpoint list. After a failed one the old list stands and discovery is polled
-    /// again.
-    pub(super) fn learn_list(&mut self, update: ListUpdate, entries: &[Endpoint]) {
+    /// Merges an update of the endpoint list. After a failed update the previous list remains in use, and
+    /// discovery is polled again if polling is enabled.
+    pub(super) fn merge_endpoint_list(&mut self, update: ListUpdate, entries: &[Endpoint]) {
         match update {
             ListUpdate::Failed => {
                 self.discovery.record_failure(self.now, self.settings.poll_discovery);
@@ -67,14 +68,15 @@
         let may_join_other_zone = !self.servers.is_empty() && self.may_lend();
         let mut subsets = self.subset_weights(|s| if s.is_ready() { s.endpoint.weight } else { 0.0 });
         for entry in entries {
-            self.learn_endpoint(entry, may_join_other_zone, &mut subsets);
+            self.merge_endpoint(entry, may_join_other_zone, &mut subsets);
         }
     }
 
-    /// Marks the servers that a complete list lacks as removed.
+    /// Marks servers that are absent from a complete list as removed.
     ///
-    /// Where absence is advisory, a list may lack live servers: then probes and reports judge them instead,
-    /// and one that is really gone is found by probes only.
+    /// Where absence is advisory, a list may omit live servers, so they stay in use for now: health checks
+    /// and outlier detection then decide about them. Cost: a server that is gone and gets no attempts is
+    /// detected by probes only.
     fn mark_absent_servers(&mut self, entries: &[Endpoint]) {
         let listed: BTreeSet<_> = entries.iter().map(|entry| entry.server).collect();
         for server in self.servers.values_mut().filter(|server| !listed.contains(&server.id())) {
@@ -85,9 +87,9 @@
         }
     }
 
-    /// Merges one entry. Servers of one list are counted into `subsets` as they are placed, so that a fleet
-    /// that grows twofold is spread.
-    fn learn_endpoint(&mut self, entry: &Endpoint, may_join_other_zone: bool, subsets: &mut SubsetWeights) {
+    /// Merges one entry; an invalid weight counts as 1. The weight of each new server is added to `subsets`,
+    /// so that many servers added by one list are spread over the subsets.
+    fn merge_endpoint(&mut self, entry: &Endpoint, may_join_other_zone: bool, subsets: &mut SubsetWeights) {
         let mut entry = entry.clone();
         if !(entry.weight.is_finite() && entry.weight > 0.0) {
             entry.weight = 1.0;
@@ -97,7 +99,7 @@
             return;
         };
         let changed_zone = known.zone() != entry.zone;
-        let new_subset = changed_zone.then(|| self.neediest_subset(entry.zone, false, subsets));
+        let new_subset = changed_zone.then(|| self.largest_deficit_subset(entry.zone, false, subsets));
         let slow_start_at = self.listed_slow_start_at(&entry);
         let absence_is_advisory = self.settings.absence_is_advisory;
         let Some(server) = self.servers.get_mut(&entry.server) else { return };
@@ -119,14 +121,14 @@
     }
 
     fn add_server(&mut self, entry: Endpoint, may_join_other_zone: bool, subsets: &mut SubsetWeights) {
-        let subset = self.neediest_subset(entry.zone, may_join_other_zone, subsets);
+        let subset = self.largest_deficit_subset(entry.zone, may_join_other_zone, subsets);
         subsets.add(subset, entry.weight);
         let slow_start_at = self.listed_slow_start_at(&entry);
         let server = Server::new(entry, subset, slow_start_at, self.first_probe_at());
         self.servers.insert(server.id(), server);
     }
 
-    /// Removes servers that the list lacks, once no table names them and no ejection at proxies is left.
+    /// Deletes the records of removed servers that no table contains and that are not ejected at proxies.
     pub(super) fn remove_servers(&mut self) {
         self.expire_absent_servers();
         let in_tables: BTreeSet<_> =
@@ -137,8 +139,11 @@
         });
     }
 
-    /// Treats servers that were absent for [`ABSENT_SERVER_RETENTION`] as removed. They, and their ejections
-    /// at proxies, would otherwise outlive a fleet that is replaced.
+    /// Marks servers as removed that have been absent for [`ABSENT_SERVER_RETENTION`], and ends their
+    /// ejections at proxies once every connected proxy has its table.
+    ///
+    /// Guards against records and ejections that accumulate without bound as the servers of a fleet are
+    /// replaced.
     fn expire_absent_servers(&mut self) {
         for (id, server) in &mut self.servers {
             let Some(removed_at) = server.removed_at else { continue };
--- a/src/policy/flow_control.rs
+++ b/src/policy/flow_control.rs
@@ -1,29 +1,30 @@
-//! Flow control of the channel to the proxies: which changes may be sent now, by their urgency.
+//! Flow control of the channel to the proxies: which changes may be sent now, depending on their urgency.
 
 use std::collections::BTreeSet;
 
 use super::Policy;
 use crate::interface::{Micros, ProxyId};
 
-/// Least time between two routine changes of a table.
+/// Lower bound of the interval between routine changes of a table.
 const MIN_ROUTINE_INTERVAL: Micros = 500_000;
-/// Routine changes use this ratio of the channel's nominal throughput.
+/// Ratio of the channel's nominal throughput that routine changes of all tables together may use.
 const ROUTINE_THROUGHPUT_RATIO: f64 = 0.25;
 
-/// How urgent a change is.
+/// The urgency of a change, from lowest to highest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Urgency {
-    /// May wait until its table's routine interval is over.
+    /// Waits until its table's routine interval is over.
     Routine,
     /// Reacts to a fault, or assigns a table.
     Fault,
-    /// Keeps proxies off a server that drains or is gone, ends such an ejection, or fills an empty table.
+    /// Stops traffic to a server that drains or is removed, ends its ejection at proxies, or fills an empty
+    /// table.
     Critical,
 }
 
 impl Urgency {
-    /// The ratio of the channel's queue and of the message limit that the change may use: the rest is
-    /// reserved for more urgent ones.
+    /// The ratio of the channel's queue and of the message limit that changes of this urgency may use. The
+    /// remainder is reserved for more urgent changes.
     fn limit_ratio(self) -> f64 {
         match self {
             Urgency::Routine => 0.5,
@@ -34,11 +35,11 @@
 }
 
 impl Policy {
-    /// True: a change of so many lines for each of these proxies may be sent now. `table_changed_at` is when
-    /// their table last changed; routine changes of a table keep an interval.
+    /// True: a change of `lines` lines for each of these proxies may be sent now. `table_changed_at` is when
+    /// their table last changed, from which the interval between routine changes counts.
     ///
-    /// Guards against long queues in the channel and too many messages to a proxy. Cost: a proxy that never
-    /// acknowledges occupies the queue until its stream ends.
+    /// Guards against long queues in the channel and against too many messages to a proxy. Cost: lines to a
+    /// proxy that never acknowledges count as queued until its stream ends.
     pub(super) fn may_send(
         &self,
         urgency: Urgency,
@@ -64,7 +65,8 @@
             || self.now >= table_changed_at + self.routine_interval(cost, message_limit)
     }
 
-    /// Counts lines that this decision sends to each of these proxies, in one message each.
+    /// Records that the current decision sends this many lines to each of these proxies. All lines of a
+    /// decision to a proxy share one message, whose overhead is counted once.
     pub(super) fn record_sent<'a>(&mut self, proxies: impl IntoIterator<Item = &'a ProxyId>, lines: usize) {
         let window_start = self.now.saturating_sub(self.settings.message_window);
         let message_overhead = self.settings.message_overhead_lines + 1.0;
@@ -80,19 +82,20 @@
         }
     }
 
-    /// Messages that may have been written to a proxy within the window.
+    /// Number of messages within the window from which on a change of this urgency must wait; at least 1.
     fn message_limit(&self, urgency: Urgency) -> u32 {
         (f64::from(self.settings.max_messages) * urgency.limit_ratio()).max(1.0) as u32
     }
 
+    /// Number of messages that were sent to a proxy within the window.
     fn recent_messages(&self, proxy: ProxyId) -> u32 {
         let window_start = self.now.saturating_sub(self.settings.message_window);
         let times = &self.proxies[&proxy].message_times;
         times.iter().filter(|at| **at >= window_start).count() as u32
     }
 
-    /// Least time between routine changes of this cost: all tables together keep within their throughput, and
-    /// a proxy's messages within their limit.
+    /// The interval between routine changes of a table, in microseconds, if each costs `cost` lines. It keeps
+    /// all tables together within [`ROUTINE_THROUGHPUT_RATIO`] and each proxy within its message limit.
     fn routine_interval(&self, cost: f64, message_limit: u32) -> Micros {
         let throughput = self.settings.lines_per_second.max(1.0) * ROUTINE_THROUGHPUT_RATIO;
         let paced = cost * self.tables.len() as f64 / throughput * 1e6;
--- a/src/policy/health_check.rs
+++ b/src/policy/health_check.rs
@@ -1,35 +1,38 @@
-//! Active health checks: when to probe a server, and when probes take it out of service and bring it back.
+//! Active health checks: when servers are probed, and when the results make a server unhealthy or healthy
+//! again.
 
 use super::{Policy, ROUND_PERIOD};
 use crate::interface::{Action, Micros, ProbeOutcome, ServerId, ZoneId};
 
-/// Least interval between probes of a healthy server.
+/// Shortest interval between probes of a healthy server.
 const MIN_PROBE_INTERVAL: Micros = 1_000_000;
-/// Longest interval, also of a probe without result.
+/// Longest interval between probes of a healthy server, and the wait for the result of a suspect's probe.
 const MAX_PROBE_INTERVAL: Micros = 8_000_000;
-/// Interval while a server's probes fail.
+/// Interval between a suspect server's probe result and its next probe.
 const SUSPECT_PROBE_INTERVAL: Micros = 400_000;
-/// Probes sent are at most this ratio of the goodput.
+/// Upper bound of the probes per second, as a ratio of the fleet's goodput; limits the load that probes add.
 const MAX_PROBE_TO_GOODPUT_RATIO: f64 = 0.15;
-/// Consecutive failures that make a server unhealthy.
+/// Number of consecutive failed probes that make a server unhealthy.
 const UNHEALTHY_THRESHOLD: u32 = 3;
-/// Consecutive successes that make it healthy again.
+/// Number of consecutive successful probes that make an unhealthy server healthy.
 const HEALTHY_THRESHOLD: u32 = 2;
-/// Smoothing factor, per probe, of the ratio of rejected probes.
+/// Weight of one probe in the exponential moving average of the ratio of rejected probes.
 const REJECTED_RATIO_GAIN: f64 = 0.1;
-/// Above this ratio of rejected probes servers are full, seconds before reports show congestion.
-const FULL_REJECTED_RATIO: f64 = 0.5;
+/// Above this ratio of rejected probes the fleet counts as saturated. Rejections show this seconds before the
+/// proxies' reports show congestion.
+const SATURATED_REJECTED_RATIO: f64 = 0.5;
 
-/// Whether a server's probes allow its use.
+/// The status of a server by its active health checks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum HealthStatus {
+    /// May get traffic; the status before the first result, too.
     #[default]
     Healthy,
-    /// Out of service.
+    /// Gets no traffic until its probes succeed again.
     Unhealthy,
 }
 
-/// Results of a server's active health checks.
+/// State of a server's active health checks.
 #[derive(Default)]
 pub(super) struct HealthState {
     status: HealthStatus,
@@ -39,17 +42,17 @@
 }
 
 impl HealthState {
-    /// A healthy server that is first probed at this time.
+    /// Creates the state of a healthy server that is first probed at this time.
     pub(super) fn first_probe_at(next_probe_at: Micros) -> Self {
         HealthState { next_probe_at, ..HealthState::default() }
     }
 
-    /// True: out of service.
+    /// True: the server gets no traffic because its probes failed.
     pub(super) fn is_unhealthy(&self) -> bool {
         self.status == HealthStatus::Unhealthy
     }
 
-    /// True: a probe has failed since the last success; rejected probes do not count.
+    /// True: a probe has failed since the last successful one. Rejected probes do not count as failures.
     pub(super) fn has_recent_failure(&self) -> bool {
         self.consecutive_failures > 0
     }
@@ -58,7 +61,8 @@
         self.has_recent_failure() || self.is_unhealthy()
     }
 
-    /// A rejected probe is no evidence about the server's health, and changes nothing.
+    /// Counts a result. A rejected probe shows a server that drains or is busy, not a fault, and is not
+    /// counted.
     fn record(&mut self, outcome: ProbeOutcome) {
         match outcome {
             ProbeOutcome::Ok => {
@@ -74,17 +78,18 @@
     }
 }
 
-/// What probes show about the fleet.
+/// Probe results of the whole fleet.
 #[derive(Default)]
 pub(super) struct FleetProbes {
-    /// Ratio of recent probes that ready servers rejected.
+    /// Ratio of recent probes to ready servers that were rejected, as a moving average.
     rejected_ratio: f64,
 }
 
 impl FleetProbes {
-    /// True: most probes of late were rejected, so that servers are likely full.
-    pub(super) fn show_full_servers(&self) -> bool {
-        self.rejected_ratio > FULL_REJECTED_RATIO
+    /// True: servers rejected more than [`SATURATED_REJECTED_RATIO`] of recent probes, so most are probably
+    /// at their concurrency limit.
+    pub(super) fn indicate_saturation(&self) -> bool {
+        self.rejected_ratio > SATURATED_REJECTED_RATIO
     }
 
     fn record(&mut self, outcome: ProbeOutcome) {
@@ -94,8 +99,9 @@
 }
 
 impl Policy {
-    /// Records a probe's result, and probes a suspect server sooner.
-    pub(super) fn learn_probe(&mut self, server: ServerId, outcome: ProbeOutcome) {
+    /// Records a probe's result. A suspect server, which is unhealthy or failed its last counted probe, is
+    /// probed again after [`SUSPECT_PROBE_INTERVAL`].
+    pub(super) fn record_probe_result(&mut self, server: ServerId, outcome: ProbeOutcome) {
         let Some(server) = self.servers.get_mut(&server) else { return };
         if server.is_ready() {
             self.fleet_probes.record(outcome);
@@ -106,9 +112,11 @@
         }
     }
 
-    /// What probes said of a zone's servers while its proxies were away may only have shown that the zone was
-    /// cut off from here. Its servers are healthy again at once, without slow start and without a line in the
-    /// log.
+    /// Marks a zone's servers as healthy when its first proxy connects again. This happens without slow start
+    /// and without a log line.
+    ///
+    /// Probes that failed while no proxy of the zone was connected may show only a network partition between
+    /// this conductor and the zone, not unhealthy servers.
     pub(super) fn reset_zone_health(&mut self, zone: ZoneId) {
         for server in self.servers.values_mut().filter(|server| server.zone() == zone) {
             server.health.consecutive_failures = 0;
@@ -116,18 +124,21 @@
         }
     }
 
-    /// When to probe a new server first: servers of one list are spread over the interval.
+    /// When to probe a new server first. The first probes of servers that are added together are spread over
+    /// [`MIN_PROBE_INTERVAL`].
     pub(super) fn first_probe_at(&self) -> Micros {
         self.now + (self.servers.len() as u64 * ROUND_PERIOD) % MIN_PROBE_INTERVAL
     }
 
-    /// Takes servers out of service whose probes fail, and brings back those whose probes succeed again.
+    /// Marks servers as unhealthy whose probes fail, and as healthy whose probes succeed again; the latter
+    /// get a slow start.
     ///
-    /// Guards against servers that are gone, silent or unreachable from here. Reports that show responses
-    /// outweigh probes, as probes wait in the queue of a busy server. Where half of the fleet and half of the
-    /// local zone fail, the fault is likely on this side: nobody is taken out, and all that were out return
-    /// (logged as `probes succeed`, too). Cost: a zone that is cut off together with its proxies looks dead;
-    /// [`Policy::reset_zone_health`] ends that.
+    /// Guards against servers that have stopped, hang or are unreachable. A server with recent successful
+    /// attempts stays healthy, as probes also fail by waiting in the queue of a busy server. If at least half
+    /// of the fleet's servers and at least half of the local zone's fail their probes, the fault is probably
+    /// this conductor's own network: no server becomes unhealthy, and all unhealthy ones become healthy (also
+    /// logged as `probes succeed`). Cost: a zone that is partitioned together with its proxies counts as
+    /// unhealthy until [`Policy::reset_zone_health`].
     pub(super) fn update_health(&mut self) {
         let trusted = self.probes_are_trusted();
         let period = self.settings.report_period;
@@ -154,7 +165,9 @@
         }
     }
 
-    /// True: fewer than half of all ready servers, or of the local zone's, are at [`UNHEALTHY_THRESHOLD`].
+    /// True: fewer than half of the fleet's ready servers, or fewer than half of the local zone's, have
+    /// reached [`UNHEALTHY_THRESHOLD`]. Otherwise failed probes probably show a fault of this conductor's
+    /// network.
     fn probes_are_trusted(&self) -> bool {
         self.minority_at_unhealthy_threshold(None)
             || self.minority_at_unhealthy_threshold(Some(self.settings.local_zone))
@@ -175,7 +188,7 @@
         failing * 2 < ready
     }
 
-    /// Sends the probes that are due. Cost: a silent server that gets no attempts is found up to
+    /// Sends the probes that are due. Cost: a hung server that gets no attempts may be detected
     /// [`MAX_PROBE_INTERVAL`] late.
     pub(super) fn send_probes(&mut self) {
         if !self.settings.health_checks {
@@ -186,14 +199,16 @@
             if self.now < server.health.next_probe_at {
                 continue;
             }
-            // The result of a suspect's probe sets the next one; this interval serves if none comes.
+            // The result of a suspect's probe schedules its next one. This interval applies if no result
+            // arrives.
             let interval = if server.health.is_suspect() { MAX_PROBE_INTERVAL } else { interval };
             server.health.next_probe_at = self.now + interval;
             self.actions.push(Action::Probe { server: server.endpoint.server });
         }
     }
 
-    /// The interval at which probes of all servers stay within their ratio of the goodput.
+    /// The interval at which the probes of all servers stay within [`MAX_PROBE_TO_GOODPUT_RATIO`], between
+    /// [`MIN_PROBE_INTERVAL`] and [`MAX_PROBE_INTERVAL`].
     fn probe_interval(&self) -> Micros {
         let goodput = self.load.goodput.per_second;
         if goodput <= 0.0 {
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -1,7 +1,8 @@
 //! Load and latency of the fleet, computed once a round from the proxies' reports.
 //!
-//! The latency ratio is the mean latency of attempts over the shortest latency objective of all classes. A
-//! failed attempt counts as [`FAILED_ATTEMPT_LATENCY_RATIO`].
+//! A latency ratio is the mean latency of attempts at a server, as a multiple of the shortest latency
+//! objective of all classes. A failed attempt counts as [`FAILED_ATTEMPT_LATENCY_RATIO`]. The ratio of the
+//! fleet or of a zone is the median of its servers' ratios, weighted by attempts.
 
 use std::collections::BTreeMap;
 
@@ -10,103 +11,109 @@
 use super::{Policy, ROUND_PERIOD};
 use crate::interface::{ClassId, Micros, ProxyId, ServerId, ZoneId};
 
-/// Latency ratio below which the fleet has recovered from overload.
+/// Latency ratio below which the fleet counts as recovered from overload.
 pub(super) const RECOVERED_LATENCY_RATIO: f64 = 0.45;
-/// Latency ratio above which the fleet is overloaded.
+/// Latency ratio above which the fleet counts as overloaded.
 pub(super) const OVERLOADED_LATENCY_RATIO: f64 = 0.6;
-/// Latency ratio above which the fleet, or a zone, is congested: few attempts meet the objective.
+/// Latency ratio above which the fleet or a zone counts as congested: few attempts meet the latency
+/// objective.
 pub(super) const CONGESTED_LATENCY_RATIO: f64 = 1.0;
 
-/// Latency ratio that a failed attempt counts as.
+/// The latency ratio that a failed attempt counts as, instead of its own latency.
 const FAILED_ATTEMPT_LATENCY_RATIO: f64 = 2.0;
-/// The sums of attempts lose half of their value in this time.
-const EVIDENCE_HALF_LIFE_MICROS: f64 = 800_000.0;
-/// A server that answers at least this ratio of a report's attempts is alive.
+/// Time in which the sums of attempts decay to half, in microseconds.
+const ATTEMPT_HALF_LIFE_MICROS: f64 = 800_000.0;
+/// A report shows that a server responds if at least this ratio of its attempts succeeded.
 const ALIVE_SUCCESS_RATIO: f64 = 0.3;
 
-/// Time constant of a proxy's request rates. A report over a longer period counts for more.
-const REQUEST_RATE_SPAN_MICROS: f64 = 1_500_000.0;
-/// Time constant of usual and mean request rates.
-const MEAN_RATE_SPAN_MICROS: f64 = 10_000_000.0;
-/// A request rate above this multiple of its mean is a surge.
+/// Time constant of the smoothing of a proxy's request rates, in microseconds. A report over a longer period
+/// has more weight.
+const REQUEST_RATE_TIME_CONSTANT_MICROS: f64 = 1_500_000.0;
+/// Time constant of the smoothing of usual and mean request rates, in microseconds.
+const MEAN_RATE_TIME_CONSTANT_MICROS: f64 = 10_000_000.0;
+/// A request rate above this multiple of its mean counts as a surge.
 const SURGE_RATIO: f64 = 1.25;
 
-/// Smoothing factor, per report, of the time that reports cover.
-const REPORT_SPAN_GAIN: f64 = 0.05;
-/// Least time that a report is taken to cover.
-const MIN_REPORT_SPAN: Micros = 1_000_000;
-/// After a gap in reports the next ones may be late for this long.
-const LATE_REPORTS_SPAN: Micros = 10_000_000;
+/// Weight of one report in the moving average of the time that reports cover.
+const REPORT_PERIOD_GAIN: f64 = 0.05;
+/// Lower bound of the time that a report is assumed to cover.
+const MIN_REPORT_PERIOD: Micros = 1_000_000;
+/// How long reports are assumed to be late after a gap in them.
+const LATE_REPORTS_DURATION: Micros = 10_000_000;
 
-/// Part of the peak goodput that is lost in the time of two reports.
+/// Part by which the peak goodput decays in the time that two reports cover.
 const PEAK_GOODPUT_DECAY_RATIO: f64 = 0.05;
 
-/// Bounds of the retry amplification. While the fleet has recovered at least the lower one is assumed, as
-/// congestion is seen late; above, the upper one.
+/// Lower bound of the retry amplification. It is above 1 because reports show congestion late. While the
+/// fleet is not recovered, [`MAX_RETRY_AMPLIFICATION`] is assumed instead.
 pub(super) const MIN_RETRY_AMPLIFICATION: f64 = 2.5;
+/// Upper bound of the attempts for each successful one.
 const MAX_RETRY_AMPLIFICATION: f64 = 6.0;
 
-/// The name of the load report's column that contains the queue's length.
+/// Name of the column of load reports that contains the queue length, in requests.
 const QUEUE_COLUMN: &str = "q";
 
-/// Load and latency of the fleet. Only this module writes it.
+/// Load and latency of the fleet. Other modules only read it, except `responses_carry_load`.
 pub(super) struct FleetLoad {
-    /// Latency ratio that the median attempt meets; 0 without recent reports.
+    /// Latency ratio at the server of the median attempt; 0 without recent reports.
     pub(super) current_latency_ratio: f64,
-    /// The same as last known.
+    /// The newest value of `current_latency_ratio` above 0; 0 before the first.
     pub(super) latency_ratio: f64,
-    /// The same of successful attempts alone; 0 without recent reports.
+    /// Latency ratio of the median successful attempt, failed ones left out; 0 without recent reports.
     pub(super) success_latency_ratio: f64,
-    /// Latency ratio of the median attempt of each zone's proxies, without zones that did not report.
+    /// Latency ratio of the median attempt of each zone's proxies; zones without recent reports have no
+    /// entry.
     pub(super) zone_latency_ratio: BTreeMap<ZoneId, f64>,
-    /// Recent attempts, older ones in part.
+    /// Decayed number of recent attempts.
     pub(super) attempts: f64,
-    /// Recent failed attempts, older ones in part.
+    /// Decayed number of recent failed attempts.
     pub(super) errors: f64,
-    /// Attempts for each successful one, times the surge of requests over their mean.
+    /// Attempts for each successful one, within bounds, times the current request rate's excess over a surge.
     pub(super) retry_amplification: f64,
-    /// There was a gap in reports: until then the latency ratio may be out of date.
+    /// Until this time the latency ratio may be outdated, as there was a gap in reports.
     pub(super) late_reports_until: Micros,
-    /// Usual requests per second by class at connected proxies, clients' repeats left out.
+    /// Usual requests per second of each class at connected proxies, clients' retries of rejected requests
+    /// left out.
     pub(super) class_rates: Vec<f64>,
-    /// True: load reports also come with responses, not with health checks alone.
+    /// True: responses to attempts have carried load reports; else only health checks may.
     pub(super) responses_carry_load: bool,
-    /// Successful attempts of the fleet.
+    /// Rate of the fleet's successful attempts.
     pub(super) goodput: Goodput,
-    /// Requests per second at connected proxies, smoothed.
+    /// Requests per second at connected proxies, smoothed over [`MEAN_RATE_TIME_CONSTANT_MICROS`].
     mean_request_rate: f64,
-    /// Time that a report covers, smoothed; longer than the report period where reports fall behind.
-    report_span_micros: f64,
+    /// Mean time that a report covers, in microseconds. It exceeds the report interval when reports are
+    /// delayed.
+    mean_report_period_micros: f64,
 }
 
-/// Successful attempts per second.
+/// Rate of successful attempts, with its peak.
 #[derive(Default)]
 pub(super) struct Goodput {
-    /// Smoothed rate. It starts from 0.
+    /// Smoothed rate, per second. It starts at 0, so that it is too low until a smoothing window has passed.
     pub(super) per_second: f64,
-    /// Recent peak of the rate; it decays.
+    /// Decaying peak of the rate, per second, corrected for the start at 0.
     pub(super) peak_per_second: f64,
-    /// Successful attempts since the last round.
+    /// Successful attempts reported since the last round.
     successes: f64,
-    /// Part of the smoothing window that has been seen, from 0 at the start to 1.
-    seen_ratio: f64,
+    /// The part of the smoothing window with observations, from 0 at the start to 1.
+    observed_window_ratio: f64,
 }
 
-/// What the proxies of a zone measured at a server during one report.
+/// The attempts of one zone's proxies at one server in one report.
 pub(super) struct UpstreamReport {
     pub(super) server: ServerId,
     pub(super) zone: ZoneId,
-    /// Time that it covers.
+    /// Time that the report covers.
     pub(super) period: Micros,
-    /// Attempts.
+    /// Number of attempts.
     pub(super) attempts: u32,
-    /// Failed attempts.
+    /// Number of failed attempts.
     pub(super) errors: u32,
-    /// Mean latency of the successful ones.
+    /// Mean latency of the successful attempts; 0 if there are none.
     pub(super) latency: Micros,
 }
 
-/// Sums of recent attempts, and the latency ratios of the median attempt.
+/// Sums of recent attempts, and the latency ratios of the median attempt in the fleet and in each zone.
 struct AttemptSummary {
     attempts: f64,
     errors: f64,
@@ -115,7 +122,7 @@
 }
 
 impl FleetLoad {
-    /// A fleet without reports.
+    /// Creates the load of a fleet without reports.
     pub(super) fn new() -> Self {
         FleetLoad {
             current_latency_ratio: 0.0,
@@ -130,7 +137,7 @@
             responses_carry_load: false,
             goodput: Goodput::default(),
             mean_request_rate: 0.0,
-            report_span_micros: 0.0,
+            mean_report_period_micros: 0.0,
         }
     }
 
@@ -140,75 +147,83 @@
     }
 
     /// Twice the time that a report covers.
-    pub(super) fn two_report_spans(&self) -> Micros {
-        2 * self.report_span_micros as Micros
+    pub(super) fn two_report_periods(&self) -> Micros {
+        2 * self.mean_report_period_micros as Micros
     }
 
-    /// Reports that came since then are recent.
+    /// The earliest time of receipt of a report that counts as recent.
     pub(super) fn recent_since(&self, now: Micros) -> Micros {
-        now.saturating_sub(self.two_report_spans() + MIN_REPORT_SPAN)
+        now.saturating_sub(self.two_report_periods() + MIN_REPORT_PERIOD)
     }
 
     fn update_mean_request_rate(&mut self, request_rate: f64) {
-        let gain =
-            if self.mean_request_rate > 0.0 { ROUND_PERIOD as f64 / MEAN_RATE_SPAN_MICROS } else { 1.0 };
+        let gain = if self.mean_request_rate > 0.0 {
+            ROUND_PERIOD as f64 / MEAN_RATE_TIME_CONSTANT_MICROS
+        } else {
+            1.0
+        };
         self.mean_request_rate += gain * (request_rate - self.mean_request_rate);
     }
 
-    /// Stores the round's latency ratios. Without recent reports the last known one remains, and a gap in
-    /// reports is noted.
+    /// Stores the round's sums and latency ratios. Without recent reports `latency_ratio` keeps its value,
+    /// and reports count as late for [`LATE_REPORTS_DURATION`].
     fn update_latency_ratio(&mut self, summary: AttemptSummary, now: Micros) {
         self.attempts = summary.attempts;
         self.errors = summary.errors;
         self.zone_latency_ratio = summary.zone_latency_ratio;
         self.current_latency_ratio = summary.fleet_latency_ratio;
         if self.current_latency_ratio == 0.0 && self.latency_ratio > 0.0 {
-            self.late_reports_until = now + LATE_REPORTS_SPAN;
+            self.late_reports_until = now + LATE_REPORTS_DURATION;
         }
         if self.current_latency_ratio > 0.0 {
             self.latency_ratio = self.current_latency_ratio;
         }
     }
 
+    /// Updates the retry amplification: the attempts for each success, times the factor by which the request
+    /// rate exceeds [`SURGE_RATIO`] times its mean.
     fn update_retry_amplification(&mut self, request_rate: f64) {
-        let least = if self.latency_ratio > RECOVERED_LATENCY_RATIO {
+        let min_amplification = if self.latency_ratio > RECOVERED_LATENCY_RATIO {
             MAX_RETRY_AMPLIFICATION
         } else {
             MIN_RETRY_AMPLIFICATION
         };
         let surge = (request_rate / (SURGE_RATIO * self.mean_request_rate).max(1e-9)).max(1.0);
         let attempts_per_success = self.attempts / (self.attempts - self.errors).max(1.0);
-        self.retry_amplification = surge * attempts_per_success.clamp(least, MAX_RETRY_AMPLIFICATION);
+        self.retry_amplification =
+            surge * attempts_per_success.clamp(min_amplification, MAX_RETRY_AMPLIFICATION);
     }
 }
 
 impl Goodput {
-    /// Updates rate and peak once a round.
-    fn update(&mut self, report_span_micros: f64) {
-        let gain = ROUND_PERIOD as f64 / (2.0 * report_span_micros.max(MIN_REPORT_SPAN as f64));
+    /// Updates rate and peak from the successes of one round.
+    fn update(&mut self, mean_report_period_micros: f64) {
+        let gain = ROUND_PERIOD as f64 / (2.0 * mean_report_period_micros.max(MIN_REPORT_PERIOD as f64));
         let successes = std::mem::take(&mut self.successes);
         self.per_second += gain * (successes / (ROUND_PERIOD as f64 * 1e-6) - self.per_second);
-        let seen = if self.per_second > 0.0 { 1.0 } else { 0.0 };
-        self.seen_ratio += gain * (seen - self.seen_ratio);
-        let unbiased = self.per_second / self.seen_ratio.max(gain);
+        let observed = if self.per_second > 0.0 { 1.0 } else { 0.0 };
+        self.observed_window_ratio += gain * (observed - self.observed_window_ratio);
+        let unbiased = self.per_second / self.observed_window_ratio.max(gain);
         let decayed_peak = self.peak_per_second * (1.0 - gain * PEAK_GOODPUT_DECAY_RATIO);
         self.peak_per_second = decayed_peak.max(unbiased);
     }
 }
 
 impl ZoneStats {
-    /// Mean latency of all attempts, in latency objectives.
+    /// Mean latency of all attempts, as a multiple of the latency objective. Each failed attempt counts as
+    /// [`FAILED_ATTEMPT_LATENCY_RATIO`].
     pub(super) fn latency_ratio(&self) -> f64 {
         let total = self.success_latency + FAILED_ATTEMPT_LATENCY_RATIO * self.errors;
         total / self.attempts.max(1e-9)
     }
 
-    /// Mean latency of the successful attempts, in latency objectives.
+    /// Mean latency of the successful attempts, as a multiple of the latency objective.
     fn success_latency_ratio(&self) -> f64 {
         self.success_latency / (self.attempts - self.errors).max(1e-9)
     }
 
-    /// Attempts, decayed to `now`; 0 if the server is not ready.
+    /// Number of attempts, decayed to `now`; 0 if the server is not ready, as its last attempts fail and say
+    /// nothing about the remaining fleet.
     fn decayed_attempts(&self, server: &Server, now: Micros) -> f64 {
         if !server.is_ready() {
             return 0.0;
@@ -218,23 +233,23 @@
 }
 
 impl Policy {
-    /// Updates a proxy's request rates. Its usual rate stands still while requests are shed or the fleet has
-    /// not recovered, as clients then repeat requests.
-    pub(super) fn learn_client_stats(&mut self, proxy: ProxyId, class: ClassId, period: Micros, total: u32) {
+    /// Updates a proxy's request rates. Its usual rate is not updated while requests are shed or the fleet is
+    /// not recovered, as clients then retry requests and the total is inflated.
+    pub(super) fn record_client_stats(&mut self, proxy: ProxyId, class: ClassId, period: Micros, total: u32) {
         let Some(proxy) = self.proxies.get_mut(&proxy) else { return };
         let observed = f64::from(total) * 1e6 / period as f64;
         let rate = proxy.request_rates.entry(class).or_insert(observed);
-        *rate += smoothing_gain(period, REQUEST_RATE_SPAN_MICROS) * (observed - *rate);
+        *rate += smoothing_gain(period, REQUEST_RATE_TIME_CONSTANT_MICROS) * (observed - *rate);
         let usual = proxy.usual_rates.entry(class).or_insert(*rate);
         if self.admission.shed_fraction == 0.0 && self.load.latency_ratio < RECOVERED_LATENCY_RATIO {
-            *usual += smoothing_gain(period, MEAN_RATE_SPAN_MICROS) * (observed - *usual);
+            *usual += smoothing_gain(period, MEAN_RATE_TIME_CONSTANT_MICROS) * (observed - *usual);
         }
     }
 
-    /// Adds a report to the sums of its server and zone.
-    pub(super) fn learn_upstream_stats(&mut self, report: &UpstreamReport) {
-        let span = &mut self.load.report_span_micros;
-        *span += REPORT_SPAN_GAIN * (report.period as f64 - *span);
+    /// Adds a report to the sums of its server and zone and to the goodput.
+    pub(super) fn record_upstream_stats(&mut self, report: &UpstreamReport) {
+        let mean_period = &mut self.load.mean_report_period_micros;
+        *mean_period += REPORT_PERIOD_GAIN * (report.period as f64 - *mean_period);
         let attempts = f64::from(report.attempts);
         let Some(server) = self.servers.get_mut(&report.server) else { return };
         if report.attempts == 0 {
@@ -255,8 +270,8 @@
         stats.updated_at = self.now;
     }
 
-    /// Stores the queue's length of a server, if its load report contains it.
-    pub(super) fn learn_load_report(&mut self, server: ServerId, load: &[f32]) {
+    /// Stores a server's queue length, if the load report contains a finite one.
+    pub(super) fn record_load_report(&mut self, server: ServerId, load: &[f32]) {
         let column = self.settings.load_columns.iter().position(|name| name == QUEUE_COLUMN);
         let Some(length) = column.and_then(|column| load.get(column)) else { return };
         if !length.is_finite() {
@@ -268,7 +283,7 @@
         }
     }
 
-    /// Computes the fleet's load for this round.
+    /// Computes the fleet's load from recent reports, once a round.
     pub(super) fn update_load(&mut self) {
         let since = self.load.recent_since(self.now);
         self.load.success_latency_ratio = self.median_success_latency_ratio(since);
@@ -276,12 +291,12 @@
         self.load.class_rates = self.usual_class_rates();
         let request_rate = self.connected_request_rate();
         self.load.update_mean_request_rate(request_rate);
-        self.load.goodput.update(self.load.report_span_micros);
+        self.load.goodput.update(self.load.mean_report_period_micros);
         self.load.update_latency_ratio(summary, self.now);
         self.load.update_retry_amplification(request_rate);
     }
 
-    /// Latency ratio of the median successful attempt of the fleet, ejected servers left out.
+    /// Latency ratio of the median successful attempt of the fleet, without ejected servers.
     fn median_success_latency_ratio(&self, since: Micros) -> f64 {
         let mut samples = Vec::new();
         for (server, _, stats) in self.recent_zone_stats(since) {
@@ -294,8 +309,8 @@
         weighted_median(samples)
     }
 
-    /// Sums recent attempts. Ejected servers count in their zone, as their load falls on the rest there, but
-    /// not in the fleet.
+    /// Sums recent attempts. The ratio of a zone includes servers that are ejected there, as the zone's other
+    /// servers get their load; the fleet's ratio excludes them.
     fn summarize_attempts(&self, since: Micros) -> AttemptSummary {
         let mut attempts = 0.0;
         let mut errors = 0.0;
@@ -319,6 +334,7 @@
         AttemptSummary { attempts, errors, fleet_latency_ratio: weighted_median(fleet), zone_latency_ratio }
     }
 
+    /// All measurements whose newest report was received at `since` or later, with server and zone.
     fn recent_zone_stats(&self, since: Micros) -> impl Iterator<Item = (&Server, ZoneId, &ZoneStats)> {
         let all = self
             .servers
@@ -327,8 +343,8 @@
         all.filter(move |(_, _, stats)| stats.updated_at >= since)
     }
 
-    /// Requests waiting at the server that the median attempt meets, if recent load reports contain it for
-    /// the servers of most attempts.
+    /// Queue length at the server of the median attempt, in requests. `None` unless load reports received
+    /// since `since` cover the servers of more than half of the attempts.
     pub(super) fn median_queue_length(&self, since: Micros) -> Option<f64> {
         let mut queues = Vec::new();
         let mut attempts_at = Vec::new();
@@ -356,19 +372,19 @@
         rates
     }
 
-    /// Requests per second at connected proxies now.
+    /// Requests per second of all classes at connected proxies, smoothed over recent reports.
     fn connected_request_rate(&self) -> f64 {
         let connected = self.proxies.values().filter(|proxy| proxy.connected);
         connected.flat_map(|proxy| proxy.request_rates.values()).sum()
     }
 }
 
-/// What remains of evidence of this age, as a ratio.
+/// The ratio to which a sum of attempts of this age decays, in (0, 1].
 fn decay(age: Micros) -> f64 {
-    0.5f64.powf(age as f64 / EVIDENCE_HALF_LIFE_MICROS)
+    0.5f64.powf(age as f64 / ATTEMPT_HALF_LIFE_MICROS)
 }
 
-/// Weight of a report over `period` in an average with this time constant.
-fn smoothing_gain(period: Micros, span_micros: f64) -> f64 {
-    1.0 - (-(period as f64) / span_micros).exp()
+/// Weight of a report over `period` in an exponential moving average with this time constant.
+fn smoothing_gain(period: Micros, time_constant_micros: f64) -> f64 {
+    1.0 - (-(period as f64) / time_constant_micros).exp()
 }
--- a/src/policy/locality.rs
+++ b/src/policy/locality.rs
@@ -1,41 +1,48 @@
-//! Topology aware routing: tables by zone, and lending of servers between zones.
+//! Topology aware routing: a table for each zone, and lending of servers between zones.
+//!
+//! A subset whose servers are too few for its load borrows servers: they leave the lender's table for the
+//! borrower's. They return when the borrower no longer requires them.
 
 use super::Policy;
 use super::server::Server;
 use super::subset::SubsetWeights;
 use crate::interface::{Micros, ServerId, TableId, ZoneId};
 
-/// Tables become zone-aware at this many ready servers per zone.
+/// Tables become zone-aware at this mean number of ready servers per zone.
 const ZONE_AWARE_ON_SERVERS_PER_ZONE: usize = 4;
-/// They stay zone-aware above this many: the gap prevents flapping.
+/// Tables stay zone-aware above this mean number of ready servers per zone. The gap is a hysteresis against
+/// flapping.
 const ZONE_AWARE_OFF_SERVERS_PER_ZONE: usize = 2;
-/// A subset borrows when it is expected to hold more than this multiple of what it holds.
+/// A subset borrows when its load, in server weight, is above this multiple of the weight of its servers.
 const BORROW_ABOVE_RATIO: f64 = 1.25;
-/// A lent server returns if its borrower stays at or below this multiple without it.
+/// A lent server returns when the borrower's load would be at most this multiple of its weight without the
+/// server.
 const RETURN_BELOW_RATIO: f64 = 1.05;
-/// Servers that change their subset in one round, at most.
+/// Upper bound of the servers that change their subset in one round.
 const MAX_TRANSFERS_PER_ROUND: usize = 16;
-/// No lending for this long after the start, as the first proxies to connect would be taken for the whole
+/// Time after the start without lending, as until then the first proxies that connect appear to be the whole
 /// load.
 const LENDING_DELAY: Micros = 2_500_000;
-/// Least surplus weight of a lender in the borrower's own zone that is preferred to others.
+/// A lender in the borrower's own zone is preferred to lenders in others if its surplus weight is at least
+/// this.
 const OWN_ZONE_LENDER_SURPLUS_WEIGHT: f64 = 1.0;
 
-/// A server that changes its subset.
+/// A change of a server's subset: a lending or a return.
 struct Transfer {
     server: ServerId,
     to: TableId,
 }
 
 impl Policy {
-    /// True: servers may serve proxies of other zones.
+    /// True: servers may be lent to other zones. That requires [`LENDING_DELAY`] since the start and no class
+    /// that is bound to its zone.
     pub(super) fn may_lend(&self) -> bool {
         let settled = self.now >= self.started_at + LENDING_DELAY;
         settled && !self.settings.classes.iter().any(|class| class.zone_local)
     }
 
-    /// Switches zone-aware tables on or off, then lends servers to subsets that are short and returns those
-    /// that are no longer needed.
+    /// Switches zone-aware tables on or off, then lends servers to subsets with too little weight for their
+    /// load and returns lent servers that are no longer required.
     pub(super) fn update_subsets(&mut self) {
         self.switch_zone_awareness();
         if !self.may_lend() {
@@ -43,23 +50,24 @@
         }
         let mut weights = self.subset_weights(|server| self.usable_weight(server));
         for _ in 0..MAX_TRANSFERS_PER_ROUND {
-            let Some(transfer) = self.next_loan(&weights).or_else(|| self.next_return(&weights)) else {
+            let Some(transfer) = self.next_lending(&weights).or_else(|| self.next_return(&weights)) else {
                 break;
             };
             self.transfer(&transfer, &mut weights);
         }
     }
 
-    /// On a switch all connected proxies are assigned to their new tables.
+    /// Chooses between zone-aware tables and one shared table. A switch reassigns all connected proxies.
+    /// Without ready servers nothing is switched.
     fn switch_zone_awareness(&mut self) {
         let ready = self.servers.values().filter(|server| server.is_ready()).count();
         let zones = self.settings.zone_count;
-        let needed = if self.zone_aware {
+        let min_ready = if self.zone_aware {
             ZONE_AWARE_OFF_SERVERS_PER_ZONE * zones + 1
         } else {
             ZONE_AWARE_ON_SERVERS_PER_ZONE * zones
         };
-        let zone_aware = ready >= needed;
+        let zone_aware = ready >= min_ready;
         if ready == 0 || zone_aware == self.zone_aware {
             return;
         }
@@ -78,11 +86,13 @@
     }
 
     /// The next server to lend to the subset with the highest utilization, if that is above
-    /// [`BORROW_ABOVE_RATIO`]: a server that belongs to the borrower's zone first, then a warm one.
+    /// [`BORROW_ABOVE_RATIO`]: preferably a server that runs in the borrower's zone, then one past slow
+    /// start.
     ///
-    /// A subset in use keeps its last server, and no lender ends up worse off than the borrower is.
-    fn next_loan(&self, weights: &SubsetWeights) -> Option<Transfer> {
-        let borrower = self.neediest_borrower(weights)?;
+    /// Guards against a lending that only moves the shortage: a subset with load is not left without usable
+    /// servers, and the lender's utilization after it stays below the borrower's before it.
+    fn next_lending(&self, weights: &SubsetWeights) -> Option<Transfer> {
+        let borrower = self.most_utilized_borrower(weights)?;
         let utilization = weights.utilization(borrower);
         if utilization <= BORROW_ABOVE_RATIO {
             return None;
@@ -97,17 +107,20 @@
             return None;
         }
         let candidates = held().filter(|server| self.is_usable(server, zone));
-        let server = candidates.max_by(|a, b| self.loan_rank(a, zone).total_cmp(&self.loan_rank(b, zone)))?;
+        let server =
+            candidates.max_by(|a, b| self.lending_rank(a, zone).total_cmp(&self.lending_rank(b, zone)))?;
         let lender_utilization = weights.utilization_without(lender, self.effective_weight(server));
         (lender_utilization < utilization).then_some(Transfer { server: server.id(), to: borrower })
     }
 
-    fn neediest_borrower(&self, weights: &SubsetWeights) -> Option<TableId> {
+    /// The subset in use with the highest utilization.
+    fn most_utilized_borrower(&self, weights: &SubsetWeights) -> Option<TableId> {
         let in_use = weights.expected.keys().copied().filter(|subset| self.is_in_use(*subset));
         in_use.max_by(|a, b| weights.utilization(*a).total_cmp(&weights.utilization(*b)))
     }
 
-    /// The subset with the largest surplus, one of the borrower's own zone first.
+    /// The subset with the largest surplus weight. Subsets of the borrower's own zone are preferred if their
+    /// surplus is at least [`OWN_ZONE_LENDER_SURPLUS_WEIGHT`].
     fn best_lender(&self, borrower: TableId, weights: &SubsetWeights) -> Option<TableId> {
         let zone = self.zone_of(borrower);
         let is_near = |subset: TableId| {
@@ -121,21 +134,24 @@
         })
     }
 
-    fn loan_rank(&self, server: &Server, borrower_zone: ZoneId) -> f64 {
+    /// Preference of a server for lending, higher first: its slow-start ratio, plus 1 in the borrower's zone.
+    fn lending_rank(&self, server: &Server, borrower_zone: ZoneId) -> f64 {
         let from_zone = if server.zone() == borrower_zone { 1.0 } else { 0.0 };
         self.slow_start_ratio(server) + from_zone
     }
 
-    /// The next lent server that its borrower does without; it returns to the subset of its own zone that
-    /// needs it most.
+    /// The next lent server that its borrower no longer requires. It returns to the subset of its own zone
+    /// with the largest deficit.
     fn next_return(&self, weights: &SubsetWeights) -> Option<Transfer> {
         let mut lent = self.servers.values().filter(|server| self.zone_of(server.subset) != server.zone());
-        let server = lent.find(|server| self.is_dispensable(server, weights))?;
-        let to = self.neediest_subset(server.zone(), false, weights);
+        let server = lent.find(|server| self.can_be_returned(server, weights))?;
+        let to = self.largest_deficit_subset(server.zone(), false, weights);
         Some(Transfer { server: server.id(), to })
     }
 
-    fn is_dispensable(&self, server: &Server, weights: &SubsetWeights) -> bool {
+    /// True: the server is unusable where it is lent, or its borrower's utilization without it is at most
+    /// [`RETURN_BELOW_RATIO`].
+    fn can_be_returned(&self, server: &Server, weights: &SubsetWeights) -> bool {
         if self.usable_weight(server) == 0.0 {
             return true;
         }
--- a/src/policy/median.rs
+++ b/src/policy/median.rs
@@ -1,15 +1,16 @@
-//! The weighted median.
+//! The weighted median of measurements.
 
-/// A value and its weight.
+/// A value and its weight in a weighted median.
 #[derive(Clone, Copy)]
 pub(super) struct Weighted {
-    /// The value.
+    /// The measured value, in any unit.
     pub(super) value: f64,
-    /// Its weight, not negative.
+    /// Its weight relative to the other values, not negative.
     pub(super) weight: f64,
 }
 
-/// The value below which half of the total weight lies; 0 without values.
+/// Returns the smallest value at which the values up to it have at least half of the total weight; 0 without
+/// values.
 pub(super) fn weighted_median(mut values: Vec<Weighted>) -> f64 {
     values.sort_by(|a, b| a.value.total_cmp(&b.value));
     let mut remaining = values.iter().map(|v| v.weight).sum::<f64>() / 2.0;
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,9 +1,9 @@
-//! Every decision of stepspur, a module for each rule. The types that it takes and gives are in
-//! `src/interface.rs`.
+//! The decision module: all decisions of stepspur, one submodule for each rule. Its input and output types
+//! are in `src/interface.rs`.
 //!
-//! [`Policy::decide`] is one round of decisions: it learns events, judges servers and load, and sends what
-//! has changed. State that one rule owns is a type of that rule's module. What several rules need is computed
-//! once a round by `load`.
+//! [`Policy::decide`] applies a batch of events, evaluates load and server health when a round is due, and
+//! returns the changes to publish. State that a single rule uses is a type of that rule's module. Values that
+//! several rules use are computed once a round by `load`.
 
 mod admission;
 mod channel;
@@ -41,25 +41,27 @@
 
 use crate::interface::{Action, Event, Micros, ProxyId, ServerId, Settings, TableId, ZoneId};
 
-/// Time between rounds. Only a change of the endpoint list and a connecting proxy are acted on at once.
+/// Interval between rounds. Changes of the endpoint list, shard assignments and connecting proxies are
+/// handled in the batch that reports them, without waiting for the next round.
 const ROUND_PERIOD: Micros = 250_000;
 
-/// One conductor's decisions.
+/// The decision state of one conductor: what it knows of servers, proxies, load and tables.
 pub struct Policy {
     settings: Settings,
-    /// Time of the batch that is decided.
+    /// Time of the current batch of events.
     now: Micros,
     started_at: Micros,
     next_round_at: Micros,
+    /// Actions that the current batch has produced so far, in order.
     actions: Vec<Action>,
-    /// True: tables must be planned now, before the next round.
+    /// True: tables are planned in this batch even if no round is due.
     tables_outdated: bool,
 
     servers: BTreeMap<ServerId, Server>,
     proxies: BTreeMap<ProxyId, Proxy>,
-    /// Number of connected proxies by zone.
+    /// Number of connected proxies in each zone.
     connected_by_zone: BTreeMap<ZoneId, usize>,
-    /// Connected proxies that wait for their table.
+    /// Connected proxies that are not yet assigned to their current table.
     unassigned_proxies: BTreeSet<ProxyId>,
     tables: BTreeMap<TableId, Table>,
     shards: BTreeMap<TableId, Shard>,
@@ -69,13 +71,14 @@
     fleet_probes: FleetProbes,
     outlier_detection: OutlierDetection,
     admission: AdmissionController,
-    /// True: tables are by zone; false: all proxies share one.
+    /// True: each zone has its own tables; false: all proxies share one table.
     zone_aware: bool,
     channel: ChannelQueue,
 }
 
 impl Policy {
-    /// An instance at its start: no endpoints, proxies or tables. The seed is not used yet.
+    /// Creates an instance without endpoints, proxies or tables that starts at `now`. The seed is unused, as
+    /// no decision is random.
     pub fn new(settings: Settings, _seed: u64, now: Micros) -> Self {
         let first_poll_at = settings.poll_discovery.then_some(now);
         Policy {
@@ -101,12 +104,12 @@
         }
     }
 
-    /// Takes a batch of events and its time, and gives the actions.
+    /// Applies a batch of events that arrived by `now` and returns the actions to take, in order.
     pub fn decide(&mut self, now: Micros, events: &[Event]) -> Vec<Action> {
         self.now = now;
         self.channel.begin_decision();
         for event in events {
-            self.learn(event);
+            self.handle_event(event);
         }
         self.poll_discovery();
         let round_due = now >= self.next_round_at;
@@ -124,7 +127,7 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Judges servers and load once a round.
+    /// Updates load, server health, ejections, probes and admission, and schedules the next round.
     fn run_round(&mut self) {
         let elapsed = self.now.saturating_sub(self.next_round_at) + ROUND_PERIOD;
         self.next_round_at = self.now + ROUND_PERIOD;
@@ -141,27 +144,27 @@
 
     fn update_tables(&mut self) {
         if self.settings.shard_count > 0 {
-            self.place_shards();
+            self.assign_shards();
         } else {
             self.update_subsets();
             self.publish_tables();
         }
     }
 
-    fn learn(&mut self, event: &Event) {
+    fn handle_event(&mut self, event: &Event) {
         match event {
-            Event::EndpointList { update, entries } => self.learn_list(*update, entries),
+            Event::EndpointList { update, entries } => self.merge_endpoint_list(*update, entries),
             Event::ProbeResult { server, outcome, load, .. } => {
-                self.learn_load_report(*server, load);
-                self.learn_probe(*server, *outcome);
+                self.record_load_report(*server, load);
+                self.record_probe_result(*server, *outcome);
             }
             Event::ProxyConnected { proxy, zone, rate, .. } => self.connect_proxy(*proxy, *zone, *rate),
             Event::ProxyDisconnected { proxy } => self.disconnect_proxy(*proxy),
             Event::Acknowledged { proxy, nonce, .. } => self.channel.acknowledge(*proxy, *nonce),
             Event::UpstreamStats { server, zone, period, total, errors, latency, load } => {
-                self.learn_load_report(*server, load);
+                self.record_load_report(*server, load);
                 self.load.responses_carry_load |= !load.is_empty();
-                self.learn_upstream_stats(&UpstreamReport {
+                self.record_upstream_stats(&UpstreamReport {
                     server: *server,
                     zone: *zone,
                     period: *period,
@@ -171,9 +174,9 @@
                 });
             }
             Event::ClientStats { proxy, class, period, total, .. } if *period > 0 => {
-                self.learn_client_stats(*proxy, *class, *period, *total);
+                self.record_client_stats(*proxy, *class, *period, *total);
             }
-            Event::ShardAssignment { shard, granted } => self.learn_shard_assignment(*shard, *granted),
+            Event::ShardAssignment { shard, granted } => self.apply_shard_assignment(*shard, *granted),
             Event::StoredLine { shard, server, weight } => self.record_weight(*shard, *server, *weight),
             Event::ClientStats { .. }
             | Event::Timer { .. }
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -1,57 +1,58 @@
-//! Passive outlier detection: ejection of servers that fail, and lower weights for slow ones.
+//! Passive outlier detection: ejects servers whose attempts fail and lowers the weight of slow servers.
 
 use std::collections::BTreeMap;
 
 use super::Policy;
 use super::load::CONGESTED_LATENCY_RATIO;
 use super::server::{Server, ZoneStats};
-use super::slow_start::SLOW_START_SPAN;
+use super::slow_start::SLOW_START_WINDOW;
 use crate::interface::{Action, Micros, ZoneId};
 
-/// Consecutive failed attempts that eject a server.
+/// Number of consecutive failed attempts that eject a server.
 const EJECTION_THRESHOLD_ATTEMPTS: f64 = 5.0;
-/// Duration of the first ejection; it doubles with each further one.
+/// Duration of a server's first ejection; it doubles with each further one.
 const BASE_EJECTION_TIME: Micros = 4_000_000;
-/// Longest ejection.
+/// Upper bound of the duration of an ejection.
 const MAX_EJECTION_TIME: Micros = 30_000_000;
-/// Bound of the doublings, against overflow.
+/// Upper bound of the doublings, so that the shift does not overflow.
 const MAX_EJECTION_DOUBLINGS: u32 = 8;
-/// After an ejection for failures a server resumes its slow start here, in microseconds into
-/// [`SLOW_START_SPAN`]: at 0.4 of its weight, in all zones, as its process has not restarted. A slow start
-/// that began later than that goes on unchanged.
-const SLOW_START_HEAD_START: Micros = SLOW_START_SPAN / 3;
+/// Offset into [`SLOW_START_WINDOW`] at which a server resumes after an ejection for failures: at 0.4 of its
+/// weight, in all zones, as its process has not restarted. A slow start that has progressed less continues
+/// unchanged.
+const EJECTION_SLOW_START_OFFSET: Micros = SLOW_START_WINDOW / 3;
 
-/// A server below this latency ratio is not slow.
+/// A server with a latency ratio below this never counts as slow.
 const SLOW_LATENCY_RATIO: f64 = 0.3;
-/// A server below this multiple of the median latency ratio is not slow.
+/// A server below this multiple of the fleet's median latency ratio never counts as slow.
 const SLOW_TO_MEDIAN_RATIO: f64 = 1.2;
-/// Attempts at the median latency ratio that are added to a server's own, so that a few slow ones move
-/// little.
+/// Number of attempts at the median latency ratio that are added to a server's own, so that a few slow
+/// attempts change its weight little.
 const PRIOR_ATTEMPTS: f64 = 6.0;
-/// Smoothing factor of the outlier weight, per update.
+/// Weight of one update in the moving average that is the outlier weight.
 const OUTLIER_WEIGHT_GAIN: f64 = 0.5;
-/// Least outlier weight that an update aims at.
+/// Lower bound of the outlier weight.
 const MIN_OUTLIER_WEIGHT: f64 = 0.2;
-/// Least interval between updates of the outlier weights.
+/// Lower bound of the interval between updates of the outlier weights; the report interval if that is longer.
 const OUTLIER_WEIGHT_INTERVAL: Micros = 1_000_000;
 
-/// State of outlier detection beside each server's.
+/// State of outlier detection for the fleet; the state of each server is in its record.
 #[derive(Default)]
 pub(super) struct OutlierDetection {
     /// When the outlier weights were last updated.
     weights_updated_at: Micros,
 }
 
-/// Servers that the subsets of a zone hold.
+/// Number of servers in the subsets of a zone.
 #[derive(Default)]
 struct ZoneServers {
+    /// Servers that are listed as ready.
     ready: usize,
-    /// Those of the ready ones that get traffic.
+    /// Ready servers that may get traffic.
     usable: usize,
 }
 
 impl ZoneStats {
-    /// Ejects the server from the zone's tables.
+    /// Ejects the server from the zone's tables, for twice as long as the last time up to the maximum.
     fn eject(&mut self, now: Micros) {
         let doublings = self.ejection_count.min(MAX_EJECTION_DOUBLINGS);
         let duration = (BASE_EJECTION_TIME << doublings).min(MAX_EJECTION_TIME);
@@ -59,7 +60,7 @@
         self.ejection_count += 1;
     }
 
-    /// Ends an ejection; measurements start anew.
+    /// Ends an ejection and resets the measurements, so that old failures do not eject the server again.
     fn uneject(&mut self, now: Micros) {
         let ejection_count = self.ejection_count;
         *self = ZoneStats { ejection_count, updated_at: now, ..ZoneStats::default() };
@@ -67,14 +68,15 @@
 }
 
 impl Policy {
-    /// Ejects servers from the tables of a zone whose proxies only meet failures there, and ends ejections
-    /// that are over unless a probe has failed since the last success.
+    /// Ejects servers from the tables of a zone after [`EJECTION_THRESHOLD_ATTEMPTS`] consecutive failed
+    /// attempts of its proxies. Ends ejections whose time is over, unless a probe has failed since the last
+    /// successful one.
     ///
-    /// Guards against servers that hang or fail for the proxies of a zone, whatever their probes say. A
-    /// server is ejected only while more than half of the ready servers of the zone's subsets are usable: so
-    /// ejections stop once half of them, rounded up, are unusable for whatever reason, and a zone's only
-    /// server may be ejected. None is ejected while the fleet is congested: that would overload the rest.
-    /// Cost: a server with few attempts may be out for some seconds without need.
+    /// Guards against servers that hang or fail for the proxies of a zone, also if their probes succeed. A
+    /// server is ejected only while more than half of the ready servers of the zone's subsets are usable. So
+    /// ejections stop once half of them, rounded up, are unusable for any reason, and a zone's only server
+    /// may be ejected. No server is ejected while the fleet is congested, as that would overload the others.
+    /// Cost: a healthy server with few attempts may be ejected for some seconds.
     pub(super) fn eject_outliers(&mut self) {
         let mut zone_servers = self.count_zone_servers();
         let congested = self.load.current_latency_ratio >= CONGESTED_LATENCY_RATIO;
@@ -83,7 +85,7 @@
                 let ejection_over = stats.ejected_until.is_some_and(|until| self.now >= until);
                 if ejection_over && !server.health.has_recent_failure() {
                     stats.uneject(self.now);
-                    let slow_start_at = self.now.saturating_sub(SLOW_START_HEAD_START);
+                    let slow_start_at = self.now.saturating_sub(EJECTION_SLOW_START_OFFSET);
                     server.slow_start_at = server.slow_start_at.max(slow_start_at);
                     self.actions.push(Action::Log(format!("uneject {id:?}: ejection time over")));
                 }
@@ -112,11 +114,13 @@
         zones
     }
 
-    /// Lowers the weight of slow servers by as much as they are too slow, and restores it as they recover.
+    /// Lowers the weight of slow servers in proportion to their excess latency, and restores it as they
+    /// recover.
     ///
-    /// Guards against servers that are slow, paused or listed with too high a weight, also those that report
-    /// to be idle, as only attempts count. A slow server counts for less in its zone, too, so that the zone
-    /// borrows. Cost: it moves weight; with few servers the median itself is the slow one.
+    /// Guards against servers that are slow, paused or listed with too high a weight. Only the latency of
+    /// attempts counts, so that a server is detected even if it reports to be idle. The effective weight of
+    /// its zone falls as well, so that the zone borrows. Cost: load shifts to other servers; in a fleet of
+    /// few servers the slow server itself may be the median and stay undetected.
     pub(super) fn update_outlier_weights(&mut self) {
         let median = self.load.current_latency_ratio;
         let interval = self.settings.report_period.max(OUTLIER_WEIGHT_INTERVAL);
@@ -132,7 +136,8 @@
     }
 }
 
-/// The part of its weight at which a server would be no longer slow, were latency proportional to weight.
+/// The ratio of its weight at which a server would no longer be slow, assuming that latency is proportional
+/// to weight; at least [`MIN_OUTLIER_WEIGHT`].
 fn target_outlier_weight(server: &Server, median: f64, recent_since: Micros) -> f64 {
     let mut latency = 0.0;
     let mut attempts = 0.0;
--- a/src/policy/publish.rs
+++ b/src/policy/publish.rs
@@ -1,4 +1,4 @@
-//! What is sent to proxies when: changes of tables, assignments, and ejections at proxies.
+//! Publishing to proxies: changes of tables, assignments to tables, and ejections at proxies.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,24 +9,26 @@
 use crate::interface::{Action, ClassId, ProxyId, RetryPolicy, ServerId, TableId};
 
 /// A weight is sent only if it changes by more than this ratio of the largest planned weight of its table,
-/// unless it is new, removed, or cut below [`URGENT_CUT_RATIO`]; a level only if it changes by more than this
-/// ratio of its new value, or if the retry policy of its class changes.
+/// unless its server is added or removed, or it is cut below [`URGENT_CUT_RATIO`]. An admission level is sent
+/// only if it changes by more than this ratio of its new value, or if the retry policy of its class changes.
+/// Limits the number of messages.
 const MIN_CHANGE_RATIO: f64 = 0.08;
-/// A weight cut below this ratio of the old one is urgent.
+/// A cut of a weight to less than this ratio of the published one is urgent.
 const URGENT_CUT_RATIO: f64 = 0.75;
 
-/// The admission that proxies are taken to have before any was sent.
-const UNSENT_ADMISSION: ClassAdmission = ClassAdmission { retry_policy: RetryPolicy::Twice, level: 0.0 };
+/// The admission that is assumed for proxies before the first is published. It differs from every published
+/// one, so that the first is always sent.
+const INITIAL_ADMISSION: ClassAdmission = ClassAdmission { retry_policy: RetryPolicy::Twice, level: 0.0 };
 
-/// A line of a table that changes.
+/// A change of one server's weight in a table.
 struct WeightChange {
     server: ServerId,
-    /// New weight; 0: removed.
+    /// The new weight; 0 removes the server.
     weight: f64,
     urgency: Urgency,
 }
 
-/// What changes at a table.
+/// The changes of a table that are due.
 struct TableChanges {
     weights: Vec<WeightChange>,
     admission: BTreeMap<ClassId, ClassAdmission>,
@@ -46,7 +48,7 @@
 }
 
 impl Policy {
-    /// Plans all tables and sends what changed, as far as the channel allows.
+    /// Plans all tables and sends their changes, as far as flow control permits, then ejections at proxies.
     pub(super) fn publish_tables(&mut self) {
         let admitted_ratios = self.admitted_ratios();
         for plan in self.plan_tables() {
@@ -55,9 +57,9 @@
         self.eject_at_proxies();
     }
 
-    /// Sends all changes of a table in one message. If that may not be sent now, only weight changes of
-    /// urgency `Fault` or more, then of the highest one; changes of admission are part of every attempt. What
-    /// is left is planned again next round.
+    /// Sends the changes of a table in one message. If flow control does not permit that, it tries the weight
+    /// changes of urgency `Fault` and above, then those of urgency `Critical`; each time with all changes of
+    /// admission. Changes that are not sent are planned again in the next round.
     fn publish_table(&mut self, plan: &TablePlan, admitted_ratios: &[f64]) {
         let id = plan.table;
         let table = self.tables.entry(id).or_default();
@@ -105,7 +107,7 @@
         TableChanges { weights: self.weight_changes(table, &plan.weights), admission, admission_urgency }
     }
 
-    /// The lines that bring a table to its plan, removals first.
+    /// The changes of weight that bring a table to its plan, removals first.
     fn weight_changes(&self, table: &Table, plan: &BTreeMap<ServerId, f64>) -> Vec<WeightChange> {
         let mut changes = Vec::new();
         for server in table.weights.keys().filter(|server| !plan.contains_key(server)) {
@@ -115,7 +117,8 @@
         let largest = plan.values().copied().fold(0.0, f64::max);
         for (server, weight) in plan {
             let old = table.weights.get(server).copied().unwrap_or(0.0);
-            // A cut that is small beside the largest weight still protects a server of small weight.
+            // The cut of a small weight may protect its server, even if it is small relative to the largest
+            // weight.
             let is_urgent_cut = *weight < old * URGENT_CUT_RATIO;
             let is_large = (weight - old).abs() > MIN_CHANGE_RATIO * largest;
             if old != 0.0 && !is_urgent_cut && !is_large {
@@ -133,6 +136,8 @@
         changes
     }
 
+    /// The urgency of a server's removal from a table: routine if it is still usable, a fault if it is ready
+    /// but unusable, critical if it drains or is removed.
     fn removal_urgency(&self, server: ServerId) -> Urgency {
         match self.servers.get(&server) {
             Some(server) if self.is_usable(server, self.zone_of(server.subset)) => Urgency::Routine,
@@ -141,8 +146,8 @@
         }
     }
 
-    /// Assigns connected proxies to their tables, as long as the channel has capacity. No proxy is assigned
-    /// to an empty table.
+    /// Assigns waiting proxies to their tables until flow control permits no more. No proxy is assigned to an
+    /// empty table.
     pub(super) fn assign_tables(&mut self) {
         for proxy in self.unassigned_proxies.clone() {
             let id = self.table_of(self.proxies[&proxy].subset);
@@ -160,8 +165,11 @@
         }
     }
 
-    /// Ejects servers that drain or are gone at the proxies themselves while some wait for their table and go
-    /// by an older one. The ejection ends when the server is ready again. Cost: none known.
+    /// Ejects servers that drain or are removed directly at the proxies, while any proxy waits for its table.
+    /// The ejection ends when the server is ready again.
+    ///
+    /// Guards against requests to such servers from proxies that still route by an outdated table. Cost: none
+    /// known.
     fn eject_at_proxies(&mut self) {
         let waiting = &self.unassigned_proxies;
         let mut changing = Vec::new();
@@ -186,8 +194,8 @@
         }
     }
 
-    /// Proxies that wait for their table, and those whose table still names one of the servers, as its
-    /// removal may wait for room.
+    /// Proxies that wait for their table, and those whose table still contains one of the servers, as flow
+    /// control may delay its removal.
     fn proxies_that_may_use(&self, servers: &[ServerId]) -> BTreeSet<ProxyId> {
         let mut proxies = self.unassigned_proxies.clone();
         for table in self.tables.values() {
@@ -200,7 +208,8 @@
 }
 
 impl Table {
+    /// The admission of a class as last published, else [`INITIAL_ADMISSION`].
     fn sent_admission(&self, class: ClassId) -> ClassAdmission {
-        self.admission.get(&class).copied().unwrap_or(UNSENT_ADMISSION)
+        self.admission.get(&class).copied().unwrap_or(INITIAL_ADMISSION)
     }
 }
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -1,18 +1,19 @@
-//! When proxies may retry a failed attempt.
+//! The retry policy: which failed attempts of a class proxies may retry.
 
 use super::Policy;
 use super::load::OVERLOADED_LATENCY_RATIO;
 use crate::interface::{DedupScope, Idempotency, RequestClass, RetryPolicy};
 
-/// Latency ratio below which proxies may retry attempts that may have run. Above it queues form, and retries
-/// would lengthen them.
+/// Latency ratio below which proxies may retry attempts that may have been executed. Above it queues form at
+/// the servers, and retries would lengthen them.
 const MAX_RETRY_LATENCY_RATIO: f64 = 0.35;
 
 impl Policy {
-    /// The retry policy of a class.
+    /// The retry policy of a class at the fleet's present latency ratio.
     ///
-    /// Guards against retries that add to overload, and against requests that run twice. Cost: between
-    /// [`MAX_RETRY_LATENCY_RATIO`] and overload, failed attempts that may have run are not retried.
+    /// Guards against retries that add to overload, and against a request being executed twice. Cost: between
+    /// [`MAX_RETRY_LATENCY_RATIO`] and [`OVERLOADED_LATENCY_RATIO`], failed attempts that may have been
+    /// executed are not retried, and above that no attempts are.
     pub(super) fn retry_policy(&self, class: &RequestClass) -> RetryPolicy {
         let latency_ratio = self.load.latency_ratio;
         if latency_ratio > OVERLOADED_LATENCY_RATIO {
@@ -25,7 +26,8 @@
     }
 }
 
-/// True: a repeat does no harm. With idempotency keys all servers must drop repeats until the last retry.
+/// True: executing an attempt again has no further effect. With an idempotency key this requires that all
+/// servers drop repeats at least until the deadline, as a retry may happen until then.
 fn is_safe_to_repeat(class: &RequestClass) -> bool {
     match class.idempotency {
         Idempotency::Safe => true,
--- a/src/policy/server.rs
+++ b/src/policy/server.rs
@@ -1,36 +1,37 @@
-//! Records of a server of the endpoint list. They hold no decisions and no constants.
+//! The record of a server of the endpoint list and of what proxies measured there. It holds no decisions and
+//! no constants.
 
 use std::collections::BTreeMap;
 
 use super::health_check::HealthState;
 use crate::interface::{Endpoint, EndpointState, Micros, ServerId, TableId, ZoneId};
 
-/// What is known of one server of the endpoint list.
+/// State of one server of the endpoint list.
 pub(super) struct Server {
-    /// Its newest entry in the endpoint list.
+    /// The newest entry of the endpoint list for it.
     pub(super) endpoint: Endpoint,
-    /// The subset that holds it while tables are zone-aware.
+    /// The subset that the server belongs to while tables are zone-aware; a lent server's is of another zone.
     pub(super) subset: TableId,
-    /// What the proxies of each zone measured at it.
+    /// Measurements of the proxies of each zone; only zones that have reported attempts have an entry.
     pub(super) zone_stats: BTreeMap<ZoneId, ZoneStats>,
-    /// True: it is ejected at the proxies, whatever their tables say.
+    /// True: proxies are instructed not to use it, whatever their tables contain.
     pub(super) ejected_at_proxies: bool,
-    /// Start of its slow start, which may lie ahead; 0: it has full weight.
+    /// When its slow start begins, possibly in the future; 0: it has full weight.
     pub(super) slow_start_at: Micros,
     /// Results of its active health checks.
     pub(super) health: HealthState,
-    /// Weight factor of a slow endpoint, in (0, 1]; 1: not slow.
+    /// Factor of its weight that outlier detection sets, in (0, 1]; 1: its latency is not an outlier.
     pub(super) outlier_weight: f64,
-    /// The queue's length by its newest load report that contains it.
+    /// Queue length from its newest load report that contains one; `None` before the first.
     pub(super) queue: Option<QueueReport>,
-    /// When a report last showed that it answers.
+    /// When proxies last reported enough successful attempts to show that it responds; 0: never.
     pub(super) last_success_at: Micros,
-    /// Since when the endpoint list lacks it, whether or not absence is advisory.
+    /// When it disappeared from the endpoint list, even where absence is advisory; `None` while it is listed.
     pub(super) removed_at: Option<Micros>,
 }
 
 impl Server {
-    /// A server without any measurements, at full outlier weight.
+    /// Creates a healthy server without measurements that is first probed at `probe_at`.
     pub(super) fn new(endpoint: Endpoint, subset: TableId, slow_start_at: Micros, probe_at: Micros) -> Self {
         Server {
             endpoint,
@@ -46,62 +47,63 @@
         }
     }
 
-    /// Its identifier.
+    /// Its identifier: address and port.
     pub(super) fn id(&self) -> ServerId {
         self.endpoint.server
     }
 
-    /// Its own zone.
+    /// The zone that the server runs in, also while it is lent to another zone's subset.
     pub(super) fn zone(&self) -> ZoneId {
         self.endpoint.zone
     }
 
-    /// True: the endpoint list says that its process runs.
+    /// True: its newest entry in the endpoint list is `Ready`, neither draining nor removed.
     pub(super) fn is_ready(&self) -> bool {
         self.endpoint.state == EndpointState::Ready
     }
 }
 
-/// Requests that waited at a server.
+/// The number of requests that waited at a server, from one load report.
 pub(super) struct QueueReport {
-    /// Number of requests.
+    /// Number of waiting requests, not negative.
     pub(super) length: f64,
-    /// When the report came.
+    /// When the report was received.
     pub(super) received_at: Micros,
 }
 
-/// What the proxies of one zone measured at one server. Sums decay, so that older attempts count less.
+/// Measurements of the proxies of one zone at one server. The sums decay exponentially, so that older
+/// attempts count less.
 #[derive(Default)]
 pub(super) struct ZoneStats {
-    /// Attempts.
+    /// Decayed number of attempts.
     pub(super) attempts: f64,
-    /// Failed attempts.
+    /// Decayed number of failed attempts.
     pub(super) errors: f64,
-    /// Total latency of the successful attempts, in latency objectives.
+    /// Decayed total latency of the successful attempts, as a multiple of the latency objective.
     pub(super) success_latency: f64,
-    /// Attempts of the newest reports in a row that show no success; 0 after a report with any.
+    /// Number of attempts in consecutive reports without a success; a report with a success resets it to 0.
     pub(super) consecutive_failures: f64,
-    /// When the newest report came.
+    /// When the newest report was received.
     pub(super) updated_at: Micros,
-    /// End of its ejection from the zone's tables, if it is ejected.
+    /// When its ejection from the zone's tables may end; `None` while it is not ejected.
     pub(super) ejected_until: Option<Micros>,
-    /// Ejections from the zone's tables since the server was first listed; it never falls, so each further
-    /// one lasts longer, up to the maximum.
+    /// Number of ejections from the zone's tables since the server was first listed. It is never reset, so
+    /// that each further ejection lasts longer, up to the maximum.
     pub(super) ejection_count: u32,
 }
 
-/// Attempts that one report counts.
+/// The attempts at a server that one report covers.
 pub(super) struct AttemptCounts {
-    /// Attempts.
+    /// Number of attempts.
     pub(super) attempts: f64,
-    /// Failed attempts, at most `attempts`.
+    /// Number of failed attempts, at most `attempts`.
     pub(super) errors: f64,
-    /// Total latency of the successful attempts, in latency objectives.
+    /// Total latency of the successful attempts, as a multiple of the latency objective.
     pub(super) success_latency: f64,
 }
 
 impl ZoneStats {
-    /// Adds a report; of the sums so far the ratio `retained` remains.
+    /// Adds a report after the previous sums are multiplied by `retained`, in [0, 1].
     pub(super) fn add(&mut self, retained: f64, report: &AttemptCounts) {
         self.attempts = self.attempts * retained + report.attempts;
         self.errors = self.errors * retained + report.errors;
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,48 +1,49 @@
-//! Slow start: weight of servers that have just started or returned, and protection of those still warming
-//! up.
+//! Slow start: raises the weight of servers that have started or returned step by step, and protects servers
+//! that are still warming up from overload.
 
 use super::Policy;
 use super::load::{CONGESTED_LATENCY_RATIO, OVERLOADED_LATENCY_RATIO};
 use super::server::Server;
 use crate::interface::{Endpoint, Micros, ZoneId};
 
-/// Time from the first traffic to full weight.
-pub(super) const SLOW_START_SPAN: Micros = 10_000_000;
-/// Weight at the start of a slow start, as a ratio of the full one.
+/// Time in which a server's weight grows from [`INITIAL_WEIGHT_RATIO`] to its full value.
+pub(super) const SLOW_START_WINDOW: Micros = 10_000_000;
+/// Weight at the beginning of a slow start, as a ratio of the full weight.
 const INITIAL_WEIGHT_RATIO: f64 = 0.1;
-/// Least weight of a server that is warming up, as a ratio of the full one.
+/// Lower bound of the weight of a server that is warming up, as a ratio of the full weight.
 const MIN_WARMING_WEIGHT_RATIO: f64 = INITIAL_WEIGHT_RATIO / 4.0;
-/// A new server gets no traffic for this part of the warm-up time.
-const HOLD_OFF_RATIO: f64 = 0.12;
-/// Below this part of its warm-up time a server gets no traffic from an overloaded fleet.
-const OVERLOAD_WARM_UP_RATIO: f64 = 0.65;
-/// Below this part a server gets no traffic from a congested fleet or zone: proxies avoid servers after a run
-/// of failures, so that a warming one would take their share.
-const CONGESTION_WARM_UP_RATIO: f64 = 0.9;
-/// The part of a warming server's collapse load that it may get.
+/// Time after its start during which a server gets no traffic, as a ratio of the warm-up time.
+const WARM_UP_HOLD_OFF_RATIO: f64 = 0.12;
+/// While the fleet is overloaded, a server gets no traffic before this ratio of its warm-up time has passed.
+const MIN_WARM_UP_RATIO_OVERLOADED: f64 = 0.65;
+/// While the fleet or the zone is congested, a server gets no traffic before this ratio of its warm-up time
+/// has passed. Proxies then avoid servers after consecutive failures, and a warming server would get the load
+/// of those.
+const MIN_WARM_UP_RATIO_CONGESTED: f64 = 0.9;
+/// Upper bound of the load of a warming server, as a ratio of the load at which it collapses.
 const SAFE_LOAD_RATIO: f64 = 0.65;
 
 impl Policy {
-    /// When a listed server may begin its slow start; 0: it is not warming up.
+    /// When a listed server begins its slow start: after the hold-off that follows its start. 0: it is warm.
     pub(super) fn listed_slow_start_at(&self, endpoint: &Endpoint) -> Micros {
         let started_at = endpoint.started_at;
         if started_at == 0 || started_at + self.settings.warm_up <= self.now {
             return 0;
         }
-        started_at + (self.settings.warm_up as f64 * HOLD_OFF_RATIO) as Micros
+        started_at + (self.settings.warm_up as f64 * WARM_UP_HOLD_OFF_RATIO) as Micros
     }
 
-    /// The ratio of its weight that a server has reached since its start or return: grows from
-    /// [`INITIAL_WEIGHT_RATIO`] to 1 over [`SLOW_START_SPAN`].
+    /// The ratio of its full weight that a server has reached in its slow start: grows linearly from
+    /// [`INITIAL_WEIGHT_RATIO`] to 1 over [`SLOW_START_WINDOW`].
     pub(super) fn slow_start_ratio(&self, server: &Server) -> f64 {
         if server.slow_start_at == 0 {
             return 1.0;
         }
-        let progress = self.now.saturating_sub(server.slow_start_at) as f64 / SLOW_START_SPAN as f64;
+        let progress = self.now.saturating_sub(server.slow_start_at) as f64 / SLOW_START_WINDOW as f64;
         (INITIAL_WEIGHT_RATIO + (1.0 - INITIAL_WEIGHT_RATIO) * progress).min(1.0)
     }
 
-    /// The part of its warm-up time that has passed; above 1 once it is warm.
+    /// Time since the server's start as a ratio of the warm-up time; 1 or more once it is warm.
     fn warm_up_progress(&self, server: &Server) -> f64 {
         let age = self.now.saturating_sub(server.endpoint.started_at);
         age as f64 / self.settings.warm_up.max(1) as f64
@@ -52,41 +53,43 @@
         server.endpoint.started_at > 0 && self.warm_up_progress(server) < ratio
     }
 
-    /// True: the server has started less than the warm-up time ago.
+    /// True: the server started less than the warm-up time ago, so that its capacity may still be reduced.
     pub(super) fn is_warming_up(&self, server: &Server) -> bool {
         self.is_below_warm_up(server, 1.0)
     }
 
-    /// True: a warming server gets no traffic from a zone's proxies for now.
+    /// True: a warming server gets no traffic from the proxies of a zone for now.
     ///
-    /// Guards against overloading warming servers while the fleet is overloaded, or may be: probes show full
-    /// servers, or reports came late. Cost: a release under overload regains its capacity later; ends where
-    /// warming servers can serve what is admitted ([`Policy::warming_servers_suffice`]).
-    pub(super) fn is_held_back(&self, server: &Server, zone: ZoneId) -> bool {
+    /// Guards against the collapse of warming servers while the fleet is overloaded or probably is, that is,
+    /// while probes indicate saturation or soon after a gap in reports. Cost: a release under overload
+    /// regains its capacity later. The rule does not apply while warming servers can serve their part of what
+    /// is admitted ([`Policy::warming_servers_suffice`]).
+    pub(super) fn is_excluded_while_warming(&self, server: &Server, zone: ZoneId) -> bool {
         if self.admission.warming_servers_suffice {
             return false;
         }
         let overload_likely = self.load.latency_ratio > OVERLOADED_LATENCY_RATIO
-            || self.fleet_probes.show_full_servers()
+            || self.fleet_probes.indicate_saturation()
             || self.now < self.load.late_reports_until;
-        if overload_likely && self.is_below_warm_up(server, OVERLOAD_WARM_UP_RATIO) {
+        if overload_likely && self.is_below_warm_up(server, MIN_WARM_UP_RATIO_OVERLOADED) {
             return true;
         }
-        self.is_below_warm_up(server, CONGESTION_WARM_UP_RATIO) && self.is_congested(zone)
+        self.is_below_warm_up(server, MIN_WARM_UP_RATIO_CONGESTED) && self.is_congested(zone)
     }
 
-    /// True: the fleet or the zone is congested.
+    /// True: the latency ratio of the fleet or of the zone is above [`CONGESTED_LATENCY_RATIO`].
     fn is_congested(&self, zone: ZoneId) -> bool {
         let zone_ratio = self.load.zone_latency_ratio.get(&zone).copied().unwrap_or(0.0);
         zone_ratio.max(self.load.latency_ratio) > CONGESTED_LATENCY_RATIO
     }
 
-    /// [`Policy::slow_start_ratio`], lowered while the server warms up so that its load stays safe. A table's
-    /// line is listed weight × outlier weight × this.
+    /// [`Policy::slow_start_ratio`], reduced while the server warms up so that its load stays below
+    /// [`SAFE_LOAD_RATIO`] of the load at which it collapses. Its weight in a table is listed weight ×
+    /// outlier weight × this ratio.
     ///
-    /// `load_per_weight` is the load that a server of full weight would get, as a multiple of its capacity,
-    /// were the fleet fully loaded. Guards against overload of servers that have just started, at releases
-    /// and when whole zones restart. Cost: they reach their full weight later.
+    /// `load_per_weight` is the load of a server at full weight in a fully loaded fleet, as a multiple of the
+    /// server's capacity. Guards against overload of started servers at releases and when whole zones
+    /// restart. Cost: they reach their full weight later.
     pub(super) fn load_limited_slow_start_ratio(&self, server: &Server, load_per_weight: f64) -> f64 {
         let ratio = self.slow_start_ratio(server);
         if !self.is_warming_up(server) {
@@ -98,11 +101,12 @@
         ratio.min(safe_load / load_per_weight.max(1e-9)).max(MIN_WARMING_WEIGHT_RATIO)
     }
 
-    /// True: warming servers can serve their part of the admitted ratio of requests, at their initial
-    /// capacity and measured by the peak goodput.
+    /// True: the peak goodput, with warming servers counted at their initial capacity, covers the admitted
+    /// ratio of the usual requests.
     ///
-    /// Guards against a deadlock: servers that all conductors hold back because the rest are overloaded keep
-    /// the rest overloaded. Cost: a wrong goodput exposes warming servers; their weight stays bounded.
+    /// Guards against a deadlock: conductors exclude warming servers because the other servers are
+    /// overloaded, and those stay overloaded because the warming servers are excluded. Cost: if the peak
+    /// goodput is overestimated, warming servers get traffic too early, though their weight stays bounded.
     pub(super) fn warming_servers_suffice(&self, admitted_ratio: f64) -> bool {
         let mut weight = 0.0;
         let mut capacity = 0.0;
--- a/src/policy/table.rs
+++ b/src/policy/table.rs
@@ -1,30 +1,30 @@
-//! The record of a table as published last: what the policy has put into actions. The engine may not have
-//! sent it yet. It holds no decisions and no constants.
+//! The record of a table as last published, that is, as the actions returned so far describe it. The engine
+//! may not have sent all of them yet. It holds no decisions and no constants.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::Policy;
 use crate::interface::{ClassId, Micros, ProxyId, RetryPolicy, ServerId, TableId};
 
-/// A table as published last.
+/// A routing table as last published.
 #[derive(Default)]
 pub(super) struct Table {
-    /// Weights of its servers.
+    /// Weight of each of its servers, above 0.
     pub(super) weights: BTreeMap<ServerId, f64>,
-    /// Admission and retries by class.
+    /// Admission level and retry policy of each class that have been published.
     pub(super) admission: BTreeMap<ClassId, ClassAdmission>,
-    /// When it last changed.
+    /// When a weight or an admission level last changed; 0: never.
     pub(super) changed_at: Micros,
-    /// Proxies assigned to it.
+    /// Connected proxies that are assigned to it.
     pub(super) proxies: BTreeSet<ProxyId>,
-    /// Usual traffic of the connected proxies of its subset, in requests per second.
-    pub(super) listed_rate: f64,
+    /// Total traffic that the connected proxies of its subset declared, in requests per second.
+    pub(super) declared_rate: f64,
 }
 
-/// Admission and retries of one class at a table's proxies.
+/// Admission level and retry policy of one class at a table's proxies.
 #[derive(Clone, Copy)]
 pub(super) struct ClassAdmission {
-    /// When proxies retry.
+    /// Which failed attempts proxies retry.
     pub(super) retry_policy: RetryPolicy,
     /// The admission level, interpreted by [`crate::interface::AdmissionMode`].
     pub(super) level: f64,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Records a class's admission at a table.
+    /// Records the admission level and retry policy of a class in a table.
     pub(super) fn record_admission(&mut self, table: TableId, class: ClassId, admission: ClassAdmission) {
         let table = self.tables.entry(table).or_default();
         table.changed_at = self.now;
--- a/src/policy/table_plan.rs
+++ b/src/policy/table_plan.rs
@@ -1,4 +1,5 @@
-//! The lines of a table: its subset's servers, spill-over, a minimum of warm endpoints, and the fallback.
+//! The planned servers and weights of a table: its subset's servers, spill-over to other subsets, warm
+//! endpoints of other zones, and the fallback to all ready servers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,45 +8,48 @@
 use super::subset::SHARED_TABLE;
 use crate::interface::{ServerId, TableId, ZoneId};
 
-/// A table with servers in slow start spills over to other zones above this multiple of their weight in load.
+/// A table with servers in slow start spills over to other subsets when its load, in server weight, is above
+/// this multiple of the weight of its servers.
 const SPILL_OVER_RATIO: f64 = 2.0;
-/// Warm servers of other zones in the table of a subset with servers that are warming up.
+/// Number of warm servers of other zones that are added to the table of a subset with warming servers.
 const MIN_WARM_ENDPOINTS: usize = 2;
-/// Each of them gets at most this ratio of the table's weight.
+/// Upper bound of the weight of each such warm server, as a ratio of the table's total weight.
 const MAX_WARM_ENDPOINT_WEIGHT_RATIO: f64 = 0.05;
-/// Tables that take servers of other subsets start this many servers apart in the list, by their numbers.
-const SPILL_OVER_ROTATION: usize = 7;
+/// Distance in the list of servers at which tables of consecutive numbers start to spill over, so that they
+/// use different servers.
+const SPILL_OVER_START_STRIDE: usize = 7;
 
-/// Listed weight of all ready servers.
+/// Total weight of the fleet.
 struct FleetWeight {
-    /// Their sum.
+    /// Sum of the listed weights of all ready servers.
     listed: f64,
-    /// The sum as a multiple of what the servers count for now.
+    /// That sum as a multiple of the usable servers' effective weight.
     utilization: f64,
 }
 
-/// What a table is planned from.
+/// The input for the plan of one table.
 struct TableDemand<'a> {
     subset: TableId,
-    /// The load of its proxies, in listed weight.
+    /// The part of the fleet's load that comes from its proxies, in listed weight.
     load: f64,
-    /// The servers of the subset and its siblings, those that its zone's proxies may use.
+    /// The servers of the subset and its siblings in other zones that its zone's proxies may use.
     usable: Vec<&'a Server>,
 }
 
-/// Servers by the index of their subset within its zone.
+/// Servers grouped by the index of their subset within its zone.
 type Siblings<'a> = BTreeMap<u16, Vec<&'a Server>>;
 
-/// A planned table.
+/// The servers and weights that a table should have.
 pub(super) struct TablePlan {
+    /// The table, which has the number of its subset.
     pub(super) table: TableId,
-    /// Weights, above 0.
+    /// The weight of each server, above 0.
     pub(super) weights: BTreeMap<ServerId, f64>,
 }
 
 impl Policy {
-    /// Plans the tables that are in use. A table is planned from its own and sibling subsets alone, so that
-    /// the work grows as servers times zones.
+    /// Plans the tables that are in use. In the usual case a table is planned from its own subset and that
+    /// subset's siblings only, so that the cost is proportional to servers times zones.
     pub(super) fn plan_tables(&self) -> Vec<TablePlan> {
         let shares = if self.zone_aware { self.load_shares() } else { BTreeMap::from([(SHARED_TABLE, 1.0)]) };
         let siblings = self.siblings();
@@ -79,7 +83,7 @@
         FleetWeight { listed, utilization: listed / usable.max(1e-9) }
     }
 
-    /// The weights of a table.
+    /// Plans the weights of a table: listed weight × outlier weight × load-limited slow-start ratio.
     fn plan_weights(&self, demand: &TableDemand, fleet: &FleetWeight) -> BTreeMap<ServerId, f64> {
         let chosen = self.choose_servers(demand);
         let utilization = (demand.load / self.total_weight(&chosen)).max(fleet.utilization);
@@ -102,10 +106,11 @@
         weights
     }
 
-    /// The subset's usable servers; if those are too few, its siblings' in other zones, then any usable. If
-    /// no server is usable the evidence is distrusted, and all that are listed ready are used.
+    /// The usable servers of the subset. If they are too few, the usable servers of its siblings in other
+    /// zones are added, then those of other subsets. If no server is usable, the evidence against them is
+    /// ignored and all ready servers are used.
     ///
-    /// Guards against a table without usable servers, or with servers in slow start only. Cost: attempts
+    /// Guards against a table without usable servers, or only with servers in slow start. Cost: requests
     /// cross zones.
     fn choose_servers<'a>(&'a self, demand: &TableDemand<'a>) -> Vec<&'a Server> {
         let usable = demand.usable.iter().copied();
@@ -123,7 +128,8 @@
         chosen
     }
 
-    /// True: no servers, or some in slow start and too little weight for the load.
+    /// True: there are no servers, or some are in slow start and the load is above [`SPILL_OVER_RATIO`] times
+    /// their weight.
     fn needs_spill_over(&self, chosen: &[&Server], load: f64) -> bool {
         if chosen.is_empty() {
             return true;
@@ -132,21 +138,23 @@
         any_in_slow_start && load > SPILL_OVER_RATIO * self.total_weight(chosen)
     }
 
+    /// The effective weight of all these servers, at least 1e-9 so that it is a valid divisor.
     fn total_weight(&self, servers: &[&Server]) -> f64 {
         servers.iter().map(|server| self.effective_weight(server)).sum::<f64>().max(1e-9)
     }
 
-    /// Adds servers of other subsets until the table's weight covers its load: those past slow start and of
-    /// its own zone first. Each table begins at another server, so that they add different ones.
+    /// Adds servers of other subsets until the table's weight covers its load: servers past slow start first,
+    /// and among equals those of its own zone. The start in the list differs by table, so that tables add
+    /// different servers.
     ///
-    /// Guards against a table with only one or two servers in slow start: a server that is alone in a table
-    /// gets all its traffic, whatever its weight. Cost: these tables are long, and cross zones.
+    /// Guards against a table with only one or two servers in slow start: the only server of a table gets all
+    /// its traffic, whatever its weight. Cost: these tables are long, and requests cross zones.
     fn spill_over<'a>(&'a self, demand: &TableDemand<'a>, chosen: &mut Vec<&'a Server>) {
         let zone = self.zone_of(demand.subset);
         let already: BTreeSet<ServerId> = chosen.iter().map(|server| server.id()).collect();
         let usable = self.servers.values().filter(|server| self.is_usable(server, zone));
         let mut others: Vec<&Server> = usable.filter(|server| !already.contains(&server.id())).collect();
-        let start = usize::from(demand.subset.0) * SPILL_OVER_ROTATION % others.len().max(1);
+        let start = usize::from(demand.subset.0) * SPILL_OVER_START_STRIDE % others.len().max(1);
         others.rotate_left(start);
         others.sort_by_key(|server| (self.slow_start_ratio(server) < 1.0, server.zone() != zone));
         let mut weight: f64 = chosen.iter().map(|server| self.effective_weight(server)).sum();
@@ -159,10 +167,10 @@
         }
     }
 
-    /// Adds warm servers of other zones to a table with warming ones.
+    /// Adds warm servers of other zones to a table with warming servers.
     ///
-    /// Guards against all warm servers of a small subset failing at once, which would leave its warming ones
-    /// alone with the load. Cost: a little traffic crosses zones during releases.
+    /// Guards against the failure of all warm servers of a small subset at once, after which its warming
+    /// servers would get the whole load. Cost: a small part of the traffic crosses zones during releases.
     fn add_warm_endpoints(
         &self,
         demand: &TableDemand,
@@ -172,14 +180,14 @@
         let total: f64 = weights.values().sum();
         let share = warming_weight / MIN_WARM_ENDPOINTS as f64;
         let weight = share.min(MAX_WARM_ENDPOINT_WEIGHT_RATIO * total);
-        let warm = self.warm_servers_elsewhere(demand, self.zone_of(demand.subset));
+        let warm = self.warm_servers_of_other_zones(demand, self.zone_of(demand.subset));
         let start = usize::from(demand.subset.0);
         for server in warm.iter().cycle().skip(start).take(MIN_WARM_ENDPOINTS.min(warm.len())) {
             weights.entry(server.id()).or_insert(weight);
         }
     }
 
-    fn warm_servers_elsewhere<'a>(&self, demand: &TableDemand<'a>, zone: ZoneId) -> Vec<&'a Server> {
+    fn warm_servers_of_other_zones<'a>(&self, demand: &TableDemand<'a>, zone: ZoneId) -> Vec<&'a Server> {
         let others = demand.usable.iter().copied().filter(|server| server.zone() != zone);
         others.filter(|server| !self.is_warming_up(server)).collect()
     }
