--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,45 +1,48 @@
-//! The types between the decision module and its callers: settings, events and actions. No logic.
+//! The types between the decision module and its callers: settings, events and actions. They contain no
+//! logic.
 
 use std::sync::Arc;
 
-/// A point in time or a duration, in whole microseconds of the caller's monotonic clock.
+/// A point in time or a duration, in whole microseconds. Points in time are of the caller's monotonic clock.
 pub type Micros = u64;
 
-/// A server's identifier: its address and port, opaque to the decisions and returned unchanged.
+/// A server's identifier: its address and port. The decisions do not interpret it and return it unchanged.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerId(pub [u8; 6]);
 
-/// A proxy's number.
+/// A proxy's number in the deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProxyId(pub u16);
 
-/// A routing table's number; in sharded deployments the number of the shard.
+/// A routing table's number. In sharded deployments each shard has one table, and this is the shard's number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TableId(pub u16);
 
-/// A zone's index in the settings.
+/// A zone's index, below [`Settings::zone_count`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub u16);
 
-/// A request class's index in the settings.
+/// A request class's index in [`Settings::classes`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClassId(pub u8);
 
-/// What repeating a request may cause (RFC 9110, section 9.2).
+/// Whether a request may be executed more than once (RFC 9110, section 9.2).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Safe to repeat.
+    /// Repeated execution has no further effect.
     Safe,
-    /// Carries an idempotency key: servers of its [`DedupScope`] drop repeats within the deduplication window.
+    /// Carries an idempotency key, by which the servers of its [`DedupScope`] drop repeats within the
+    /// deduplication window.
     IdempotencyKey,
-    /// Must not run twice.
+    /// Must not be executed twice.
     NonIdempotent,
 }
 
-/// Which servers recognize repeats of a request by its idempotency key.
+/// The servers that share idempotency keys, so that any of them drops a repeat of a request that another of
+/// them executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
-    /// All servers.
+    /// All servers of the fleet.
     All,
     /// The servers of one zone.
     Zone,
@@ -47,144 +50,146 @@
     Cell,
 }
 
-/// How proxies interpret an admission level.
+/// How proxies interpret the admission level of [`Action::SetAdmission`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum AdmissionMode {
-    /// As the fraction of requests to admit, 1 for all.
+    /// As the fraction of attempts to admit; 1 admits all.
     #[default]
     Ratio,
-    /// As requests per second to admit at each proxy.
+    /// As the rate to admit at each proxy, in requests per second.
     RequestsPerSecond,
-    /// Proxies ignore levels.
+    /// Proxies ignore admission levels.
     Ignored,
 }
 
-/// A class of requests.
+/// A class of requests that share deadline, priority and retry rules.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// What a repeat may cause.
+    /// Whether a request may be executed more than once; decides which attempts are retried.
     pub idempotency: Idempotency,
-    /// For requests with an idempotency key: which servers drop repeats.
+    /// For requests with an idempotency key: the servers among which repeats are dropped.
     pub dedup_scope: DedupScope,
-    /// For requests with an idempotency key: how long repeats are dropped.
+    /// For requests with an idempotency key: how long after a request its repeats are dropped.
     pub dedup_window: Micros,
-    /// Latency objective: a response within this time has its full value.
+    /// Latency objective: a response within this time has its full value to the client.
     pub latency_objective: Micros,
-    /// How long a client waits for a response, all attempts included.
+    /// How long a client waits for a response, over all attempts.
     pub deadline: Micros,
-    /// Priority weight: the value of one request relative to other classes.
+    /// Value of one request relative to other classes; shedding begins with the lowest weight per latency
+    /// objective.
     pub priority_weight: f64,
-    /// True: only servers in the proxy's own zone may serve it.
+    /// True: only servers in the proxy's own zone may serve the class. No servers are then lent between
+    /// zones.
     pub zone_local: bool,
 }
 
-/// Facts of the deployment that are fixed when an instance starts.
+/// Settings of the deployment, which are fixed when an instance starts.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     /// Number of zones.
     pub zone_count: usize,
-    /// The zone that this instance runs in.
+    /// The zone that this conductor instance runs in.
     pub local_zone: ZoneId,
-    /// Number of conductor instances.
+    /// Number of conductor instances in the deployment; 0 counts as 1.
     pub conductor_count: u32,
-    /// Request classes.
+    /// Request classes, indexed by [`ClassId`].
     pub classes: Vec<RequestClass>,
-    /// True: discovery answers polls only and sends no watch events unasked.
+    /// True: discovery sends updates only on request, so that it must be polled.
     pub poll_discovery: bool,
-    /// True: active health checks are allowed.
+    /// True: servers are probed by active health checks.
     pub health_checks: bool,
-    /// Column names of a load report.
+    /// Names of the columns of a load report, in order.
     pub load_columns: Vec<String>,
     /// How proxies interpret admission levels.
     pub admission_mode: AdmissionMode,
-    /// Number of proxies, over all instances.
+    /// Number of proxies of the deployment, over all conductor instances.
     pub proxy_count: u32,
-    /// Capacity of the channel's queue, in lines.
+    /// Capacity of the queue of the channel to the proxies, in lines.
     pub max_pending_lines: f64,
     /// The channel's nominal throughput, in lines per second.
     pub lines_per_second: f64,
-    /// Overhead of each message in the channel, in lines.
+    /// Capacity that each message uses besides its lines, in lines.
     pub message_overhead_lines: f64,
-    /// Messages that may be written to one proxy within `message_window`; 0: no limit.
+    /// Upper bound of the messages to one proxy within `message_window`; 0: no limit.
     pub max_messages: u32,
     /// The period that `max_messages` applies to.
     pub message_window: Micros,
-    /// Connections that the smallest servers accept; 0: unknown.
+    /// Number of connections that the server with the lowest limit accepts; 0: unknown.
     pub min_server_connections: f64,
     /// Upper bound of a message's delay from the channel to the proxy.
     pub max_transit: Micros,
-    /// Interval between load reports.
+    /// Interval between the reports of a proxy.
     pub report_period: Micros,
-    /// Number of shards; 0: the deployment is not sharded.
+    /// Number of shards; 0: the deployment is not sharded, and tables are by zone or shared.
     pub shard_count: u16,
-    /// True: a shard has at most one owner at a time.
+    /// True: at most one server may get a shard's writes at a time.
     pub single_writer: bool,
-    /// How long a proxy continues to write after it lost the shard's instance.
+    /// How long a proxy continues to write to a shard after it lost the shard's conductor instance.
     pub orphan_write_period: Micros,
-    /// Upper bound of a write's duration.
+    /// Upper bound of the duration of a write to a shard.
     pub max_write_duration: Micros,
-    /// Warm-up time: a restarted server has its full capacity after this at the latest.
+    /// Warm-up time: time after its start within which a server reaches its full capacity.
     pub warm_up: Micros,
-    /// A server that is warming up collapses at this multiple of its current capacity.
+    /// Load at which a warming server collapses, as a multiple of its current capacity.
     pub collapse_ratio: f64,
-    /// Least fraction of its full capacity that a server starts with.
+    /// Lower bound of a server's capacity when it starts, as a fraction of its full capacity.
     pub initial_capacity_ratio: f64,
-    /// True: only a draining entry forbids the use of a server; absence from a list alone does not.
+    /// True: absence from a list does not end the use of a server, only a draining entry does.
     pub absence_is_advisory: bool,
 }
 
 /// A server's state in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// Its process runs.
+    /// Its process runs and it may get requests.
     #[default]
     Ready,
-    /// Finishing its work; must get no new requests.
+    /// It finishes its current requests and must get no new ones.
     Draining,
-    /// Removed.
+    /// It is no longer listed.
     Removed,
 }
 
 /// One entry of the endpoint list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Endpoint {
-    /// The server.
+    /// The server that the entry describes.
     pub server: ServerId,
-    /// When its process last started; 0: long ago.
+    /// When its process last started; 0: longer ago than the warm-up time.
     pub started_at: Micros,
-    /// Its zone.
+    /// The zone that it runs in.
     pub zone: ZoneId,
-    /// Its state.
+    /// Whether it may get requests.
     pub state: EndpointState,
-    /// Configured weight.
+    /// Its capacity relative to other servers; values that are not finite and above 0 count as 1.
     pub weight: f64,
 }
 
 /// How an update of the endpoint list relates to the list before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListUpdate {
-    /// Only changed entries.
+    /// Only the entries that changed.
     Delta,
-    /// The complete list.
+    /// The complete list, up to date.
     Full,
     /// The complete list from a cache, possibly stale.
     Cached,
-    /// A request failed or the watch broke; the previous list remains in use.
+    /// None: a request for the list failed or the watch ended. The previous list remains in use.
     Failed,
 }
 
 /// Outcome of an active health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeOutcome {
-    /// Success.
+    /// A successful response.
     Ok,
     /// An error response.
     Error,
-    /// Rejected: the server drains, or too many probes arrive at once.
+    /// A rejection, as the server drains or is busy. It is no evidence of a fault.
     Rejected,
-    /// No response in time.
+    /// No response before the timeout of the probe.
     Timeout,
-    /// Down, or unreachable from here.
+    /// No connection: the server is down, or unreachable from this instance.
     Unreachable,
     /// The connection was reset.
     Reset,
@@ -195,121 +200,123 @@
 pub enum Event {
     /// An update of the endpoint list.
     EndpointList {
-        /// How it relates to the list before it.
+        /// How it relates to the previous list.
         update: ListUpdate,
-        /// The entries.
+        /// The entries of the update; empty if it failed.
         entries: Arc<[Endpoint]>,
     },
     /// A timer expired.
     Timer {
-        /// The token given with [`Action::SetTimer`].
+        /// The token of the [`Action::SetTimer`] that requested it.
         token: u64,
     },
     /// The result of a health check.
     ProbeResult {
-        /// The server.
+        /// The server that was probed.
         server: ServerId,
         /// The outcome.
         outcome: ProbeOutcome,
-        /// Time since the probe was sent.
+        /// Time from sending the probe to its result; the decisions do not use it.
         latency: Micros,
-        /// Load report, empty if none.
+        /// Load report of the response, with the columns of [`Settings::load_columns`]; empty if there is
+        /// none.
         load: Vec<f32>,
     },
-    /// A proxy has opened its stream.
+    /// A proxy has opened its stream to this instance.
     ProxyConnected {
         /// The proxy.
         proxy: ProxyId,
-        /// Its zone.
+        /// The zone that it runs in.
         zone: ZoneId,
-        /// Its usual traffic, in requests per second.
+        /// Its usual traffic in requests per second, as given when it connects.
         rate: f64,
-        /// True: it has only its static tables.
+        /// True: it has only its static tables, none from a conductor. The decisions do not use it.
         fresh: bool,
     },
-    /// A proxy's stream has ended.
+    /// A proxy's stream to this instance has ended.
     ProxyDisconnected {
         /// The proxy.
         proxy: ProxyId,
     },
-    /// What the connected proxies of a zone measured at one upstream server.
+    /// Attempts of the connected proxies of a zone at one upstream server, over a period.
     UpstreamStats {
         /// The server.
         server: ServerId,
-        /// Zone of the proxies.
+        /// The zone of the proxies.
         zone: ZoneId,
-        /// Time over which it was measured.
+        /// Time that the report covers.
         period: Micros,
-        /// Attempts.
+        /// Number of attempts.
         total: u32,
-        /// Failed attempts.
+        /// Number of failed attempts.
         errors: u32,
-        /// Mean latency of the successful ones, 0 if none.
+        /// Mean latency of the successful attempts; 0 if there are none.
         latency: Micros,
-        /// Load report, empty if none.
+        /// Load report of the responses, with the columns of [`Settings::load_columns`]; empty if there is
+        /// none.
         load: Vec<f32>,
     },
-    /// Requests of one class that clients sent to a connected proxy.
+    /// Requests of one class that a connected proxy received from clients, over a period.
     ClientStats {
         /// The proxy.
         proxy: ProxyId,
         /// The class.
         class: ClassId,
-        /// Time over which they were counted.
+        /// Time that the report covers; reports with 0 are ignored.
         period: Micros,
-        /// Requests received.
+        /// Number of requests received.
         total: u32,
-        /// Requests admitted that got no response.
+        /// Number of admitted requests that got no response; the decisions do not use it.
         errors: u32,
     },
-    /// Requests of one class for a shard.
+    /// Requests of one class for a shard; the decisions do not use it.
     ShardTraffic {
         /// The shard.
         shard: TableId,
         /// The class.
         class: ClassId,
-        /// Requests received.
+        /// Number of requests received.
         total: u32,
     },
     /// Ownership of a shard is granted to this instance or revoked.
     ShardAssignment {
         /// The shard.
         shard: TableId,
-        /// True: granted.
+        /// True: granted; false: revoked.
         granted: bool,
     },
-    /// A line of a shard's table as persisted in the store.
+    /// A weight in a shard's table as persisted in the store, after its ownership was granted.
     StoredLine {
         /// The shard.
         shard: TableId,
         /// The server.
         server: ServerId,
-        /// Its weight.
+        /// Its weight; 0: it is not in the table.
         weight: f64,
     },
     /// A proxy has applied the message that carried this nonce.
     Acknowledged {
         /// The proxy.
         proxy: ProxyId,
-        /// The nonce.
+        /// The nonce of [`Action::RequestAck`].
         nonce: u32,
-        /// From the action to its taking effect.
+        /// Time from the action to its effect at the proxy; the decisions do not use it.
         latency: Micros,
     },
-    /// A message from another instance; not used.
+    /// A message from another instance; the decisions do not use it.
     PeerMessage,
 }
 
-/// When proxies retry a failed attempt.
+/// Which failed attempts proxies retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryPolicy {
-    /// Never.
+    /// None.
     Never,
-    /// Once, only with proof that the first attempt never started.
+    /// Once, only if it is proven that the server never started the first attempt.
     IfNeverStarted,
-    /// Once after any failure.
+    /// Once after any failed attempt.
     Once,
-    /// Twice after any failure.
+    /// Up to twice after any failed attempts.
     Twice,
 }
 
@@ -322,10 +329,11 @@
         table: TableId,
         /// The server.
         server: ServerId,
-        /// Its weight.
+        /// Its weight, not negative.
         weight: f32,
     },
-    /// Send a connected proxy a complete table, for all classes, and that table's changes from then on.
+    /// Send a connected proxy a complete table, for all classes, and from then on the changes of that table
+    /// instead of its previous one's.
     AssignTable {
         /// The proxy.
         proxy: ProxyId,
@@ -338,39 +346,39 @@
         table: TableId,
         /// The class.
         class: ClassId,
-        /// When they retry.
+        /// Which failed attempts the proxies retry.
         retry_policy: RetryPolicy,
-        /// The level, interpreted by [`AdmissionMode`].
+        /// The admission level, not negative; [`AdmissionMode`] says how proxies interpret it.
         level: f32,
     },
-    /// Ask the proxies that this reply is sent to for an acknowledgement once it is applied.
+    /// Request an acknowledgement from each proxy that gets actions of this batch, once it has applied them.
     RequestAck {
-        /// A number below 65536.
+        /// Identifies the batch in [`Event::Acknowledged`]; below 65535, after which numbers repeat.
         nonce: u16,
     },
-    /// Eject a server at connected proxies, whatever their tables say, or end its ejection.
+    /// Eject a server at connected proxies, whatever their tables contain, or end its ejection.
     SetEjected {
         /// The server.
         server: ServerId,
-        /// True: ejected.
+        /// True: eject it; false: end its ejection.
         ejected: bool,
     },
-    /// Request a timer.
+    /// Request an [`Event::Timer`].
     SetTimer {
         /// Time from now.
         after: Micros,
-        /// Returned with [`Event::Timer`].
+        /// Returned with the event.
         token: u64,
     },
-    /// Check a server's health.
+    /// Send a health check to a server.
     Probe {
         /// The server.
         server: ServerId,
     },
-    /// Watch the endpoint list for changes from now on.
+    /// Request the endpoint list, and its changes from now on where discovery sends them.
     WatchEndpoints,
     /// Fetch the complete endpoint list once.
     FetchEndpoints,
-    /// A line for the log.
+    /// Write this text to the log.
     Log(String),
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A harness for tests of the decision module: hands it events and applies its actions as proxies would.
+//! A harness for tests of the decision module: passes events to it and applies its actions as proxies would.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -7,13 +7,16 @@
 use stepspur::interface::*;
 
 pub(crate) const SECOND: Micros = 1_000_000;
+/// Time at which every harness starts.
 pub(crate) const START: Micros = 100 * SECOND;
 
+/// Identifier of test server `n`, which is its fourth byte.
 pub(crate) fn server_id(n: u8) -> ServerId {
     ServerId([10, 0, 0, n, 0, 80])
 }
 
-/// Three zones, two classes, one conductor.
+/// Settings with three zones, one conductor and two classes: class 0 is safe to repeat, class 1 is not and
+/// has five times its priority weight.
 pub(crate) fn settings() -> Settings {
     let class = |idempotency, priority_weight| RequestClass {
         idempotency,
@@ -43,6 +46,7 @@
     }
 }
 
+/// A ready, warm server of weight 1.
 pub(crate) fn endpoint(n: u8, zone: u16) -> Endpoint {
     Endpoint { server: server_id(n), zone: ZoneId(zone), weight: 1.0, ..Endpoint::default() }
 }
@@ -55,6 +59,7 @@
     Event::ProxyConnected { proxy: ProxyId(proxy), zone: ZoneId(zone), rate: 10.0, fresh: true }
 }
 
+/// A report of one second without a load report: attempts at server `n`, failed ones and mean latency.
 pub(crate) fn upstream_stats(n: u8, zone: u16, total: u32, errors: u32, latency: Micros) -> Event {
     let load = Vec::new();
     Event::UpstreamStats {
@@ -68,6 +73,7 @@
     }
 }
 
+/// A report of one second: `total` requests of class 0 at a proxy.
 pub(crate) fn client_stats(proxy: u16, total: u32) -> Event {
     Event::ClientStats { proxy: ProxyId(proxy), class: ClassId(0), period: SECOND, total, errors: 0 }
 }
@@ -76,17 +82,21 @@
     Event::ProbeResult { server: server_id(n), outcome, latency: 5_000, load: Vec::new() }
 }
 
-/// A policy, and the state at proxies that its actions lead to.
+/// A policy, and the state of the proxies that results from its actions.
 pub(crate) struct Harness {
     pub policy: Policy,
+    /// Time of the next batch.
     pub now: Micros,
+    /// Weights of each table.
     pub tables: BTreeMap<TableId, BTreeMap<ServerId, f32>>,
+    /// Retry policy and level of each class of each table.
     pub admission: BTreeMap<(TableId, ClassId), (RetryPolicy, f32)>,
     pub assigned: BTreeMap<ProxyId, TableId>,
+    /// Times of the messages to each proxy since it connected.
     pub messages: BTreeMap<ProxyId, Vec<Micros>>,
     pub connected: BTreeSet<ProxyId>,
-    /// Acknowledgements, sent with the next batch.
-    pub answers: Vec<Event>,
+    /// Acknowledgements that are delivered with the next batch.
+    pub pending_acks: Vec<Event>,
 }
 
 impl Harness {
@@ -99,11 +109,12 @@
             assigned: BTreeMap::new(),
             messages: BTreeMap::new(),
             connected: BTreeSet::new(),
-            answers: Vec::new(),
+            pending_acks: Vec::new(),
         }
     }
 
-    /// `servers` warm servers dealt over three zones, and two proxies in each zone, after the settling time.
+    /// A harness with `servers` warm servers spread over three zones and two proxies in each zone, four
+    /// seconds after the start, so that lending is enabled.
     pub(crate) fn running(set: Settings, servers: u8) -> Self {
         let mut harness = Harness::new(set);
         let entries: Vec<_> = (0..servers).map(|n| endpoint(n, u16::from(n % 3))).collect();
@@ -114,7 +125,8 @@
         harness
     }
 
-    /// One batch now.
+    /// Passes a batch of events at the current time, with the pending acknowledgements, and applies the
+    /// actions.
     pub(crate) fn decide(&mut self, events: &[Event]) -> Vec<Action> {
         for event in events {
             match event {
@@ -130,14 +142,15 @@
                 _ => {}
             }
         }
-        let mut all_events = std::mem::take(&mut self.answers);
+        let mut all_events = std::mem::take(&mut self.pending_acks);
         all_events.extend_from_slice(events);
         let actions = self.policy.decide(self.now, &all_events);
-        self.take(&actions);
+        self.apply(&actions);
         actions
     }
 
-    /// Batches four times a second for a span, with the events that each second brings.
+    /// Passes a batch every 250 ms for the duration `span`. Batches at full seconds contain the events of
+    /// `each_second`. Returns all actions.
     pub(crate) fn run_for(
         &mut self,
         span: Micros,
@@ -153,7 +166,8 @@
         all
     }
 
-    fn take(&mut self, actions: &[Action]) {
+    /// Applies actions at the proxies and queues their acknowledgements.
+    fn apply(&mut self, actions: &[Action]) {
         let mut reached = BTreeSet::new();
         for action in actions {
             match action {
@@ -181,25 +195,31 @@
             .iter()
             .filter_map(|a| if let Action::RequestAck { nonce } = a { Some(*nonce) } else { None });
         for nonce in nonces.map(u32::from) {
-            self.answers.extend(reached.iter().map(|p| Event::Acknowledged { proxy: *p, nonce, latency: 0 }));
+            self.pending_acks.extend(reached.iter().map(|p| Event::Acknowledged {
+                proxy: *p,
+                nonce,
+                latency: 0,
+            }));
         }
         for proxy in reached {
             self.messages.entry(proxy).or_default().push(self.now);
         }
     }
 
-    /// The servers in the table of a zone's proxies, by number.
+    /// The numbers of the servers in the table of the first proxy of a zone, ascending.
     pub(crate) fn servers_of_zone(&self, zone: u16) -> Vec<u8> {
         let table = self.assigned[&ProxyId(zone)];
         self.tables[&table].keys().map(|server| server.0[3]).collect()
     }
 
+    /// The weight of server `n` in the table of the first proxy of a zone; 0 if it is absent.
     pub(crate) fn weight(&self, zone: u16, n: u8) -> f32 {
         self.tables[&self.assigned[&ProxyId(zone)]].get(&server_id(n)).copied().unwrap_or(0.0)
     }
 }
 
-/// Successful attempts at all servers of three zones, at this latency.
+/// Reports of one second in which each server's own zone made 20 attempts there, all successful at this
+/// latency.
 pub(crate) fn successful_stats(servers: u8, latency: Micros) -> Vec<Event> {
     (0..servers).map(|n| upstream_stats(n, u16::from(n % 3), 20, 0, latency)).collect()
 }
@@ -208,7 +228,8 @@
     actions.iter().filter(|a| wanted(a)).count()
 }
 
-/// Thirty warm servers and this many proxies, evenly over three zones; servers take twenty connections.
+/// A harness with 30 warm servers and this many proxies, spread evenly over three zones. Servers accept 20
+/// connections.
 pub(crate) fn harness_with_subsets(proxies: u16) -> Harness {
     let mut harness = Harness::new(Settings {
         proxy_count: u32::from(proxies),
@@ -224,11 +245,12 @@
     harness
 }
 
+/// A successful probe whose load report has one column, the queue length.
 pub(crate) fn probe_result_with_queue(n: u8, queue: f32) -> Event {
     Event::ProbeResult { server: server_id(n), outcome: ProbeOutcome::Ok, latency: 5_000, load: vec![queue] }
 }
 
-/// True: the action changes what proxies do.
+/// True: the action changes weights, assignments or admission at proxies.
 pub(crate) fn is_change(action: &Action) -> bool {
     matches!(action, Action::SetWeight { .. } | Action::AssignTable { .. } | Action::SetAdmission { .. })
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! Hundreds of servers that are replaced at once: one test for each fault found on days of the full fleet.
+//! Regression tests for faults in simulations of the full fleet, in which hundreds of servers are replaced at
+//! once. Each names the scenario and seed in which the fault occurred.
 
 mod common;
 
@@ -7,8 +8,8 @@
 use common::*;
 use stepspur::interface::*;
 
-/// Fifteen warm servers and 60 proxies over three zones; servers take twenty connections, so that each
-/// zone has five subsets of one server.
+/// A harness with 15 warm servers and 60 proxies, spread evenly over three zones. Servers accept 20
+/// connections, so that each zone has five subsets of one server.
 fn harness_with_small_subsets() -> Harness {
     let set = Settings {
         proxy_count: 60,
@@ -25,17 +26,17 @@
     harness
 }
 
-/// The tables of the subset of proxy 0 and its siblings, one for each zone.
+/// The table of proxy 0's subset and those of its siblings, one for each zone.
 fn sibling_tables(harness: &Harness) -> Vec<TableId> {
     let first = harness.assigned[&ProxyId(0)].0;
     (first..first + 3).map(TableId).collect()
 }
 
-/// Found on `join+mass` (seed 88123): sibling subsets of all three zones had lost their servers but one,
-/// which had just started; its weight of a twentieth was the only one in three tables, and it got five
-/// times its capacity.
+/// Guards against tables whose only server is cold (`join+mass`, seed 88123). Sibling subsets of all three
+/// zones had lost all servers but one, which had just started. It was the only server of three tables, so
+/// that it got five times its capacity despite its weight of a twentieth.
 #[test]
-fn no_table_leaves_its_load_to_a_cold_server_while_warm_ones_are_ready() {
+fn no_table_depends_on_a_cold_server_while_warm_ones_are_ready() {
     let mut harness = harness_with_small_subsets();
     let siblings = sibling_tables(&harness);
     let lost: BTreeSet<u8> = siblings.iter().flat_map(|t| harness.tables[t].keys().map(|s| s.0[3])).collect();
@@ -47,25 +48,25 @@
     harness.decide(&[endpoint_list(ListUpdate::Delta, &entries)]);
     for table in harness.assigned.values() {
         let lines = &harness.tables[table];
-        let all: f32 = lines.values().sum();
+        let total: f32 = lines.values().sum();
         let cold = lines.get(&server_id(40)).copied().unwrap_or(0.0);
-        assert!(cold < 0.5 * all, "{table:?}: {cold} of {all}");
-        assert!(lines.len() < 8, "{table:?} names no more servers than its load asks for: {}", lines.len());
+        assert!(cold < 0.5 * total, "{table:?}: {cold} of {total}");
+        assert!(lines.len() < 8, "{table:?} has more servers than its load requires: {}", lines.len());
     }
 }
 
-/// Found on `join+mass` (seed 88123): for ten seconds after 120 servers had gone, the last attempts at
-/// them held the latency ratio over its limit.
+/// Guards against overload that is measured at removed servers (`join+mass`, seed 88123). The last attempts
+/// at 120 servers kept the latency ratio above its limit for ten seconds after their removal.
 #[test]
 fn removed_servers_no_longer_count_in_the_latency_ratio() {
     let mut harness = Harness::running(settings(), 12);
     let successful = |n: u8| upstream_stats(n, u16::from(n % 3), 20, 0, 200_000);
     // Half of the servers stop, and the attempts at them fail.
-    let ends = |_: &Harness| {
+    let half_stopped = |_: &Harness| {
         let failed = (0..6).map(|n| upstream_stats(n, u16::from(n % 3), 60, 50, 3 * SECOND));
         failed.chain((6..12).map(successful)).collect()
     };
-    harness.run_for(2 * SECOND, ends);
+    harness.run_for(2 * SECOND, half_stopped);
     let removed: Vec<_> =
         (0..6).map(|n| Endpoint { state: EndpointState::Removed, ..endpoint(n, u16::from(n % 3)) }).collect();
     harness.decide(&[endpoint_list(ListUpdate::Delta, &removed)]);
@@ -74,34 +75,36 @@
     assert_eq!(retry_policy, RetryPolicy::Once, "a fleet that has recovered retries after any failure");
 }
 
-/// Reports of a second from congested servers: half of their attempts failed, the rest took this long.
+/// Reports of one second from congested servers: 9 of 20 attempts failed, and the others had this latency.
 fn congested(servers: std::ops::Range<u8>, latency: Micros) -> Vec<Event> {
     servers.map(|n| upstream_stats(n, u16::from(n % 3), 20, 9, latency)).collect()
 }
 
-/// Twelve warm servers that answer 20 attempts a second each, and 6 proxies with 20 requests a second
-/// each.
+/// A harness with 12 warm servers, each with 20 successful attempts per second, and 6 proxies with 40
+/// requests per second each, after 20 seconds of that load.
 fn harness_with_load(set: Settings) -> Harness {
     let mut harness = Harness::running(set, 12);
     harness.run_for(20 * SECOND, |_| successes_and_requests(12));
     harness
 }
 
-/// The ratio of the first class that is admitted, where levels are ratios: a client makes up to three
+/// The admitted ratio of requests of the first class in mode `Ratio`, where a client makes up to three
 /// attempts.
 fn admitted_ratio(harness: &Harness) -> f64 {
     let level = harness.admission[&(harness.assigned[&ProxyId(0)], ClassId(0))].1;
     1.0 - (1.0 - f64::from(level)).powi(3)
 }
 
+/// Reports of one second: 20 successful attempts of 200 ms at each server, and 40 requests at each of 6
+/// proxies.
 fn successes_and_requests(servers: u8) -> Vec<Event> {
     let successful = (0..servers).map(|n| upstream_stats(n, u16::from(n % 3), 20, 0, 200_000));
     successful.chain((0..6).map(|p| client_stats(p, 40))).collect()
 }
 
-/// Found on `join+mass` (seeds 88123 and 302): five conductors held 120 servers back for ten seconds
-/// because the 80 others were overloaded, and those were overloaded because they served it all; one third
-/// was admitted meanwhile.
+/// Guards against a deadlock of overload and warm-up (`join+mass`, seeds 88123 and 302). Five conductors
+/// excluded 120 warming servers for ten seconds because the 80 others were overloaded, and those were
+/// overloaded because they got the whole load. Only one third of the requests was admitted meanwhile.
 #[test]
 fn warming_servers_are_used_in_an_overloaded_fleet_once_little_is_admitted() {
     let mut harness = harness_with_load(settings());
@@ -117,10 +120,10 @@
     assert!(then > 0.0 && then < 0.4, "{at_first}, then {then}");
 }
 
-/// Found on `join+mass` (seed 302): attempts that failed after 2.6 s were reported up to five seconds
-/// late, and for so long nothing more was admitted, though responses took 0.3 s.
+/// Guards against late recovery (`join+mass`, seed 302). Attempts that failed after 2.6 s were reported up to
+/// five seconds late, and until then admission did not grow, although responses took 0.3 s.
 #[test]
-fn admission_recovers_by_quick_responses_though_old_attempts_still_fail() {
+fn admission_recovers_by_fast_responses_while_old_attempts_still_fail() {
     let mut harness = harness_with_load(settings());
     let share = |harness: &Harness| harness.admission[&(harness.assigned[&ProxyId(0)], ClassId(0))].1;
     harness.run_for(3 * SECOND, |_| congested(0..12, 1_500_000));
@@ -129,10 +132,10 @@
     assert!(share(&harness) > cut, "{} after {cut}", share(&harness));
 }
 
-/// Found on `join+mass` (seed 302): clients' repeats in the first seconds of congestion counted as the
-/// usual load, and the peak goodput looked like half of it.
+/// Guards against a usual load that is overestimated (`join+mass`, seed 302). Clients' retries in the first
+/// seconds of congestion counted as usual load, so that the peak goodput appeared to be half of it.
 #[test]
-fn repeats_under_congestion_that_is_reported_late_are_not_usual_load() {
+fn client_retries_before_congestion_is_reported_do_not_raise_the_usual_load() {
     let admitted = |requests: u32| {
         let mut harness = harness_with_load(settings());
         harness.run_for(2 * SECOND, |_| {
@@ -145,8 +148,9 @@
     assert!(admitted(160) > 0.8 * admitted(40), "{} and {}", admitted(160), admitted(40));
 }
 
-/// Found on days on sockets and `join+mass`: a rate equal to that ratio of the usual requests admitted
-/// half of it, as a rate spaces evenly what arrives at random.
+/// Guards against rate limits that admit too little (`join+mass`, and runs with real sockets). A rate limit
+/// equal to the admitted ratio of the usual rate admitted half of that: it admits requests at even intervals,
+/// but they arrive at random.
 #[test]
 fn rate_levels_allow_for_random_arrivals() {
     let set = Settings { admission_mode: AdmissionMode::RequestsPerSecond, ..settings() };
@@ -156,14 +160,15 @@
     let rate = f64::from(harness.admission[&(harness.assigned[&ProxyId(0)], ClassId(0))].1);
     shares.run_for(2 * SECOND, |_| slow_responses());
     let admitted = admitted_ratio(&shares);
-    assert!(admitted < 0.9, "it was cut: {admitted}");
+    assert!(admitted < 0.9, "admission is cut: {admitted}");
     assert!(rate > 1.05 * admitted * 40.0, "{rate} for {admitted} of 40");
 }
 
-/// Found on `herd+mass` (seed 305): a conductor that had just started had reports of few responses, took
-/// them for all that the fleet can serve, and admitted a quarter.
+/// Guards against a peak goodput from too few reports (`herd+mass`, seed 305). A conductor that had just
+/// started had reports of few responses, used them as the capacity of the fleet, and admitted a quarter of
+/// the requests.
 #[test]
-fn conductor_just_started_does_not_take_its_first_reports_for_peak_goodput() {
+fn first_reports_after_a_start_are_not_the_peak_goodput() {
     let after = |load_for: Micros| {
         let mut harness = Harness::running(settings(), 12);
         harness.run_for(load_for, |_| successes_and_requests(12));
@@ -175,8 +180,8 @@
     assert!(early > 0.6 * later, "{early} admitted soon after the start, {later} later");
 }
 
-/// Twelve servers of which six are being replaced: half are warming up, started six seconds ago, and the
-/// fleet is not overloaded.
+/// A harness in which six of twelve servers drain and six new ones started six seconds ago. The fleet is not
+/// overloaded.
 fn half_replaced() -> Harness {
     let mut harness = Harness::running(settings(), 12);
     let mut entries: Vec<_> = (0..6)
@@ -188,23 +193,25 @@
     harness
 }
 
-/// Found on `roll+mass` (seed 70029): from 11.3 s on most probes were rejected, and reports of it came at
-/// 13.0 s; servers that had just started collapsed at 13.2 to 13.9 s.
+/// Guards against the late recognition of saturation (`roll+mass`, seed 70029). Most probes were rejected
+/// from 11.3 s on, reports showed congestion at 13.0 s, and servers that had just started collapsed at 13.2
+/// to 13.9 s.
 #[test]
-fn warming_servers_are_held_back_once_probes_are_rejected() {
+fn warming_servers_are_excluded_once_most_probes_are_rejected() {
     let mut harness = half_replaced();
     let used = |harness: &Harness| (20..26).any(|n| (0..3).any(|zone| harness.weight(zone, n) > 0.0));
-    assert!(used(&harness), "without overload they get traffic");
+    assert!(used(&harness), "warming servers get traffic without overload");
     let rejected = || (6..12).map(|n| probe_result(n, ProbeOutcome::Rejected)).collect::<Vec<_>>();
     harness.decide(&rejected());
-    assert!(used(&harness), "a few rejections show nothing yet");
+    assert!(used(&harness), "a few rejected probes do not indicate saturation");
     harness.decide(&rejected());
     harness.run_for(SECOND, |_| Vec::new());
     assert!(!used(&harness), "{:?}", harness.tables);
 }
 
-/// Found on `roll+mass` (seed 70029): a cold server of a third of the largest weight kept 0.24 where 0.16
-/// was planned, since a change of less than 0.08 of 3.1 was not worth a message.
+/// Guards against a threshold for changes that hides the cut of a small weight (`roll+mass`, seed 70029). A
+/// cold server with a third of the largest listed weight kept a weight of 0.24 where 0.16 was planned, as the
+/// change was below 0.08 of the table's largest weight of 3.1.
 #[test]
 fn small_warming_server_is_cut_though_the_table_has_large_ones() {
     let mut harness = Harness::new(settings());
@@ -215,7 +222,8 @@
     events.extend((0..6).map(|p| proxy_connected(p, p % 3)));
     harness.decide(&events);
     let before = harness.weight(0, 30);
-    // Above recovery, so that the highest retry amplification is assumed, but not overloaded.
+    // A latency ratio above the recovered one, so that the highest retry amplification is assumed, but below
+    // the overloaded one.
     harness.run_for(2 * SECOND, |_| {
         (0..12).map(|n| upstream_stats(n, u16::from(n % 3), 20, 0, 520_000)).collect()
     });
--- a/tests/guard.rs
+++ b/tests/guard.rs
@@ -1,12 +1,16 @@
-//! Limits on the text of the decision module, `src/policy/`.
+//! Checks of the source text of the decision module, `src/policy/`: length and width of its files, and what
+//! they may contain.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
+/// Upper bound of the lines of a file.
 const MAX_MODULE_LINES: usize = 400;
+/// Upper bound of the characters of a line.
 const MAX_LINE_WIDTH: usize = 110;
 
-/// Files that keep records and sums. Every constant of a rule stands beside the rule, so they hold none.
+/// Files that contain only records and sums. Constants are defined next to the rule that uses them, so these
+/// files contain none.
 const RECORD_FILES: [&str; 5] = ["server.rs", "proxy.rs", "table.rs", "channel.rs", "median.rs"];
 
 /// A source file and its text.
@@ -15,6 +19,7 @@
     text: String,
 }
 
+/// The repository's root.
 fn root() -> &'static Path {
     Path::new(env!("CARGO_MANIFEST_DIR"))
 }
@@ -24,7 +29,7 @@
     Source { path, text }
 }
 
-/// The files of the decision module, without its unit tests.
+/// All source files of the decision module except its unit tests, sorted by path.
 fn module_sources() -> Vec<Source> {
     let mut sources = Vec::new();
     let mut folders = vec![root().join("src/policy")];
@@ -44,7 +49,7 @@
 }
 
 #[test]
-fn each_file_is_short_enough_to_be_read() {
+fn each_file_stays_within_the_limits_of_length_and_width() {
     for Source { path, text } in module_sources() {
         let lines = text.lines().count();
         assert!(lines <= MAX_MODULE_LINES, "{}: {lines} lines", path.display());
@@ -54,20 +59,20 @@
 }
 
 #[test]
-fn its_first_lines_name_the_interface() {
+fn first_lines_of_the_module_name_the_interface_file() {
     let module = read(root().join("src/policy/mod.rs"));
     assert!(module.text.lines().take(3).any(|line| line.contains("src/interface.rs")));
 }
 
 #[test]
-fn each_file_says_what_it_is_for() {
+fn each_file_starts_with_a_module_comment() {
     for Source { path, text } in module_sources() {
         assert!(text.starts_with("//! "), "{}", path.display());
     }
 }
 
 #[test]
-fn it_names_no_deployment_site_class_or_machine() {
+fn no_file_names_a_site_class_or_machine_of_a_deployment() {
     let names = [
         "hobart",
         "kingston",
@@ -103,8 +108,10 @@
     }
 }
 
+/// Decisions must depend on events only, so that the same events cause the same actions: no clock, no
+/// randomized iteration order, no environment, files or network.
 #[test]
-fn it_reads_no_clock_and_no_chance_of_its_own() {
+fn module_uses_no_clock_random_order_or_io() {
     let mut sources = module_sources();
     sources.push(read(root().join("src/interface.rs")));
     for Source { path, text } in sources {
@@ -117,7 +124,7 @@
 }
 
 #[test]
-fn records_hold_no_constants() {
+fn record_files_contain_no_constants() {
     for file in RECORD_FILES {
         let source = read(root().join("src/policy").join(file));
         for line in source.text.lines() {
@@ -127,7 +134,8 @@
     }
 }
 
-/// Those who judge the decisions read the files that the deploy file names.
+/// A file that the deploy file does not list would be missed by reviews of the decisions, which read the
+/// listed files.
 #[test]
 fn the_deploy_file_lists_every_file_of_the_module() {
     let deploy = read(root().join("deploy/balancer.toml"));
--- a/tests/policy/admission.rs
+++ b/tests/policy/admission.rs
@@ -1,4 +1,4 @@
-//! Shedding under overload.
+//! Admission control: shedding under overload, and recovery.
 
 use stepspur::interface::*;
 
@@ -10,17 +10,18 @@
     let table = harness.assigned[&ProxyId(0)];
     harness.run_for(3 * SECOND, |_| successful_stats(12, 750_000));
     assert!(harness.admission[&(table, ClassId(0))].1 < 0.9);
-    assert_eq!(harness.admission[&(table, ClassId(1))].1, 1.0, "the whole cheap class is shed first");
+    assert_eq!(harness.admission[&(table, ClassId(1))].1, 1.0, "only the least valuable class is shed");
     harness.run_for(40 * SECOND, |_| successful_stats(12, 1_200_000));
-    // Each of a client's three attempts is admitted or rejected by itself: 0.26 for each admits six tenths.
+    // Each of a client's three attempts is admitted or rejected independently: a level of 0.26 admits 0.6 of
+    // the requests.
     assert!(harness.admission[&(table, ClassId(0))].1 < 0.1);
     assert!(harness.admission[&(table, ClassId(1))].1 > 0.2);
     harness.run_for(60 * SECOND, |_| successful_stats(12, 150_000));
     assert_eq!(harness.admission[&(table, ClassId(0))].1, 1.0);
 }
 
-/// Found on a drawn day: reports came late under congestion, their absence was taken for recovery, and
-/// admission, retries and warming servers came back at once.
+/// Guards against the end of shedding by an absence of reports. Under congestion reports were late, which
+/// counted as recovery: admission, retries and warming servers were all restored at once.
 #[test]
 fn missing_reports_do_not_end_overload() {
     let mut harness = Harness::running(settings(), 12);
@@ -33,9 +34,9 @@
     assert_eq!(harness.admission, overloaded);
 }
 
-/// Found on a day on sockets: a conductor that had just restarted got reports of three slow requests of
-/// its first few proxies, admitted half, and all proxies that connected later were held to that for nine
-/// seconds.
+/// Guards against shedding by too little evidence. A restarted conductor received reports of three slow
+/// requests from its first proxies, admitted half, and limited all proxies that connected later to that for
+/// nine seconds.
 #[test]
 fn few_slow_attempts_shed_nothing() {
     let mut harness = Harness::running(settings(), 12);
@@ -59,7 +60,7 @@
 }
 
 #[test]
-fn levels_are_rates_in_the_rate_mode() {
+fn levels_are_requests_per_second_in_that_admission_mode() {
     let mut harness =
         Harness::running(Settings { admission_mode: AdmissionMode::RequestsPerSecond, ..settings() }, 12);
     let table = harness.assigned[&ProxyId(0)];
@@ -73,8 +74,8 @@
     assert!(level > 0.0 && level < 40.0, "{level}");
 }
 
-/// Found at profili-sicilia-later: reports five seconds late led to cuts by measurements older than the
-/// last cut.
+/// Guards against cuts by measurements that are older than the last cut, which happened with reports five
+/// seconds late (site profili-sicilia-later).
 #[test]
 fn no_second_cut_before_late_reports_can_show_the_first() {
     let cuts = |period| {
@@ -97,13 +98,14 @@
     assert!(cuts(5 * SECOND) < cuts(SECOND));
 }
 
-/// Found on a churn day on sockets: a surge first showed as a latency just over the limit, the cut was of
-/// under half a percent, and no other came for six seconds, when the surge was over.
+/// Guards against a first cut that blocks a deeper one. The first reports of a surge showed a latency just
+/// above the limit, the cut was below half a percent, and no further cut was made for six seconds, until the
+/// surge was over.
 #[test]
 fn cut_deepens_while_latency_grows() {
-    let level = |heats: &[Micros]| {
+    let level = |latencies: &[Micros]| {
         let mut harness = Harness::running(settings(), 12);
-        for latency in heats {
+        for latency in latencies {
             harness.run_for(SECOND, |_| successful_stats(12, *latency));
         }
         let table = harness.assigned[&ProxyId(0)];
@@ -114,8 +116,8 @@
     assert!(grown.0 >= level(&[1_500_000; 3]).0, "no deeper than with that latency from the start");
 }
 
-/// Found on recorded days: latency shows seconds late that congestion is over; the servers' queues show
-/// it at once.
+/// Guards against shedding after congestion is over: latency shows its end seconds late, the servers' queue
+/// lengths show it at once.
 #[test]
 fn slow_responses_shed_nothing_while_servers_report_no_queues() {
     let set = Settings { load_columns: vec!["busy".into(), "q".into()], ..settings() };
@@ -140,12 +142,13 @@
     assert!(shed(4.0, 0) < 0.9);
 }
 
-/// Found on a day on sockets: where only probes carry load reports their queues were ignored, and late
-/// reports of a surge that had passed shed a second time. Queues count where attempts go, as idle servers
-/// of a release have none, and show nothing about a fleet that rejects requests.
+/// Guards against shedding by late reports of a surge that is over, where only probes carry load reports and
+/// their queue lengths were ignored. Queue lengths are weighted by attempts, as idle servers of a release
+/// have empty queues. They are not evidence of recovery in a fleet that rejects requests.
 #[test]
-fn queues_in_probes_count_where_attempts_go_and_while_few_fail() {
-    // Queues at the servers that get attempts, and at idle ones; failed attempts of 20; whether it sheds.
+fn queues_in_probe_reports_are_weighted_by_attempts_and_trusted_while_few_fail() {
+    // Queue length at the servers that get attempts, and at idle ones; failed attempts of 20; whether
+    // requests are shed.
     let cases = [(0.0, 0.0, 0, false), (9.0, 0.0, 0, true), (0.0, 9.0, 0, false), (0.0, 0.0, 8, true)];
     for (busy, idle, failed, sheds) in cases {
         let set = Settings { load_columns: vec!["q".into()], ..settings() };
--- a/tests/policy/endpoints.rs
+++ b/tests/policy/endpoints.rs
@@ -1,4 +1,4 @@
-//! Updates of the endpoint list and polling of discovery.
+//! Endpoint list: merging of updates, and polling of discovery.
 
 use stepspur::interface::*;
 
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn complete_list_removes_servers_that_it_lacks() {
+fn complete_list_removes_absent_servers() {
     let mut harness = Harness::running(settings(), 12);
     let entries: Vec<_> = (0..12).filter(|n| *n != 6).map(|n| endpoint(n, u16::from(n % 3))).collect();
     harness.decide(&[endpoint_list(ListUpdate::Full, &entries)]);
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn advisory_absence_keeps_servers_that_a_list_lacks() {
+fn advisory_absence_does_not_remove_servers() {
     let mut harness = Harness::running(Settings { absence_is_advisory: true, ..settings() }, 12);
     let dropped = Endpoint { state: EndpointState::Removed, ..endpoint(3, 0) };
     harness.decide(&[endpoint_list(ListUpdate::Delta, &[dropped])]);
@@ -46,14 +46,14 @@
 }
 
 #[test]
-fn watched_list_is_not_polled() {
+fn discovery_is_not_polled_where_it_sends_updates_unasked() {
     let mut harness = Harness::new(settings());
     let actions = harness.run_for(10 * SECOND, |_| Vec::new());
     assert_eq!(count(&actions, |a| matches!(a, Action::WatchEndpoints | Action::FetchEndpoints)), 0);
 }
 
 #[test]
-fn events_about_unknown_or_nothing_change_nothing() {
+fn events_without_effect_or_about_unknown_objects_change_nothing() {
     let mut harness = Harness::running(settings(), 12);
     let events = [
         Event::Timer { token: 99 },
--- a/tests/policy/health_check.rs
+++ b/tests/policy/health_check.rs
@@ -1,12 +1,13 @@
-//! Active health checks.
+//! Active health checks: when servers become unhealthy by their probes, and healthy again.
 
 use stepspur::interface::*;
 
 use crate::common::*;
 
-/// Found at hobart-intake: probes wait like requests there, so busy servers failed them and were ejected.
+/// Guards against the ejection of busy servers. Where probes wait in the same queue as requests (site
+/// hobart-intake), busy servers failed them and were ejected.
 #[test]
-fn server_that_answers_requests_stays_though_its_probes_fail() {
+fn server_that_serves_requests_stays_healthy_while_its_probes_fail() {
     let mut harness = Harness::running(settings(), 12);
     harness.run_for(8 * SECOND, |_| {
         let mut events = successful_stats(12, 300_000);
@@ -43,8 +44,9 @@
     assert_eq!(harness.servers_of_zone(0), [0, 3, 6, 9]);
 }
 
-/// A zone that is cut off together with its proxies looks dead from here; failed probes are no evidence
-/// for its own proxies.
+/// Guards against the exclusion of healthy servers after a partition. While a zone is unreachable together
+/// with its proxies, all its probes fail; that says nothing about the servers' health for the zone's own
+/// proxies.
 #[test]
 fn zone_that_reconnects_after_a_partition_gets_its_own_servers() {
     let mut harness = Harness::running(settings(), 12);
--- a/tests/policy/locality.rs
+++ b/tests/policy/locality.rs
@@ -1,4 +1,4 @@
-//! Tables by zone, and lending between zones.
+//! Topology aware routing: tables by zone, and lending between zones.
 
 use stepspur::interface::*;
 
@@ -32,9 +32,9 @@
 }
 
 #[test]
-fn zone_borrows_the_fewest_servers_and_only_beyond_the_slack() {
+fn zone_borrows_only_above_the_threshold_and_as_few_servers_as_suffice() {
     let mut harness = Harness::running(settings(), 12);
-    // Zone 0 has 0.4 of the load: 4.8 of 12 servers expected, 4 held: within 25%.
+    // Zone 0 has 0.4 of the load: 4.8 of 12 servers expected, 4 held: within the threshold of 25 %.
     let loads = |harness: &mut Harness, zone0: u32| {
         let events: Vec<_> = (0..6).map(|p| client_stats(p, if p % 3 == 0 { zone0 } else { 30 })).collect();
         (0..40).for_each(|_| drop(harness.decide(&events)));
@@ -42,17 +42,17 @@
     };
     loads(&mut harness, 40);
     assert_eq!(harness.servers_of_zone(0).len(), 4);
-    // 0.5 of the load: 6 expected; one more brings 6/5 = 1.2.
+    // 0.5 of the load: 6 expected; one borrowed server lowers the utilization to 6/5 = 1.2.
     loads(&mut harness, 60);
     assert_eq!(harness.servers_of_zone(0).len(), 5);
     assert_eq!(harness.servers_of_zone(1).len() + harness.servers_of_zone(2).len(), 7);
-    // Back to equal loads: the lent server goes home.
+    // Equal loads again: the lent server returns.
     loads(&mut harness, 30);
     assert_eq!(harness.servers_of_zone(0), [0, 3, 6, 9]);
 }
 
-/// Found on brandt-stock's big-1: zones that were cut off kept their share of the load, and took servers
-/// that nobody used.
+/// Guards against lending to a zone without connected proxies. Zones in a network partition still counted
+/// with their share of the load and borrowed servers that no proxy used (site brandt-stock, scenario big-1).
 #[test]
 fn zone_without_connected_proxies_borrows_nothing() {
     let mut harness = Harness::running(settings(), 12);
@@ -66,13 +66,13 @@
 }
 
 #[test]
-fn conductor_lends_nothing_just_after_its_start() {
+fn no_server_is_lent_during_the_delay_after_the_start() {
     let mut harness = Harness::new(settings());
     let entries: Vec<_> = (0..12).map(|n| endpoint(n, u16::from(n % 3))).collect();
     harness.decide(&[endpoint_list(ListUpdate::Cached, &entries), proxy_connected(0, 0)]);
     assert_eq!(
         harness.servers_of_zone(0),
         [0, 3, 6, 9],
-        "the first proxy to reconnect is not taken for the whole load"
+        "the first proxy that connects does not count as the whole load"
     );
 }
--- a/tests/policy/main.rs
+++ b/tests/policy/main.rs
@@ -1,5 +1,5 @@
-//! Actions of the decision module for the events that it gets, by rule: the design's path, and one test for
-//! each fault found.
+//! Tests of the decision module through its events and actions, one module for each rule: the intended
+//! behaviour, and a regression test for each fault that was found.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/tests/policy/outlier_detection.rs
+++ b/tests/policy/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! Ejection and weights by what proxies measured.
+//! Outlier detection: ejections and lower weights by the proxies' measurements.
 
 use crate::common::*;
 
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn server_that_fails_for_one_zone_stays_with_the_others() {
+fn server_that_fails_for_one_zone_stays_in_use_by_the_others() {
     let mut harness = Harness::running(settings(), 11);
     harness.decide(&successful_stats(11, 200_000));
     harness.decide(&[upstream_stats(3, 1, 6, 6, 0)]);
--- a/tests/policy/publish.rs
+++ b/tests/policy/publish.rs
@@ -1,4 +1,4 @@
-//! What is sent to proxies, and how often.
+//! Publishing to proxies: which changes are sent, and how often.
 
 use stepspur::interface::*;
 
@@ -49,7 +49,8 @@
     }
 }
 
-/// Proxies that wait for room in the channel go by older tables: drains reach them as ejections.
+/// Guards against requests to draining servers. Proxies that wait for their table because the channel is full
+/// still route by an older one, so a drain must reach them as an ejection.
 #[test]
 fn draining_servers_are_ejected_at_proxies_that_wait_for_their_table() {
     let mut harness = Harness::new(Settings { max_pending_lines: 60.0, ..settings() });
@@ -73,8 +74,8 @@
     );
 }
 
-/// A fleet of 1,500 servers and 3,000 proxies: a drain and a quiet second cause few actions, and a
-/// connecting proxy one assignment.
+/// Guards against publishing costs that grow with the fleet. With 1,500 servers and 3,000 proxies, a second
+/// without events causes no change, a drain one change, and a connecting proxy one assignment.
 #[test]
 fn large_fleet_causes_few_changes() {
     let far = |n: u16| ServerId([10, 1, (n >> 8) as u8, n as u8, 0, 80]);
--- a/tests/policy/retry.rs
+++ b/tests/policy/retry.rs
@@ -1,4 +1,4 @@
-//! Retry policies.
+//! The retry policy of each class.
 
 use stepspur::interface::*;
 
@@ -18,7 +18,11 @@
     set.classes[1].dedup_scope = DedupScope::Cell;
     assert_eq!(level(set.clone(), 1), RetryPolicy::IfNeverStarted);
     (set.classes[1].dedup_scope, set.classes[1].dedup_window) = (DedupScope::All, 2 * SECOND);
-    assert_eq!(level(set, 1), RetryPolicy::IfNeverStarted, "the window may close before the last try");
+    assert_eq!(
+        level(set, 1),
+        RetryPolicy::IfNeverStarted,
+        "the deduplication window may end before the last retry"
+    );
 }
 
 #[test]
--- a/tests/policy/sharding.rs
+++ b/tests/policy/sharding.rs
@@ -1,4 +1,4 @@
-//! Owners of shards.
+//! Sharded deployments: assignment of servers to shards.
 
 use stepspur::interface::*;
 
@@ -10,23 +10,23 @@
     let mut harness = Harness::new(set);
     let entries: Vec<_> = (0..3).map(|n| endpoint(n, u16::from(n))).collect();
     let (shard, weight) = (TableId(1), 1.0);
-    let kept = harness.decide(&[
+    let with_stored_line = harness.decide(&[
         endpoint_list(ListUpdate::Cached, &entries),
         Event::ShardAssignment { shard, granted: true },
         Event::StoredLine { shard, server: server_id(0), weight },
     ]);
-    assert_eq!(count(&kept, |a| matches!(a, Action::SetWeight { .. })), 0);
-    let moved = harness.decide(&[endpoint_list(
+    assert_eq!(count(&with_stored_line, |a| matches!(a, Action::SetWeight { .. })), 0);
+    let after_drain = harness.decide(&[endpoint_list(
         ListUpdate::Delta,
         &[Endpoint { state: EndpointState::Draining, ..endpoint(0, 0) }],
     )]);
-    let lines: Vec<_> = moved.iter().filter(|a| matches!(a, Action::SetWeight { .. })).collect();
+    let lines: Vec<_> = after_drain.iter().filter(|a| matches!(a, Action::SetWeight { .. })).collect();
     assert!(matches!(lines[0], Action::SetWeight { server, weight: 0.0, .. } if *server == server_id(0)));
     assert!(matches!(lines[1], Action::SetWeight { server, weight: 1.0, .. } if *server != server_id(0)));
 }
 
 #[test]
-fn single_writer_shard_moves_after_the_last_writes() {
+fn single_writer_shard_gets_a_new_server_only_after_the_last_writes() {
     let set = Settings {
         shard_count: 4,
         single_writer: true,
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -1,4 +1,4 @@
-//! Servers that start, return or warm up.
+//! Slow start, and protection of servers that warm up.
 
 use stepspur::interface::*;
 
@@ -17,7 +17,7 @@
     harness.run_for(6 * SECOND, |_| Vec::new());
     assert!(harness.weight(0, 12) > early);
     harness.run_for(12 * SECOND, |_| Vec::new());
-    assert!(harness.weight(0, 12) > 0.92, "full, but for a change not worth a message");
+    assert!(harness.weight(0, 12) > 0.92, "full weight, except for a change below the publishing threshold");
 }
 
 #[test]
@@ -28,10 +28,10 @@
     assert!(harness.weight(0, 3) <= 0.25, "{}", harness.weight(0, 3));
 }
 
-/// Found on drawn release days: under congestion proxies avoid servers after a run of failures, and a
-/// server that has just started takes their share.
+/// Guards against overload of servers that have just started. Under congestion proxies avoid servers after
+/// consecutive failures, and a warming server got the load of those.
 #[test]
-fn congested_fleet_holds_back_warming_servers() {
+fn congested_fleet_excludes_warming_servers() {
     let mut harness = Harness::running(settings(), 12);
     harness.run_for(4 * SECOND, |_| successful_stats(12, 1_500_000));
     let warming = Endpoint { started_at: harness.now - 4 * SECOND, ..endpoint(12, 0) };
@@ -42,25 +42,28 @@
     assert!(harness.weight(0, 12) > 0.0);
 }
 
-/// Found on two drawn days of overload on which reports became three seconds late: congestion showed when
-/// the warming servers had already collapsed.
+/// Guards against the collapse of warming servers while reports are late. In two scenarios of overload
+/// reports were three seconds late, so that congestion was recognized after the warming servers had
+/// collapsed.
 #[test]
-fn warming_servers_are_held_back_after_a_gap_in_reports() {
+fn warming_servers_are_excluded_after_a_gap_in_reports() {
     let mut harness = Harness::running(settings(), 12);
     harness.run_for(4 * SECOND, |_| successful_stats(12, 200_000));
     let warming = Endpoint { started_at: harness.now, ..endpoint(12, 0) };
     harness.decide(&[endpoint_list(ListUpdate::Delta, &[warming])]);
-    // No report for so long that the latency ratio is unknown; then some like those before.
+    // No reports for long enough that the latency ratio is unknown, then reports of the same latency as
+    // before.
     harness.run_for(4 * SECOND, |_| Vec::new());
     harness.run_for(3 * SECOND, |_| successful_stats(12, 200_000));
     assert_eq!(harness.weight(0, 12), 0.0);
     harness.run_for(16 * SECOND, |_| successful_stats(12, 200_000));
-    assert!(harness.weight(0, 12) > 0.9, "and warm in its time");
+    assert!(harness.weight(0, 12) > 0.9, "it reaches its full weight after the warm-up time");
 }
 
-/// Found on a drawn release day of hobart-intake: one zone was congested in a fleet that was not.
+/// Guards against overload of warming servers by one congested zone in a fleet that is not congested (site
+/// hobart-intake, during a release).
 #[test]
-fn congested_zone_holds_back_warming_servers() {
+fn congested_zone_excludes_warming_servers() {
     let mut harness = Harness::running(settings(), 15);
     let one_zone = |_: &Harness| {
         (0..15)
@@ -74,10 +77,10 @@
     assert_eq!(harness.weight(0, 15), 0.0);
 }
 
-/// Found on a recorded release under overload at hobart-intake-later: servers four fifths warm got the
-/// share of those that proxies avoided.
+/// Guards against overload of nearly warm servers under congestion. In a release under overload, servers at
+/// four fifths of their warm-up time got the load of those that proxies avoided (site hobart-intake-later).
 #[test]
-fn nearly_warm_servers_are_held_back_by_congestion_but_not_by_overload() {
+fn nearly_warm_servers_are_excluded_under_congestion_but_not_under_overload() {
     let weight_of = |latency| {
         let mut harness = Harness::running(settings(), 12);
         harness.run_for(4 * SECOND, |_| successful_stats(12, latency));
@@ -90,8 +93,8 @@
     assert_eq!(weight_of(1_500_000), 0.0, "congested");
 }
 
-/// Found on a drawn release with two bursts at once at hobart-intake-later: requests show congestion
-/// before attempts do.
+/// Guards against a late reaction to a surge: the request rate shows it before the latency of attempts does
+/// (site hobart-intake-later, a release with two bursts at once).
 #[test]
 fn surge_of_requests_lowers_the_weight_of_warming_servers() {
     let weight_of = |surge: u32| {
--- a/tests/policy/subset.rs
+++ b/tests/policy/subset.rs
@@ -1,13 +1,13 @@
-//! Subsets of a zone.
+//! Division of a zone into subsets, and the subsets that servers and proxies join.
 
 use stepspur::interface::*;
 
 use crate::common::*;
 
-/// Found at full size: hundreds of proxies on one zone's table filled the servers' connections, and each
-/// request opened a new one.
+/// Guards against exhausted connections. In a fleet of full size, hundreds of proxies with one zone's table
+/// used up the servers' connections, and each request opened a new one.
 #[test]
-fn zone_with_too_many_proxies_for_its_connections_is_cut_into_sticky_subsets() {
+fn zone_with_too_many_proxies_for_its_connections_is_divided_into_sticky_subsets() {
     assert_eq!(harness_with_subsets(6).servers_of_zone(0).len(), 10, "few proxies: one table a zone");
     let mut harness = harness_with_subsets(60);
     let tables: std::collections::BTreeSet<_> = harness.assigned.values().copied().collect();
@@ -24,10 +24,11 @@
     assert_eq!(harness.assigned, before, "subsets are sticky");
 }
 
-/// Found on a drawn release with a zone cut off: new servers had joined the neediest subset of any zone,
-/// and the cut left a zone's subsets with their warming servers alone.
+/// Guards against subsets that depend on servers of other zones. In a release, new servers joined the subset
+/// with the largest deficit of any zone; when a zone was then partitioned, only warming servers were left in
+/// some of its subsets.
 #[test]
-fn new_servers_of_a_zone_that_is_not_short_join_its_own_subsets() {
+fn new_servers_of_a_zone_without_deficit_join_its_own_subsets() {
     let mut harness = harness_with_subsets(60);
     let started_at = harness.now - 30 * SECOND;
     let new: Vec<_> = (30..42).map(|n| Endpoint { started_at, ..endpoint(n, u16::from(n % 3)) }).collect();
--- a/tests/policy/table_plan.rs
+++ b/tests/policy/table_plan.rs
@@ -1,4 +1,4 @@
-//! Servers and weights of a table.
+//! The planned servers and weights of a table.
 
 use stepspur::interface::*;
 
@@ -8,14 +8,16 @@
 fn tables_carry_listed_weights_and_1_for_invalid_ones() {
     let mut harness = Harness::new(settings());
     let heavy = Endpoint { weight: 2.5, ..endpoint(1, 0) };
-    let odd = Endpoint { weight: f64::NAN, ..endpoint(2, 0) };
-    harness
-        .decide(&[endpoint_list(ListUpdate::Cached, &[endpoint(0, 0), heavy, odd]), proxy_connected(0, 0)]);
+    let invalid = Endpoint { weight: f64::NAN, ..endpoint(2, 0) };
+    harness.decide(&[
+        endpoint_list(ListUpdate::Cached, &[endpoint(0, 0), heavy, invalid]),
+        proxy_connected(0, 0),
+    ]);
     assert_eq!((harness.weight(0, 0), harness.weight(0, 1), harness.weight(0, 2)), (1.0, 2.5, 1.0));
 }
 
 #[test]
-fn zone_whose_servers_all_drain_gets_servers_of_others() {
+fn zone_whose_servers_all_drain_gets_servers_of_other_zones() {
     let mut harness = Harness::running(settings(), 15);
     let drains: Vec<_> =
         [0, 3, 6, 9, 12].map(|n| Endpoint { state: EndpointState::Draining, ..endpoint(n, 0) }).to_vec();
@@ -24,8 +26,8 @@
     assert!(!left.is_empty() && left.iter().all(|n| n % 3 != 0), "{left:?}");
 }
 
-/// Found on a recorded day: conductors restarted while a zone came back cold, and assigned its proxies to
-/// two servers that had just started.
+/// Guards against a zone's load on few cold servers. Conductors restarted while all servers of a zone
+/// restarted, too, and assigned the zone's proxies to two servers that had just started.
 #[test]
 fn zone_of_cold_servers_spills_over_to_warm_ones_after_a_start() {
     let mut harness = Harness::new(settings());
@@ -39,7 +41,8 @@
     assert!(harness.weight(2, 2) < 0.3 * harness.weight(2, 0));
 }
 
-/// A subset has few servers: when they are lost it takes those of its siblings, not of the whole fleet.
+/// Guards against long tables: a subset that has lost its few servers must use those of its siblings, not of
+/// the whole fleet.
 #[test]
 fn subset_that_loses_its_servers_gets_those_of_its_siblings() {
     let mut harness = harness_with_subsets(60);
@@ -51,8 +54,9 @@
     assert!(!now.is_empty() && now.len() <= 6 && lost.iter().all(|n| !now.contains(n)), "{now:?}");
 }
 
-/// Found on drawn overloaded days of hobart-intake-later: a zone's warm servers restarted all at once
-/// during a release, and the subset's warming servers were left alone with its load.
+/// Guards against a subset that depends on its warming servers. During a release under overload all warm
+/// servers of a zone restarted at once, and the subset's warming servers got its whole load (site
+/// hobart-intake-later).
 #[test]
 fn subset_with_warming_servers_gets_two_warm_ones_of_other_zones() {
     let mut harness = harness_with_subsets(60);
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -1,4 +1,5 @@
-//! Invariants of the actions over many settings and odd event sequences, drawn from a fixed seed.
+//! Property tests: invariants of the actions for generated settings and event sequences, valid or not. The
+//! generator has a fixed seed.
 
 mod common;
 
@@ -9,7 +10,8 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use stepspur::interface::*;
 
-/// One thing that happens; numbers are taken modulo what exists, or name nobody.
+/// One generated step: time that passes, or an event. Numbers may refer to servers, proxies, zones and
+/// classes that do not exist. Durations are in microseconds.
 #[derive(Clone, Debug)]
 enum Step {
     Wait(u64),
@@ -44,6 +46,7 @@
     ]
 }
 
+/// Any settings of the deployment, including classes, modes and limits of 0.
 fn any_settings() -> impl Strategy<Value = Settings> {
     let class = (0u8..3, 0u8..3, 0u64..9, 0u64..9, 0u64..9, 0.0f64..6.0, prop::bool::weighted(0.1)).prop_map(
         |(idempotency, dedup_scope, window, latency_objective, deadline, priority_weight, zone_local)| {
@@ -90,6 +93,7 @@
     )
 }
 
+/// The event of a step; `None` if only time passes.
 fn event(step: &Step, now: Micros, zones: u16) -> Option<Event> {
     let state =
         |s: u8| [EndpointState::Ready, EndpointState::Draining, EndpointState::Removed][usize::from(s)];
@@ -131,11 +135,11 @@
     })
 }
 
-/// Plays the steps and checks each reply; gives all replies.
-fn play(set: &Settings, steps: &[Step]) -> Result<Vec<Vec<Action>>, TestCaseError> {
+/// Runs the steps, checks the actions of each, and returns them.
+fn run_steps(set: &Settings, steps: &[Step]) -> Result<Vec<Vec<Action>>, TestCaseError> {
     let mut harness = Harness::new(set.clone());
     let mut listed: BTreeMap<ServerId, EndpointState> = BTreeMap::new();
-    let mut replies = Vec::new();
+    let mut actions_by_step = Vec::new();
     for step in steps {
         harness.now += if let Step::Wait(span) = step { *span } else { 2_000 };
         let event = event(step, harness.now, set.zone_count as u16);
@@ -149,7 +153,7 @@
         for action in &actions {
             match action {
                 Action::SetWeight { table, server, weight } => {
-                    prop_assert!(listed.contains_key(server), "a server that no list named");
+                    prop_assert!(listed.contains_key(server), "a server that was never listed");
                     prop_assert!(weight.is_finite() && *weight >= 0.0 && table.0 < u16::MAX);
                 }
                 Action::AssignTable { proxy, table } => {
@@ -162,7 +166,7 @@
                     if class.idempotency == Idempotency::NonIdempotent {
                         prop_assert!(
                             matches!(retry_policy, RetryPolicy::Never | RetryPolicy::IfNeverStarted),
-                            "a second execution"
+                            "a retry may execute the request twice"
                         );
                     }
                     if class.idempotency == Idempotency::IdempotencyKey
@@ -170,7 +174,7 @@
                     {
                         prop_assert!(
                             matches!(retry_policy, RetryPolicy::Never | RetryPolicy::IfNeverStarted),
-                            "outside the deduplication scope"
+                            "a retry may leave the deduplication scope"
                         );
                     }
                 }
@@ -187,14 +191,15 @@
         if set.max_messages > 0 {
             for times in harness.messages.values() {
                 let recent = times.iter().filter(|at| **at + set.message_window >= harness.now).count();
-                prop_assert!(recent <= set.max_messages as usize, "{recent} messages");
+                prop_assert!(recent <= set.max_messages as usize, "{recent} messages within the window");
             }
         }
-        replies.push(actions);
+        actions_by_step.push(actions);
     }
-    Ok(replies)
+    Ok(actions_by_step)
 }
 
+/// A runner of 300 cases with a fixed seed, so that failures are reproducible.
 fn runner() -> TestRunner {
     let config = Config { cases: 300, failure_persistence: None, ..Config::default() };
     TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha))
@@ -203,7 +208,7 @@
 #[test]
 fn actions_are_valid_for_any_settings_and_events() {
     let event_sequences = (any_settings(), prop::collection::vec(step(), 0..250));
-    runner().run(&event_sequences, |(set, steps)| play(&set, &steps).map(drop)).unwrap();
+    runner().run(&event_sequences, |(set, steps)| run_steps(&set, &steps).map(drop)).unwrap();
 }
 
 #[test]
@@ -211,14 +216,14 @@
     let event_sequences = (any_settings(), prop::collection::vec(step(), 0..120));
     runner()
         .run(&event_sequences, |(set, steps)| {
-            prop_assert_eq!(play(&set, &steps)?, play(&set, &steps)?);
+            prop_assert_eq!(run_steps(&set, &steps)?, run_steps(&set, &steps)?);
             Ok(())
         })
         .unwrap();
 }
 
 #[test]
-fn with_room_in_the_channel_no_assigned_table_keeps_a_draining_server_or_is_empty() {
+fn without_backpressure_each_proxy_has_a_table_of_ready_servers_only() {
     let event_sequences = prop::collection::vec(step(), 0..200);
     runner()
         .run(&event_sequences, |steps| {
@@ -240,17 +245,17 @@
                     let lines = &harness.tables[table];
                     prop_assert!(
                         lines.keys().all(is_ready),
-                        "proxy {proxy:?} keeps a server that is not ready"
+                        "the table of proxy {proxy:?} contains a server that is not ready"
                     );
                     prop_assert!(
                         !lines.is_empty() || !states.keys().any(is_ready),
-                        "proxy {proxy:?} has an empty table"
+                        "the table of proxy {proxy:?} is empty"
                     );
                 }
                 if states.keys().any(is_ready) {
                     prop_assert!(
                         harness.connected.iter().all(|p| harness.assigned.contains_key(p)),
-                        "a proxy has no table"
+                        "a connected proxy has no table"
                     );
                 }
             }
