--- a/src/interface.rs
+++ b/src/interface.rs
@@ -174,7 +174,7 @@
     Full,
     /// The complete list from a cache, possibly stale.
     Cached,
-    /// None: a request for the list failed or the watch ended. The previous list remains in use.
+    /// No list: a request for it failed or the watch ended. The previous list remains in use.
     Failed,
 }
 
@@ -310,7 +310,7 @@
 /// Which failed attempts proxies retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryPolicy {
-    /// None.
+    /// No failed attempts.
     Never,
     /// Once, only if it is proven that the server never started the first attempt.
     IfNeverStarted,
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -21,7 +21,7 @@
 /// Until reports can show the effect of a cut, a further cut is made only to below this multiple of the
 /// admitted ratio.
 const FURTHER_CUT_RATIO: f64 = 0.75;
-/// Time until attempts show the effect of a cut; the delay of two reports is added.
+/// Time until attempts show the effect of a cut; the time that two reports cover is added.
 const CUT_EFFECT_DELAY: Micros = 2_500_000;
 /// Recovery is fast up to this multiple of the ratio that the servers could serve when overload began, and
 /// slow above.
@@ -69,7 +69,7 @@
     ratio_before_cut: f64,
     /// Lower bound of the admitted ratio for the newest cut and those that deepen it.
     cut_floor: f64,
-    /// Until this time reports can not show the effect of the newest cut.
+    /// Until this time reports cannot show the effect of the newest cut.
     effect_unknown_until: Micros,
 }
 
--- a/src/policy/channel.rs
+++ b/src/policy/channel.rs
@@ -78,6 +78,7 @@
         self.lines_in_flight
     }
 
+    /// Removes the oldest decisions while they have no lines in flight.
     fn remove_delivered(&mut self) {
         while self.unacknowledged.front().is_some_and(|sent| sent.lines.is_empty()) {
             self.unacknowledged.pop_front();
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -120,6 +120,7 @@
         }
     }
 
+    /// Adds a new server to the subset with the largest deficit and schedules its slow start and first probe.
     fn add_server(&mut self, entry: Endpoint, may_join_other_zone: bool, subsets: &mut SubsetWeights) {
         let subset = self.largest_deficit_subset(entry.zone, may_join_other_zone, subsets);
         subsets.add(subset, entry.weight);
--- a/src/policy/health_check.rs
+++ b/src/policy/health_check.rs
@@ -28,7 +28,7 @@
     /// May get traffic; the status before the first result, too.
     #[default]
     Healthy,
-    /// Gets no traffic until its probes succeed again.
+    /// Gets no traffic.
     Unhealthy,
 }
 
@@ -173,6 +173,8 @@
             || self.minority_at_unhealthy_threshold(Some(self.settings.local_zone))
     }
 
+    /// True: fewer than half of the zone's ready servers have reached [`UNHEALTHY_THRESHOLD`]; `None`: of the
+    /// fleet's. False without ready servers.
     fn minority_at_unhealthy_threshold(&self, zone: Option<ZoneId>) -> bool {
         let mut ready = 0;
         let mut failing = 0;
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -44,8 +44,8 @@
 /// Part by which the peak goodput decays in the time that two reports cover.
 const PEAK_GOODPUT_DECAY_RATIO: f64 = 0.05;
 
-/// Lower bound of the retry amplification. It is above 1 because reports show congestion late. While the
-/// fleet is not recovered, [`MAX_RETRY_AMPLIFICATION`] is assumed instead.
+/// /// Lower bound of the attempts for each successful one that are assumed. It is above 1 because reports
+/// show congestion late. While the fleet is not recovered, [`MAX_RETRY_AMPLIFICATION`] is assumed instead.
 pub(super) const MIN_RETRY_AMPLIFICATION: f64 = 2.5;
 /// Upper bound of the attempts for each successful one.
 const MAX_RETRY_AMPLIFICATION: f64 = 6.0;
@@ -68,7 +68,8 @@
     pub(super) attempts: f64,
     /// Decayed number of recent failed attempts.
     pub(super) errors: f64,
-    /// Attempts for each successful one, within bounds, times the current request rate's excess over a surge.
+    /// Attempts for each successful one, within bounds, times the factor by which the request rate exceeds a
+    /// surge.
     pub(super) retry_amplification: f64,
     /// Until this time the latency ratio may be outdated, as there was a gap in reports.
     pub(super) late_reports_until: Micros,
@@ -146,7 +147,7 @@
         self.class_rates.iter().sum::<f64>()
     }
 
-    /// Twice the time that a report covers.
+    /// Twice the mean time that a report covers.
     pub(super) fn two_report_periods(&self) -> Micros {
         2 * self.mean_report_period_micros as Micros
     }
@@ -156,6 +157,7 @@
         now.saturating_sub(self.two_report_periods() + MIN_REPORT_PERIOD)
     }
 
+    /// Updates the mean request rate, which starts at the first rate above 0.
     fn update_mean_request_rate(&mut self, request_rate: f64) {
         let gain = if self.mean_request_rate > 0.0 {
             ROUND_PERIOD as f64 / MEAN_RATE_TIME_CONSTANT_MICROS
@@ -210,14 +212,14 @@
 }
 
 impl ZoneStats {
-    /// Mean latency of all attempts, as a multiple of the latency objective. Each failed attempt counts as
-    /// [`FAILED_ATTEMPT_LATENCY_RATIO`].
+    /// Mean latency of all attempts, as a multiple of the shortest latency objective. Each failed attempt
+    /// counts as [`FAILED_ATTEMPT_LATENCY_RATIO`].
     pub(super) fn latency_ratio(&self) -> f64 {
         let total = self.success_latency + FAILED_ATTEMPT_LATENCY_RATIO * self.errors;
         total / self.attempts.max(1e-9)
     }
 
-    /// Mean latency of the successful attempts, as a multiple of the latency objective.
+    /// Mean latency of the successful attempts, as a multiple of the shortest latency objective.
     fn success_latency_ratio(&self) -> f64 {
         self.success_latency / (self.attempts - self.errors).max(1e-9)
     }
--- a/src/policy/locality.rs
+++ b/src/policy/locality.rs
@@ -76,6 +76,7 @@
         self.unassigned_proxies.extend(connected.map(|(id, _)| *id));
     }
 
+    /// Moves a server to another subset and updates `weights` accordingly.
     fn transfer(&mut self, transfer: &Transfer, weights: &mut SubsetWeights) {
         let Some(server) = self.servers.get(&transfer.server) else { return };
         weights.add(server.subset, -self.usable_weight(server));
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -142,6 +142,8 @@
         self.update_admission(elapsed as f64 * 1e-6);
     }
 
+    /// Assigns servers to shards; in deployments without shards, updates the subsets and publishes the
+    /// tables.
     fn update_tables(&mut self) {
         if self.settings.shard_count > 0 {
             self.assign_shards();
@@ -151,6 +153,7 @@
         }
     }
 
+    /// Applies one event to the state. Some events have no effect.
     fn handle_event(&mut self, event: &Event) {
         match event {
             Event::EndpointList { update, entries } => self.merge_endpoint_list(*update, entries),
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -102,6 +102,7 @@
         }
     }
 
+    /// Counts the ready and the usable servers in the subsets of each zone.
     fn count_zone_servers(&self) -> BTreeMap<ZoneId, ZoneServers> {
         let mut zones: BTreeMap<ZoneId, ZoneServers> = BTreeMap::new();
         for server in self.servers.values().filter(|server| server.is_ready()) {
--- a/src/policy/publish.rs
+++ b/src/policy/publish.rs
@@ -11,7 +11,7 @@
 /// A weight is sent only if it changes by more than this ratio of the largest planned weight of its table,
 /// unless its server is added or removed, or it is cut below [`URGENT_CUT_RATIO`]. An admission level is sent
 /// only if it changes by more than this ratio of its new value, or if the retry policy of its class changes.
-/// Limits the number of messages.
+/// This limits the number of messages.
 const MIN_CHANGE_RATIO: f64 = 0.08;
 /// A cut of a weight to less than this ratio of the published one is urgent.
 const URGENT_CUT_RATIO: f64 = 0.75;
@@ -76,6 +76,7 @@
         }
     }
 
+    /// Sends changes of a table to its proxies and records them as published.
     fn send_changes(&mut self, table: TableId, proxies: &BTreeSet<ProxyId>, changes: &TableChanges) {
         self.record_sent(proxies, changes.line_count());
         for WeightChange { server, weight, .. } in &changes.weights {
@@ -94,6 +95,8 @@
         }
     }
 
+    /// The changes that bring a table to its plan and to the admitted ratios, without those too small to
+    /// send.
     fn table_changes(&self, plan: &TablePlan, admitted_ratios: &[f64]) -> TableChanges {
         let table = &self.tables[&plan.table];
         let mut admission = self.class_admissions(admitted_ratios, &table.proxies);
--- a/src/policy/server.rs
+++ b/src/policy/server.rs
@@ -79,7 +79,7 @@
     pub(super) attempts: f64,
     /// Decayed number of failed attempts.
     pub(super) errors: f64,
-    /// Decayed total latency of the successful attempts, as a multiple of the latency objective.
+    /// Decayed total latency of the successful attempts, as a multiple of the shortest latency objective.
     pub(super) success_latency: f64,
     /// Number of attempts in consecutive reports without a success; a report with a success resets it to 0.
     pub(super) consecutive_failures: f64,
@@ -98,7 +98,7 @@
     pub(super) attempts: f64,
     /// Number of failed attempts, at most `attempts`.
     pub(super) errors: f64,
-    /// Total latency of the successful attempts, as a multiple of the latency objective.
+    /// Total latency of the successful attempts, as a multiple of the shortest latency objective.
     pub(super) success_latency: f64,
 }
 
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -49,6 +49,8 @@
         age as f64 / self.settings.warm_up.max(1) as f64
     }
 
+    /// True: less than this ratio of the server's warm-up time has passed. A server with start time 0 is
+    /// warm.
     fn is_below_warm_up(&self, server: &Server, ratio: f64) -> bool {
         server.endpoint.started_at > 0 && self.warm_up_progress(server) < ratio
     }
--- a/src/policy/subset.rs
+++ b/src/policy/subset.rs
@@ -145,8 +145,8 @@
         largest_deficit.unwrap_or(SHARED_TABLE)
     }
 
-    /// The zone with the largest deficit of those with connected proxies, or the own zone unless the deficit
-    /// exceeds its by [`OTHER_ZONE_MARGIN_WEIGHT`].
+    /// /// The zone with the largest deficit among those with connected proxies, if that exceeds the own
+    /// zone's deficit by more than [`OTHER_ZONE_MARGIN_WEIGHT`]; else the own zone.
     fn largest_deficit_zone(&self, own_zone: ZoneId, weights: &SubsetWeights) -> ZoneId {
         let surplus = |zone: ZoneId| self.subsets_of(zone).map(|subset| weights.surplus(subset)).sum::<f64>();
         let in_use = self.connected_by_zone.iter().filter(|(_, connected)| **connected > 0);
--- a/src/policy/table_plan.rs
+++ b/src/policy/table_plan.rs
@@ -187,6 +187,7 @@
         }
     }
 
+    /// The usable servers of the subset and its siblings that run in other zones and are warm.
     fn warm_servers_of_other_zones<'a>(&self, demand: &TableDemand<'a>, zone: ZoneId) -> Vec<&'a Server> {
         let others = demand.usable.iter().copied().filter(|server| server.zone() != zone);
         others.filter(|server| !self.is_warming_up(server)).collect()
