--- a/crates/stepspur-conductor/src/engine/acks.rs
+++ b/crates/stepspur-conductor/src/engine/acks.rs
@@ -1,22 +1,22 @@
-//! Acknowledgements not yet received.
+//! Acknowledgements that proxies have not sent yet.
 //!
 //! A proxy that never acknowledges an update would delay the ordinary changes of all proxies, so the engine
-//! closes its stream after a timeout.
+//! closes its stream after `channel.mark_timeout`.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use stepspur::interface::{Micros, ProxyId};
 
-/// Most acknowledgements pending for one proxy. Of a proxy that acknowledges nothing and stays connected,
-/// only the newest are kept.
-const MAX_PENDING_PER_PROXY: usize = 512;
+/// Maximum number of pending acknowledgements of one proxy. Beyond it the oldest are dropped, which bounds
+/// the memory for a proxy that stays connected and acknowledges nothing.
+const MAX_PENDING_ACKS_PER_PROXY: usize = 512;
 
-/// The acknowledgements that are pending, by proxy.
+/// Pending acknowledgements by proxy, with an index of the oldest ones.
 #[derive(Debug, Default)]
 pub(crate) struct PendingAcks {
-    /// Never empty for a proxy; the oldest first.
+    /// Pending acknowledgements of each proxy, oldest first; no queue is empty.
     by_proxy: BTreeMap<ProxyId, VecDeque<PendingAck>>,
-    /// The oldest of each proxy.
+    /// The oldest pending acknowledgement of each proxy.
     oldest: BTreeSet<OldestAck>,
 }
 
@@ -32,15 +32,15 @@
 pub(crate) struct OldestAck {
     /// When the update was sent.
     pub(crate) sent_at: Micros,
-    /// The proxy.
+    /// Proxy that has not acknowledged it.
     pub(crate) proxy: ProxyId,
 }
 
 impl PendingAcks {
-    /// An update with this nonce was sent.
+    /// Records that an update with this nonce was sent.
     pub(crate) fn record_sent(&mut self, proxy: ProxyId, nonce: u32, now: Micros) {
         let pending = self.by_proxy.entry(proxy).or_default();
-        if pending.len() == MAX_PENDING_PER_PROXY
+        if pending.len() == MAX_PENDING_ACKS_PER_PROXY
             && let Some(dropped) = pending.pop_front()
         {
             self.oldest.remove(&OldestAck { sent_at: dropped.sent_at, proxy });
@@ -54,11 +54,11 @@
         pending.push_back(PendingAck { nonce, sent_at: now });
     }
 
-    /// Records an acknowledgement and returns the time since the update was sent; none if it was not pending.
-    /// Earlier updates are acknowledged with it.
+    /// Removes an acknowledged update and all earlier ones of the proxy. Returns the time since the update
+    /// was sent, in microseconds, or `None` if no such acknowledgement is pending.
     pub(crate) fn acknowledge(&mut self, proxy: ProxyId, nonce: u32, now: Micros) -> Option<Micros> {
         let pending = self.by_proxy.get_mut(&proxy)?;
-        // Nonces are reused after some time: the newest update with this nonce is meant.
+        // The decision module reuses nonces: the acknowledgement is for the newest update with this nonce.
         let position = pending.iter().rposition(|ack| ack.nonce == nonce)?;
         let oldest = pending.front()?.sent_at;
         let acknowledged = pending.drain(..=position).next_back()?;
@@ -71,7 +71,7 @@
         Some(now.saturating_sub(acknowledged.sent_at))
     }
 
-    /// Removes a proxy that has disconnected.
+    /// Removes all pending acknowledgements of a proxy that has disconnected.
     pub(crate) fn remove(&mut self, proxy: ProxyId) {
         let Some(pending) = self.by_proxy.remove(&proxy) else { return };
         if let Some(oldest) = pending.front() {
@@ -79,12 +79,12 @@
         }
     }
 
-    /// The oldest of all.
+    /// Returns the oldest pending acknowledgement of all proxies.
     pub(crate) fn oldest(&self) -> Option<OldestAck> {
         self.oldest.first().copied()
     }
 
-    /// How many are pending.
+    /// Returns the number of pending acknowledgements of all proxies.
     pub(crate) fn len(&self) -> usize {
         self.by_proxy.values().map(VecDeque::len).sum()
     }
--- a/crates/stepspur-conductor/src/engine/connect.rs
+++ b/crates/stepspur-conductor/src/engine/connect.rs
@@ -1,4 +1,4 @@
-//! How proxies connect and disconnect, and how streams are closed.
+//! Connects and disconnects proxies, and closes streams.
 
 use stepspur::interface::{Event, Micros, ProxyId, ZoneId};
 use stepspur_proto::{FromConductor, VERSION, frame, from_conductor, v1};
@@ -9,37 +9,39 @@
 use super::state::Engine;
 use crate::config::micros;
 
-/// Longest name of a proxy, in bytes.
+/// Maximum length of a proxy's name, in bytes.
 const MAX_NAME_BYTES: usize = 128;
-/// Highest usual traffic that a proxy may announce, in requests per second.
+/// Upper bound of a proxy's usual traffic, in requests per second; higher values in a `Hello` are reduced to
+/// it.
 const MAX_USUAL_RATE: f64 = 1e6;
 
-/// A proxy that connects.
+/// What the engine learns from a proxy that connects.
 pub(super) struct Connecting {
     pub(super) proxy: ProxyId,
     pub(super) zone: ZoneId,
-    /// Its usual traffic, in requests per second.
+    /// Usual traffic, in requests per second.
     pub(super) rate: f64,
-    /// True: it has only its static tables.
+    /// True if the proxy has only its static tables.
     pub(super) fresh: bool,
 }
 
-/// Why a `Hello` is rejected. The messages are sent to the proxy.
+/// Why a `Hello` is rejected. The proxy receives the message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 enum HelloError {
-    #[error("Hello came twice")]
+    #[error("a Hello was already received on this stream")]
     Repeated,
-    #[error("this conductor speaks version {VERSION}")]
+    #[error("unsupported protocol version: this conductor supports version {VERSION}")]
     UnsupportedVersion,
-    #[error("a name has 1 to {MAX_NAME_BYTES} bytes")]
+    #[error("invalid proxy name: its length must be 1 to {MAX_NAME_BYTES} bytes")]
     InvalidName,
-    #[error("not a zone of this fleet")]
+    #[error("unknown zone: the zone is not in this deployment's settings")]
     UnknownZone,
-    #[error("no number is left")]
+    #[error("no proxy id is free: retry in {retry_after} us")]
     NoFreeId { retry_after: Micros },
 }
 
 impl HelloError {
+    /// Returns the reason code that the proxy receives.
     fn reason(self) -> v1::Reason {
         match self {
             Self::Repeated | Self::InvalidName => v1::Reason::BadMessage,
@@ -51,12 +53,13 @@
 }
 
 impl Engine {
-    /// The first frame of a stream: the proxy is connected, or rejected.
+    /// Handles the first frame of a stream: connects the proxy and replies with `Welcome`, or closes the
+    /// stream.
     pub(super) fn handle_hello(&mut self, now: Micros, stream: StreamId, hello: v1::Hello) {
         match self.accept_hello(now, stream, &hello) {
             Ok(connecting) => {
                 self.connect(now, stream, connecting);
-                // Closing an older stream of the same name has released the id: claim it again.
+                // If an older stream of the same name was closed, that released the id: claim it again.
                 let _ = self.proxy_ids.claim(&hello.name, now);
                 self.reply(stream, from_conductor::Kind::Welcome(self.welcome()));
             }
@@ -68,7 +71,7 @@
         }
     }
 
-    /// Checks a `Hello` and claims the proxy's id.
+    /// Validates a `Hello` and claims the proxy's id.
     fn accept_hello(
         &mut self,
         now: Micros,
@@ -93,6 +96,7 @@
         Ok(Connecting { proxy, zone, rate, fresh: hello.fresh })
     }
 
+    /// Builds the reply to an accepted `Hello`: the settings that the proxy needs.
     fn welcome(&self) -> v1::Welcome {
         v1::Welcome {
             version: VERSION,
@@ -105,15 +109,16 @@
         }
     }
 
-    /// Connects a proxy whose protocol assigns proxy ids; ignored on a stream that is closed or already
-    /// connected.
+    /// Connects a proxy whose protocol assigns proxy ids. Ignored if the stream is closed or has a proxy
+    /// already.
     pub(super) fn handle_proxy_connected(&mut self, now: Micros, stream: StreamId, connecting: Connecting) {
         if !self.streams.is_closed(stream) && self.streams.proxy(stream).is_none() {
             self.connect(now, stream, connecting);
         }
     }
 
-    /// Connects a proxy. Its newest stream wins: the previous one may be dead without the conductor knowing.
+    /// Connects a proxy and closes its previous stream if it has one: the conductor may not have detected yet
+    /// that the previous stream is dead.
     fn connect(&mut self, now: Micros, stream: StreamId, connecting: Connecting) {
         let Connecting { proxy, zone, rate, fresh } = connecting;
         if let Some(previous) = self.streams.stream(proxy) {
@@ -125,13 +130,13 @@
         self.log(LogEvent::ProxyConnected { proxy: self.proxy_name(proxy), stream });
     }
 
-    /// A stream has ended.
+    /// Removes a stream that has ended, with its proxy.
     pub(super) fn handle_stream_end(&mut self, now: Micros, stream: StreamId) {
         self.streams.remove_closed(stream);
         self.disconnect(now, stream);
     }
 
-    /// Removes the proxy of a stream that has ended or is to be closed.
+    /// Removes the proxy of a stream that has ended or is about to be closed, and all state of that proxy.
     pub(super) fn disconnect(&mut self, now: Micros, stream: StreamId) {
         let Some(proxy) = self.streams.disconnect(stream) else { return };
         self.channel.remove_stream(stream);
@@ -149,6 +154,7 @@
         self.close(stream, GoAway { reason, detail, retry_after: 0 });
     }
 
+    /// Closes a stream after a last frame with the reason; its proxy must have been disconnected.
     fn close(&mut self, stream: StreamId, go_away: GoAway<'_>) {
         let GoAway { reason, detail, .. } = go_away;
         self.stats.closed_streams += 1;
@@ -158,7 +164,7 @@
         self.log(LogEvent::StreamClosed { stream, reason, detail: detail.to_owned() });
     }
 
-    /// Sends a frame that does not wait in the channel.
+    /// Sends a frame at once, without queueing it in the channel.
     pub(super) fn reply(&mut self, stream: StreamId, kind: from_conductor::Kind) {
         let message = FromConductor::new(self.epoch, self.sequence, kind);
         if let Ok(frame) = frame(&message, usize::MAX) {
@@ -166,7 +172,7 @@
         }
     }
 
-    /// The proxy's name, or its id where the protocol assigns ids.
+    /// Returns the proxy's name for the log, or its id if the protocol assigns ids.
     pub(super) fn proxy_name(&self, proxy: ProxyId) -> String {
         self.proxy_ids.name(proxy).map_or_else(|| proxy.0.to_string(), str::to_owned)
     }
--- a/crates/stepspur-conductor/src/engine/discovery.rs
+++ b/crates/stepspur-conductor/src/engine/discovery.rs
@@ -7,7 +7,8 @@
 use super::state::Engine;
 
 impl Engine {
-    /// Merges an update of the endpoint list and passes what changed to the decision module.
+    /// Merges an update of the endpoint list, logs its invalid entries and passes the changes to the decision
+    /// module.
     pub(super) fn handle_endpoint_list(
         &mut self,
         now: Micros,
@@ -15,8 +16,8 @@
         entries: Vec<DiscoveredEndpoint>,
     ) {
         let change = self.endpoints.merge(now, update, entries);
-        for server in change.interrupted {
-            self.tables.mark_interrupted(server);
+        for server in change.possibly_ejected {
+            self.tables.mark_possibly_ejected(server);
         }
         for event in change.log {
             if matches!(event, LogEvent::InvalidEntry { .. }) {
--- a/crates/stepspur-conductor/src/engine/dispatch.rs
+++ b/crates/stepspur-conductor/src/engine/dispatch.rs
@@ -1,5 +1,5 @@
-//! The engine's entry points: inputs go to their handlers; outputs, the next wake-up time and statistics come
-//! out.
+//! The engine's entry points: dispatches inputs to their handlers, and returns outputs, the next wake-up time
+//! and statistics.
 
 use stepspur::interface::{EndpointState, Micros};
 
@@ -11,7 +11,7 @@
 use super::stats::{ServerCounts, Stats};
 
 impl Engine {
-    /// Takes an input. Decisions follow with the next [`Engine::poll`].
+    /// Handles an input. [`Engine::poll`] then makes the decisions that it causes.
     pub fn handle(&mut self, now: Micros, input: Input) {
         match input {
             Input::EndpointList { update, entries } => self.handle_endpoint_list(now, update, entries),
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Runs what is due and returns the next output; call it until it returns none.
+    /// Runs scheduled work that is due and returns the next output. Call it until it returns `None`.
     pub fn poll(&mut self, now: Micros) -> Option<Output> {
         if self.outputs.is_empty() {
             self.run_due(now);
@@ -46,7 +46,8 @@
         self.outputs.pop_front()
     }
 
-    /// When [`Engine::poll`] is next due if no input arrives before; none if nothing is scheduled.
+    /// Returns when [`Engine::poll`] is next due if no input arrives before; 0 while outputs are queued,
+    /// `None` if nothing is scheduled.
     pub fn next_at(&self) -> Option<Micros> {
         if !self.outputs.is_empty() {
             return Some(0);
@@ -62,7 +63,7 @@
             .min()
     }
 
-    /// The statistics as of now.
+    /// Returns the current statistics.
     pub fn stats(&self) -> Stats {
         Stats {
             sequence: self.sequence,
--- a/crates/stepspur-conductor/src/engine/endpoints/draft.rs
+++ b/crates/stepspur-conductor/src/engine/endpoints/draft.rs
@@ -1,4 +1,4 @@
-//! What one update of the endpoint list changes, while it is merged.
+//! Collects the changes by one update of the endpoint list while it is merged.
 
 use std::collections::BTreeSet;
 
@@ -7,14 +7,15 @@
 use super::super::input::DiscoveredEndpoint;
 use super::super::output::LogEvent;
 
-/// What an update of the list changed.
+/// Result of merging an update of the list.
 #[derive(Debug)]
 pub(crate) struct ListChange {
     /// The event for the decision module.
     pub(crate) event: Event,
-    /// Servers that are not ready, or whose start is listed: proxies may have them ejected from before.
-    pub(crate) interrupted: Vec<ServerId>,
-    /// Events for the log.
+    /// Servers that are not ready, or whose start is listed: proxies may have them ejected by another
+    /// conductor or by an earlier run of this one.
+    pub(crate) possibly_ejected: Vec<ServerId>,
+    /// Events for the log: invalid entries, a failed source, a suspected mass removal.
     pub(crate) log: Vec<LogEvent>,
 }
 
@@ -23,29 +24,31 @@
 pub(super) struct UpdateDraft {
     /// Entries for the decision module.
     pub(super) entries: Vec<Endpoint>,
-    /// Servers that the update names.
-    pub(super) named: BTreeSet<ServerId>,
-    pub(super) interrupted: Vec<ServerId>,
+    /// Servers that the update contains.
+    pub(super) listed: BTreeSet<ServerId>,
+    /// As in [`ListChange`].
+    pub(super) possibly_ejected: Vec<ServerId>,
+    /// As in [`ListChange`].
     pub(super) log: Vec<LogEvent>,
 }
 
-/// What is wrong with an entry.
+/// Why an entry, or a part of it, is invalid. The message is logged.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub(super) enum InvalidEntry {
-    #[error("its start is earlier than the known one")]
+    #[error("the start is earlier than the known start of the server")]
     EarlierStart,
-    #[error("it is listed twice: the state further on is used")]
+    #[error("the server is listed twice: the later state of ready, draining, removed is used")]
     Repeated,
-    #[error("`{zone}` is not a zone of this deployment")]
+    #[error("unknown zone `{zone}`")]
     UnknownZone { zone: String },
-    #[error("weight {weight} is not between {min} and {max}")]
+    #[error("weight {weight} must be 0 or between {min} and {max}")]
     WeightOutOfRange { weight: f64, min: f64, max: f64 },
-    #[error("no server can have this name or address")]
+    #[error("invalid address, or a name whose id another name has")]
     InvalidIdentity,
 }
 
 impl UpdateDraft {
-    /// Logs what is wrong with an entry.
+    /// Adds a log event about an invalid entry.
     pub(super) fn log_invalid(&mut self, entry: &DiscoveredEndpoint, error: &InvalidEntry) {
         let server = entry.name.clone().unwrap_or_else(|| entry.address.to_string());
         self.log.push(LogEvent::InvalidEntry { server, what: error.to_string() });
--- a/crates/stepspur-conductor/src/engine/endpoints/merge.rs
+++ b/crates/stepspur-conductor/src/engine/endpoints/merge.rs
@@ -1,4 +1,4 @@
-//! Merges updates of the endpoint list into what is known.
+//! Merges updates of the endpoint list into the known servers.
 
 use std::collections::BTreeSet;
 use std::ops::RangeInclusive;
@@ -11,13 +11,14 @@
 use super::super::server_ids::named_id;
 use super::draft::{InvalidEntry, ListChange, UpdateDraft};
 use super::known::{KnownEndpoint, StartTime};
-use super::store::{EndpointStore, is_further_on};
+use super::store::{EndpointStore, is_later_in_lifecycle};
 
-/// Weights that a list may give, besides 0 for none.
+/// Valid configured weights, besides 0 for none. More extreme ones would starve the server or all others.
 const WEIGHT_RANGE: RangeInclusive<f64> = 1e-3..=1e6;
 
 impl EndpointStore {
-    /// Merges an update of the list.
+    /// Merges an update of the list and returns what it changes. Invalid entries are skipped and logged; an
+    /// update that omits too many servers removes none.
     pub(crate) fn merge(
         &mut self,
         now: Micros,
@@ -26,33 +27,34 @@
     ) -> ListChange {
         if update == ListUpdate::Failed {
             let event = Event::EndpointList { update, entries: [].into() };
-            return ListChange { event, interrupted: Vec::new(), log: vec![LogEvent::DiscoveryFailed] };
+            return ListChange { event, possibly_ejected: Vec::new(), log: vec![LogEvent::DiscoveryFailed] };
         }
         let ready_before = self.ready_servers();
         let mut draft = UpdateDraft::default();
         for entry in entries {
             self.merge_entry(now, update, entry, &mut draft);
         }
-        let update = match self.mass_removal.check(update, &ready_before, &draft.named, now) {
+        let update = match self.mass_removal.check(update, &ready_before, &draft.listed, now) {
             Verdict::Accepted => update,
             Verdict::RemovalsWithheld { missing_ready } => {
-                let named = draft.named.len();
+                let named = draft.listed.len();
                 draft.log.push(LogEvent::MassRemovalSuspected { lacking: missing_ready, named });
                 ListUpdate::Delta
             }
         };
         if update != ListUpdate::Delta {
-            self.remove_unnamed(now, &mut draft);
+            self.remove_unlisted(now, &mut draft);
         }
         let event = Event::EndpointList { update, entries: draft.entries.into() };
-        ListChange { event, interrupted: draft.interrupted, log: draft.log }
+        ListChange { event, possibly_ejected: draft.possibly_ejected, log: draft.log }
     }
 
+    /// Returns the servers that are listed as ready.
     fn ready_servers(&self) -> BTreeSet<ServerId> {
         self.servers.keys().copied().filter(|server| self.is_ready(*server)).collect()
     }
 
-    /// Merges one entry of an update.
+    /// Merges one entry of an update into the known servers and adds the changes to `draft`.
     fn merge_entry(
         &mut self,
         now: Micros,
@@ -68,28 +70,29 @@
         if let Some(known) = known
             && known.is_newer_than(entry.started)
         {
-            // The list names the server, but what is known of it remains in use.
+            // The entry is stale: the server counts as listed, but its known entry remains in use.
             draft.entries.push(self.effective_entry(server, known));
-            draft.named.insert(server);
+            draft.listed.insert(server);
             draft.log_invalid(&entry, &InvalidEntry::EarlierStart);
             return;
         }
-        let is_repeated = !draft.named.insert(server);
+        let is_repeated = !draft.listed.insert(server);
         if update != ListUpdate::Delta && is_repeated {
             draft.log_invalid(&entry, &InvalidEntry::Repeated);
-            if !known.is_some_and(|known| is_further_on(entry.state, known.entry.state)) {
+            if !known.is_some_and(|known| is_later_in_lifecycle(entry.state, known.entry.state)) {
                 return;
             }
         }
         let merged = self.merged_endpoint(now, server, entry);
         draft.entries.push(self.effective_entry(server, &merged));
         if merged.entry.started > 0 || merged.entry.state != EndpointState::Ready {
-            draft.interrupted.push(server);
+            draft.possibly_ejected.push(server);
         }
         self.servers.insert(server, merged);
     }
 
-    /// What is known of a server once this entry is merged.
+    /// Returns the server's state with this entry merged. If the entry has the known start, or none, the
+    /// known start is kept; otherwise the server has restarted.
     fn merged_endpoint(&self, now: Micros, server: ServerId, entry: DiscoveredEndpoint) -> KnownEndpoint {
         let removed_at = (entry.state == EndpointState::Removed).then_some(now);
         match self.servers.get(&server).filter(|known| known.has_same_start(entry.started)) {
@@ -104,29 +107,30 @@
         }
     }
 
-    /// Removes the servers that a complete list lacks.
-    fn remove_unnamed(&mut self, now: Micros, draft: &mut UpdateDraft) {
+    /// Marks the servers that a complete list omits as removed.
+    fn remove_unlisted(&mut self, now: Micros, draft: &mut UpdateDraft) {
         for (server, known) in &mut self.servers {
-            if draft.named.contains(server) {
+            if draft.listed.contains(server) {
                 continue;
             }
-            draft.interrupted.push(*server);
+            draft.possibly_ejected.push(*server);
             known.entry.state = EndpointState::Removed;
             known.removed_at.get_or_insert(now);
         }
     }
 
-    /// Validates an entry and finds its server's id. Invalid parts are logged and replaced by what was known
-    /// before; none if nothing was.
+    /// Validates an entry and returns it with its server's id. An invalid zone or weight is logged and
+    /// replaced by the known value. Returns `None` if the zone is invalid and the server unknown, or if the
+    /// entry does not identify a server.
     fn validate(
         &mut self,
         mut entry: DiscoveredEndpoint,
         draft: &mut UpdateDraft,
     ) -> Option<(ServerId, DiscoveredEndpoint)> {
-        let known = self.known_as(&entry).map(|known| known.entry.clone());
+        let known = self.known_endpoint(&entry).map(|known| known.entry.clone());
         if self.zone(&entry.zone).is_none() {
             draft.log_invalid(&entry, &InvalidEntry::UnknownZone { zone: entry.zone.clone() });
-            // A misspelt zone must not remove a server or hide that it drains.
+            // An invalid zone must not remove the server or hide that it is draining.
             entry.zone = known.as_ref()?.zone.clone();
         }
         let weight = entry.weight;
@@ -147,8 +151,8 @@
         Some((server, entry))
     }
 
-    /// What is known of the server that an entry names.
-    fn known_as(&self, entry: &DiscoveredEndpoint) -> Option<&KnownEndpoint> {
+    /// Returns the known state of the server that an entry describes.
+    fn known_endpoint(&self, entry: &DiscoveredEndpoint) -> Option<&KnownEndpoint> {
         let server = match &entry.name {
             Some(name) => named_id(name),
             None => self.ids.get(entry.address)?,
--- a/crates/stepspur-conductor/src/engine/endpoints/mod.rs
+++ b/crates/stepspur-conductor/src/engine/endpoints/mod.rs
@@ -1,9 +1,9 @@
-//! The endpoint list: what is known of each server, merged from the updates of the list and operators'
-//! overrides.
+//! The known servers, merged from the updates of the endpoint list and operators' overrides.
 //!
-//! - `known`, `store`: one server, and all of them.
-//! - `merge`: applies updates of the list; `draft` collects what one changes.
-//! - `overrides`, `expiry`: operators' overrides of states; servers that are forgotten.
+//! - `known`, `store`: one known server, and the store of all of them.
+//! - `merge`: applies updates of the list; `draft` collects the changes by one update.
+//! - `overrides`: operators' overrides of servers' states.
+//! - `expiry`: deletes servers that were removed long ago.
 
 mod draft;
 mod expiry;
--- a/crates/stepspur-conductor/src/engine/endpoints/overrides.rs
+++ b/crates/stepspur-conductor/src/engine/endpoints/overrides.rs
@@ -1,4 +1,4 @@
-//! Operators' overrides of servers' states.
+//! Overrides of servers' states by operators and the distributed configuration.
 
 use std::net::SocketAddr;
 
@@ -7,12 +7,12 @@
 use super::super::operation::OperationError;
 use super::store::EndpointStore;
 
-/// Most overrides of servers that no list has named.
+/// Maximum number of overrides for servers that no list has contained; bounds their memory.
 const MAX_UNLISTED_OVERRIDES: usize = 65_536;
 
 impl EndpointStore {
-    /// Overrides a server's state, or lifts an override with that state, and returns the server's entry for
-    /// the decision module; none if no list has named the server.
+    /// Overrides a server's state, or lifts an override with that state if `on` is false, and returns the
+    /// server's entry for the decision module; `None` if no list has contained the server.
     pub(crate) fn override_state(
         &mut self,
         address: SocketAddr,
@@ -28,10 +28,11 @@
         Some(self.effective_entry(server, self.servers.get(&server)?))
     }
 
-    /// Overrides the state of a server that no list has named yet, from the first list that does.
+    /// Overrides the state of a server that no list has contained yet. The override applies from the first
+    /// list that does.
     ///
     /// # Errors
-    /// [`OperationError::TooManyOverrides`].
+    /// [`OperationError::TooManyOverrides`] if the server has no override yet and the limit is reached.
     pub(crate) fn override_unlisted(
         &mut self,
         address: SocketAddr,
@@ -45,7 +46,7 @@
         Ok(())
     }
 
-    /// Lifts the override of a server that no list has named yet; one with another state remains.
+    /// Lifts the override of a server that no list has contained yet. An override with another state remains.
     ///
     /// # Errors
     /// [`OperationError::UnknownServer`] if the server has no override.
--- a/crates/stepspur-conductor/src/engine/endpoints/store.rs
+++ b/crates/stepspur-conductor/src/engine/endpoints/store.rs
@@ -1,4 +1,4 @@
-//! All servers of the endpoint list.
+//! The store of all known servers.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,20 +11,21 @@
 use super::known::KnownEndpoint;
 use crate::config::MassRemovalGuard;
 
-/// The servers that the endpoint list has named.
+/// All servers that an endpoint list has contained and that are not forgotten yet.
 #[derive(Debug)]
 pub(crate) struct EndpointStore {
+    /// Names of the zones; a zone's index is its id.
     zones: Vec<String>,
     pub(super) ids: ServerIds,
     pub(super) servers: BTreeMap<ServerId, KnownEndpoint>,
-    /// States that operators override.
+    /// Overridden states of servers that a list has contained.
     pub(super) overrides: BTreeMap<ServerId, EndpointState>,
-    /// Overrides of servers that no list has named yet: they apply from the first list that does.
+    /// Overridden states of servers that no list has contained yet. They apply from the first list that does.
     pub(super) unlisted_overrides: BTreeMap<SocketAddr, EndpointState>,
     pub(super) mass_removal: MassRemovalDetector,
-    /// How far the engine's clock is ahead of the wall clock, in microseconds.
+    /// The engine's time minus wall-clock time, in microseconds.
     pub(super) clock_offset: i64,
-    /// When expired servers were last looked for.
+    /// When expired servers were last searched for.
     pub(super) last_expiry_at: Micros,
 }
 
@@ -42,74 +43,76 @@
         }
     }
 
-    /// Ids, names and addresses.
+    /// Returns the ids, names and addresses of the servers.
     pub(crate) fn ids(&self) -> &ServerIds {
         &self.ids
     }
 
-    /// True if a list has named the server and it is not forgotten.
+    /// Returns true if a list has contained the server and it is not forgotten yet.
     pub(crate) fn contains(&self, server: ServerId) -> bool {
         self.servers.contains_key(&server)
     }
 
-    /// The server at an address, if a list has named it.
+    /// Returns the server at an address, if a list has contained it.
     pub(crate) fn server_at(&self, address: SocketAddr) -> Option<ServerId> {
         self.ids.get(address).filter(|server| self.contains(*server))
     }
 
-    /// True if the server is listed as ready.
+    /// Returns true if the server is listed as ready, whatever its override.
     pub(crate) fn is_ready(&self, server: ServerId) -> bool {
         self.servers.get(&server).is_some_and(|known| known.entry.state == EndpointState::Ready)
     }
 
-    /// What a probe of the server is sent to now; none if it is not listed.
+    /// Returns the target of a probe of the server; `None` if the server is unknown.
     pub(crate) fn probe_target(&self, server: ServerId) -> Option<ProbeTarget> {
         let started = self.servers.get(&server)?.entry.started;
         Some(ProbeTarget { server, address: self.ids.address(server)?, started })
     }
 
-    /// Number of servers.
+    /// Returns the number of known servers, removed ones included.
     pub(crate) fn len(&self) -> usize {
         self.servers.len()
     }
 
-    /// Number of servers that are listed in a state.
+    /// Returns the number of servers that are listed in a state, whatever their overrides.
     pub(crate) fn count(&self, state: EndpointState) -> usize {
         self.servers.values().filter(|known| known.entry.state == state).count()
     }
 
-    /// Sets the wall clock's time, in microseconds since 1970.
+    /// Records that the wall-clock time at `now` is `unix`, in microseconds since 1970.
     pub(crate) fn set_wall_clock(&mut self, now: Micros, unix: Micros) {
         self.clock_offset = now as i64 - unix as i64;
     }
 
-    /// When the complete list is next to be fetched, to confirm a mass removal.
+    /// Returns when the complete list must next be fetched to confirm a mass removal; `None` if none is
+    /// suspected.
     pub(crate) fn next_fetch_at(&self) -> Option<Micros> {
         self.mass_removal.next_fetch_at()
     }
 
-    /// True if the complete list is to be fetched now; schedules the next fetch then.
+    /// Returns true if the complete list must be fetched now, and then schedules the next fetch.
     pub(crate) fn take_due_fetch(&mut self, now: Micros) -> bool {
         self.mass_removal.take_due_fetch(now)
     }
 
-    /// The zone of this name.
+    /// Returns the zone of this name; `None` if the deployment has no such zone.
     pub(super) fn zone(&self, name: &str) -> Option<ZoneId> {
         let index = self.zones.iter().position(|zone| zone == name)?;
         Some(ZoneId(index as u16))
     }
 
-    /// The server's entry for the decision module. An override applies unless the list's state is further on.
+    /// Returns the server's entry for the decision module. An override applies unless the listed state is
+    /// later in the lifecycle.
     pub(super) fn effective_entry(&self, server: ServerId, known: &KnownEndpoint) -> Endpoint {
         let listed = known.entry.state;
         let overridden = self.overrides.get(&server).copied();
-        let state = overridden.filter(|state| is_further_on(*state, listed)).unwrap_or(listed);
+        let state = overridden.filter(|state| is_later_in_lifecycle(*state, listed)).unwrap_or(listed);
         let zone = self.zone(&known.entry.zone).unwrap_or_default();
         Endpoint { server, started_at: known.start.at, zone, state, weight: known.entry.weight }
     }
 }
 
-/// True if `state` follows `other` in a server's life: ready, draining, removed.
-pub(super) fn is_further_on(state: EndpointState, other: EndpointState) -> bool {
+/// Returns true if `state` is later than `other` in a server's lifecycle: ready, draining, removed.
+pub(super) fn is_later_in_lifecycle(state: EndpointState, other: EndpointState) -> bool {
     state as u8 > other as u8
 }
--- a/crates/stepspur-conductor/src/engine/framed_protocol.rs
+++ b/crates/stepspur-conductor/src/engine/framed_protocol.rs
@@ -8,7 +8,7 @@
 use super::proxy_update::{AdmissionLevel, ClassAdmission, EjectionChange, ProxyUpdate, ServerWeight};
 use super::server_ids::ServerIds;
 
-/// The project's own protocol.
+/// Encodes messages of `stepspur.proxy.v1`: protobuf bodies, each with a length prefix.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FramedProtocol;
 
--- a/crates/stepspur-conductor/src/engine/frames.rs
+++ b/crates/stepspur-conductor/src/engine/frames.rs
@@ -8,7 +8,8 @@
 use super::state::Engine;
 
 impl Engine {
-    /// Handles a frame of the project's own protocol.
+    /// Handles a frame of the project's own protocol. Frames on a closed stream are ignored; the first frame
+    /// of a stream must be a `Hello`.
     pub(super) fn handle_frame(&mut self, now: Micros, stream: StreamId, frame: FromProxy) {
         let FromProxy { epoch, sequence, kind } = frame;
         let Some(kind) = kind else { return };
@@ -22,7 +23,7 @@
             return self.terminate(now, stream, v1::Reason::BadMessage, "the first message must be Hello");
         };
         match kind {
-            // Nonces of an earlier epoch are not pending any more.
+            // Nonces of an earlier epoch are no longer pending.
             from_proxy::Kind::Applied(applied) if epoch == self.epoch => {
                 self.acknowledge(now, proxy, applied.mark, None);
             }
@@ -35,7 +36,7 @@
                 self.reply(stream, from_conductor::Kind::Pong(v1::Pong { token: ping.token }));
             }
             from_proxy::Kind::Goodbye(_) => self.disconnect(now, stream),
-            // Renewed grants are the session's concern.
+            // The service's session handles renewed grants; the other frames require no action.
             from_proxy::Kind::Applied(_)
             | from_proxy::Kind::Renew(_)
             | from_proxy::Kind::Pong(_)
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Handles an acknowledgement; one that is not pending is logged as invalid.
+    /// Handles an acknowledgement that a protocol reports; one that is not pending is logged as invalid.
     pub(super) fn handle_acknowledgement(
         &mut self,
         now: Micros,
@@ -57,8 +58,8 @@
         }
     }
 
-    /// Records an acknowledgement and returns true if it was pending. Without a reported latency, the time
-    /// since the update was sent counts.
+    /// Passes an acknowledgement to the decision module and returns true if it was pending. `latency` is in
+    /// microseconds; if it is `None`, the time since the update was sent is used.
     fn acknowledge(&mut self, now: Micros, proxy: ProxyId, nonce: u32, latency: Option<Micros>) -> bool {
         let Some(since_sent) = self.pending_acks.acknowledge(proxy, nonce, now) else { return false };
         let latency = latency.unwrap_or(since_sent);
--- a/crates/stepspur-conductor/src/engine/input.rs
+++ b/crates/stepspur-conductor/src/engine/input.rs
@@ -1,4 +1,4 @@
-//! What the engine takes in.
+//! The engine's inputs.
 
 use std::net::SocketAddr;
 
@@ -8,151 +8,151 @@
 };
 use stepspur_proto::{FromProxy, v1};
 
-/// Identifies a proxy's stream; never reused.
+/// Identifies a proxy's stream; unique within the process, never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct StreamId(pub u64);
 
-/// One entry of the endpoint list as the source of the list gives it.
+/// One entry of the endpoint list as its source reports it, not validated yet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DiscoveredEndpoint {
-    /// Its name, where the source names servers: the name then identifies the server, and its address may
-    /// change.
+    /// The server's name, if the source names servers. The name then identifies the server, and its address
+    /// may change.
     pub name: Option<String>,
-    /// Its address.
+    /// Address at which the server accepts requests; identifies a server without a name.
     pub address: SocketAddr,
-    /// The name of its zone.
+    /// Name of the server's zone, one of the settings' `fleet.zones`.
     pub zone: String,
-    /// Its state.
+    /// State as listed; operators' overrides are not applied yet.
     pub state: EndpointState,
-    /// Its configured weight; 0: none.
+    /// Configured weight, 0.001 to 1,000,000; 0 if none is configured.
     pub weight: f64,
-    /// When its process last started, in microseconds since 1970; 0: long ago.
+    /// When the server's process last started, in microseconds since 1970; 0 if unknown, treated as long ago.
     pub started: Micros,
 }
 
-/// What a probe is sent to.
+/// The server that a probe checks, with the address and start it had when the probe was requested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProbeTarget {
-    /// The server.
+    /// Id of the probed server.
     pub server: ServerId,
-    /// Its address when the probe was requested.
+    /// Address that the probe is sent to.
     pub address: SocketAddr,
-    /// Its last start as listed then, in microseconds since 1970; 0: long ago.
+    /// The server's last start as listed, in microseconds since 1970; 0 if unknown.
     pub started: Micros,
 }
 
 /// Attempts or requests counted over a period.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestCounts {
-    /// All of them.
+    /// All attempts or requests, failed ones included.
     pub total: u32,
-    /// Those that failed.
+    /// Failed attempts or requests.
     pub errors: u32,
 }
 
-/// An input of the engine.
+/// An input of the engine, passed to [`Engine::handle`](super::Engine::handle) with its time.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// An update of the endpoint list.
     EndpointList {
-        /// How it relates to the list before it.
+        /// Whether the entries are the complete list, changes to the previous one, or a failure.
         update: ListUpdate,
-        /// Its entries.
+        /// Entries as the source reports them; empty after a failure.
         entries: Vec<DiscoveredEndpoint>,
     },
-    /// The wall clock's time. Starts of servers are given by wall clocks, and this machine's may have been
-    /// set since the engine's time, which is monotonic, was derived from it.
+    /// The current wall-clock time. Starts of servers are listed in wall-clock time, and this machine's wall
+    /// clock may have been adjusted since the engine's monotonic time was derived from it.
     WallClock {
         /// Microseconds since 1970.
         unix: Micros,
     },
-    /// The result of a probe. It counts only while the list has the server at that address and with that
-    /// start.
+    /// The result of a probe. It is ignored once the list has another address or start for the server.
     ProbeResult {
-        /// What it was sent to, as requested.
+        /// The target of the [`Output::Probe`](super::Output::Probe) that requested the probe.
         target: ProbeTarget,
-        /// The outcome.
+        /// Whether the probe succeeded, and if not, how it failed.
         outcome: ProbeOutcome,
-        /// Time since it was sent.
+        /// Time since the probe was sent, in microseconds.
         latency: Micros,
-        /// Load report, empty if none.
+        /// Values of the configured load columns, in their order; empty if the server reports none.
         load: Vec<f32>,
     },
     /// A frame arrived on a stream; the first one must be a `Hello`.
     Frame {
-        /// The stream.
+        /// Stream that the frame arrived on.
         stream: StreamId,
-        /// The frame.
+        /// The decoded frame.
         frame: FromProxy,
     },
-    /// A proxy connected whose protocol assigns proxy ids.
+    /// A proxy connected by a protocol that assigns proxy ids itself.
     ProxyConnected {
-        /// The stream.
+        /// Stream that the proxy is connected on.
         stream: StreamId,
-        /// The proxy, below the fleet's number of proxies.
+        /// Id that the protocol assigned, below `fleet.proxies`.
         proxy: ProxyId,
-        /// Its zone, one of the fleet's.
+        /// Index of the proxy's zone in `fleet.zones`.
         zone: ZoneId,
-        /// Its usual traffic, in requests per second.
+        /// The proxy's usual traffic, in requests per second.
         rate: f64,
-        /// True: it has only its static tables.
+        /// True if the proxy has only its static tables, false if it still uses a table received earlier.
         fresh: bool,
     },
     /// A proxy has applied the update that carried this nonce.
     Acknowledged {
-        /// Its stream.
+        /// The proxy's stream.
         stream: StreamId,
-        /// The nonce.
+        /// Nonce of the applied update.
         nonce: u32,
-        /// From the update to its taking effect, if the protocol reports it.
+        /// Time from the decision to its taking effect, in microseconds, if the protocol reports it.
+        /// Otherwise the engine measures the time since it sent the update.
         latency: Option<Micros>,
     },
     /// What the connected proxies of a zone measured at one server, summed by a collector.
     UpstreamStats {
-        /// The server.
+        /// Server that the attempts were sent to.
         server: ServerId,
-        /// The zone.
+        /// Zone of the proxies that sent them.
         zone: ZoneId,
-        /// Time over which it was measured.
+        /// Time over which the attempts were counted, in microseconds.
         period: Micros,
-        /// Attempts, and those that failed.
+        /// All attempts and failed attempts.
         attempts: RequestCounts,
-        /// Mean latency of the successful ones, 0 if none.
+        /// Mean latency of the successful attempts, in microseconds; 0 if none succeeded.
         latency: Micros,
-        /// Load report, empty if none.
+        /// Values of the configured load columns, in their order; empty if none are reported.
         load: Vec<f32>,
     },
     /// Requests of one class that clients sent to a proxy, summed by a collector.
     ClientStats {
-        /// The proxy.
+        /// Proxy that received the requests.
         proxy: ProxyId,
-        /// The class.
+        /// Index of the request class in `fleet.classes`.
         class: ClassId,
-        /// Time over which they were counted.
+        /// Time over which the requests were counted, in microseconds.
         period: Micros,
-        /// Requests received, and those admitted that got no response.
+        /// All requests received; as errors, those that were admitted and got no response.
         requests: RequestCounts,
     },
-    /// A message of a connected caller was invalid and has been skipped.
+    /// A message of a connected caller was invalid and has been skipped; it is counted and logged.
     InvalidMessage {
-        /// Who sent it.
+        /// Name of the sender, for the log.
         by: String,
-        /// What was wrong.
+        /// Why the message is invalid.
         what: String,
     },
-    /// A stream has ended.
+    /// The peer or the connection ended a stream.
     StreamEnded {
-        /// The stream.
+        /// The ended stream.
         stream: StreamId,
     },
-    /// A stream must be closed: its bytes were no frame, it was silent, or its grant has ended or lacks a
-    /// right.
+    /// The engine must close a stream: its bytes are not a valid frame, it has been silent for too long, or
+    /// its grant has expired or lacks a permission.
     StreamFailed {
-        /// The stream.
+        /// Stream to close.
         stream: StreamId,
-        /// Why.
+        /// Reason code that the proxy receives.
         reason: v1::Reason,
-        /// The same in words.
+        /// Explanation for the proxy and the log.
         detail: String,
     },
 }
--- a/crates/stepspur-conductor/src/engine/mass_removal_guard.rs
+++ b/crates/stepspur-conductor/src/engine/mass_removal_guard.rs
@@ -1,9 +1,9 @@
-//! Protects against complete lists that suddenly lack many servers (Eureka: self-preservation).
+//! Protects against complete lists that suddenly omit many servers, as Eureka's self-preservation mode does.
 //!
-//! A registry that restarts empty is more common than half a fleet that disappears without draining. What
-//! such a list names is applied at once; what it lacks is removed only after complete lists have lacked too
-//! much for a while. Sources report a list again only when it changes, so the guard asks for a fetch
-//! meanwhile: a real loss is confirmed without a further change.
+//! A registry that restarts empty is more common than half a fleet that disappears without draining. The
+//! entries of such a list are applied at once; the servers that it omits are removed only after complete
+//! lists have omitted too many for `confirm_after`. Sources report a list again only when it changes, so the
+//! guard schedules fetches meanwhile: these confirm a real loss without a further change.
 
 use std::collections::BTreeSet;
 
@@ -11,28 +11,29 @@
 
 use crate::config::{MassRemovalGuard, micros};
 
-/// Least interval between fetches, in microseconds: an empty list may never be confirmed.
+/// Minimum interval between fetches, in microseconds. It bounds the load on the source while an empty list,
+/// which may never be confirmed, is fetched again and again.
 const MIN_FETCH_INTERVAL: Micros = 1_000_000;
 
 /// The guard's verdict on an update of the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Verdict {
-    /// Apply it as it is.
+    /// Apply the complete update.
     Accepted,
-    /// Apply only what it names: it lacks too many servers that were ready.
+    /// Apply the entries but remove no server: the list omits too many servers that were ready.
     RemovalsWithheld {
-        /// How many of them it lacks.
+        /// Number of ready servers that the list omits.
         missing_ready: usize,
     },
 }
 
-/// The guard's state between lists.
+/// Detects mass removals; holds the state of a suspected one between lists.
 #[derive(Debug)]
 pub(crate) struct MassRemovalDetector {
     settings: MassRemovalGuard,
-    /// Since when complete lists have lacked too much.
+    /// Since when complete lists have omitted too many servers; `None` if nothing is suspected.
     suspected_since: Option<Micros>,
-    /// When to fetch the complete list again while a removal is suspected.
+    /// When to fetch the complete list again while a mass removal is suspected.
     next_fetch_at: Option<Micros>,
 }
 
@@ -41,25 +42,25 @@
         Self { settings, suspected_since: None, next_fetch_at: None }
     }
 
-    /// Checks an update that names `named` against the servers that were `ready` before it.
+    /// Checks an update that contains the servers `listed` against the servers that were `ready` before it.
     pub(crate) fn check(
         &mut self,
         update: ListUpdate,
         ready: &BTreeSet<ServerId>,
-        named: &BTreeSet<ServerId>,
+        listed: &BTreeSet<ServerId>,
         now: Micros,
     ) -> Verdict {
         if !matches!(update, ListUpdate::Full | ListUpdate::Cached) {
             return Verdict::Accepted;
         }
-        let missing_ready = ready.difference(named).count();
+        let missing_ready = ready.difference(listed).count();
         let is_within_limit = missing_ready as f64 <= self.settings.loss_max * ready.len() as f64;
-        if is_within_limit && (missing_ready == 0 || !named.is_empty()) {
+        if is_within_limit && (missing_ready == 0 || !listed.is_empty()) {
             return self.accept();
         }
         let since = *self.suspected_since.get_or_insert(now);
         let is_confirmed = now >= since + micros(self.settings.confirm_after);
-        if is_confirmed && (!named.is_empty() || self.settings.empty_allowed) {
+        if is_confirmed && (!listed.is_empty() || self.settings.empty_allowed) {
             return self.accept();
         }
         let fetch_at = self.fetch_time_after(now);
@@ -67,12 +68,12 @@
         Verdict::RemovalsWithheld { missing_ready }
     }
 
-    /// When the complete list is next to be fetched.
+    /// Returns when the complete list must next be fetched; `None` if nothing is suspected.
     pub(crate) fn next_fetch_at(&self) -> Option<Micros> {
         self.next_fetch_at
     }
 
-    /// True if the complete list is to be fetched now; schedules the next fetch then.
+    /// Returns true if the complete list must be fetched now, and then schedules the next fetch.
     pub(crate) fn take_due_fetch(&mut self, now: Micros) -> bool {
         let is_due = self.next_fetch_at.is_some_and(|at| now >= at);
         if is_due {
@@ -81,6 +82,7 @@
         is_due
     }
 
+    /// Ends a suspicion and accepts the update.
     fn accept(&mut self) -> Verdict {
         self.suspected_since = None;
         self.next_fetch_at = None;
--- a/crates/stepspur-conductor/src/engine/mod.rs
+++ b/crates/stepspur-conductor/src/engine/mod.rs
@@ -1,20 +1,21 @@
-//! The conductor's engine, sans-IO: inputs with their time go in, outputs come out.
+//! The conductor's engine: a sans-IO state machine that consumes timestamped inputs and returns outputs.
 //!
-//! It has no clock, no sockets and no randomness of its own: the same inputs at the same times give the same
-//! outputs. Tables, weights, admission levels, retry policies and ejections are decided by
-//! [`stepspur::Policy`]. The engine gives it events in batches, assigns ids, keeps tables, paces what is
-//! sent, and skips invalid input.
+//! It has no clock, no sockets and no randomness of its own: the same inputs at the same times produce the
+//! same outputs. The decision module, [`stepspur::Policy`], decides on tables, weights, admission levels,
+//! retry policies and ejections. The engine passes it events in batches, assigns ids, stores the tables,
+//! paces the messages to proxies, and skips invalid input.
 //!
-//! Use: [`Engine::handle`] for every input; [`Engine::poll`] after handling and at [`Engine::next_at`]; act
-//! on every [`Output`].
+//! The caller passes every input to [`Engine::handle`], calls [`Engine::poll`] after each input and at
+//! [`Engine::next_at`], and carries out every [`Output`].
 //!
-//! - `input`, `output`, `operation`, `stats`: what goes in and comes out.
-//! - `state`, `dispatch`, `schedule`: the engine, the entry points, and what it does when it is due.
+//! - `input`, `output`, `operation`, `stats`: types of inputs, outputs, operators' requests and statistics.
+//! - `state`, `dispatch`, `schedule`: the engine, its entry points, and its scheduled work.
 //! - `connect`, `frames`, `reports`, `discovery`, `probes`, `operate`: handlers of the inputs.
-//! - `endpoints`, `mass_removal_guard`, `server_ids`, `proxy_ids`, `streams`, `pending_probes`: what is known
-//!   of servers and proxies.
-//! - `tables`, `proxy_update`, `protocol`, `framed_protocol`, `channel`, `acks`: from the decision module's
-//!   actions to frames; `report_aggregator` sums load reports between decisions.
+//! - `endpoints`, `mass_removal_guard`, `server_ids`, `proxy_ids`, `streams`, `pending_probes`: state of
+//!   servers and proxies.
+//! - `tables`, `proxy_update`, `protocol`, `framed_protocol`, `channel`, `acks`: turn the decision module's
+//!   actions into frames, pace them and track their acknowledgements.
+//! - `report_aggregator`: sums load reports between decisions.
 
 mod acks;
 mod channel;
--- a/crates/stepspur-conductor/src/engine/operate.rs
+++ b/crates/stepspur-conductor/src/engine/operate.rs
@@ -1,4 +1,4 @@
-//! Handles operations that operators request.
+//! Carries out operations that operators or the distributed configuration request.
 
 use std::net::SocketAddr;
 
@@ -12,7 +12,7 @@
     /// Carries out an operation.
     ///
     /// # Errors
-    /// [`OperationError`]; nothing has changed then.
+    /// [`OperationError`] if the operation is rejected; the engine's state is then unchanged.
     pub fn operate(&mut self, now: Micros, operation: Operation) -> Result<(), OperationError> {
         match operation {
             Operation::Drain { server, on } => self.override_listed(server, EndpointState::Draining, on),
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Overrides the state of a listed server, or lifts the override.
+    /// Overrides the state of a listed server, or lifts the override if `on` is false.
     fn override_listed(
         &mut self,
         server: SocketAddr,
@@ -34,7 +34,7 @@
         Ok(())
     }
 
-    /// As [`Engine::override_listed`], also for a server that no list has named yet.
+    /// Does the same as [`Engine::override_listed`], also for a server that no list has contained yet.
     fn override_any(
         &mut self,
         server: SocketAddr,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Caps the admission ratio of a class.
+    /// Caps the admission ratio of a class at `ratio`, 0 to 1; 1 lifts the cap.
     fn cap_admission(&mut self, now: Micros, class: &str, ratio: f64) -> Result<(), OperationError> {
         let index = self.config.fleet.classes.iter().position(|known| known.name == class);
         let index = index.ok_or(OperationError::UnknownClass)?;
--- a/crates/stepspur-conductor/src/engine/operation.rs
+++ b/crates/stepspur-conductor/src/engine/operation.rs
@@ -1,56 +1,57 @@
-//! Operations that operators request.
+//! Operations that operators or the distributed configuration request.
 
 use std::net::SocketAddr;
 
 use stepspur::interface::EndpointState;
 
-/// An operation that an operator or the distributed configuration requests. The decision module does not
-/// decide on it: it is given what follows from it.
+/// An operation that an operator or the distributed configuration requests. The engine applies it without a
+/// decision; the decision module receives only the resulting states of servers.
 ///
-/// The audit log stores the `Debug` form of `Drain`, `Withdraw` and `Level`: their names and fields must not
-/// change.
+/// The audit log stores the `Debug` form of `Drain`, `Withdraw` and `Level`, so their names and fields must
+/// not change.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Operation {
-    /// Treats a listed server as draining, unless the list has removed it, until it is lifted.
+    /// Treats a listed server as draining, unless the list has removed it, until the operation is lifted.
     Drain {
-        /// The server.
+        /// Address of the server.
         server: SocketAddr,
-        /// False: lifted.
+        /// True to drain the server, false to lift the drain.
         on: bool,
     },
-    /// Treats a listed server as removed, whatever the list says, until it is lifted.
+    /// Treats a listed server as removed, whatever its listed state, until the operation is lifted.
     Withdraw {
-        /// The server.
+        /// Address of the server.
         server: SocketAddr,
-        /// False: lifted.
+        /// True to remove the server, false to lift the removal.
         on: bool,
     },
-    /// Overrides a server's state until it is lifted, unless the list's state is further on (ready, draining,
-    /// removed); if no list has named the server yet, from the first list that does. The distributed
-    /// configuration uses it, since it is applied before the first list.
+    /// Overrides a server's state until the override is lifted, unless the listed state is later in the order
+    /// ready, draining, removed. If no list has contained the server yet, the override applies from the first
+    /// list that does: the distributed configuration, which uses this operation, is applied before the first
+    /// list.
     Override {
-        /// The server.
+        /// Address of the server.
         server: SocketAddr,
-        /// The state that it is treated as.
+        /// State that the server is treated as having.
         state: OverrideState,
-        /// False: lifted.
+        /// True to set the override, false to lift it; one with another state is not lifted.
         on: bool,
     },
-    /// Caps the admission ratio of a class, whatever is decided; 1 lifts the cap.
+    /// Caps the admission ratio of a class, whatever level the decision module sets.
     Level {
-        /// The class' name.
+        /// Name of the class.
         class: String,
-        /// The highest fraction of its requests to admit, 0 to 1.
+        /// Upper bound of the fraction of its requests to admit, 0 to 1; 1 lifts the cap.
         share: f64,
     },
 }
 
-/// The state that an overridden server is treated as.
+/// The state that an overridden server is treated as having.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OverrideState {
-    /// It gets no new requests and finishes its work.
+    /// The server gets no new requests and completes those in flight.
     Draining,
-    /// It is removed.
+    /// The server is removed from all tables.
     Removed,
 }
 
@@ -63,22 +64,22 @@
     }
 }
 
-/// Why an operation is rejected. Operators read the messages.
+/// Why an operation is rejected. The message is returned to the operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OperationError {
-    /// No list has named the server.
+    /// No endpoint list has contained the server.
     #[error("no list has named this server")]
     UnknownServer,
-    /// The limit of overrides of servers that no list has named is reached.
-    #[error("too many servers are held that no list has named")]
+    /// The limit of overrides for servers that no list has contained is reached.
+    #[error("too many overrides of servers that no list has named")]
     TooManyOverrides,
     /// The deployment has no class of this name.
     #[error("no class of this name")]
     UnknownClass,
     /// The ratio is not between 0 and 1.
-    #[error("a share lies between 0 and 1")]
+    #[error("the share must be between 0 and 1")]
     InvalidRatio,
     /// Proxies of this deployment interpret admission levels as rates, or ignore them.
-    #[error("levels of this fleet are no shares")]
+    #[error("admission levels of this deployment are not shares: `fleet.admit` is not `share`")]
     NotRatioBased,
 }
--- a/crates/stepspur-conductor/src/engine/output.rs
+++ b/crates/stepspur-conductor/src/engine/output.rs
@@ -1,33 +1,33 @@
-//! The engine's outputs: what its caller is to do.
+//! The engine's outputs: what its caller must do.
 
 use bytes::Bytes;
 use stepspur_proto::v1;
 
 use super::input::{ProbeTarget, StreamId};
 
-/// An output of the engine.
+/// An action that the engine requests from its caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Write a frame to a stream.
     Send {
-        /// The stream.
+        /// Stream to write to.
         stream: StreamId,
-        /// The complete frame.
+        /// The complete encoded frame.
         frame: Bytes,
     },
-    /// Close a stream after a last frame. If its send queue is full it is cut without that frame. No
-    /// [`Input::StreamEnded`](super::Input::StreamEnded) is needed for it.
+    /// Write a last frame to a stream and close it. If its send queue is full, close it without that frame.
+    /// The engine requires no [`Input::StreamEnded`](super::Input::StreamEnded) for this stream.
     Close {
-        /// The stream.
+        /// Stream to close.
         stream: StreamId,
-        /// Why.
+        /// Reason code, the same as in the frame.
         reason: v1::Reason,
-        /// The last frame.
+        /// The last frame, which gives the proxy the reason; empty if the protocol has no such message.
         frame: Bytes,
     },
-    /// Check a server's health.
+    /// Send a health check and return its result with [`Input::ProbeResult`](super::Input::ProbeResult).
     Probe {
-        /// What to send the probe to.
+        /// Server and address to check; returned with the result.
         target: ProbeTarget,
     },
     /// Watch the endpoint list for changes from now on.
@@ -38,54 +38,54 @@
     Log(LogEvent),
 }
 
-/// An event for the log.
+/// An event for the log. The service writes it with a level, an event name and the epoch.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LogEvent {
-    /// A line of the decision module.
+    /// A log line of the decision module, with server ids replaced by names or addresses.
     Decision(String),
     /// A proxy connected.
     ProxyConnected {
-        /// Its name.
+        /// The proxy's name, or its id if the protocol assigns ids.
         proxy: String,
-        /// Its stream.
+        /// Stream that the proxy is connected on.
         stream: StreamId,
     },
     /// A proxy's stream ended.
     ProxyDisconnected {
-        /// Its name.
+        /// The proxy's name, or its id if the protocol assigns ids.
         proxy: String,
-        /// Its stream.
+        /// Stream that the proxy was connected on.
         stream: StreamId,
     },
-    /// The engine closed a stream, for any reason. Rate limited: under a flood the line, and with it the
-    /// reason, is missing.
+    /// The engine closed a stream, for any reason. The service limits the rate of these lines, so that the
+    /// log may lack some of them while many streams are closed at once.
     StreamClosed {
-        /// The stream.
+        /// The closed stream.
         stream: StreamId,
-        /// Why.
+        /// Reason code that the proxy received.
         reason: v1::Reason,
-        /// The same in words.
+        /// Explanation that the proxy received.
         detail: String,
     },
     /// Part of a report was invalid and has been skipped.
     InvalidReport {
-        /// The proxy.
+        /// The sender's name, or its id if the protocol assigns ids.
         proxy: String,
-        /// What was wrong.
+        /// Why that part is invalid.
         what: String,
     },
     /// Part of an entry of the endpoint list was invalid; the previous value, if any, remains in use.
     InvalidEntry {
-        /// The server: its name, or its address.
+        /// The server's name, or its address if the list does not name servers.
         server: String,
-        /// What was wrong.
+        /// Why that part is invalid.
         what: String,
     },
-    /// A complete list lacked too many servers: what it lacks is not removed yet.
+    /// A complete list omitted too many ready servers; they are not removed until this is confirmed.
     MassRemovalSuspected {
-        /// Ready servers that it lacks.
+        /// Number of ready servers that the list omits.
         lacking: usize,
-        /// Servers that it names.
+        /// Number of servers that the list contains.
         named: usize,
     },
     /// The source of the endpoint list failed; the previous list remains in use.
@@ -93,8 +93,8 @@
 }
 
 impl LogEvent {
-    /// True for events that a faulty or hostile peer can cause in any number: closed streams and invalid
-    /// input. The service limits how many of them it logs.
+    /// Returns true for events that a faulty or hostile peer can cause in any number: closed streams and
+    /// invalid input. The service limits the rate at which it logs them.
     pub fn is_rate_limited(&self) -> bool {
         matches!(
             self,
--- a/crates/stepspur-conductor/src/engine/probes.rs
+++ b/crates/stepspur-conductor/src/engine/probes.rs
@@ -1,10 +1,10 @@
-//! Requests health checks and handles their results; a result counts only for what its probe was sent to.
+//! Requests health checks and handles their results.
 //!
-//! An address is not a server: where a list names servers, another one may have the address before the probe
-//! is answered, and a server that restarts is another process at the same address. A result counts only while
-//! the list has the server at the address and with the start that the probe was sent to. The decision module
-//! still waits for the result of a server that moved or restarted meanwhile: it is probed again, once for
-//! each address and start.
+//! An address does not identify a server: if the list names servers, another server may have the address
+//! before the probe's response arrives, and a restarted server is another process at the same address. A
+//! result is therefore used only while the list has the server with the address and start that were probed.
+//! Otherwise the decision module still expects a result, so the server is probed again, once for each address
+//! and start.
 
 use stepspur::interface::{Event, Micros, ProbeOutcome, ServerId};
 
@@ -13,15 +13,16 @@
 use super::state::Engine;
 
 impl Engine {
-    /// Requests a probe of a server at its current address; a server that is not listed is ignored.
+    /// Requests a probe of a server at its current address; ignored if no list has contained the server.
     pub(super) fn probe(&mut self, server: ServerId) {
         let Some(target) = self.endpoints.probe_target(server) else { return };
         self.probes.record_sent(target);
         self.outputs.push_back(Output::Probe { target });
     }
 
-    /// Handles the result of a probe. If the server has moved or restarted since, the result is dropped, and
-    /// the server is probed again unless a later probe has already been sent there.
+    /// Handles the result of a probe; `latency` is in microseconds. If the server has moved or restarted
+    /// since the probe, the result is dropped, and the server is probed again unless its current address and
+    /// start have already been probed.
     pub(super) fn handle_probe_result(
         &mut self,
         target: ProbeTarget,
--- a/crates/stepspur-conductor/src/engine/protocol.rs
+++ b/crates/stepspur-conductor/src/engine/protocol.rs
@@ -1,4 +1,4 @@
-//! The interface between the engine and the protocols of proxies.
+//! The interface between the engine and the protocols that proxies use.
 
 use bytes::Bytes;
 use stepspur::interface::Micros;
@@ -7,12 +7,14 @@
 use super::proxy_update::ProxyUpdate;
 use super::server_ids::ServerIds;
 
-/// How a protocol encodes what the engine sends.
+/// Encodes the engine's messages to proxies in one protocol.
 pub trait ProxyProtocol: Send + Sync {
-    /// Encodes one message with this update, of `max_size` bytes at most where the protocol has such a bound.
+    /// Encodes an update as one message. `max_size` bounds its size in bytes if the protocol limits that
+    /// size.
     ///
     /// # Errors
-    /// [`FrameError`] if the protocol cannot express the update.
+    /// [`FrameError`] if the message is too large or the protocol cannot express the update. The engine then
+    /// closes the streams of the update's recipients.
     fn encode_update(
         &self,
         stamp: UpdateStamp,
@@ -21,31 +23,32 @@
         max_size: usize,
     ) -> Result<Bytes, FrameError>;
 
-    /// Encodes the last message of a stream; empty if the protocol has none.
+    /// Encodes the last message of a stream; empty if the protocol has no such message.
     fn go_away(&self, stamp: UpdateStamp, go_away: GoAway<'_>) -> Bytes;
 
-    /// True: ejections outlast the table at a proxy, so that an update must end one explicitly.
+    /// Returns true if proxies keep an ejection when they receive a new table, so that an update must end
+    /// each ejection explicitly; default false.
     fn ejections_persist(&self) -> bool {
         false
     }
 }
 
-/// Identifies an update: the sequence number within the start of the conductor that the epoch numbers.
+/// Identifies an update across restarts of the conductor.
 #[derive(Clone, Copy, Debug)]
 pub struct UpdateStamp {
-    /// The conductor's epoch.
+    /// Number of the conductor's start, higher than that of every earlier start.
     pub epoch: u64,
-    /// The update's sequence number.
+    /// The update's sequence number within the epoch.
     pub sequence: u64,
 }
 
-/// Why a stream is closed, for its last message.
+/// Content of a stream's last message: why the stream is closed, and when the proxy may reconnect.
 #[derive(Clone, Copy, Debug)]
 pub struct GoAway<'a> {
-    /// Why.
+    /// Reason code.
     pub reason: v1::Reason,
-    /// The same in words.
+    /// Explanation for people.
     pub detail: &'a str,
-    /// Time after which the proxy may connect again, in microseconds; 0: not given.
+    /// Time to wait before reconnecting, in microseconds; 0 leaves it to the proxy.
     pub retry_after: Micros,
 }
--- a/crates/stepspur-conductor/src/engine/proxy_ids.rs
+++ b/crates/stepspur-conductor/src/engine/proxy_ids.rs
@@ -1,41 +1,46 @@
-//! Assigns ids to proxies that are known by name.
+//! Assigns ids to proxies that identify themselves by name.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use stepspur::interface::{Micros, ProxyId};
 
-/// Ids of proxies by name.
+/// Maps proxies' names to ids and back.
 ///
-/// A name keeps its id while unused ids are left. Then a new name gets the id of the name that was released
-/// longest ago, but not before `reuse_delay` has passed: messages for the old name must have been delivered,
-/// and the decision module must have forgotten it.
+/// A name keeps its id while unassigned ids are left. After that a new name gets the id that was released
+/// longest ago, but not before `reuse_delay` has passed: by then messages for the old name have been
+/// delivered, and the decision module has forgotten the proxy.
 #[derive(Debug)]
 pub(crate) struct ProxyIds {
     by_name: BTreeMap<String, ProxyId>,
     names: BTreeMap<ProxyId, String>,
+    /// Ids of disconnected proxies, ordered by the time of their release.
     released: BTreeSet<ReleasedId>,
+    /// The same by id.
     released_at: BTreeMap<ProxyId, Micros>,
+    /// Maximum number of ids.
     max_ids: u16,
+    /// Time from the release of an id to its reuse, in microseconds.
     reuse_delay: Micros,
 }
 
-/// An id whose proxy has disconnected, ordered by time.
+/// The id of a disconnected proxy, ordered by the time of its release.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ReleasedId {
     released_at: Micros,
     id: ProxyId,
 }
 
-/// All ids are in use.
+/// All ids are in use or were released too recently.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("all proxy ids are in use; one may be free in {retry_after} us")]
+#[error("no proxy id is free: retry in {retry_after} us")]
 pub(crate) struct IdsExhausted {
-    /// Time until an id may be free, in microseconds.
+    /// Least time until an id may become free, in microseconds.
     pub(crate) retry_after: Micros,
 }
 
 impl ProxyIds {
-    /// Assigns `max_ids` ids at most, 65534 at the highest.
+    /// Creates an empty map that assigns at most `max_ids` ids, bounded by 65,534. `reuse_delay` is in
+    /// microseconds.
     pub(crate) fn new(max_ids: u32, reuse_delay: Micros) -> Self {
         Self {
             by_name: BTreeMap::new(),
@@ -47,10 +52,10 @@
         }
     }
 
-    /// The id of a proxy that connects.
+    /// Returns the id of a proxy that connects, assigning one to a new name.
     ///
     /// # Errors
-    /// [`IdsExhausted`] if no id may be reused yet.
+    /// [`IdsExhausted`] if all ids are assigned and none may be reused yet.
     pub(crate) fn claim(&mut self, name: &str, now: Micros) -> Result<ProxyId, IdsExhausted> {
         if let Some(id) = self.by_name.get(name).copied() {
             if let Some(released_at) = self.released_at.remove(&id) {
@@ -68,6 +73,7 @@
         Ok(id)
     }
 
+    /// Takes the id that was released longest ago from its name.
     fn reuse(&mut self, now: Micros) -> Result<ProxyId, IdsExhausted> {
         let oldest = *self.released.first().ok_or(IdsExhausted { retry_after: self.reuse_delay })?;
         let reusable_at = oldest.released_at.saturating_add(self.reuse_delay);
@@ -82,7 +88,8 @@
         Ok(oldest.id)
     }
 
-    /// A proxy's stream has ended. An id that the protocol assigned has no name here and is not released.
+    /// Releases the id of a proxy that has disconnected. Ids that a protocol assigned have no name here and
+    /// are ignored.
     pub(crate) fn release(&mut self, id: ProxyId, now: Micros) {
         if !self.names.contains_key(&id) {
             return;
@@ -91,12 +98,12 @@
         self.released.insert(ReleasedId { released_at: now, id });
     }
 
-    /// The name of a proxy; none if the protocol assigned the id.
+    /// Returns the name of a proxy; `None` if a protocol assigned the id.
     pub(crate) fn name(&self, id: ProxyId) -> Option<&str> {
         self.names.get(&id).map(String::as_str)
     }
 
-    /// Number of names that have an id.
+    /// Returns the number of names that have an id.
     pub(crate) fn known(&self) -> usize {
         self.names.len()
     }
--- a/crates/stepspur-conductor/src/engine/proxy_update.rs
+++ b/crates/stepspur-conductor/src/engine/proxy_update.rs
@@ -1,57 +1,59 @@
-//! The update of a proxy's state that one message carries, independent of the protocol that encodes it.
+//! The update that one message carries to a proxy, independent of the protocol that encodes it.
 
 use stepspur::interface::{ClassId, Micros, RetryPolicy, ServerId, TableId};
 
-/// An update for a proxy: one message.
+/// An update of a proxy's table, admission levels and ejections, sent as one message.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ProxyUpdate {
-    /// Set: the update contains this complete table; else it changes the table that the proxy has.
+    /// Id of the table, if the update contains a complete table that replaces the proxy's; `None` if it
+    /// contains only changes.
     pub complete_table: Option<TableId>,
-    /// Weights of servers.
+    /// Weights of servers: all of a complete table, otherwise the changed ones.
     pub weights: Vec<ServerWeight>,
-    /// Admission and retries by class.
+    /// Admission levels and retry policies by class: all of a complete table, otherwise the changed ones.
     pub admissions: Vec<ClassAdmission>,
-    /// Servers to eject, and those whose ejection ends.
+    /// Servers whose ejection begins or ends.
     pub ejections: Vec<EjectionChange>,
-    /// The nonce to be acknowledged once this update is applied, if one is requested.
+    /// Nonce that the proxy must acknowledge once it has applied the update; `None` if no acknowledgement is
+    /// requested.
     pub nonce: Option<u16>,
-    /// When it was decided.
+    /// When the decision was made, in microseconds of the engine's clock.
     pub decided_at: Micros,
 }
 
 /// A server's weight in a table.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerWeight {
-    /// The server.
+    /// Server that the weight applies to.
     pub server: ServerId,
-    /// Its weight; 0 removes it from the table.
+    /// Weight relative to the other servers of the table; 0 removes the server from it.
     pub weight: f32,
 }
 
-/// The ejection of a server at a proxy begins or ends.
+/// The begin or end of a server's ejection at a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EjectionChange {
-    /// The server.
+    /// Server to eject or to use again.
     pub server: ServerId,
-    /// True: ejected from now on.
+    /// True if the ejection begins: the proxy sends the server no requests, whatever its table contains.
     pub ejected: bool,
 }
 
-/// How many requests of a class are admitted, and when proxies retry.
+/// The admission level and retry policy of a request class.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClassAdmission {
-    /// The class.
+    /// Index of the class in `fleet.classes`.
     pub class: ClassId,
     /// When proxies retry a failed attempt.
     pub retry_policy: RetryPolicy,
-    /// How many requests are admitted.
+    /// How many requests of the class the proxy admits.
     pub level: AdmissionLevel,
 }
 
-/// How many requests of a class are admitted.
+/// How many requests of a class a proxy admits.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AdmissionLevel {
-    /// All: proxies of this deployment ignore levels.
+    /// All requests: proxies of this deployment ignore levels.
     Unlimited,
     /// A fraction of the requests, 0 to 1.
     Ratio(f32),
@@ -60,7 +62,8 @@
 }
 
 impl ProxyUpdate {
-    /// Its size in lines without the message's overhead; 0: it changes nothing.
+    /// Returns the size in lines, the unit of the channel's throughput, without the message's overhead; 0 if
+    /// the update changes nothing.
     pub fn line_count(&self) -> usize {
         let changes = self.weights.len() + self.admissions.len() + self.ejections.len();
         usize::from(self.complete_table.is_some()) + changes + usize::from(self.nonce.is_some())
--- a/crates/stepspur-conductor/src/engine/report_aggregator.rs
+++ b/crates/stepspur-conductor/src/engine/report_aggregator.rs
@@ -4,63 +4,68 @@
 
 use stepspur::interface::{ClassId, Event, Micros, ProxyId, ServerId, ZoneId};
 
-/// Unused budget accumulates over this many report periods at most.
+/// Number of report periods over which unused budget accumulates at most.
 const MAX_BUDGET_PERIODS: u64 = 2;
-/// Tolerance for rounding when the budget is converted to whole entries.
+/// Rounding tolerance, in entries, for converting the budget to whole entries.
 const BUDGET_TOLERANCE: f64 = 1e-6;
 
-/// What an entry of a report is about.
+/// The subject of an entry: entries with the same key are summed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum ReportKey {
     /// Attempts at a server by the proxies of a zone.
     Upstream {
-        /// The server.
+        /// Server that the attempts were sent to.
         server: ServerId,
-        /// The zone.
+        /// Zone of the proxies that sent them.
         zone: ZoneId,
     },
     /// Requests of a class that clients sent to a proxy.
     Client {
-        /// The proxy.
+        /// Proxy that received the requests.
         proxy: ProxyId,
-        /// The class.
+        /// Class of the requests.
         class: ClassId,
     },
 }
 
-/// Sums over a time span.
+/// Counts and latencies summed over a time span.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ReportSums {
-    /// Start of the time span.
+    /// Start of the time span, in microseconds of the engine's clock.
     pub(crate) from: Micros,
-    /// End of the time span.
+    /// End of the time span, in microseconds of the engine's clock.
     pub(crate) to: Micros,
-    /// Attempts or requests.
+    /// Number of attempts or requests, failed ones included.
     pub(crate) total: u64,
-    /// Those that failed.
+    /// Number of failed attempts or requests.
     pub(crate) errors: u64,
-    /// Sum of the latencies of the successful ones, in microseconds.
+    /// Sum of the latencies of the successful attempts, in microseconds.
     pub(crate) latency_sum: f64,
-    /// The newest load report.
+    /// The newest load report, empty if there is none.
     pub(crate) load: Vec<f32>,
 }
 
-/// Entries that wait for the decision module, the oldest first. A report about a waiting entry adds to it, so
-/// memory is bounded by servers times zones plus proxies times classes.
+/// Queue of entries for the decision module, oldest first, with a rate limit. A report with the key of a
+/// queued entry is added to it, so that memory is bounded by servers times zones plus proxies times classes.
 #[derive(Debug)]
 pub(crate) struct ReportAggregator {
+    /// Queued entries by key.
     sums: BTreeMap<ReportKey, ReportSums>,
+    /// Keys of the queued entries, oldest first.
     queue: VecDeque<ReportKey>,
     entries_per_second: f64,
+    /// Interval between batches of entries, in microseconds.
     period: Micros,
-    /// Entries that may be taken, as of `budget_updated_at`.
+    /// Number of entries that may be passed on, as of `budget_updated_at`.
     budget: f64,
     budget_updated_at: Micros,
+    /// When the next batch of entries is due.
     next_at: Micros,
 }
 
 impl ReportAggregator {
-    /// Passes on at most `entries_per_second`, once a `period`.
+    /// Creates an empty aggregator that passes on at most `entries_per_second`, once every `period`
+    /// microseconds.
     pub(crate) fn new(entries_per_second: f64, period: Micros, now: Micros) -> Self {
         Self {
             sums: BTreeMap::new(),
@@ -73,7 +78,7 @@
         }
     }
 
-    /// Adds an entry of a report.
+    /// Queues an entry of a report, or adds it to the queued entry with the same key.
     pub(crate) fn add(&mut self, key: ReportKey, added: ReportSums) {
         let Some(sums) = self.sums.get_mut(&key) else {
             self.sums.insert(key, added);
@@ -90,12 +95,13 @@
         }
     }
 
-    /// When entries are next due; none if none waits.
+    /// Returns when entries are next due; `None` if none is queued.
     pub(crate) fn next_at(&self) -> Option<Micros> {
         (!self.queue.is_empty()).then_some(self.next_at)
     }
 
-    /// Takes the entries that are due, once a period.
+    /// Removes the entries that are due, oldest first and within the budget, and returns their events. Does
+    /// so once every period.
     pub(crate) fn take_due(&mut self, now: Micros) -> Vec<Event> {
         if now < self.next_at {
             return Vec::new();
@@ -113,6 +119,7 @@
         events
     }
 
+    /// Adds the budget for the time since the last refill, up to its maximum.
     fn refill_budget(&mut self, now: Micros) {
         let max_span = MAX_BUDGET_PERIODS * self.period;
         let elapsed = now.saturating_sub(self.budget_updated_at).min(max_span) as f64 * 1e-6;
@@ -129,12 +136,13 @@
         self.sums.retain(|key, _| !is_removed(key));
     }
 
-    /// How many entries wait.
+    /// Returns the number of queued entries.
     pub(crate) fn len(&self) -> usize {
         self.queue.len()
     }
 }
 
+/// Converts summed entries to an event for the decision module.
 fn event(key: ReportKey, sums: ReportSums) -> Event {
     let period = (sums.to - sums.from).max(1);
     let total = saturating_u32(sums.total);
--- a/crates/stepspur-conductor/src/engine/reports.rs
+++ b/crates/stepspur-conductor/src/engine/reports.rs
@@ -1,4 +1,4 @@
-//! Validates load reports of proxies and collectors.
+//! Validates load reports of proxies and collectors and passes them on.
 
 use stepspur::interface::{ClassId, Event, Micros, ProxyId, ServerId, ZoneId};
 use stepspur_proto::{address_of, v1};
@@ -8,27 +8,27 @@
 use super::report_aggregator::{ReportKey, ReportSums};
 use super::state::Engine;
 
-/// The time span of a report may have begun this long ago at most, in microseconds.
+/// Maximum age of the start of a report's time span, in microseconds; also the maximum latency in a report.
 const MAX_REPORT_AGE: Micros = 600_000_000;
-/// Most entries of one report.
+/// Maximum number of entries in one report.
 const MAX_REPORT_ENTRIES: usize = 20_000;
 
-/// Why a report, a part of it or an acknowledgement is skipped.
+/// Why a report, a part of it or an acknowledgement is skipped. The message is logged.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 pub(super) enum InvalidReport {
-    #[error("it names update {sequence}, which does not exist yet: the newest is {newest}")]
+    #[error("the report refers to update {sequence}, which does not exist: the newest is {newest}")]
     FutureUpdate { sequence: u64, newest: u64 },
-    #[error("nonce {nonce} is not pending")]
+    #[error("no acknowledgement of nonce {nonce} is pending")]
     UnexpectedNonce { nonce: u32 },
-    #[error("it covers {age_us} us and has {entries} entries")]
+    #[error("invalid extent: the report starts {age_us} us ago and has {entries} entries")]
     InvalidExtent { age_us: Micros, entries: usize },
-    #[error("a server that no list has named")]
+    #[error("missing or unknown server address")]
     UnknownServer,
     #[error("implausible upstream counts: {errors} errors of {total}, latency {latency_us} us")]
     ImplausibleUpstream { total: u32, errors: u32, latency_us: u64 },
-    #[error("an upstream load value that is negative or no number")]
+    #[error("an upstream load value is negative or not finite")]
     InvalidLoad,
-    #[error("unknown class {class}")]
+    #[error("unknown request class {class}")]
     UnknownClass { class: u32 },
     #[error("implausible client counts: {errors} errors of {total}")]
     ImplausibleClient { total: u32, errors: u32 },
@@ -37,25 +37,28 @@
 /// The time span that a report covers.
 #[derive(Clone, Copy)]
 struct TimeSpan {
+    /// Start, in microseconds of the engine's clock.
     from: Micros,
+    /// End, in microseconds of the engine's clock.
     to: Micros,
 }
 
-/// What a collector summed up for the proxies of a zone at one server.
+/// Attempts of a zone's proxies at one server, summed by a collector.
 pub(super) struct UpstreamReport {
     pub(super) server: ServerId,
     pub(super) zone: ZoneId,
-    /// Time over which it was measured.
+    /// Time over which the attempts were counted, in microseconds.
     pub(super) period: Micros,
     pub(super) attempts: RequestCounts,
-    /// Mean latency of the successful attempts.
+    /// Mean latency of the successful attempts, in microseconds.
     pub(super) latency: Micros,
-    /// Load report, empty if none.
+    /// Values of the configured load columns, empty if none.
     pub(super) load: Vec<f32>,
 }
 
 impl Engine {
-    /// Handles a connected proxy's load report.
+    /// Handles a connected proxy's load report. An implausible time span or size rejects the whole report;
+    /// each invalid entry is skipped alone.
     pub(super) fn handle_report(&mut self, now: Micros, proxy: ProxyId, report: v1::Report) {
         let to = now.saturating_sub(report.age_us);
         let span = TimeSpan { from: to.saturating_sub(report.period_us), to };
@@ -79,7 +82,7 @@
         }
     }
 
-    /// Validates what a proxy measured at one server.
+    /// Validates a proxy's measurements of one server.
     fn upstream_sums(
         &self,
         upstream: v1::Met,
@@ -127,7 +130,8 @@
         Ok((ClassId(id), sums))
     }
 
-    /// Passes a collector's sum on; one about an unknown server is skipped.
+    /// Passes a collector's sums on to the decision module; those of an unknown server are counted as
+    /// invalid.
     pub(super) fn handle_upstream_stats(&mut self, report: UpstreamReport) {
         let UpstreamReport { server, zone, period, attempts, latency, load } = report;
         if !self.endpoints.contains(server) {
@@ -138,7 +142,8 @@
         self.batch.push(Event::UpstreamStats { server, zone, period, total, errors, latency, load });
     }
 
-    /// Passes a collector's counts of client requests on; those of a proxy that is not connected are ignored.
+    /// Passes a collector's counts of client requests on to the decision module; those of a proxy that is not
+    /// connected are ignored.
     pub(super) fn handle_client_stats(
         &mut self,
         proxy: ProxyId,
@@ -152,13 +157,13 @@
         }
     }
 
-    /// Counts and logs an invalid part of what a connected proxy reported.
+    /// Counts and logs an invalid report, or part of one, of a connected proxy.
     pub(super) fn reject_report(&mut self, proxy: ProxyId, error: &InvalidReport) {
         let proxy = self.proxy_name(proxy);
         self.record_invalid_report(proxy, error.to_string());
     }
 
-    /// Counts and logs invalid input of a caller.
+    /// Counts and logs invalid input; `proxy` is the sender's name.
     pub(super) fn record_invalid_report(&mut self, proxy: String, what: String) {
         self.stats.invalid_inputs += 1;
         self.log(LogEvent::InvalidReport { proxy, what });
--- a/crates/stepspur-conductor/src/engine/schedule.rs
+++ b/crates/stepspur-conductor/src/engine/schedule.rs
@@ -1,4 +1,5 @@
-//! What the engine does when it is due: it closes overdue streams, decides on batches and sends messages.
+//! The engine's scheduled work: closes overdue streams, passes batches to the decision module and sends
+//! messages.
 
 use stepspur::interface::{Action, Event, Micros, ServerId};
 use stepspur_proto::v1;
@@ -9,12 +10,12 @@
 use super::tables::AddressedUpdate;
 use crate::config::micros;
 
-/// The decision module runs every 250 ms at least. An engine that did not run for this long, in microseconds,
-/// was itself suspended.
-const SUSPENDED_AFTER: Micros = 1_000_000;
+/// Gap between two runs, in microseconds, above which the engine's process must have been suspended: the
+/// decision module's timers run it at least every 250 ms.
+const SUSPENSION_THRESHOLD: Micros = 1_000_000;
 
 impl Engine {
-    /// Does all that is due.
+    /// Runs all scheduled work that is due at `now`.
     pub(super) fn run_due(&mut self, now: Micros) {
         self.extend_ack_deadlines(now);
         self.close_overdue_streams(now);
@@ -31,37 +32,40 @@
         self.expire_servers(now);
     }
 
-    /// When a batch is next decided on.
+    /// Returns the earliest time of the next decision: `channel.batch` after the last one.
     pub(super) fn next_decision_at(&self) -> Micros {
         self.decided_at + micros(self.config.channel.batch)
     }
 
-    /// The time by which an update sent at `sent_at` must be acknowledged.
+    /// Returns the time by which an update sent at `sent_at` must be acknowledged.
     pub(super) fn ack_deadline(&self, sent_at: Micros) -> Micros {
         let deadline = sent_at.saturating_add(micros(self.config.channel.mark_timeout));
         deadline.max(self.ack_deadlines_extended_until)
     }
 
-    /// After the engine itself was suspended, acknowledgements wait unread: no stream is closed for them.
+    /// Extends the deadlines of all acknowledgements if the engine was suspended: acknowledgements that
+    /// arrived meanwhile are still unread, and without this all streams would be closed at once.
     fn extend_ack_deadlines(&mut self, now: Micros) {
-        if now > self.last_run_at + SUSPENDED_AFTER {
+        if now > self.last_run_at + SUSPENSION_THRESHOLD {
             self.ack_deadlines_extended_until = now.saturating_add(micros(self.config.channel.mark_timeout));
         }
         self.last_run_at = now;
     }
 
+    /// Closes the streams of proxies that have not acknowledged an update by its deadline.
     fn close_overdue_streams(&mut self, now: Micros) {
         while let Some(oldest) = self.pending_acks.oldest() {
             if now < self.ack_deadline(oldest.sent_at) {
                 return;
             }
             match self.streams.stream(oldest.proxy) {
-                Some(stream) => self.terminate(now, stream, v1::Reason::Slow, "a mark stayed unanswered"),
+                Some(stream) => self.terminate(now, stream, v1::Reason::Slow, "acknowledgement timeout"),
                 None => self.pending_acks.remove(oldest.proxy),
             }
         }
     }
 
+    /// Adds an event to the batch for each expired timer.
     fn expire_timers(&mut self, now: Micros) {
         while let Some(timer) = self.timers.first().copied().filter(|timer| timer.due_at <= now) {
             self.timers.remove(&timer);
@@ -69,21 +73,21 @@
         }
     }
 
-    /// Passes the batch to the decision module and carries out its actions.
+    /// Passes the batch to the decision module, carries out its actions and queues the resulting updates.
     fn decide(&mut self, now: Micros) {
         self.decided_at = now;
         let batch = std::mem::take(&mut self.batch);
         self.stats.events += batch.len() as u64;
         let actions = self.policy.decide(now, &batch);
         for action in &actions {
-            self.carry_out(now, action);
+            self.execute(now, action);
         }
         let updates = self.tables.apply(&actions, now);
         self.enqueue_updates(now, updates);
     }
 
-    /// Carries out an action that is not about tables.
-    fn carry_out(&mut self, now: Micros, action: &Action) {
+    /// Carries out an action that does not change tables.
+    fn execute(&mut self, now: Micros, action: &Action) {
         match action {
             Action::SetTimer { after, token } => {
                 let due_at = now + after.max(&1);
@@ -96,7 +100,7 @@
                 let readable = self.endpoints.ids().with_readable_ids(line);
                 self.log(LogEvent::Decision(readable));
             }
-            // `Tables::apply` takes these.
+            // `Tables::apply` handles these.
             Action::SetWeight { .. }
             | Action::SetAdmission { .. }
             | Action::AssignTable { .. }
@@ -105,7 +109,7 @@
         }
     }
 
-    /// Puts the updates of one decision into the channel, under one sequence number.
+    /// Queues the updates of one decision in the channel, all with the same sequence number.
     pub(super) fn enqueue_updates(&mut self, now: Micros, updates: Vec<AddressedUpdate>) {
         if updates.is_empty() {
             return;
@@ -117,7 +121,8 @@
         }
     }
 
-    /// Encodes an update once for all its recipients. If it cannot be encoded, their streams are closed.
+    /// Encodes an update once for all its recipients and queues it. If it cannot be encoded, for example
+    /// because it exceeds `listen.largest_frame`, their streams are closed.
     fn enqueue(&mut self, now: Micros, addressed: AddressedUpdate) {
         let AddressedUpdate { recipients, update } = addressed;
         let max_size = self.config.listen.largest_frame;
@@ -138,8 +143,8 @@
         let window = micros(self.config.channel.message_window);
         for proxy in recipients {
             let Some(write) = self.streams.record_write(proxy, now, window) else { continue };
-            let most = self.stats.max_messages_in_window.max(write.messages_in_window);
-            self.stats.max_messages_in_window = most;
+            let peak = self.stats.max_messages_in_window.max(write.messages_in_window);
+            self.stats.max_messages_in_window = peak;
             self.channel.push(Message {
                 stream: write.stream,
                 proxy,
@@ -151,7 +156,7 @@
         }
     }
 
-    /// Sends the messages that have passed the channel.
+    /// Sends the messages that are due in the channel and starts waiting for their acknowledgements.
     fn send_due_messages(&mut self, now: Micros) {
         while let Some(message) = self.channel.pop(now) {
             self.stats.messages += 1;
@@ -162,9 +167,9 @@
         }
     }
 
-    /// Forgets servers that were removed long ago and that no table names.
+    /// Forgets servers that were removed long ago, are in no table and are not ejected.
     fn expire_servers(&mut self, now: Micros) {
-        let expired: Vec<ServerId> = self.endpoints.expire(now, |server| self.tables.names(server));
+        let expired: Vec<ServerId> = self.endpoints.expire(now, |server| self.tables.is_in_use(server));
         for server in expired {
             self.tables.forget_server(server);
             self.probes.remove(server);
--- a/crates/stepspur-conductor/src/engine/server_ids.rs
+++ b/crates/stepspur-conductor/src/engine/server_ids.rs
@@ -1,40 +1,47 @@
-//! Ids by which the decision module identifies servers.
+//! Assigns the ids by which the decision module identifies servers.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, Ipv6Addr, SocketAddr, SocketAddrV4, SocketAddrV6};
 
 use stepspur::interface::ServerId;
 
-/// FNV-1a, 64 bits: offset basis and prime.
+/// Offset basis of the 64-bit FNV-1a hash.
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+/// Prime of the 64-bit FNV-1a hash.
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
-/// How a [`ServerId`] appears in the decision module's log lines.
+/// Text before the bytes of a [`ServerId`] in the decision module's log lines, which contain its `Debug`
+/// form.
 const DEBUG_PREFIX: &str = "ServerId([";
+/// Text after the bytes of a [`ServerId`] in the decision module's log lines.
 const DEBUG_SUFFIX: &str = "])";
 
-/// Ids of servers.
+/// Maps servers' names and addresses to ids and back.
 ///
-/// An IPv4 address is its own id. An IPv6 address gets an id whose first byte is 0, which no IPv4 server has.
-/// Where the endpoint list names servers, the id is a hash of the name.
+/// The id of an IPv4 server is its address and port. The id of an IPv6 server is a 0 byte, which no IPv4
+/// server's id starts with, followed by a sequence number. If the endpoint list names servers, the id is a
+/// hash of the name.
 #[derive(Debug, Default)]
 pub struct ServerIds {
+    /// Ids of IPv6 servers without a name.
     v6_ids: BTreeMap<SocketAddrV6, ServerId>,
     v6_addresses: BTreeMap<ServerId, SocketAddrV6>,
+    /// Sequence number of the newest IPv6 id; numbers are not reused.
     last_v6_number: u64,
     named: BTreeMap<ServerId, NamedServer>,
+    /// Ids of named servers by their current address.
     named_at: BTreeMap<SocketAddr, ServerId>,
 }
 
-/// A server that the endpoint list names.
+/// Name and current address of a server that the endpoint list identifies by name.
 #[derive(Debug)]
 struct NamedServer {
     name: String,
     address: SocketAddr,
 }
 
-/// The id of a server that the endpoint list names: the same at every conductor and after every start
-/// (FNV-1a, 64 bits folded to 48).
+/// Returns the id of a server with this name: its 64-bit FNV-1a hash, folded to 48 bits. It is the same at
+/// every conductor and after every restart.
 pub fn named_id(name: &str) -> ServerId {
     let mut hash = FNV_OFFSET_BASIS;
     for byte in name.bytes() {
@@ -45,8 +52,8 @@
 }
 
 impl ServerIds {
-    /// The id of a server that is listed by name; none if another name has the same id. Its address may
-    /// change.
+    /// Returns the id of a server that is listed by name and records its current address; `None` if another
+    /// name has the same hash.
     pub(crate) fn intern_named(&mut self, name: &str, address: SocketAddr) -> Option<ServerId> {
         let id = named_id(name);
         if let Some(known) = self.named.get_mut(&id) {
@@ -66,8 +73,8 @@
         Some(id)
     }
 
-    /// The id of a server that is listed by address; none for an address that no server can have (port 0,
-    /// network 0).
+    /// Returns the id of a server that is listed by address, assigning one if necessary; `None` for an
+    /// address that no server can have (port 0, or an IPv4 address in 0.0.0.0/8).
     pub(crate) fn intern(&mut self, address: SocketAddr) -> Option<ServerId> {
         if let Some(id) = self.get(address) {
             return Some(id);
@@ -81,7 +88,7 @@
         Some(id)
     }
 
-    /// The id of a server that has been listed at this address.
+    /// Returns the id of the server at this address. An IPv4 address has an id whether or not it was listed.
     pub(crate) fn get(&self, address: SocketAddr) -> Option<ServerId> {
         if let Some(id) = self.named_at.get(&address) {
             return Some(*id);
@@ -92,12 +99,12 @@
         }
     }
 
-    /// The name of a server; none if the endpoint list does not name servers.
+    /// Returns the name of a server; `None` if the endpoint list identifies it by address, or it is unknown.
     pub fn name(&self, id: ServerId) -> Option<&str> {
         self.named.get(&id).map(|named| named.name.as_str())
     }
 
-    /// The address of a server; none if it is unknown.
+    /// Returns the current address of a server; `None` if it is unknown.
     pub fn address(&self, id: ServerId) -> Option<SocketAddr> {
         if let Some(named) = self.named.get(&id) {
             return Some(named.address);
@@ -110,7 +117,7 @@
         self.v6_addresses.get(&id).map(|v6| (*v6).into())
     }
 
-    /// Forgets a server that was removed; its number is not reused.
+    /// Forgets a removed server. The sequence number of an IPv6 id is not reused.
     pub(crate) fn remove(&mut self, id: ServerId) {
         if let Some(v6) = self.v6_addresses.remove(&id) {
             self.v6_ids.remove(&v6);
@@ -122,20 +129,20 @@
         }
     }
 
-    /// A log line of the decision module with names or addresses in place of ids.
+    /// Returns a log line of the decision module with server ids replaced by names or addresses.
     pub(crate) fn with_readable_ids(&self, line: &str) -> String {
         let mut readable = String::with_capacity(line.len());
-        let mut rest = line;
-        while let Some((before, after)) = rest.split_once(DEBUG_PREFIX) {
+        let mut remaining = line;
+        while let Some((before, after)) = remaining.split_once(DEBUG_PREFIX) {
             let Some((bytes, after)) = after.split_once(DEBUG_SUFFIX) else { break };
             readable.push_str(before);
             readable.push_str(&self.display_name(bytes));
-            rest = after;
+            remaining = after;
         }
-        readable + rest
+        readable + remaining
     }
 
-    /// The name or address of the server whose id is printed as these bytes; `?` if it is unknown.
+    /// Returns the name or address of the server with this id, given as printed bytes; `?` if it is unknown.
     fn display_name(&self, printed_bytes: &str) -> String {
         let bytes: Vec<u8> = printed_bytes.split(", ").filter_map(|byte| byte.parse().ok()).collect();
         let Ok(bytes) = <[u8; 6]>::try_from(bytes) else { return "?".to_owned() };
@@ -147,6 +154,7 @@
     }
 }
 
+/// Returns an IPv6 address without flow label and scope; `None` for IPv4 and IPv4-mapped addresses.
 fn canonical_v6(address: SocketAddr) -> Option<SocketAddrV6> {
     match SocketAddr::new(address.ip().to_canonical(), address.port()) {
         SocketAddr::V6(v6) => Some(SocketAddrV6::new(Ipv6Addr::from(v6.ip().octets()), v6.port(), 0, 0)),
@@ -154,6 +162,7 @@
     }
 }
 
+/// Returns the id of an IPv4 or IPv4-mapped address; `None` for other addresses, 0.0.0.0/8 and port 0.
 fn v4_id(address: SocketAddr) -> Option<ServerId> {
     let SocketAddr::V4(v4) = SocketAddr::new(address.ip().to_canonical(), address.port()) else {
         return None;
--- a/crates/stepspur-conductor/src/engine/state.rs
+++ b/crates/stepspur-conductor/src/engine/state.rs
@@ -21,18 +21,19 @@
 use super::tables::Tables;
 use crate::config::{Config, micros};
 
-/// One conductor's engine.
+/// The engine of one tenant of a conductor: all state that its decisions and messages depend on.
 pub struct Engine {
     pub(super) config: Config,
+    /// Number of this start of the conductor, higher than that of every earlier start.
     pub(super) epoch: u64,
-    /// Sequence number of the newest update.
+    /// Sequence number of the newest update within the epoch; 0 before the first.
     pub(super) sequence: u64,
     pub(super) policy: Policy,
-    /// Events for the next decision.
+    /// Events that the next decision takes into account.
     pub(super) batch: Vec<Event>,
-    /// When the last batch was decided on.
+    /// Time of the last decision; 0 before the first.
     pub(super) decided_at: Micros,
-    /// Timers that the decision module has set.
+    /// Timers that the decision module has set and that have not expired.
     pub(super) timers: BTreeSet<PolicyTimer>,
     pub(super) proxy_ids: ProxyIds,
     pub(super) streams: Streams,
@@ -43,32 +44,36 @@
     pub(super) channel: Channel,
     pub(super) reports: ReportAggregator,
     pub(super) pending_acks: PendingAcks,
-    /// When the engine last ran what was due.
+    /// When the engine last ran its scheduled work. A long gap shows that its process was suspended.
     pub(super) last_run_at: Micros,
-    /// No acknowledgement is overdue before this time: set after the engine itself has been suspended.
+    /// No acknowledgement is overdue before this time. Set after a suspension of the engine, during which
+    /// it could not read the acknowledgements that arrived.
     pub(super) ack_deadlines_extended_until: Micros,
     /// Outputs that the caller has not polled yet.
     pub(super) outputs: VecDeque<Output>,
     pub(super) stats: Stats,
 }
 
-/// A timer of the decision module, ordered by the time at which it is due.
+/// A timer of the decision module, ordered by its expiry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct PolicyTimer {
+    /// When the timer expires.
     pub(super) due_at: Micros,
-    /// Returned to the decision module with [`Event::Timer`].
+    /// Opaque value that [`Event::Timer`] returns to the decision module.
     pub(super) token: u64,
 }
 
 impl Engine {
-    /// Creates an engine that has no endpoint list and no proxies yet, and that uses the project's own
-    /// protocol. `epoch` must exceed that of every earlier start; `config` must be valid.
+    /// Creates an engine without an endpoint list and without proxies that uses [`FramedProtocol`].
+    ///
+    /// `epoch` must exceed that of every earlier start, `config` must be valid, and `seed` seeds the decision
+    /// module's randomness.
     pub fn new(config: Config, epoch: u64, seed: u64, now: Micros) -> Self {
         let settings = config.settings();
         Self::with_protocol(config, settings, Box::new(FramedProtocol), epoch, seed, now)
     }
 
-    /// As [`Engine::new`], with another protocol and with these settings for the decision module.
+    /// Creates an engine as [`Engine::new`] does, with the given protocol and decision module's settings.
     pub fn with_protocol(
         config: Config,
         settings: Settings,
@@ -105,22 +110,22 @@
         }
     }
 
-    /// The epoch given at the start.
+    /// Returns the epoch that the engine was created with.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// The last frame for a stream when the conductor stops.
+    /// Encodes the last frame of a stream, for streams that the caller closes when the conductor stops.
     pub fn go_away_frame(&self, reason: v1::Reason, detail: &str) -> Bytes {
         self.protocol.go_away(self.stamp(), GoAway { reason, detail, retry_after: 0 })
     }
 
-    /// Identifies the newest update.
+    /// Returns the epoch and sequence number of the newest update.
     pub(super) fn stamp(&self) -> UpdateStamp {
         UpdateStamp { epoch: self.epoch, sequence: self.sequence }
     }
 
-    /// Adds an output that logs an event.
+    /// Queues an output that logs an event.
     pub(super) fn log(&mut self, event: LogEvent) {
         self.outputs.push_back(Output::Log(event));
     }
--- a/crates/stepspur-conductor/src/engine/stats.rs
+++ b/crates/stepspur-conductor/src/engine/stats.rs
@@ -1,67 +1,68 @@
-//! Statistics of the engine for the status page.
+//! Statistics of the engine, which the status page shows.
 
 use serde::Serialize;
 
 use super::channel::ChannelDepth;
 
-/// Statistics of an engine since its start. The status page prints them as JSON under the serialized names.
+/// Statistics of an engine: current sizes, and counts since its start. The status page prints them as JSON
+/// under the serialized names.
 #[derive(Clone, Debug, Default, Serialize, PartialEq)]
 pub struct Stats {
-    /// The epoch.
+    /// Number of the conductor's start, higher than that of every earlier start.
     pub epoch: u64,
-    /// Sequence number of the newest update.
+    /// Sequence number of the newest update; 0 before the first.
     pub sequence: u64,
-    /// Proxies connected now.
+    /// Number of connected proxies.
     #[serde(rename = "joined")]
     pub connected: usize,
-    /// Of them, those without an assigned table.
+    /// Number of connected proxies without an assigned table.
     #[serde(rename = "unbound")]
     pub unassigned: usize,
-    /// Proxy names that have an id.
+    /// Number of proxy names that have an id, disconnected ones included.
     #[serde(rename = "proxies_known")]
     pub known_proxies: usize,
-    /// Servers of the endpoint list.
+    /// Number of servers of the endpoint list, by state.
     pub servers: ServerCounts,
-    /// Tables assigned to at least one proxy.
+    /// Number of tables that are assigned to at least one proxy.
     pub tables: usize,
-    /// Servers ejected at proxies.
+    /// Number of servers that are ejected at proxies.
     #[serde(rename = "withdrawn")]
     pub ejected: usize,
-    /// The send channel's queue.
+    /// Depth of the channel's queue, in lines.
     pub channel: ChannelDepth,
-    /// The most messages written to one proxy within the message window.
+    /// Maximum number of messages to one proxy within `channel.message_window` since the engine's start.
     #[serde(rename = "messages_most")]
     pub max_messages_in_window: usize,
-    /// Acknowledgements not yet received.
+    /// Number of acknowledgements that are pending.
     #[serde(rename = "marks")]
     pub pending_acks: usize,
-    /// Entries of load reports not yet passed to the decision module.
+    /// Number of load report entries that are not yet passed to the decision module.
     #[serde(rename = "reports_waiting")]
     pub pending_reports: usize,
-    /// Updates decided.
+    /// Number of decisions and admission caps that caused updates.
     #[serde(rename = "orders")]
     pub updates: u64,
-    /// Messages sent.
+    /// Number of messages sent through the channel.
     pub messages: u64,
-    /// Invalid parts of reports and endpoint lists, which were skipped.
+    /// Number of invalid parts of reports and endpoint lists, which were skipped.
     #[serde(rename = "nonsense")]
     pub invalid_inputs: u64,
-    /// Streams rejected or closed by the conductor.
+    /// Number of streams that the engine rejected or closed.
     #[serde(rename = "refused")]
     pub closed_streams: u64,
-    /// Events passed to the decision module.
+    /// Number of events passed to the decision module.
     pub events: u64,
 }
 
-/// Servers of the endpoint list, by state. Serialized as an array in the order of the fields.
+/// Number of servers of the endpoint list, by state. Serialized as an array in the order of the fields.
 #[derive(Clone, Copy, Debug, Default, Serialize, PartialEq, Eq)]
 #[serde(into = "[usize; 3]")]
 pub struct ServerCounts {
-    /// Listed as ready.
+    /// Servers listed as ready.
     pub ready: usize,
-    /// Listed as draining.
+    /// Servers listed as draining.
     pub draining: usize,
-    /// All, also those removed that are not forgotten yet.
+    /// All known servers, including removed ones that are not forgotten yet.
     pub total: usize,
 }
 
--- a/crates/stepspur-conductor/src/engine/stats/tests.rs
+++ b/crates/stepspur-conductor/src/engine/stats/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// The status page's JSON keeps the names that earlier versions printed.
+/// Guards against a renamed or reordered field: operators' tools read the status page's JSON.
 #[test]
 fn json_keeps_its_names_and_order() {
     let stats = Stats {
--- a/crates/stepspur-conductor/src/engine/tables.rs
+++ b/crates/stepspur-conductor/src/engine/tables.rs
@@ -1,4 +1,5 @@
-//! The tables as decided, and which part of a decision each proxy has to get.
+//! Stores the tables that the decision module decides on, and derives from each decision the update for each
+//! proxy.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,7 +7,7 @@
 
 use super::proxy_update::{AdmissionLevel, ClassAdmission, EjectionChange, ProxyUpdate, ServerWeight};
 
-/// A table and the proxies that it is assigned to.
+/// A table's weights and admission settings, and the proxies that it is assigned to.
 #[derive(Clone, Debug, Default)]
 struct Table {
     weights: BTreeMap<ServerId, f32>,
@@ -14,36 +15,37 @@
     proxies: BTreeSet<ProxyId>,
 }
 
-/// Admission of a class as the decision module sets it.
+/// Admission level and retry policy of a class as decided, before operators' caps.
 #[derive(Clone, Copy, Debug)]
 struct DecidedAdmission {
     retry_policy: RetryPolicy,
-    /// Interpreted by [`AdmissionMode`].
+    /// A fraction or requests per second, depending on the [`AdmissionMode`].
     level: f32,
 }
 
-/// What one decision changes in a table.
+/// Changes to one table by one decision.
 #[derive(Debug, Default)]
 struct TableChanges {
+    /// Changed weights; 0 removes a server.
     weights: BTreeMap<ServerId, f32>,
-    /// Of those servers, the ones that the table did not have before.
+    /// Servers of `weights` that the table did not contain before.
     added: BTreeSet<ServerId>,
     admissions: BTreeMap<ClassId, DecidedAdmission>,
 }
 
-/// What one decision changes in all tables.
+/// Changes to all tables by one decision.
 #[derive(Debug, Default)]
 struct DecisionChanges {
     tables: BTreeMap<TableId, TableChanges>,
-    /// Proxies that a table was assigned to: each gets the complete table.
+    /// Proxies that a table is assigned to by this decision: each receives the complete table.
     assigned: BTreeSet<ProxyId>,
-    /// Servers whose ejection begins (true) or ends.
+    /// Servers whose ejection begins (true) or ends (false).
     ejections: BTreeMap<ServerId, bool>,
-    /// The nonce to be acknowledged, if one is requested.
+    /// Nonce that proxies must acknowledge; `None` if no acknowledgement is requested.
     nonce: Option<u16>,
 }
 
-/// An update and the proxies that get it.
+/// An update and the proxies that receive it.
 #[derive(Debug)]
 pub(crate) struct AddressedUpdate {
     pub(crate) recipients: Vec<ProxyId>,
@@ -55,15 +57,17 @@
 pub(crate) struct Tables {
     tables: BTreeMap<TableId, Table>,
     assignments: BTreeMap<ProxyId, TableId>,
-    /// Connected proxies without a table: they use what they have cached.
+    /// Connected proxies without a table, which use the one that they have cached.
     unassigned: BTreeSet<ProxyId>,
+    /// Servers that are ejected at connected proxies.
     ejected: BTreeSet<ServerId>,
-    /// Servers that were at some time not ready, or listed with a start. Where ejections persist, proxies may
-    /// have them ejected from before, by another conductor or by an earlier run of this one.
-    interrupted: BTreeSet<ServerId>,
+    /// Servers that have been listed as not ready, or with a start. If ejections persist, proxies may still
+    /// have them ejected by another conductor or by an earlier run of this one.
+    possibly_ejected: BTreeSet<ServerId>,
+    /// True if proxies keep an ejection when they receive a new table.
     ejections_persist: bool,
     admission_mode: AdmissionMode,
-    /// Admission ratios that operators have capped.
+    /// Operators' upper bounds of the admission ratio by class, each below 1.
     admission_caps: BTreeMap<ClassId, f32>,
 }
 
@@ -72,17 +76,17 @@
         Self { admission_mode, ejections_persist, ..Self::default() }
     }
 
-    /// A server is not ready, or its start is listed.
-    pub(crate) fn mark_interrupted(&mut self, server: ServerId) {
-        self.interrupted.insert(server);
+    /// Records that a server is listed as not ready, or with a start.
+    pub(crate) fn mark_possibly_ejected(&mut self, server: ServerId) {
+        self.possibly_ejected.insert(server);
     }
 
-    /// Forgets a server.
+    /// Forgets a server that the endpoint list removed and that is no longer in use.
     pub(crate) fn forget_server(&mut self, server: ServerId) {
-        self.interrupted.remove(&server);
+        self.possibly_ejected.remove(&server);
     }
 
-    /// Adds a proxy that has connected; it has no table yet.
+    /// Adds a proxy that has connected and has no table yet.
     pub(crate) fn add_proxy(&mut self, proxy: ProxyId) {
         self.remove_proxy(proxy);
         self.unassigned.insert(proxy);
@@ -98,35 +102,35 @@
         }
     }
 
-    /// Number of tables that are assigned to a proxy.
+    /// Returns the number of tables that are assigned to at least one proxy.
     pub(crate) fn assigned_tables(&self) -> usize {
         self.tables.values().filter(|table| !table.proxies.is_empty()).count()
     }
 
-    /// Number of ejected servers.
+    /// Returns the number of ejected servers.
     pub(crate) fn ejected(&self) -> usize {
         self.ejected.len()
     }
 
-    /// Number of connected proxies without a table.
+    /// Returns the number of connected proxies without a table.
     pub(crate) fn unassigned(&self) -> usize {
         self.unassigned.len()
     }
 
-    /// True if a table names the server or it is ejected.
-    pub(crate) fn names(&self, server: ServerId) -> bool {
+    /// Returns true if a table contains the server or it is ejected.
+    pub(crate) fn is_in_use(&self, server: ServerId) -> bool {
         self.ejected.contains(&server)
             || self.tables.values().any(|table| table.weights.contains_key(&server))
     }
 
-    /// Applies a decision and returns the updates that follow from it, one for each proxy concerned.
+    /// Applies a decision and returns the updates that it causes, at most one for each proxy.
     pub(crate) fn apply(&mut self, actions: &[Action], now: Micros) -> Vec<AddressedUpdate> {
         let mut changes = DecisionChanges::default();
         for action in actions {
             self.apply_action(action, &mut changes);
         }
-        let mut updates = self.updates_of_tables(&changes);
-        updates.extend(self.update_of_unassigned(&changes));
+        let mut updates = self.updates_for_tables(&changes);
+        updates.extend(self.update_for_unassigned(&changes));
         updates.retain(|addressed| addressed.update.line_count() > 0);
         for AddressedUpdate { update, .. } in &mut updates {
             update.nonce = changes.nonce;
@@ -135,8 +139,8 @@
         updates
     }
 
-    /// Caps the admission ratio of a class, or lifts the cap at 1, and returns the updates that follow from
-    /// it.
+    /// Caps the admission ratio of a class at `ratio`, or lifts the cap if it is 1, and returns the updates
+    /// that this causes.
     pub(crate) fn cap_admission(&mut self, class: ClassId, ratio: f32, now: Micros) -> Vec<AddressedUpdate> {
         if ratio < 1.0 {
             self.admission_caps.insert(class, ratio);
@@ -153,6 +157,7 @@
         updates
     }
 
+    /// Applies one action to the tables and records what it changes.
     fn apply_action(&mut self, action: &Action, changes: &mut DecisionChanges) {
         match action {
             Action::SetWeight { table, server, weight } => {
@@ -182,6 +187,7 @@
         }
     }
 
+    /// Sets a server's weight in a table; 0 or less removes the server.
     fn set_weight(&mut self, table: TableId, server: ServerId, weight: f32, changes: &mut TableChanges) {
         let weights = &mut self.tables.entry(table).or_default().weights;
         if weight > 0.0 {
@@ -195,7 +201,7 @@
         changes.weights.insert(server, weight);
     }
 
-    /// Assigns a table to a proxy; false if the proxy has disconnected meanwhile.
+    /// Assigns a table to a proxy. Returns false if the proxy has disconnected since the decision's events.
     fn assign(&mut self, proxy: ProxyId, table: TableId) -> bool {
         if !self.unassigned.contains(&proxy) && !self.assignments.contains_key(&proxy) {
             return false;
@@ -206,9 +212,9 @@
         true
     }
 
-    /// For each table: its changes for the proxies that have it, and the complete table for those that get it
-    /// anew.
-    fn updates_of_tables(&self, changes: &DecisionChanges) -> Vec<AddressedUpdate> {
+    /// Returns for each table an update with its changes for the proxies that have it already, and one with
+    /// the complete table for the proxies that it is assigned to by this decision.
+    fn updates_for_tables(&self, changes: &DecisionChanges) -> Vec<AddressedUpdate> {
         let mut updates = Vec::new();
         let unchanged = TableChanges::default();
         for (id, table) in &self.tables {
@@ -227,8 +233,8 @@
         updates
     }
 
-    /// Proxies without a table get the ejections alone.
-    fn update_of_unassigned(&self, changes: &DecisionChanges) -> Option<AddressedUpdate> {
+    /// Returns the update for proxies without a table, which contains only the ejections.
+    fn update_for_unassigned(&self, changes: &DecisionChanges) -> Option<AddressedUpdate> {
         if self.unassigned.is_empty() {
             return None;
         }
@@ -237,50 +243,52 @@
         Some(AddressedUpdate { recipients: self.unassigned.iter().copied().collect(), update })
     }
 
-    /// The changes of a table. A proxy that has the table knows the ejections that concern its servers: a
-    /// server that is added brings its own along.
+    /// Returns the update with a table's changes. Proxies that have the table already know the ejections of
+    /// its servers, so the update contains only changed ejections and those of added servers.
     fn delta_update(
         &self,
         table: &Table,
         changes: &TableChanges,
         ejections: &BTreeMap<ServerId, bool>,
     ) -> ProxyUpdate {
-        let mut concerned: BTreeMap<ServerId, bool> = BTreeMap::new();
+        let mut relevant_ejections: BTreeMap<ServerId, bool> = BTreeMap::new();
         for (server, weight) in &changes.weights {
             if *weight > 0.0
-                && let Some(change) = self.ejection_with_line(*server)
+                && let Some(change) = self.ejection_for_weight(*server)
                 && (change.ejected || changes.added.contains(server))
             {
-                concerned.insert(*server, change.ejected);
+                relevant_ejections.insert(*server, change.ejected);
             }
         }
         for (server, ejected) in ejections {
             if table.weights.contains_key(server) {
-                concerned.insert(*server, *ejected);
+                relevant_ejections.insert(*server, *ejected);
             }
         }
         ProxyUpdate {
             weights: server_weights(&changes.weights),
             admissions: self.class_admissions(&changes.admissions),
-            ejections: ejection_changes(&concerned),
+            ejections: ejection_changes(&relevant_ejections),
             ..Default::default()
         }
     }
 
+    /// Returns the update with a complete table.
     fn complete_update(&self, id: TableId, table: &Table) -> ProxyUpdate {
         ProxyUpdate {
             complete_table: Some(id),
             weights: server_weights(&table.weights),
             admissions: self.class_admissions(&table.admissions),
-            ejections: table.weights.keys().filter_map(|server| self.ejection_with_line(*server)).collect(),
+            ejections: table.weights.keys().filter_map(|server| self.ejection_for_weight(*server)).collect(),
             ..Default::default()
         }
     }
 
-    /// What a server's line brings along: that the server is ejected, or that an earlier ejection ends.
-    fn ejection_with_line(&self, server: ServerId) -> Option<EjectionChange> {
+    /// Returns the ejection change that accompanies a server's weight: that the server is ejected, or that an
+    /// ejection by an earlier conductor ends. `None` if proxies cannot have the server ejected.
+    fn ejection_for_weight(&self, server: ServerId) -> Option<EjectionChange> {
         let ejected = self.ejected.contains(&server);
-        let may_be_ejected_at_proxies = self.ejections_persist && self.interrupted.contains(&server);
+        let may_be_ejected_at_proxies = self.ejections_persist && self.possibly_ejected.contains(&server);
         (ejected || may_be_ejected_at_proxies).then_some(EjectionChange { server, ejected })
     }
 
@@ -288,7 +296,8 @@
         decided.iter().map(|(class, admission)| self.admission(*class, *admission)).collect()
     }
 
-    /// A class' admission as the proxies get it: no more than operators allow.
+    /// Returns a class's admission as sent to proxies: the decided level, bounded by the operators' cap if
+    /// levels are ratios.
     fn admission(&self, class: ClassId, decided: DecidedAdmission) -> ClassAdmission {
         let DecidedAdmission { retry_policy, level } = decided;
         let level = match self.admission_mode {
