--- a/crates/stepspur-conductor/src/config/fleet.rs
+++ b/crates/stepspur-conductor/src/config/fleet.rs
@@ -1,4 +1,4 @@
-//! Settings of the deployment: zones, request classes, warm-up and time limits.
+//! Settings of the deployment: zones, request classes, warm-up of servers and time limits.
 
 use std::time::Duration;
 
@@ -11,92 +11,94 @@
 #[derive(Clone, Debug, Deserialize, Serialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    /// Names of the zones, 1 to 1000.
+    /// Names of the zones, 1 to 1000 distinct names of 1 to 128 bytes; required. A zone's index is its id.
     #[garde(length(min = 1, max = 1000), inner(length(min = 1, max = 128)), custom(unique))]
     pub zones: Vec<String>,
-    /// The zone that this conductor runs in; default: the first.
+    /// Zone that this conductor runs in, one of `zones`; default: the first.
     #[serde(default)]
     #[garde(custom(known_zone(&self.zones)))]
     pub my_zone: Option<String>,
-    /// Number of conductors, default 1, up to 1000. Proxies connect to one at random, and each conductor
-    /// knows only its own proxies.
+    /// Number of conductors, default 1, 1 to 1000. Each proxy connects to one of them at random, and each
+    /// conductor knows only its own proxies.
     #[serde(default = "default_conductors")]
     #[garde(range(min = 1, max = 1000))]
     pub conductors: u32,
-    /// Number of proxies over all conductors, up to 65,000; subsets of servers are sized by it.
+    /// Number of proxies over all conductors, 1 to 65,000; required. It determines the size of subsets.
     #[garde(range(min = 1, max = 65_000))]
     pub proxies: u32,
-    /// Request classes, 1 to 16; messages identify them by their index.
+    /// Request classes, 1 to 16; required. Messages identify a class by its index.
     #[garde(length(min = 1, max = 16), dive)]
     pub classes: Vec<ClassConfig>,
     /// How proxies interpret admission levels; default `share`.
     #[serde(default)]
     #[garde(skip)]
     pub admit: AdmitConfig,
-    /// Connections that the smallest servers accept, up to 1,000,000; default 0: unknown, and zones get no
-    /// subsets.
+    /// Number of connections that the smallest servers accept, default 0, up to 1,000,000. 0 means unknown:
+    /// zones then get no subsets.
     #[serde(default)]
     #[garde(range(min = 0, max = 1_000_000))]
     pub connections_min: u32,
-    /// Warm-up time: a restarted server has its full capacity after this at the latest; default 20 s, up to 1
-    /// h.
+    /// Warm-up time, after which a restarted server has its full capacity at the latest; default 20 s, up to
+    /// 1 h.
     #[serde(default = "default_cold", with = "humantime_serde")]
     #[garde(custom(between(Duration::ZERO, HOUR)))]
     pub cold: Duration,
-    /// Least fraction of its capacity that a server starts with; default 0.3, 0.01 to 1.
+    /// Least fraction of its full capacity that a server has at its start, default 0.3, 0.01 to 1.
     #[serde(default = "default_start_capacity")]
     #[garde(range(min = 0.01, max = 1.0))]
     pub start_capacity: f64,
-    /// A server that is warming up collapses at this multiple of its current capacity; default 3, 1 to 100.
+    /// Multiple of its current capacity at which a server that is warming up collapses, default 3, 1 to 100.
     #[serde(default = "default_fall_multiple")]
     #[garde(range(min = 1.0, max = 100.0))]
     pub fall_multiple: f64,
-    /// Proxies stop sending to a server within this time after it is known to drain or to be removed; default
-    /// 2 s, 100 ms to 1 h.
+    /// Time within which proxies must stop sending to a server once it is known to drain or to be removed;
+    /// default 2 s, 100 ms to 1 h.
     #[serde(default = "default_drain_grace", with = "humantime_serde")]
     #[garde(custom(between(Duration::from_millis(100), HOUR)))]
     pub drain_grace: Duration,
-    /// Longest time that a connected proxy may be without a server; default 3 s, 100 ms to 1 h.
+    /// Longest time for which a connected proxy may have no usable server, default 3 s, 100 ms to 1 h.
     #[serde(default = "default_unserved_max", with = "humantime_serde")]
     #[garde(custom(between(Duration::from_millis(100), HOUR)))]
     pub unserved_max: Duration,
-    /// True: a server that a list lacks may stay in tables, only `draining` forbids its use; default false.
+    /// If true, only the state `draining` forbids the use of a server: one that a list omits may stay in
+    /// tables. Default false.
     #[serde(default)]
     #[garde(skip)]
     pub drain_binds_alone: bool,
 }
 
-/// A class of requests.
+/// A class of requests: what retries may cause, its time limits and its priority.
 #[derive(Clone, Debug, Deserialize, Serialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct ClassConfig {
-    /// Its name, 1 to 128 bytes.
+    /// Name of the class, 1 to 128 bytes.
     #[garde(length(min = 1, max = 128))]
     pub name: String,
-    /// What repeating a request may cause.
+    /// What repeating a request may cause; required.
     #[garde(skip)]
     pub effect: EffectConfig,
-    /// Latency objective: a response within this time has its full value; 1 ms to 1 h.
+    /// Latency objective, within which a response has its full value; 1 ms to 1 h, required.
     #[serde(with = "humantime_serde")]
     #[garde(custom(between(Duration::from_millis(1), HOUR)))]
     pub aim: Duration,
-    /// How long a client waits for a response, retries included; `aim` to 1 h.
+    /// How long a client waits for a response, retries included; `aim` to 1 h, required.
     #[serde(with = "humantime_serde")]
     #[garde(custom(between(self.aim, HOUR)))]
     pub deadline: Duration,
-    /// Priority weight: the value of one request relative to other classes; default 1, up to 1,000,000.
+    /// Priority weight, the value of one request relative to other classes; default 1, 0 to 1,000,000.
     #[serde(default = "default_worth")]
     #[garde(range(min = 0.0, max = 1e6))]
     pub worth: f64,
-    /// For requests with an idempotency key: which servers drop repeats; default all.
+    /// Which servers drop repeats of a request with an idempotency key; default `all`.
     #[serde(default)]
     #[garde(skip)]
     pub group: GroupConfig,
-    /// For requests with an idempotency key: how long repeats are dropped; default 0, up to 1 h.
+    /// Deduplication window: how long servers drop repeats of a request with an idempotency key; default 0,
+    /// up to 1 h.
     #[serde(default, with = "humantime_serde")]
     #[garde(custom(between(Duration::ZERO, HOUR)))]
     pub window: Duration,
-    /// True: only servers in the proxy's own zone may serve it; default false.
+    /// If true, only servers in the proxy's own zone may serve the class; default false.
     #[serde(default)]
     #[garde(skip)]
     pub own_zone: bool,
--- a/crates/stepspur-conductor/src/config/listen.rs
+++ b/crates/stepspur-conductor/src/config/listen.rs
@@ -1,4 +1,4 @@
-//! Settings of the listener for proxies: address, limits and time limits.
+//! Settings of the listener for proxies: address, size limits and time limits.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,49 +12,53 @@
 #[derive(Clone, Debug, Deserialize, Serialize, Validate)]
 #[serde(deny_unknown_fields, default)]
 pub struct Listen {
-    /// Its address, default 127.0.0.1:7400; a loopback address where callers are not authenticated.
+    /// Address to listen on, default 127.0.0.1:7400; must be a loopback address if `plain_on_loopback` is
+    /// set.
     #[garde(custom(loopback_if(self.plain_on_loopback)))]
     pub address: SocketAddr,
-    /// True: plain TCP without authentication, on a loopback address only; default false.
+    /// If true, the listener accepts plain TCP without authentication, on a loopback address only; default
+    /// false.
     #[garde(skip)]
     pub plain_on_loopback: bool,
-    /// Concurrent connections, default 20,000, 1 to 65,000; further ones are closed at once.
+    /// Maximum number of concurrent connections, default 20,000, 1 to 65,000; further ones are closed at
+    /// once.
     #[garde(range(min = 1, max = 65_000))]
     pub connections_max: u32,
-    /// Connections that may wait to be accepted, default 4096, 1 to 65,000: after a restart all proxies
-    /// connect at once.
+    /// Backlog of the listening socket, in connections, default 4096, 1 to 65,000. It must be large because
+    /// all proxies connect at once after a restart.
     #[garde(range(min = 1, max = 65_000))]
     pub queue: u32,
-    /// Proxies that may have an id, default 20,000, 1 to 65,000; another one is rejected with `REASON_FULL`.
+    /// Maximum number of proxies that have an id, default 20,000, 1 to 65,000. Further proxies are rejected
+    /// with `REASON_FULL`.
     #[garde(range(min = 1, max = 65_000))]
     pub proxies_max: u32,
-    /// Least time for which a disconnected name keeps its id; default 60 s, 30 s to 1 h. The decision module
-    /// forgets a proxy after 20 s.
+    /// Minimum time for which a disconnected proxy's name keeps its id, default 60 s, 30 s to 1 h. It must
+    /// exceed the 20 s after which the decision module forgets a proxy.
     #[serde(with = "humantime_serde")]
     #[garde(custom(between(Duration::from_secs(30), HOUR)))]
     pub number_rest: Duration,
-    /// Largest body of a frame, received or sent, in bytes; 1024 to 64 MiB.
+    /// Maximum size of a frame's body, received or sent, in bytes; 1024 to 64 MiB.
     #[garde(range(min = 1024, max = 64 << 20))]
     pub largest_frame: usize,
-    /// Largest body of a stream's first frame, in bytes, as its sender is not known yet; default 8192, 512 to
-    /// `largest_frame`.
+    /// Maximum size of the body of a stream's first frame, in bytes, default 8192, 512 to `largest_frame`. It
+    /// bounds the memory that an unauthenticated sender can occupy.
     #[garde(range(min = 512, max = self.largest_frame))]
     pub largest_first_frame: usize,
-    /// Time limit of the first message; default 5 s, 10 ms to 1 h.
+    /// Time limit of a stream's first message, default 5 s, 10 ms to 1 h.
     #[serde(with = "humantime_serde")]
     #[garde(custom(between(Duration::from_millis(10), HOUR)))]
     pub hello_timeout: Duration,
-    /// A side that has sent nothing for this long sends a ping; default 5 s, 100 ms to 1 h. A stream that is
-    /// silent for three times as long is closed.
+    /// Keepalive interval, default 5 s, 100 ms to 1 h: a side that has sent nothing for this long sends a
+    /// ping. A stream on which nothing arrives for three times as long is closed.
     #[serde(with = "humantime_serde")]
     #[garde(custom(between(Duration::from_millis(100), HOUR)))]
     pub keepalive: Duration,
-    /// Time limit of a write, after which the stream is closed; default 5 s, 100 ms to 1 h.
+    /// Time limit of a write, after which the stream is closed, default 5 s, 100 ms to 1 h.
     #[serde(with = "humantime_serde")]
     #[garde(custom(between(Duration::from_millis(100), HOUR)))]
     pub write_timeout: Duration,
-    /// Frames in a stream's send queue, default 64, 4 to 10,000; the stream is closed when one more is
-    /// queued.
+    /// Capacity of a stream's send queue, in frames, default 64, 4 to 10,000. The stream is closed when the
+    /// queue overflows.
     #[garde(range(min = 4, max = 10_000))]
     pub frames_waiting_max: usize,
 }
--- a/crates/stepspur-conductor/src/config/mod.rs
+++ b/crates/stepspur-conductor/src/config/mod.rs
@@ -1,9 +1,11 @@
 //! The conductor's settings, with defaults and bounds.
 //!
-//! Every key has a default but the fleet's `zones`, `proxies` and `classes`, and the source.
-//! [`Config::faults`] lists every setting that is out of bounds; `examples/conductor.toml` shows every key.
-//! Each group of settings has a module; `checks` has the checks that several share, `settings` converts the
-//! settings into the decision module's.
+//! Every key has a default except the fleet's `zones`, `proxies` and `classes`, the source, and some keys of
+//! optional groups. [`Config::faults`] returns every setting that is out of bounds; `examples/conductor.toml`
+//! shows every key.
+//!
+//! Each group of settings has a module. `checks` has the checks that several groups share, and `settings`
+//! converts the settings into those of the decision module.
 
 mod channel;
 mod checks;
@@ -54,11 +56,11 @@
     #[serde(default)]
     #[garde(dive, custom(can_hold_table(&self.fleet)))]
     pub channel: Channel,
-    /// Load reports of the proxies.
+    /// Load reports of proxies.
     #[serde(default)]
     #[garde(dive)]
     pub reports: Reports,
-    /// Active health checks.
+    /// Active health checks of servers.
     #[serde(default)]
     #[garde(dive)]
     pub probes: Probes,
@@ -69,35 +71,36 @@
     #[serde(default)]
     #[garde(dive)]
     pub status: Status,
-    /// How callers are authenticated; without it `listen.plain_on_loopback` must be set.
+    /// Authentication of callers; default: none, which requires `listen.plain_on_loopback`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[garde(dive, custom(authenticated_or_loopback(&self.listen)))]
     pub identity: Option<Identity>,
-    /// The consensus group with other conductors, for roles that one of them holds at a time; default: none.
+    /// The consensus group of conductors, which assigns roles that one member holds at a time; default: none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[garde(dive)]
     pub council: Option<ConsensusConfig>,
-    /// Distribution of shared configuration, as a server or a subscriber; default: none.
+    /// Distribution of shared configuration, as its server or as a subscriber; default: none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[garde(dive)]
     pub distribution: Option<Distribution>,
-    /// Further tenants by name, each with its own servers and decisions; the other settings are shared.
+    /// Further tenants by name, each with its own servers and decisions; default: none. All other settings
+    /// apply to every tenant.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     #[garde(dive, custom(tenants_are_authenticated(&self.identity)))]
     pub tenants: BTreeMap<String, Tenant>,
 }
 
-/// A setting that is out of bounds.
+/// A setting that is out of bounds or contradicts another one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvalidSetting {
-    /// Its key, such as `fleet.classes[0].aim`.
+    /// Key of the setting, such as `fleet.classes[0].aim`.
     pub key: String,
-    /// What is wrong with it.
+    /// Why its value is invalid.
     pub what: String,
 }
 
 impl Config {
-    /// All settings that are out of bounds; empty if the conductor may start.
+    /// Returns all invalid settings; empty if the conductor may start.
     pub fn faults(&self) -> Vec<InvalidSetting> {
         let mut invalid = Vec::new();
         if let Err(report) = self.validate() {
@@ -114,7 +117,7 @@
     }
 }
 
-/// A duration in whole microseconds.
+/// Converts a duration to whole microseconds; one that is too long becomes `u64::MAX`.
 pub(crate) fn micros(duration: Duration) -> Micros {
     u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
 }
--- a/crates/stepspur-conductor/src/config/probes.rs
+++ b/crates/stepspur-conductor/src/config/probes.rs
@@ -7,21 +7,22 @@
 
 use super::checks::{HOUR, absolute_path, between};
 
-/// Active health checks.
+/// Active health checks: HTTP requests to servers, sent when the decision module requests them.
 #[derive(Clone, Debug, Deserialize, Serialize, Validate)]
 #[serde(deny_unknown_fields, default)]
 pub struct Probes {
-    /// False: servers are never probed; default true.
+    /// If false, servers are never probed; default true.
     #[garde(skip)]
     pub enabled: bool,
-    /// Path of the HTTP request, default `/load`. The response may be a JSON object with the load columns.
+    /// Path of the HTTP request, default `/load`, 1 to 1000 bytes. The response may be a JSON object with the
+    /// load columns.
     #[garde(length(min = 1, max = 1000), custom(absolute_path))]
     pub path: String,
-    /// A probe without a response after this has failed; default 1 s, 10 ms to 1 h.
+    /// Time limit of a probe's response, after which the probe has failed; default 1 s, 10 ms to 1 h.
     #[serde(with = "humantime_serde")]
     #[garde(custom(between(Duration::from_millis(10), HOUR)))]
     pub timeout: Duration,
-    /// Concurrent probes, default 64, 1 to 10,000; further ones wait.
+    /// Maximum number of concurrent probes, default 64, 1 to 10,000; further ones are queued.
     #[garde(range(min = 1, max = 10_000))]
     pub concurrency: usize,
 }
--- a/crates/stepspur-conductor/src/config/settings.rs
+++ b/crates/stepspur-conductor/src/config/settings.rs
@@ -1,11 +1,11 @@
-//! Converts the settings into the decision module's.
+//! Converts the conductor's settings into those of the decision module.
 
 use stepspur::interface::{AdmissionMode, DedupScope, Idempotency, RequestClass, Settings, ZoneId};
 
 use super::{AdmitConfig, ClassConfig, Config, EffectConfig, GroupConfig, micros};
 
 impl Config {
-    /// The settings of the decision module.
+    /// Returns the settings of the decision module; durations are converted to microseconds. Sharding is off.
     pub fn settings(&self) -> Settings {
         let fleet = &self.fleet;
         let local_zone = fleet.zones.iter().position(|zone| Some(zone) == fleet.my_zone.as_ref());
--- a/crates/stepspur-conductor/src/config/source.rs
+++ b/crates/stepspur-conductor/src/config/source.rs
@@ -13,38 +13,39 @@
 #[derive(Clone, Debug, Deserialize, Serialize, Validate)]
 #[serde(deny_unknown_fields, rename_all = "snake_case", tag = "kind")]
 pub enum Source {
-    /// A TOML file, checked for changes.
+    /// A TOML file that is checked for changes.
     File {
-        /// Its path.
+        /// Path of the file; required.
         #[garde(skip)]
         path: PathBuf,
-        /// Interval between checks; default 500 ms, 10 ms to 1 h.
+        /// Interval between checks for changes, default 500 ms, 10 ms to 1 h.
         #[serde(default = "default_every", with = "humantime_serde")]
         #[garde(custom(between(Duration::from_millis(10), HOUR)))]
         every: Duration,
-        /// The guard against mass removals.
+        /// Guard against mass removals.
         #[serde(default)]
         #[garde(dive)]
         doubt: MassRemovalGuard,
     },
-    /// An HTTP node list, see `docs/node-list.md`.
+    /// An HTTP server with a node list, see `docs/node-list.md`.
     Http {
-        /// Its address, a loopback address.
+        /// Address of the server, a loopback address; required.
         #[garde(custom(loopback))]
         address: SocketAddr,
-        /// Path of the list; default `/v1/nodes`.
+        /// Path of the list, default `/v1/nodes`.
         #[serde(default = "default_path")]
         #[garde(custom(absolute_path))]
         path: String,
-        /// Longest time that the server holds a long poll; default 10 s, 100 ms to 1 h.
+        /// Maximum time for which the server delays its response to a long poll, default 10 s, 100 ms to 1 h.
         #[serde(default = "default_poll", with = "humantime_serde")]
         #[garde(custom(between(Duration::from_millis(100), HOUR)))]
         poll: Duration,
-        /// A poll without a response this long after `poll` has failed; default 2 s, 100 ms to 1 h.
+        /// Time after `poll` within which a response must arrive, or the poll has failed; default 2 s, 100 ms
+        /// to 1 h.
         #[serde(default = "default_timeout", with = "humantime_serde")]
         #[garde(custom(between(Duration::from_millis(100), HOUR)))]
         timeout: Duration,
-        /// The guard against mass removals.
+        /// Guard against mass removals.
         #[serde(default)]
         #[garde(dive)]
         doubt: MassRemovalGuard,
@@ -52,7 +53,7 @@
 }
 
 impl Source {
-    /// The guard against mass removals.
+    /// Returns the source's guard against mass removals.
     pub fn mass_removal_guard(&self) -> &MassRemovalGuard {
         match self {
             Source::File { doubt, .. } | Source::Http { doubt, .. } => doubt,
@@ -60,20 +61,21 @@
     }
 }
 
-/// The guard against lists that suddenly lack many servers (Eureka: self-preservation).
+/// The guard against lists that suddenly omit many servers, as Eureka's self-preservation mode.
 #[derive(Clone, Debug, Deserialize, Serialize, Validate)]
 #[serde(deny_unknown_fields, default)]
 pub struct MassRemovalGuard {
-    /// Fraction of the ready servers that a complete list may lack at once; default 0.5, 0 to 1. Of a list
-    /// that lacks more, what it names is applied, and what it lacks is not removed yet.
+    /// Maximum fraction of the ready servers that a complete list may omit at once, default 0.5, 0 to 1. If a
+    /// list omits more, its entries are applied, and the omitted servers are not removed until
+    /// `confirm_after`.
     #[garde(range(min = 0.0, max = 1.0))]
     pub loss_max: f64,
-    /// A removal is applied after complete lists have lacked the servers for this long; default 30 s, up to 1
-    /// h.
+    /// Time for which complete lists must omit too many servers until the removal is applied, default 30 s,
+    /// up to 1 h.
     #[serde(with = "humantime_serde")]
     #[garde(custom(between(Duration::ZERO, HOUR)))]
     pub confirm_after: Duration,
-    /// True: an empty list is applied in the same way; default false: never.
+    /// If true, an empty list is applied after `confirm_after` as well; default false: it never is.
     #[garde(skip)]
     pub empty_allowed: bool,
 }
--- a/crates/stepspur-conductor/src/config/status.rs
+++ b/crates/stepspur-conductor/src/config/status.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, Default, Deserialize, Serialize, Validate)]
 #[serde(deny_unknown_fields, default)]
 pub struct Status {
-    /// Its address, a loopback address; default: none, and no status page.
+    /// Address to listen on, a loopback address; default: none, and no status page.
     #[garde(inner(custom(loopback)))]
     pub address: Option<SocketAddr>,
 }
--- a/crates/stepspur-conductor/src/config/tenant.rs
+++ b/crates/stepspur-conductor/src/config/tenant.rs
@@ -6,14 +6,14 @@
 use super::fleet::Fleet;
 use super::source::Source;
 
-/// A further tenant.
+/// A further tenant, which has its own deployment and endpoint list and shares all other settings.
 #[derive(Clone, Debug, Deserialize, Serialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// Its deployment.
+    /// The tenant's deployment.
     #[garde(dive)]
     pub fleet: Fleet,
-    /// The source of its endpoint list.
+    /// The source of the tenant's endpoint list.
     #[garde(dive)]
     pub source: Source,
 }
--- a/crates/stepspur-conductor/src/lib.rs
+++ b/crates/stepspur-conductor/src/lib.rs
@@ -1,8 +1,8 @@
-//! The stepspur conductor as a library.
+//! The stepspur conductor as a library: it sends routing tables, admission levels and ejections to proxies.
 //!
-//! [`engine::Engine`] is the sans-IO half: it handles events with their times and returns outputs. The
-//! [`service`] half owns sockets, clocks and tasks, and makes no decisions. [`source`] has the sources of the
-//! endpoint list. Two conductors in one process share nothing. See `docs/architecture.md`.
+//! [`engine::Engine`] is a sans-IO state machine: it consumes timestamped inputs and returns outputs.
+//! [`service`] owns sockets, clocks and tasks, and makes no decisions. [`source`] reads the endpoint list,
+//! and [`config`] has the settings. Conductors in one process share no state. See `docs/architecture.md`.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
