--- a/crates/stepspur-conductor/tests/common/engine_harness.rs
+++ b/crates/stepspur-conductor/tests/common/engine_harness.rs
@@ -1,4 +1,4 @@
-//! Runs an engine in virtual time, with proxies that keep what their frames say.
+//! Runs an engine in virtual time, with proxies that apply the updates they receive.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -11,26 +11,29 @@
 use super::hello;
 use super::rules::Rules;
 
+/// The engine's epoch.
 pub(crate) const EPOCH: u64 = 7;
-/// In microseconds.
+/// One second, in microseconds.
 pub(crate) const SECOND: u64 = 1_000_000;
 /// The engine's time at the start, in microseconds.
 pub(crate) const START: u64 = 1_000 * SECOND;
 
-/// An engine, its time, and what it has put out.
+/// An engine, its virtual time and its outputs.
 pub(crate) struct EngineHarness {
     pub engine: Engine,
-    /// Microseconds.
+    /// The current time, in microseconds.
     pub now: u64,
-    /// What each proxy holds by its frames, and the rules that it is checked by.
+    /// Tables of the proxies, and the checks of the five rules.
     pub rules: Rules,
-    /// Nonces that proxies have not acknowledged.
+    /// Nonces that proxies have not acknowledged yet.
     pub unacknowledged: Vec<(StreamId, u32)>,
     /// Streams that the engine has closed.
     pub closed: Vec<(StreamId, v1::Reason)>,
+    /// All logged events.
     pub log: Vec<LogEvent>,
+    /// All outputs, logged events included.
     pub outputs: Vec<Output>,
-    /// False: proxies acknowledge nothing.
+    /// If false, proxies acknowledge nothing.
     pub acknowledges: bool,
 }
 
@@ -48,22 +51,23 @@
         }
     }
 
-    /// Changes the servers and sends a list that says so.
+    /// Changes the actual states of servers and sends a list with these states.
     pub(crate) fn change_list(&mut self, update: ListUpdate, entries: Vec<DiscoveredEndpoint>) {
         self.rules.truth(self.now, &entries);
         self.send_list(update, entries);
     }
 
-    /// Sends a list that may be late, wrong or incomplete: the servers are as before.
+    /// Sends a list that may be late, wrong or incomplete, without changing the actual states of servers.
     pub(crate) fn send_list(&mut self, update: ListUpdate, entries: Vec<DiscoveredEndpoint>) {
         self.engine.handle(self.now, Input::EndpointList { update, entries });
     }
 
+    /// Sends a frame of a proxy.
     pub(crate) fn send_frame(&mut self, stream: u64, frame: FromProxy) {
         self.engine.handle(self.now, Input::Frame { stream: StreamId(stream), frame });
     }
 
-    /// Connects a proxy.
+    /// Connects a proxy on a new stream.
     pub(crate) fn connect(&mut self, stream: u64, name: &str, zone: &str) {
         self.rules.joined(stream, self.now);
         self.send_frame(stream, hello(name, zone));
@@ -75,13 +79,13 @@
         self.engine.handle(self.now, Input::StreamEnded { stream: StreamId(stream) });
     }
 
-    /// Advances the time by `duration` microseconds and acts on all outputs.
+    /// Advances the time by `duration` microseconds, handles all outputs and checks the rules after each.
     pub(crate) fn run_for(&mut self, duration: u64) {
         let end = self.now + duration;
         loop {
             while let Some(output) = self.engine.poll(self.now) {
                 self.outputs.push(output.clone());
-                self.act_on(output);
+                self.handle_output(output);
             }
             self.rules.check(self.now);
             if self.acknowledges {
@@ -98,9 +102,9 @@
         self.now = end;
     }
 
-    fn act_on(&mut self, output: Output) {
+    fn handle_output(&mut self, output: Output) {
         match output {
-            Output::Send { stream, frame } => self.read(stream, &frame),
+            Output::Send { stream, frame } => self.receive(stream, &frame),
             Output::Close { stream, reason, .. } => {
                 self.rules.left(stream.0);
                 self.closed.push((stream, reason));
@@ -110,12 +114,14 @@
         }
     }
 
+    /// Sends a proxy's acknowledgement.
     pub(crate) fn acknowledge(&mut self, stream: StreamId, nonce: u32, epoch: u64) {
         let applied = from_proxy::Kind::Applied(v1::Applied { mark: nonce, took_us: 1 });
         self.send_frame(stream.0, FromProxy::new(epoch, 0, applied));
     }
 
-    fn read(&mut self, stream: StreamId, frame: &[u8]) {
+    /// Applies a frame at a proxy.
+    fn receive(&mut self, stream: StreamId, frame: &[u8]) {
         let frame: FromConductor = split_frame(frame).unwrap();
         assert_eq!(frame.epoch, EPOCH);
         let Some(from_conductor::Kind::Order(order)) = frame.kind else { return };
@@ -125,12 +131,12 @@
         }
     }
 
-    /// The servers that a proxy may send requests to.
+    /// Returns the servers that a proxy may send requests to.
     pub(crate) fn usable_servers(&self, stream: u64) -> BTreeSet<SocketAddr> {
         self.rules.held(stream).into_keys().collect()
     }
 
-    /// Ends a test: lets the engine settle and checks the five rules.
+    /// Ends a test: runs the engine for another second and checks the five rules.
     pub(crate) fn finish(mut self) {
         self.run_for(SECOND);
         self.rules.end(self.now, &self.engine.stats());
--- a/crates/stepspur-conductor/tests/engine.rs
+++ b/crates/stepspur-conductor/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The engine through its public interface, in virtual time.
+//! Tests of the engine through its public interface, in virtual time.
 
 mod common;
 
@@ -11,6 +11,7 @@
 use stepspur_conductor::engine::{DiscoveredEndpoint, Input, LogEvent, Output, ServerCounts, StreamId};
 use stepspur_proto::{FromProxy, from_proxy, split_frame, v1};
 
+/// Guards against a proxy without a table, and against one that continues to use a draining server.
 #[test]
 fn a_connected_proxy_gets_its_table_and_a_drain() {
     let mut harness = EngineHarness::new(config());
@@ -25,8 +26,8 @@
     harness.finish();
 }
 
-/// All proxies connect within 100 ms: each gets a table at the channel's pace, and the queue stays within its
-/// limit.
+/// Guards against a queue beyond its limit and against proxies that get no table when all proxies connect
+/// within 100 ms, as after a restart of the conductor.
 #[test]
 fn a_connection_storm_is_paced_and_every_proxy_gets_a_table() {
     let mut config = config();
@@ -46,6 +47,8 @@
     harness.finish();
 }
 
+/// Guards against a proxy that is locked out by its own dead stream, whose end the conductor has not detected
+/// yet.
 #[test]
 fn the_newer_of_two_streams_with_one_name_replaces_the_older() {
     let mut harness = EngineHarness::new(config());
@@ -57,14 +60,15 @@
     assert_eq!(harness.closed, [(StreamId(1), v1::Reason::Replaced)]);
     assert_eq!(harness.usable_servers(2), all(4));
     assert_eq!((harness.engine.stats().connected, harness.engine.stats().known_proxies), (1, 1));
-    // The end of the older stream does not concern the newer one.
+    // The end of the older stream must not disconnect the newer one.
     harness.engine.handle(harness.now, Input::StreamEnded { stream: StreamId(1) });
     harness.run_for(SECOND);
     assert_eq!(harness.engine.stats().connected, 1);
     harness.finish();
 }
 
-/// Three proxies that have got their tables and not acknowledged them, with the nonces.
+/// Returns an engine with three proxies that have received their tables and not acknowledged them, and the
+/// nonces that are pending.
 fn three_unacknowledged_tables() -> (EngineHarness, Vec<(StreamId, u32)>) {
     let mut harness = EngineHarness::new(config());
     harness.change_list(ListUpdate::Full, nodes(4));
@@ -77,7 +81,8 @@
     (harness, unacknowledged)
 }
 
-/// Without the time limit one silent proxy would delay the ordinary changes of all.
+/// Guards against one proxy that delays the ordinary changes of all: without the time limit, a proxy that
+/// never acknowledges would do so.
 #[test]
 fn a_missing_acknowledgement_closes_only_its_stream() {
     let (mut harness, unacknowledged) = three_unacknowledged_tables();
@@ -92,8 +97,8 @@
     harness.finish();
 }
 
-/// After the engine was suspended, acknowledgements wait unread: without the extended deadline all streams
-/// would be closed at once.
+/// Guards against streams that are closed after a suspension of the engine: acknowledgements that arrived
+/// meanwhile are still unread, and without the extended deadline all streams would be closed at once.
 #[test]
 fn a_suspended_conductor_closes_no_stream() {
     let (mut harness, unacknowledged) = three_unacknowledged_tables();
@@ -108,7 +113,8 @@
     harness.finish();
 }
 
-/// A proxy that reconnects may still acknowledge updates of an earlier epoch.
+/// Guards against a wrong acknowledgement: a proxy that reconnects after a restart of the conductor may still
+/// acknowledge updates of an earlier epoch, whose nonces are used again.
 #[test]
 fn acknowledgements_of_an_old_epoch_are_ignored() {
     let mut harness = EngineHarness::new(config());
@@ -128,6 +134,8 @@
     harness.finish();
 }
 
+/// Guards against a faulty proxy that distorts decisions or loses its stream: invalid parts of a report are
+/// skipped alone.
 #[test]
 fn invalid_reports_are_skipped_and_logged() {
     let met = |k: usize, total, errors, load: Vec<f32>| v1::Met {
@@ -138,25 +146,29 @@
         load,
     };
     let report = |met: Vec<v1::Met>, age_us, period_us| v1::Report { period_us, age_us, met, came: vec![] };
-    let sound = report(vec![met(0, 3, 1, vec![1.0, 2.0])], 0, SECOND);
-    let none = v1::Met { server: None, ..met(0, 1, 0, vec![]) };
-    let port = v1::Server { ip: vec![127, 0, 0, 1].into(), port: 70_000 };
-    // What, the report, its sequence number, parts that are skipped.
+    let valid = report(vec![met(0, 3, 1, vec![1.0, 2.0])], 0, SECOND);
+    let without_server = v1::Met { server: None, ..met(0, 1, 0, vec![]) };
+    let invalid_port = v1::Server { ip: vec![127, 0, 0, 1].into(), port: 70_000 };
+    // Description, report, sequence number of the report's frame, number of parts that are skipped.
     let cases = [
-        ("sound", sound.clone(), 0, 0),
+        ("valid", valid.clone(), 0, 0),
         ("unknown server", report(vec![met(77, 3, 1, vec![])], 0, SECOND), 0, 1),
         ("NaN", report(vec![met(0, 3, 1, vec![f32::NAN, 1.0])], 0, SECOND), 0, 1),
         ("negative", report(vec![met(0, 3, 1, vec![-1.0, 1.0])], 0, SECOND), 0, 1),
-        ("more errors than tries", report(vec![met(0, 3, 4, vec![])], 0, SECOND), 0, 1),
+        ("more errors than attempts", report(vec![met(0, 3, 4, vec![])], 0, SECOND), 0, 1),
         (
-            "no server, bad port",
-            report(vec![none, v1::Met { server: Some(port), ..met(0, 1, 0, vec![]) }], 0, 1),
+            "missing server, invalid port",
+            report(
+                vec![without_server, v1::Met { server: Some(invalid_port), ..met(0, 1, 0, vec![]) }],
+                0,
+                1,
+            ),
             0,
             2,
         ),
-        ("no time", report(vec![met(0, 3, 1, vec![])], 0, 0), 0, 1),
-        ("very old", report(vec![met(0, 3, 1, vec![])], u64::MAX, SECOND), 0, 1),
-        ("an order to come", sound, u64::MAX, 1),
+        ("no period", report(vec![met(0, 3, 1, vec![])], 0, 0), 0, 1),
+        ("too old", report(vec![met(0, 3, 1, vec![])], u64::MAX, SECOND), 0, 1),
+        ("update that does not exist yet", valid, u64::MAX, 1),
         (
             "unknown class",
             v1::Report {
@@ -174,17 +186,19 @@
         harness.run_for(SECOND);
         harness.send_frame(1, FromProxy::new(EPOCH, sequence, from_proxy::Kind::Report(report)));
         harness.run_for(SECOND);
-        let notes = harness.log.iter().filter(|n| matches!(n, LogEvent::InvalidReport { .. })).count();
-        assert_eq!((notes, harness.engine.stats().invalid_inputs), (skipped, skipped as u64), "{what}");
+        let logged =
+            harness.log.iter().filter(|event| matches!(event, LogEvent::InvalidReport { .. })).count();
+        assert_eq!((logged, harness.engine.stats().invalid_inputs), (skipped, skipped as u64), "{what}");
         assert_eq!(
             (harness.engine.stats().connected, harness.closed.len()),
             (1, 0),
-            "{what}: the stream stands"
+            "{what}: the stream stays open"
         );
     }
 }
 
-/// Without the guard a registry that restarts empty would leave all proxies without servers.
+/// Guards against proxies without servers: a registry that restarts empty reports an empty or very short
+/// list.
 #[test]
 fn a_list_that_is_empty_or_lacks_most_servers_is_a_suspected_mass_removal() {
     let mut harness = EngineHarness::new(config());
@@ -195,25 +209,26 @@
         harness.change_list(ListUpdate::Full, entries);
         harness.run_for(SECOND);
     }
-    let left: BTreeSet<_> = all(8).into_iter().filter(|a| *a != address(1)).collect();
+    let ready: BTreeSet<_> = all(8).into_iter().filter(|a| *a != address(1)).collect();
     assert!(
-        harness.usable_servers(1).iter().all(|a| left.contains(a)) && harness.usable_servers(1).len() >= 3,
+        harness.usable_servers(1).iter().all(|a| ready.contains(a)) && harness.usable_servers(1).len() >= 3,
         "{:?}",
         harness.usable_servers(1)
     );
     assert_eq!(
         harness.engine.stats().servers,
         ServerCounts { ready: 7, draining: 1, total: 8 },
-        "the drain that it names counts at once"
+        "a drain in the list is applied at once"
     );
     harness.change_list(ListUpdate::Full, nodes(3));
     harness.run_for(40 * SECOND);
     harness.change_list(ListUpdate::Full, nodes(3));
     harness.run_for(SECOND);
-    assert_eq!(harness.usable_servers(1), all(3), "said again for long enough, it is believed");
+    assert_eq!(harness.usable_servers(1), all(3), "confirmed by later lists, the removal is applied");
 }
 
-/// A server that restarts on the same port warms up again: its start time shows it.
+/// Guards against full load on a server that has just restarted at the same address: only its listed start
+/// shows the restart.
 #[test]
 fn a_restart_on_the_same_address_is_a_slow_start() {
     let mut harness = EngineHarness::new(config());
@@ -223,23 +238,24 @@
     let restarted = DiscoveredEndpoint { started: harness.now, ..nodes(4)[1].clone() };
     harness.change_list(ListUpdate::Delta, vec![restarted]);
     harness.run_for(SECOND / 2);
-    assert!(!harness.usable_servers(1).contains(&address(1)), "cold: nothing at first");
+    assert!(!harness.usable_servers(1).contains(&address(1)), "no requests at first");
     harness.run_for(4 * SECOND);
     let weight = harness.rules.held(1)[&address(1)];
-    assert!(weight < 0.6, "and then a part: {weight}");
+    assert!(weight < 0.6, "a reduced weight while it warms up: {weight}");
     harness.run_for(30 * SECOND);
-    assert!(harness.rules.held(1)[&address(1)] > 0.9, "warm again");
+    assert!(harness.rules.held(1)[&address(1)] > 0.9, "full weight after the warm-up");
     harness.finish();
 }
 
+/// Guards against callers that the engine accepts without a valid `Hello`, or rejects without a reason.
 #[test]
 fn unknown_callers_and_invalid_frames_are_rejected_with_a_reason() {
-    let mut numbered = config();
-    numbered.listen.proxies_max = 1;
-    let mut harness = EngineHarness::new(numbered);
+    let mut one_proxy = config();
+    one_proxy.listen.proxies_max = 1;
+    let mut harness = EngineHarness::new(one_proxy);
     harness.change_list(ListUpdate::Full, nodes(2));
-    let later = hello_with(|h| h.version = 9);
-    harness.send_frame(1, later);
+    let newer_version = hello_with(|h| h.version = 9);
+    harness.send_frame(1, newer_version);
     harness.send_frame(2, hello_with(|h| h.name.clear()));
     harness.send_frame(3, hello_with(|h| h.zone = "nowhere".into()));
     harness.send_frame(4, FromProxy::new(0, 0, from_proxy::Kind::Applied(v1::Applied::default())));
@@ -264,8 +280,8 @@
     frame
 }
 
-/// A table larger than the largest frame cannot be sent: the stream is closed with the reason, the engine
-/// continues.
+/// Guards against an engine that stops, or a proxy that waits forever, when a table exceeds the maximum frame
+/// size: the stream is closed with a reason.
 #[test]
 fn a_table_larger_than_the_largest_frame_closes_its_stream() {
     let mut small = config();
@@ -280,19 +296,22 @@
     assert_eq!(harness.closed, [(StreamId(1), v1::Reason::BadFrame)]);
 }
 
+/// A random input of the engine, or time that passes. Streams, proxies and servers are given by number.
 #[derive(Clone, Debug)]
 enum Step {
-    Join(u64, u8),
+    Connect(u64, u8),
     End(u64),
     Frame(u64, Vec<u8>),
+    /// A complete list: servers and their states.
     List(Vec<(u8, u8)>),
     Probe(u8, bool),
+    /// Time that passes, in microseconds.
     Wait(u64),
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
-        (0u64..40, 0u8..12).prop_map(|(s, p)| Step::Join(s, p)),
+        (0u64..40, 0u8..12).prop_map(|(s, p)| Step::Connect(s, p)),
         (0u64..40).prop_map(Step::End),
         (0u64..40, prop::collection::vec(any::<u8>(), 0..40)).prop_map(|(s, b)| Step::Frame(s, b)),
         prop::collection::vec((0u8..12, 0u8..3), 0..12).prop_map(Step::List),
@@ -302,14 +321,15 @@
     prop::collection::vec(step, 1..80)
 }
 
-fn play(steps: &[Step]) -> Vec<Output> {
+/// Runs the steps on a new engine and returns all its outputs.
+fn run_steps(steps: &[Step]) -> Vec<Output> {
     let mut harness = EngineHarness::new(config());
     for step in steps.iter().cloned() {
         match step {
-            Step::Join(s, p) => harness.connect(s, &format!("p{p}"), ["a", "b"][usize::from(p) % 2]),
+            Step::Connect(s, p) => harness.connect(s, &format!("p{p}"), ["a", "b"][usize::from(p) % 2]),
             Step::End(s) => harness.engine.handle(harness.now, Input::StreamEnded { stream: StreamId(s) }),
             Step::Frame(s, bytes) => {
-                if let Ok(frame) = prost_decode(&bytes) {
+                if let Ok(frame) = decode_body(&bytes) {
                     harness.send_frame(s, frame);
                 }
             }
@@ -340,19 +360,20 @@
     harness.outputs
 }
 
-fn prost_decode(body: &[u8]) -> Result<FromProxy, stepspur_proto::FrameError> {
-    let mut whole = (body.len() as u32).to_be_bytes().to_vec();
-    whole.extend_from_slice(body);
-    split_frame(&whole)
+/// Decodes the body of a frame.
+fn decode_body(body: &[u8]) -> Result<FromProxy, stepspur_proto::FrameError> {
+    let mut frame = (body.len() as u32).to_be_bytes().to_vec();
+    frame.extend_from_slice(body);
+    split_frame(&frame)
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(64) })]
 
-    /// The engine has no clock and no randomness of its own: the same inputs at the same times give the same
-    /// outputs.
+    /// Guards against a hidden clock, randomness or iteration order in the engine: the same inputs at the
+    /// same times must produce the same outputs.
     #[test]
     fn the_same_inputs_give_the_same_outputs(steps in steps()) {
-        prop_assert_eq!(play(&steps), play(&steps));
+        prop_assert_eq!(run_steps(&steps), run_steps(&steps));
     }
 }
--- a/crates/stepspur-conductor/tests/faults/endpoint_list.rs
+++ b/crates/stepspur-conductor/tests/faults/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! Faults of the endpoint list: missing zones, empty lists, mass removals, unknown zones, a source that
-//! fails.
+//! Faults of the endpoint list: zones without servers, empty lists, mass removals, unknown zones, and a
+//! source that fails.
 
 use stepspur::interface::{EndpointState, ListUpdate};
 use stepspur_conductor::config::Source;
@@ -9,12 +9,13 @@
 use crate::common::{address, nodes};
 use crate::fixture::{four_classes, invalid_entries, removed, restarted, running, slow_channel, zone_a};
 
-/// True if the proxy has servers, and all are of the first eight servers in zone a.
+/// Returns true if the proxy has servers, all of them from the first eight servers and in zone a.
 fn uses_only_zone_a(harness: &EngineHarness, stream: u64) -> bool {
     let servers = harness.usable_servers(stream);
     !servers.is_empty() && servers.is_subset(&zone_a(8))
 }
 
+/// Guards against proxies without servers when all servers of their zone are removed.
 #[test]
 fn a_zone_that_loses_all_servers_gets_those_of_others() {
     let mut harness = running(four_classes());
@@ -24,6 +25,7 @@
     harness.finish();
 }
 
+/// Guards against a zone that continues to use other zones after it has servers of its own again.
 #[test]
 fn a_zone_that_had_no_servers_gets_its_first() {
     let mut harness = running(four_classes());
@@ -35,8 +37,10 @@
     harness.finish();
 }
 
+/// Guards against proxies without servers when their zone's servers are removed while tables are still
+/// queued.
 #[test]
-fn a_zone_loses_all_servers_while_messages_wait() {
+fn a_zone_that_loses_all_servers_while_messages_wait_gets_those_of_others() {
     let mut harness = running(slow_channel());
     (5..8).for_each(|k| harness.connect(k, &format!("p{k}"), "b"));
     harness.run_for(SECOND / 100);
@@ -47,6 +51,7 @@
     harness.finish();
 }
 
+/// Guards against a registry that restarts empty and thereby removes all servers.
 #[test]
 fn an_empty_list_changes_nothing() {
     let mut harness = running(four_classes());
@@ -59,6 +64,7 @@
     harness.finish();
 }
 
+/// Guards against `empty_allowed` without an effect, or with one before `confirm_after` has passed.
 #[test]
 fn an_empty_list_that_is_allowed_is_applied_after_confirmation() {
     let mut set = four_classes();
@@ -80,28 +86,31 @@
     harness.finish();
 }
 
+/// Guards against a real loss that is never applied: the source does not repeat an unchanged list, so the
+/// engine must fetch it.
 #[test]
 fn a_suspected_mass_removal_is_fetched_again_and_applied_after_confirmation() {
     let mut harness = running(four_classes());
     harness.change_list(ListUpdate::Full, nodes(3));
-    let mut asked = 0;
+    let mut fetches = 0;
     for _ in 0..70 {
         harness.outputs.clear();
         harness.run_for(SECOND);
-        let asks = harness
+        let new_fetches = harness
             .outputs
             .iter()
             .filter(|o| matches!(o, Output::FetchEndpoints | Output::WatchEndpoints))
             .count();
-        // The list has not changed: it is sent again only because it is fetched.
-        (0..asks).for_each(|_| harness.change_list(ListUpdate::Full, nodes(3)));
-        asked += asks;
+        // The list has not changed, so the source sends it again only when it is fetched.
+        (0..new_fetches).for_each(|_| harness.change_list(ListUpdate::Full, nodes(3)));
+        fetches += new_fetches;
     }
-    assert!(asked > 0 && asked <= 3, "{asked}");
+    assert!(fetches > 0 && fetches <= 3, "{fetches}");
     assert_eq!(harness.engine.stats().servers.ready, 3);
     harness.finish();
 }
 
+/// Guards against the removal of all servers by a list of another deployment.
 #[test]
 fn a_list_of_other_servers_only_is_a_suspected_mass_removal() {
     let mut harness = running(four_classes());
@@ -112,14 +121,15 @@
     harness.finish();
 }
 
+/// Guards against an invalid zone that removes a known server or hides its drain.
 #[test]
 fn a_known_server_in_an_unknown_zone_stays_and_its_drain_is_applied() {
     let mut harness = running(four_classes());
-    let mut odd = nodes(8);
-    (odd[0].zone, odd[2].zone) = ("A".into(), "closed".into());
-    odd[2].state = EndpointState::Draining;
-    harness.rules.truth(harness.now, &odd[2..3]);
-    harness.send_list(ListUpdate::Full, odd);
+    let mut invalid = nodes(8);
+    (invalid[0].zone, invalid[2].zone) = ("A".into(), "closed".into());
+    invalid[2].state = EndpointState::Draining;
+    harness.rules.truth(harness.now, &invalid[2..3]);
+    harness.send_list(ListUpdate::Full, invalid);
     harness.run_for(3 * SECOND);
     assert!(harness.usable_servers(1).contains(&address(0)), "the known zone remains in use");
     assert!(!harness.usable_servers(1).contains(&address(2)), "the drain is applied");
@@ -127,16 +137,18 @@
     harness.finish();
 }
 
+/// Guards against a server without a valid zone in the tables.
 #[test]
 fn an_unknown_server_in_an_unknown_zone_is_skipped() {
     let mut harness = running(four_classes());
-    let odd = DiscoveredEndpoint { zone: "closed".into(), ..restarted(9, 0) };
-    harness.send_list(ListUpdate::Delta, vec![odd]);
+    let invalid = DiscoveredEndpoint { zone: "closed".into(), ..restarted(9, 0) };
+    harness.send_list(ListUpdate::Delta, vec![invalid]);
     harness.run_for(SECOND);
     assert_eq!((invalid_entries(&harness), harness.engine.stats().servers.total), (1, 8));
     harness.finish();
 }
 
+/// Guards against a server that stays in the tables of the zone that it has left.
 #[test]
 fn a_server_that_moves_to_another_zone_serves_that_one() {
     let mut set = four_classes();
@@ -151,14 +163,15 @@
     harness.finish();
 }
 
+/// Guards against an engine that gets no more updates after its source failed once.
 #[test]
 fn a_failed_watch_is_requested_again() {
     let mut harness = running(four_classes());
     harness.send_list(ListUpdate::Failed, vec![]);
     harness.outputs.clear();
     harness.run_for(30 * SECOND);
-    let asks = harness.outputs.iter().filter(|o| matches!(o, Output::WatchEndpoints)).count();
-    assert!((5..30).contains(&asks), "repeated while there is no response: {asks}");
+    let requests = harness.outputs.iter().filter(|o| matches!(o, Output::WatchEndpoints)).count();
+    assert!((5..30).contains(&requests), "repeated while there is no response: {requests}");
     assert!((1..5).all(|k| harness.usable_servers(k).len() == 4));
     harness.finish();
 }
--- a/crates/stepspur-conductor/tests/faults/event_order.rs
+++ b/crates/stepspur-conductor/tests/faults/event_order.rs
@@ -8,6 +8,8 @@
 use crate::common::{address, all, nodes};
 use crate::fixture::{entry_with_state, four_classes, removed, restarted, running};
 
+/// Guards against a late entry about an earlier process of a restarted server, whose state does not apply to
+/// the new process.
 #[test]
 fn an_entry_with_an_earlier_start_changes_nothing() {
     let mut harness = running(four_classes());
@@ -17,7 +19,7 @@
     for state in [EndpointState::Ready, EndpointState::Draining, EndpointState::Removed] {
         for started in [early, 0] {
             let old = DiscoveredEndpoint { state, ..restarted(0, started) };
-            // An entry without a start is not an earlier one: its state is applied.
+            // An entry without a start is not stale, so its state would be applied.
             if started > 0 || state == EndpointState::Ready {
                 harness.send_list(ListUpdate::Delta, vec![old]);
             }
@@ -30,6 +32,7 @@
     harness.finish();
 }
 
+/// Guards against a complete list from a stale cache that describes an earlier process of a restarted server.
 #[test]
 fn a_complete_list_with_an_earlier_start_changes_nothing() {
     let mut harness = running(four_classes());
@@ -43,8 +46,10 @@
     harness.finish();
 }
 
+/// Guards against more load on a server that warms up while the reports that would show its overload are
+/// delayed.
 #[test]
-fn missing_reports_keep_a_restarted_server_out() {
+fn missing_reports_delay_the_use_of_a_restarted_server() {
     let mut harness = running(four_classes());
     let report = |harness: &mut EngineHarness| {
         for stream in 1..5 {
@@ -69,6 +74,7 @@
     harness.finish();
 }
 
+/// Guards against a source that repeats its entries: a repeated restart must not restart the warm-up.
 #[test]
 fn repeated_events_count_once() {
     let mut harness = running(four_classes());
@@ -84,15 +90,16 @@
     }
     assert!(
         harness.rules.held(1)[&address(0)] > 0.9,
-        "the repeat does not restart its warm-up: {:?}",
+        "a repeated entry does not restart the warm-up: {:?}",
         harness.rules.held(1)
     );
     assert_eq!(harness.engine.stats().servers, ServerCounts { ready: 6, draining: 1, total: 8 });
     harness.finish();
 }
 
+/// Guards against a server in the tables whose first entry is a drain or a removal.
 #[test]
-fn a_drain_before_its_server_is_known() {
+fn a_drain_of_an_unknown_server_changes_no_table() {
     let mut harness = running(four_classes());
     harness.change_list(ListUpdate::Delta, entry_with_state(9, EndpointState::Draining));
     harness.change_list(ListUpdate::Delta, removed([11]));
--- a/crates/stepspur-conductor/tests/faults/fixture.rs
+++ b/crates/stepspur-conductor/tests/faults/fixture.rs
@@ -1,4 +1,4 @@
-//! Settings and running deployments that the fault tests start from.
+//! Settings and running deployments that the fault tests use.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -11,8 +11,8 @@
 use crate::common::engine_harness::{EngineHarness, SECOND};
 use crate::common::{all, config, nodes, with_state};
 
-/// Settings with two more classes, whose deduplication window is long enough for retries or too short: a
-/// fault could break the rule against effects twice.
+/// Settings with two more classes, of which one has a deduplication window long enough for retries and the
+/// other one too short: a fault could cause a retry with a second effect.
 pub(crate) fn four_classes() -> Config {
     let mut set = config();
     for (name, window) in [("save", 3), ("pay", 1)] {
@@ -27,8 +27,8 @@
     set
 }
 
-/// A deployment that has settled: eight warm servers and four proxies in two zones; streams 1 and 3 are in
-/// zone a.
+/// Returns a deployment in steady state: eight warm servers and four proxies in two zones. The proxies of
+/// streams 1 and 3 are in zone a.
 pub(crate) fn running(set: Config) -> EngineHarness {
     let mut harness = EngineHarness::new(set);
     harness.change_list(ListUpdate::Full, nodes(8));
@@ -38,32 +38,32 @@
     harness
 }
 
-/// Of the first `count` servers, those in zone a.
+/// Returns those of the first `count` servers that are in zone a.
 pub(crate) fn zone_a(count: usize) -> BTreeSet<SocketAddr> {
     all(count).into_iter().filter(|address| address.port() % 2 == 0).collect()
 }
 
-/// An update of one server's state.
+/// Returns an update of one server's state.
 pub(crate) fn entry_with_state(k: usize, state: EndpointState) -> Vec<DiscoveredEndpoint> {
     vec![with_state(nodes(k + 1), k, state).swap_remove(k)]
 }
 
-/// An update that removes servers.
+/// Returns an update that removes servers.
 pub(crate) fn removed(servers: impl IntoIterator<Item = usize>) -> Vec<DiscoveredEndpoint> {
     servers.into_iter().flat_map(|k| entry_with_state(k, EndpointState::Removed)).collect()
 }
 
-/// The entry of a server that has restarted.
+/// Returns the entry of a server that restarted at `started`.
 pub(crate) fn restarted(k: usize, started: u64) -> DiscoveredEndpoint {
     DiscoveredEndpoint { started, ..nodes(k + 1).swap_remove(k) }
 }
 
-/// How many invalid entries were logged.
+/// Returns the number of invalid entries that were logged.
 pub(crate) fn invalid_entries(harness: &EngineHarness) -> usize {
     harness.log.iter().filter(|event| matches!(event, LogEvent::InvalidEntry { .. })).count()
 }
 
-/// Settings with a channel that needs a second for a few tables.
+/// Settings with a channel that is so slow that a few tables occupy it for a second.
 pub(crate) fn slow_channel() -> Config {
     let mut set = four_classes();
     set.channel.lines_per_s = 200.0;
@@ -71,14 +71,14 @@
     set
 }
 
-/// Settings with a channel that needs a second for the tables of [`connect_many`].
+/// Settings with a channel that the tables of [`connect_many`] occupy for a second.
 pub(crate) fn busy_channel() -> Config {
     let mut set = slow_channel();
     set.channel.lines_per_s *= 3.0;
     set
 }
 
-/// Connects many proxies at once: for most the table is in the queue, the others wait for space in it.
+/// Connects 25 proxies at once: the tables of most are queued, the others wait until the queue has space.
 pub(crate) fn connect_many(harness: &mut EngineHarness) {
     (5..30).for_each(|k| harness.connect(k, &format!("p{k}"), "a"));
     harness.run_for(SECOND / 100);
--- a/crates/stepspur-conductor/tests/faults/invalid_values.rs
+++ b/crates/stepspur-conductor/tests/faults/invalid_values.rs
@@ -7,12 +7,14 @@
 use crate::common::{address, nodes};
 use crate::fixture::{entry_with_state, four_classes, invalid_entries, restarted, running};
 
+/// Guards against tables without servers: a list with NaN, infinite, negative or extreme weights must not
+/// remove servers.
 #[test]
 fn invalid_weights_leave_every_proxy_its_table() {
     let mut harness = running(four_classes());
     for weight in [f64::NAN, f64::INFINITY, -1.0, 0.0, 1e308, 1e-300] {
-        let odd = nodes(8).into_iter().map(|node| DiscoveredEndpoint { weight, ..node });
-        harness.send_list(ListUpdate::Full, odd.collect());
+        let invalid = nodes(8).into_iter().map(|node| DiscoveredEndpoint { weight, ..node });
+        harness.send_list(ListUpdate::Full, invalid.collect());
         harness.run_for(5 * SECOND);
         assert!(
             (1..5).all(|k| harness.usable_servers(k).len() == 4),
@@ -23,13 +25,15 @@
     harness.finish();
 }
 
+/// Guards against one server that gets nearly all requests, or none, because of an extreme weight in the
+/// list.
 #[test]
 fn an_extreme_weight_does_not_starve_the_other_servers() {
     let mut harness = running(four_classes());
     for weight in [1e308, 1e-300] {
-        let mut odd = nodes(8);
-        odd[0].weight = weight;
-        harness.send_list(ListUpdate::Full, odd);
+        let mut extreme = nodes(8);
+        extreme[0].weight = weight;
+        harness.send_list(ListUpdate::Full, extreme);
         harness.run_for(5 * SECOND);
         assert!((1..5).all(|k| !harness.usable_servers(k).is_empty()), "weight {weight}");
         let all: f64 = harness.rules.held(1).values().sum();
@@ -38,8 +42,10 @@
     harness.finish();
 }
 
+/// Guards against a warm-up that restarts with every update: a server with a wrong clock lists a start in the
+/// future, which is replaced by the current time.
 #[test]
-fn a_start_in_the_future_is_a_single_start() {
+fn a_start_in_the_future_causes_one_warm_up() {
     let mut harness = running(four_classes());
     let ahead = harness.now + 1_000_000 * SECOND;
     for _ in 0..15 {
@@ -48,12 +54,14 @@
     }
     assert!(
         harness.rules.held(1)[&address(0)] > 0.9,
-        "warm after its cold time: {:?}",
+        "full weight after its warm-up time: {:?}",
         harness.rules.held(1)
     );
     harness.finish();
 }
 
+/// Guards against an override that fails, or a server that stays unused after it, when the listed start is
+/// the highest possible value.
 #[test]
 fn an_operator_drains_a_server_whose_start_is_in_the_future() {
     let mut harness = running(four_classes());
@@ -67,6 +75,7 @@
     harness.finish();
 }
 
+/// Guards against requests to a draining server that a complete list contains a second time as ready.
 #[test]
 fn a_list_that_names_a_server_twice_keeps_its_drain() {
     let mut harness = running(four_classes());
@@ -79,6 +88,7 @@
     harness.finish();
 }
 
+/// Guards against a conductor that starts with a queue in which no table has space.
 #[test]
 fn a_queue_smaller_than_a_table_is_an_invalid_setting() {
     let mut harness = running(four_classes());
@@ -89,9 +99,10 @@
     harness.finish();
 }
 
-/// No table of this deployment fits into the queue; only `unbound` on the status page shows it.
+/// Shows a known limitation, which the expected violation of rule 1 records: if the table of a deployment
+/// exceeds the queue, its proxies get no table. Only `unbound` on the status page shows it.
 #[test]
-#[should_panic(expected = "1, no bare proxy")]
+#[should_panic(expected = "1, every proxy has a server")]
 fn a_table_larger_than_the_queue_still_reaches_its_proxy() {
     let mut harness = running(four_classes());
     harness.run_for(SECOND);
@@ -105,13 +116,15 @@
     harness.finish();
 }
 
+/// Guards against a restart that looks like an old one: after the wall clock is set back, listed starts are
+/// earlier than the engine's time suggests.
 #[test]
 fn a_start_listed_after_the_wall_clock_was_set_back_warms_up() {
     let mut harness = running(four_classes());
     let back = 500 * SECOND;
     harness.rules.truth(harness.now, &[restarted(0, harness.now)]);
     harness.engine.handle(harness.now, Input::WallClock { unix: harness.now - back });
-    // The same start, listed twice by clocks that differ a little.
+    // One start, listed twice by clocks that differ slightly.
     for _ in 0..2 {
         harness.send_list(ListUpdate::Delta, vec![restarted(0, harness.now - back)]);
         harness.run_for(SECOND / 2);
@@ -126,9 +139,10 @@
     harness.finish();
 }
 
-/// Updates that operators cause are not counted by the decision module's flow control.
+/// Shows a known limitation, which the expected violation of rule 5 records: the decision module's flow
+/// control does not count the updates that operators cause.
 #[test]
-#[should_panic(expected = "5, short queue")]
+#[should_panic(expected = "5, bounded queue")]
 fn an_operator_who_changes_a_level_continuously_keeps_the_queue_short() {
     let mut harness = running(four_classes());
     for k in 0..60 {
--- a/crates/stepspur-conductor/tests/faults/main.rs
+++ b/crates/stepspur-conductor/tests/faults/main.rs
@@ -1,5 +1,5 @@
-//! Faults in the engine in virtual time, by the stage that they hit; `docs/hardening-review.md` has the
-//! table.
+//! Fault injection into the engine in virtual time, with a module for each kind of fault;
+//! `docs/hardening-review.md` has the table of all faults.
 //!
 //! Each test ends with [`EngineHarness::finish`](common::engine_harness::EngineHarness::finish), which checks
 //! the five rules.
@@ -11,6 +11,6 @@
 mod event_order;
 mod fixture;
 mod invalid_values;
-mod storms;
+mod random_faults;
 mod streams;
 mod tables;
--- a/crates/stepspur-conductor/tests/faults/tables.rs
+++ b/crates/stepspur-conductor/tests/faults/tables.rs
@@ -10,6 +10,7 @@
     busy_channel, connect_many, entry_with_state, four_classes, removed, running, slow_channel,
 };
 
+/// Guards against a new proxy that gets the table from before a drain in the same batch of events.
 #[test]
 fn a_drain_in_the_batch_of_a_connection_reaches_the_new_proxy() {
     let mut harness = running(four_classes());
@@ -20,8 +21,9 @@
     harness.finish();
 }
 
+/// Guards against a proxy that receives a queued table after the drain of one of its servers.
 #[test]
-fn a_drain_while_the_table_waits_in_the_channel() {
+fn a_drain_reaches_a_proxy_whose_table_waits_in_the_channel() {
     let mut harness = running(slow_channel());
     harness.connect(5, "p5", "a");
     harness.run_for(SECOND / 100);
@@ -32,8 +34,9 @@
     harness.finish();
 }
 
+/// Guards against a list that reverts an operator's drain because both are in one batch.
 #[test]
-fn an_operators_drain_while_a_list_waits_for_its_batch() {
+fn an_operators_drain_outlasts_a_list_in_the_same_batch() {
     let mut harness = running(four_classes());
     harness.engine.operate(harness.now, Operation::Drain { server: address(2), on: true }).unwrap();
     harness.rules.truth(harness.now, &entry_with_state(2, EndpointState::Draining));
@@ -43,6 +46,7 @@
     harness.finish();
 }
 
+/// Guards against a forgotten server that late probe results, reports and removals make known again.
 #[test]
 fn events_of_a_forgotten_server_change_nothing() {
     let mut harness = running(four_classes());
@@ -67,6 +71,8 @@
     harness.finish();
 }
 
+/// Guards against a list that reverts an operator's override, and against lifting an override that was not
+/// set.
 #[test]
 fn an_override_applies_whatever_the_list_says_until_it_is_lifted() {
     let mut harness = running(four_classes());
@@ -86,23 +92,26 @@
     harness.finish();
 }
 
+/// Guards against a removal that is delayed because the queue is full of tables.
 #[test]
 fn a_removal_and_its_ejection_fit_the_queue_while_tables_wait() {
     let mut harness = running(busy_channel());
     connect_many(&mut harness);
-    // Proxies with a table in the queue and those without one must both learn that a server of theirs is
-    // removed.
+    // Proxies with a queued table and those without a table must both be informed that one of their servers
+    // is removed.
     harness.change_list(ListUpdate::Delta, removed([2]));
     harness.run_for(5 * SECOND);
     assert!((1..30).all(|k| !harness.usable_servers(k).contains(&address(2))));
     harness.finish();
 }
 
+/// Guards against unbounded memory: the ejection of a removed server must end, so that the server is
+/// forgotten.
 #[test]
 fn a_server_ejected_when_it_was_removed_is_forgotten() {
     let mut harness = running(busy_channel());
     connect_many(&mut harness);
-    // Proxies wait for a table while the server is removed: it is ejected at them.
+    // The server is removed while some proxies wait for a table, so it is ejected at them.
     harness.change_list(ListUpdate::Delta, removed([3]));
     harness.run_for(SECOND);
     assert!(harness.engine.stats().ejected > 0, "ejected");
@@ -111,6 +120,8 @@
     harness.finish();
 }
 
+/// Guards against unbounded memory with `drain_binds_alone`: servers that lists omit leave the tables in the
+/// end and are forgotten.
 #[test]
 fn servers_that_lists_lack_are_forgotten_where_absence_is_advisory() {
     let mut set = four_classes();
@@ -118,7 +129,7 @@
     let mut harness = running(set);
     harness.send_list(ListUpdate::Full, nodes(6));
     harness.run_for(SECOND);
-    assert_eq!(harness.usable_servers(1).len(), 4, "a server that a list lacks may stay");
+    assert_eq!(harness.usable_servers(1).len(), 4, "a server that a list omits may stay");
     harness.run_for(1300 * SECOND);
     assert_eq!((harness.usable_servers(1).len(), harness.engine.stats().servers.total), (3, 6));
     harness.finish();
