--- a/crates/stepspur-conductor/src/config/channel.rs
+++ b/crates/stepspur-conductor/src/config/channel.rs
@@ -42,7 +42,7 @@
     #[garde(custom(between(Duration::from_millis(100), HOUR)))]
     pub mark_timeout: Duration,
     /// Minimum interval between decisions, default 2 ms, up to 1 s. Events that arrive meanwhile are decided
-    /// on together; a longer interval costs fewer messages and delays changes.
+    /// on together; a longer interval saves messages and delays changes.
     #[serde(with = "humantime_serde")]
     #[garde(custom(between(Duration::ZERO, Duration::from_secs(1))))]
     pub batch: Duration,
--- a/crates/stepspur-conductor/src/config/fleet.rs
+++ b/crates/stepspur-conductor/src/config/fleet.rs
@@ -43,7 +43,7 @@
     #[serde(default = "default_cold", with = "humantime_serde")]
     #[garde(custom(between(Duration::ZERO, HOUR)))]
     pub cold: Duration,
-    /// Least fraction of its full capacity that a server has at its start, default 0.3, 0.01 to 1.
+    /// Minimum fraction of its full capacity that a server has at its start, default 0.3, 0.01 to 1.
     #[serde(default = "default_start_capacity")]
     #[garde(range(min = 0.01, max = 1.0))]
     pub start_capacity: f64,
--- a/crates/stepspur-conductor/src/config/identity.rs
+++ b/crates/stepspur-conductor/src/config/identity.rs
@@ -24,7 +24,7 @@
     #[serde(default = "default_tenant")]
     #[garde(length(min = 1, max = 128))]
     pub tenant: String,
-    /// Whether client certificates are required, optional or off.
+    /// Whether client certificates are `required`, `optional` or `off`; default `required`.
     #[serde(default)]
     #[garde(skip)]
     pub certificates: ClientCertificates,
--- a/crates/stepspur-conductor/src/config/listen.rs
+++ b/crates/stepspur-conductor/src/config/listen.rs
@@ -37,7 +37,7 @@
     #[serde(with = "humantime_serde")]
     #[garde(custom(between(Duration::from_secs(30), HOUR)))]
     pub number_rest: Duration,
-    /// Maximum size of a frame's body, received or sent, in bytes; 1024 to 64 MiB.
+    /// Maximum size of a frame's body, received or sent, in bytes; default 1 MiB, 1024 to 64 MiB.
     #[garde(range(min = 1024, max = 64 << 20))]
     pub largest_frame: usize,
     /// Maximum size of the body of a stream's first frame, in bytes, default 8192, 512 to `largest_frame`. It
--- a/crates/stepspur-conductor/src/config/source.rs
+++ b/crates/stepspur-conductor/src/config/source.rs
@@ -61,7 +61,7 @@
     }
 }
 
-/// The guard against lists that suddenly omit many servers, as Eureka's self-preservation mode.
+/// The guard against lists that suddenly omit many servers, like Eureka's self-preservation mode.
 #[derive(Clone, Debug, Deserialize, Serialize, Validate)]
 #[serde(deny_unknown_fields, default)]
 pub struct MassRemovalGuard {
--- a/crates/stepspur-conductor/src/engine/endpoints/merge.rs
+++ b/crates/stepspur-conductor/src/engine/endpoints/merge.rs
@@ -17,8 +17,8 @@
 const WEIGHT_RANGE: RangeInclusive<f64> = 1e-3..=1e6;
 
 impl EndpointStore {
-    /// Merges an update of the list and returns what it changes. Invalid entries are skipped and logged; an
-    /// update that omits too many servers removes none.
+    /// Merges an update of the list and returns the changes. Invalid parts of entries are logged and not
+    /// applied; a complete list that omits too many servers removes none.
     pub(crate) fn merge(
         &mut self,
         now: Micros,
@@ -92,7 +92,7 @@
     }
 
     /// Returns the server's state with this entry merged. If the entry has the known start, or none, the
-    /// known start is kept; otherwise the server has restarted.
+    /// known start remains; otherwise the server has restarted.
     fn merged_endpoint(&self, now: Micros, server: ServerId, entry: DiscoveredEndpoint) -> KnownEndpoint {
         let removed_at = (entry.state == EndpointState::Removed).then_some(now);
         match self.servers.get(&server).filter(|known| known.has_same_start(entry.started)) {
--- a/crates/stepspur-conductor/src/engine/mass_removal_guard.rs
+++ b/crates/stepspur-conductor/src/engine/mass_removal_guard.rs
@@ -1,4 +1,4 @@
-//! Protects against complete lists that suddenly omit many servers, as Eureka's self-preservation mode does.
+//! Protects against complete lists that suddenly omit many servers, like Eureka's self-preservation mode.
 //!
 //! A registry that restarts empty is more common than half a fleet that disappears without draining. The
 //! entries of such a list are applied at once; the servers that it omits are removed only after complete
--- a/crates/stepspur-conductor/src/engine/mod.rs
+++ b/crates/stepspur-conductor/src/engine/mod.rs
@@ -13,8 +13,8 @@
 //! - `connect`, `frames`, `reports`, `discovery`, `probes`, `operate`: handlers of the inputs.
 //! - `endpoints`, `mass_removal_guard`, `server_ids`, `proxy_ids`, `streams`, `pending_probes`: state of
 //!   servers and proxies.
-//! - `tables`, `proxy_update`, `protocol`, `framed_protocol`, `channel`, `acks`: turn the decision module's
-//!   actions into frames, pace them and track their acknowledgements.
+//! - `tables`, `proxy_update`, `protocol`, `framed_protocol`, `channel`, `acks`: convert the decision
+//!   module's actions into frames, pace them and track their acknowledgements.
 //! - `report_aggregator`: sums load reports between decisions.
 
 mod acks;
--- a/crates/stepspur-conductor/src/engine/proxy_ids.rs
+++ b/crates/stepspur-conductor/src/engine/proxy_ids.rs
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("no proxy id is free: retry in {retry_after} us")]
 pub(crate) struct IdsExhausted {
-    /// Least time until an id may become free, in microseconds.
+    /// Minimum time until an id may become free, in microseconds.
     pub(crate) retry_after: Micros,
 }
 
--- a/crates/stepspur-conductor/src/engine/server_ids.rs
+++ b/crates/stepspur-conductor/src/engine/server_ids.rs
@@ -12,9 +12,9 @@
 
 /// Text before the bytes of a [`ServerId`] in the decision module's log lines, which contain its `Debug`
 /// form.
-const DEBUG_PREFIX: &str = "ServerId([";
+const SERVER_ID_DEBUG_PREFIX: &str = "ServerId([";
 /// Text after the bytes of a [`ServerId`] in the decision module's log lines.
-const DEBUG_SUFFIX: &str = "])";
+const SERVER_ID_DEBUG_SUFFIX: &str = "])";
 
 /// Maps servers' names and addresses to ids and back.
 ///
@@ -133,8 +133,8 @@
     pub(crate) fn with_readable_ids(&self, line: &str) -> String {
         let mut readable = String::with_capacity(line.len());
         let mut remaining = line;
-        while let Some((before, after)) = remaining.split_once(DEBUG_PREFIX) {
-            let Some((bytes, after)) = after.split_once(DEBUG_SUFFIX) else { break };
+        while let Some((before, after)) = remaining.split_once(SERVER_ID_DEBUG_PREFIX) {
+            let Some((bytes, after)) = after.split_once(SERVER_ID_DEBUG_SUFFIX) else { break };
             readable.push_str(before);
             readable.push_str(&self.display_name(bytes));
             remaining = after;
--- a/crates/stepspur-conductor/src/engine/tables.rs
+++ b/crates/stepspur-conductor/src/engine/tables.rs
@@ -244,7 +244,8 @@
     }
 
     /// Returns the update with a table's changes. Proxies that have the table already know the ejections of
-    /// its servers, so the update contains only changed ejections and those of added servers.
+    /// its servers, so the update contains only changed ejections, those of added servers, and those of
+    /// ejected servers whose weight changes.
     fn delta_update(
         &self,
         table: &Table,
