--- a/crates/stepspur-consensus/src/election.rs
+++ b/crates/stepspur-consensus/src/election.rs
@@ -1,5 +1,5 @@
-//! Leader election: pre-vote, votes, and the transitions between a member's roles (paper 5.2 and 5.4; thesis
-//! 9.6).
+//! Leader election with pre-vote, and the transitions between follower, candidate and leader (paper 5.2 and
+//! 5.4; thesis 9.6).
 
 use std::collections::BTreeSet;
 
@@ -16,27 +16,29 @@
 use crate::raft_role::RaftRole;
 
 impl RaftNode {
-    /// Draws the time at which the member campaigns unless it receives a leader's message: between one and
-    /// two election timeouts from now (paper 5.2).
+    /// Restarts the election timer with a random duration between one and two election timeouts, which makes
+    /// split votes rare (paper 5.2).
     pub(crate) fn reset_election_timeout(&mut self) {
         let timeout = self.settings.election_timeout;
-        self.election_at = self.now + self.rng.random_range(timeout..=timeout * 2);
+        self.election_deadline = self.now + self.rng.random_range(timeout..=timeout * 2);
     }
 
-    /// True: it leads, or received a leader's message within the last election timeout.
+    /// Returns true if this member leads, or has received a message of a leader within the last election
+    /// timeout.
     pub(crate) fn has_live_leader(&self) -> bool {
         matches!(self.role, RaftRole::Leader(_))
-            || self.leader_heard_at.is_some_and(|at| self.now < at + self.settings.election_timeout)
+            || self.leader_contact_at.is_some_and(|at| self.now < at + self.settings.election_timeout)
     }
 
-    /// While a leader is alive, requests for votes are ignored: their sender is most likely cut off from the
-    /// leader (thesis 4.2.3). A leadership transfer is the exception (thesis 3.10).
-    pub(crate) fn ignores_election(&self, message: &Message) -> bool {
-        let disruptive = matches!(
+    /// Returns true if the message requests a vote or pre-vote although this member has a live leader. Its
+    /// sender is probably removed or cut off from the leader, and would disrupt it (thesis 4.2.3). Candidates
+    /// of a leadership transfer are exempt (thesis 3.10).
+    pub(crate) fn ignores_vote_request(&self, message: &Message) -> bool {
+        let requests_vote = matches!(
             message,
             Message::PreVoteRequest { .. } | Message::VoteRequest { leadership_transfer: false, .. }
         );
-        disruptive && self.has_live_leader()
+        requests_vote && self.has_live_leader()
     }
 
     /// Enters a higher term as a follower.
@@ -48,7 +50,8 @@
         self.writes.mark_hard_state();
     }
 
-    /// Becomes a follower, without a leader if it led itself. A halted member stays halted.
+    /// Becomes a follower. A leader aborts its pending reads and knows no leader afterwards. A halted member
+    /// stays halted.
     pub(crate) fn step_down(&mut self, reason: StepDownReason) {
         match std::mem::replace(&mut self.role, RaftRole::Follower) {
             RaftRole::Leader(state) => {
@@ -64,7 +67,8 @@
         }
     }
 
-    /// Follows the sender of a leader's message. False: the message is of an older term.
+    /// Follows the sender of a leader's message. Returns false if the message is of an older term, or this
+    /// member is the leader itself.
     pub(crate) fn follow_leader(&mut self, term: Term, leader: MemberId) -> bool {
         if term < self.term || matches!(self.role, RaftRole::Leader(_)) {
             return false;
@@ -74,12 +78,13 @@
         }
         self.role = RaftRole::Follower;
         self.leader = Some(leader);
-        self.leader_heard_at = Some(self.now);
+        self.leader_contact_at = Some(self.now);
         self.reset_election_timeout();
         true
     }
 
-    /// Asks the other voters whether they would vote for it, without a new term (thesis 9.6).
+    /// Asks the other voters for pre-votes, in the current term (thesis 9.6). A non-voter only restarts its
+    /// election timer.
     pub(crate) fn become_pre_candidate(&mut self) {
         self.reset_election_timeout();
         if !self.log.voters().contains(&self.id) {
@@ -92,13 +97,13 @@
         self.count_votes();
     }
 
-    /// Becomes a candidate of the next term (paper 5.2).
+    /// Starts an election in the next term (paper 5.2).
     fn become_candidate(&mut self, reason: CampaignReason) {
         self.enter_term(self.term.next(), reason.into());
         self.vote = Some(self.id);
         self.reset_election_timeout();
         self.outputs.push_back(RaftOutput::Event(RaftEvent::BecameCandidate { term: self.term, reason }));
-        // Its own vote counts once it is durable, see `count_own_vote`.
+        // Its own vote is counted once it is durable, see `count_own_vote`.
         self.role = RaftRole::Candidate(BTreeSet::new());
         self.send_to_voters(&Message::VoteRequest {
             term: self.term,
@@ -107,7 +112,8 @@
         });
     }
 
-    /// Leads, with an empty entry of its term: older entries commit with it (paper 5.4.2 and 8).
+    /// Becomes the leader and appends an empty entry of its term, as entries of older terms can only be
+    /// committed together with one of the current term (paper 5.4.2 and 8).
     fn become_leader(&mut self) {
         let first_index = self.log.last_index().next();
         let others = self.log.voters().iter().filter(|voter| **voter != self.id);
@@ -119,12 +125,15 @@
         self.start_heartbeat_round();
     }
 
+    /// Grants a pre-vote for a later term to a sender whose log is up to date (thesis 9.6). Nothing is
+    /// recorded, so several senders may get one.
     pub(crate) fn handle_pre_vote_request(&mut self, from: MemberId, term: Term, last_log: LogPosition) {
         let granted = term > self.term && self.is_up_to_date(last_log);
         let term = if granted { term } else { self.term };
         self.send(from, Message::PreVoteResponse { term, granted });
     }
 
+    /// Counts a granted pre-vote for the next term.
     pub(crate) fn handle_pre_vote_response(&mut self, from: MemberId, term: Term, granted: bool) {
         let expected = self.term.next();
         if let RaftRole::PreCandidate(votes) = &mut self.role
@@ -136,9 +145,11 @@
         }
     }
 
+    /// Votes for a candidate of the current term if this member has not voted for another one and the
+    /// candidate's log is up to date (paper 5.2 and 5.4.1). The response waits until the vote is durable.
     pub(crate) fn handle_vote_request(&mut self, from: MemberId, term: Term, last_log: LogPosition) {
-        let vote_is_free = self.vote.is_none_or(|vote| vote == from);
-        let granted = term == self.term && vote_is_free && self.is_up_to_date(last_log);
+        let can_vote = self.vote.is_none_or(|vote| vote == from);
+        let granted = term == self.term && can_vote && self.is_up_to_date(last_log);
         if granted {
             self.vote = Some(from);
             self.writes.mark_hard_state();
@@ -147,6 +158,7 @@
         self.send(from, Message::VoteResponse { term: self.term, granted });
     }
 
+    /// Counts a granted vote of the current term.
     pub(crate) fn handle_vote_response(&mut self, from: MemberId, term: Term, granted: bool) {
         if let RaftRole::Candidate(votes) = &mut self.role
             && granted
@@ -157,14 +169,15 @@
         }
     }
 
-    /// Campaigns at once, as the leader transfers its leadership (thesis 3.10).
+    /// Starts an election at once, without a pre-vote: the leader transfers its leadership (thesis 3.10).
     pub(crate) fn handle_timeout_now(&mut self, term: Term) {
         if term == self.term && self.log.voters().contains(&self.id) {
             self.become_candidate(CampaignReason::LeadershipTransfer);
         }
     }
 
-    /// A candidate counts its own vote once that is durable.
+    /// Counts a candidate's own vote if it is durable. Otherwise the member could forget the vote in a crash
+    /// and vote for another candidate of the same term.
     pub(crate) fn count_own_vote(&mut self) {
         let durable = self.writes.is_idle();
         if let RaftRole::Candidate(votes) = &mut self.role
@@ -176,7 +189,7 @@
         }
     }
 
-    /// Takes the next step of an election once a majority has granted its vote.
+    /// Starts an election after a majority of pre-votes, and becomes the leader after a majority of votes.
     fn count_votes(&mut self) {
         let voters = self.log.voters();
         let is_majority = |votes: &BTreeSet<MemberId>| votes.intersection(voters).count() * 2 > voters.len();
@@ -189,11 +202,13 @@
         }
     }
 
-    /// True: a log that ends with `last_log` is at least as up to date as its own (paper 5.4.1).
+    /// Returns true if a log that ends with `last_log` is at least as up-to-date as this member's (paper
+    /// 5.4.1).
     fn is_up_to_date(&self, last_log: LogPosition) -> bool {
         last_log >= self.log.last_position()
     }
 
+    /// Sends a message to all voters but this member.
     fn send_to_voters(&mut self, message: &Message) {
         let others = self.log.voters().iter().copied().filter(|voter| *voter != self.id);
         let others: Vec<MemberId> = others.collect();
--- a/crates/stepspur-consensus/src/lib.rs
+++ b/crates/stepspur-consensus/src/lib.rs
@@ -1,17 +1,20 @@
-//! A consensus group: a replicated log, and named roles that one member holds at a time.
+//! A consensus group: a Raft log replicated between its members, and named roles, each of which at most one
+//! member may act on at a time.
 //!
 //! - [`RaftNode`] is a member's Raft state (Ongaro and Ousterhout 2014, "the paper"; Ongaro's thesis):
 //!   elections with pre-vote and check-quorum, replication, snapshots, membership changes of one voter at a
 //!   time, leadership transfer and linearizable reads.
-//! - [`RoleTable`] is the replicated state of the roles: who holds each, and by which fencing token.
-//! - [`Member`] votes or follows, holds roles by leases, and grants them while it leads.
-//! - [`StateMachine`] is replicated state beside the roles, of any kind.
+//! - [`RoleTable`] is the replicated state of the roles: the holder of each role and its fencing token.
+//! - [`Member`] wraps a [`RaftNode`]. It votes or follows, holds roles under leases, and grants them while it
+//!   leads.
+//! - [`StateMachine`] is the trait of replicated state other than the roles.
 //! - [`Fence`] rejects the orders of a role's former holders.
 //!
-//! Sans-IO: events go in with their time, outputs come out; random numbers come from a seed. docs/council.md
-//! has the design.
+//! The crate does no I/O and reads no clock: the caller passes events with their time and carries out the
+//! returned outputs. Random numbers come from a seed, so a run can be repeated. docs/council.md has the
+//! design.
 //!
-//! Where to look:
+//! Modules:
 //!
 //! - Raft: `raft_node`, `raft_role`, `election`, `replication`, `snapshot`, `membership`, `read_index`,
 //!   `persistence`; its data: `raft_log`, `progress`, `leader_state`, `pending_reads`, `write_tracker`,
--- a/crates/stepspur-consensus/src/member/apply.rs
+++ b/crates/stepspur-consensus/src/member/apply.rs
@@ -8,7 +8,7 @@
 use crate::member_output::MemberOutput;
 use crate::raft_log::{Entry, Payload};
 use crate::roles::{RoleChange, RoleTable};
-use crate::state_machine::{STATE_MACHINE_COMMAND, StateMachine};
+use crate::state_machine::{STATE_MACHINE_COMMAND_TAG, StateMachine};
 
 impl<S: StateMachine> Member<S> {
     /// Applies a committed entry if it is the next one. Entries may come twice, from the log and by a fetch.
@@ -34,7 +34,7 @@
     fn apply_payload(&mut self, entry: &Entry) -> Result<Vec<RoleChange>, String> {
         match &entry.payload {
             Payload::Command(command) => match command.split_first() {
-                Some((&STATE_MACHINE_COMMAND, command)) => self.state.apply(entry.position(), command)?,
+                Some((&STATE_MACHINE_COMMAND_TAG, command)) => self.state.apply(entry.position(), command)?,
                 _ => return Ok(self.roles.apply(entry.index, command)),
             },
             Payload::Empty | Payload::Voters(_) => {}
--- a/crates/stepspur-consensus/src/member/proposals.rs
+++ b/crates/stepspur-consensus/src/member/proposals.rs
@@ -9,7 +9,7 @@
 use crate::membership::MembershipChange;
 use crate::peer_message::PeerMessage;
 use crate::roles::RoleCommand;
-use crate::state_machine::{STATE_MACHINE_COMMAND, StateMachine};
+use crate::state_machine::{STATE_MACHINE_COMMAND_TAG, StateMachine};
 
 /// The number of proposals that the sender does not follow up.
 const UNTRACKED_REQUEST: u64 = 0;
@@ -25,7 +25,7 @@
     /// it was applied shows in [`Member::state`].
     pub fn propose_command(&mut self, now: Micros, command: &[u8]) -> Vec<MemberOutput> {
         let mut tagged = BytesMut::with_capacity(command.len() + 1);
-        tagged.put_u8(STATE_MACHINE_COMMAND);
+        tagged.put_u8(STATE_MACHINE_COMMAND_TAG);
         tagged.put_slice(command);
         self.propose_or_forward(now, tagged.freeze())
     }
--- a/crates/stepspur-consensus/src/message.rs
+++ b/crates/stepspur-consensus/src/message.rs
@@ -1,122 +1,124 @@
-//! Raft's messages between voters (paper, figures 2 and 13).
+//! Raft's RPCs as messages between members (paper, figures 2 and 13; thesis 9.6 and 3.10).
 
 use bytes::Bytes;
 
 use crate::ids::{Index, LogPosition, Term};
 use crate::raft_log::{Entry, Voters};
 
-/// A message from one member to another. `term` is the sender's unless stated otherwise.
+/// A Raft message from one member to another. `term` is the sender's term unless stated otherwise.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Message {
-    /// Asks whether the receiver would vote for the sender. It changes nobody's term (thesis 9.6).
+    /// Asks whether the receiver would vote for the sender. No term changes by it (thesis 9.6).
     PreVoteRequest {
         /// The term of the election that the sender would start.
         term: Term,
         /// The last entry of the sender's log.
         last_log: LogPosition,
     },
-    /// The answer.
+    /// The response to [`Message::PreVoteRequest`].
     PreVoteResponse {
-        /// The requested term if granted, otherwise the sender's.
+        /// The term of the request if granted, otherwise the sender's current term.
         term: Term,
-        /// True: it would vote.
+        /// Whether the sender would vote for the pre-candidate.
         granted: bool,
     },
-    /// Asks for a vote (paper 5.2, 5.4).
+    /// Requests a vote (RequestVote RPC, paper 5.2 and 5.4).
     VoteRequest {
         /// The candidate's term.
         term: Term,
         /// The last entry of the candidate's log.
         last_log: LogPosition,
-        /// True: the leader transferred its leadership, so that a live leader is no reason to ignore the
-        /// request.
+        /// True if the leader transferred its leadership to the candidate (thesis 3.10). Receivers then do
+        /// not ignore the request although they have a live leader (thesis 4.2.3).
         leadership_transfer: bool,
     },
-    /// The answer.
+    /// The response to [`Message::VoteRequest`].
     VoteResponse {
         /// The sender's term.
         term: Term,
-        /// True: the sender votes for the candidate.
+        /// Whether the sender votes for the candidate.
         granted: bool,
     },
-    /// A leader's entries, or a heartbeat.
+    /// Entries of a leader's log, or a heartbeat (paper 5.3).
     AppendEntries(AppendEntries),
-    /// The answer.
+    /// The response to [`Message::AppendEntries`].
     AppendEntriesResponse(AppendEntriesResponse),
-    /// Part of a leader's snapshot.
+    /// A chunk of a leader's snapshot (paper 7).
     InstallSnapshot(InstallSnapshot),
-    /// The answer.
+    /// The response to [`Message::InstallSnapshot`].
     InstallSnapshotResponse(InstallSnapshotResponse),
-    /// Start an election at once: the leader transfers its leadership (thesis 3.10).
+    /// Makes the receiver start an election at once: the leader transfers its leadership (thesis 3.10).
     TimeoutNow {
         /// The leader's term.
         term: Term,
     },
 }
 
-/// A leader's entries; without entries a heartbeat (paper 5.3).
+/// Entries of a leader's log; a heartbeat if it has no entries (paper 5.3).
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AppendEntries {
     /// The leader's term.
     pub term: Term,
-    /// The entry before the first of these.
+    /// The position of the entry before the first one sent (`prevLogIndex` and `prevLogTerm`).
     pub previous: LogPosition,
-    /// The entries.
+    /// The entries after `previous`, in the order of the log.
     pub entries: Vec<Entry>,
     /// The leader's commit index.
     pub commit: Index,
-    /// The leader's newest heartbeat round. An answer that names it shows that it led when it began the
-    /// round.
+    /// The number of the leader's current heartbeat round. A response with this number shows that the sender
+    /// was the leader when it started the round, which confirms read requests (thesis 6.4).
     pub round: u64,
 }
 
-/// The answer to [`AppendEntries`].
+/// The response to [`AppendEntries`].
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AppendEntriesResponse {
     /// The sender's term.
     pub term: Term,
-    /// The round that it answers.
+    /// The heartbeat round of the request.
     pub round: u64,
-    /// True: its log has the entry before those that were sent.
+    /// Whether the sender's log contains the request's `previous` entry.
     pub matched: bool,
-    /// If `matched`, the last entry known to match, otherwise the entry after which to try again.
+    /// If `matched`, the last entry known to match the leader's log, otherwise the entry after which the
+    /// leader sends next.
     pub index: Index,
 }
 
-/// Part of a leader's snapshot, for a member that lacks entries older than the leader's log (paper 7).
+/// A chunk of a leader's snapshot, for a member that needs entries which the leader has compacted (paper 7).
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct InstallSnapshot {
     /// The leader's term.
     pub term: Term,
     /// The last entry that the snapshot covers.
     pub last_included: LogPosition,
-    /// The voters after that entry.
+    /// The voters as of `last_included`.
     pub voters: Voters,
-    /// Where this part begins, in bytes.
+    /// The offset of this chunk in the snapshot, in bytes.
     pub offset: u64,
-    /// The bytes.
+    /// The bytes of this chunk.
     pub bytes: Bytes,
-    /// True: the last part.
+    /// True for the last chunk.
     pub done: bool,
-    /// As in [`AppendEntries`].
+    /// The number of the leader's current heartbeat round, as in [`AppendEntries::round`].
     pub round: u64,
 }
 
-/// The answer to [`InstallSnapshot`].
+/// The response to [`InstallSnapshot`].
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct InstallSnapshotResponse {
     /// The sender's term.
     pub term: Term,
     /// The last entry that the snapshot covers.
     pub last_included: Index,
-    /// The next byte to send; beyond the snapshot's size if it was installed.
+    /// The offset of the next chunk, in bytes; greater than the snapshot's size once it is complete.
     pub next_offset: u64,
-    /// The round that it answers.
+    /// The heartbeat round of the request.
     pub round: u64,
 }
 
 impl Message {
-    /// The sender's term; none where the message names a term that the sender has not entered.
+    /// Returns the sender's term; `None` if the message holds a term that the sender has not entered, as in a
+    /// pre-vote.
     pub fn term(&self) -> Option<Term> {
         match self {
             Message::PreVoteRequest { .. } | Message::PreVoteResponse { granted: true, .. } => None,
--- a/crates/stepspur-consensus/src/peer_message.rs
+++ b/crates/stepspur-consensus/src/peer_message.rs
@@ -1,4 +1,5 @@
-//! Messages between members of a consensus group.
+//! All messages between members of a consensus group: Raft's own, and those for leases, proposals, reads and
+//! members without a vote.
 
 use bytes::Bytes;
 
@@ -6,74 +7,79 @@
 use crate::message::Message;
 use crate::raft_log::Entry;
 
-/// A message from one member to another. `request` numbers are the sender's, and answers repeat them.
+/// A message from one member to another. The sender chooses `request` numbers, and responses repeat them.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PeerMessage {
-    /// Raft's messages between voters.
+    /// A Raft message.
     Raft(Message),
-    /// To the leader: renew the leases on all roles of the sender, or consider it for roles.
+    /// To the leader: renews the leases on all roles that the sender holds, and makes it a candidate for
+    /// available roles.
     RenewLeases {
         /// The number of the request.
         request: u64,
-        /// The newest renewal that was answered: a holder that receives no answers must not keep its roles.
+        /// The newest renewal request to which the sender received a response. A leader rejects the renewal
+        /// if too many are unanswered: the sender would keep roles that it cannot act on.
         last_answered: u64,
-        /// The sender's share of the roles, relative to others'; 0: no further ones.
+        /// The sender's share of the roles relative to other members'; 0 if it wants no further roles.
         weight: f64,
-        /// Prefixes of the names of roles that it would hold.
+        /// Prefixes of the names of the roles that the sender wants.
         role_prefixes: Vec<String>,
     },
-    /// The answer: the leases run from when the request was made.
+    /// The response to [`PeerMessage::RenewLeases`]. The leases count from the time of the request.
     LeasesRenewed {
         /// The number of the request.
         request: u64,
-        /// The leader had applied all entries up to this one.
+        /// The last entry that the leader had applied. A holder that lacks entries up to it may have lost a
+        /// role by them.
         applied: Index,
     },
-    /// To the leader: propose a command.
+    /// To the leader: proposes a command. There is no response if it is accepted.
     Propose {
         /// The number of the request.
         request: u64,
-        /// The command.
+        /// The command, as the log stores it.
         command: Bytes,
     },
-    /// The request is rejected: the sender does not lead, or has too many requests pending.
+    /// Rejects a request: the sender is not the leader, has too many requests pending, or does not renew the
+    /// leases of a member that receives no responses.
     NotLeader {
         /// The number of the request.
         request: u64,
-        /// The leader, as far as the sender knows.
+        /// The leader that the sender knows of, if any.
         leader: Option<MemberId>,
     },
-    /// To the leader: request a read index (thesis 6.4).
+    /// To the leader: requests a read index (thesis 6.4).
     ReadIndex {
         /// The number of the request.
         request: u64,
     },
-    /// The answer: all entries that were committed before the request have this index or a lower one.
+    /// The response to [`PeerMessage::ReadIndex`].
     ReadIndexResponse {
         /// The number of the request.
         request: u64,
-        /// The read index.
+        /// The read index: all entries that were committed before the request have this index or a lower one.
         index: Index,
     },
-    /// From a follower without a vote, to any voter: send committed entries, and subscribe to further ones.
+    /// To any voter, from a member to which no leader replicates: requests committed entries, and subscribes
+    /// to further ones.
     Fetch {
-        /// The first entry that it lacks.
+        /// The first entry that the sender lacks.
         from: Index,
     },
-    /// Committed entries, for a fetch or a subscription; none if there are no newer ones.
+    /// Committed entries, in response to a fetch or for a subscription.
     CommittedEntries {
-        /// The entries.
+        /// The entries in the order of the log; empty if the fetching member lacks none.
         entries: Vec<Entry>,
-        /// The leader, as far as the sender knows.
+        /// The leader that the sender knows of, if any.
         leader: Option<MemberId>,
     },
-    /// The answer to a fetch of entries that the log no longer has: the state after an entry.
+    /// The response to a fetch of entries that the log no longer has: the whole replicated state.
     CommittedState {
-        /// The entry.
+        /// The last entry that the snapshot covers.
         index: Index,
-        /// The state.
+        /// The roles and the state machine, encoded as in a Raft snapshot.
         state: Bytes,
-        /// The leader, as far as the sender knows.
+        /// The leader that the sender knows of, if any.
         leader: Option<MemberId>,
     },
 }
--- a/crates/stepspur-consensus/src/raft_event.rs
+++ b/crates/stepspur-consensus/src/raft_event.rs
@@ -1,51 +1,51 @@
-//! Events of the consensus group for the program's log.
+//! Events of the consensus group that the caller writes to its log.
 
 use crate::ids::{MemberId, Term};
 use crate::raft_log::Voters;
 
-/// Something that happened in the consensus group.
+/// A change of a member's Raft state or of the voters, for the caller's log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RaftEvent {
     /// The member became a candidate.
     BecameCandidate {
-        /// In this term.
+        /// The term that the member campaigns in.
         term: Term,
-        /// Why.
+        /// Why it campaigns.
         reason: CampaignReason,
     },
     /// The member became the leader.
     BecameLeader {
-        /// In this term.
+        /// The term that the member leads.
         term: Term,
     },
-    /// The member leads no more.
+    /// The member was the leader and became a follower.
     SteppedDown {
         /// The term that it led.
         term: Term,
-        /// Why.
+        /// Why it stepped down.
         reason: StepDownReason,
     },
-    /// The member follows another leader.
+    /// The member follows a leader that it did not follow before.
     BecameFollower {
-        /// The term.
+        /// The leader's term.
         term: Term,
-        /// The leader.
+        /// The leader that it follows.
         leader: MemberId,
     },
-    /// The set of voters has changed.
+    /// The set of voters in the member's log has changed. The change may not be committed yet.
     VotersChanged {
-        /// The voters.
+        /// The voters after the change.
         voters: Voters,
     },
-    /// A member that was to become a voter did not catch up in time.
+    /// A member that was to become a voter did not catch up in time and is not added (thesis 4.2.1).
     CatchUpFailed {
-        /// The member.
+        /// The member that did not catch up.
         member: MemberId,
     },
-    /// The member leads and votes no more until it is restarted. After a storage failure it still follows;
-    /// after an entry that it cannot apply it does not.
+    /// The member neither leads nor votes until it is restarted. After a storage failure it still applies
+    /// committed entries; after an entry that it cannot apply it does not.
     Halted {
-        /// Why.
+        /// The storage error, or why the entry cannot be applied.
         reason: String,
     },
 }
@@ -53,10 +53,10 @@
 /// Why a member became a candidate. The text is a field of the log event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CampaignReason {
-    /// It received no message of a leader for an election timeout.
+    /// The member received no message of a leader within its election timeout (paper 5.2).
     #[error("no leader was heard of")]
     ElectionTimeout,
-    /// The leader transferred its leadership to it (thesis 3.10).
+    /// The leader transferred its leadership to the member (thesis 3.10).
     #[error("the leader handed its place over")]
     LeadershipTransfer,
 }
@@ -64,22 +64,22 @@
 /// Why a leader stepped down. The text is a field of the log event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StepDownReason {
-    /// A message of a higher term came (paper 5.1).
+    /// The leader received a message of a higher term (paper 5.1).
     #[error("a higher term")]
     HigherTerm,
-    /// No majority answered for an election timeout: check-quorum (thesis 6.2).
+    /// No majority responded within an election timeout: check-quorum (thesis 6.2).
     #[error("no majority answers")]
     QuorumLost,
-    /// It is no voter any more (thesis 4.2.2).
+    /// A committed membership change removed the leader from the voters (thesis 4.2.2).
     #[error("it votes no more")]
     RemovedFromVoters,
-    /// A write takes longer than the timeout.
+    /// A write takes longer than [`Settings::write_timeout`](crate::Settings::write_timeout).
     #[error("its disk does not answer")]
     StorageStalled,
     /// The storage has failed, or an entry cannot be applied.
     #[error("its disk has failed")]
     StorageFailed,
-    /// It became a candidate of a new term.
+    /// The member became a candidate of a new term.
     #[error(transparent)]
     Campaign(#[from] CampaignReason),
 }
--- a/crates/stepspur-consensus/src/raft_node.rs
+++ b/crates/stepspur-consensus/src/raft_node.rs
@@ -1,7 +1,7 @@
-//! Raft's state machine for one member: its state, its clock, and the dispatch of messages.
+//! One member's Raft state, and the dispatch of timeouts and messages to the other modules.
 //!
-//! It has no clock, socket, storage or source of randomness of its own: it takes events with their time and
-//! gives back outputs.
+//! A [`RaftNode`] does no I/O and reads no clock: its caller passes events with their time and carries out
+//! the returned outputs.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -21,38 +21,43 @@
 use crate::settings::Settings;
 use crate::write_tracker::WriteTracker;
 
-/// Raft's state machine for one member.
+/// One member of a Raft group (paper, figure 2), without I/O.
 #[derive(Clone, Debug)]
 pub struct RaftNode {
     pub(crate) id: MemberId,
     pub(crate) settings: Settings,
     /// Draws election timeouts.
     pub(crate) rng: ChaCha8Rng,
-    /// The latest time that an event came with.
+    /// The latest time passed with an event.
     pub(crate) now: Micros,
+    /// The current term (`currentTerm`).
     pub(crate) term: Term,
-    /// Whom it voted for in the current term.
+    /// The candidate that the member voted for in the current term (`votedFor`).
     pub(crate) vote: Option<MemberId>,
     pub(crate) log: RaftLog,
+    /// The last entry known to be committed (`commitIndex`).
     pub(crate) commit: Index,
     pub(crate) role: RaftRole,
+    /// The leader of the current term; `None` if the member does not know it.
     pub(crate) leader: Option<MemberId>,
-    /// When the last message of a leader of the current term was received.
-    pub(crate) leader_heard_at: Option<Micros>,
-    /// When the election timeout ends.
-    pub(crate) election_at: Micros,
+    /// When the last message of a leader of the current term was received; `None` before the first one.
+    pub(crate) leader_contact_at: Option<Micros>,
+    /// When the member starts an election unless it receives a message of a leader.
+    pub(crate) election_deadline: Micros,
+    /// Tracks which changes of the persistent state are durable.
     pub(crate) writes: WriteTracker,
-    /// A snapshot that is being received.
+    /// The snapshot that the member is receiving in chunks, if any.
     pub(crate) partial_snapshot: Option<PartialSnapshot>,
-    /// Read requests so far.
+    /// The number of read requests so far, which is also the last [`ReadRequestId`](crate::ReadRequestId).
     pub(crate) read_requests: u64,
-    /// Outputs that were not taken yet.
+    /// Outputs that the caller has not taken yet.
     pub(crate) outputs: VecDeque<RaftOutput>,
 }
 
 impl RaftNode {
-    /// A member with its persistent state. First members of a group begin with [`RaftNode::bootstrap`], those
-    /// that only follow with an empty state.
+    /// Creates a member from its persistent state. The first voters of a group start with
+    /// [`RaftNode::bootstrap`], all other members with an empty state. `seed` determines the election
+    /// timeouts.
     pub fn new(id: MemberId, stored: PersistentState, settings: Settings, seed: u64, now: Micros) -> Self {
         let mut node = Self {
             id,
@@ -66,8 +71,8 @@
             log: stored.log,
             role: RaftRole::Follower,
             leader: None,
-            leader_heard_at: None,
-            election_at: 0,
+            leader_contact_at: None,
+            election_deadline: 0,
             partial_snapshot: None,
             read_requests: 0,
             outputs: VecDeque::new(),
@@ -77,66 +82,68 @@
         node
     }
 
-    /// The persistent state that the first members of a group begin with: a snapshot at index 1 and term 1
-    /// that names all of them.
+    /// Returns the persistent state that the first voters of a group start with: a snapshot at index 1 and
+    /// term 1 that names them all.
     pub fn bootstrap(voters: Voters) -> PersistentState {
         let base = Snapshot { index: Index(1), term: Term(1), voters, state: Bytes::new() };
         PersistentState { term: Term(1), vote: None, log: RaftLog::new(Arc::new(base), []) }
     }
 
-    /// Its identity.
+    /// Returns this member's id.
     pub fn id(&self) -> MemberId {
         self.id
     }
 
-    /// Its current term.
+    /// Returns the current term.
     pub fn term(&self) -> Term {
         self.term
     }
 
-    /// Its log.
+    /// Returns the log.
     pub fn log(&self) -> &RaftLog {
         &self.log
     }
 
-    /// The last entry that it knows to be committed.
+    /// Returns the last entry that this member knows to be committed.
     pub fn commit(&self) -> Index {
         self.commit
     }
 
-    /// The leader, as far as it knows.
+    /// Returns the leader of the current term; `None` if this member does not know it.
     pub fn leader(&self) -> Option<MemberId> {
         self.leader
     }
 
-    /// True: it leads, and the first entry of its term is committed, so that it knows all committed entries.
+    /// Returns true if this member leads and has committed the first entry of its term. Before that it may
+    /// not know all committed entries (paper 8).
     pub fn is_leader(&self) -> bool {
         matches!(&self.role, RaftRole::Leader(state) if self.commit >= state.first_index)
     }
 
-    /// True: it leads and votes no more until it is restarted, see
+    /// Returns true if this member neither leads nor votes until it is restarted, see
     /// [`on_storage_failure`](RaftNode::on_storage_failure). After a storage failure its
-    /// [`Member`](crate::Member) still follows; after an entry that it cannot apply it does not.
+    /// [`Member`](crate::Member) still applies committed entries; after an entry that it cannot apply it does
+    /// not.
     pub fn is_halted(&self) -> bool {
         matches!(self.role, RaftRole::Halted)
     }
 
-    /// When [`RaftNode::tick`] is due at the latest.
+    /// Returns the latest time at which the caller must call [`RaftNode::tick`].
     pub fn next_tick_at(&self) -> Micros {
         match &self.role {
             RaftRole::Leader(_) => self.now + self.settings.heartbeat_interval / 2,
             RaftRole::Halted => Micros::MAX,
-            RaftRole::Follower | RaftRole::PreCandidate(_) | RaftRole::Candidate(_) => self.election_at,
+            RaftRole::Follower | RaftRole::PreCandidate(_) | RaftRole::Candidate(_) => self.election_deadline,
         }
     }
 
-    /// Takes the outputs since the last call, to be done in this order.
+    /// Takes the outputs since the last call, in the order in which the caller must carry them out.
     pub fn take_outputs(&mut self) -> Vec<RaftOutput> {
         self.request_write();
         self.outputs.drain(..).collect()
     }
 
-    /// Acts on timeouts that have ended by `now`.
+    /// Handles all timeouts up to `now`.
     pub fn tick(&mut self, now: Micros) {
         self.advance_clock(now);
         if self.writes.is_stalled(self.now, self.settings.write_timeout) {
@@ -148,17 +155,17 @@
             RaftRole::Leader(_) => self.tick_leader(),
             RaftRole::Halted => {}
             RaftRole::Follower | RaftRole::PreCandidate(_) | RaftRole::Candidate(_) => {
-                if self.now >= self.election_at {
+                if self.now >= self.election_deadline {
                     self.become_pre_candidate();
                 }
             }
         }
     }
 
-    /// Handles a message of another member.
+    /// Handles a message from another member.
     pub fn receive(&mut self, now: Micros, from: MemberId, message: Message) {
         self.advance_clock(now);
-        if self.is_halted() || from == self.id || self.ignores_election(&message) {
+        if self.is_halted() || from == self.id || self.ignores_vote_request(&message) {
             return;
         }
         if let Some(term) = message.term().filter(|term| *term > self.term) {
@@ -183,25 +190,25 @@
         }
     }
 
-    /// Time never goes back.
+    /// Sets the current time. An earlier time than the current one is ignored.
     pub(crate) fn advance_clock(&mut self, now: Micros) {
         self.now = self.now.max(now);
     }
 
-    /// The last entry that the member's own storage is known to hold.
+    /// Returns the last entry that is durable in this member's own storage.
     pub(crate) fn durable_index(&self) -> Index {
         self.writes.durable_index()
     }
 
-    /// The state that decides what the member does next, apart from random numbers, for model checking: times
-    /// are replaced by what they mean now.
+    /// Returns a text that is equal for states with the same behavior, for model checking. Random numbers are
+    /// left out, and times are replaced by whether their timeout has passed.
     #[doc(hidden)]
     pub fn fingerprint(&self) -> String {
         let mut role = self.role.clone();
         if let RaftRole::Leader(state) = &mut role {
             for progress in state.followers.values_mut() {
-                let silent = self.now >= progress.heard_at + self.settings.election_timeout;
-                progress.heard_at = u64::from(silent);
+                let timed_out = self.now >= progress.last_response_at + self.settings.election_timeout;
+                progress.last_response_at = u64::from(timed_out);
                 progress.sent_at = 0;
                 progress.awaiting_since = progress.awaiting_since.map(|_| 0);
             }
--- a/crates/stepspur-consensus/src/raft_output.rs
+++ b/crates/stepspur-consensus/src/raft_output.rs
@@ -1,4 +1,4 @@
-//! What Raft's state machine requests of its caller.
+//! The outputs of a [`RaftNode`](crate::RaftNode).
 
 use std::sync::Arc;
 
@@ -9,35 +9,37 @@
 use crate::raft_event::RaftEvent;
 use crate::raft_log::{Entry, Snapshot};
 
-/// Something to do. Outputs are done in the order given.
+/// An action that a [`RaftNode`](crate::RaftNode) requests of its caller. The caller carries out outputs in
+/// the order in which they are returned.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RaftOutput {
     /// Send a message to a member.
     Send {
-        /// The receiver.
+        /// The receiving member.
         to: MemberId,
-        /// The message.
+        /// The message to send.
         message: Message,
     },
     /// Write to stable storage, then call [`RaftNode::on_persisted`](crate::RaftNode::on_persisted).
     Persist(WriteRequest),
-    /// An entry is committed: apply it to the state machine.
+    /// Apply a committed entry to the state machine. Entries come in the order of the log.
     Apply(Entry),
     /// Replace the state machine's state by a snapshot.
     RestoreSnapshot(Arc<Snapshot>),
-    /// A read index: the member led after the request, and all entries up to `index` were committed before
-    /// it.
+    /// A read request is confirmed (thesis 6.4): a majority has confirmed since the request that the member
+    /// leads. A read that has applied the entries up to `index` sees all that was committed before the
+    /// request.
     ReadIndex {
-        /// The request.
+        /// The confirmed request.
         request: ReadRequestId,
-        /// The last committed entry.
+        /// The leader's commit index at the confirmation.
         index: Index,
     },
     /// The member lost its leadership before it could confirm a read request.
     ReadAborted {
-        /// The request.
+        /// The request that will not be confirmed.
         request: ReadRequestId,
     },
-    /// Something to log.
+    /// Write an event to the log.
     Event(RaftEvent),
 }
--- a/crates/stepspur-consensus/src/raft_role.rs
+++ b/crates/stepspur-consensus/src/raft_role.rs
@@ -1,22 +1,23 @@
-//! The part that a member plays in its term.
+//! A member's Raft state: follower, candidate or leader (paper 5.1).
 
 use std::collections::BTreeSet;
 
 use crate::ids::MemberId;
 use crate::leader_state::LeaderState;
 
-/// The part that a member plays in its term.
+/// A member's Raft state in its current term (paper, figure 4). It has nothing to do with the named roles of
+/// [`RoleTable`](crate::RoleTable).
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) enum RaftRole {
-    /// It follows a leader, or waits for one.
+    /// The member follows a leader, or knows none.
     Follower,
-    /// It asks who would vote for it in the next term (pre-vote, thesis 9.6), with the votes so far.
+    /// The member collects pre-votes for the next term (thesis 9.6). Holds the members that have granted one.
     PreCandidate(BTreeSet<MemberId>),
-    /// It is a candidate of its term, with the votes so far.
+    /// The member is a candidate in its term. Holds the members that have voted for it.
     Candidate(BTreeSet<MemberId>),
-    /// It leads.
+    /// The member is the leader of its term.
     Leader(LeaderState),
-    /// It leads and votes no more until it is restarted. After a storage failure it still follows; after an
-    /// entry that it cannot apply it does not.
+    /// The member neither leads nor votes until it is restarted, after a storage failure or an entry that it
+    /// cannot apply. After a storage failure it still fetches and applies committed entries.
     Halted,
 }
--- a/crates/stepspur-consensus/src/replication.rs
+++ b/crates/stepspur-consensus/src/replication.rs
@@ -1,5 +1,4 @@
-//! Log replication: proposals, entries and heartbeats to followers, and the commit index (paper 5.3 and
-//! 5.4.2).
+//! Log replication: proposals, AppendEntries to followers, and the commit index (paper 5.3 and 5.4.2).
 
 use bytes::Bytes;
 
@@ -13,17 +12,19 @@
 use crate::raft_output::RaftOutput;
 use crate::raft_role::RaftRole;
 
-/// Whether a message is due even if there is nothing new to replicate.
+/// When `send_append` sends a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SendMode {
-    /// Only new entries, and only if none are awaiting an answer.
+    /// Only if there are new entries and no others await a response.
     IfNew,
-    /// Always: without new entries the message is a heartbeat.
+    /// Always. Without new entries the message is a heartbeat.
     Always,
 }
 
 impl RaftNode {
-    /// Appends a command to the leader's log. [`RaftOutput::Apply`] follows once it is committed.
+    /// Appends a command to the leader's log and returns the index of its entry. [`RaftOutput::Apply`]
+    /// follows once it is committed. If the member loses its leadership before that, another leader may
+    /// overwrite the entry.
     ///
     /// # Errors
     /// [`RequestError::NotLeader`], [`RequestError::TooManyPending`], [`RequestError::CommandTooLarge`], and
@@ -48,7 +49,7 @@
         Ok(index)
     }
 
-    /// A leader's timeouts: check-quorum (thesis 6.2), heartbeats, and changes in progress.
+    /// Handles a leader's timeouts: check-quorum (thesis 6.2), heartbeats, and changes in progress.
     pub(crate) fn tick_leader(&mut self) {
         let RaftRole::Leader(state) = &self.role else { return };
         if !self.is_quorum_alive(state) {
@@ -66,27 +67,29 @@
         self.update_catch_up();
     }
 
-    /// True: a majority of the voters has answered within the last election timeout.
+    /// Returns true if a majority of the voters, including the leader, has responded within the last election
+    /// timeout.
     fn is_quorum_alive(&self, state: &LeaderState) -> bool {
         let voters = self.log.voters();
         let timeout = self.settings.election_timeout;
-        let answered = |voter: &MemberId| {
-            state.followers.get(voter).is_some_and(|progress| self.now < progress.heard_at + timeout)
+        let has_responded = |voter: &MemberId| {
+            state.followers.get(voter).is_some_and(|progress| self.now < progress.last_response_at + timeout)
         };
-        let alive = voters.iter().filter(|voter| **voter == self.id || answered(voter)).count();
-        alive * 2 > voters.len()
+        let responsive = voters.iter().filter(|voter| **voter == self.id || has_responded(voter)).count();
+        responsive * 2 > voters.len()
     }
 
-    /// Sends a heartbeat or entries to every member.
+    /// Starts a heartbeat round: sends entries or a heartbeat to every follower. Responses with the round's
+    /// number confirm that the member was still the leader at its start.
     pub(crate) fn start_heartbeat_round(&mut self) {
         let RaftRole::Leader(state) = &mut self.role else { return };
         state.round += 1;
         self.send_to_followers(SendMode::Always);
-        // A single voter is its own majority.
+        // A single voter is a majority by itself.
         self.confirm_reads();
     }
 
-    /// Sends new entries to every member that is not awaited.
+    /// Sends new entries to every follower that has none awaiting a response.
     pub(crate) fn replicate(&mut self) {
         self.send_to_followers(SendMode::IfNew);
         self.maybe_commit();
@@ -100,8 +103,9 @@
         }
     }
 
-    /// Sends entries to a member, or a part of the snapshot if the log no longer has the entries that it
-    /// needs. One batch is in flight at a time; what stays unanswered for a heartbeat interval is sent again.
+    /// Sends entries to a follower, or a snapshot chunk if the log no longer has the entries that it needs.
+    /// At most one batch is in flight per follower; it is sent again after a heartbeat interval without a
+    /// response.
     pub(crate) fn send_append(&mut self, member: MemberId, mode: SendMode) {
         let now = self.now;
         let interval = self.settings.heartbeat_interval;
@@ -126,7 +130,8 @@
         }
     }
 
-    /// The entries after `previous`, none while others are awaiting an answer.
+    /// Returns an AppendEntries message with the entries after `previous`, or a heartbeat while other entries
+    /// await a response.
     fn next_entries(&mut self, member: MemberId, previous: LogPosition) -> Option<Message> {
         let RaftRole::Leader(state) = &mut self.role else { return None };
         let progress = state.followers.get_mut(&member)?;
@@ -139,7 +144,7 @@
         }
         progress.snapshot = None;
         let last_sent = entries.last().map_or(previous.index, |entry| entry.index);
-        progress.announced_commit = progress.announced_commit.max(self.commit.min(last_sent));
+        progress.sent_commit = progress.sent_commit.max(self.commit.min(last_sent));
         Some(Message::AppendEntries(AppendEntries {
             term: self.term,
             previous,
@@ -149,7 +154,8 @@
         }))
     }
 
-    /// A leader's entries have come.
+    /// Handles entries or a heartbeat of a leader. A message of an older term is rejected, and the sender
+    /// learns the current term by the response.
     pub(crate) fn handle_append_entries(&mut self, from: MemberId, append: AppendEntries) {
         let (matched, index) = if self.follow_leader(append.term, from) {
             self.append_from_leader(&append)
@@ -160,16 +166,17 @@
         self.send(from, Message::AppendEntriesResponse(response));
     }
 
-    /// Appends a leader's entries if the log has the one before them; gives the answer's `matched` and
-    /// `index`.
+    /// Appends a leader's entries if the log contains the entry before them (paper 5.3). Returns the
+    /// response's
+    /// `matched` and `index`.
     fn append_from_leader(&mut self, append: &AppendEntries) -> (bool, Index) {
         let base = self.log.base().index;
         let previous = append.previous;
         if previous.index >= base && self.log.term_at(previous.index) != Some(previous.term) {
-            return (false, self.retry_after(previous.index));
+            return (false, self.mismatch_hint(previous.index));
         }
         let last_matched = append.entries.last().map_or(previous.index, |entry| entry.index).max(base);
-        // Entries that the snapshot covers are committed, hence the same.
+        // Entries that the snapshot covers are committed, so they equal the leader's.
         let entries = append.entries.iter().filter(|entry| entry.index > base).cloned();
         self.merge_entries(entries.collect());
         let committed = append.commit.min(last_matched);
@@ -179,9 +186,9 @@
         (true, last_matched)
     }
 
-    /// Where the leader tries again after a conflict at `previous`: after the log's end, or one entry before
-    /// the conflict (paper 5.3).
-    fn retry_after(&self, previous: Index) -> Index {
+    /// Returns the entry after which the leader sends next, when the log has no matching entry at `previous`:
+    /// the log's last one, or the one before the conflict (paper 5.3).
+    fn mismatch_hint(&self, previous: Index) -> Index {
         if previous > self.log.last_index() {
             self.log.last_index()
         } else {
@@ -189,6 +196,7 @@
         }
     }
 
+    /// Merges a leader's entries into the log, and reports new voters.
     fn merge_entries(&mut self, entries: Vec<Entry>) {
         let voters_before = self.log.voters().clone();
         if let Some(first_changed) = self.log.merge(entries) {
@@ -199,7 +207,7 @@
         }
     }
 
-    /// A member has answered [`AppendEntries`].
+    /// Handles a follower's response to [`AppendEntries`].
     pub(crate) fn handle_append_entries_response(
         &mut self,
         from: MemberId,
@@ -225,17 +233,18 @@
         self.announce_commit(from);
     }
 
-    /// Notifies a member that entries which it has just confirmed are committed: it would otherwise apply
-    /// them only with the next heartbeat.
+    /// Sends the commit index to a follower that has just confirmed committed entries. Otherwise it would
+    /// apply them only at the next heartbeat.
     fn announce_commit(&mut self, member: MemberId) {
         let RaftRole::Leader(state) = &self.role else { return };
         let Some(progress) = state.followers.get(&member) else { return };
-        if progress.announced_commit < self.commit.min(progress.match_index) {
+        if progress.sent_commit < self.commit.min(progress.match_index) {
             self.send_append(member, SendMode::Always);
         }
     }
 
-    /// Commits entries that a majority holds, if the last of them is of the current term (paper 5.4.2).
+    /// Commits the entries that a majority of the voters has stored, if the last of them is of the current
+    /// term. Entries of older terms are never committed by counting replicas alone (paper 5.4.2).
     pub(crate) fn maybe_commit(&mut self) {
         let RaftRole::Leader(state) = &self.role else { return };
         let voters = self.log.voters();
@@ -246,12 +255,13 @@
         let Some(majority) = majority else { return };
         if majority > self.commit && self.log.term_at(majority) == Some(self.term) {
             self.commit_up_to(majority);
-            // Followers learn the commit index at once, not with the next heartbeat.
+            // Sends the commit index at once instead of with the next heartbeat.
             self.start_heartbeat_round();
             self.on_voters_committed();
         }
     }
 
+    /// Advances the commit index and outputs the newly committed entries.
     fn commit_up_to(&mut self, index: Index) {
         let count = (index.0 - self.commit.0) as usize;
         for entry in self.log.entries_from(self.commit.next(), count) {
@@ -260,7 +270,7 @@
         self.commit = index;
     }
 
-    /// Appends an entry of the current term to the leader's log.
+    /// Appends an entry of the current term to the leader's log and returns its index.
     pub(crate) fn append_entry(&mut self, payload: Payload) -> Index {
         let changes_voters = matches!(payload, Payload::Voters(_));
         let entry = self.log.append(self.term, payload);
--- a/crates/stepspur-consensus/src/roles.rs
+++ b/crates/stepspur-consensus/src/roles.rs
@@ -1,4 +1,4 @@
-//! The replicated state of named roles: who holds each, and by which fencing token.
+//! The replicated state of named roles: the holder of each role and its fencing token.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -8,11 +8,11 @@
 
 use crate::ids::{Index, MemberId, Micros};
 
-/// The longest name of a role, in bytes.
-const MAX_NAME_BYTES: usize = 128;
-/// An invalid name is reported up to this many characters.
-const MAX_REPORTED_CHARS: usize = 200;
-/// The highest number of roles; further ones are not declared.
+/// The maximum length of a role's name, in bytes.
+const MAX_ROLE_NAME_BYTES: usize = 128;
+/// An error quotes at most this many characters of an invalid name.
+const MAX_QUOTED_NAME_CHARS: usize = 200;
+/// The maximum number of roles in a table; further ones are not declared.
 pub const MAX_ROLES: usize = 10_000;
 
 /// A role's name: 1 to 128 bytes without control characters, such as `probe/north`.
@@ -20,26 +20,26 @@
 #[serde(try_from = "String", into = "String")]
 pub struct RoleName(String);
 
-/// A text that is no role's name.
+/// The text is not a valid role name. Holds the beginning of the text.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a role's name has 1 to 128 bytes, none of them a control character: `{0}`")]
+#[error("invalid role name `{0}`: expected 1 to 128 bytes without control characters")]
 pub struct InvalidRoleName(String);
 
 impl RoleName {
-    /// Checks a name.
+    /// Validates a name.
     ///
     /// # Errors
-    /// [`InvalidRoleName`] if it is empty, too long or has a control character.
+    /// [`InvalidRoleName`] if it is empty, longer than 128 bytes or contains a control character.
     pub fn new(name: &str) -> Result<Self, InvalidRoleName> {
-        let valid = (1..=MAX_NAME_BYTES).contains(&name.len()) && !name.chars().any(char::is_control);
+        let valid = (1..=MAX_ROLE_NAME_BYTES).contains(&name.len()) && !name.chars().any(char::is_control);
         if valid {
             Ok(Self(name.to_owned()))
         } else {
-            Err(InvalidRoleName(name.chars().take(MAX_REPORTED_CHARS).collect()))
+            Err(InvalidRoleName(name.chars().take(MAX_QUOTED_NAME_CHARS).collect()))
         }
     }
 
-    /// The name as text.
+    /// Returns the name as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -65,9 +65,10 @@
     }
 }
 
-/// A fencing token, which rises with every grant of a role.
+/// A role's fencing token, which increases with every grant of the role.
 ///
 /// It is the index of the grant's log entry, so neither a snapshot nor a restart of all members can lower it.
+/// 0 stands for a role that was never granted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct FencingToken(pub u64);
 
@@ -80,73 +81,75 @@
 /// A role's replicated state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Role {
-    /// How long its holder may act without a renewal, by the holder's clock.
+    /// How long the holder may act without a renewal, in microseconds by the holder's clock.
     pub lease: Micros,
-    /// The member that it was granted to last, until it is released. Its lease may have expired or be
-    /// revoked: only the member itself knows whether it may act.
+    /// The member to which the role was granted last; `None` before the first grant and after a release. Its
+    /// lease may have expired: only the member itself knows whether it may act.
     pub holder: Option<MemberId>,
-    /// The token of the last grant; 0 before the first.
+    /// The fencing token of the last grant; 0 before the first.
     pub token: FencingToken,
-    /// True: its holder cannot renew the lease any more.
+    /// Whether the lease was revoked. The holder can no longer renew it.
     pub revoked: bool,
 }
 
-/// A command for the replicated roles. The encoding is JSON with the names of earlier versions.
+/// A command for the replicated roles, stored in the log as JSON with the names of earlier versions.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RoleCommand {
     /// Adds a role, or shortens the lease of an existing one.
     Declare {
-        /// Its name.
+        /// The role to add or change.
         #[serde(rename = "duty")]
         role: RoleName,
-        /// Its lease.
+        /// The lease's duration, in microseconds. A longer one than before has no effect.
         lease: Micros,
     },
-    /// Grants free roles to members. A leader proposes it.
+    /// Grants available roles to members. Only a leader proposes it.
     Grant {
-        /// The grants.
+        /// The roles to grant and their new holders.
         grants: Vec<RoleGrant>,
     },
-    /// A holder that has stopped acting transfers its role to another member.
+    /// Transfers a role from its holder, which must have stopped acting, to another member.
     #[serde(rename = "HandOn")]
     Transfer {
-        /// The role.
+        /// The role to transfer.
         #[serde(rename = "duty")]
         role: RoleName,
-        /// The holder's token.
+        /// The holder's token. The command has no effect if the role was granted again since.
         token: FencingToken,
-        /// The next holder.
+        /// The new holder.
         to: MemberId,
     },
-    /// A holder that has stopped acting releases its role.
+    /// Releases a role, whose holder must have stopped acting.
     #[serde(rename = "GiveUp")]
     Release {
-        /// The role.
+        /// The role to release.
         #[serde(rename = "duty")]
         role: RoleName,
-        /// The holder's token.
+        /// The holder's token. The command has no effect if the role was granted again since.
         token: FencingToken,
     },
-    /// Lets a role's lease run out: its holder cannot renew it any more.
+    /// Ends the renewal of a role's lease. A holder that has not applied the revocation yet may act until the
+    /// lease expires.
     Revoke {
-        /// The role.
+        /// The role whose lease is no longer renewed.
         #[serde(rename = "duty")]
         role: RoleName,
     },
-    /// Removes a role.
+    /// Removes a role from the table.
     #[serde(rename = "Drop")]
     Remove {
-        /// The role.
+        /// The role to remove.
         #[serde(rename = "duty")]
         role: RoleName,
     },
 }
 
-/// The grant of a role. It has no effect if the role's token is not the expected one any more.
+/// The grant of a role to a member. It has no effect if the role's token is no longer the expected one, as
+/// the role was granted to another member in the meantime.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "EncodedGrant", into = "EncodedGrant")]
 pub struct RoleGrant {
-    /// The role.
+    /// The role to grant.
     pub role: RoleName,
     /// The role's token when the grant was proposed.
     pub expected_token: FencingToken,
@@ -154,7 +157,7 @@
     pub holder: MemberId,
 }
 
-/// A grant's form in the log.
+/// A grant as the log stores it: a JSON array of its role, expected token and holder.
 type EncodedGrant = (RoleName, FencingToken, MemberId);
 
 impl From<EncodedGrant> for RoleGrant {
@@ -170,81 +173,83 @@
 }
 
 impl RoleCommand {
-    /// The command's form in the log.
+    /// Encodes the command for a log entry.
     pub fn encode(&self) -> Bytes {
-        // Maps with text keys and numbers: JSON can encode all of them.
+        // Encoding cannot fail, as the command holds only numbers and maps with text keys.
         serde_json::to_vec(self).unwrap_or_default().into()
     }
 
-    /// Decodes a command of the log; none if it is invalid.
+    /// Decodes a command of a log entry; `None` if it is invalid.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         serde_json::from_slice(bytes).ok()
     }
 }
 
-/// What a command changed.
+/// The effect of a command on a role.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RoleChange {
     /// A role has a new holder.
     Granted {
-        /// The role.
+        /// The granted role.
         role: RoleName,
-        /// The holder.
+        /// The new holder.
         holder: MemberId,
-        /// The holder's token.
+        /// The new holder's token.
         token: FencingToken,
-        /// The holder before.
+        /// The holder before the grant; `None` if there was none.
         previous_holder: Option<MemberId>,
     },
-    /// A role has no holder any more.
+    /// A role was released or removed, and has no holder.
     Released {
-        /// The role.
+        /// The released or removed role.
         role: RoleName,
-        /// The holder before.
+        /// The holder before the release; `None` if there was none.
         previous_holder: Option<MemberId>,
     },
-    /// A role's holder cannot renew its lease any more.
+    /// A role's lease was revoked. The holder can no longer renew it.
     Revoked {
-        /// The role.
+        /// The revoked role.
         role: RoleName,
     },
 }
 
-/// All roles. Every member comes to the same table by the same log entries.
+/// The replicated table of all roles. Every member reaches the same table by the same log entries.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RoleTable {
     #[serde(rename = "duties")]
     roles: BTreeMap<RoleName, Role>,
     applied: Index,
+    /// Counts entries whose command could not be decoded.
     #[serde(rename = "nonsense")]
     invalid_commands: u64,
 }
 
 impl RoleTable {
-    /// The last entry that was applied or skipped.
+    /// Returns the index of the last entry that was applied or skipped.
     pub fn applied(&self) -> Index {
         self.applied
     }
 
-    /// A role.
+    /// Returns a role's state; `None` if it is not declared.
     pub fn get(&self, name: &RoleName) -> Option<&Role> {
         self.roles.get(name)
     }
 
-    /// All roles, by name.
+    /// Iterates over all roles in the order of their names.
     pub fn iter(&self) -> impl Iterator<Item = (&RoleName, &Role)> {
         self.roles.iter()
     }
 
-    /// The table's form in a snapshot.
+    /// Encodes the table for a snapshot, as JSON.
     pub fn encode(&self) -> Bytes {
         serde_json::to_vec(self).unwrap_or_default().into()
     }
 
-    /// Decodes the table of a snapshot at an index. Empty bytes decode to the empty table of a new group.
+    /// Decodes the table of a snapshot that covers the entries up to `at`. Empty bytes decode to the empty
+    /// table of a new group.
     ///
     /// # Errors
-    /// The bytes are no table.
+    /// The JSON error if the bytes are not a table.
     pub fn decode(bytes: &[u8], at: Index) -> Result<Self, serde_json::Error> {
         if bytes.is_empty() {
             return Ok(Self { applied: at, ..Self::default() });
@@ -252,12 +257,12 @@
         serde_json::from_slice(bytes)
     }
 
-    /// Skips an entry that holds no command for roles.
+    /// Records that an entry without a command for roles was processed.
     pub fn skip(&mut self, index: Index) {
         self.applied = index;
     }
 
-    /// Applies an entry's command. An invalid one changes nothing and is counted.
+    /// Applies an entry's command and returns the changes of roles. An invalid command is only counted.
     pub fn apply(&mut self, index: Index, command: &[u8]) -> Vec<RoleChange> {
         self.applied = index;
         let Some(command) = RoleCommand::decode(command) else {
@@ -291,7 +296,8 @@
             return;
         }
         let new = Role { lease, holder: None, token: FencingToken::default(), revoked: false };
-        // A shorter lease is safe. A longer one would outlast what the holder's last renewal was granted by.
+        // A shorter lease is safe. A longer one would let the holder act for longer than its last renewal was
+        // granted for.
         self.roles.entry(name).and_modify(|role| role.lease = role.lease.min(lease)).or_insert(new);
     }
 
@@ -316,6 +322,7 @@
         Some(RoleChange::Revoked { role: name })
     }
 
+    /// Returns a role if its current token is `token`.
     fn with_token(&mut self, name: &RoleName, token: FencingToken) -> Option<&mut Role> {
         self.roles.get_mut(name).filter(|role| role.token == token)
     }
--- a/crates/stepspur-consensus/src/state_machine.rs
+++ b/crates/stepspur-consensus/src/state_machine.rs
@@ -1,36 +1,39 @@
-//! Replicated state beside the roles: changed by the same entries at every member.
+//! The trait of replicated state other than the roles.
 
 use bytes::Bytes;
 
 use crate::ids::{Index, LogPosition};
 
-/// The first byte of a log command for a [`StateMachine`]; commands for roles are JSON.
-pub(crate) const STATE_MACHINE_COMMAND: u8 = 1;
+/// The first byte of a log command for a [`StateMachine`]. Commands for roles are JSON objects, which begin
+/// with `{`.
+pub(crate) const STATE_MACHINE_COMMAND_TAG: u8 = 1;
 
-/// A deterministic state machine: every member comes to the same state by the same entries, so that no clock,
-/// random number, float or hash order may decide in it.
+/// A replicated state machine. It must be deterministic, as every member must reach the same state by the
+/// same entries: no clock, random number, floating-point result or hash order may affect it.
 pub trait StateMachine {
     /// Applies the command of the entry at this position.
     ///
     /// # Errors
-    /// Why the command is unknown to this program: the member halts before the entry, and applies none after
-    /// it.
+    /// Says why this program cannot apply the command, for example as a newer version wrote it. The member
+    /// halts before the entry and applies none after it.
     fn apply(&mut self, position: LogPosition, command: &[u8]) -> Result<(), String>;
 
-    /// The state's form in a snapshot; no bytes if there is no state.
+    /// Encodes the state for a snapshot; empty if there is no state.
     fn encode(&self) -> Bytes;
 
-    /// Replaces the state by that of a snapshot; empty bytes encode the state of a new group.
+    /// Replaces the state by that of a snapshot which covers the entries up to `index`. Empty bytes encode
+    /// the state of a new group.
     ///
     /// # Errors
-    /// What is wrong with the bytes, or why they are unknown to this program. The state is unchanged then.
+    /// Says what is wrong with the bytes, or why this program cannot read them. The state must be unchanged
+    /// then.
     fn restore(&mut self, index: Index, state: &[u8]) -> Result<(), String>;
 }
 
-/// No state beside the roles.
+/// The state machine of a group that replicates nothing but the roles: it rejects all commands.
 impl StateMachine for () {
     fn apply(&mut self, _: LogPosition, _: &[u8]) -> Result<(), String> {
-        Err("a command of books, and this program keeps none".to_owned())
+        Err("the command is for a state machine, and this program has none".to_owned())
     }
 
     fn encode(&self) -> Bytes {
@@ -38,6 +41,10 @@
     }
 
     fn restore(&mut self, _: Index, state: &[u8]) -> Result<(), String> {
-        if state.is_empty() { Ok(()) } else { Err("it holds books, and this program keeps none".to_owned()) }
+        if state.is_empty() {
+            Ok(())
+        } else {
+            Err("the snapshot holds state machines, and this program has none".to_owned())
+        }
     }
 }
