--- a/crates/stepspur-consensus/src/fencing.rs
+++ b/crates/stepspur-consensus/src/fencing.rs
@@ -1,25 +1,25 @@
-//! The receiving side of fencing tokens: the highest token of a role counts, lower ones are rejected.
+//! The receiving side of fencing tokens: rejects orders with a lower token than the highest one seen.
 
 use std::collections::BTreeMap;
 
 use crate::roles::{FencingToken, RoleName};
 
-/// An order of a former holder: it was delayed between its check of the lease and its act, and another member
-/// has acted since.
+/// An order of a role's former holder was rejected. It was delayed after the holder checked its lease, and a
+/// later holder has sent orders since.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{role}: token {token} is lower than {highest}, which was seen")]
+#[error("stale fencing token {token} for role {role}: the highest token seen is {highest}")]
 pub struct StaleToken {
-    /// The role.
+    /// The role that the order is for.
     pub role: RoleName,
-    /// The order's token.
+    /// The token of the order.
     pub token: FencingToken,
-    /// The highest token seen.
+    /// The highest token seen for the role.
     pub highest: FencingToken,
 }
 
-/// The highest token seen of each role.
+/// Records the highest fencing token seen for each role, at a receiver of orders.
 ///
-/// A receiver of orders must keep it for as long as orders with lower tokens may be on their way.
+/// The receiver must retain it for as long as delayed orders with lower tokens may arrive.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Fence {
     highest: BTreeMap<RoleName, FencingToken>,
@@ -27,10 +27,10 @@
 }
 
 impl Fence {
-    /// Checks an order's token, and records it.
+    /// Checks the token of an order for a role, and records it as the highest one.
     ///
     /// # Errors
-    /// [`StaleToken`] if a higher one was seen.
+    /// [`StaleToken`] if a higher one was seen for the role.
     pub fn check(&mut self, role: &RoleName, token: FencingToken) -> Result<(), StaleToken> {
         let highest = self.highest.entry(role.clone()).or_default();
         if token < *highest {
@@ -41,7 +41,7 @@
         Ok(())
     }
 
-    /// Orders rejected so far.
+    /// Returns the number of orders rejected so far.
     pub fn rejected(&self) -> u64 {
         self.rejected
     }
--- a/crates/stepspur-consensus/src/leader_state.rs
+++ b/crates/stepspur-consensus/src/leader_state.rs
@@ -1,4 +1,4 @@
-//! A leader's state during its term (paper, figure 2: volatile state on leaders).
+//! A leader's volatile state (paper, figure 2).
 
 use std::collections::BTreeMap;
 
@@ -7,20 +7,22 @@
 use crate::progress::Progress;
 use crate::raft_log::Voters;
 
-/// A leader's state during its term.
+/// A leader's volatile state, which starts empty with each term that it leads.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct LeaderState {
-    /// The other members that it replicates to.
+    /// The progress of the members that the leader replicates to: the other voters, and a member that catches
+    /// up.
     pub(crate) followers: BTreeMap<MemberId, Progress>,
-    /// Its first entry. Once that is committed, it knows all committed entries (paper 8).
+    /// The leader's first entry of its term. Once that is committed, the leader knows all committed entries
+    /// (paper 8).
     pub(crate) first_index: Index,
-    /// The number of the newest heartbeat round.
+    /// The number of the current heartbeat round; 0 before the first one.
     pub(crate) round: u64,
-    /// Read requests that are not confirmed yet.
+    /// Read requests that no majority has confirmed yet.
     pub(crate) pending_reads: PendingReads,
-    /// A leadership transfer in progress.
+    /// The leadership transfer in progress, if any.
     pub(crate) transfer: Option<LeadershipTransfer>,
-    /// A member that catches up before it becomes a voter.
+    /// The member that catches up before it becomes a voter, if any.
     pub(crate) catch_up: Option<CatchUp>,
 }
 
@@ -29,16 +31,17 @@
 pub(crate) struct LeadershipTransfer {
     /// The next leader.
     pub(crate) to: MemberId,
-    /// When the leader gives up and takes proposals again.
+    /// When the leader ends the transfer and accepts proposals again.
     pub(crate) expires_at: Micros,
 }
 
-/// A member that catches up before it becomes a voter (thesis 4.2.1).
+/// A member that catches up in rounds before it becomes a voter (thesis 4.2.1). A round replicates all
+/// entries that the leader's log has at the round's start.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct CatchUp {
-    /// The member.
+    /// The member that is to become a voter.
     pub(crate) member: MemberId,
-    /// The entry that ends the current round.
+    /// The last entry of the current round.
     pub(crate) target: Index,
     /// When the current round started.
     pub(crate) round_started_at: Micros,
@@ -47,7 +50,8 @@
 }
 
 impl LeaderState {
-    /// The highest value that a majority of the voters has reached; `own` is the leader's.
+    /// Returns the highest value that a majority of the voters has reached; `None` without voters.
+    /// `own` is the leader's value, and `of_follower` returns that of another voter.
     pub(crate) fn reached_by_majority<T: Copy + Ord>(
         &self,
         voters: &Voters,
--- a/crates/stepspur-consensus/src/lease.rs
+++ b/crates/stepspur-consensus/src/lease.rs
@@ -1,12 +1,13 @@
-//! Both sides of the leases on roles.
+//! Leases on roles: the granting side at the leader, and the holding side at each member.
 //!
-//! The holder counts a lease from when it requested the renewal, less the clock drift. The grantor waits
-//! for the lease and the drift from when the request came. So the next holder begins after the last one has
-//! stopped, whatever was lost, late or stalled between them.
+//! The holder counts a lease from when it sent the renewal request, shortened by the clock drift. The grantor
+//! counts it from when the request arrived, extended by the clock drift, and grants the role to another
+//! member only after that. So the next holder starts after the last one has stopped, whichever messages were
+//! lost or late and whichever member was stalled.
 //!
-//! A renewal is one message for all roles of a holder, and nothing of it is persisted: a leader grants it
-//! once a majority has confirmed its leadership after the request, and a new leader waits for all leases that
-//! the old one may have granted.
+//! One renewal request covers all roles of a holder, and nothing is persisted for it. A leader grants it once
+//! a majority has confirmed its leadership after the request. A new leader waits for all leases that its
+//! predecessors may have granted.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -14,40 +15,43 @@
 use crate::roles::{FencingToken, Role, RoleChange, RoleName, RoleTable};
 use crate::settings::Settings;
 
-/// Renewals that may await an answer; the oldest is dropped first.
+/// The maximum number of renewal requests that await a response. Beyond it the oldest one is dropped, and a
+/// late response to it is ignored.
 const MAX_PENDING_RENEWALS: usize = 64;
 
-/// The granting side: what a leader knows of the holders. It starts empty with each leadership.
+/// The granting side of leases: when each role becomes available to another member. A leader starts with an
+/// empty one. Times are by the leader's clock.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LeaseGrantor {
-    /// Since when it leads.
+    /// When this member became the leader.
     leading_since: Micros,
-    /// When each member's last request to renew came.
+    /// When the last renewal request of each member was received.
     requested_at: BTreeMap<MemberId, Micros>,
-    /// When each role's grant was applied here.
+    /// When the last grant of each role was applied at the leader.
     granted_at: BTreeMap<RoleName, Micros>,
-    /// When each role's revocation was applied here.
+    /// When the revocation of each role was applied at the leader, if it was revoked during this leadership.
     revoked_at: BTreeMap<RoleName, Micros>,
 }
 
 impl LeaseGrantor {
-    /// The member becomes the leader.
+    /// Creates the state of a member that becomes the leader now.
     pub(crate) fn new(now: Micros) -> Self {
         Self { leading_since: now, ..Self::default() }
     }
 
-    /// A member requests a renewal. The request counts before a majority confirms it: otherwise a role might
-    /// be granted to another member in the meantime.
+    /// Records a member's renewal request. The request counts even before a majority has confirmed the
+    /// leadership: otherwise the role might be granted to another member in the meantime.
     pub(crate) fn on_renewal_request(&mut self, member: MemberId, now: Micros) {
         self.requested_at.insert(member, now);
     }
 
-    /// When a member's last request came.
+    /// Returns when the last renewal request of a member was received; `None` if there was none during this
+    /// leadership.
     pub(crate) fn last_request_at(&self, member: MemberId) -> Option<Micros> {
         self.requested_at.get(&member).copied()
     }
 
-    /// A change of a role was applied.
+    /// Records a change of a role that was applied.
     pub(crate) fn on_role_change(&mut self, change: &RoleChange, now: Micros) {
         match change {
             RoleChange::Granted { role, .. } => {
@@ -64,12 +68,16 @@
         }
     }
 
-    /// From when a role may be granted to another member: its holder's lease has ended by then.
+    /// Returns the time from which a role may be granted to another member, as the lease of its holder has
+    /// expired by then; 0 if the role has no holder.
+    ///
+    /// The lease may have started at the latest at the last renewal request, at the grant, or at the start of
+    /// this leadership, as the renewals of earlier leaders are unknown.
     pub(crate) fn available_at(&self, name: &RoleName, role: &Role, settings: &Settings) -> Micros {
         let Some(holder) = role.holder else { return 0 };
         let last_request = self.last_request_at(holder).unwrap_or(0);
-        // A revoked lease is not renewed after its revocation. If that was before this leadership,
-        // `leading_since` covers it.
+        // A revoked lease is not renewed after its revocation. If it was revoked before this leadership, its
+        // last renewal is earlier than `leading_since`.
         let last_renewal = match self.revoked_at.get(name) {
             Some(at) => last_request.min(*at),
             None if role.revoked => 0,
@@ -81,25 +89,26 @@
     }
 }
 
-/// A lease that the member holds.
+/// A member's lease on a role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeldLease {
-    /// Until when the member may act, by its own clock.
+    /// The time until which the member may act on the role, by its own clock.
     pub expires_at: Micros,
-    /// The token to send with each act.
+    /// The fencing token to send with each order.
     pub token: FencingToken,
 }
 
-/// The holding side: renewals that the member requested.
+/// The holding side of leases: a member's renewal requests and their responses. Times are by the member's
+/// clock.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LeaseHolder {
-    /// The number of the newest request.
+    /// The number of the newest request; 0 before the first.
     last_request: u64,
     /// Requests that were not granted yet, oldest first.
     pending: VecDeque<PendingRenewal>,
-    /// The newest request that was granted.
+    /// The newest request that was granted, if any.
     renewal: Option<Renewal>,
-    /// The newest request that was answered, granted or not.
+    /// The newest request with a response, granted or rejected; 0 before the first.
     last_answered: u64,
 }
 
@@ -112,12 +121,12 @@
 #[derive(Clone, Copy, Debug)]
 struct Renewal {
     requested_at: Micros,
-    /// The grantor had applied all entries up to this one.
+    /// The last entry that the grantor had applied.
     applied: Index,
 }
 
 impl LeaseHolder {
-    /// Starts a renewal, and gives the number of its request. The leases count from now.
+    /// Starts a renewal and returns the number of its request. If it is granted, the leases count from now.
     pub(crate) fn start_renewal(&mut self, now: Micros) -> u64 {
         self.last_request += 1;
         self.pending.push_back(PendingRenewal { request: self.last_request, requested_at: now });
@@ -127,17 +136,17 @@
         self.last_request
     }
 
-    /// A request was answered, granted or not.
+    /// Records a response to a request, granted or rejected.
     pub(crate) fn on_answer(&mut self, request: u64) {
         self.last_answered = self.last_answered.max(request.min(self.last_request));
     }
 
-    /// The newest request that was answered, granted or not; 0 before the first.
+    /// Returns the newest request with a response, granted or rejected; 0 before the first.
     pub(crate) fn last_answered(&self) -> u64 {
         self.last_answered
     }
 
-    /// A request was granted by a leader that had applied all entries up to `applied`.
+    /// Records that a leader granted a request after it had applied the entries up to `applied`.
     pub(crate) fn on_granted(&mut self, request: u64, applied: Index) {
         self.on_answer(request);
         let position = self.pending.iter().position(|pending| pending.request == request);
@@ -149,8 +158,9 @@
         }
     }
 
-    /// The lease by which a member may act on a role; none if it is not the holder, or cannot rule out that
-    /// it is not any more.
+    /// Returns a member's lease on a role, which may have expired. `None` if the member is not the holder,
+    /// the role is revoked, no renewal was granted yet, or the member may have lost the role by entries that
+    /// it has not applied.
     pub(crate) fn lease(
         &self,
         member: MemberId,
@@ -160,8 +170,8 @@
     ) -> Option<HeldLease> {
         let role = roles.get(name).filter(|role| role.holder == Some(member) && !role.revoked)?;
         let renewal = self.renewal?;
-        // The grantor counted all entries up to `applied`. A member that lacks some may have lost the role by
-        // them.
+        // The grantor renewed by its state at `applied`. A member that has not applied all entries up to
+        // there may have lost the role by one of them.
         if roles.applied() < renewal.applied {
             return None;
         }
--- a/crates/stepspur-consensus/src/membership.rs
+++ b/crates/stepspur-consensus/src/membership.rs
@@ -11,29 +11,33 @@
 use crate::raft_output::RaftOutput;
 use crate::raft_role::RaftRole;
 
-/// A new voter must catch up within this many rounds of replication (thesis 4.2.1).
+/// A new member must catch up within this many rounds of replication, or it is not added (thesis 4.2.1).
 const MAX_CATCH_UP_ROUNDS: u32 = 10;
 
-/// A change of the voters, one at a time (thesis 4.1).
+/// A change of the voters by one member. A second change may start only after the first one is committed
+/// (thesis 4.1).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MembershipChange {
-    /// The member becomes a voter once it has caught up.
+    /// Adds a voter once it has caught up with the leader's log.
     Add(MemberId),
-    /// The member is no voter any more.
+    /// Removes a voter.
     Remove(MemberId),
 }
 
 impl RaftNode {
-    /// Starts a change of the voters.
+    /// Starts a change of the voters. [`RaftEvent::VotersChanged`] reports its entry; if a new member does
+    /// not catch up, [`RaftEvent::CatchUpFailed`] follows.
     ///
     /// # Errors
-    /// [`RequestError::NotLeader`]; [`RequestError::ChangeInProgress`] until the last change is committed and
-    /// no transfer is in progress; [`RequestError::InvalidChange`] to add a voter, or remove a non-voter or
-    /// the last voter.
+    /// [`RequestError::NotLeader`]; [`RequestError::ChangeInProgress`] while an earlier change is not
+    /// committed
+    /// or a leadership transfer is in progress; [`RequestError::InvalidChange`] if the added member is a
+    /// voter already, or the removed one is not a voter or is the only one.
     pub fn change_membership(&mut self, now: Micros, change: MembershipChange) -> Result<(), RequestError> {
         self.advance_clock(now);
-        // Until the first entry of its term is committed, a change of another leader may be unknown here (the
-        // thesis' erratum to 4.1).
+        // A leader must have committed an entry of its term first: otherwise an uncommitted change of an
+        // earlier leader could overlap with this one, and two disjoint majorities could form (erratum to
+        // thesis 4.1).
         if !self.is_leader() {
             return Err(RequestError::NotLeader(self.leader()));
         }
@@ -49,12 +53,12 @@
         Ok(())
     }
 
-    /// Transfers the leadership to a voter, which campaigns at once when it has all entries (thesis 3.10).
-    /// The leader takes no proposals until then, for one election timeout at most.
+    /// Transfers the leadership to a voter, which starts an election as soon as it has all entries (thesis
+    /// 3.10). Until then the leader rejects proposals, for at most one election timeout.
     ///
     /// # Errors
     /// [`RequestError::NotLeader`], [`RequestError::ChangeInProgress`], and [`RequestError::InvalidChange`]
-    /// if the member is no voter or leads already.
+    /// if the member is not a voter or is the leader itself.
     pub fn transfer_leadership(&mut self, now: Micros, to: MemberId) -> Result<(), RequestError> {
         self.advance_clock(now);
         if !self.is_leader() {
@@ -80,7 +84,7 @@
         state.catch_up.is_some() || state.transfer.is_some()
     }
 
-    /// Replicates to a new member; it becomes a voter when it has caught up (thesis 4.2.1).
+    /// Starts to replicate to a new member. It becomes a voter once it has caught up (thesis 4.2.1).
     fn add_voter(&mut self, member: MemberId) -> Result<(), RequestError> {
         if self.log.voters().contains(&member) {
             return Err(RequestError::InvalidChange);
@@ -93,6 +97,7 @@
         Ok(())
     }
 
+    /// Appends an entry with the voters without `member`.
     fn remove_voter(&mut self, member: MemberId) -> Result<(), RequestError> {
         let mut voters = self.log.voters().clone();
         if voters.len() < 2 || !voters.remove(&member) {
@@ -102,7 +107,8 @@
         Ok(())
     }
 
-    /// Makes a new member a voter once one of its rounds took less than an election timeout (thesis 4.2.1).
+    /// Makes a new member a voter once one of its rounds took less than an election timeout. Ends the change
+    /// after [`MAX_CATCH_UP_ROUNDS`] rounds, or if a round takes that many election timeouts (thesis 4.2.1).
     pub(crate) fn update_catch_up(&mut self) {
         let now = self.now;
         let last_index = self.log.last_index();
@@ -119,8 +125,8 @@
             catch_up.round_started_at = now;
             catch_up.round += 1;
         }
-        let gives_up_at = catch_up.round_started_at + timeout * u64::from(MAX_CATCH_UP_ROUNDS);
-        if catch_up.round > MAX_CATCH_UP_ROUNDS || now > gives_up_at {
+        let deadline = catch_up.round_started_at + timeout * u64::from(MAX_CATCH_UP_ROUNDS);
+        if catch_up.round > MAX_CATCH_UP_ROUNDS || now > deadline {
             state.catch_up = None;
             state.followers.remove(&member);
             self.outputs.push_back(RaftOutput::Event(RaftEvent::CatchUpFailed { member }));
@@ -137,8 +143,8 @@
         self.replicate();
     }
 
-    /// Once a change of the voters is committed, a removed leader steps down, and removed members are no
-    /// followers any more (thesis 4.2.2).
+    /// Once a change of the voters is committed, a removed leader steps down, and a leader stops replicating
+    /// to removed members (thesis 4.2.2).
     pub(crate) fn on_voters_committed(&mut self) {
         if self.log.voters_index() > self.commit {
             return;
@@ -153,7 +159,7 @@
         }
     }
 
-    /// Lets the next leader campaign once it has all entries (thesis 3.10).
+    /// Sends TimeoutNow to the target of a leadership transfer once its log has all entries (thesis 3.10).
     pub(crate) fn maybe_send_timeout_now(&mut self) {
         let RaftRole::Leader(state) = &self.role else { return };
         let Some(transfer) = state.transfer else { return };
--- a/crates/stepspur-consensus/src/message.rs
+++ b/crates/stepspur-consensus/src/message.rs
@@ -128,7 +128,7 @@
             | Message::TimeoutNow { term } => Some(*term),
             Message::AppendEntries(append) => Some(append.term),
             Message::AppendEntriesResponse(response) => Some(response.term),
-            Message::InstallSnapshot(part) => Some(part.term),
+            Message::InstallSnapshot(chunk) => Some(chunk.term),
             Message::InstallSnapshotResponse(response) => Some(response.term),
         }
     }
--- a/crates/stepspur-consensus/src/partial_snapshot.rs
+++ b/crates/stepspur-consensus/src/partial_snapshot.rs
@@ -1,10 +1,10 @@
-//! A snapshot that is being received in parts.
+//! A snapshot that is being received in chunks (paper 7).
 
 use bytes::{Bytes, BytesMut};
 
 use crate::ids::LogPosition;
 
-/// A snapshot of which some parts have come.
+/// The chunks of a snapshot that were received so far, without gaps from its start.
 #[derive(Clone, Debug)]
 pub(crate) struct PartialSnapshot {
     last_included: LogPosition,
@@ -12,27 +12,27 @@
 }
 
 impl PartialSnapshot {
-    /// A snapshot of which no part has come yet.
+    /// Creates a snapshot without any chunk.
     pub(crate) fn new(last_included: LogPosition) -> Self {
         Self { last_included, bytes: BytesMut::new() }
     }
 
-    /// The last entry that the snapshot covers.
+    /// Returns the position of the last entry that the snapshot covers.
     pub(crate) fn last_included(&self) -> LogPosition {
         self.last_included
     }
 
-    /// The bytes that have come, which is also the offset of the next part.
+    /// Returns the number of received bytes, which is also the offset of the next chunk.
     pub(crate) fn size(&self) -> u64 {
         self.bytes.len() as u64
     }
 
-    /// Adds the next part.
-    pub(crate) fn append(&mut self, part: &[u8]) {
-        self.bytes.extend_from_slice(part);
+    /// Adds the next chunk.
+    pub(crate) fn append(&mut self, chunk: &[u8]) {
+        self.bytes.extend_from_slice(chunk);
     }
 
-    /// All bytes.
+    /// Returns the bytes of all chunks.
     pub(crate) fn into_bytes(self) -> Bytes {
         self.bytes.freeze()
     }
--- a/crates/stepspur-consensus/src/persistence.rs
+++ b/crates/stepspur-consensus/src/persistence.rs
@@ -1,4 +1,4 @@
-//! Writes to stable storage, and the messages that wait for them.
+//! Write requests to stable storage, and the messages that wait for their completion.
 
 use std::sync::Arc;
 
@@ -11,7 +11,8 @@
 use crate::raft_role::RaftRole;
 
 impl RaftNode {
-    /// All [`WriteRequest`]s up to this number are durable.
+    /// Handles the completion of all [`WriteRequest`]s up to this number: sends the messages that waited for
+    /// them, and counts the member's own vote or entries.
     pub fn on_persisted(&mut self, now: Micros, number: u64) {
         self.advance_clock(now);
         for held in self.writes.complete(number, self.log.last_index()) {
@@ -21,8 +22,8 @@
         self.maybe_commit();
     }
 
-    /// The storage has failed, or an entry cannot be applied: the member halts, as nothing that it has not
-    /// written yet may be promised.
+    /// Halts the member after its storage has failed, or if it cannot apply an entry. It steps down and drops
+    /// all messages that wait for a write, as it must not promise what is not durable.
     pub fn on_storage_failure(&mut self, reason: impl Into<String>) {
         self.step_down(StepDownReason::StorageFailed);
         self.role = RaftRole::Halted;
@@ -30,9 +31,11 @@
         self.outputs.push_back(RaftOutput::Event(RaftEvent::Halted { reason: reason.into() }));
     }
 
-    /// Sends a message once all that it depends on is durable.
+    /// Sends a message once all changes made so far are durable (paper 5.1: updated on stable storage before
+    /// responding to RPCs).
     ///
-    /// A leader's entries need not wait: it counts its own copy when that is durable (thesis 10.2.1).
+    /// A leader's entries and snapshot chunks are sent at once, in parallel with its own write: it counts its
+    /// own copy only when that is durable (thesis 10.2.1).
     pub(crate) fn send(&mut self, to: MemberId, message: Message) {
         let replicates = matches!(message, Message::AppendEntries(_) | Message::InstallSnapshot(_));
         let ready = if replicates && matches!(self.role, RaftRole::Leader(_)) {
@@ -45,7 +48,7 @@
         }
     }
 
-    /// Requests one write for all that has changed since the last one.
+    /// Requests one write for all changes of the persistent state since the last request, if there are any.
     pub(crate) fn request_write(&mut self) {
         let Some((number, changes)) = self.writes.start_write(self.now, self.log.last_index()) else {
             return;
@@ -59,7 +62,7 @@
             first_index: changes.first_index,
             entries: changes.first_index.map_or(Vec::new(), entries),
         };
-        // Before the other outputs of this step, as they may depend on it.
+        // The write precedes the other outputs of this step, as they may depend on it.
         self.outputs.push_front(RaftOutput::Persist(write));
     }
 }
--- a/crates/stepspur-consensus/src/persistent_state.rs
+++ b/crates/stepspur-consensus/src/persistent_state.rs
@@ -1,40 +1,42 @@
-//! What a member has in stable storage (paper, figure 2: persistent state), and requests to write it.
+//! A member's persistent state (paper, figure 2), and requests to write changes of it.
 
 use std::sync::Arc;
 
 use crate::ids::{Index, MemberId, Term};
 use crate::raft_log::{Entry, RaftLog, Snapshot};
 
-/// What a member has in stable storage.
+/// A member's state in stable storage (paper, figure 2: persistent state).
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PersistentState {
-    /// Its current term.
+    /// The current term (`currentTerm`).
     pub term: Term,
-    /// Whom it voted for in that term.
+    /// The candidate that the member voted for in that term, if any (`votedFor`).
     pub vote: Option<MemberId>,
-    /// Its log.
+    /// The snapshot and the entries after it (`log[]`).
     pub log: RaftLog,
 }
 
-/// Changes of the persistent state. Messages that depend on them leave once they are durable.
+/// Changes of the persistent state, to be written as one unit. Messages that depend on them are sent only
+/// once the caller has reported that they are durable.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WriteRequest {
-    /// Its number, rising from 1; [`RaftNode::on_persisted`](crate::RaftNode::on_persisted) takes it back.
+    /// The number of the write, increasing from 1. The caller passes it to
+    /// [`RaftNode::on_persisted`](crate::RaftNode::on_persisted).
     pub number: u64,
     /// The current term.
     pub term: Term,
-    /// The vote in that term.
+    /// The vote in that term, if any.
     pub vote: Option<MemberId>,
-    /// A snapshot that replaces the entries that it covers.
+    /// A new snapshot, which replaces the entries that it covers; `None` if it has not changed.
     pub snapshot: Option<Arc<Snapshot>>,
-    /// Stored entries with this index or a higher one are removed.
+    /// Stored entries with this index or a higher one are removed; `None` if no entry has changed.
     pub first_index: Option<Index>,
-    /// Entries to append, the first of them at `first_index`.
+    /// Entries to append after the removal, the first of them at `first_index`.
     pub entries: Vec<Entry>,
 }
 
 impl PersistentState {
-    /// The state after a write.
+    /// Returns the state after a write.
     pub fn with_write(&self, write: &WriteRequest) -> Self {
         let base = write.snapshot.as_ref().unwrap_or(self.log.base());
         let stored = self.log.entries_from(Index(0), usize::MAX).into_iter();
--- a/crates/stepspur-consensus/src/raft_node.rs
+++ b/crates/stepspur-consensus/src/raft_node.rs
@@ -182,7 +182,7 @@
             Message::AppendEntriesResponse(response) => {
                 self.handle_append_entries_response(from, &response);
             }
-            Message::InstallSnapshot(part) => self.handle_install_snapshot(from, part),
+            Message::InstallSnapshot(chunk) => self.handle_install_snapshot(from, chunk),
             Message::InstallSnapshotResponse(response) => {
                 self.handle_install_snapshot_response(from, &response);
             }
--- a/crates/stepspur-consensus/src/read_index.rs
+++ b/crates/stepspur-consensus/src/read_index.rs
@@ -8,8 +8,8 @@
 use crate::raft_role::RaftRole;
 
 impl RaftNode {
-    /// Requests a read index: [`RaftOutput::ReadIndex`] follows once a majority has confirmed that the member
-    /// still leads, or [`RaftOutput::ReadAborted`].
+    /// Requests a read index. [`RaftOutput::ReadIndex`] follows once a majority has confirmed that the member
+    /// is still the leader, or [`RaftOutput::ReadAborted`] if the member steps down before.
     ///
     /// # Errors
     /// [`RequestError::NotLeader`], [`RequestError::TooManyPending`].
@@ -26,14 +26,15 @@
         }
         self.read_requests += 1;
         let request = ReadRequestId(self.read_requests);
-        // Only a later round confirms it: the current one may have begun before the request.
+        // Only a later round confirms the request, as responses to the current one may have been sent before
+        // the request.
         state.pending_reads.push(request, state.round + 1);
         self.start_heartbeat_round();
         self.confirm_reads();
         Ok(request)
     }
 
-    /// Confirms requests whose round a majority has answered.
+    /// Confirms the read requests whose heartbeat round a majority has acknowledged.
     pub(crate) fn confirm_reads(&mut self) {
         let voters = self.log.voters();
         let RaftRole::Leader(state) = &mut self.role else { return };
--- a/crates/stepspur-consensus/src/replication.rs
+++ b/crates/stepspur-consensus/src/replication.rs
@@ -123,7 +123,7 @@
         let previous = progress.next_index.previous();
         let message = match self.log.term_at(previous) {
             Some(term) => self.next_entries(member, LogPosition { term, index: previous }),
-            None => self.next_snapshot_part(member),
+            None => self.next_snapshot_chunk(member),
         };
         if let Some(message) = message {
             self.send(member, message);
--- a/crates/stepspur-consensus/src/snapshot.rs
+++ b/crates/stepspur-consensus/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots: compaction of the log, and transfer to members that lack older entries (paper 7).
+//! Log compaction by snapshots, and their transfer to members that need compacted entries (paper 7).
 
 use std::sync::Arc;
 
@@ -16,8 +16,8 @@
 use crate::replication::SendMode;
 
 impl RaftNode {
-    /// Replaces the entries up to `index` by a snapshot of the state after that entry. Nothing happens if the
-    /// entry is not committed, or is covered already.
+    /// Replaces the entries up to `index` by a snapshot with `state`, the replicated state after that entry.
+    /// Does nothing if the entry is not committed, or is covered by the current snapshot.
     pub fn compact(&mut self, index: Index, state: Bytes) {
         let Some(term) = self.log.term_at(index).filter(|_| index <= self.commit) else { return };
         if index <= self.log.base().index {
@@ -28,8 +28,9 @@
         self.writes.mark_snapshot();
     }
 
-    /// The next part of the snapshot for a member.
-    pub(crate) fn next_snapshot_part(&mut self, member: MemberId) -> Option<Message> {
+    /// Returns the next chunk of the snapshot for a follower. A follower that was receiving an older snapshot
+    /// starts over.
+    pub(crate) fn next_snapshot_chunk(&mut self, member: MemberId) -> Option<Message> {
         let base = Arc::clone(self.log.base());
         let RaftRole::Leader(LeaderState { followers, round, .. }) = &mut self.role else { return None };
         let progress = followers.get_mut(&member)?;
@@ -51,38 +52,39 @@
         }))
     }
 
-    /// A part of a leader's snapshot has come.
-    pub(crate) fn handle_install_snapshot(&mut self, from: MemberId, part: InstallSnapshot) {
-        if !self.follow_leader(part.term, from) {
+    /// Handles a chunk of a leader's snapshot.
+    pub(crate) fn handle_install_snapshot(&mut self, from: MemberId, chunk: InstallSnapshot) {
+        if !self.follow_leader(chunk.term, from) {
             return;
         }
-        let last_included = part.last_included.index;
-        let round = part.round;
-        let next_offset = self.add_snapshot_part(part);
+        let last_included = chunk.last_included.index;
+        let round = chunk.round;
+        let next_offset = self.add_snapshot_chunk(chunk);
         let response = InstallSnapshotResponse { term: self.term, last_included, next_offset, round };
         self.send(from, Message::InstallSnapshotResponse(response));
     }
 
-    /// Adds a part, and installs the snapshot with the last one. Gives the next byte to send, beyond the
-    /// snapshot's size once it is complete.
-    fn add_snapshot_part(&mut self, part: InstallSnapshot) -> u64 {
+    /// Adds a chunk if it is the next one, and installs the snapshot after the last chunk. Returns the offset
+    /// of the next chunk, or the snapshot's size plus 1 once it is complete.
+    fn add_snapshot_chunk(&mut self, chunk: InstallSnapshot) -> u64 {
         let known = self.partial_snapshot.take();
-        let known = known.filter(|known| known.last_included() == part.last_included);
-        let mut partial = known.unwrap_or_else(|| PartialSnapshot::new(part.last_included));
-        let expected = part.offset == partial.size();
+        let known = known.filter(|known| known.last_included() == chunk.last_included);
+        let mut partial = known.unwrap_or_else(|| PartialSnapshot::new(chunk.last_included));
+        let expected = chunk.offset == partial.size();
         if expected {
-            partial.append(&part.bytes);
+            partial.append(&chunk.bytes);
         }
         let size = partial.size();
-        if !(expected && part.done) {
+        if !(expected && chunk.done) {
             self.partial_snapshot = Some(partial);
             return size;
         }
-        self.install_snapshot(partial, part.voters);
+        self.install_snapshot(partial, chunk.voters);
         size + 1
     }
 
-    /// Replaces the log and the state by a complete snapshot, unless it is older than the commit index.
+    /// Replaces the covered entries and the replicated state by a complete snapshot. A snapshot that covers
+    /// no entry after the commit index is ignored.
     fn install_snapshot(&mut self, complete: PartialSnapshot, voters: Voters) {
         let LogPosition { term, index } = complete.last_included();
         if index <= self.commit {
@@ -96,7 +98,8 @@
         self.outputs.push_back(RaftOutput::RestoreSnapshot(snapshot));
     }
 
-    /// A member has answered a part of the snapshot.
+    /// Handles a follower's response to a snapshot chunk, and sends the next chunk, or the entries after the
+    /// snapshot.
     pub(crate) fn handle_install_snapshot_response(
         &mut self,
         from: MemberId,
