--- a/crates/stepspur-consensus/src/member.rs
+++ b/crates/stepspur-consensus/src/member.rs
@@ -1,10 +1,11 @@
-//! A member of the consensus group: a voter, or a follower without a vote. It holds roles by leases, and
+//! A member of the consensus group: a voter, or a follower without a vote. It holds roles under leases, and
 //! grants them while it leads.
 //!
-//! - `raft_outputs`: does what [`RaftNode`] asks for; `apply`: committed entries and snapshots.
-//! - `proposals`: commands and membership changes; `reads`: linearizable reads.
-//! - `renewals`, `role_assignment`: leases as a holder and as the leader.
-//! - `following`: how a follower without a vote gets committed entries.
+//! - `raft_outputs` carries out the outputs of [`RaftNode`]; `apply` applies committed entries and snapshots.
+//! - `proposals` handles commands and membership changes; `reads` handles linearizable reads.
+//! - `renewals` requests and answers renewals of leases; `role_assignment` grants roles while the member
+//!   leads.
+//! - `following` fetches committed entries for members to which no leader replicates, and serves them.
 
 use std::collections::VecDeque;
 
@@ -37,60 +38,61 @@
 use pushed_followers::PushedFollowers;
 use role_assigner::{RoleAssigner, RolePreferences};
 
-/// A member of the consensus group, with replicated state `S` beside the roles.
+/// A member of the consensus group, which replicates the roles and the state machine `S`.
 #[derive(Clone, Debug)]
 pub struct Member<S = ()> {
     raft: RaftNode,
     state: S,
-    /// Why it applies no more entries: one is unknown to this program, or a snapshot cannot be read.
+    /// Why the member has stopped applying entries: it cannot apply one, or cannot read a snapshot.
     halt_reason: Option<String>,
     settings: Settings,
-    /// The voters to send requests to while the log names none.
+    /// The voters to send requests to as long as the log names none.
     initial_voters: Voters,
     roles: RoleTable,
-    /// What a leader needs to grant roles; none while the member does not lead.
+    /// Grants roles; `None` while the member does not lead.
     assigner: Option<RoleAssigner>,
-    /// Requests that wait until the leadership is confirmed, oldest first.
+    /// Renewal and read requests that wait for the confirmation of this member's leadership, oldest first.
     pending_requests: VecDeque<PendingRequest>,
     lease_holder: LeaseHolder,
     preferences: RolePreferences,
-    /// Rotates over the other voters, see `next_other_voter`.
+    /// A round-robin position among the other voters, see `next_other_voter`.
     next_voter: usize,
-    /// The leader that another member named or was, for members to which no leader replicates.
+    /// The leader according to the last response of another member, for members to which no leader
+    /// replicates.
     leader_hint: Option<MemberId>,
-    /// When the next renewal is due.
+    /// When the next renewal request is due.
     renewal_due_at: Micros,
     fetching: FetchState,
     pushed_followers: PushedFollowers,
-    /// Reads requested so far.
+    /// The number of reads that this member has requested so far.
     read_requests: u64,
-    /// The latest time that an event came with.
+    /// The latest time passed with an event.
     now: Micros,
     outputs: Vec<MemberOutput>,
 }
 
-/// What a member is started with.
+/// The configuration that a member is started with.
 #[derive(Clone, Debug)]
 pub struct MemberConfig {
-    /// Its identity.
+    /// The member's id.
     pub id: MemberId,
-    /// The voters from which it fetches committed entries while its log names none.
+    /// The voters to which the member sends requests as long as its log names none.
     pub initial_voters: Voters,
-    /// The settings that all members share.
+    /// The settings that all members of the group share.
     pub settings: Settings,
-    /// The seed of its random numbers.
+    /// The seed of the member's random election timeouts.
     pub seed: u64,
 }
 
 impl Member {
-    /// A member with its persistent state, without replicated state beside the roles.
+    /// Creates a member from its persistent state. It replicates nothing but the roles.
     pub fn new(config: MemberConfig, stored: PersistentState, now: Micros) -> Self {
         Self::with_state(config, stored, now, ())
     }
 }
 
 impl<S: StateMachine> Member<S> {
-    /// A member with its persistent state, and with `state` as in a new group.
+    /// Creates a member from its persistent state. `state` is the state machine in its initial state.
     pub fn with_state(config: MemberConfig, stored: PersistentState, now: Micros, state: S) -> Self {
         let MemberConfig { id, initial_voters, settings, seed } = config;
         let mut member = Self {
@@ -117,48 +119,48 @@
         member
     }
 
-    /// Sets which roles the member would hold: prefixes of their names, up to 64, and its share of them
-    /// relative to other members'. A weight that is negative or not finite counts as 0: no roles.
+    /// Sets the roles that the member wants: up to 64 prefixes of their names, and its share of them relative
+    /// to other members' weights. A weight of 0 means no roles; a negative or non-finite one counts as 0.
     pub fn set_role_preferences(&mut self, prefixes: impl IntoIterator<Item = String>, weight: f64) {
         let weight = if weight.is_finite() { weight.max(0.0) } else { 0.0 };
         self.preferences = RolePreferences::new(prefixes, weight);
     }
 
-    /// The member's Raft state.
+    /// Returns the member's Raft state.
     pub fn raft(&self) -> &RaftNode {
         &self.raft
     }
 
-    /// The replicated state beside the roles.
+    /// Returns the state machine as this member has applied it.
     pub fn state(&self) -> &S {
         &self.state
     }
 
-    /// Why the member applies no more entries, if so.
+    /// Returns why the member has stopped applying entries; `None` if it has not.
     pub fn halt_reason(&self) -> Option<&str> {
         self.halt_reason.as_deref()
     }
 
-    /// The replicated roles.
+    /// Returns the replicated roles as this member has applied them.
     pub fn roles(&self) -> &RoleTable {
         &self.roles
     }
 
-    /// The leader, as far as the member knows.
+    /// Returns the leader that the member knows of, if any. It may be outdated.
     pub fn leader(&self) -> Option<MemberId> {
         self.replicating_leader().or(self.leader_hint)
     }
 
-    /// The token by which the member may act on a role now; none if it may not.
+    /// Returns the fencing token with which the member may act on a role at `now`; `None` if it may not act.
     ///
-    /// Call it right before each act, and send the token with the act: a receiver rejects lower tokens than
-    /// it has seen (see [`Fence`](crate::Fence)).
+    /// Call it right before each order, and send the token with the order: the receiver rejects a lower token
+    /// than the highest one that it has seen (see [`Fence`](crate::Fence)).
     pub fn token(&self, role: &RoleName, now: Micros) -> Option<FencingToken> {
         let lease = self.lease_holder.lease(self.raft.id(), role, &self.roles, &self.settings)?;
         (now < lease.expires_at).then_some(lease.token)
     }
 
-    /// The member's leases, expired ones too.
+    /// Iterates over the member's leases, including expired ones.
     pub fn leases(&self) -> impl Iterator<Item = (&RoleName, HeldLease)> {
         self.roles.iter().filter_map(|(name, _)| {
             let lease = self.lease_holder.lease(self.raft.id(), name, &self.roles, &self.settings)?;
@@ -166,14 +168,14 @@
         })
     }
 
-    /// When [`Member::tick`] is due at the latest.
+    /// Returns the latest time at which the caller must call [`Member::tick`].
     pub fn next_tick_at(&self) -> Micros {
         let fetch_at = if self.needs_fetch() { self.fetching.due_at() } else { Micros::MAX };
         let renewal_at = if self.raft.is_halted() { Micros::MAX } else { self.renewal_due_at };
         self.raft.next_tick_at().min(renewal_at).min(fetch_at)
     }
 
-    /// Acts on timeouts that have ended by `now`.
+    /// Handles all timeouts up to `now`.
     pub fn tick(&mut self, now: Micros) -> Vec<MemberOutput> {
         self.advance_clock(now);
         self.raft.tick(self.now);
@@ -184,7 +186,7 @@
         self.take_outputs()
     }
 
-    /// Handles a message of another member.
+    /// Handles a message from another member.
     pub fn receive(&mut self, now: Micros, from: MemberId, message: PeerMessage) -> Vec<MemberOutput> {
         self.advance_clock(now);
         match message {
@@ -218,7 +220,7 @@
         self.take_outputs()
     }
 
-    /// All writes up to this number are durable.
+    /// Handles the completion of all writes up to this number.
     pub fn on_persisted(&mut self, now: Micros, number: u64) -> Vec<MemberOutput> {
         self.advance_clock(now);
         self.raft.on_persisted(self.now, number);
@@ -226,14 +228,15 @@
         self.take_outputs()
     }
 
-    /// The storage has failed: the member votes and leads no more, and follows without its storage.
+    /// Handles a storage failure: the member neither leads nor votes until it is restarted, but still fetches
+    /// and applies committed entries, without writing them.
     pub fn on_storage_failure(&mut self, reason: impl Into<String>) -> Vec<MemberOutput> {
         self.raft.on_storage_failure(reason);
         self.process_raft_outputs();
         self.take_outputs()
     }
 
-    /// Another member has rejected a request.
+    /// Handles the rejection of a request by another member, which may name the leader.
     fn handle_not_leader(&mut self, request: u64, leader: Option<MemberId>) {
         if request >= FIRST_READ_REQUEST {
             self.outputs.push(MemberOutput::ReadCompleted { request, index: None });
@@ -241,7 +244,8 @@
             self.lease_holder.on_answer(request);
         }
         self.leader_hint = leader;
-        // Not at once: two members that name each other would exchange messages without end.
+        // The next renewal is not sent at once: two members that name each other as the leader would exchange
+        // messages in a loop.
         let retry_at = self.now + self.settings.heartbeat_interval;
         self.renewal_due_at = self.renewal_due_at.min(retry_at);
     }
@@ -258,7 +262,7 @@
         self.outputs.push(MemberOutput::Send { to, message });
     }
 
-    /// Rejects a request of another member.
+    /// Rejects a request of another member and names the leader, if known.
     fn send_not_leader(&mut self, to: MemberId, request: u64) {
         let leader = self.raft.leader();
         self.send(to, PeerMessage::NotLeader { request, leader });
--- a/crates/stepspur-consensus/src/member/apply.rs
+++ b/crates/stepspur-consensus/src/member/apply.rs
@@ -1,4 +1,4 @@
-//! Applies committed entries and snapshots to the roles and the state machine.
+//! Applying committed entries and snapshots to the roles and the state machine.
 
 use bytes::Bytes;
 
@@ -11,7 +11,8 @@
 use crate::state_machine::{STATE_MACHINE_COMMAND_TAG, StateMachine};
 
 impl<S: StateMachine> Member<S> {
-    /// Applies a committed entry if it is the next one. Entries may come twice, from the log and by a fetch.
+    /// Applies a committed entry if it is the next one. Others are ignored, as the member may receive an
+    /// entry both by its log and by a fetch.
     pub(super) fn apply(&mut self, entry: Entry) {
         if entry.index != self.roles.applied().next() || self.halt_reason.is_some() {
             return;
@@ -31,6 +32,7 @@
         }
     }
 
+    /// Applies an entry's payload, and returns the changes of roles or why it cannot be applied.
     fn apply_payload(&mut self, entry: &Entry) -> Result<Vec<RoleChange>, String> {
         match &entry.payload {
             Payload::Command(command) => match command.split_first() {
@@ -43,19 +45,20 @@
         Ok(Vec::new())
     }
 
-    /// Replaces the whole replicated state by a snapshot, unless it is older.
+    /// Replaces the whole replicated state by a snapshot, unless the state is newer. Halts the member if the
+    /// snapshot cannot be read.
     pub(super) fn restore(&mut self, snapshot: &[u8], index: Index) {
         if index < self.roles.applied() {
             return;
         }
         if let Err(cause) = self.decode_snapshot(snapshot, index) {
-            self.halt(format!("the state at entry {index} cannot be read: {cause}"));
+            self.halt(format!("cannot restore the snapshot at entry {index}: {cause}"));
         }
     }
 
-    /// Applies no more entries. Skipping an unknown entry would make the member's state differ from the
-    /// others'. The member halts as after a storage failure: its log says `consensus_stepped_down` "its disk
-    /// has failed" if it led, and `consensus_halted` with the true reason.
+    /// Stops applying entries: skipping an entry would make this member's state differ from the others'. The
+    /// member halts as after a storage failure. A leader therefore logs `consensus_stepped_down` with the
+    /// reason "its disk has failed"; the actual reason is in the `consensus_halted` event that follows.
     fn halt(&mut self, reason: String) {
         if self.halt_reason.is_none() {
             self.raft.on_storage_failure(reason.clone());
@@ -63,7 +66,7 @@
         }
     }
 
-    /// The whole replicated state as a snapshot.
+    /// Encodes the whole replicated state as a snapshot.
     pub(super) fn encode_snapshot(&self) -> Bytes {
         snapshot_codec::encode(self.roles.encode(), &self.state.encode())
     }
--- a/crates/stepspur-consensus/src/member/following.rs
+++ b/crates/stepspur-consensus/src/member/following.rs
@@ -1,9 +1,10 @@
-//! How a member to which no leader replicates gets committed entries.
+//! How a member to which no leader replicates (a non-voter or a halted member) gets committed entries.
 //!
-//! It fetches them from a voter that has a leader. For a while, that voter then sends it each entry as soon
-//! as that is committed. So an idle group costs one request and one answer per
-//! [`Settings::election_timeout`]. A lost entry shows as a gap before the next one, or is found by the next
-//! fetch; a fetch without an answer goes to another voter after [`Settings::heartbeat_interval`].
+//! The member fetches them from a voter that knows a leader. For two election timeouts after each fetch, that
+//! voter pushes entries to the member as they are committed. So an idle member costs one fetch and one
+//! response per [`Settings::election_timeout`]. A lost entry shows as a gap before the next one, or is found
+//! by the next fetch. A fetch without a response goes to another voter after
+//! [`Settings::heartbeat_interval`].
 //!
 //! [`Settings::election_timeout`]: crate::Settings::election_timeout
 //! [`Settings::heartbeat_interval`]: crate::Settings::heartbeat_interval
@@ -17,22 +18,22 @@
 use crate::state_machine::StateMachine;
 
 impl<S: StateMachine> Member<S> {
-    /// The leader that replicates to this member, as far as it knows; none for a non-voter or a halted
-    /// member.
+    /// Returns the leader that replicates to this member, or the member itself while it leads. `None` for a
+    /// non-voter, a halted member, or a voter that knows no leader.
     ///
-    /// A member that was removed while it was cut off may not know of its removal: without a leader it
-    /// fetches as a member that never voted.
+    /// A voter that was removed while it was cut off may not know of its removal. As it has no leader, it
+    /// fetches like a non-voter.
     pub(super) fn replicating_leader(&self) -> Option<MemberId> {
         let is_voter = self.raft.log().voters().contains(&self.raft.id()) && !self.raft.is_halted();
         self.raft.leader().filter(|_| is_voter)
     }
 
-    /// True: it has to fetch committed entries.
+    /// Returns true if the member must fetch committed entries, as no leader replicates to it.
     pub(super) fn needs_fetch(&self) -> bool {
         self.replicating_leader().is_none() && self.halt_reason.is_none()
     }
 
-    /// Fetches committed entries if that is due.
+    /// Sends a fetch if one is due.
     pub(super) fn fetch_if_due(&mut self) {
         if !self.needs_fetch() || self.now < self.fetching.due_at() {
             return;
@@ -44,7 +45,7 @@
         self.send(to, PeerMessage::Fetch { from });
     }
 
-    /// Committed entries have come, by a fetch or without a request.
+    /// Applies committed entries that another member sent, in response to a fetch or pushed.
     pub(super) fn handle_committed_entries(
         &mut self,
         from: MemberId,
@@ -63,7 +64,7 @@
         self.on_fetch_answer(from, leader, is_full_batch || has_gap);
     }
 
-    /// The state after a committed entry has come.
+    /// Restores a snapshot of the replicated state, sent in response to a fetch.
     pub(super) fn handle_committed_state(
         &mut self,
         from: MemberId,
@@ -85,7 +86,8 @@
         self.fetching.on_answer(answer, other_voters, self.now, &self.settings);
     }
 
-    /// A follower fetches committed entries from an index on.
+    /// Responds to a follower's fetch of the committed entries from `first` on. If the log no longer has
+    /// them, the response is a snapshot of the replicated state.
     pub(super) fn handle_fetch(&mut self, follower: MemberId, first: Index) {
         let leader = self.replicating_leader();
         let next = if first > self.raft.log().base().index {
@@ -104,13 +106,13 @@
             self.send(follower, PeerMessage::CommittedState { index, state, leader });
             index.next()
         };
-        // A voter without a leader learns of no new entries: the follower fetches from another one.
+        // A voter without a leader receives no new entries, so the follower must fetch from another one.
         if leader.is_some() {
             self.pushed_followers.add_or_renew(follower, next, self.now, &self.settings);
         }
     }
 
-    /// Sends newly committed entries to the pushed followers.
+    /// Sends newly committed entries to the followers that have fetched lately.
     pub(super) fn push_committed_entries(&mut self) {
         let commit = self.raft.commit();
         if commit <= self.pushed_followers.sent_commit {
@@ -121,7 +123,7 @@
         let leader = self.replicating_leader();
         let log = self.raft.log();
         for (to, pushed) in self.pushed_followers.iter_mut() {
-            // Entries that the log no longer has reach the follower as a state, by its next fetch.
+            // A follower that lacks compacted entries gets a snapshot by its next fetch.
             if pushed.next > commit || pushed.next <= log.base().index {
                 continue;
             }
@@ -132,8 +134,8 @@
         }
     }
 
-    /// The voters but itself: those of its log, or the initial ones. Each member has them in another order,
-    /// so that followers spread over the voters.
+    /// Returns the voters other than this member: those of its log, or the initial ones if it names none. The
+    /// order depends on the member's id, so that followers spread over the voters.
     fn other_voters(&self) -> Vec<MemberId> {
         let own_id = self.raft.id();
         let known = self.raft.log().voters();
@@ -143,7 +145,7 @@
         others
     }
 
-    /// Another voter, round robin.
+    /// Returns the next of the other voters in round-robin order; `None` if there is none.
     pub(super) fn next_other_voter(&mut self) -> Option<MemberId> {
         let others = self.other_voters();
         if others.is_empty() {
@@ -154,13 +156,13 @@
     }
 }
 
-/// Committed entries from an index on, up to `limit`.
+/// Returns up to `limit` committed entries from `first` on.
 fn committed_entries(log: &RaftLog, commit: Index, first: Index, limit: usize) -> Vec<Entry> {
     let available = commit.next().0.saturating_sub(first.0);
     log.entries_from(first, (available as usize).min(limit))
 }
 
-/// Spreads similar numbers over the whole range: the finalizer of SplitMix64 (Steele, Lea and Flood 2014).
+/// Hashes a number, so that consecutive ids yield unrelated orders: SplitMix64 (Steele, Lea and Flood 2014).
 fn mix_bits(number: u64) -> u64 {
     let number = number.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let number = (number ^ (number >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/stepspur-consensus/src/member/pending_request.rs
+++ b/crates/stepspur-consensus/src/member/pending_request.rs
@@ -1,33 +1,34 @@
-//! Requests that wait until the leader's leadership is confirmed.
+//! Read and renewal requests that wait until a majority has confirmed the leadership.
 
 use crate::ids::{Index, MemberId};
 use crate::pending_reads::ReadRequestId;
 
-/// Requests for reads are numbered from here on, those for renewals below, so that a rejection's
-/// number shows which it is.
+/// Read requests have higher numbers than this one and renewal requests lower ones, so that the number in a
+/// rejection shows the kind of the request.
 pub(super) const FIRST_READ_REQUEST: u64 = 1 << 62;
 
-/// What a request is for.
+/// The kind of a pending request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RequestKind {
-    /// A renewal of all leases of a holder.
+    /// Renews all leases of a holder.
     Renewal,
-    /// A read index.
+    /// Requests a read index (thesis 6.4).
     Read,
 }
 
-/// A request that waits until a majority has confirmed the leadership, and all entries before it are applied.
+/// A request that is answered once a majority has confirmed the leadership and the leader has applied all
+/// entries before the request.
 #[derive(Clone, Debug)]
 pub(super) struct PendingRequest {
     pub(super) kind: RequestKind,
-    /// Who sent it.
+    /// The member that sent the request, which may be the leader itself.
     pub(super) from: MemberId,
-    /// Its number at the sender.
+    /// The number that the sender gave the request.
     pub(super) request: u64,
-    /// The request that confirms the leadership.
+    /// The read request to Raft that confirms the leadership.
     pub(super) read_request: ReadRequestId,
-    /// True: the leadership is confirmed.
+    /// Whether a majority has confirmed the leadership since the request.
     pub(super) confirmed: bool,
-    /// The answer counts all entries up to this one, the last of the log when the request came.
+    /// The last entry of the leader's log when the request arrived. It must be applied before the response.
     pub(super) last_index: Index,
 }
--- a/crates/stepspur-consensus/src/member/proposals.rs
+++ b/crates/stepspur-consensus/src/member/proposals.rs
@@ -11,18 +11,19 @@
 use crate::roles::RoleCommand;
 use crate::state_machine::{STATE_MACHINE_COMMAND_TAG, StateMachine};
 
-/// The number of proposals that the sender does not follow up.
+/// The request number of forwarded proposals, whose rejection the sender does not track.
 const UNTRACKED_REQUEST: u64 = 0;
 
 impl<S: StateMachine> Member<S> {
-    /// Proposes a command for the roles, through the leader. [`MemberOutput::RoleChanged`] shows its effect.
-    /// It may be lost. A holder must have stopped acting before it releases or transfers its role.
+    /// Proposes a command for the roles, which is forwarded to the leader if this member does not lead.
+    /// [`MemberOutput::RoleChanged`] reports its effect. The proposal may be lost; the caller repeats it if
+    /// needed. A holder must have stopped acting before it releases or transfers its role.
     pub fn propose_role_command(&mut self, now: Micros, command: &RoleCommand) -> Vec<MemberOutput> {
         self.propose_or_forward(now, command.encode())
     }
 
-    /// Proposes a command for the replicated state beside the roles, through the leader. It may be lost; that
-    /// it was applied shows in [`Member::state`].
+    /// Proposes a command for the state machine, which is forwarded to the leader if this member does not
+    /// lead. The proposal may be lost; [`Member::state`] shows whether it was applied.
     pub fn propose_command(&mut self, now: Micros, command: &[u8]) -> Vec<MemberOutput> {
         let mut tagged = BytesMut::with_capacity(command.len() + 1);
         tagged.put_u8(STATE_MACHINE_COMMAND_TAG);
@@ -59,7 +60,7 @@
         Ok(self.take_outputs())
     }
 
-    /// Another member forwards a command.
+    /// Handles a proposal that another member has forwarded. A rejection is answered, an acceptance is not.
     pub(super) fn handle_proposal(&mut self, from: MemberId, request: u64, command: Bytes) {
         if self.raft.propose(self.now, command).is_err() {
             self.send_not_leader(from, request);
@@ -67,10 +68,12 @@
         self.process_raft_outputs();
     }
 
+    /// Proposes a command if this member leads, otherwise forwards it to the leader.
     fn propose_or_forward(&mut self, now: Micros, command: Bytes) -> Vec<MemberOutput> {
         self.advance_clock(now);
         if self.raft.is_leader() {
-            // Proposals may be lost on the way to a leader, too: whoever needs the effect proposes again.
+            // A rejection is ignored: proposals may also be lost on the way to a leader, so callers repeat
+            // them anyway.
             let _ = self.raft.propose(self.now, command);
             self.process_raft_outputs();
         } else {
@@ -79,14 +82,16 @@
         self.take_outputs()
     }
 
-    /// Sends a request to the leader, or to a voter that may know it.
+    /// Sends a request to the leader, or to another voter if the leader is unknown; a voter that does not
+    /// lead rejects it and names the leader it knows.
     pub(super) fn send_to_leader(&mut self, message: PeerMessage) {
         let leader = self.leader().filter(|leader| *leader != self.raft.id());
         match leader {
             Some(leader) => {
-                // If it does not answer, the next request goes to another voter. A fetch finds the leader.
+                // The hint is dropped, so that the next request goes to another voter if this one gets no
+                // response. A fetch finds the leader anew.
                 self.leader_hint = None;
-                self.fetching.hasten(self.now + self.settings.heartbeat_interval);
+                self.fetching.bring_forward(self.now + self.settings.heartbeat_interval);
                 self.send(leader, message);
             }
             None => {
--- a/crates/stepspur-consensus/src/member/raft_outputs.rs
+++ b/crates/stepspur-consensus/src/member/raft_outputs.rs
@@ -1,4 +1,4 @@
-//! Does what the member's Raft state asks for.
+//! Carrying out the outputs of a member's [`RaftNode`](crate::RaftNode).
 
 use super::Member;
 use super::role_assigner::RoleAssigner;
@@ -8,7 +8,8 @@
 use crate::state_machine::StateMachine;
 
 impl<S: StateMachine> Member<S> {
-    /// Does what the Raft state asks for, and what follows from the entries that were applied.
+    /// Carries out the outputs of the Raft node, then what depends on the newly applied entries: answers to
+    /// pending requests, pushes to followers, and compaction of the log.
     pub(super) fn process_raft_outputs(&mut self) {
         for output in self.raft.take_outputs() {
             match output {
@@ -27,7 +28,8 @@
         self.compact_if_due();
     }
 
-    /// Starts and ends granting roles with the leadership.
+    /// Creates the state for granting roles when the member becomes the leader, and drops it when it steps
+    /// down.
     fn update_leadership(&mut self) {
         if !self.raft.is_leader() {
             self.assigner = None;
@@ -36,7 +38,8 @@
         }
     }
 
-    /// Replaces applied entries by a snapshot once the log is too long.
+    /// Replaces applied entries by a snapshot once the log exceeds
+    /// [`Settings::max_log_entries`](crate::Settings::max_log_entries).
     fn compact_if_due(&mut self) {
         let applied = self.roles.applied();
         let is_due = self.raft.log().len() > self.settings.max_log_entries && applied <= self.raft.commit();
@@ -44,7 +47,7 @@
             return;
         }
         self.raft.compact(applied, self.encode_snapshot());
-        // The snapshot is written with this step.
+        // Requests the write of the snapshot in the same step.
         for output in self.raft.take_outputs() {
             if let RaftOutput::Persist(write) = output {
                 self.outputs.push(MemberOutput::Persist(write));
--- a/crates/stepspur-consensus/src/member/reads.rs
+++ b/crates/stepspur-consensus/src/member/reads.rs
@@ -1,5 +1,5 @@
-//! Linearizable reads by the read index (thesis 6.4), and the answers of requests that wait for its
-//! confirmation.
+//! Linearizable reads by the read index (thesis 6.4), and the responses to requests that wait for the
+//! confirmation of the leadership.
 
 use std::collections::VecDeque;
 
@@ -12,8 +12,8 @@
 use crate::state_machine::StateMachine;
 
 impl<S: StateMachine> Member<S> {
-    /// Requests a read index of the leader. [`MemberOutput::ReadCompleted`] follows with the number of the
-    /// request; if no leader answers, it never comes.
+    /// Requests a read index from the leader. [`MemberOutput::ReadCompleted`] follows with the number of the
+    /// request, but not if no leader responds: the caller needs a timeout.
     pub fn request_read(&mut self, now: Micros) -> StartedRead {
         self.advance_clock(now);
         self.read_requests += 1;
@@ -26,7 +26,7 @@
         StartedRead { request, outputs: self.take_outputs() }
     }
 
-    /// A member, maybe this one, requests a read index.
+    /// Handles a read request of another member or of this one.
     pub(super) fn handle_read(&mut self, from: MemberId, request: u64) {
         let last_index = self.raft.log().last_index();
         match self.raft.request_read_index(self.now) {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// A majority has confirmed the leadership after this request.
+    /// Records that a majority has confirmed the leadership since a request.
     pub(super) fn on_leadership_confirmed(&mut self, read_request: ReadRequestId) {
         let pending = self.pending_requests.iter_mut().find(|pending| pending.read_request == read_request);
         if let Some(pending) = pending {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The leadership was lost before a majority confirmed it after this request.
+    /// Rejects a request, as this member lost its leadership before a majority confirmed it.
     pub(super) fn on_read_aborted(&mut self, read_request: ReadRequestId) {
         let position = self.pending_requests.iter().position(|pending| pending.read_request == read_request);
         let Some(pending) = position.and_then(|position| self.pending_requests.remove(position)) else {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Answers the requests whose leadership is confirmed and whose entries are applied.
+    /// Answers the pending requests that are confirmed and whose preceding entries are applied.
     pub(super) fn answer_requests(&mut self) {
         let applied = self.roles.applied();
         let is_ready = |pending: &PendingRequest| pending.confirmed && applied >= pending.last_index;
--- a/crates/stepspur-consensus/src/member/renewals.rs
+++ b/crates/stepspur-consensus/src/member/renewals.rs
@@ -1,4 +1,5 @@
-//! Renewal of leases: requests of a holder, and a leader's answers. One request covers all roles of a holder.
+//! Renewal of leases: requests of a holder, and the leader's responses. One request covers all roles of a
+//! holder.
 
 use super::Member;
 use super::pending_request::{PendingRequest, RequestKind};
@@ -7,13 +8,13 @@
 use crate::peer_message::PeerMessage;
 use crate::state_machine::StateMachine;
 
-/// Requests that may be in flight beside those of an election timeout without an answer.
+/// Renewal requests that may be in flight in addition to those of one election timeout.
 const IN_FLIGHT_RENEWALS: u64 = 2;
 
 impl<S: StateMachine> Member<S> {
-    /// Requests a renewal if one is due, and the member holds or would hold roles.
+    /// Requests a renewal if one is due and the member holds or wants roles.
     pub(super) fn renew_if_due(&mut self) {
-        // A halted member applies entries late or not at all, so that it must not keep roles.
+        // A halted member applies entries late or not at all, so it lets its roles expire.
         if self.now < self.renewal_due_at || self.raft.is_halted() {
             return;
         }
@@ -38,9 +39,9 @@
         }
     }
 
-    /// Another member requests a renewal. It is rejected if the member has received no answers lately: it
-    /// would keep its roles by its requests, and could not act on them. The rejection is an answer, too, so
-    /// that the next request counts if the rejection arrives.
+    /// Handles another member's renewal request. It is rejected if the member has received no responses
+    /// lately: such a member would block its roles by its requests, but could not act on them. The rejection
+    /// counts as a response, so if it arrives, the next request is accepted again.
     pub(super) fn handle_renewal(
         &mut self,
         from: MemberId,
@@ -55,12 +56,14 @@
         }
     }
 
-    /// Renewals in a row that may have no answer: those of an election timeout, and those in flight.
+    /// Returns how many consecutive renewal requests may lack a response: those of one election timeout, and
+    /// [`IN_FLIGHT_RENEWALS`].
     fn max_unanswered_renewals(&self) -> u64 {
         self.settings.election_timeout / self.settings.renewal_interval.max(1) + IN_FLIGHT_RENEWALS
     }
 
-    /// Answers a renewal once the leadership is confirmed, see `answer_requests`.
+    /// Records a renewal request. It is answered once a majority has confirmed the leadership, see
+    /// `answer_requests`.
     fn accept_renewal(&mut self, from: MemberId, request: u64, preferences: RolePreferences) {
         let last_index = self.raft.log().last_index();
         match self.raft.request_read_index(self.now) {
--- a/crates/stepspur-consensus/src/member/role_assignment.rs
+++ b/crates/stepspur-consensus/src/member/role_assignment.rs
@@ -1,11 +1,12 @@
-//! A leader grants available roles to members.
+//! Granting available roles to members, at the leader.
 
 use super::Member;
 use crate::roles::{RoleCommand, RoleName};
 use crate::state_machine::StateMachine;
 
 impl<S: StateMachine> Member<S> {
-    /// While the member leads, proposes grants of the roles that are available.
+    /// Proposes grants of the available roles while this member leads. A rejected proposal is repeated at the
+    /// next tick.
     pub(super) fn assign_roles(&mut self) {
         let Some(assigner) = &self.assigner else { return };
         let grants = assigner.next_grants(&self.roles, &self.settings, self.now);
--- a/crates/stepspur-consensus/src/member_output.rs
+++ b/crates/stepspur-consensus/src/member_output.rs
@@ -1,4 +1,4 @@
-//! What a member requests of its caller.
+//! The outputs of a [`Member`](crate::Member).
 
 use crate::ids::{Index, MemberId};
 use crate::peer_message::PeerMessage;
@@ -6,37 +6,38 @@
 use crate::raft_event::RaftEvent;
 use crate::roles::RoleChange;
 
-/// Something to do. Outputs are done in the order given.
+/// An action that a [`Member`](crate::Member) requests of its caller, or a result. The caller handles outputs
+/// in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MemberOutput {
     /// Send a message to another member.
     Send {
-        /// The receiver.
+        /// The receiving member.
         to: MemberId,
-        /// The message.
+        /// The message to send.
         message: PeerMessage,
     },
     /// Write to stable storage, then call [`Member::on_persisted`](crate::Member::on_persisted).
     Persist(WriteRequest),
-    /// A role's holder has changed.
+    /// Report a role's new holder, release or revocation, which this member has applied.
     RoleChanged(RoleChange),
-    /// The answer to [`Member::request_read`](crate::Member::request_read).
+    /// Complete a read that [`Member::request_read`](crate::Member::request_read) started.
     ReadCompleted {
-        /// The number of the request.
+        /// The number of the request, as in [`StartedRead::request`].
         request: u64,
-        /// The read sees all that was committed before the request once this entry is applied here. None: ask
-        /// again.
+        /// The read index: once this member has applied that entry, the read sees all that was committed
+        /// before the request. `None` if the request was rejected and must be repeated.
         index: Option<Index>,
     },
-    /// Something to log.
+    /// Write an event to the log.
     Event(RaftEvent),
 }
 
-/// A read that was requested.
+/// A read that [`Member::request_read`](crate::Member::request_read) has started.
 #[derive(Debug)]
 pub struct StartedRead {
-    /// The number of the request.
+    /// The number of the request, which [`MemberOutput::ReadCompleted`] repeats.
     pub request: u64,
-    /// What is to be done for it.
+    /// The outputs of the call, which the caller must handle.
     pub outputs: Vec<MemberOutput>,
 }
--- a/crates/stepspur-consensus/src/rendezvous/tests.rs
+++ b/crates/stepspur-consensus/src/rendezvous/tests.rs
@@ -6,8 +6,9 @@
     (0..10_000).map(|k| RoleName::new(&format!("duty/{k}")).unwrap())
 }
 
-/// Ten thousand roles on five members of weights 1, 1, 1, 1 and 2: shares by weight, within four standard
-/// deviations.
+/// A skewed hash would give members a wrong share, and a score that depends on the set of members would move
+/// roles needlessly. With 10,000 roles on five members of weights 1, 1, 1, 1 and 2, each share must be within
+/// four standard deviations of the expected one.
 #[test]
 fn shares_follow_weights_and_only_roles_of_a_removed_member_move() {
     let members: Vec<(MemberId, f64)> =
