--- a/crates/stepspur-replication/src/client.rs
+++ b/crates/stepspur-replication/src/client.rs
@@ -1,4 +1,4 @@
-//! The handle of a running member: proposals and reads.
+//! The handle of a running member, for proposals and reads.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -15,77 +15,81 @@
 use crate::registry::{OutcomeWaiter, StateMachineRegistry};
 use crate::state_machine::{Rejection, ReplicatedStateMachine, StateMachineId};
 
-/// While no leader is known, the leader is looked for this many times per retry interval.
-const LEADER_POLLS_PER_RETRY: u32 = 8;
+/// While no leader is known, a read index is requested this many times per retry interval.
+const LEADER_POLLS_PER_RETRY_INTERVAL: u32 = 8;
 
 /// Why a proposal or a read has no result.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ReplicationError {
-    /// Too many proposals are in flight: nothing was proposed.
-    #[error("too much is under way; come again after {after:?}")]
+    /// Too many proposals of the state machine or the tenant are in flight. Nothing was proposed.
+    #[error("too many proposals are in flight; retry after {after:?}")]
     Full {
-        /// When to retry.
+        /// How long to wait before a retry.
         after: Duration,
     },
-    /// The body is too large or the state machine unknown: nothing was proposed.
-    #[error("no such command: {0}")]
+    /// The body is too large or the state machine is unknown. Nothing was proposed.
+    #[error("invalid command: {0}")]
     InvalidCommand(#[from] InvalidCommand),
-    /// The rules of the state machine reject the command, at every member. The state is unchanged.
-    #[error("refused: {0}")]
+    /// The state machine rejected the command, at every member. Its state is unchanged.
+    #[error("rejected by the state machine: {0}")]
     Refused(#[from] Rejection),
-    /// No outcome came in time: the operation may have taken effect, or may yet. It can be proposed again
-    /// under this id and takes effect once.
-    #[error("the outcome of {0} is unknown")]
+    /// No outcome arrived in time. The operation may have taken effect, or may take effect later. It can be
+    /// proposed again with this id and still takes effect only once.
+    #[error("the outcome of operation {0} is unknown")]
     Unknown(OperationId),
-    /// The operation came so late that the outcome of an earlier proposal may be discarded. It was not
-    /// applied now.
-    #[error("{0} is too old to be told from what was forgotten")]
+    /// The operation was not applied, as it came so late that an earlier proposal of it might have been
+    /// applied and its outcome discarded.
+    #[error("operation {0} is too old: the outcome of an earlier proposal may have been discarded")]
     TooOld(OperationId),
-    /// No leader answered in time.
-    #[error("no leader answered in time")]
+    /// No leader responded in time, or this member did not apply the entries up to the read index in time.
+    #[error("no leader responded in time")]
     NoLeader,
-    /// The member has stopped applying entries, for the reason that its node gives.
-    #[error("this member has stopped: {0}")]
+    /// The member has stopped applying entries. Holds the reason.
+    #[error("this member has stopped applying entries: {0}")]
     Stopped(String),
 }
 
 /// Why a command cannot be proposed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidCommand {
-    /// The body is longer than [`MAX_BODY_BYTES`].
-    #[error("{0} bytes, {MAX_BODY_BYTES} at most")]
+    /// The body is longer than [`MAX_BODY_BYTES`]. Holds its length in bytes.
+    #[error("the body has {0} bytes, the limit is {MAX_BODY_BYTES}")]
     TooLarge(usize),
-    /// This member has no such state machine, or none of the expected type.
-    #[error("book {0} is not known here")]
+    /// This member has no state machine with this id, or it is of another type than the caller expects.
+    #[error("state machine {0} is not known at this member")]
     UnknownStateMachine(StateMachineId),
 }
 
-/// How recent a stale read is.
+/// How recent the state is that a stale read has returned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StaleRead {
     /// The last entry that this member has applied.
     pub applied: Index,
-    /// The time since it last applied an entry, by its own clock. Entries that were committed elsewhere
-    /// meanwhile are not visible here.
+    /// The time since this member last applied an entry, by its own clock. Entries that were committed since
+    /// then may not be visible.
     pub since: Duration,
 }
 
-/// Proposes to and reads from the state machines of a running member.
+/// Proposes commands to the state machines of a running member, and reads from them. Clones share their
+/// limits.
 #[derive(Clone)]
 pub struct ReplicationClient {
     node: Arc<NodeHandle>,
     registry: StateMachineRegistry,
     limits: ProposalLimits,
     limiter: ProposalLimiter,
+    /// A random number that differs between the starts of a member, see [`OperationId::incarnation`].
     incarnation: u64,
+    /// The number of the next operation id.
     next_operation: Arc<AtomicU64>,
     last_applied: Arc<LastApplied>,
 }
 
-/// Records when the member last applied an entry. Its task ends when this is dropped.
+/// Records when the member last applied an entry. The recording task is aborted on drop.
 struct LastApplied {
+    /// When the recording started.
     origin: Instant,
-    /// Milliseconds from `origin`.
+    /// When the last entry was applied, in milliseconds since `origin`.
     millis: Arc<AtomicU64>,
     task: JoinHandle<()>,
 }
@@ -117,8 +121,8 @@
 }
 
 impl ReplicationClient {
-    /// The client of a member that was started with this registry. `incarnation` is a random number that
-    /// differs from that of every earlier start of the member.
+    /// Creates the client of a member that was started with this registry. `incarnation` is a random number
+    /// that must differ from that of every earlier start of the member.
     pub fn new(
         node: Arc<NodeHandle>,
         registry: StateMachineRegistry,
@@ -131,30 +135,30 @@
         Self { node, registry, limits, limiter, incarnation, next_operation, last_applied }
     }
 
-    /// The consensus node of this member.
+    /// Returns the consensus node of this member.
     pub fn node(&self) -> &NodeHandle {
         &self.node
     }
 
-    /// The state machines as this member has applied them.
+    /// Returns the state machines as this member has applied them.
     pub fn registry(&self) -> &StateMachineRegistry {
         &self.registry
     }
 
-    /// A new operation id. Keep it to propose the operation again after an unknown outcome.
+    /// Returns a new operation id. Retain it to propose the operation again after an unknown outcome.
     pub fn new_id(&self) -> OperationId {
         let number = self.next_operation.fetch_add(1, Ordering::Relaxed);
         let since = self.node.applied().borrow().index;
         OperationId { member: self.node.id(), incarnation: self.incarnation, number, since }
     }
 
-    /// Proposes a command and waits until it is applied at this member, for the time `within` at most.
-    /// Returns the answer of the state machine.
+    /// Proposes a command and waits for at most `within` until it is applied at this member. Returns the
+    /// answer of the state machine.
     ///
     /// # Errors
-    /// [`ReplicationError::InvalidCommand`], [`ReplicationError::Full`] and [`ReplicationError::Stopped`]
-    /// before it is proposed; [`ReplicationError::Refused`], [`ReplicationError::TooOld`] or
-    /// [`ReplicationError::Unknown`] after.
+    /// [`ReplicationError::InvalidCommand`], [`ReplicationError::Full`] and [`ReplicationError::Stopped`] if
+    /// nothing was proposed; [`ReplicationError::Refused`] and [`ReplicationError::TooOld`] if the operation
+    /// was rejected; [`ReplicationError::Unknown`] if the outcome did not arrive in time.
     pub async fn propose(
         &self,
         id: OperationId,
@@ -177,7 +181,7 @@
         }
     }
 
-    /// Checks that a command can be proposed. Returns the version of the state machine's commands.
+    /// Checks that a command can be proposed, and returns the version of the state machine's commands.
     fn check_command(&self, state_machine: StateMachineId, body: &[u8]) -> Result<u16, InvalidCommand> {
         if body.len() > MAX_BODY_BYTES {
             return Err(InvalidCommand::TooLarge(body.len()));
@@ -194,8 +198,8 @@
         permit.ok_or(ReplicationError::Full { after: self.limits.retry_after })
     }
 
-    /// Repeats the proposal until it is applied here; the id makes it take effect once. `None` if the node
-    /// has ended.
+    /// Repeats the proposal at each retry interval until it is applied at this member. The operation id makes
+    /// it take effect once. Returns `None` if the node has stopped.
     async fn propose_until_applied(&self, command: &Bytes, waiter: &mut OutcomeWaiter) -> Option<Outcome> {
         loop {
             self.node.propose_command(command.clone()).await.ok()?;
@@ -205,12 +209,12 @@
         }
     }
 
-    /// Calls `read` with a state machine that has applied all that was committed before this call (Raft
-    /// thesis, 6.4).
+    /// Calls `read` with a state machine that has applied all entries committed before this call
+    /// (linearizable read, Raft thesis 6.4). Waits for at most `within`.
     ///
     /// # Errors
-    /// [`ReplicationError::NoLeader`] if no leader answers within the time, [`ReplicationError::Stopped`],
-    /// [`ReplicationError::InvalidCommand`] if there is no such state machine.
+    /// [`ReplicationError::NoLeader`] if the time has passed, [`ReplicationError::Stopped`] if the member has
+    /// stopped applying entries, [`ReplicationError::InvalidCommand`] if there is no such state machine.
     pub async fn read<S: ReplicatedStateMachine, T>(
         &self,
         state_machine: StateMachineId,
@@ -228,21 +232,22 @@
         self.inspect(state_machine, read)
     }
 
-    /// Asks the leader for the read index until one answers.
+    /// Requests a read index from the leader until one responds.
     async fn read_index(&self) -> Result<Index, ReplicationError> {
         loop {
             self.check_running()?;
             match timeout(self.limits.retry_interval, self.node.read_index()).await {
                 Ok(Ok(Some(index))) => return Ok(index),
-                // No leader is known: an election is in progress, most likely.
-                Ok(Ok(None)) => sleep(self.limits.retry_interval / LEADER_POLLS_PER_RETRY).await,
+                // The request was rejected, probably as an election is in progress.
+                Ok(Ok(None)) => sleep(self.limits.retry_interval / LEADER_POLLS_PER_RETRY_INTERVAL).await,
                 Ok(Err(ended)) => return Err(ReplicationError::Stopped(ended.to_string())),
                 Err(_) => {}
             }
         }
     }
 
-    /// Calls `read` with a state machine as it is here, and returns how recent that is.
+    /// Calls `read` with a state machine as this member has applied it, without contacting the leader. Also
+    /// returns how recent that state is.
     ///
     /// # Errors
     /// [`ReplicationError::InvalidCommand`] if there is no such state machine.
--- a/crates/stepspur-replication/src/command.rs
+++ b/crates/stepspur-replication/src/command.rs
@@ -8,25 +8,26 @@
 
 use crate::state_machine::{Rejection, StateMachineId};
 
-/// Length of a command's body, in bytes, at most.
+/// The maximum length of a command's body, in bytes.
 pub const MAX_BODY_BYTES: usize = 32 << 10;
-/// The format of the envelope, its first byte. A member stops before an entry with another one.
-const FORMAT: u8 = 1;
-/// Characters of an invalid operation id that its error repeats, at most.
+/// The first byte of an encoded command. A member halts before an entry with another format.
+const COMMAND_FORMAT: u8 = 1;
+/// An error quotes at most this many characters of an invalid operation id.
 const MAX_QUOTED_CHARS: usize = 64;
 
-/// Identifies an operation. Repeated proposals of an operation carry the same id, so that it takes effect
-/// once.
+/// Identifies an operation. All proposals of an operation carry the same id, so that it takes effect once
+/// however often it is proposed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct OperationId {
-    /// The member that proposed it first.
+    /// The member that created the id.
     pub member: MemberId,
-    /// A random number drawn at each start of that member, so that `number` may begin anew.
+    /// A random number drawn at each start of that member, so that `number` may restart from 0.
     pub incarnation: u64,
-    /// Increases with each operation of the incarnation.
+    /// The number of the operation, which increases within an incarnation.
     pub number: u64,
-    /// The last entry that the proposer had applied at the first proposal. Outcomes are retained for a number
-    /// of entries, and an operation whose outcome may be discarded already is rejected.
+    /// The last entry that the member had applied when it created the id. An operation is rejected as too old
+    /// once more than [`MAX_OUTCOMES`](crate::MAX_OUTCOMES) entries have followed, as its outcome may have
+    /// been discarded by then.
     pub since: Index,
 }
 
@@ -36,9 +37,9 @@
     }
 }
 
-/// A text is not the display form of an [`OperationId`].
+/// The text is not the display form of an [`OperationId`]. Holds the beginning of the text.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("`{0}` is no operation: expected m-MEMBER-LIFE-NUMBER@ENTRY")]
+#[error("invalid operation id `{0}`: expected m-MEMBER-INCARNATION-NUMBER@INDEX")]
 pub struct InvalidOperationId(String);
 
 impl std::str::FromStr for OperationId {
@@ -65,57 +66,57 @@
 /// A command for one state machine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Command {
-    /// The operation that it belongs to.
+    /// The operation that the command belongs to.
     pub id: OperationId,
-    /// The state machine that applies it.
+    /// The state machine that applies the command.
     pub state_machine: StateMachineId,
-    /// The version of the state machine's commands.
+    /// The version of the body's encoding, as the state machine defines it.
     pub version: u16,
-    /// The command, as the state machine encodes it. [`MAX_BODY_BYTES`] at most.
+    /// The command in the state machine's own encoding, at most [`MAX_BODY_BYTES`] long.
     pub body: Vec<u8>,
 }
 
-/// The outcome of an operation, the same at every member.
+/// The outcome of an operation. It is part of the replicated state, so it is the same at every member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The operation was applied, with this answer.
+    /// The operation was applied. Holds the state machine's answer.
     Done(Vec<u8>),
-    /// The rules of the state machine rejected it; the state is unchanged.
+    /// The state machine rejected the operation, and its state is unchanged.
     Refused(Rejection),
-    /// It came so late that it might have been applied before and its outcome discarded. It was not applied
-    /// now.
+    /// The operation was not applied, as it came so late that an earlier proposal of it might have been
+    /// applied and its outcome discarded.
     TooOld,
 }
 
-/// An entry of the log is not a command that this program knows.
+/// A log entry is not a command that this program can decode.
 #[derive(Debug, thiserror::Error)]
 pub enum DecodeCommandError {
     /// The entry has no bytes.
-    #[error("an empty command")]
+    #[error("the command is empty")]
     Empty,
-    /// A newer program wrote the entry.
-    #[error("a command of form {0}, and this program knows {FORMAT}: start a newer one")]
+    /// The entry has another format, as a newer program wrote it. Holds that format.
+    #[error("unknown command format {0}: this program reads format {COMMAND_FORMAT}; upgrade it")]
     UnknownFormat(u8),
-    /// The bytes after the format are no command.
-    #[error("no command: {0}")]
+    /// The bytes after the format are not an encoded command.
+    #[error("malformed command: {0}")]
     Malformed(#[from] postcard::Error),
 }
 
 impl Command {
-    /// Encodes the command for an entry of the log.
+    /// Encodes the command for a log entry: the format byte, then postcard.
     pub fn encode(&self) -> Bytes {
-        // Postcard encodes numbers and byte strings without failing.
+        // Encoding cannot fail, as the command holds only numbers and bytes.
         let body = postcard::to_stdvec(self).unwrap_or_default();
-        std::iter::once(FORMAT).chain(body).collect()
+        std::iter::once(COMMAND_FORMAT).chain(body).collect()
     }
 
-    /// Decodes a command from an entry of the log.
+    /// Decodes a command from a log entry.
     ///
     /// # Errors
     /// [`DecodeCommandError`] if the entry is empty, of an unknown format or malformed.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeCommandError> {
         match bytes.split_first() {
-            Some((&FORMAT, body)) => Ok(postcard::from_bytes(body)?),
+            Some((&COMMAND_FORMAT, body)) => Ok(postcard::from_bytes(body)?),
             Some((format, _)) => Err(DecodeCommandError::UnknownFormat(*format)),
             None => Err(DecodeCommandError::Empty),
         }
--- a/crates/stepspur-replication/src/command/tests.rs
+++ b/crates/stepspur-replication/src/command/tests.rs
@@ -22,6 +22,7 @@
     }
 }
 
+/// A changed encoding could not read the log entries of earlier versions.
 #[test]
 fn command_encoded_has_the_stored_bytes() {
     let id = OperationId { member: MemberId(1), incarnation: 7, number: 2, since: Index(0) };
--- a/crates/stepspur-replication/src/lib.rs
+++ b/crates/stepspur-replication/src/lib.rs
@@ -1,12 +1,14 @@
-//! Replicated state machines above consensus: proposals that take effect once, and linearizable reads.
+//! Replicated state machines on top of the consensus group: proposals that take effect exactly once, and
+//! linearizable reads.
 //!
-//! - [`ReplicatedStateMachine`]: one kind of replicated state with a deterministic `apply`, its version and
-//!   its part of the snapshot.
-//! - [`StateMachineRegistry`]: all state machines of a member. It applies each command once, however often it
-//!   is proposed. A command for an unknown state machine or version stops the member before that entry.
-//! - [`ReplicationClient`]: the handle of a running member. `propose` returns the outcome or says that it is
-//!   unknown, `read` is linearizable, `read_stale` returns the entry up to which it reads. Proposals in
-//!   flight are limited per state machine and per tenant.
+//! - [`ReplicatedStateMachine`] is the trait of one kind of replicated state: a deterministic `apply`, its
+//!   version and its part of the snapshot.
+//! - [`StateMachineRegistry`] holds all state machines of a member. It applies each operation once, however
+//!   often it is proposed. A command for an unknown state machine or version halts the member before that
+//!   entry.
+//! - [`ReplicationClient`] is the handle of a running member. `propose` returns the outcome, or an error if
+//!   it is unknown; `read` is linearizable; `read_stale` also returns the entry up to which the state is
+//!   applied. Proposals in flight are limited per state machine and per tenant.
 //!
 //! docs/shared.md has the design and the alternatives considered.
 #![forbid(unsafe_code)]
--- a/crates/stepspur-replication/src/proposal_limiter.rs
+++ b/crates/stepspur-replication/src/proposal_limiter.rs
@@ -1,4 +1,4 @@
-//! Limits proposals in flight per state machine and per tenant, so that no tenant starves the others.
+//! Limits of the proposals in flight per state machine and per tenant, so that no tenant starves the others.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -9,13 +9,13 @@
 /// Limits of proposals in flight, and the intervals of retries.
 #[derive(Clone, Debug)]
 pub struct ProposalLimits {
-    /// Proposals in flight per state machine, at most.
+    /// The maximum number of proposals in flight per state machine. Default: 256.
     pub per_state_machine: usize,
-    /// Proposals in flight per tenant within a state machine, at most.
+    /// The maximum number of proposals in flight per tenant within a state machine. Default: 64.
     pub per_tenant: usize,
-    /// A proposal or a read request without an answer is sent again after this time.
+    /// After this time without a response, a proposal or read request is sent again. Default: 300 ms.
     pub retry_interval: Duration,
-    /// A caller that was rejected for lack of capacity is asked to retry after this time.
+    /// The delay before a retry that is returned to a caller rejected at a limit. Default: 500 ms.
     pub retry_after: Duration,
 }
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// Counts proposals in flight and admits further ones within the limits.
+/// Counts the proposals in flight, and admits further ones within the limits. Clones share their counts.
 #[derive(Clone, Debug)]
 pub(crate) struct ProposalLimiter {
     per_state_machine: usize,
@@ -44,7 +44,7 @@
     by_tenant: BTreeMap<(StateMachineId, String), usize>,
 }
 
-/// Capacity for one proposal, released on drop.
+/// A permit for one proposal in flight, released on drop.
 #[derive(Debug)]
 pub(crate) struct ProposalPermit {
     limiter: ProposalLimiter,
@@ -53,7 +53,7 @@
 }
 
 impl ProposalLimiter {
-    /// A limiter with nothing in flight.
+    /// Creates a limiter with nothing in flight.
     pub(crate) fn new(limits: &ProposalLimits) -> Self {
         Self {
             per_state_machine: limits.per_state_machine,
--- a/crates/stepspur-replication/src/proposal_limiter/tests.rs
+++ b/crates/stepspur-replication/src/proposal_limiter/tests.rs
@@ -1,5 +1,7 @@
 use super::*;
 
+/// Without separate limits, one tenant or one state machine could take the capacity of the others; a permit
+/// that is not released on drop would block its tenant.
 #[test]
 fn try_acquire_at_a_limit_returns_none_until_a_permit_is_dropped() {
     let limits = ProposalLimits { per_state_machine: 4, per_tenant: 3, ..ProposalLimits::default() };
--- a/crates/stepspur-replication/src/registry.rs
+++ b/crates/stepspur-replication/src/registry.rs
@@ -14,45 +14,52 @@
 use crate::command::{Command, DecodeCommandError, MAX_BODY_BYTES, OperationId, Outcome};
 use crate::state_machine::{Rejection, ReplicatedStateMachine, RestoreError, StateMachineId};
 
-/// Outcomes are retained for this many entries. A repeated operation within them is recognized; one that was
-/// first proposed before them is rejected, as it might have been applied and its outcome discarded.
+/// Outcomes are retained for this many log entries. A repeated operation within them is recognized. One that
+/// was first proposed before them is rejected as too old, as it might have been applied and its outcome
+/// discarded.
 pub const MAX_OUTCOMES: u64 = 16_384;
-/// Length of a state machine's answer, in bytes, at most. A longer one is cut, as it is stored with its id.
+/// The maximum length of a state machine's answer, in bytes. A longer one is truncated, as all retained
+/// outcomes are part of the snapshot.
 pub const MAX_OUTCOME_BYTES: usize = 1_024;
-/// Characters of a rejection at most: a character has 4 bytes at most.
+/// The maximum length of a rejection, in characters. A UTF-8 character has at most 4 bytes.
 const MAX_REJECTION_CHARS: usize = MAX_OUTCOME_BYTES / 4;
-/// Length of an entry's command, in bytes, at most: its body and its envelope.
+/// The maximum length of an encoded command, in bytes: its body and the fields before it.
 const MAX_COMMAND_BYTES: usize = 2 * MAX_BODY_BYTES;
 
-/// The state machines of a member, shared by the member's task and its readers.
+/// All state machines of a member, and the outcomes of its recent operations. Clones share them: the member's
+/// task applies entries, and clients read.
 #[derive(Clone)]
 pub struct StateMachineRegistry(Arc<RwLock<Inner>>);
 
 struct Inner {
     state_machines: BTreeMap<StateMachineId, Box<dyn ReplicatedStateMachine>>,
-    /// Operations with an outcome, in the order of their entries; the oldest is discarded first.
+    /// Operations with a retained outcome, in the order of their entries; the oldest is discarded first.
     completed: VecDeque<CompletedOperation>,
     outcomes: BTreeMap<OperationId, Outcome>,
+    /// The last applied entry that holds a command for a state machine.
     applied: Index,
-    /// Local callers that wait for an operation. They are not part of the replicated state.
+    /// Callers in this process that wait for an outcome. They are not part of the replicated state.
     waiters: BTreeMap<WaiterKey, oneshot::Sender<Outcome>>,
+    /// The number of the waiter that was added last.
     last_waiter: u64,
 }
 
+/// An operation with an outcome.
 #[derive(Clone, Copy)]
 struct CompletedOperation {
+    /// The entry that applied or rejected the operation.
     index: Index,
     id: OperationId,
 }
 
-/// Sorted by operation, so that the waiters of one operation are a range.
+/// Identifies a waiter. Keys are ordered by operation, so the waiters of one operation are a range.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct WaiterKey {
     operation: OperationId,
     number: u64,
 }
 
-/// Waits for the outcome of an operation; deregisters on drop.
+/// Waits for the outcome of an operation. The waiter is removed from the registry on drop.
 pub(crate) struct OutcomeWaiter {
     registry: StateMachineRegistry,
     key: WaiterKey,
@@ -60,7 +67,7 @@
 }
 
 impl OutcomeWaiter {
-    /// Returns the outcome once the operation is applied here; `None` if the registry is gone.
+    /// Returns the outcome once the operation is applied at this member; `None` if its sender was dropped.
     pub(crate) async fn outcome(&mut self) -> Option<Outcome> {
         (&mut self.outcome).await.ok()
     }
@@ -72,7 +79,7 @@
     }
 }
 
-/// The state that a consensus snapshot carries, in stored form.
+/// The replicated state of the registry as a snapshot stores it (postcard).
 #[derive(Serialize, Deserialize)]
 struct RegistrySnapshot {
     applied: Index,
@@ -94,34 +101,36 @@
     outcome: Outcome,
 }
 
-/// Why the member stops before an entry.
+/// Why an entry cannot be applied. The member halts before it.
 ///
-/// The texts are what operators read; `book` is their earlier word for a state machine.
+/// `book` is an earlier word for a state machine; a fault test matches it in the text of
+/// `UnsupportedVersion`.
 #[derive(Debug, thiserror::Error)]
 enum ApplyError {
-    #[error("a command of {0} bytes")]
+    #[error("the command has {0} bytes, the limit is {MAX_COMMAND_BYTES}")]
     TooLarge(usize),
     #[error(transparent)]
     Decode(#[from] DecodeCommandError),
-    #[error("book {0} is not known to this program: start a newer one")]
+    #[error("state machine {0} is not known to this program: upgrade it")]
     UnknownStateMachine(StateMachineId),
-    #[error("book {id} in version {version}, and this program knows {supported:?}")]
+    #[error("cannot read book {id} in version {version}: this program reads versions {supported:?}")]
     UnsupportedVersion { id: StateMachineId, version: u16, supported: RangeInclusive<u16> },
 }
 
-/// Why a snapshot is not restored.
+/// Why a snapshot cannot be restored.
 #[derive(Debug, thiserror::Error)]
 enum RegistryRestoreError {
     #[error(transparent)]
     Malformed(#[from] postcard::Error),
-    #[error("book {id} in version {version} is not known to this program")]
+    #[error("state machine {id} in version {version} is not known to this program: upgrade it")]
     Unsupported { id: StateMachineId, version: u16 },
-    #[error("book {id}: {cause}")]
+    #[error("state machine {id} cannot be restored: {cause}")]
     StateMachine { id: StateMachineId, cause: RestoreError },
 }
 
 impl StateMachineRegistry {
-    /// A registry of state machines in their initial state. Of two with the same id the later one is taken.
+    /// Creates a registry of state machines in their initial state. Of two with the same id the later one is
+    /// used.
     pub fn new(state_machines: impl IntoIterator<Item = Box<dyn ReplicatedStateMachine>>) -> Self {
         let by_id = state_machines.into_iter().map(|state_machine| (state_machine.id(), state_machine));
         Self(Arc::new(RwLock::new(Inner {
@@ -142,12 +151,12 @@
         update(&mut self.0.write().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// The last entry with a command that was applied here.
+    /// Returns the last entry with a command for a state machine that this member has applied.
     pub fn applied(&self) -> Index {
         self.inner().applied
     }
 
-    /// Calls `read` with a state machine; `None` if there is no such state machine of this type.
+    /// Calls `read` with a state machine; `None` if there is none with this id and type.
     pub fn inspect<S: ReplicatedStateMachine, T>(
         &self,
         id: StateMachineId,
@@ -158,21 +167,22 @@
         state_machine.downcast_ref::<S>().map(read)
     }
 
-    /// The version of a state machine's commands that this program writes; `None` if there is no such state
-    /// machine.
+    /// Returns the version of a state machine's commands that this program writes; `None` if there is no such
+    /// state machine.
     pub fn version(&self, id: StateMachineId) -> Option<u16> {
         self.inner().state_machines.get(&id).map(|state_machine| state_machine.version())
     }
 
-    /// The SHA-256 digest of each state machine: the same at every member that has applied the same entries.
+    /// Returns the SHA-256 digest of each state machine's encoded state. It is the same at every member that
+    /// has applied the same entries.
     pub fn digests(&self) -> BTreeMap<StateMachineId, [u8; 32]> {
         let inner = self.inner();
         let state_machines = inner.state_machines.iter();
         state_machines.map(|(id, machine)| (*id, Sha256::digest(machine.encode()).into())).collect()
     }
 
-    /// Waits for the outcome of an operation, which may be there already. Several callers may wait for the
-    /// same one.
+    /// Returns a waiter for the outcome of an operation, which may have been applied already. Several callers
+    /// may wait for the same operation.
     pub(crate) fn wait_for_outcome(&self, operation: OperationId) -> OutcomeWaiter {
         let (sender, receiver) = oneshot::channel();
         let key = self.update(|inner| inner.add_waiter(operation, sender));
@@ -185,7 +195,7 @@
         self.last_waiter += 1;
         let key = WaiterKey { operation, number: self.last_waiter };
         match self.outcomes.get(&operation) {
-            // The receiver is held by the caller, so that sending cannot fail.
+            // The caller still holds the receiver, so sending cannot fail.
             Some(outcome) => drop(sender.send(outcome.clone())),
             None => drop(self.waiters.insert(key, sender)),
         }
@@ -214,8 +224,10 @@
         Ok(())
     }
 
-    /// An operation of `since` is rejected after `since + MAX_OUTCOMES`, and its entry lies after `since`. So
-    /// the outcome is not needed once the log has passed its entry by [`MAX_OUTCOMES`].
+    /// Discards the outcomes of operations that were applied more than [`MAX_OUTCOMES`] entries ago.
+    ///
+    /// No repeated proposal can need them: an operation is rejected after entry `since + MAX_OUTCOMES`, and
+    /// its first entry came after `since`.
     fn discard_old_outcomes(&mut self, applied: Index) {
         let is_old = |operation: &mut CompletedOperation| operation.index.0 + MAX_OUTCOMES < applied.0;
         while let Some(operation) = self.completed.pop_front_if(is_old) {
@@ -223,13 +235,14 @@
         }
     }
 
+    /// Sends an outcome to all waiters of its operation.
     fn notify_waiters(&mut self, operation: OperationId, outcome: &Outcome) {
         let first = WaiterKey { operation, number: 0 };
         let last = WaiterKey { operation, number: u64::MAX };
         let keys: Vec<WaiterKey> = self.waiters.range(first..=last).map(|(key, _)| *key).collect();
         for key in keys {
             if let Some(sender) = self.waiters.remove(&key) {
-                // A caller that has just given up needs no outcome.
+                // Sending fails if the caller has just stopped waiting, which is no error.
                 drop(sender.send(outcome.clone()));
             }
         }
@@ -275,6 +288,7 @@
         Ok(())
     }
 
+    /// Checks that this program can read all state machines of a snapshot.
     fn check_snapshot(&self, snapshot: &RegistrySnapshot) -> Result<(), RegistryRestoreError> {
         for stored in &snapshot.state_machines {
             let state_machine = self.state_machines.get(&stored.id);
@@ -285,6 +299,7 @@
         Ok(())
     }
 
+    /// Notifies the waiters of operations whose outcomes came with a snapshot.
     fn notify_waiters_of_restored(&mut self) {
         let operations: BTreeSet<OperationId> = self.waiters.keys().map(|key| key.operation).collect();
         for operation in operations {
@@ -295,7 +310,8 @@
     }
 }
 
-/// The state machine that a command is for, if this program knows it in the command's version.
+/// Returns the state machine that a command is for, or an error if this program does not know it or cannot
+/// read the command's version.
 fn supporting_state_machine<'a>(
     state_machines: &'a mut BTreeMap<StateMachineId, Box<dyn ReplicatedStateMachine>>,
     command: &Command,
@@ -309,6 +325,7 @@
     Ok(state_machine.as_mut())
 }
 
+/// Applies a command, and truncates the state machine's answer or rejection to the limits of an outcome.
 fn apply_command(
     state_machine: &mut dyn ReplicatedStateMachine,
     position: LogPosition,
@@ -323,7 +340,7 @@
 }
 
 impl RegistrySnapshot {
-    /// An empty snapshot is the initial state of a new group.
+    /// Decodes a snapshot. An empty one is the initial state of a new group.
     fn decode(encoded: &[u8]) -> Result<Self, postcard::Error> {
         if encoded.is_empty() {
             return Ok(Self { applied: Index(0), state_machines: Vec::new(), outcomes: Vec::new() });
--- a/crates/stepspur-replication/src/registry/tests.rs
+++ b/crates/stepspur-replication/src/registry/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// A state machine that answers with the command that it was given.
+/// A state machine without state that answers with the body of the command.
 struct Echo;
 
 impl ReplicatedStateMachine for Echo {
@@ -43,10 +43,11 @@
     Command { id, state_machine: StateMachineId(1), version: 1, body: b"x".to_vec() }.encode().to_vec()
 }
 
-/// A caller gives up while another waits for the same operation, as after a lost answer. The other one still
-/// gets the outcome, by an entry or by a snapshot, and the one that gave up leaves no waiter behind.
+/// A caller may stop waiting for an operation while another one still waits for it, as after a retry. If the
+/// dropped waiter removed all waiters of the operation, the other caller would miss the outcome; if it
+/// removed none, waiters would accumulate. The outcome may arrive by an entry or by a snapshot.
 #[tokio::test]
-async fn waiter_dropped_while_another_waits_leaves_the_others_outcome() {
+async fn dropped_waiter_removes_only_itself() {
     let mut registry = registry();
     for by_snapshot in [false, true] {
         let id = operation(u64::from(by_snapshot));
@@ -67,6 +68,7 @@
     assert_eq!(registry.inner().waiters.len(), 0);
 }
 
+/// A changed encoding could not read the snapshots of earlier versions.
 #[test]
 fn snapshot_encoded_has_the_stored_bytes() {
     let mut registry = registry();
--- a/crates/stepspur-replication/src/state_machine.rs
+++ b/crates/stepspur-replication/src/state_machine.rs
@@ -9,7 +9,8 @@
 use serde::{Deserialize, Serialize};
 use stepspur_consensus::LogPosition;
 
-/// Identifies a state machine in commands and snapshots. A number is never reused for another state machine.
+/// Identifies a state machine in commands and snapshots. An id must never be reused for another state
+/// machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct StateMachineId(pub u16);
 
@@ -19,13 +20,13 @@
     }
 }
 
-/// The rules of a state machine reject a command. The text is replicated: every member rejects with the same
-/// one.
+/// The reason for which a state machine rejects a command. It is replicated, so it must be the same at every
+/// member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[error("{0}")]
 pub struct Rejection(pub String);
 
-/// A state machine cannot be restored from its part of a snapshot.
+/// Why a state machine cannot be restored from its part of a snapshot.
 #[derive(Debug, thiserror::Error)]
 #[error(transparent)]
 pub struct RestoreError(Box<dyn Error + Send + Sync>);
@@ -39,39 +40,42 @@
 
 /// One kind of replicated state.
 ///
-/// Every member reaches the same state by the same entries. So `apply` uses no clock, no random numbers, no
-/// floating point and no iteration in hash order.
+/// Every member must reach the same state by the same entries. So `apply` must not depend on a clock, random
+/// numbers, floating point or hash order.
 pub trait ReplicatedStateMachine: Any + Send + Sync {
-    /// Identifies this state machine.
+    /// Returns the id of this state machine, which never changes.
     fn id(&self) -> StateMachineId;
 
-    /// The version of the commands and the snapshot that this program writes, and the newest that it reads.
+    /// Returns the version of the commands and snapshots that this program writes. It is also the newest
+    /// version that the program reads.
     fn version(&self) -> u16;
 
-    /// The oldest version of commands and snapshots that this program still reads.
+    /// Returns the oldest version of commands and snapshots that this program reads. Default: 1.
     fn oldest_version(&self) -> u16 {
         1
     }
 
-    /// The versions of commands and snapshots that this program reads.
+    /// Returns the versions of commands and snapshots that this program reads.
     fn supported_versions(&self) -> RangeInclusive<u16> {
         self.oldest_version()..=self.version()
     }
 
-    /// Applies the command of the entry at `position`. The command has a supported version.
+    /// Applies the command of the entry at `position`. `version` is one of the supported versions.
     ///
-    /// Returns the answer for the proposer; what exceeds [`crate::MAX_OUTCOME_BYTES`] bytes is cut off.
+    /// Returns the answer for the proposer; an answer is truncated to [`crate::MAX_OUTCOME_BYTES`] bytes.
     ///
     /// # Errors
-    /// [`Rejection`] if the rules of the state machine forbid the command. The state is unchanged then.
+    /// [`Rejection`] if the state machine does not allow the command. The state must be unchanged then.
     fn apply(&mut self, position: LogPosition, version: u16, body: &[u8]) -> Result<Bytes, Rejection>;
 
-    /// Encodes the state for a snapshot: the same bytes at every member that has applied the same entries.
+    /// Encodes the state for a snapshot. The bytes must be the same at every member that has applied the same
+    /// entries.
     fn encode(&self) -> Vec<u8>;
 
-    /// Replaces the state by one from a snapshot of a supported version. An empty one is the initial state.
+    /// Replaces the state by the encoded one of a snapshot. `version` is one of the supported versions. Empty
+    /// bytes stand for the initial state.
     ///
     /// # Errors
-    /// [`RestoreError`] if the encoded state is invalid. The state is unchanged then.
+    /// [`RestoreError`] if the encoded state is invalid. The state must be unchanged then.
     fn restore(&mut self, version: u16, encoded: &[u8]) -> Result<(), RestoreError>;
 }
