--- a/crates/stepspur-consensus/tests/encoding.rs
+++ b/crates/stepspur-consensus/tests/encoding.rs
@@ -1,4 +1,5 @@
-//! The encodings of stored and replicated values have the names of earlier versions, and never change.
+//! Stored and replicated values must keep their encodings: after a change, a member could not read the log,
+//! snapshot or settings of an earlier version. Serialized names are those of earlier versions.
 
 use std::sync::Arc;
 
@@ -12,7 +13,7 @@
 }
 
 #[test]
-fn role_commands_keep_their_json() {
+fn role_commands_have_the_stored_json() {
     let grant = RoleGrant { role: role(), expected_token: FencingToken(3), holder: MemberId(7) };
     let commands = [
         (
@@ -38,7 +39,7 @@
 }
 
 #[test]
-fn role_table_keeps_its_json() {
+fn role_table_has_the_stored_json() {
     let mut table = RoleTable::default();
     table.apply(Index(2), &RoleCommand::Declare { role: role(), lease: 2_000_000 }.encode());
     let grant = RoleGrant { role: role(), expected_token: FencingToken(0), holder: MemberId(7) };
@@ -53,7 +54,7 @@
 }
 
 #[test]
-fn entries_keep_their_json() {
+fn entry_payloads_have_the_stored_json() {
     let payloads = [
         (Payload::Empty, r#""Nothing""#),
         (Payload::Voters([MemberId(1), MemberId(2)].into()), r#"{"Members":[1,2]}"#),
@@ -66,7 +67,7 @@
 }
 
 #[test]
-fn settings_keep_their_json() {
+fn settings_have_the_stored_json() {
     let json = concat!(
         r#"{"election":1000000,"heartbeat":200000,"renew":400000,"disk_stall":2000000,"drift_ppm":1000,"#,
         r#""batch":64,"log_max":4096,"chunk":65536,"command_max":65536,"waiting_max":1024}"#
@@ -75,7 +76,8 @@
     assert_eq!(serde_json::from_str::<Settings>(json).unwrap(), Settings::default());
 }
 
-/// A snapshot of roles alone is their JSON.
+/// A snapshot without a state machine is the JSON of the roles alone. A member that could not restore it
+/// would halt after an upgrade.
 #[test]
 fn member_restores_a_snapshot_of_an_earlier_version() {
     let json = concat!(
--- a/crates/stepspur-consensus/tests/following.rs
+++ b/crates/stepspur-consensus/tests/following.rs
@@ -1,5 +1,5 @@
-//! Members to which no leader replicates: how often they wake and fetch, and that they apply all committed
-//! entries.
+//! Members to which no leader replicates: non-voters, and voters that have lost their storage. They must
+//! apply all committed entries soon, and cost little while the group is idle.
 
 use std::collections::BTreeMap;
 
@@ -9,13 +9,14 @@
     RaftNode, RoleCommand, RoleName, Settings, StateMachine,
 };
 
-/// The shortest time between two ticks of a member, as in service.
-const MIN_TICK: Micros = 1_000;
-/// How long a message is in flight, and how long a write takes.
+/// The minimum time between two ticks of a member, as in the consensus node.
+const MIN_TICK_INTERVAL: Micros = 1_000;
+/// The latency of each message and of each write.
 const DELAY: Micros = 500;
 const SECOND: Micros = 1_000_000;
 
-/// A state machine whose commands are one small letter each, in a later version also one capital letter.
+/// A state machine that appends letters. A command is one lowercase letter, in a later version also one
+/// uppercase letter.
 #[derive(Clone, Debug, Default)]
 struct Letters {
     letters: Vec<u8>,
@@ -46,9 +47,9 @@
 struct Node {
     member: Member<Letters>,
     has_disk: bool,
-    /// Ticks by its clock.
+    /// The number of ticks by the timer since the counter was reset.
     wakes: u64,
-    /// Fetches sent.
+    /// The number of fetches sent since the counter was reset.
     fetches: u64,
 }
 
@@ -57,18 +58,19 @@
     Written { member: MemberId, number: u64 },
 }
 
-/// Members in virtual time, driven as in service.
+/// A group of members in virtual time.
 struct Group {
     now: Micros,
     nodes: BTreeMap<MemberId, Node>,
     events: BTreeMap<(Micros, u64), Event>,
     next_event: u64,
-    /// Which messages from one to another are lost.
+    /// Returns true if a message from the first member to the second one is lost.
     lost: fn(MemberId, MemberId, &PeerMessage) -> bool,
 }
 
 impl Group {
-    /// Voters from 1 on, some of them without a disk, and followers after them.
+    /// Starts a group. Its voters have the ids from 1 on, those in `without_disk` fail their first write, and
+    /// the non-voting followers have the next ids.
     fn new(voters: u64, without_disk: &[u64], followers: u64) -> Self {
         let all: Vec<MemberId> = (1..=voters + followers).map(MemberId).collect();
         let bootstrapped = RaftNode::bootstrap(all.iter().copied().take(voters as usize).collect());
@@ -95,6 +97,7 @@
         self.events.insert((self.now + DELAY, self.next_event), event);
     }
 
+    /// Calls `act` on a member and handles its outputs.
     fn step(&mut self, id: MemberId, act: impl FnOnce(&mut Member<Letters>, Micros) -> Vec<MemberOutput>) {
         let now = self.now;
         let node = self.nodes.get_mut(&id).expect("a member");
@@ -117,10 +120,10 @@
         }
     }
 
-    /// Runs until a time.
+    /// Runs until `end`.
     fn run_until(&mut self, end: Micros) {
         loop {
-            let wake_at = |node: &Node| node.member.next_tick_at().max(self.now + MIN_TICK);
+            let wake_at = |node: &Node| node.member.next_tick_at().max(self.now + MIN_TICK_INTERVAL);
             let (wake_at, woken) =
                 self.nodes.iter().map(|(id, node)| (wake_at(node), *id)).min().expect("members");
             let event_at = self.events.first_key_value().map_or(Micros::MAX, |((at, _), _)| *at);
@@ -161,7 +164,7 @@
         &self.nodes[&MemberId(id)]
     }
 
-    /// Runs until a member leads.
+    /// Returns the leader, after running until there is one.
     fn leader(&mut self) -> MemberId {
         for _ in 0..600 {
             if let Some((id, _)) = self.nodes.iter().find(|(_, node)| node.member.raft().is_leader()) {
@@ -177,19 +180,19 @@
         self.step(leader, |member, now| member.propose_command(now, command));
     }
 
-    /// Runs until a member has applied the leader's last entry, and gives how long that took.
+    /// Runs until a member has applied the leader's last entry, and returns how long that took.
     fn run_until_applied(&mut self, id: u64, timeout: Micros) -> Micros {
         let from = self.now;
         let leader = self.leader();
         let last = |group: &Self| group.nodes[&leader].member.raft().log().last_index();
         while self.node(id).member.roles().applied() < last(self) {
             assert!(self.now < from + timeout, "{id} lacks committed entries after {timeout} us");
-            self.run(MIN_TICK);
+            self.run(MIN_TICK_INTERVAL);
         }
         self.now - from
     }
 
-    /// Wakes and fetches of each member in ten idle seconds.
+    /// Returns the numbers of wakes and fetches of each member in ten idle seconds.
     fn idle(&mut self) -> BTreeMap<u64, (u64, u64)> {
         self.run(5 * SECOND);
         self.nodes.values_mut().for_each(|node| (node.wakes, node.fetches) = (0, 0));
@@ -198,11 +201,13 @@
     }
 }
 
-/// The most wakes in ten idle seconds: a leader wakes ten times a second, all others less often.
+/// The maximum number of wakes in ten idle seconds. A leader wakes ten times a second, all others less often.
 const MAX_WAKES: u64 = 120;
-/// The most fetches in ten idle seconds: one a second, and one that was in flight.
+/// The maximum number of fetches in ten idle seconds: one per second, and one in flight at the start.
 const MAX_FETCHES: u64 = 11;
 
+/// A member without a leader could poll: a halted voter or a follower would then fetch at each heartbeat
+/// interval or in a loop while nothing is committed.
 #[test]
 fn idle_member_wakes_and_fetches_seldom() {
     for (case, without_disk) in [("all disks", &[][..]), ("a voter without its disk", &[3])] {
@@ -212,11 +217,12 @@
         println!("{case}: wakes and fetches of ten seconds {idle:?}");
         for (id, (wakes, fetches)) in idle {
             assert!(wakes <= MAX_WAKES, "{case}: {id} woke {wakes} times in ten idle seconds");
-            assert!(fetches <= MAX_FETCHES, "{case}: {id} asked {fetches} times in ten idle seconds");
+            assert!(fetches <= MAX_FETCHES, "{case}: {id} fetched {fetches} times in ten idle seconds");
         }
     }
 }
 
+/// A voter whose storage has failed no longer accepts entries from the leader, so it must fetch them.
 #[test]
 fn voter_without_its_disk_applies_committed_entries() {
     let mut group = Group::new(3, &[3], 0);
@@ -230,6 +236,8 @@
     }
 }
 
+/// A voter pushes entries without a response from the follower. A lost one must be found by the gap before
+/// the next entry, or by the next fetch if no entry follows.
 #[test]
 fn follower_applies_entries_at_once_and_recovers_lost_ones() {
     let mut group = Group::new(3, &[], 3);
@@ -243,24 +251,24 @@
         }
         group.run(SECOND / 7);
     }
-    // One entry is lost on the way to them: the next one shows the gap, and one fetch brings both.
+    // An entry to the followers is lost. The next entry shows the gap, and one fetch returns both.
     group.lost = |_, to, message| to.0 > 3 && matches!(message, PeerMessage::CommittedEntries { .. });
     group.propose(b"k");
-    group.run(MIN_TICK * 5);
+    group.run(MIN_TICK_INTERVAL * 5);
     group.lost = |_, _, _| false;
     assert!(
         (4..=6).all(|id| group.node(id).member.state().letters.last() == Some(&b'j')),
-        "nothing was lost"
+        "the push of the entry was not lost"
     );
     group.propose(b"l");
     for id in 4..=6 {
         let elapsed = group.run_until_applied(id, SECOND);
         assert!(elapsed <= 20 * DELAY, "{id} applied it after {elapsed} us");
     }
-    // No other entry follows the lost one: the next fetch brings it.
+    // An entry is lost and no other one follows. The next fetch returns it.
     group.lost = |_, to, message| to.0 > 3 && matches!(message, PeerMessage::CommittedEntries { .. });
     group.propose(b"m");
-    group.run(MIN_TICK * 5);
+    group.run(MIN_TICK_INTERVAL * 5);
     group.lost = |_, _, _| false;
     for id in 4..=6 {
         group.run_until_applied(id, 2 * SECOND);
@@ -268,14 +276,16 @@
     }
 }
 
+/// A voter that is cut off from the other voters still answers fetches, but receives no new entries. A
+/// follower that stayed with it would never get them.
 #[test]
 fn follower_leaves_a_source_without_a_leader() {
     let mut group = Group::new(3, &[], 4);
     let leader = group.leader();
     group.run(5 * SECOND);
-    // A source that is cut off from the voters but not from the followers.
+    // This voter is cut off from the other voters but not from the followers.
     let cut = MemberId(leader.0 % 3 + 1);
-    assert_eq!((leader, cut), (MemberId(1), MemberId(2)), "the seed of this test");
+    assert_eq!((leader, cut), (MemberId(1), MemberId(2)), "the loss rule below assumes this leader");
     group.lost = |from, to, _| from != to && (from.0 == 2 || to.0 == 2) && from.0 <= 3 && to.0 <= 3;
     group.run(5 * SECOND);
     group.propose(b"a");
@@ -284,6 +294,8 @@
     }
 }
 
+/// A follower of an earlier version halts at a command that it does not know. Fetching that entry again and
+/// again would load the group without effect.
 #[test]
 fn follower_with_an_unknown_entry_fetches_no_more() {
     let mut group = Group::new(3, &[], 1);
@@ -293,10 +305,12 @@
     group.run(SECOND);
     assert!(group.node(4).member.halt_reason().is_some());
     let idle = group.idle();
-    assert_eq!(idle[&4].1, 0, "it keeps fetching an entry that it cannot apply");
+    assert_eq!(idle[&4].1, 0, "the follower fetches an entry again that it cannot apply");
     assert!(idle[&4].0 <= MAX_WAKES, "{idle:?}");
 }
 
+/// A halted member applies entries late, so it must not keep a role by further renewals: it could not notice
+/// that the role was revoked. It still applies committed entries.
 #[test]
 fn halted_member_renews_nothing_and_loses_its_role() {
     let mut group = Group::new(3, &[], 0);
@@ -322,5 +336,5 @@
     assert!(group.nodes[&other].member.token(&role, now).is_none());
     assert!(group.nodes[&leader].member.token(&role, now).is_some());
     let applied = |id: &MemberId| group.nodes[id].member.roles().applied();
-    assert_eq!(applied(&other), applied(&leader), "it follows");
+    assert_eq!(applied(&other), applied(&leader), "the halted member still applies entries");
 }
--- a/crates/stepspur-consensus/tests/lease_renewal.rs
+++ b/crates/stepspur-consensus/tests/lease_renewal.rs
@@ -1,4 +1,5 @@
-//! Renewals of a holder whose requests arrive and that receives no answers.
+//! Renewals of a holder that receives no responses although its requests arrive, as after the loss of one
+//! direction of a link.
 
 use stepspur_consensus::{
     Member, MemberConfig, MemberId, MemberOutput, PeerMessage, RaftNode, RoleChange, RoleCommand, RoleName,
@@ -6,10 +7,10 @@
 };
 
 const LEADER: MemberId = MemberId(1);
-const DEAF: MemberId = MemberId(2);
-const OTHER: MemberId = MemberId(3);
+const UNANSWERED: MemberId = MemberId(2);
+const ANSWERED: MemberId = MemberId(3);
 
-/// Completes a step's writes at once, and collects the new holders.
+/// Completes the writes of a step at once, and adds the holders of granted roles to `holders`.
 fn step(member: &mut Member, now: u64, mut outputs: Vec<MemberOutput>, holders: &mut Vec<MemberId>) {
     while !outputs.is_empty() {
         let mut written = None;
@@ -24,8 +25,10 @@
     }
 }
 
+/// A leader extends a lease at each renewal request, but the holder may act only after a response. If the
+/// leader accepted the requests of a holder that receives no responses, nobody could act on the role.
 #[test]
-fn holder_without_answers_loses_its_role() {
+fn holder_without_responses_loses_its_role() {
     let settings = Settings::default();
     let role = RoleName::new("probe/a").expect("a name");
     let config =
@@ -45,20 +48,20 @@
             step(&mut member, now, outputs, &mut holders);
         }
         let role_prefixes = vec!["probe/".to_owned()];
-        // The deaf member is the first candidate, and the only one until it holds the role. The other
-        // receives answers.
+        // The member without responses is the only candidate until it holds the role. The other one receives
+        // responses.
         let renew = |last_answered| PeerMessage::RenewLeases {
             request,
             last_answered,
             weight: 1.0,
             role_prefixes: role_prefixes.clone(),
         };
-        let outputs = member.receive(now, DEAF, renew(if holders.is_empty() { request } else { 0 }));
+        let outputs = member.receive(now, UNANSWERED, renew(if holders.is_empty() { request } else { 0 }));
         step(&mut member, now, outputs, &mut holders);
         if !holders.is_empty() {
-            let outputs = member.receive(now, OTHER, renew(request));
+            let outputs = member.receive(now, ANSWERED, renew(request));
             step(&mut member, now, outputs, &mut holders);
         }
     }
-    assert_eq!(holders, [DEAF, OTHER], "the role stayed with a holder that may not act");
+    assert_eq!(holders, [UNANSWERED, ANSWERED], "the role must move to the member that receives responses");
 }
--- a/crates/stepspur-consensus/tests/search.rs
+++ b/crates/stepspur-consensus/tests/search.rs
@@ -1,8 +1,8 @@
-//! Model checking: all runs of three members within bounds, with messages in any order, lost or duplicated,
-//! crashes and timeouts.
+//! Model checking of Raft's safety properties (paper, figure 3): all runs of three members within bounds,
+//! with crashes, timeouts, and messages that are reordered, lost or duplicated.
 //!
-//! `DEPTH=13 STATES=4000000 cargo test --release -p stepspur-consensus --test search -- --nocapture` goes
-//! further than CI.
+//! `DEPTH=13 STATES=4000000 cargo test --release -p stepspur-consensus --test search -- --nocapture` searches
+//! further than CI does.
 
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -12,23 +12,30 @@
     Entry, Index, MemberId, Message, PersistentState, RaftEvent, RaftNode, RaftOutput, Settings, Term, Voters,
 };
 
-/// Bounds of the search.
+/// The bounds of a search.
 #[derive(Clone, Copy)]
 struct Bounds {
+    /// The maximum number of steps from the first state.
     depth: usize,
+    /// The maximum number of states to visit.
     states: usize,
+    /// Members in this term start no further election.
     term: u64,
+    /// The maximum number of proposals in a run.
     commands: u8,
+    /// The maximum number of crashes in a run.
     crashes: u8,
-    /// The most messages in flight: further ones are lost.
+    /// The maximum number of messages in flight. Further ones are lost.
     max_in_flight: usize,
 }
 
+/// The state of all members, and what was observed on the way to it.
 #[derive(Clone)]
 struct State {
     nodes: Vec<RaftNode>,
     disks: Vec<PersistentState>,
-    /// In flight; a set, so that their order does not matter.
+    /// Messages in flight, with sender and receiver. It is a set, so states that differ only in their order
+    /// are equal.
     messages: BTreeSet<(usize, usize, Message)>,
     commands: u8,
     crashes: u8,
@@ -36,6 +43,7 @@
     committed: BTreeMap<Index, Entry>,
 }
 
+/// A step of a run, at the member with this number.
 #[derive(Clone, Debug)]
 enum Step {
     Timeout(usize),
@@ -71,6 +79,7 @@
         state
     }
 
+    /// Returns a hash by which visited states are recognized.
     fn key(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         for node in &self.nodes {
@@ -80,6 +89,7 @@
         hasher.finish()
     }
 
+    /// Returns all steps that are possible in this state.
     fn steps(&self, bounds: &Bounds) -> Vec<Step> {
         let mut steps = Vec::new();
         for k in 0..3 {
@@ -97,7 +107,7 @@
         }
         for (from, to, message) in &self.messages {
             for duplicated in [false, true] {
-                // A message that is never delivered is lost; a duplicated one may come again.
+                // A message that is never delivered counts as lost. A duplicated one stays in flight.
                 if !duplicated || matches!(message, Message::VoteRequest { .. } | Message::AppendEntries(_)) {
                     let message = message.clone();
                     steps.push(Step::Deliver { from: *from, to: *to, message, duplicated });
@@ -107,11 +117,12 @@
         steps
     }
 
+    /// Returns the state after a step, or the violation that it causes.
     fn after(&self, step: &Step, bounds: &Bounds) -> Result<Self, String> {
         let mut next = self.clone();
         match step {
             Step::Timeout(k) => {
-                // Long enough for the last leader to count as dead.
+                // So much later, the member has no live leader any more.
                 let node = &mut next.nodes[*k];
                 node.tick(node.next_tick_at() + settings().election_timeout * 2);
                 next.process_outputs(*k, bounds.max_in_flight)?;
@@ -144,7 +155,8 @@
         Ok(next)
     }
 
-    /// Does what a member asks for; its disk finishes every write at once.
+    /// Carries out a member's outputs and checks leaders and committed entries. Every write is durable at
+    /// once.
     fn process_outputs(&mut self, k: usize, max_in_flight: usize) -> Result<(), String> {
         loop {
             let outputs = self.nodes[k].take_outputs();
@@ -174,7 +186,7 @@
                         if first != k {
                             return Err(format!("{first} and {k} lead in term {term}"));
                         }
-                        // Leader completeness (paper 5.4).
+                        // Leader completeness (paper, figure 3 and 5.4).
                         let log = self.nodes[k].log();
                         let lacks = self
                             .committed
@@ -190,7 +202,8 @@
         }
     }
 
-    /// Log matching (paper 5.3): two logs with an entry of the same index and term are equal up to there.
+    /// Checks log matching (paper, figure 3 and 5.3): two logs that contain an entry with the same index and
+    /// term are equal up to it.
     fn check(&self) -> Result<(), String> {
         for (a, b) in [(0, 1), (0, 2), (1, 2)] {
             let [a_log, b_log] = [self.nodes[a].log(), self.nodes[b].log()];
@@ -208,13 +221,15 @@
     }
 }
 
-/// What a search has covered.
+/// The extent of a search.
 struct Coverage {
+    /// The number of states visited.
     states: usize,
+    /// The largest number of steps from the first state.
     depth: usize,
 }
 
-/// Searches breadth first, so that a violation is found by the shortest run to it.
+/// Searches breadth first, so the first violation found is one with the fewest steps.
 fn search(first: State, bounds: Bounds) -> Coverage {
     let mut seen = HashSet::from([first.key()]);
     let mut queue = VecDeque::from([(first, 0)]);
@@ -251,6 +266,8 @@
     std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
+/// Two leaders in a term, a leader that lacks a committed entry, or diverging logs would lose committed
+/// commands. This search reaches elections and first commands.
 #[test]
 fn runs_from_a_new_group_keep_the_log_consistent() {
     let Coverage { states, depth } = search(State::first(), bounds());
@@ -258,12 +275,13 @@
     assert!(states >= 10_000, "{states}");
 }
 
-/// From a group with a leader and a command committed by two: elections, crashes, old messages.
+/// As above, from a group with a leader and a command that only two of three members can have: this reaches
+/// later elections, crashes and delayed messages.
 #[test]
 fn runs_from_a_running_group_keep_the_log_consistent() {
     let bounds = bounds();
     let mut state = State::first();
-    // Member 0 is elected by 1 alone; 2 receives nothing.
+    // Member 0 is elected by the vote of member 1; member 2 receives nothing.
     state = state.after(&Step::Timeout(0), &bounds).unwrap();
     for _ in 0..12 {
         let next = state.messages.iter().find(|(from, to, _)| *from != 2 && *to != 2).cloned();
--- a/crates/stepspur-consensus/tests/world/mod.rs
+++ b/crates/stepspur-consensus/tests/simulation/mod.rs
@@ -1,7 +1,8 @@
-//! A simulated consensus group: conductors with clocks, disks and links of their own, in virtual time.
+//! A simulation of a consensus group in virtual time. Each conductor has its own process, clock, disk and
+//! links.
 //!
-//! - `node`: a conductor's process, clock and disk; `network`: links; `faults`: what goes wrong.
-//! - `checker`: what must hold at each step, by the true time.
+//! - `node` has a conductor's process, clock and disk; `network` delivers messages; `faults` injects faults.
+//! - `checker` checks the invariants at each step, by the true time.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -18,29 +19,31 @@
 mod network;
 mod node;
 
-use node::{Clock, HEALTHY_WRITE, Node};
+use node::{Clock, HEALTHY_WRITE_DURATION, Node};
 
-/// The lease of each role.
+/// The duration of each role's lease, in microseconds.
 const LEASE: Micros = 4_000_000;
 
-/// What is simulated.
+/// The configuration of a simulation.
 #[derive(Clone, Debug)]
-pub(crate) struct Plan {
+pub(crate) struct SimulationConfig {
+    /// The number of conductors that vote from the start.
     pub voters: usize,
-    /// Conductors that follow without a vote.
+    /// The number of conductors that follow without a vote.
     pub followers: usize,
-    /// Conductors that may become voters; they follow until then.
+    /// The number of conductors that may become voters, and follow until then.
     pub spares: usize,
+    /// The number of roles.
     pub roles: usize,
-    /// Clocks run up to this much too fast or too slow, in parts in a million.
+    /// How much faster or slower than true time clocks may run, in parts per million.
     pub clock_drift_ppm: u64,
-    /// The first conductor wants most of the roles.
-    pub heavy: bool,
-    /// False: violations are kept for [`World::has_violations`].
+    /// Whether the first conductor has six times the weight of the others, and so gets most of the roles.
+    pub heavy_first_weight: bool,
+    /// Whether a violation panics. Otherwise it is recorded for [`Simulation::has_violations`].
     pub panics_on_violation: bool,
 }
 
-impl Default for Plan {
+impl Default for SimulationConfig {
     fn default() -> Self {
         Self {
             voters: 3,
@@ -48,49 +51,61 @@
             spares: 0,
             roles: 4,
             clock_drift_ppm: 1_000,
-            heavy: false,
+            heavy_first_weight: false,
             panics_on_violation: true,
         }
     }
 }
 
-/// What happens at a time. Conductors are named by their place, processes by their incarnation.
+/// An event of the simulation. A conductor is identified by its index, its process by its incarnation.
 #[derive(Clone, Debug, PartialEq)]
 enum Event {
+    /// The timer of a conductor's process expires.
     Wake(usize, u64),
+    /// A conductor receives a message from a member.
     Deliver(usize, MemberId, Box<PeerMessage>),
+    /// The disk of a conductor's process completes the writes up to a number.
     Written(usize, u64, u64),
+    /// A random fault is injected.
     Fault,
 }
 
-pub(crate) struct World {
-    plan: Plan,
+/// A consensus group in virtual time.
+pub(crate) struct Simulation {
+    config: SimulationConfig,
     settings: Settings,
+    /// The true time, in microseconds.
     now: Micros,
     nodes: Vec<Node>,
     rng: ChaCha8Rng,
-    /// Times and numbers of the events to come.
+    /// The times and numbers of the scheduled events.
     queue: BinaryHeap<Reverse<(Micros, u64)>>,
+    /// The scheduled events by number.
     events: BTreeMap<u64, Event>,
     next_event: u64,
-    /// Ordered pairs of conductors that nothing passes between.
-    cut_links: BTreeSet<(usize, usize)>,
+    /// Links from a conductor to another one on which all messages are lost.
+    failed_links: BTreeSet<(usize, usize)>,
+    /// When random faults end.
     faults_until: Micros,
+    /// The leader of each term.
     leaders: BTreeMap<Term, usize>,
+    /// The encoded roles after each recent entry.
     states: BTreeMap<Index, Vec<u8>>,
+    /// The highest token by which a holder could act, for each role.
     highest_tokens: BTreeMap<RoleName, FencingToken>,
     names: Vec<RoleName>,
-    /// Grants seen at leaders.
+    /// The number of grants that leaders have applied.
     grants: u64,
+    /// The number of checks of the holders that were due.
     steps: u64,
     violations: Vec<String>,
 }
 
-impl World {
-    /// Starts a group, and runs it until it has a leader and its roles are declared.
-    pub(crate) fn new(plan: Plan, seed: u64) -> Self {
+impl Simulation {
+    /// Starts a group and runs it until it has a leader and its roles are declared.
+    pub(crate) fn new(config: SimulationConfig, seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let conductors = plan.voters + plan.spares + plan.followers;
+        let conductors = config.voters + config.spares + config.followers;
         let settings = Settings {
             max_log_entries: 64,
             max_batch_entries: 8,
@@ -98,10 +113,10 @@
             ..Settings::default()
         };
         assert_eq!(settings.invalid_settings(), []);
-        let nodes = (0..conductors).map(|k| new_node(k, &plan, &mut rng)).collect();
-        let names = (0..plan.roles).map(|k| RoleName::new(&format!("duty/{k}")).unwrap()).collect();
-        let mut world = Self {
-            plan,
+        let nodes = (0..conductors).map(|k| new_node(k, &config, &mut rng)).collect();
+        let names = (0..config.roles).map(|k| RoleName::new(&format!("duty/{k}")).unwrap()).collect();
+        let mut simulation = Self {
+            config,
             settings,
             now: 1,
             nodes,
@@ -109,7 +124,7 @@
             queue: BinaryHeap::new(),
             events: BTreeMap::new(),
             next_event: 0,
-            cut_links: BTreeSet::new(),
+            failed_links: BTreeSet::new(),
             faults_until: 0,
             leaders: BTreeMap::new(),
             states: BTreeMap::new(),
@@ -119,19 +134,19 @@
             steps: 0,
             violations: Vec::new(),
         };
-        (0..conductors).for_each(|k| world.start(k));
-        while world.leader().is_none() {
-            world.run(500_000);
-            assert!(world.now < 60_000_000, "no leader was elected");
+        (0..conductors).for_each(|k| simulation.start(k));
+        while simulation.leader().is_none() {
+            simulation.run(500_000);
+            assert!(simulation.now < 60_000_000, "no leader was elected");
         }
-        for name in world.names.clone() {
-            world.declare_role(name);
+        for name in simulation.names.clone() {
+            simulation.declare_role(name);
         }
-        world.run(3_000_000);
-        world
+        simulation.run(3_000_000);
+        simulation
     }
 
-    /// Runs for a duration.
+    /// Runs the simulation for a duration.
     pub(crate) fn run(&mut self, duration: Micros) {
         let end = self.now + duration;
         while let Some(Reverse((at, number))) = self.queue.peek().copied() {
@@ -148,12 +163,12 @@
         self.check_holders();
     }
 
-    /// Starts a conductor's process if it is down.
+    /// Starts a conductor's process if it is not running.
     pub(crate) fn start(&mut self, k: usize) {
         if self.nodes[k].member.is_some() {
             return;
         }
-        let voters: Voters = (0..self.plan.voters).map(id).collect();
+        let voters: Voters = (0..self.config.voters).map(id).collect();
         let seed = self.rng.random();
         let settings = self.settings.clone();
         let node = &mut self.nodes[k];
@@ -162,12 +177,13 @@
         let local_now = node.clock.local(self.now);
         let config = MemberConfig { id: node.id, initial_voters: voters, settings, seed };
         let mut member = Member::new(config, node.stored.clone(), local_now);
-        let weight = if self.plan.heavy && k == 0 { 6.0 } else { 1.0 };
+        let weight = if self.config.heavy_first_weight && k == 0 { 6.0 } else { 1.0 };
         member.set_role_preferences(["duty/".to_owned(), "after".to_owned()], weight);
         node.member = Some(member);
         self.step(k, |_, _| Vec::new());
     }
 
+    /// Declares a further role.
     pub(crate) fn declare(&mut self, name: &str) {
         let name = RoleName::new(name).unwrap();
         self.names.push(name.clone());
@@ -180,13 +196,13 @@
         self.step(leader, |member, now| member.propose_role_command(now, &command));
     }
 
-    /// Tries to change the voters; the leader may reject it.
+    /// Requests a change of the voters, which the leader may reject.
     pub(crate) fn change_membership(&mut self, change: MembershipChange) {
         let Some(leader) = self.leader() else { return };
         self.step(leader, |member, now| member.change_membership(now, change).unwrap_or_default());
     }
 
-    /// Changes the voters, and waits until that is committed.
+    /// Repeats a change of the voters until it is committed.
     pub(crate) fn change_membership_until_committed(&mut self, change: MembershipChange) {
         let (member, add) = match change {
             MembershipChange::Add(member) => (member, true),
@@ -203,7 +219,7 @@
         panic!("{change:?} was not committed: {:?}", self.voters());
     }
 
-    /// The leader of the highest term.
+    /// Returns the leader of the highest term; `None` if no running conductor leads.
     pub(crate) fn leader(&self) -> Option<usize> {
         let leading_term = |k: &usize| {
             let raft = self.nodes[*k].member.as_ref()?.raft();
@@ -212,7 +228,7 @@
         (0..self.nodes.len()).filter(|k| leading_term(k).is_some()).max_by_key(leading_term)
     }
 
-    /// The committed voters.
+    /// Returns the committed voters as the leader knows them; empty without a leader.
     pub(crate) fn voters(&self) -> Vec<usize> {
         let Some(leader) = self.leader() else { return Vec::new() };
         let raft = self.nodes[leader].member.as_ref().unwrap().raft();
@@ -220,7 +236,7 @@
         (0..self.nodes.len()).filter(|k| voters.contains(&id(*k))).collect()
     }
 
-    /// Terms that had a leader.
+    /// Returns the number of terms that had a leader.
     pub(crate) fn terms(&self) -> usize {
         self.leaders.len()
     }
@@ -237,7 +253,7 @@
         self.highest_tokens.values().copied().max().unwrap_or_default()
     }
 
-    /// How many roles a conductor may act on.
+    /// Returns the number of roles that a conductor may act on now.
     pub(crate) fn held_by(&self, k: usize) -> usize {
         self.names.iter().filter(|name| self.token(k, name).is_some()).count()
     }
@@ -286,7 +302,7 @@
         }
     }
 
-    /// A stalled process does nothing; what comes waits for it.
+    /// Postpones an event if the conductor's process is stalled, and returns whether it did.
     fn postpone_if_stalled(&mut self, k: usize, event: Event) -> bool {
         let until = self.nodes[k].stalled_until;
         if self.now >= until {
@@ -296,7 +312,7 @@
         true
     }
 
-    /// Lets a conductor act and tick, does what it asks for, and checks the result.
+    /// Calls `act` and then `tick` on a conductor's member, handles the outputs and checks the invariants.
     fn step(&mut self, k: usize, act: impl FnOnce(&mut Member, Micros) -> Vec<MemberOutput>) {
         let node = &mut self.nodes[k];
         let local = node.clock.local(self.now);
@@ -337,10 +353,10 @@
     }
 }
 
-fn new_node(k: usize, plan: &Plan, rng: &mut ChaCha8Rng) -> Node {
-    let voters: Voters = (0..plan.voters).map(id).collect();
-    let drift = plan.clock_drift_ppm as f64 / 1e6;
-    let is_voter = k < plan.voters;
+fn new_node(k: usize, config: &SimulationConfig, rng: &mut ChaCha8Rng) -> Node {
+    let voters: Voters = (0..config.voters).map(id).collect();
+    let drift = config.clock_drift_ppm as f64 / 1e6;
+    let is_voter = k < config.voters;
     Node {
         id: id(k),
         member: None,
@@ -349,13 +365,13 @@
         clock: Clock { rate: 1.0 + rng.random_range(-drift..=drift), offset: rng.random_range(0.0..1e9) },
         stored: if is_voter { RaftNode::bootstrap(voters) } else { PersistentState::default() },
         pending_writes: Vec::new(),
-        write_duration: Some(HEALTHY_WRITE),
+        write_duration: Some(HEALTHY_WRITE_DURATION),
         stalled_until: 0,
         checked: Index(0),
     }
 }
 
-/// The identity of the conductor at a place.
+/// Returns the member id of the conductor with this index.
 pub(crate) fn id(k: usize) -> MemberId {
     MemberId(k as u64 + 1)
 }
