--- a/crates/stepspur-consensus/src/membership.rs
+++ b/crates/stepspur-consensus/src/membership.rs
@@ -30,9 +30,8 @@
     ///
     /// # Errors
     /// [`RequestError::NotLeader`]; [`RequestError::ChangeInProgress`] while an earlier change is not
-    /// committed
-    /// or a leadership transfer is in progress; [`RequestError::InvalidChange`] if the added member is a
-    /// voter already, or the removed one is not a voter or is the only one.
+    /// committed or a leadership transfer is in progress; [`RequestError::InvalidChange`] if the added member
+    /// is a voter already, or the removed one is not a voter or is the only one.
     pub fn change_membership(&mut self, now: Micros, change: MembershipChange) -> Result<(), RequestError> {
         self.advance_clock(now);
         // A leader must have committed an entry of its term first: otherwise an uncommitted change of an
--- a/crates/stepspur-consensus/src/raft_log.rs
+++ b/crates/stepspur-consensus/src/raft_log.rs
@@ -200,7 +200,7 @@
     }
 }
 
-/// Serializes [`Bytes`](bytes::Bytes) as serde's bytes instead of a sequence of numbers.
+/// Serializes [`Bytes`] as serde's bytes instead of a sequence of numbers.
 mod as_bytes {
     use bytes::Bytes;
     use serde::{Deserialize, Deserializer, Serializer};
--- a/crates/stepspur-consensus/src/raft_node.rs
+++ b/crates/stepspur-consensus/src/raft_node.rs
@@ -40,7 +40,7 @@
     pub(crate) role: RaftRole,
     /// The leader of the current term; `None` if the member does not know it.
     pub(crate) leader: Option<MemberId>,
-    /// When the last message of a leader of the current term was received; `None` before the first one.
+    /// When the last message of the leader at that time was received; `None` before the first one.
     pub(crate) leader_contact_at: Option<Micros>,
     /// When the member starts an election unless it receives a message of a leader.
     pub(crate) election_deadline: Micros,
--- a/crates/stepspur-consensus/src/replication.rs
+++ b/crates/stepspur-consensus/src/replication.rs
@@ -167,8 +167,7 @@
     }
 
     /// Appends a leader's entries if the log contains the entry before them (paper 5.3). Returns the
-    /// response's
-    /// `matched` and `index`.
+    /// response's `matched` and `index`.
     fn append_from_leader(&mut self, append: &AppendEntries) -> (bool, Index) {
         let base = self.log.base().index;
         let previous = append.previous;
--- a/crates/stepspur-consensus/src/roles.rs
+++ b/crates/stepspur-consensus/src/roles.rs
@@ -144,8 +144,8 @@
     },
 }
 
-/// The grant of a role to a member. It has no effect if the role's token is no longer the expected one, as
-/// the role was granted to another member in the meantime.
+/// The grant of a role to a member. It has no effect if the role's token is no longer the expected one, for
+/// example as the role was granted in the meantime.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "EncodedGrant", into = "EncodedGrant")]
 pub struct RoleGrant {
--- a/crates/stepspur-consensus/src/settings.rs
+++ b/crates/stepspur-consensus/src/settings.rs
@@ -19,7 +19,7 @@
     /// default: 200 ms.
     #[serde(rename = "heartbeat")]
     pub heartbeat_interval: Micros,
-    /// How often a member that holds or would hold roles requests a renewal of its leases.
+    /// How often a member that holds or wants roles requests a renewal of its leases.
     /// `heartbeat_interval` or more; default: 400 ms.
     #[serde(rename = "renew")]
     pub renewal_interval: Micros,
--- a/crates/stepspur-replication/src/client.rs
+++ b/crates/stepspur-replication/src/client.rs
@@ -95,6 +95,7 @@
 }
 
 impl LastApplied {
+    /// Starts to record the entries that a node applies.
     fn record(node: &NodeHandle) -> Self {
         let origin = Instant::now();
         let millis = Arc::new(AtomicU64::new(0));
@@ -108,6 +109,7 @@
         Self { origin, millis, task }
     }
 
+    /// Returns the time since the last entry was applied, or since the recording started.
     fn elapsed(&self) -> Duration {
         let applied_after = Duration::from_millis(self.millis.load(Ordering::Relaxed));
         self.origin.elapsed().saturating_sub(applied_after)
