--- a/crates/stepspur-platform/tests/probes.rs
+++ b/crates/stepspur-platform/tests/probes.rs
@@ -1,4 +1,5 @@
-//! Probes over real sockets, where names outlive addresses: an answer counts only for the server that was asked.
+//! Health-check probes over real sockets. A server keeps its name when its address changes, so the response
+//! to a probe must count only for the server that was probed.
 
 mod common;
 
@@ -6,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use common::{Caller, SOON, StandIn, file, list, node, start};
+use common::{Caller, StandIn, TIMEOUT, file, list, node, start};
 use serde_json::Value;
 use stepspur_conductor::Conductor;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -15,56 +16,56 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, timeout};
 
-/// What a server does with a probe.
+/// How a server responds to a probe.
 #[derive(Clone, Copy, Debug)]
-enum Manner {
-    /// Answers that all is well.
-    Answers,
-    /// Closes the connection unanswered.
-    Closes,
-    /// Leaves it to the test.
-    Holds,
+enum ProbeResponse {
+    /// Responds with status 200.
+    Ok,
+    /// Closes the connection without a response.
+    Close,
+    /// Leaves the response to the test.
+    Manual,
 }
 
-/// A server that is only probed.
+/// A server that receives only probes.
 struct Server {
     address: SocketAddr,
-    manner: Arc<Mutex<Manner>>,
-    held: mpsc::Receiver<TcpStream>,
+    response: Arc<Mutex<ProbeResponse>>,
+    manual: mpsc::Receiver<TcpStream>,
     _task: JoinSet<()>,
 }
 
 impl Server {
-    async fn start(manner: Manner) -> Self {
+    async fn start(response: ProbeResponse) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
-        let manner = Arc::new(Mutex::new(manner));
-        let (hold, held) = mpsc::channel(16);
+        let response = Arc::new(Mutex::new(response));
+        let (hand_over, manual) = mpsc::channel(16);
         let mut task = JoinSet::new();
-        let now = Arc::clone(&manner);
+        let current = Arc::clone(&response);
         task.spawn(async move {
             while let Ok((mut socket, _)) = listener.accept().await {
                 if read_head(&mut socket).await.is_none() {
                     continue;
                 }
-                let manner = *now.lock().unwrap();
-                match manner {
-                    Manner::Answers => answer(socket).await,
-                    Manner::Closes => drop(socket),
-                    Manner::Holds => _ = hold.send(socket).await,
+                let response = *current.lock().unwrap();
+                match response {
+                    ProbeResponse::Ok => respond(socket).await,
+                    ProbeResponse::Close => drop(socket),
+                    ProbeResponse::Manual => _ = hand_over.send(socket).await,
                 }
             }
         });
-        Self { address, manner, held, _task: task }
+        Self { address, response, manual, _task: task }
     }
 
-    fn turns(&self, manner: Manner) {
-        *self.manner.lock().unwrap() = manner;
+    fn set_response(&self, response: ProbeResponse) {
+        *self.response.lock().unwrap() = response;
     }
 
-    /// The next probe that is left to the test.
+    /// The next probe to which the test responds.
     async fn next(&mut self) -> TcpStream {
-        timeout(SOON, self.held.recv()).await.expect("a probe in time").unwrap()
+        timeout(TIMEOUT, self.manual.recv()).await.expect("a probe in time").unwrap()
     }
 }
 
@@ -76,25 +77,25 @@
     Some(())
 }
 
-/// Answers a probe, and waits until the prober has read the whole answer: then it closes.
-async fn answer(mut socket: TcpStream) {
+/// Responds to a probe, and waits until the prober has read the complete response and closed the connection.
+async fn respond(mut socket: TcpStream) {
     let _ = socket.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
-    let end = timeout(SOON, socket.read_u8()).await.expect("the prober closes in time");
-    assert!(end.is_err(), "a prober says nothing more");
+    let end = timeout(TIMEOUT, socket.read_u8()).await.expect("the prober closes in time");
+    assert!(end.is_err(), "the prober sends nothing more");
 }
 
-/// A list's entry of a server that stands there.
-fn at(address: SocketAddr, number: usize, status: &str) -> Value {
+/// Entry of a server with this address in the list.
+fn node_at(address: SocketAddr, number: usize, status: &str) -> Value {
     let mut entry = node(number, status, 0);
     entry["address"] = address.to_string().into();
     entry
 }
 
-/// Waits until so many servers are listed as ready.
-async fn ready(conductor: &Conductor, count: usize) {
-    let deadline = Instant::now() + SOON;
+/// Waits until `count` servers are ready.
+async fn wait_ready(conductor: &Conductor, count: usize) {
+    let deadline = Instant::now() + TIMEOUT;
     loop {
-        let stats = conductor.stats().await.expect("the engine lives");
+        let stats = conductor.stats().await.expect("the engine runs");
         if stats.servers.ready == count {
             return;
         }
@@ -103,41 +104,45 @@
     }
 }
 
-/// A server is out, as its probes fail, and the list gives it the address of another while a probe of that one is
-/// under way. Two answers in a row bring a server back: the answer to the other's probe is none of its own.
+/// Guards against a server that is restored by a response to a probe of another server. It comes about when a
+/// server with failing probes gets the address of another in the list while a probe of that one is in
+/// progress. A server is restored after two successful responses in a row; the response to the other server's
+/// probe must not count as one.
 #[tokio::test]
-async fn an_answer_counts_for_the_server_that_was_asked_and_not_for_the_next_at_its_address() {
-    let mut shared = Server::start(Manner::Answers).await;
-    let (broken, well) = (Server::start(Manner::Closes).await, Server::start(Manner::Answers).await);
-    let others = [Server::start(Manner::Answers).await, Server::start(Manner::Answers).await];
+async fn a_response_counts_for_the_probed_server_and_not_for_the_next_at_its_address() {
+    let mut shared = Server::start(ProbeResponse::Ok).await;
+    let (failing, healthy) =
+        (Server::start(ProbeResponse::Close).await, Server::start(ProbeResponse::Ok).await);
+    let others = [Server::start(ProbeResponse::Ok).await, Server::start(ProbeResponse::Ok).await];
     let nodes = [
-        at(shared.address, 0, "ready"),
-        at(well.address, 1, "ready"),
-        at(others[0].address, 2, "ready"),
-        at(others[1].address, 3, "ready"),
-        at(broken.address, 4, "ready"),
+        node_at(shared.address, 0, "ready"),
+        node_at(healthy.address, 1, "ready"),
+        node_at(others[0].address, 2, "ready"),
+        node_at(others[1].address, 3, "ready"),
+        node_at(failing.address, 4, "ready"),
     ];
     let discovery = StandIn::start(&nodes).await;
     let mut file = file(discovery.address, 4, 256, &list(0, true, &[]));
     file["settings"]["permissions"]["probing"] = true.into();
     let (conductor, _move) = start(&file).await;
-    let mut proxy = Caller::proxy(conductor.address(), 0).await;
-    proxy.until(0, |p| p.picks("s-0000") && !p.picks("s-0004")).await;
+    let mut proxy = Caller::connect_proxy(conductor.address(), 0).await;
+    proxy.apply_until(0, |p| p.may_use("s-0000") && !p.may_use("s-0004")).await;
 
-    shared.turns(Manner::Holds);
-    let others_probe = shared.next().await;
-    discovery.change(&[at(shared.address, 0, "gone"), at(shared.address, 4, "ready")]);
-    ready(&conductor, 4).await;
-    answer(others_probe).await;
-    answer(shared.next().await).await;
-    // Probed again at once, so its first answer is known; what was decided since comes before the drain of another.
+    shared.set_response(ProbeResponse::Manual);
+    let other_probe = shared.next().await;
+    discovery.change(&[node_at(shared.address, 0, "gone"), node_at(shared.address, 4, "ready")]);
+    wait_ready(&conductor, 4).await;
+    respond(other_probe).await;
+    respond(shared.next().await).await;
+    // The next probe follows once the first response is processed. The drain of another server shows that
+    // whatever was decided by then has reached the proxy.
     let second = shared.next().await;
-    discovery.change(&[at(well.address, 1, "draining")]);
-    proxy.until(0, |p| !p.picks("s-0001")).await;
-    assert!(!proxy.picks("s-0004"), "one answer of its own brings no server back");
+    discovery.change(&[node_at(healthy.address, 1, "draining")]);
+    proxy.apply_until(0, |p| !p.may_use("s-0001")).await;
+    assert!(!proxy.may_use("s-0004"), "one successful response does not restore a server");
 
-    shared.turns(Manner::Answers);
-    answer(second).await;
-    proxy.until(0, |p| p.picks("s-0004")).await;
+    shared.set_response(ProbeResponse::Ok);
+    respond(second).await;
+    proxy.apply_until(0, |p| p.may_use("s-0004")).await;
     conductor.stop().await;
 }
--- a/crates/stepspur-platform/tests/service.rs
+++ b/crates/stepspur-platform/tests/service.rs
@@ -1,10 +1,11 @@
-//! A conductor on the platform, through sockets on loopback: stand-ins for discovery, proxies and strangers.
+//! A conductor on the platform over loopback sockets, with a discovery server for tests, proxies, and peers
+//! that send invalid messages or none.
 
 mod common;
 
 use std::time::Duration;
 
-use common::{Caller, Mood, SOON, StandIn, file, list, node, start};
+use common::{Behavior, Caller, StandIn, TIMEOUT, file, list, node, start};
 use serde_json::{Value, json};
 use stepspur_conductor::Conductor;
 use stepspur_conductor::engine::Stats;
@@ -14,16 +15,17 @@
     (0..count).map(|k| node(k, "ready", 0)).collect()
 }
 
-fn nothing_known() -> Value {
+/// The list of a conductor that has never known any server.
+fn empty_list() -> Value {
     list(0, true, &[])
 }
 
-/// Waits until the engine's counts are so.
-async fn counts(conductor: &Conductor, are: impl Fn(&Stats) -> bool) -> Stats {
-    let deadline = Instant::now() + SOON;
+/// Waits until the engine's statistics satisfy the condition, and returns them.
+async fn wait_stats(conductor: &Conductor, condition: impl Fn(&Stats) -> bool) -> Stats {
+    let deadline = Instant::now() + TIMEOUT;
     loop {
-        let stats = conductor.stats().await.expect("the engine lives");
-        if are(&stats) {
+        let stats = conductor.stats().await.expect("the engine runs");
+        if condition(&stats) {
             return stats;
         }
         assert!(Instant::now() < deadline, "{stats:?}");
@@ -32,104 +34,113 @@
 }
 
 #[tokio::test]
-async fn a_proxy_gets_its_table_and_drains_reach_all_within_the_grace() {
+async fn proxies_get_their_table_and_every_drain_within_two_seconds() {
     let discovery = StandIn::start(&nodes(8)).await;
-    let (conductor, _move) = start(&file(discovery.address, 8, 256, &nothing_known())).await;
+    let (conductor, _discovery_address) = start(&file(discovery.address, 8, 256, &empty_list())).await;
     let mut proxies = Vec::new();
     for k in 0..8 {
-        proxies.push(Caller::proxy(conductor.address(), k).await);
+        proxies.push(Caller::connect_proxy(conductor.address(), k).await);
     }
     for (k, proxy) in proxies.iter_mut().enumerate() {
-        proxy.until(k, |p| p.whole == 1).await;
-        assert!(!proxy.lines.is_empty());
+        proxy.apply_until(k, |p| p.full_tables == 1).await;
+        assert!(!proxy.weights.is_empty());
     }
-    counts(&conductor, |s| s.connected == 8 && s.unassigned == 0 && s.pending_acks == 0).await;
-    let drained = Instant::now();
+    wait_stats(&conductor, |s| s.connected == 8 && s.unassigned == 0 && s.pending_acks == 0).await;
+    let drain_started = Instant::now();
     discovery.change(&[node(0, "draining", 0), node(3, "draining", 0)]);
     for (k, proxy) in proxies.iter_mut().enumerate() {
-        proxy.until(k, |p| !p.picks("s-0000") && !p.picks("s-0003")).await;
-        assert!(!proxy.lines.is_empty(), "never bare");
+        proxy.apply_until(k, |p| !p.may_use("s-0000") && !p.may_use("s-0003")).await;
+        assert!(!proxy.weights.is_empty(), "a table is never empty");
     }
-    assert!(drained.elapsed() < Duration::from_secs(2));
+    assert!(drain_started.elapsed() < Duration::from_secs(2));
     conductor.stop().await;
 }
 
-/// One that is cut off from discovery at its start serves by the list that it had last.
+/// Guards against a conductor that serves no table when discovery is down at its start: it uses the known
+/// list.
 #[tokio::test]
-async fn the_known_list_serves_while_discovery_is_down() {
+async fn the_known_list_is_served_while_discovery_is_down() {
     let discovery = StandIn::start(&nodes(6)).await;
-    discovery.mood(Mood::Refuses);
-    let (conductor, _move) = start(&file(discovery.address, 4, 256, &list(1, true, &nodes(4)))).await;
-    let mut proxy = Caller::proxy(conductor.address(), 1).await;
-    proxy.until(1, |p| p.whole == 1 && p.picks("s-0001")).await;
-    // The decisions hear of each call that failed, and ask again until one is answered.
-    discovery.mood(Mood::Well);
-    counts(&conductor, |s| s.servers.ready == 6).await;
+    discovery.set_behavior(Behavior::Unavailable);
+    let (conductor, _discovery_address) =
+        start(&file(discovery.address, 4, 256, &list(1, true, &nodes(4)))).await;
+    let mut proxy = Caller::connect_proxy(conductor.address(), 1).await;
+    proxy.apply_until(1, |p| p.full_tables == 1 && p.may_use("s-0001")).await;
+    // The decision module is notified of each failed call and retries until one succeeds.
+    discovery.set_behavior(Behavior::Normal);
+    wait_stats(&conductor, |s| s.servers.ready == 6).await;
     conductor.stop().await;
 }
 
+/// Guards against a conductor that reports itself ready by answering heartbeats before it has a list.
 #[tokio::test]
-async fn no_sign_of_life_before_there_is_a_list() {
+async fn heartbeats_are_not_answered_before_there_is_a_list() {
     let discovery = StandIn::start(&nodes(2)).await;
-    discovery.mood(Mood::Silent);
-    let (conductor, _move) = start(&file(discovery.address, 4, 256, &nothing_known())).await;
-    let mut early = Caller::dial(conductor.address()).await;
+    discovery.set_behavior(Behavior::NoResponse);
+    let (conductor, _discovery_address) = start(&file(discovery.address, 4, 256, &empty_list())).await;
+    let mut early = Caller::connect(conductor.address()).await;
     early.say(&json!({"@type": "hb"})).await;
     assert_eq!(early.next().await.map(|line| line["@type"].clone()), Some(json!("reject")));
-    discovery.mood(Mood::Well);
-    counts(&conductor, |s| s.servers.ready == 2).await;
-    let mut later = Caller::dial(conductor.address()).await;
+    discovery.set_behavior(Behavior::Normal);
+    wait_stats(&conductor, |s| s.servers.ready == 2).await;
+    let mut later = Caller::connect(conductor.address()).await;
     later.say(&json!({"@type": "hb"})).await;
     assert_eq!(later.next().await, Some(json!({"@type": "hb_ok"})));
     conductor.stop().await;
 }
 
-/// Torn, silent and dying watches: the old list stands, and the newest list is had in the end.
+/// Guards against a list that is dropped, or is never updated again, after a watch sends a partial line,
+/// becomes idle or gets no response.
 #[tokio::test]
-async fn a_watch_that_goes_wrong_is_asked_for_again() {
-    for mood in [Mood::Torn, Mood::FallsSilent, Mood::Silent] {
+async fn a_failed_watch_is_opened_again_and_the_list_stays_meanwhile() {
+    for behavior in [Behavior::PartialLine, Behavior::IdleAfterFirstLine, Behavior::NoResponse] {
         let discovery = StandIn::start(&nodes(4)).await;
-        discovery.mood(mood);
-        let (conductor, _move) = start(&file(discovery.address, 4, 256, &list(1, true, &nodes(3)))).await;
-        let deadline = Instant::now() + SOON;
+        discovery.set_behavior(behavior);
+        let (conductor, _discovery_address) =
+            start(&file(discovery.address, 4, 256, &list(1, true, &nodes(3)))).await;
+        let deadline = Instant::now() + TIMEOUT;
         while discovery.calls() < 2 {
-            assert!(Instant::now() < deadline, "{mood:?}");
+            assert!(Instant::now() < deadline, "{behavior:?}");
             sleep(Duration::from_millis(20)).await;
         }
-        assert!(conductor.stats().await.unwrap().servers.ready >= 3, "{mood:?}: the old list stands");
-        discovery.mood(Mood::Well);
+        assert!(
+            conductor.stats().await.unwrap().servers.ready >= 3,
+            "{behavior:?}: the old list stays in use"
+        );
+        discovery.set_behavior(Behavior::Normal);
         discovery.change(&[node(7, "ready", 0)]);
-        counts(&conductor, |s| s.servers.ready == 5).await;
+        wait_stats(&conductor, |s| s.servers.ready == 5).await;
         conductor.stop().await;
     }
 }
 
-/// Moved to another discovery: streams stand, and what only the new one tells arrives.
+/// Guards against streams that end, and changes that are missed, when the address of discovery changes.
 #[tokio::test]
-async fn discovery_moves_under_load() {
+async fn streams_continue_when_the_discovery_address_changes() {
     let (old, new) = (StandIn::start(&nodes(4)).await, StandIn::start(&nodes(4)).await);
-    let (conductor, move_to) = start(&file(old.address, 4, 256, &nothing_known())).await;
-    let mut proxy = Caller::proxy(conductor.address(), 0).await;
-    proxy.until(0, |p| p.whole == 1).await;
-    move_to.send_replace(new.address);
-    let deadline = Instant::now() + SOON;
+    let (conductor, discovery_address) = start(&file(old.address, 4, 256, &empty_list())).await;
+    let mut proxy = Caller::connect_proxy(conductor.address(), 0).await;
+    proxy.apply_until(0, |p| p.full_tables == 1).await;
+    discovery_address.send_replace(new.address);
+    let deadline = Instant::now() + TIMEOUT;
     while new.calls() == 0 {
         assert!(Instant::now() < deadline);
         sleep(Duration::from_millis(10)).await;
     }
     old.die();
     new.change(&[node(0, "draining", 0)]);
-    proxy.until(0, |p| !p.picks("s-0000")).await;
-    assert_eq!((proxy.whole, conductor.stats().await.unwrap().connected), (1, 1), "the same stream");
+    proxy.apply_until(0, |p| !p.may_use("s-0000")).await;
+    assert_eq!((proxy.full_tables, conductor.stats().await.unwrap().connected), (1, 1), "the same stream");
     conductor.stop().await;
 }
 
-/// Each gets a reject or a close, soon, and none costs a proxy its place.
+/// Guards against peers with invalid first messages, or none, that hold a connection: each gets a rejection
+/// or a close within 3 s, and none counts as a proxy.
 #[tokio::test]
-async fn strangers_are_shown_out() {
+async fn peers_that_do_not_join_are_rejected() {
     let discovery = StandIn::start(&nodes(4)).await;
-    let (conductor, _move) = start(&file(discovery.address, 20, 256, &nothing_known())).await;
-    counts(&conductor, |s| s.servers.ready == 4).await;
+    let (conductor, _discovery_address) = start(&file(discovery.address, 20, 256, &empty_list())).await;
+    wait_stats(&conductor, |s| s.servers.ready == 4).await;
     let endless = vec![b'x'; 1 << 20];
     let cases: [(&str, &[u8]); 9] = [
         ("HTTP", b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"),
@@ -146,91 +157,96 @@
         ("silence", b""),
     ];
     for (what, bytes) in cases {
-        let mut caller = Caller::dial(conductor.address()).await;
-        let began = Instant::now();
-        caller.raw(bytes).await;
-        let answer = caller.next().await;
-        assert!(answer.is_none_or(|answer| answer["@type"] == "reject"), "{what}");
-        assert!(began.elapsed() < Duration::from_secs(3), "{what}: {:?}", began.elapsed());
+        let mut peer = Caller::connect(conductor.address()).await;
+        let started = Instant::now();
+        peer.send_bytes(bytes).await;
+        let reply = peer.next().await;
+        assert!(reply.is_none_or(|reply| reply["@type"] == "reject"), "{what}");
+        assert!(started.elapsed() < Duration::from_secs(3), "{what}: {:?}", started.elapsed());
     }
     assert_eq!(conductor.stats().await.unwrap().connected, 0);
     conductor.stop().await;
 }
 
+/// Guards against proxies that cannot join because idle connections hold most descriptors.
 #[tokio::test]
-async fn hundreds_that_say_nothing_keep_no_proxy_out() {
+async fn hundreds_of_idle_connections_do_not_keep_proxies_from_joining() {
     let discovery = StandIn::start(&nodes(4)).await;
-    let (conductor, _move) = start(&file(discovery.address, 20, 100, &nothing_known())).await;
-    counts(&conductor, |s| s.servers.ready == 4).await;
-    let began = Instant::now();
-    let mut silent = Vec::new();
+    let (conductor, _discovery_address) = start(&file(discovery.address, 20, 100, &empty_list())).await;
+    wait_stats(&conductor, |s| s.servers.ready == 4).await;
+    let started = Instant::now();
+    let mut connections = Vec::new();
     for _ in 0..300 {
-        silent.push(Caller::dial(conductor.address()).await);
+        connections.push(Caller::connect(conductor.address()).await);
     }
     for k in 0..20 {
-        let mut proxy = Caller::proxy(conductor.address(), k).await;
-        timeout(SOON, proxy.until(k, |p| p.whole == 1)).await.expect("a table in time");
-        silent.push(proxy);
+        let mut proxy = Caller::connect_proxy(conductor.address(), k).await;
+        timeout(TIMEOUT, proxy.apply_until(k, |p| p.full_tables == 1)).await.expect("a table in time");
+        connections.push(proxy);
     }
     assert_eq!(conductor.stats().await.unwrap().connected, 20);
-    for mut caller in silent.drain(..300) {
-        assert!(caller.next().await.is_none_or(|answer| answer["@type"] == "reject"));
+    for mut idle in connections.drain(..300) {
+        assert!(idle.next().await.is_none_or(|reply| reply["@type"] == "reject"));
     }
-    assert!(began.elapsed() < SOON);
-    counts(&conductor, |s| s.connected == 20).await;
+    assert!(started.elapsed() < TIMEOUT);
+    wait_stats(&conductor, |s| s.connected == 20).await;
     conductor.stop().await;
 }
 
-/// Spoilt messages are passed over and counted; bytes that are none end the stream, and its proxy has left.
+/// Guards against a stream that ends on a malformed message, which is to be skipped and counted, and against
+/// one that continues after bytes that are not a message.
 #[tokio::test]
-async fn what_is_spoilt_is_passed_over_and_what_is_unreadable_ends_the_stream() {
+async fn malformed_messages_are_skipped_and_unreadable_bytes_end_the_stream() {
     let discovery = StandIn::start(&nodes(4)).await;
-    let (conductor, _move) = start(&file(discovery.address, 4, 256, &nothing_known())).await;
-    let mut proxy = Caller::proxy(conductor.address(), 0).await;
-    proxy.until(0, |p| p.whole == 1).await;
-    counts(&conductor, |s| s.pending_acks == 0).await;
+    let (conductor, _discovery_address) = start(&file(discovery.address, 4, 256, &empty_list())).await;
+    let mut proxy = Caller::connect_proxy(conductor.address(), 0).await;
+    proxy.apply_until(0, |p| p.full_tables == 1).await;
+    wait_stats(&conductor, |s| s.pending_acks == 0).await;
     proxy.say(&json!({"@type": "done", "proxy": 0, "mark": "x", "took_ms": 1})).await;
     proxy.say(&json!({"@type": "done", "proxy": 1, "mark": 1, "took_ms": 1})).await;
     proxy.say(&json!({"@type": "client_stats", "proxy": 0, "class": "none", "tries": 1, "failed": 0, "span_ms": 1})).await;
     proxy.say(&json!({"@type": "hb"})).await;
     assert_eq!(proxy.next().await, Some(json!({"@type": "hb_ok"})));
-    counts(&conductor, |s| s.connected == 1 && s.invalid_inputs == 3).await;
-    proxy.raw(b"\x00\x01 nothing\n").await;
-    counts(&conductor, |s| s.connected == 0).await;
-    let mut collector = Caller::dial(conductor.address()).await;
+    wait_stats(&conductor, |s| s.connected == 1 && s.invalid_inputs == 3).await;
+    proxy.send_bytes(b"\x00\x01 nothing\n").await;
+    wait_stats(&conductor, |s| s.connected == 0).await;
+    let mut collector = Caller::connect(conductor.address()).await;
     collector.say(&json!({"@type": "telemetry", "zone": "a"})).await;
     collector.say(&json!({"@type": "upstream_stats", "zone": "a", "server": "s-0000", "tries": 0})).await;
-    counts(&conductor, |s| s.invalid_inputs == 4).await;
-    collector.raw(b"garbage\n").await;
+    wait_stats(&conductor, |s| s.invalid_inputs == 4).await;
+    collector.send_bytes(b"garbage\n").await;
     assert_eq!(collector.next().await, None, "nothing is written to a collector");
     conductor.stop().await;
 }
 
+/// Number of open file descriptors of this process.
 fn descriptors() -> usize {
     std::fs::read_dir("/proc/self/fd").unwrap().count()
 }
 
-/// Months of streams that come and go and servers that are replaced, in a few seconds.
+/// Guards against leaks of descriptors, tables or acknowledgements that build up over months as streams and
+/// servers are replaced; 400 replacements in a few seconds make them visible.
 #[tokio::test]
-async fn descriptors_and_counts_stay_flat_while_streams_and_servers_are_replaced() {
+async fn replaced_streams_and_servers_leak_nothing() {
     let discovery = StandIn::start(&nodes(4)).await;
-    let (conductor, _move) = start(&file(discovery.address, 4, 64, &nothing_known())).await;
-    let mut proxy = Caller::proxy(conductor.address(), 0).await;
-    proxy.until(0, |p| p.whole == 1).await;
+    let (conductor, _discovery_address) = start(&file(discovery.address, 4, 64, &empty_list())).await;
+    let mut proxy = Caller::connect_proxy(conductor.address(), 0).await;
+    proxy.apply_until(0, |p| p.full_tables == 1).await;
     let before = descriptors();
     for round in 0..400 {
-        let mut newer = Caller::proxy(conductor.address(), 0).await;
-        newer.until(0, |p| p.whole == 1).await;
-        // The old one is closed by whoever sees first that it was replaced.
+        let mut newer = Caller::connect_proxy(conductor.address(), 0).await;
+        newer.apply_until(0, |p| p.full_tables == 1).await;
+        // The old stream is closed by whichever end first notices that it was replaced.
         drop(std::mem::replace(&mut proxy, newer));
-        let replaced = 4 + round;
-        discovery.change(&[node(replaced, "ready", 0), node(replaced - 4, "gone", 0)]);
+        let added = 4 + round;
+        discovery.change(&[node(added, "ready", 0), node(added - 4, "gone", 0)]);
         if round % 100 == 99 {
-            counts(&conductor, |s| s.connected == 1 && s.servers.ready == 4).await;
+            wait_stats(&conductor, |s| s.connected == 1 && s.servers.ready == 4).await;
         }
     }
-    let stats = counts(&conductor, |s| s.connected == 1 && s.servers.ready == 4 && s.unassigned == 0).await;
-    let deadline = Instant::now() + SOON;
+    let stats =
+        wait_stats(&conductor, |s| s.connected == 1 && s.servers.ready == 4 && s.unassigned == 0).await;
+    let deadline = Instant::now() + TIMEOUT;
     while descriptors() > before + 4 {
         assert!(Instant::now() < deadline, "{} before {before}", descriptors());
         sleep(Duration::from_millis(20)).await;
