--- a/crates/stepspur-platform/src/discovery.rs
+++ b/crates/stepspur-platform/src/discovery.rs
@@ -38,14 +38,14 @@
 /// A watch that has not received its first complete line within this time, connecting included, fails.
 const FIRST_LINE_TIMEOUT: Duration = Duration::from_secs(4);
 /// A watch that received no complete line for this long is idle, and a replacement is opened beside it.
-/// Discovery sends a line every 2 s and counts a change as delivered 6 s after it; opening the replacement
-/// takes part of that.
+/// Discovery sends a line every 2 s and treats a change as delivered after 6 s; opening the replacement takes
+/// part of that time.
 const WATCH_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 /// An idle watch is closed after this further time, even if bytes of an incomplete line still arrive.
 const IDLE_WATCH_CLOSE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// An endpoint list, or changes to one, as discovery and the configuration file encode it. Entries that
-/// cannot be parsed are left out of `entries` and counted in `malformed` or `unnamed`.
+/// cannot be parsed are not in `entries`; `malformed` and `unnamed` account for them.
 #[derive(Clone, Debug, Default)]
 pub struct Answer {
     /// Version of the list, as discovery counts it.
@@ -129,7 +129,7 @@
     index: Option<u64>,
     /// Address of the discovery that sent that version; `None` for the list of the configuration file.
     index_from: Option<SocketAddr>,
-    /// Last valid entry of each server, kept for servers whose entry in a complete list is malformed.
+    /// Last valid entry of each server. It is used when the entry in a complete list is malformed.
     valid_entries: BTreeMap<String, DiscoveredEndpoint>,
     /// Set to true once the first call has succeeded or failed.
     ready: watch::Sender<bool>,
--- a/crates/stepspur-platform/src/listener.rs
+++ b/crates/stepspur-platform/src/listener.rs
@@ -68,15 +68,15 @@
                     }
                 };
                 next += 1;
-                let (stream, evict) = (StreamId(next), CancellationToken::new());
-                connections.add(stream, Instant::now(), evict.clone());
+                let (stream, abort) = (StreamId(next), CancellationToken::new());
+                connections.add(stream, Instant::now(), abort.clone());
                 let connection = Connection {
                     stream,
                     catalog: Arc::clone(&self.catalog),
                     connections: Arc::clone(&connections),
                     engine: engine.clone(),
                     ready: self.ready.clone(),
-                    evict,
+                    abort,
                     stop: shutdown.stop.clone(),
                 };
                 tasks.spawn(connection.run(socket));
@@ -119,8 +119,8 @@
     connections: Arc<Connections>,
     engine: EngineHandle,
     ready: watch::Receiver<bool>,
-    /// Cancelled when the connection is evicted.
-    evict: CancellationToken,
+    /// Cancelled to close the connection at once: it is evicted, or its send queue exceeds its limits.
+    abort: CancellationToken,
     /// Cancelled when the conductor shuts down.
     stop: CancellationToken,
 }
@@ -139,7 +139,7 @@
         let (read, write) = socket.into_split();
         let mut socket = Socket { read, write, lines: LineBuffer::default() };
         let handshake = Handshake { catalog: Arc::clone(&self.catalog), ready: self.ready.clone() };
-        let refusal = match handshake.run(&mut socket, &self.evict, &self.stop).await {
+        let refusal = match handshake.run(&mut socket, &self.abort, &self.stop).await {
             Ok(Some(role)) => return self.serve(role, socket).await,
             Ok(None) => return,
             Err(refusal) => refusal.to_string(),
@@ -149,26 +149,26 @@
         self.close(read, write, format!("{rejection}\n").as_bytes()).await;
     }
 
-    /// Sends `last` and closes the connection gracefully, or at once if it is evicted.
+    /// Sends `last` and closes the connection gracefully, or at once if `abort` is cancelled.
     async fn close(&self, read: OwnedReadHalf, write: OwnedWriteHalf, last: &[u8]) {
         self.connections.mark_closing(self.stream);
-        if self.evict.is_cancelled() {
+        if self.abort.is_cancelled() {
             return lingering_close(read, write, last, Duration::ZERO).await;
         }
         tokio::select! {
             () = lingering_close(read, write, last, CLOSE_LINGER) => {}
-            () = self.evict.cancelled() => {}
+            () = self.abort.cancelled() => {}
         }
     }
 
-    /// Serves a role connection until either side ends it.
+    /// Serves a joined connection until either side ends it.
     async fn serve(self, role: PeerRole, socket: Socket) {
         let Socket { mut read, mut write, lines } = socket;
         let (stream, engine) = (self.stream, self.engine.clone());
         self.connections.mark_joined(stream, Instant::now());
         let mut outgoing = None;
         if let PeerRole::Proxy { proxy, zone, rate, fresh } = role {
-            outgoing = engine.open(stream, SEND_QUEUE_LIMITS, self.evict.clone()).await;
+            outgoing = engine.open(stream, SEND_QUEUE_LIMITS, self.abort.clone()).await;
             if outgoing.is_none()
                 || !engine.send(Input::ProxyConnected { stream, proxy, zone, rate, fresh }).await
             {
@@ -180,7 +180,7 @@
         let graceful = tokio::select! {
             () = self.read_messages(role, &mut read, lines, heartbeat) => false,
             written = write_messages(&mut write, outgoing, heartbeats) => written,
-            () = self.evict.cancelled() => false,
+            () = self.abort.cancelled() => false,
             // For a proxy the engine sends the last message and then ends the queue.
             () = self.stop.cancelled(), if !is_proxy => true,
         };
@@ -243,7 +243,7 @@
         }
     }
 
-    /// Converts a message of a role peer to an input of the engine.
+    /// Converts a message of a joined peer to an input of the engine.
     fn to_input(&self, role: PeerRole, message: Message) -> Input {
         let stream = self.stream;
         match (message, role) {
--- a/crates/stepspur-platform/tests/common/mod.rs
+++ b/crates/stepspur-platform/tests/common/mod.rs
@@ -65,8 +65,8 @@
 /// Starts a conductor. The sender changes the address of its discovery.
 pub(crate) async fn start(file: &Value) -> (Conductor, watch::Sender<SocketAddr>) {
     let config = load(file);
-    let (discovery, newest) = watch::channel(config.discovery);
-    (Conductor::start_protocol_server(front(config, newest)).await.unwrap(), discovery)
+    let (sender, discovery_address) = watch::channel(config.discovery);
+    (Conductor::start_protocol_server(front(config, discovery_address)).await.unwrap(), sender)
 }
 
 /// How a [`StandIn`] responds to calls.
@@ -89,7 +89,7 @@
     index: u64,
     nodes: BTreeMap<String, Value>,
     /// Entries of the latest change.
-    newest: Vec<Value>,
+    latest_change: Vec<Value>,
     behavior: Behavior,
     calls: usize,
 }
@@ -108,22 +108,27 @@
     pub(crate) async fn start(nodes: &[Value]) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let nodes = nodes.iter().map(|n| (n["name"].as_str().unwrap().to_owned(), n.clone())).collect();
-        let state =
-            DiscoveryState { index: 1, nodes, newest: Vec::new(), behavior: Behavior::Normal, calls: 0 };
-        let this = Self {
+        let state = DiscoveryState {
+            index: 1,
+            nodes,
+            latest_change: Vec::new(),
+            behavior: Behavior::Normal,
+            calls: 0,
+        };
+        let server = Self {
             address: listener.local_addr().unwrap(),
             state: Arc::new(Mutex::new(state)),
             changes: watch::channel(1).0,
             tasks: Arc::default(),
         };
-        let accept = this.clone();
-        this.tasks.lock().unwrap().spawn(async move {
+        let accept = server.clone();
+        server.tasks.lock().unwrap().spawn(async move {
             while let Ok((socket, _)) = listener.accept().await {
                 let call = accept.clone();
                 accept.tasks.lock().unwrap().spawn(async move { _ = call.respond(socket).await });
             }
         });
-        this
+        server
     }
 
     pub(crate) fn set_behavior(&self, behavior: Behavior) {
@@ -144,7 +149,7 @@
     pub(crate) fn change(&self, nodes: &[Value]) {
         let mut state = self.state.lock().unwrap();
         state.index += 1;
-        state.newest = nodes.to_vec();
+        state.latest_change = nodes.to_vec();
         for node in nodes {
             let name = node["name"].as_str().unwrap().to_owned();
             state.nodes.insert(name, node.clone());
@@ -155,13 +160,13 @@
     /// Next line of a watch at version `seen`: the latest change, or the complete list if it missed more than
     /// one.
     fn line_after(&self, seen: &mut u64) -> Value {
-        let (index, newest) = {
+        let (index, latest_change) = {
             let state = self.state.lock().unwrap();
-            (state.index, state.newest.clone())
+            (state.index, state.latest_change.clone())
         };
         let missed_one = index == *seen + 1;
         *seen = index;
-        if missed_one { list(index, false, &newest) } else { self.full_list() }
+        if missed_one { list(index, false, &latest_change) } else { self.full_list() }
     }
 
     fn full_list(&self) -> Value {
--- a/crates/stepspur-platform/tests/endings.rs
+++ b/crates/stepspur-platform/tests/connection_close.rs
@@ -82,10 +82,10 @@
 async fn start(padding: usize) -> (Conductor, StandIn) {
     let discovery = StandIn::start(&(0..4).map(|k| node(k, "ready", 0)).collect::<Vec<_>>()).await;
     let config = load(&file(discovery.address, 8, 256, &list(0, true, &[])));
-    let (_, newest) = watch::channel(config.discovery);
-    let lines = PlatformProtocol::new(config.catalog.classes.clone());
-    let mut front = front(config, newest);
-    front.protocol = Box::new(PaddedProtocol(lines, padding));
+    let (_, discovery_address) = watch::channel(config.discovery);
+    let protocol = PlatformProtocol::new(config.catalog.classes.clone());
+    let mut front = front(config, discovery_address);
+    front.protocol = Box::new(PaddedProtocol(protocol, padding));
     front.shutdown_grace = TIMEOUT;
     let conductor = Conductor::start_protocol_server(front).await.unwrap();
     wait_stats(&conductor, |s| s.servers.ready == 4).await;
@@ -182,10 +182,10 @@
 async fn a_shutdown_ends_after_its_grace_time() {
     let discovery = StandIn::start(&[node(0, "ready", 0)]).await;
     let config = load(&file(discovery.address, 8, 256, &list(0, true, &[])));
-    let (_, newest) = watch::channel(config.discovery);
-    let lines = PlatformProtocol::new(config.catalog.classes.clone());
-    let mut front = front(config, newest);
-    front.protocol = Box::new(PaddedProtocol(lines, OVER_SOCKET_BUFFERS));
+    let (_, discovery_address) = watch::channel(config.discovery);
+    let protocol = PlatformProtocol::new(config.catalog.classes.clone());
+    let mut front = front(config, discovery_address);
+    front.protocol = Box::new(PaddedProtocol(protocol, OVER_SOCKET_BUFFERS));
     let conductor = Conductor::start_protocol_server(front).await.unwrap();
     wait_stats(&conductor, |s| s.servers.ready == 1).await;
     let proxy = join_without_reading(&conductor, 0).await;
@@ -311,11 +311,11 @@
 async fn inputs_wait_while_the_engine_queue_is_full() {
     let discovery = StandIn::start(&[node(0, "ready", 0)]).await;
     let config = load(&file(discovery.address, 8, 256, &list(0, true, &[])));
-    let (_, newest) = watch::channel(config.discovery);
+    let (_, discovery_address) = watch::channel(config.discovery);
     let ((gate, is_open), (blocked, mut is_blocked)) = (std::sync::mpsc::channel(), mpsc::channel(1));
-    let lines = PlatformProtocol::new(config.catalog.classes.clone());
-    let mut front = front(config, newest);
-    front.protocol = Box::new(GatedProtocol(lines, Mutex::new(is_open), blocked));
+    let protocol = PlatformProtocol::new(config.catalog.classes.clone());
+    let mut front = front(config, discovery_address);
+    front.protocol = Box::new(GatedProtocol(protocol, Mutex::new(is_open), blocked));
     let conductor = Conductor::start_protocol_server(front).await.unwrap();
     wait_stats(&conductor, |s| s.servers.ready == 1).await;
     let _proxy = join_without_reading(&conductor, 0).await;
--- a/crates/stepspur-platform/tests/discovery.rs
+++ b/crates/stepspur-platform/tests/discovery.rs
@@ -26,10 +26,10 @@
 
 impl Client {
     fn start(address: SocketAddr, known: Answer) -> Self {
-        let (address, newest) = watch::channel(address);
+        let (address, address_receiver) = watch::channel(address);
         let (is_ready, ready) = watch::channel(false);
         let (feed, FeedDriver { requests, updates }) = EndpointFeed::new(CancellationToken::new());
-        let source = Discovery::new(newest, &known, is_ready);
+        let source = Discovery::new(address_receiver, &known, is_ready);
         let mut task = JoinSet::new();
         task.spawn(Box::new(source).run(feed));
         Self { requests, updates, address, ready, _task: task }
--- a/crates/stepspur-platform/tests/rules.rs
+++ b/crates/stepspur-platform/tests/rules.rs
@@ -54,7 +54,7 @@
         let file =
             common::file("127.0.0.1:1".parse().unwrap(), PROXIES.into(), 256, &common::list(0, true, &[]));
         let mut config = common::load(&file).conductor;
-        // These values configure the checker only: the engine does not use them.
+        // Only the checker uses these values.
         config.fleet.drain_grace = Duration::from_secs(2);
         config.fleet.unserved_max = Duration::from_millis(2400);
         config.fleet.classes[0].effect = EffectConfig::ReadLike;
--- a/crates/stepspur-platform/tests/service.rs
+++ b/crates/stepspur-platform/tests/service.rs
@@ -1,5 +1,5 @@
-//! A conductor on the platform over loopback sockets, with a discovery server for tests, proxies, and peers
-//! that send invalid messages or none.
+//! A conductor on the platform over loopback sockets, with a test discovery server, proxies, and peers that
+//! send invalid messages or none.
 
 mod common;
 
