--- a/crates/stepspur-conductor/src/http.rs
+++ b/crates/stepspur-conductor/src/http.rs
@@ -1,4 +1,5 @@
-//! HTTP requests on connections of their own: enough for health checks, endpoint lists and the status page.
+//! An HTTP client that uses a new connection for each request. It serves health checks, endpoint lists and
+//! requests of the status page.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,31 +14,31 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Why a request got no answer.
+/// Why a request got no complete response.
 #[derive(Debug, thiserror::Error)]
 pub enum HttpError {
     /// The connection cannot be established.
-    #[error("no connection: {0}")]
+    #[error("cannot connect: {0}")]
     Connect(io::Error),
-    /// The complete answer did not come in time.
-    #[error("no answer in {0:?}")]
+    /// The complete response did not arrive within the timeout.
+    #[error("no response within {0:?}")]
     Timeout(Duration),
-    /// The connection broke, or its peer does not speak HTTP.
-    #[error("the connection broke: {0}")]
+    /// The connection failed, or the peer sent invalid HTTP.
+    #[error("the connection failed: {0}")]
     Broken(#[from] hyper::Error),
-    /// The answer's body is larger than this many bytes, or was cut off.
-    #[error("the answer broke off or is larger than {0} bytes")]
+    /// The response body is larger than this many bytes, or ended early.
+    #[error("the response body ended early or is larger than {0} bytes")]
     Body(usize),
-    /// The path makes no valid request.
-    #[error("not a path: {0}")]
+    /// The path is not valid in an HTTP request.
+    #[error("invalid path: {0}")]
     Path(#[from] hyper::http::Error),
 }
 
-/// Gets a path from a host, and returns the status and the complete body. The request may take
-/// `total_timeout`, and the body may have `max_body_bytes`.
+/// Sends a GET request, and returns the status and the complete body. The request may take at most
+/// `total_timeout`, and the body may have at most `max_body_bytes`.
 ///
 /// # Errors
-/// See [`HttpError`]. A status of a failure is not an error here.
+/// See [`HttpError`]. An error status of the response is not an error here.
 pub async fn get(
     host: SocketAddr,
     path: &str,
@@ -48,25 +49,25 @@
         .header(header::HOST, host.to_string())
         .header(header::CONNECTION, "close")
         .body(Empty::new())?;
-    let call = call(host, request, max_body_bytes);
-    timeout(total_timeout, call).await.map_err(|_| HttpError::Timeout(total_timeout))?
+    let exchange = exchange(host, request, max_body_bytes);
+    timeout(total_timeout, exchange).await.map_err(|_| HttpError::Timeout(total_timeout))?
 }
 
-async fn call(
+async fn exchange(
     host: SocketAddr,
     request: Request<Empty<Bytes>>,
     max_body_bytes: usize,
 ) -> Result<(StatusCode, Bytes), HttpError> {
     let socket = TcpStream::connect(host).await.map_err(HttpError::Connect)?;
     let (sender, connection) = handshake(TokioIo::new(socket)).await?;
-    // The connection is driven here and not by a task, so that nothing outlives the call.
+    // The connection is driven here and not by a separate task, so that it ends with this call.
     let mut connection = pin!(connection);
-    let mut answer = pin!(send(sender, request, max_body_bytes));
+    let mut response = pin!(send(sender, request, max_body_bytes));
     tokio::select! {
-        answer = &mut answer => answer,
+        response = &mut response => response,
         end = &mut connection => {
             end?;
-            answer.await
+            response.await
         }
     }
 }
--- a/crates/stepspur-conductor/src/service/acceptor.rs
+++ b/crates/stepspur-conductor/src/service/acceptor.rs
@@ -12,21 +12,22 @@
 use super::session::{Session, SessionContext};
 use crate::engine::StreamId;
 
-/// The pause after a failed accept: file descriptors have run out, or the peer is gone already.
+/// The pause after a failed accept, so that the loop does not spin while file descriptors are exhausted.
 pub(super) const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// A listening socket and the address that it got.
+/// A listening socket and its local address, which has the port that the system chose if port 0 was given.
 pub(super) struct BoundListener {
     pub(super) listener: TcpListener,
     pub(super) address: SocketAddr,
 }
 
 impl BoundListener {
-    /// Listens with a backlog of this many connections. It should be long for proxies: after a restart all of
-    /// them dial at once, and whoever finds the backlog full waits for seconds until its kernel retries.
+    /// Listens with a backlog of at most `backlog` pending connections. The backlog for proxies should be
+    /// large: after a restart all of them connect at once, and a SYN that finds the backlog full is retried
+    /// by the client's kernel only seconds later.
     ///
     /// # Errors
-    /// The address is taken, or is none of this machine's.
+    /// The address is in use, or does not belong to this host.
     pub(super) fn bind(address: SocketAddr, backlog: u32) -> Result<Self, StartError> {
         let bind = || {
             let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
@@ -40,14 +41,15 @@
     }
 }
 
-/// Accepts the connections of proxies and starts a session for each.
+/// Accepts the connections of proxies and starts a session task for each.
 pub(super) struct Acceptor {
     pub(super) context: Arc<SessionContext>,
     pub(super) tasks: TaskTracker,
 }
 
 impl Acceptor {
-    /// Accepts connections, up to the configured limit at once, until the conductor stops.
+    /// Accepts connections until the conductor stops. Connections beyond `listen.connections_max` are closed
+    /// at once.
     pub(super) async fn run(self, listener: TcpListener) {
         let connection_limit = self.context.config.listen.connections_max as usize;
         let connections = Arc::new(Semaphore::new(connection_limit));
--- a/crates/stepspur-conductor/src/service/conductor.rs
+++ b/crates/stepspur-conductor/src/service/conductor.rs
@@ -14,10 +14,10 @@
 use super::supervisor::Supervisor;
 use crate::engine::Stats;
 
-/// How long tasks may take to end after the immediate stage of a shutdown; those that do not are abandoned.
+/// How long tasks may take to end in the immediate stage of a shutdown. Tasks that take longer are abandoned.
 const KILL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The addresses that a conductor listens on.
+/// The local addresses that a conductor listens on; none for listeners that the settings do not name.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ListenAddresses {
     pub(super) proxies: SocketAddr,
@@ -32,11 +32,12 @@
     pub(super) epoch: u64,
     pub(super) supervisor: Supervisor,
     pub(super) engine_tasks: JoinSet<()>,
-    /// The engine of the settings' own tenant.
+    /// The engine of the conductor's own tenant.
     pub(super) engine: EngineHandle,
-    /// How long the graceful stage of a shutdown may take.
+    /// How long the graceful stage of a shutdown may take before connections are closed at once.
     pub(super) shutdown_grace: Duration,
-    pub(super) council: Option<Arc<NodeHandle>>,
+    /// None if the conductor is not a member of a consensus group.
+    pub(super) consensus_node: Option<Arc<NodeHandle>>,
     pub(super) distribution: Distribution,
 }
 
@@ -61,36 +62,36 @@
         self.epoch
     }
 
-    /// Reads the counters of the settings' own tenant; none if the conductor has ended.
+    /// Reads the engine counters of the conductor's own tenant; none if its engine has ended.
     pub async fn stats(&self) -> Option<Stats> {
         self.engine.stats().await
     }
 
-    /// Waits until a tenant's engine ends: the conductor was stopped, or one of its tasks has failed.
+    /// Waits until a tenant's engine ends, because the conductor was stopped or one of its tasks failed.
     ///
     /// # Errors
     /// [`TaskFailed`] names the task that failed first.
     pub async fn ended(&mut self) -> Result<(), TaskFailed> {
-        // The supervisor has recorded a panic: the join error adds nothing.
+        // The supervisor has already recorded a panic, so the join error is ignored.
         let _ = self.engine_tasks.join_next().await;
         self.supervisor.failure().map_or(Ok(()), Err)
     }
 
-    /// Sends a go-away message on every stream, ends every task and waits for them. Streams whose peers read
-    /// nothing are cut after the grace period, which is two seconds at most.
+    /// Sends a go-away message on every stream, ends every task and waits for them. Streams whose peers do
+    /// not read are closed after the grace period, which is at most two seconds.
     pub async fn stop(mut self) {
         self.distribution.stop_subscriber().await;
         self.supervisor.shutdown.stop.cancel();
         while self.engine_tasks.join_next().await.is_some() {}
         self.stop_tasks().await;
         self.distribution.stop_control().await;
-        if let Some(council) = self.council.take() {
-            council.stop().await;
+        if let Some(node) = self.consensus_node.take() {
+            node.stop().await;
         }
         tracing::info!(event = "stopped", epoch = self.epoch);
     }
 
-    /// Waits for all tasks, first for their graceful end, then for their immediate one.
+    /// Waits for all tasks to end: first gracefully, then after cancelling them.
     async fn stop_tasks(&self) {
         let tasks = &self.supervisor.tasks;
         tasks.close();
@@ -98,7 +99,7 @@
             return;
         }
         self.supervisor.shutdown.kill.cancel();
-        // A disk that hangs blocks the audit log's task forever.
+        // Without a timeout, a disk that hangs would block the shutdown in the task of the audit log.
         if timeout(KILL_TIMEOUT, tasks.wait()).await.is_err() {
             tracing::error!(event = "shutdown_timeout", tasks = tasks.len());
         }
--- a/crates/stepspur-conductor/src/service/distribution/apply.rs
+++ b/crates/stepspur-conductor/src/service/distribution/apply.rs
@@ -1,8 +1,8 @@
-//! Applies documents of the configuration to the engines of a conductor's tenants.
+//! Applies documents of the distributed configuration to the engines of a conductor's tenants.
 //!
-//! Several documents of different scopes may concern one server or class of an engine. The strictest of them
-//! applies: withdrawn before draining, the lowest level. So the order of their arrival makes no difference,
-//! and a restart leads to the same state.
+//! Documents of different scopes may target the same server or class of an engine. The strictest one applies:
+//! withdrawn takes precedence over draining, and the lowest level applies. The result therefore does not
+//! depend on the order in which documents arrive, and a restart leads to the same state.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,8 +19,8 @@
 use super::super::engine_handle::{EngineHandle, EnginesByTenant, OperateError};
 use crate::engine::{Operation, OperationError, OverrideState};
 
-/// How long an engine may take to execute an operation. Less than the subscriber's own timeout of two seconds
-/// for the whole document, which is retried each second.
+/// How long an engine may take to execute an operation. It is less than the subscriber's timeout of two
+/// seconds for a whole document, which the subscriber retries each second.
 const ENGINE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The engines of a conductor's tenants, with the documents applied to each.
@@ -28,35 +28,35 @@
     engines: BTreeMap<String, Mutex<EngineDocuments>>,
 }
 
-/// An engine with the documents applied to it.
+/// An engine, and the documents that are applied to it by their keys.
 struct EngineDocuments {
     engine: EngineHandle,
     applied: BTreeMap<Key, AppliedSetting>,
 }
 
-/// A document's setting as applied.
+/// The setting of a document that is applied, and the version of the document.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct AppliedSetting {
     setting: Setting,
     version: Version,
 }
 
-/// Why a document is not applied to an engine.
+/// Why a document could not be applied to an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 enum ApplyError {
-    /// The setting does not fit the target.
+    /// The setting is not valid for the target's kind.
     #[error("a server drains or is withdrawn, a class has a level")]
     Mismatch,
     /// The engine rejects the operation, or has ended.
     #[error(transparent)]
     Operate(#[from] OperateError),
-    /// The engine did not answer in time.
+    /// The engine did not respond within [`ENGINE_TIMEOUT`].
     #[error("the engine has not answered in {ENGINE_TIMEOUT:?}")]
     Timeout,
 }
 
 impl TenantEngines {
-    /// Engines to which no document is applied yet.
+    /// Wraps engines to which no document is applied yet.
     pub(super) fn new(engines: &EnginesByTenant) -> Arc<Self> {
         let mut documents = BTreeMap::new();
         for (tenant, engine) in engines {
@@ -66,17 +66,19 @@
         Arc::new(Self { engines: documents })
     }
 
+    /// Applies a document to the engines in its scope. The error is a description for the subscriber's
+    /// status.
     async fn apply(&self, document: &Document) -> Result<(), String> {
         let Some(tenant) = &document.key.scope.tenant else { return self.apply_to_all(document).await };
         match self.engines.get(tenant) {
             Some(engine) => engine.lock().await.apply(document).await.map_err(|error| error.to_string()),
-            // Nothing was ever applied there.
+            // There is no engine that could have the document, so there is nothing to remove.
             None if document.setting.is_none() => Ok(()),
             None => Err(format!("this conductor has no tenant `{tenant}`")),
         }
     }
 
-    /// Applies a document to every engine, even after one has failed.
+    /// Applies a document to every engine, even if some fail. The error lists all failures.
     async fn apply_to_all(&self, document: &Document) -> Result<(), String> {
         let mut errors = Vec::new();
         for (tenant, engine) in &self.engines {
@@ -105,8 +107,8 @@
         }
     }
 
-    /// Requests the strictest setting of the target. A version that is already applied is not requested
-    /// again: an operation that an operator has requested at this conductor since then stays in effect.
+    /// Applies the strictest setting of the target. A version that is already applied is not applied again,
+    /// so that an operation that an operator has requested at this conductor since then stays in effect.
     async fn set(&mut self, document: &Document, setting: Setting) -> Result<(), ApplyError> {
         let new = AppliedSetting { setting, version: document.version };
         if self.applied.get(&document.key) == Some(&new) {
@@ -121,7 +123,7 @@
         Ok(())
     }
 
-    /// Lifts the document's setting, unless another document still requires it.
+    /// Lifts the document's setting, or replaces it by the strictest setting that remains for the target.
     async fn remove(&mut self, key: &Key) -> Result<(), ApplyError> {
         let Some(AppliedSetting { setting, .. }) = self.applied.get(key).copied() else { return Ok(()) };
         let operation = match self.strictest_other(key) {
@@ -131,7 +133,7 @@
         };
         if let Some(operation) = operation {
             match self.operate(operation).await {
-                // The engine has forgotten the server, and so its override.
+                // The engine has removed the server together with its override.
                 Ok(()) | Err(ApplyError::Operate(OperateError::Rejected(OperationError::UnknownServer))) => {}
                 Err(error) => return Err(error),
             }
@@ -140,7 +142,7 @@
         Ok(())
     }
 
-    /// The strictest setting of the other documents about the same server or class.
+    /// The strictest setting of other documents with the same target; none if there are none.
     fn strictest_other(&self, key: &Key) -> Option<Setting> {
         let others = self.applied.iter().filter(|(other, _)| other.target == key.target && *other != key);
         others.map(|(_, applied)| applied.setting).reduce(stricter)
@@ -152,7 +154,7 @@
     }
 }
 
-/// The stricter of two settings for one target: withdrawn before draining, the lower level.
+/// The stricter of two settings of a target: withdrawn before draining, and the lower level.
 fn stricter(one: Setting, other: Setting) -> Setting {
     match (one, other) {
         (Setting::LevelPpm(one), Setting::LevelPpm(other)) => Setting::LevelPpm(one.min(other)),
@@ -161,8 +163,8 @@
     }
 }
 
-/// The operation that applies a setting. A server has one override at a time: the last operation replaces the
-/// one before.
+/// The operation that applies a setting. A server has one override at a time, so each operation replaces the
+/// previous one.
 fn set_operation(target: &Target, setting: Setting) -> Result<Operation, ApplyError> {
     match (target, setting) {
         (Target::Class(class), Setting::LevelPpm(ppm)) => {
--- a/crates/stepspur-conductor/src/service/distribution/consensus_member.rs
+++ b/crates/stepspur-conductor/src/service/distribution/consensus_member.rs
@@ -1,5 +1,5 @@
-//! The conductor's member of the consensus group, with the replicated configuration if it is a control
-//! member.
+//! The conductor's member of the consensus group. If the conductor is a control member, its state machine is
+//! the replicated configuration.
 
 use std::hash::{BuildHasher, RandomState};
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use super::super::error::StartError;
 use crate::config::Config;
 
-/// The parts of a consensus member; none where the settings name no consensus group.
+/// A consensus member. Its parts are none if the settings name no consensus group.
 #[derive(Default)]
 pub(in crate::service) struct ConsensusMember {
     node: Option<Arc<NodeHandle>>,
@@ -20,31 +20,31 @@
 }
 
 impl ConsensusMember {
-    /// Starts the member, if the settings name a consensus group.
+    /// Starts the member if the settings name a consensus group. `seed` seeds its random numbers.
     ///
     /// # Errors
-    /// The member does not start.
+    /// [`StartError::Council`] if the member cannot start.
     pub(in crate::service) async fn start(config: &Config, seed: u64) -> Result<Self, StartError> {
-        let Some(council) = &config.council else { return Ok(Self::default()) };
+        let Some(consensus) = &config.council else { return Ok(Self::default()) };
         if config.distribution.as_ref().is_some_and(|distribution| distribution.control.is_some()) {
-            return Self::start_replicated(council, seed).await;
+            return Self::start_replicated(consensus, seed).await;
         }
-        Ok(Self { node: Some(Arc::new(council.start(seed).await?)), replication: None })
+        Ok(Self { node: Some(Arc::new(consensus.start(seed).await?)), replication: None })
     }
 
     /// Starts the member with the replicated configuration.
-    async fn start_replicated(council: &ConsensusConfig, seed: u64) -> Result<Self, StartError> {
+    async fn start_replicated(consensus: &ConsensusConfig, seed: u64) -> Result<Self, StartError> {
         let configuration: Box<dyn ReplicatedStateMachine> = Box::new(ConfigurationState::default());
         let registry = StateMachineRegistry::new([configuration]);
-        let node = Arc::new(council.start_with(seed, registry.clone()).await?);
-        // It must differ between the starts of a process, so that operation ids are unique.
+        let node = Arc::new(consensus.start_with(seed, registry.clone()).await?);
+        // The incarnation must differ between starts of the conductor, so that operation ids are unique.
         let incarnation = RandomState::new().hash_one(seed);
         let limits = ProposalLimits::default();
         let replication = ReplicationClient::new(Arc::clone(&node), registry, limits, incarnation);
         Ok(Self { node: Some(node), replication: Some(replication) })
     }
 
-    /// The consensus node alone.
+    /// Returns the handle to the consensus node; none if the conductor has no consensus member.
     pub(in crate::service) fn into_node(self) -> Option<Arc<NodeHandle>> {
         self.node
     }
--- a/crates/stepspur-conductor/src/service/distribution/mod.rs
+++ b/crates/stepspur-conductor/src/service/distribution/mod.rs
@@ -1,5 +1,5 @@
-//! The distribution of configuration in a conductor: its control member, its subscriber, or both. They start
-//! and end with the conductor; the subscriber ends first.
+//! The configuration distribution in a conductor: its control member, its subscriber, or both. They start and
+//! stop with the conductor; the subscriber stops first.
 
 mod apply;
 mod consensus_member;
@@ -27,23 +27,24 @@
 
 pub(super) use consensus_member::ConsensusMember;
 
-/// How long the subscriber, and the control member, may take to end.
+/// How long the subscriber, and likewise the control member, may take to stop.
 const STOP_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The running parts.
+/// The running parts of the distribution; none for those that the settings do not name.
 #[derive(Default)]
 pub(super) struct Distribution {
     control: Option<Arc<Control>>,
     subscriber: Option<RunningSubscriber>,
 }
 
-/// A subscriber, and why its state file is not used, if so.
+/// A running subscriber.
 struct RunningSubscriber {
     subscriber: Subscriber,
+    /// Why the state file is not used; none if it is used.
     store_fault: Option<String>,
 }
 
-/// What the status page and the operators' API see of the distribution.
+/// The view of the distribution that the status page and the operators' API use.
 #[derive(Clone, Default)]
 pub(super) struct DistributionView {
     pub(super) control: Option<Arc<Control>>,
@@ -54,13 +55,14 @@
 /// The status of the distribution in this conductor.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct DistributionStatus {
-    /// The control member.
+    /// The status of the control member; none if the conductor is not one.
     #[serde(skip_serializing_if = "Option::is_none")]
     control: Option<ControlStatus>,
-    /// The subscriber.
+    /// The status of the subscriber; none if the conductor is not one.
     #[serde(skip_serializing_if = "Option::is_none")]
     subscriber: Option<SubscriberStatus>,
-    /// Why the subscriber's state file is not used: it stores the documents in memory alone.
+    /// Why the subscriber's state file is not used, so that documents are stored in memory only; none if it
+    /// is used.
     #[serde(skip_serializing_if = "Option::is_none")]
     store_fault: Option<String>,
 }
@@ -75,7 +77,8 @@
 }
 
 impl Distribution {
-    /// Starts what the settings name: a control member on the consensus member, a subscriber on the engines.
+    /// Starts the parts that the settings name: a control member, which uses the consensus member, and a
+    /// subscriber, which applies documents to the engines.
     ///
     /// # Errors
     /// An address cannot be listened on, or a file cannot be used.
@@ -103,7 +106,7 @@
         Ok(Self { control, subscriber })
     }
 
-    /// What the status page and the operators' API see.
+    /// Creates a view for the status page and the operators' API.
     pub(super) fn view(&self) -> DistributionView {
         let running = self.subscriber.as_ref();
         DistributionView {
@@ -113,7 +116,7 @@
         }
     }
 
-    /// Ends the subscriber: no further document reaches an engine.
+    /// Stops the subscriber. Afterwards no document is applied to an engine.
     pub(super) async fn stop_subscriber(&mut self) {
         let Some(RunningSubscriber { subscriber, .. }) = self.subscriber.take() else { return };
         if timeout(STOP_TIMEOUT, subscriber.stop()).await.is_err() {
@@ -121,7 +124,8 @@
         }
     }
 
-    /// Ends the control member, once no call uses it any more and before the consensus member ends.
+    /// Stops the control member. Call this after all calls that use it have ended, and before the consensus
+    /// member stops. If a view still refers to it, it is released without being stopped.
     pub(super) async fn stop_control(&mut self) {
         let Some(control) = self.control.take().and_then(Arc::into_inner) else { return };
         if timeout(STOP_TIMEOUT, control.stop()).await.is_err() {
@@ -131,7 +135,7 @@
 }
 
 impl DistributionView {
-    /// The present status; none where the settings name no distribution.
+    /// The present status; none if the settings name no distribution.
     pub(super) fn status(&self) -> Option<DistributionStatus> {
         if self.control.is_none() && self.subscriber.is_none() {
             return None;
@@ -151,7 +155,7 @@
     let own = config.member(id);
     let settings = ControlSettings {
         id,
-        // The checks of the settings reject a member that does not list itself.
+        // The validation of the settings rejects a member that does not list itself.
         listen: own.map_or(([127, 0, 0, 1], 0).into(), |member| member.address),
         region: own.map(|member| member.region.clone()).unwrap_or_default(),
         members: config.members.iter().map(control_member).collect(),
@@ -182,18 +186,18 @@
     Ok(RunningSubscriber { subscriber, store_fault: fault })
 }
 
-/// A subscriber's store.
+/// The store of a subscriber.
 struct OpenedStore {
     store: Box<dyn ScopeStore>,
-    /// Why the store is in memory, if so.
+    /// Why the store is in memory; none if it is the state file.
     fault: Option<String>,
 }
 
-/// Opens the subscriber's state file. A file that cannot be used is left as it is; the subscriber then stores
-/// its documents in memory, and the status says so.
+/// Opens the state file of a subscriber. A file that cannot be used is left unchanged; the subscriber then
+/// stores its documents in memory, and the status contains the reason.
 ///
 /// # Errors
-/// The file is in use: another subscriber runs with these settings.
+/// The file is in use, because another subscriber runs with the same settings.
 async fn open_store(config: &SubscriberConfig, interest: &Interest) -> Result<OpenedStore, StartError> {
     let path = config.state.clone();
     let interest = interest.clone();
--- a/crates/stepspur-conductor/src/service/engine_handle.rs
+++ b/crates/stepspur-conductor/src/service/engine_handle.rs
@@ -1,4 +1,4 @@
-//! The handle by which other tasks reach the task that owns an engine.
+//! The handle through which other tasks send commands to the task that owns an engine.
 
 use std::collections::BTreeMap;
 
@@ -13,7 +13,8 @@
 pub(crate) enum EngineCommand {
     /// Handle an event.
     Input(Input),
-    /// Register a stream that has sent its first message: its frames go to `queue`.
+    /// Register a stream that has sent its first message. Its outbound frames go to `queue`; `cut` is
+    /// cancelled to close it at once.
     Open { stream: StreamId, queue: SendQueue, cut: CancellationToken },
     /// Execute an operation and reply with the outcome.
     Operate { operation: Operation, reply: oneshot::Sender<Result<(), OperationError>> },
@@ -21,8 +22,8 @@
     Stats { reply: oneshot::Sender<Stats> },
 }
 
-/// The engines of a conductor by the names of their tenants. Without identity there is one, with an empty
-/// name.
+/// The engines of a conductor by the names of their tenants. Without identity there is a single engine, under
+/// the empty name.
 pub(crate) type EnginesByTenant = BTreeMap<String, EngineHandle>;
 
 /// Why an operation was not executed.
@@ -43,7 +44,7 @@
 }
 
 impl EngineHandle {
-    /// A handle that sends to this queue.
+    /// Creates a handle that sends to the engine task's queue.
     pub(crate) fn new(commands: mpsc::Sender<EngineCommand>) -> Self {
         Self { commands }
     }
@@ -53,8 +54,8 @@
         self.commands.send(EngineCommand::Input(input)).await.is_ok()
     }
 
-    /// Opens a stream, before its proxy joins, and returns the queue of messages to write to it; none once
-    /// the engine has ended. `cut` is cancelled if more than `limits` would wait.
+    /// Opens a stream before its proxy joins, and returns the queue of messages to write to it, or none if
+    /// the engine has ended. `cut` is cancelled if the queue would exceed `limits`.
     pub async fn open(
         &self,
         stream: StreamId,
@@ -65,28 +66,28 @@
         self.open_with(stream, queue, cut).await.then_some(outbound)
     }
 
-    /// As [`EngineHandle::open`], with a queue that the caller has made. Returns false once the engine has
-    /// ended.
+    /// Opens a stream like [`EngineHandle::open`], with a queue from the caller. Returns false once the
+    /// engine has ended.
     pub(crate) async fn open_with(&self, stream: StreamId, queue: SendQueue, cut: CancellationToken) -> bool {
         self.commands.send(EngineCommand::Open { stream, queue, cut }).await.is_ok()
     }
 
     /// Reads the engine's counters; none once the engine has ended.
     pub async fn stats(&self) -> Option<Stats> {
-        let (reply, answer) = oneshot::channel();
+        let (reply, response) = oneshot::channel();
         self.commands.send(EngineCommand::Stats { reply }).await.ok()?;
-        answer.await.ok()
+        response.await.ok()
     }
 
-    /// Executes an operation.
+    /// Executes an operation and waits for its result.
     ///
     /// # Errors
     /// The engine rejects the operation, or has ended.
     pub(crate) async fn operate(&self, operation: Operation) -> Result<(), OperateError> {
-        let (reply, answer) = oneshot::channel();
+        let (reply, response) = oneshot::channel();
         let command = EngineCommand::Operate { operation, reply };
         self.commands.send(command).await.map_err(|_| OperateError::Stopped)?;
-        let result = answer.await.map_err(|_| OperateError::Stopped)?;
+        let result = response.await.map_err(|_| OperateError::Stopped)?;
         Ok(result?)
     }
 }
--- a/crates/stepspur-conductor/src/service/engine_log.rs
+++ b/crates/stepspur-conductor/src/service/engine_log.rs
@@ -1,8 +1,8 @@
-//! Writes the engine's log events.
+//! Writes the engine's log events to the process log.
 
 use crate::engine::LogEvent;
 
-/// Writes one event of the engine with this epoch.
+/// Writes one event, with the epoch of the engine that emitted it.
 pub(super) fn write(event: LogEvent, epoch: u64) {
     match event {
         LogEvent::Decision(text) => tracing::info!(event = "decision", epoch, text),
--- a/crates/stepspur-conductor/src/service/engine_task.rs
+++ b/crates/stepspur-conductor/src/service/engine_task.rs
@@ -1,4 +1,5 @@
-//! The task that owns an engine: it feeds the engine with commands and timers and executes its outputs.
+//! The task that owns an engine. It passes commands and timer expiries to the engine and executes the
+//! engine's outputs.
 
 use std::collections::BTreeMap;
 use std::future::pending;
@@ -17,17 +18,17 @@
 use crate::engine::{Engine, Input, LogEvent, Output, ProbeTarget, StreamId};
 use crate::source::DiscoveryRequest;
 
-/// Commands that are handled before the engine's outputs are executed, at most.
-const COMMAND_BATCH: usize = 1024;
+/// The largest number of commands that are handled before the engine's outputs are executed.
+const MAX_COMMAND_BATCH: usize = 1024;
 
-/// What the engine's task needs of a stream.
+/// A stream as the engine's task sees it.
 struct StreamHandle {
     queue: SendQueue,
-    /// Ends the stream at once.
+    /// Cancelled to close the stream at once, without its queued messages.
     cut: CancellationToken,
 }
 
-/// Where the engine's outputs go, besides the streams.
+/// The channels for the engine's outputs other than messages to streams.
 pub(super) struct EngineOutputs {
     /// Requests to the endpoint source.
     pub(super) discovery: mpsc::Sender<DiscoveryRequest>,
@@ -47,7 +48,7 @@
 }
 
 impl EngineTask {
-    /// A task for an engine that has no streams yet.
+    /// Creates a task for an engine that has no streams yet.
     pub(super) fn new(
         engine: Engine,
         clock: Clock,
@@ -60,9 +61,9 @@
         Self { engine, clock, commands, outputs, stop, streams, rate_limiter }
     }
 
-    /// Runs until `stop` is cancelled; then queues a go-away message on every stream.
+    /// Runs until `stop` is cancelled, then queues a go-away message on every stream.
     pub(super) async fn run(mut self) {
-        let mut batch = Vec::with_capacity(COMMAND_BATCH);
+        let mut batch = Vec::with_capacity(MAX_COMMAND_BATCH);
         while self.wait(&mut batch).await {
             let now = self.clock.now();
             for command in batch.drain(..) {
@@ -75,7 +76,7 @@
         self.queue_go_away();
     }
 
-    /// Waits for commands or for the engine's next timer. Returns false once the task is to end.
+    /// Waits for commands or for the engine's next timer. Returns false when the task must end.
     async fn wait(&mut self, batch: &mut Vec<EngineCommand>) -> bool {
         let wake_at = self.engine.next_at().map(|at| self.clock.instant(at));
         let timer = async {
@@ -87,7 +88,7 @@
         tokio::select! {
             biased;
             () = self.stop.cancelled() => false,
-            received = self.commands.recv_many(batch, COMMAND_BATCH) => received > 0,
+            received = self.commands.recv_many(batch, MAX_COMMAND_BATCH) => received > 0,
             () = timer => true,
         }
     }
@@ -100,7 +101,7 @@
             }
             EngineCommand::Operate { operation, reply } => {
                 let result = self.engine.operate(now, operation);
-                // The caller may no longer wait for the reply: the operation takes effect all the same.
+                // The operation takes effect even if the caller no longer waits for the reply.
                 let _ = reply.send(result);
             }
             EngineCommand::Stats { reply } => {
@@ -114,7 +115,8 @@
             self.streams.remove(stream);
         }
         if matches!(input, Input::EndpointList { .. }) {
-            // Start times in the list are compared with the system clock, which may have been set.
+            // The engine compares start times in the list with the system clock, which may have been set
+            // since.
             self.engine.handle(now, Input::WallClock { unix: unix_now() });
         }
         self.engine.handle(now, input);
@@ -125,7 +127,7 @@
             Output::Send { stream, frame } => {
                 let Some(handle) = self.streams.get(&stream) else { return };
                 if handle.queue.try_send(OutboundMessage::Frame(frame)).is_err() {
-                    self.cut_slow_stream(stream);
+                    self.close_slow_stream(stream);
                 }
             }
             Output::Close { stream, frame, .. } => {
@@ -137,7 +139,7 @@
             Output::Probe { target } => {
                 let server = target.address;
                 if self.outputs.probes.try_send(target).is_err() {
-                    tracing::warn!(event = "probe_dropped", %server, cause = "too many wait");
+                    tracing::warn!(event = "probe_dropped", %server, cause = "probe queue is full");
                 }
             }
             Output::WatchEndpoints => self.request_endpoints(DiscoveryRequest::Watch),
@@ -146,9 +148,10 @@
         }
     }
 
-    /// Cuts a stream whose peer reads nothing: it must cost neither memory nor other streams' time.
-    fn cut_slow_stream(&mut self, stream: StreamId) {
-        tracing::warn!(event = "stream_too_slow", stream = stream.0, cause = "queue is full");
+    /// Closes a stream whose send queue is full, because its peer does not read. Its queue must not grow, and
+    /// other streams must not wait for it.
+    fn close_slow_stream(&mut self, stream: StreamId) {
+        tracing::warn!(event = "stream_too_slow", stream = stream.0, cause = "send queue is full");
         if let Some(handle) = self.streams.remove(&stream) {
             handle.cut.cancel();
         }
@@ -157,7 +160,7 @@
 
     fn request_endpoints(&self, request: DiscoveryRequest) {
         if self.outputs.discovery.try_send(request).is_err() {
-            tracing::warn!(event = "discovery_request_dropped", ask = ?request, cause = "the source is busy");
+            tracing::warn!(event = "discovery_request_dropped", ask = ?request, cause = "queue is full");
         }
     }
 
@@ -171,8 +174,8 @@
     fn queue_go_away(&self) {
         let go_away = self.engine.go_away_frame(Reason::Stopping, "the conductor stops");
         for handle in self.streams.values() {
-            // If the queue is full, the peer gets what waits in it, but no go-away message; its stream ends
-            // with the grace period at the latest.
+            // If the queue is full, the peer gets the queued messages but no go-away message, and its stream
+            // ends with the grace period at the latest.
             let _ = handle.queue.try_send(OutboundMessage::Last(go_away.clone()));
         }
     }
--- a/crates/stepspur-conductor/src/service/engine_tasks.rs
+++ b/crates/stepspur-conductor/src/service/engine_tasks.rs
@@ -1,4 +1,4 @@
-//! Starts the tasks around one engine: the one that owns it, its endpoint source and its prober.
+//! Starts the tasks of one engine: the task that owns it, its endpoint source and its prober.
 
 use stepspur::interface::Settings;
 use tokio::sync::mpsc;
@@ -14,17 +14,19 @@
 use crate::engine::{Engine, Input, ProxyProtocol};
 use crate::source::{EndpointFeed, ServiceDiscovery};
 
-/// Commands that may wait for an engine; senders wait beyond that.
-const COMMAND_QUEUE: usize = 16_384;
-/// Health checks that may wait to be sent; further ones are dropped.
-const PROBE_QUEUE: usize = 16_384;
+/// Capacity of an engine's command queue. Senders wait while it is full.
+const COMMAND_QUEUE_CAPACITY: usize = 16_384;
+/// Capacity of the queue of health checks to send. Health checks are dropped while it is full.
+const PROBE_QUEUE_CAPACITY: usize = 16_384;
 
-/// What an engine and the tasks around it are made from.
+/// The settings and functions from which an engine and its tasks are created.
 pub(super) struct EngineTasks {
     pub(super) config: Config,
     pub(super) settings: Settings,
     pub(super) protocol: Box<dyn ProxyProtocol>,
+    /// Parses the load report in the response to a health check.
     pub(super) parse_load_report: LoadReportParser,
+    /// The conductor's epoch: its start in microseconds since 1970.
     pub(super) epoch: u64,
     /// Seed of the engine's random numbers.
     pub(super) seed: u64,
@@ -32,7 +34,8 @@
 }
 
 impl EngineTasks {
-    /// Starts the tasks; the one that owns the engine joins `engine_tasks`.
+    /// Starts the tasks and returns a handle to the engine. The task that owns the engine is added to
+    /// `engine_tasks`.
     pub(super) fn start(
         self,
         source: Box<dyn ServiceDiscovery>,
@@ -40,8 +43,8 @@
         engine_tasks: &mut JoinSet<()>,
     ) -> EngineHandle {
         let stop = &supervisor.shutdown.stop;
-        let (command_sender, commands) = mpsc::channel(COMMAND_QUEUE);
-        let (probe_sender, probes) = mpsc::channel(PROBE_QUEUE);
+        let (command_sender, commands) = mpsc::channel(COMMAND_QUEUE_CAPACITY);
+        let (probe_sender, probes) = mpsc::channel(PROBE_QUEUE_CAPACITY);
         let (feed, driver) = EndpointFeed::new(stop.clone());
         let handle = EngineHandle::new(command_sender);
 
@@ -67,7 +70,7 @@
     }
 }
 
-/// Forwards the source's updates until the source or the engine has ended.
+/// Forwards updates of the endpoint source to the engine until one of them has ended.
 async fn forward_updates(mut updates: mpsc::Receiver<Input>, engine: EngineHandle) {
     while let Some(input) = updates.recv().await {
         if !engine.send(input).await {
--- a/crates/stepspur-conductor/src/service/error.rs
+++ b/crates/stepspur-conductor/src/service/error.rs
@@ -1,4 +1,4 @@
-//! Errors of a conductor's start, and the failure of one of its tasks.
+//! Errors at the start of a conductor, and the failure of one of its tasks.
 
 use std::fmt;
 use std::io;
@@ -13,13 +13,13 @@
 
 use crate::config::InvalidSetting;
 
-/// Why a conductor did not start.
+/// Why a conductor could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// Settings are out of bounds; all of them are listed.
+    /// Settings are out of bounds; the list contains every such setting.
     #[error("{} settings are out of bounds, the first: {}: {}", .0.len(), .0[0].key, .0[0].what)]
     Config(Vec<InvalidSetting>),
-    /// The keys cannot be used.
+    /// The keys for TLS and tokens cannot be loaded.
     #[error("keys: {0}")]
     Keys(#[from] KeyError),
     /// The audit log cannot be opened for writing.
@@ -27,16 +27,16 @@
     Audit {
         /// The log's path.
         path: PathBuf,
-        /// The system's error.
+        /// The error of the operating system.
         cause: io::Error,
     },
-    /// The consensus member does not start.
+    /// The consensus member cannot start. The message begins with the name of its settings.
     #[error("council: {0}")]
     Council(#[from] stepspur_consensus_node::StartError),
-    /// The control member of the configuration distribution does not start.
+    /// The control member of the configuration distribution cannot start.
     #[error("distribution.control: {0}")]
     Control(#[from] ControlStartError),
-    /// The subscriber of the configuration distribution does not start.
+    /// The subscriber of the configuration distribution cannot start.
     #[error("distribution.subscriber: {0}")]
     Subscriber(#[from] SubscriberStartError),
     /// The subscriber's services or tenants are invalid.
@@ -48,9 +48,9 @@
     /// An address cannot be listened on.
     #[error("cannot listen on {address}: {cause}")]
     Listen {
-        /// The address.
+        /// The address from the settings.
         address: SocketAddr,
-        /// The system's error.
+        /// The error of the operating system.
         cause: io::Error,
     },
 }
@@ -62,7 +62,7 @@
     Engine,
     /// The source of the endpoint list.
     EndpointSource,
-    /// Health checks.
+    /// The sender of health checks.
     Prober,
     /// The writer of the audit log.
     AuditLog,
@@ -72,7 +72,7 @@
     ProxyListener,
     /// The listener for operators.
     OperatorListener,
-    /// The status page.
+    /// The server of the status page.
     StatusPage,
 }
 
@@ -98,8 +98,8 @@
     }
 }
 
-/// One of a conductor's tasks panicked or returned while the conductor was running. All other tasks were
-/// stopped with it: a conductor without its source, listener or prober would give proxies stale tables.
+/// A task of a conductor panicked or returned while the conductor was running. All other tasks were stopped
+/// as well, because a conductor without its source, listener or prober would send stale tables to proxies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the conductor's {task} failed")]
 pub struct TaskFailed {
--- a/crates/stepspur-conductor/src/service/identity.rs
+++ b/crates/stepspur-conductor/src/service/identity.rs
@@ -1,4 +1,5 @@
-//! Identity at the sockets: keys that reload, TLS handshakes, and the grants of callers.
+//! Authentication of connections: keys that are reloaded when their files change, TLS handshakes, and the
+//! grants of callers.
 
 use std::fs::DirEntry;
 use std::net::{IpAddr, SocketAddr};
@@ -26,7 +27,7 @@
 use super::clock::unix_now;
 use crate::config::{self, micros};
 
-/// The set of keys that is in use, and the TLS configuration made from it.
+/// The set of keys in use, and the TLS configuration that is built from it.
 #[derive(Debug)]
 pub(super) struct ActiveKeys {
     pub(super) keys: KeySet,
@@ -41,7 +42,7 @@
     }
 }
 
-/// Identifies callers by their credentials.
+/// Authenticates callers by their credentials, and limits their handshakes.
 pub(super) struct Identity {
     settings: config::Identity,
     token_policy: TokenPolicy,
@@ -50,14 +51,14 @@
     pub(super) audit_log: AuditLog,
 }
 
-/// A permit for a handshake, which is returned when this is dropped.
+/// A permit for a handshake. Dropping the guard returns the permit and counts the handshake as failed.
 pub(super) struct HandshakeGuard {
     identity: Arc<Identity>,
     permit: Option<HandshakePermit>,
 }
 
 impl HandshakeGuard {
-    /// Returns the permit of a caller that has authenticated: its address is a known source from now on.
+    /// Returns the permit of a caller that has authenticated. Its address is a known source from now on.
     pub(super) fn authenticated(mut self) {
         self.finish(HandshakeOutcome::Authenticated);
     }
@@ -76,10 +77,10 @@
 }
 
 impl Identity {
-    /// Loads the keys.
+    /// Loads the keys and sets up the limits of handshakes.
     ///
     /// # Errors
-    /// The keys cannot be used.
+    /// The keys cannot be loaded.
     pub(super) fn start(settings: config::Identity, audit_log: AuditLog) -> Result<Arc<Self>, KeyError> {
         let active_keys = watch::Sender::new(Arc::new(ActiveKeys::load(&settings)?));
         let token_policy = TokenPolicy {
@@ -110,10 +111,10 @@
         self.active_keys.subscribe()
     }
 
-    /// Reloads the folder of keys now.
+    /// Reloads the folder of keys.
     ///
     /// # Errors
-    /// The new set is faulty: it is logged, and the old set stays in use.
+    /// The new set is invalid. The error is logged, and the old set stays in use.
     pub(super) fn reload(&self) -> Result<(), KeyError> {
         let keys = ActiveKeys::load(&self.settings).inspect_err(|error| {
             tracing::error!(event = "keys_rejected", file = %error.file.display(), cause = %error.fault);
@@ -123,7 +124,8 @@
         Ok(())
     }
 
-    /// Polls the folder of keys until `stop` is cancelled, and reloads it when one of its files has changed.
+    /// Polls the folder of keys until `stop` is cancelled, and reloads the keys when one of its files
+    /// changes.
     pub(super) async fn watch_keys(self: Arc<Self>, stop: CancellationToken) {
         let mut last_seen = file_versions(&self.settings.folder);
         loop {
@@ -133,17 +135,17 @@
             }
             let versions = file_versions(&self.settings.folder);
             if versions != last_seen && versions.iter().any(|file| file.name == MANIFEST) {
-                // A set that is rejected is loaded again only after a further change: half-written files soon
-                // have one.
+                // A set that is rejected is loaded again only after a further change. A file that is still
+                // being written changes again soon.
                 last_seen = versions;
                 let identity = Arc::clone(&self);
-                // A fault is logged by `reload`; after a panic the old set stays in use.
+                // `reload` logs errors. After a panic the old set stays in use.
                 let _ = tokio::task::spawn_blocking(move || identity.reload()).await;
             }
         }
     }
 
-    /// Begins a handshake with a source, if the limits allow it.
+    /// Begins a handshake with a source address, if the limits allow it.
     ///
     /// # Errors
     /// Too many handshakes are in progress.
@@ -155,8 +157,8 @@
         Ok(HandshakeGuard { identity: Arc::clone(self), permit: Some(permit) })
     }
 
-    /// Performs the TLS handshake and reads the caller from its certificate, if it shows one. None: the
-    /// handshake failed, which is logged.
+    /// Performs the TLS handshake and reads the caller from its certificate, if it presents one. Returns none
+    /// if the handshake fails, which is logged.
     pub(super) async fn accept_tls(
         &self,
         socket: TcpStream,
@@ -169,7 +171,7 @@
                 return None;
             }
             Err(_) => {
-                tracing::info!(event = "handshake_failed", cause = "not done in time");
+                tracing::info!(event = "handshake_failed", cause = "the handshake timed out");
                 return None;
             }
         };
@@ -184,10 +186,10 @@
         Some((stream, caller))
     }
 
-    /// The grant of a caller by its certificate and its token; empty credentials are no token.
+    /// Creates the grant of a caller from its certificate and its token. Empty `credentials` mean no token.
     ///
     /// # Errors
-    /// The token is invalid or missing, or is another caller's than the certificate, or the credentials were
+    /// The token is invalid or absent, names a different caller than the certificate, or the credentials were
     /// revoked.
     pub(super) fn grant(&self, certificate: Option<CertCaller>, credentials: &[u8]) -> Result<Grant, Denied> {
         let keys = self.keys();
@@ -211,17 +213,17 @@
         }
     }
 
-    /// The time that a handshake, or the head of a request, may take.
+    /// How long a TLS handshake, and the head of an HTTP request, may take.
     pub(super) fn handshake_timeout(&self) -> Duration {
         self.settings.handshake_timeout
     }
 
-    /// The settings' own tenant.
+    /// The conductor's own tenant.
     pub(super) fn tenant(&self) -> &str {
         &self.settings.tenant
     }
 
-    /// Logs a rejected call, and records it in the audit log if there is room.
+    /// Logs a rejected call, and records it in the audit log unless the queue of entries is full.
     pub(super) fn record_rejection(&self, grant: &Grant, peer: SocketAddr, call: &str, denied: Denied) {
         let caller = grant.caller();
         tracing::warn!(
@@ -236,7 +238,7 @@
     }
 }
 
-/// What shows that a file has changed.
+/// The metadata of a file that shows whether it has changed.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct FileVersion {
     name: String,
@@ -252,7 +254,7 @@
     }
 }
 
-/// The versions of a folder's files, by name. Files that cannot be read are left out.
+/// The versions of the files in a folder, sorted by name. Files whose metadata cannot be read are omitted.
 fn file_versions(folder: &Path) -> Vec<FileVersion> {
     let files = std::fs::read_dir(folder).into_iter().flatten().flatten();
     let mut versions: Vec<_> = files.filter_map(|file| FileVersion::of(&file)).collect();
--- a/crates/stepspur-conductor/src/service/linger.rs
+++ b/crates/stepspur-conductor/src/service/linger.rs
@@ -1,4 +1,4 @@
-//! Closes connections without losing what was written last.
+//! Closes connections so that the peer receives the last bytes that were written.
 
 use std::io;
 use std::time::Duration;
@@ -6,16 +6,17 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::time::timeout;
 
-/// How much is read and dropped at most, in bytes; a peer that sends more is reset.
+/// The largest amount that is read and discarded, in bytes. The connection of a peer that sends more is
+/// reset.
 const MAX_DRAINED_BYTES: usize = 1 << 20;
 /// The size of a read, in bytes.
 const READ_BUFFER_BYTES: usize = 4096;
 
-/// Writes `last`, closes this side, and reads and drops what the peer still sends until it closes its side,
-/// or `linger_timeout` is over.
+/// Writes `last`, shuts down the write side, and reads and discards what the peer sends until the peer closes
+/// its side or `linger_timeout` expires.
 ///
-/// The kernel resets a socket that is closed over unread bytes. Then what the peer has not read yet is lost,
-/// such as the reason of a rejection.
+/// The kernel resets a connection that is closed with unread bytes in its receive buffer. The peer then loses
+/// data that it has not read yet, such as the reason of a rejection.
 pub async fn lingering_close(
     mut read: impl AsyncRead + Unpin,
     mut write: impl AsyncWrite + Unpin,
@@ -27,22 +28,23 @@
         write.shutdown().await?;
         drain(&mut read).await
     };
-    // The connection ends either way: how makes no difference.
+    // The connection ends whether or not this succeeds.
     let _: Result<io::Result<()>, _> = timeout(linger_timeout, close).await;
 }
 
-/// Reads and drops bytes until the peer closes its side.
+/// Reads and discards bytes until the peer closes its side, up to [`MAX_DRAINED_BYTES`].
 ///
 /// # Errors
-/// The connection breaks.
+/// The connection fails.
 pub(super) async fn drain(read: &mut (impl AsyncRead + Unpin)) -> io::Result<()> {
-    // On the heap: inside the future it would take memory for as long as each connection lives.
+    // The buffer is on the heap: as part of the future it would occupy memory for the life of each
+    // connection.
     let mut buffer = vec![0; READ_BUFFER_BYTES];
-    let mut left = MAX_DRAINED_BYTES;
-    while left > 0 {
+    let mut remaining = MAX_DRAINED_BYTES;
+    while remaining > 0 {
         match read.read(&mut buffer).await? {
             0 => return Ok(()),
-            count => left = left.saturating_sub(count),
+            count => remaining = remaining.saturating_sub(count),
         }
     }
     Ok(())
--- a/crates/stepspur-conductor/src/service/log_rate_limiter.rs
+++ b/crates/stepspur-conductor/src/service/log_rate_limiter.rs
@@ -1,13 +1,13 @@
-//! A rate limit for log lines that a peer can cause in any number, so that it cannot fill the disk.
+//! A rate limit for log lines that peers can cause, so that a peer cannot fill the disk with them.
 
 use stepspur::interface::Micros;
 
-/// Log lines that are written in one window.
+/// The largest number of log lines that are written in one window.
 const MAX_LINES_PER_WINDOW: u32 = 20;
 /// The length of a window, in microseconds.
-const WINDOW: Micros = 1_000_000;
+const WINDOW_US: Micros = 1_000_000;
 
-/// Counts log lines in fixed windows; reports at the next window how many were suppressed.
+/// Counts log lines in fixed windows. At the start of the next window it logs how many were suppressed.
 #[derive(Debug, Default)]
 pub(super) struct LogRateLimiter {
     window_start: Micros,
@@ -16,9 +16,9 @@
 }
 
 impl LogRateLimiter {
-    /// Whether a line may be written now.
+    /// Counts a line at time `now` and returns whether it may be written.
     pub(super) fn allow(&mut self, now: Micros) -> bool {
-        if now >= self.window_start + WINDOW {
+        if now >= self.window_start + WINDOW_US {
             self.start_window(now);
         }
         self.lines += 1;
--- a/crates/stepspur-conductor/src/service/mod.rs
+++ b/crates/stepspur-conductor/src/service/mod.rs
@@ -1,7 +1,7 @@
-//! The tokio half of a conductor: sockets, clocks and tasks around the sans-IO engine. It makes no decisions.
+//! The I/O of a conductor: sockets, clocks and tokio tasks around the sans-IO engine. It makes no decisions.
 //!
-//! One task owns the engine. The task of each stream, the prober, the endpoint source and the status page
-//! send it commands over bounded queues. A shutdown cancels a token, sends every stream a go-away message and
+//! One task owns the engine. The tasks of streams, the prober, the endpoint source and the status page send
+//! it commands over a bounded queue. A shutdown cancels a token, sends a go-away message on every stream and
 //! waits for every task.
 
 mod acceptor;
--- a/crates/stepspur-conductor/src/service/operator/administration.rs
+++ b/crates/stepspur-conductor/src/service/operator/administration.rs
@@ -1,4 +1,4 @@
-//! The calls of administrators: reload the keys, read the audit log.
+//! The calls of administrators: reloading the keys and reading the audit log.
 
 use std::sync::Arc;
 
@@ -15,16 +15,16 @@
 use super::error::CallError;
 use crate::service::audit::AuditEntry;
 
-/// Entries of the audit log that are returned where the request names no number.
+/// The number of audit entries that are returned if the request does not state one.
 const DEFAULT_AUDIT_ENTRIES: usize = 100;
-/// The most entries of the audit log that are returned.
+/// The largest number of audit entries that are returned.
 const MAX_AUDIT_ENTRIES: usize = 1000;
 
 pub(super) fn routes() -> Router<Arc<OperatorApi>> {
     Router::new().route("/v1/reload", post(reload)).route("/v1/audit", get(audit))
 }
 
-/// How many of the newest entries are wanted; 0: the default.
+/// The number of newest entries to return. 0 or absent means [`DEFAULT_AUDIT_ENTRIES`].
 #[derive(Debug, Deserialize)]
 struct AuditQuery {
     #[serde(default)]
@@ -35,11 +35,11 @@
     let call = call.authorize(Right::Administer, "reload")?;
     let identity = Arc::clone(&call.api.identity);
     let outcome = match tokio::task::spawn_blocking(move || identity.reload()).await {
-        Ok(Ok(())) => Outcome::in_words(StatusCode::OK, "done"),
-        Ok(Err(error)) => Outcome::in_words(StatusCode::UNPROCESSABLE_ENTITY, error.to_string()),
-        Err(_) => Outcome::in_words(StatusCode::INTERNAL_SERVER_ERROR, "failed"),
+        Ok(Ok(())) => Outcome::from_result(StatusCode::OK, "done"),
+        Ok(Err(error)) => Outcome::from_result(StatusCode::UNPROCESSABLE_ENTITY, error.to_string()),
+        Err(_) => Outcome::from_result(StatusCode::INTERNAL_SERVER_ERROR, "failed"),
     };
-    Ok(call.answer("reload".to_owned(), outcome).await)
+    Ok(call.record_and_respond("reload".to_owned(), outcome).await)
 }
 
 async fn audit(call: Call, Query(query): Query<AuditQuery>) -> Result<Json<Vec<AuditEntry>>, CallError> {
--- a/crates/stepspur-conductor/src/service/operator/call.rs
+++ b/crates/stepspur-conductor/src/service/operator/call.rs
@@ -1,4 +1,5 @@
-//! A call: who makes it, whether it may, and how a change is recorded and answered.
+//! A call of the operators' API: its caller, the caller's authorization, and the recording and response of a
+//! change.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,9 +21,10 @@
 use crate::service::clock::unix_now;
 use crate::service::engine_handle::EngineHandle;
 
-/// The connection that a call came on.
+/// The connection on which a call arrived. The server adds it to each request.
 #[derive(Clone)]
 pub(super) struct Connection {
+    /// The caller of the client certificate; none if the client presented none.
     pub(super) certificate: Option<CertCaller>,
     pub(super) peer: SocketAddr,
 }
@@ -31,7 +33,7 @@
 pub(super) struct Call {
     api: Arc<OperatorApi>,
     connection: Connection,
-    /// Empty if the caller shows none.
+    /// Empty if the request has none.
     bearer_token: String,
 }
 
@@ -52,11 +54,11 @@
 }
 
 impl Call {
-    /// Authorizes the caller; `name` is the call's name in the audit log. A caller without a grant is denied
-    /// without a record (a rejected token is logged as `token_rejected`).
+    /// Authorizes the caller. `name` is the name of the call in the audit log. A caller that gets no grant is
+    /// denied without an audit entry; an invalid token is logged as `token_rejected`.
     ///
     /// # Errors
-    /// [`CallError::Denied`], whatever the reason.
+    /// [`CallError::Denied`], whatever the reason, so that the response does not reveal it.
     pub(super) fn authorize(self, right: Right, name: &str) -> Result<AuthorizedCall, CallError> {
         let identity = &self.api.identity;
         let grant = identity
@@ -71,18 +73,18 @@
     }
 }
 
-/// How a change ended.
+/// The outcome of a change.
 pub(super) struct Outcome<Body = ResultBody> {
     pub(super) status: StatusCode,
-    /// The result in words, for the audit log.
+    /// The result as text, for the audit log.
     pub(super) result: String,
-    /// The answer's body.
+    /// The body of the response.
     pub(super) body: Body,
 }
 
 impl Outcome {
-    /// An outcome that is answered in the words of the audit log.
-    pub(super) fn in_words(status: StatusCode, result: impl Into<String>) -> Self {
+    /// Creates an outcome whose response body has the same text as the audit log.
+    pub(super) fn from_result(status: StatusCode, result: impl Into<String>) -> Self {
         let result = result.into();
         Self { status, body: ResultBody { result: result.clone() }, result }
     }
@@ -99,18 +101,23 @@
     /// The engine of the caller's tenant.
     ///
     /// # Errors
-    /// This conductor has no such tenant: the caller is denied.
+    /// [`CallError::Denied`] if this conductor does not have the tenant.
     pub(super) fn engine(&self) -> Result<&EngineHandle, CallError> {
         self.api.engines.get(&self.grant.caller().tenant).ok_or(CallError::Denied)
     }
 
-    /// Whether the caller may see and change what belongs to all tenants.
+    /// Whether the caller may read and change the data of all tenants.
     pub(super) fn is_administrator(&self) -> bool {
         self.grant.may(Right::Administer, unix_now()).is_ok()
     }
 
-    /// Records a change and its result, and answers once that is on the disk.
-    pub(super) async fn answer<Body: Serialize>(&self, change: String, outcome: Outcome<Body>) -> Response {
+    /// Records a change and its result in the audit log, and responds once the entry is synced to disk. The
+    /// status is 507 if the change was executed but could not be recorded.
+    pub(super) async fn record_and_respond<Body: Serialize>(
+        &self,
+        change: String,
+        outcome: Outcome<Body>,
+    ) -> Response {
         let caller = self.grant.caller();
         let Outcome { status, result, body } = outcome;
         tracing::info!(event = "operator", tenant = caller.tenant, who = caller.name, what = change, result);
@@ -126,7 +133,7 @@
 /// Parses a request's body.
 ///
 /// # Errors
-/// It is not JSON of the call's form.
+/// [`CallError::BadRequest`] if the body is not JSON of type `T`.
 pub(super) fn parse_body<T: DeserializeOwned>(body: &str) -> Result<T, CallError> {
     serde_json::from_str(body).map_err(|error| CallError::bad_request(&error))
 }
--- a/crates/stepspur-conductor/src/service/operator/configuration.rs
+++ b/crates/stepspur-conductor/src/service/operator/configuration.rs
@@ -1,7 +1,7 @@
-//! The calls on the distributed configuration: propose changes, read documents, see where a version is
-//! applied, remove a subscriber.
+//! The calls on the distributed configuration: proposing changes, reading documents, reading the rollout
+//! status of a version, and removing a subscriber.
 //!
-//! An operator of a tenant changes documents of that tenant; an administrator changes all.
+//! An operator of a tenant may change the documents of that tenant; an administrator may change all.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,7 +22,7 @@
 
 use super::OperatorApi;
 use super::call::{AuthorizedCall, Call, Outcome, parse_body};
-use super::council::leader_name;
+use super::consensus::leader_name;
 use super::error::CallError;
 
 /// How long a proposal, or the removal of a subscriber, may take.
@@ -35,17 +35,17 @@
         .route("/v1/config/subscribers/remove", post(remove_subscriber))
 }
 
-/// Changes that take effect together.
+/// The body of a proposal: changes that take effect together.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ProposeRequest {
-    /// The operation's id, if it was proposed before and its outcome is unknown.
+    /// The id of the operation to repeat, if it was proposed before and its outcome is unknown.
     #[serde(default)]
     operation: Option<String>,
     changes: Vec<ChangeRequest>,
 }
 
-/// A change. A setting that is left out is an error: only `null` removes one.
+/// A change of a document. An absent `setting` is an error; `null` removes the document.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ChangeRequest {
@@ -56,7 +56,7 @@
     setting: Option<Setting>,
 }
 
-/// Without this, serde takes a field that is left out for `null`.
+/// Requires the field to be present. By default, serde treats an absent optional field like `null`.
 fn required_option<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<Setting>, D::Error> {
     Option::deserialize(deserializer)
 }
@@ -67,26 +67,28 @@
     }
 }
 
+/// The body of a call to remove a subscriber, by its name.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct SubscriberRequest {
     subscriber: String,
 }
 
-/// The answer to a change of the configuration.
+/// The response to a change of the configuration.
 #[derive(Debug, Default, Serialize)]
-struct ChangeAnswer {
-    /// The operation to propose again, if it may have taken effect.
+struct ChangeResponse {
+    /// The id with which to repeat the proposal, if it is unknown whether it took effect.
     #[serde(skip_serializing_if = "Option::is_none")]
     operation: Option<String>,
+    /// The result as text.
     result: String,
-    /// The version that has the changes.
+    /// The version of the configuration that contains the changes.
     #[serde(skip_serializing_if = "Option::is_none")]
     version: Option<String>,
 }
 
-impl ChangeAnswer {
-    fn in_words(result: &str) -> Self {
+impl ChangeResponse {
+    fn with_result(result: &str) -> Self {
         Self { result: result.to_owned(), ..Self::default() }
     }
 }
@@ -105,17 +107,18 @@
     }
     let change = format!("config propose {}", json!(changes));
     let outcome = match control.propose(operation, changes, PROPOSE_TIMEOUT).await {
-        Ok(version) => agreed(version),
-        Err(error) => not_agreed(&error),
+        Ok(version) => committed_outcome(version),
+        Err(error) => propose_error_outcome(&error),
     };
-    Ok(call.answer(change, outcome).await)
+    Ok(call.record_and_respond(change, outcome).await)
 }
 
 async fn documents(call: Call) -> Result<Json<Value>, CallError> {
     let call = call.authorize(Right::ReadStatus, "config")?;
     let mut documents: Vec<Document> = control(&call)?.documents();
     if !call.is_administrator() {
-        // Documents for all tenants apply to the caller's; it must not see those of another tenant.
+        // Documents without a tenant apply to the caller's tenant as well. Documents of other tenants are
+        // hidden.
         documents.retain(|document| {
             let scope = &document.key.scope;
             scope.tenant.is_none() || is_of_own_tenant(&call, scope)
@@ -139,10 +142,10 @@
     let outcome = match control(&call)?.remove(&subscriber, PROPOSE_TIMEOUT).await {
         Ok(true) => change_outcome(StatusCode::OK, "removed"),
         Ok(false) => change_outcome(StatusCode::NOT_FOUND, "no subscriber of this name is registered"),
-        Err(error) => not_agreed(&error),
+        Err(error) => propose_error_outcome(&error),
     };
     let change = format!("config subscribers remove {subscriber}");
-    Ok(call.answer(change, outcome).await)
+    Ok(call.record_and_respond(change, outcome).await)
 }
 
 fn control(call: &AuthorizedCall) -> Result<&Control, CallError> {
@@ -153,21 +156,22 @@
     id.parse().map_err(|error| CallError::bad_request(&error))
 }
 
-/// Whether a change of this scope reaches no other tenant than the caller's.
+/// Whether a change of this scope affects the caller's tenant alone.
 fn is_of_own_tenant(call: &AuthorizedCall, scope: &Scope) -> bool {
     scope.tenant.as_ref() == Some(&call.grant.caller().tenant)
 }
 
-fn change_outcome(status: StatusCode, result: &str) -> Outcome<ChangeAnswer> {
-    Outcome { status, result: result.to_owned(), body: ChangeAnswer::in_words(result) }
+fn change_outcome(status: StatusCode, result: &str) -> Outcome<ChangeResponse> {
+    Outcome { status, result: result.to_owned(), body: ChangeResponse::with_result(result) }
 }
 
-fn agreed(version: Version) -> Outcome<ChangeAnswer> {
-    let body = ChangeAnswer { version: Some(version.to_string()), ..ChangeAnswer::in_words("agreed") };
+fn committed_outcome(version: Version) -> Outcome<ChangeResponse> {
+    let body = ChangeResponse { version: Some(version.to_string()), ..ChangeResponse::with_result("agreed") };
     Outcome { status: StatusCode::OK, result: format!("agreed as version {version}"), body }
 }
 
-fn not_agreed(error: &ProposeError) -> Outcome<ChangeAnswer> {
+/// The outcome of a proposal that was rejected, or whose outcome is unknown.
+fn propose_error_outcome(error: &ProposeError) -> Outcome<ChangeResponse> {
     let status = match error {
         ProposeError::InvalidCommand(_) | ProposeError::TooLarge(_) | ProposeError::Rejected(_) => {
             StatusCode::UNPROCESSABLE_ENTITY
@@ -184,7 +188,7 @@
     outcome
 }
 
-/// The answer where this member does not know how far a version is applied.
+/// The response if this member cannot report where a version is applied.
 fn rollout_status_error(error: &RolloutStatusError) -> (StatusCode, Json<Value>) {
     match error {
         RolloutStatusError::NotLeader { leader } => {
--- a/crates/stepspur-conductor/src/service/operator/council.rs
+++ b/crates/stepspur-conductor/src/service/operator/consensus.rs
@@ -1,4 +1,5 @@
-//! The calls on the consensus group: its member's status, and changes of its leader and voters.
+//! The calls on the consensus group: reading the status of the conductor's member, transferring the
+//! leadership and changing the voters.
 
 use std::sync::Arc;
 
@@ -16,19 +17,20 @@
 
 pub(super) fn routes() -> Router<Arc<OperatorApi>> {
     Router::new()
-        .route("/v1/council", get(council))
+        .route("/v1/council", get(consensus_status))
         .route("/v1/council/transfer", post(transfer))
         .route("/v1/council/add", post(add))
         .route("/v1/council/remove", post(remove))
 }
 
+/// The body of a change: the id of a member of the consensus group.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct MemberRequest {
     member: u64,
 }
 
-async fn council(call: Call) -> Result<Json<Status>, CallError> {
+async fn consensus_status(call: Call) -> Result<Json<Status>, CallError> {
     let call = call.authorize(Right::ReadStatus, "council")?;
     Ok(Json(node(&call)?.status().await?))
 }
@@ -37,42 +39,43 @@
     let call = call.authorize(Right::Administer, "council transfer")?;
     let MemberRequest { member } = parse_body(&body)?;
     let result = node(&call)?.transfer_leadership(MemberId(member)).await;
-    Ok(call.answer(format!("council transfer {member}"), outcome(result)).await)
+    Ok(call.record_and_respond(format!("council transfer {member}"), outcome(result)).await)
 }
 
 async fn add(call: Call, body: String) -> Result<Response, CallError> {
     let call = call.authorize(Right::Administer, "council add")?;
     let MemberRequest { member } = parse_body(&body)?;
     let result = node(&call)?.change_membership(MembershipChange::Add(MemberId(member))).await;
-    Ok(call.answer(format!("council add {member}"), outcome(result)).await)
+    Ok(call.record_and_respond(format!("council add {member}"), outcome(result)).await)
 }
 
 async fn remove(call: Call, body: String) -> Result<Response, CallError> {
     let call = call.authorize(Right::Administer, "council remove")?;
     let MemberRequest { member } = parse_body(&body)?;
     let result = node(&call)?.change_membership(MembershipChange::Remove(MemberId(member))).await;
-    Ok(call.answer(format!("council remove {member}"), outcome(result)).await)
+    Ok(call.record_and_respond(format!("council remove {member}"), outcome(result)).await)
 }
 
 fn node(call: &AuthorizedCall) -> Result<&NodeHandle, CallError> {
-    call.api.council.as_deref().ok_or(CallError::NoConsensusMember)
+    call.api.consensus_node.as_deref().ok_or(CallError::NoConsensusMember)
 }
 
-/// The outcome of a change that has begun: the group's status shows how it ends.
+/// The outcome of a request for a change. Success means that the change has begun; the status of the group
+/// shows when it completes.
 fn outcome(result: Result<Result<(), RequestError>, NodeStopped>) -> Outcome {
     match result {
-        Ok(Ok(())) => Outcome::in_words(StatusCode::OK, "begun"),
+        Ok(Ok(())) => Outcome::from_result(StatusCode::OK, "begun"),
         Ok(Err(RequestError::NotLeader(leader))) => {
             let leader = leader_name(leader.map(|member| member.0));
             let result = format!("this conductor does not lead; the leader is {leader}");
-            Outcome::in_words(StatusCode::CONFLICT, result)
+            Outcome::from_result(StatusCode::CONFLICT, result)
         }
-        Ok(Err(rejected)) => Outcome::in_words(StatusCode::UNPROCESSABLE_ENTITY, rejected.to_string()),
-        Err(stopped) => Outcome::in_words(StatusCode::SERVICE_UNAVAILABLE, stopped.to_string()),
+        Ok(Err(rejected)) => Outcome::from_result(StatusCode::UNPROCESSABLE_ENTITY, rejected.to_string()),
+        Err(stopped) => Outcome::from_result(StatusCode::SERVICE_UNAVAILABLE, stopped.to_string()),
     }
 }
 
-/// A leader's number in words, if it is known.
+/// The leader's id as text, or a text that states that the leader is unknown.
 pub(super) fn leader_name(leader: Option<u64>) -> String {
     leader.map_or("nobody that it knows of".to_owned(), |member| member.to_string())
 }
--- a/crates/stepspur-conductor/src/service/operator/error.rs
+++ b/crates/stepspur-conductor/src/service/operator/error.rs
@@ -1,4 +1,4 @@
-//! Calls that are not executed, and answers in words.
+//! Errors of calls, and the response body that states a result as text.
 
 use axum::Json;
 use axum::http::StatusCode;
@@ -6,28 +6,28 @@
 use serde::Serialize;
 use stepspur_identity::grant::Denied;
 
-/// An answer that has a result in words alone.
+/// A response body that consists of a result as text.
 #[derive(Debug, Serialize)]
 pub(super) struct ResultBody {
     pub(super) result: String,
 }
 
-/// Why a call is not executed.
+/// Why a call was not executed.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum CallError {
-    /// The caller lacks the right. The answer does not contain the reason.
+    /// The caller is not authorized. The response does not contain the reason.
     #[error("{}", Denied::PUBLIC_MESSAGE)]
     Denied,
     /// The request's body or path cannot be parsed.
     #[error("{0}")]
     BadRequest(String),
-    /// The conductor has no control member of the configuration.
-    #[error("this conductor is no control member")]
+    /// The conductor is not a control member of the configuration distribution.
+    #[error("this conductor is not a control member")]
     NoControlMember,
-    /// The conductor has no consensus member.
-    #[error("this conductor is in no council")]
+    /// The conductor is not a member of a consensus group.
+    #[error("this conductor is not a member of a consensus group")]
     NoConsensusMember,
-    /// The consensus member has ended.
+    /// The task of the consensus member has ended.
     #[error(transparent)]
     ConsensusStopped(#[from] stepspur_consensus_node::NodeStopped),
     /// The audit log cannot be read.
@@ -36,7 +36,7 @@
 }
 
 impl CallError {
-    /// A request that cannot be parsed.
+    /// Creates the error of a request that cannot be parsed.
     pub(super) fn bad_request(error: &dyn std::fmt::Display) -> Self {
         Self::BadRequest(error.to_string())
     }
--- a/crates/stepspur-conductor/src/service/operator/mod.rs
+++ b/crates/stepspur-conductor/src/service/operator/mod.rs
@@ -1,5 +1,5 @@
-//! The operators' API: HTTPS and JSON. Each call needs a right, and each change is in the audit log before it
-//! is answered.
+//! The operators' API, by HTTPS and JSON. Each call requires a right, and each change is recorded in the
+//! audit log before the response.
 //!
 //! | call | right |
 //! | --- | --- |
@@ -17,7 +17,7 @@
 mod administration;
 mod call;
 mod configuration;
-mod council;
+mod consensus;
 mod error;
 mod server;
 mod servers;
@@ -33,20 +33,21 @@
 
 pub(super) use server::OperatorServer;
 
-/// What the calls work on.
+/// The parts of the conductor that the calls read and change.
 pub(super) struct OperatorApi {
     pub(super) identity: Arc<Identity>,
     pub(super) engines: Arc<EnginesByTenant>,
-    pub(super) council: Option<Arc<NodeHandle>>,
+    /// None if the conductor is not a member of a consensus group.
+    pub(super) consensus_node: Option<Arc<NodeHandle>>,
     pub(super) distribution: DistributionView,
 }
 
-/// All calls.
+/// The routes of all calls.
 fn router(api: Arc<OperatorApi>) -> Router {
     Router::new()
         .merge(servers::routes())
         .merge(administration::routes())
-        .merge(council::routes())
+        .merge(consensus::routes())
         .merge(configuration::routes())
         .with_state(api)
 }
--- a/crates/stepspur-conductor/src/service/operator/server.rs
+++ b/crates/stepspur-conductor/src/service/operator/server.rs
@@ -27,14 +27,14 @@
 }
 
 impl OperatorServer {
-    /// A server whose connections become tasks of `tasks`.
+    /// Creates a server that spawns the tasks of its connections on `tasks`.
     pub(in crate::service) fn new(api: OperatorApi, tasks: TaskTracker, shutdown: Shutdown) -> Self {
         let identity = Arc::clone(&api.identity);
         Self { identity, router: router(Arc::new(api)), tasks, shutdown }
     }
 
-    /// Accepts connections until the conductor stops. Changes that were executed by then are still recorded
-    /// and answered.
+    /// Accepts connections until the conductor stops. Changes that were executed before then are still
+    /// recorded, and their callers get the response.
     pub(in crate::service) async fn run(self, listener: TcpListener) {
         loop {
             let accepted = tokio::select! {
@@ -68,7 +68,7 @@
             .serve_connection(TokioIo::new(stream), TowerToHyperService::new(router));
         let mut connection = pin!(connection);
         tokio::select! {
-            // How the connection ends makes no difference: each change was recorded before its answer.
+            // The way in which the connection ends is ignored: each change was recorded before its response.
             _ = &mut connection => return,
             () = self.shutdown.stop.cancelled() => connection.as_mut().graceful_shutdown(),
         }
--- a/crates/stepspur-conductor/src/service/operator/servers.rs
+++ b/crates/stepspur-conductor/src/service/operator/servers.rs
@@ -1,5 +1,5 @@
-//! The calls on the engine of the caller's tenant: its status, drained and withdrawn servers, admission
-//! levels.
+//! The calls on the engine of the caller's tenant: reading its status, draining and withdrawing servers, and
+//! setting admission levels.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -27,25 +27,27 @@
         .route("/v1/level", post(level))
 }
 
-/// A server, and whether its state is to be overridden or the override lifted.
+/// The body of a call on a server.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ServerRequest {
     server: SocketAddr,
+    /// True to override the server's state, false to lift the override.
     on: bool,
 }
 
-/// A class, and the largest share of its requests to admit.
+/// The body of a call that sets the admission level of a class.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct LevelRequest {
     class: String,
+    /// The largest share of the class's requests to admit, from 0 to 1.
     share: f64,
 }
 
 async fn status(call: Call) -> Result<Response, CallError> {
     let call = call.authorize(Right::ReadStatus, "status")?;
-    // The status of the distribution names documents of all tenants.
+    // The distribution's status contains documents of all tenants, so only administrators get it.
     let distribution = match call.is_administrator() {
         true => call.api.distribution.clone(),
         false => DistributionView::default(),
@@ -74,18 +76,18 @@
     operate(&call, Operation::Level { class, share }).await
 }
 
-/// Executes an operation at the engine of the caller's tenant, records it and answers.
+/// Executes an operation at the engine of the caller's tenant, records it and responds.
 async fn operate(call: &AuthorizedCall, operation: Operation) -> Result<Response, CallError> {
     let change = format!("{operation:?}");
     let outcome = match call.engine()?.operate(operation).await {
-        Ok(()) => Outcome::in_words(StatusCode::OK, "done"),
+        Ok(()) => Outcome::from_result(StatusCode::OK, "done"),
         Err(error) => {
             let status = match error {
                 OperateError::Rejected(_) => StatusCode::UNPROCESSABLE_ENTITY,
                 OperateError::Stopped => StatusCode::SERVICE_UNAVAILABLE,
             };
-            Outcome::in_words(status, error.to_string())
+            Outcome::from_result(status, error.to_string())
         }
     };
-    Ok(call.answer(change, outcome).await)
+    Ok(call.record_and_respond(change, outcome).await)
 }
--- a/crates/stepspur-conductor/src/service/prober.rs
+++ b/crates/stepspur-conductor/src/service/prober.rs
@@ -1,4 +1,4 @@
-//! Health checks: HTTP requests to servers, limited in number and time.
+//! Health checks: HTTP requests to servers, with a limit of concurrent requests and a timeout.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,12 +16,13 @@
 use crate::engine::{Input, ProbeTarget};
 use crate::http::{HttpError, get};
 
-/// The largest answer that is read, in bytes.
-const MAX_ANSWER_BYTES: usize = 16 << 10;
-/// How much of an answer is logged, in bytes.
-const LOGGED_BODY_BYTES: usize = 200;
+/// The largest response body that is read, in bytes.
+const MAX_RESPONSE_BYTES: usize = 16 << 10;
+/// How much of a response body is logged, in bytes.
+const MAX_LOGGED_BODY_BYTES: usize = 200;
 
-/// Parses a load report: the values of the columns, in their order; empty unless it has all of them.
+/// Parses a load report into the values of `columns`, in their order. Returns an empty list unless the report
+/// has a value for every column.
 pub type LoadReportParser = fn(columns: &[String], body: &[u8]) -> Vec<f32>;
 
 /// Sends health checks and reports their results to the engine.
@@ -32,12 +33,12 @@
 }
 
 impl Prober {
-    /// A prober of an engine's servers.
+    /// Creates the prober of an engine's servers.
     pub(super) fn new(config: Config, parse_load_report: LoadReportParser, engine: EngineHandle) -> Self {
         Self { config: Arc::new(config), parse_load_report, engine }
     }
 
-    /// Sends the health checks that are queued until `stop` is cancelled; those in progress are then aborted.
+    /// Sends the queued health checks until `stop` is cancelled, then aborts those in progress.
     pub(super) async fn run(self, mut targets: mpsc::Receiver<ProbeTarget>, stop: CancellationToken) {
         let concurrency = Arc::new(Semaphore::new(self.config.probes.concurrency));
         let mut in_progress = JoinSet::new();
@@ -70,11 +71,11 @@
 async fn probe(config: &Config, parse_load_report: LoadReportParser, target: ProbeTarget) -> Input {
     let sent_at = Instant::now();
     let path = &config.probes.path;
-    let answer = get(target.address, path, config.probes.timeout, MAX_ANSWER_BYTES).await;
+    let response = get(target.address, path, config.probes.timeout, MAX_RESPONSE_BYTES).await;
     let mut load = Vec::new();
-    let outcome = match answer {
+    let outcome = match response {
         Ok((status, body)) => {
-            log_answer(&target, status, &body);
+            log_response(&target, status, &body);
             if status.is_success() {
                 load = parse_load_report(&config.reports.load_columns, &body);
             }
@@ -85,13 +86,14 @@
     Input::ProbeResult { target, outcome, latency: micros(sent_at.elapsed()), load }
 }
 
-/// Logs what came over the socket, to compare it with what the engine makes of it.
-fn log_answer(target: &ProbeTarget, status: StatusCode, body: &Bytes) {
-    let logged = &body[..body.len().min(LOGGED_BODY_BYTES)];
+/// Logs the response as received, for comparison with the engine's decisions.
+fn log_response(target: &ProbeTarget, status: StatusCode, body: &Bytes) {
+    let logged = &body[..body.len().min(MAX_LOGGED_BODY_BYTES)];
     let body = String::from_utf8_lossy(logged);
     tracing::debug!(event = "probe_answered", server = %target.address, status = status.as_u16(), %body);
 }
 
+/// Classifies a response. 503 means that the server rejects requests but is reachable.
 fn outcome_of_status(status: StatusCode) -> ProbeOutcome {
     match status {
         StatusCode::SERVICE_UNAVAILABLE => ProbeOutcome::Rejected,
@@ -100,6 +102,7 @@
     }
 }
 
+/// Classifies a failed request. A broken connection and an invalid response count as a reset.
 fn outcome_of_error(error: &HttpError) -> ProbeOutcome {
     match error {
         HttpError::Connect(_) => ProbeOutcome::Unreachable,
--- a/crates/stepspur-conductor/src/service/protocol_server.rs
+++ b/crates/stepspur-conductor/src/service/protocol_server.rs
@@ -1,5 +1,5 @@
-//! A conductor that serves another protocol than the project's own: the same engine, endpoint source and
-//! prober behind a listener that the protocol's crate brings.
+//! A conductor that serves a different protocol than the project's own, with the same engine, endpoint source
+//! and prober. The crate of the protocol supplies the listener and the encoding.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -22,20 +22,20 @@
 use crate::engine::{DiscoveredEndpoint, Input, ProxyProtocol};
 use crate::source::ServiceDiscovery;
 
-/// What a protocol's crate brings to a conductor.
+/// The parts of a conductor that the crate of a protocol supplies.
 pub struct ProtocolServer {
-    /// The settings that the tasks use: names of the fleet, health checks, limits. The caller has checked
-    /// them.
+    /// The settings that the tasks use, such as the zones and classes of the fleet, health checks and limits.
+    /// The caller has validated them.
     pub config: Config,
     /// The settings of the decision module.
     pub settings: Settings,
     /// The seed of the engine's random numbers.
     pub seed: u64,
-    /// Encodes updates to proxies.
+    /// Encodes the updates that are sent to proxies.
     pub protocol: Box<dyn ProxyProtocol>,
-    /// Parses the load reports in answers to health checks.
+    /// Parses the load reports in responses to health checks.
     pub parse_load_report: LoadReportParser,
-    /// The endpoint list as cached by an earlier run; it is used until the source has sent one.
+    /// The endpoint list that an earlier run cached. It is used until the source has sent a list.
     pub cached_endpoints: Vec<DiscoveredEndpoint>,
     /// The source of the endpoint list.
     pub source: Box<dyn ServiceDiscovery>,
@@ -47,8 +47,7 @@
 
 /// Accepts and serves the connections of a protocol.
 pub trait Listener: Send {
-    /// Accepts connections until the shutdown begins, and ends every task that it has started before it
-    /// returns.
+    /// Accepts connections until the shutdown begins. Every task that it has started ends before it returns.
     fn run(
         self: Box<Self>,
         listener: TcpListener,
@@ -58,7 +57,8 @@
 }
 
 impl Conductor {
-    /// Listens and starts all tasks behind another protocol. The epoch is the time of the start.
+    /// Listens and starts all tasks of a conductor that serves a different protocol. The epoch is the time of
+    /// the start.
     ///
     /// # Errors
     /// The address cannot be listened on.
@@ -78,7 +78,7 @@
             clock,
         };
         let engine = tasks.start(server.source, &supervisor, &mut engine_tasks);
-        // The queue is new, so that this does not wait.
+        // The queue is empty, so this does not wait.
         let cached = Input::EndpointList { update: ListUpdate::Cached, entries: server.cached_endpoints };
         engine.send(cached).await;
         let accept = server.listener.run(bound.listener, engine.clone(), supervisor.shutdown.clone());
@@ -91,7 +91,7 @@
             engine_tasks,
             engine,
             shutdown_grace: server.shutdown_grace,
-            council: None,
+            consensus_node: None,
             distribution: Distribution::default(),
         })
     }
--- a/crates/stepspur-conductor/src/service/send_queue.rs
+++ b/crates/stepspur-conductor/src/service/send_queue.rs
@@ -1,5 +1,5 @@
-//! A stream's send queue, bounded in messages and in bytes: a peer that reads nothing must cost neither
-//! memory nor other streams' time.
+//! The send queue of a stream. It is bounded in messages and in bytes, so that a peer that does not read
+//! neither consumes unbounded memory nor delays other streams.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -24,12 +24,13 @@
     }
 }
 
-/// How much may wait in a stream's send queue.
+/// The capacity of a stream's send queue.
 #[derive(Clone, Copy, Debug)]
 pub struct QueueLimits {
     /// The largest number of messages.
     pub messages: usize,
-    /// The largest sum of their sizes, in bytes; a single message may be larger if nothing else waits.
+    /// The largest sum of their sizes, in bytes. A single larger message is accepted while the queue is
+    /// empty.
     pub bytes: usize,
 }
 
@@ -46,7 +47,7 @@
 }
 
 impl SendQueue {
-    /// Creates a queue with its receiving end.
+    /// Creates a queue and returns both of its ends.
     pub(crate) fn new(limits: QueueLimits) -> (Self, SendQueueReceiver) {
         let (sender, receiver) = mpsc::channel(limits.messages);
         let queued_bytes = Arc::new(AtomicUsize::new(0));
@@ -60,7 +61,7 @@
     /// [`QueueFull`]; the message is dropped.
     pub(crate) fn try_send(&self, message: OutboundMessage) -> Result<(), QueueFull> {
         let len = message.len();
-        // The receiver only subtracts meanwhile: the sum read here is never too small.
+        // The receiver only subtracts concurrently, so the sum read here is never too small.
         let queued = self.queued_bytes.fetch_add(len, Ordering::Relaxed);
         let fits = queued == 0 || queued + len <= self.max_bytes;
         if fits && self.messages.try_send(message).is_ok() {
@@ -70,7 +71,7 @@
         Err(QueueFull)
     }
 
-    /// A handle that does not keep the queue open.
+    /// Creates a handle that does not keep the queue open.
     pub(crate) fn downgrade(&self) -> WeakSendQueue {
         WeakSendQueue {
             messages: self.messages.downgrade(),
@@ -104,20 +105,21 @@
 }
 
 impl SendQueueReceiver {
-    /// Waits for the next message; none once the engine has closed the stream.
+    /// Waits for the next message. Returns none once the engine has closed the stream and the queue is empty.
     pub async fn recv(&mut self) -> Option<OutboundMessage> {
         let message = self.messages.recv().await?;
         self.release(&message);
         Some(message)
     }
 
-    /// The next message, if one is queued.
+    /// Returns the next message, or none if the queue is empty or closed.
     pub fn try_recv(&mut self) -> Option<OutboundMessage> {
         let message = self.messages.try_recv().ok()?;
         self.release(&message);
         Some(message)
     }
 
+    /// Subtracts a received message from the bytes in the queue.
     fn release(&self, message: &OutboundMessage) {
         self.queued_bytes.fetch_sub(message.len(), Ordering::Relaxed);
     }
--- a/crates/stepspur-conductor/src/service/session/mod.rs
+++ b/crates/stepspur-conductor/src/service/session/mod.rs
@@ -1,4 +1,4 @@
-//! A proxy's stream: one task that owns the socket, from the handshake to the last frame.
+//! The stream of a proxy. One task owns the socket, from the TLS handshake to the last frame.
 
 mod reader;
 mod writer;
@@ -33,62 +33,68 @@
 
 type FrameReader<R> = FramedRead<R, Frames<FromProxy, FromConductor>>;
 
-/// The time from the first message to a rejection: the same for every reason, so that it reveals none.
+/// The time from the first message to a rejection. It is the same for every reason, so that the timing does
+/// not reveal the reason.
 const REJECTION_DELAY: Duration = Duration::from_millis(100);
-/// How long a peer may take to close its side after the last frame.
+/// How long a peer may take to close its side of the connection after the last frame.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
-/// A stream has failed if nothing came on it for this many keepalive intervals.
-const KEEPALIVES_UNTIL_SILENT: u32 = 3;
+/// A stream has failed if no frame arrives on it for this many keepalive intervals.
+const SILENCE_TIMEOUT_KEEPALIVES: u32 = 3;
 
-/// What all sessions of a conductor share.
+/// The state that all sessions of a conductor share.
 pub(super) struct SessionContext {
     pub(super) config: Arc<Config>,
     pub(super) epoch: u64,
     pub(super) engines: Arc<EnginesByTenant>,
+    /// None if connections are not authenticated.
     pub(super) identity: Option<Arc<Identity>>,
-    /// `stop` ends streams before their first message; the engine closes the others with a go-away message.
+    /// `stop` ends streams that have not sent their first message. The engine closes the others with a
+    /// go-away message.
     pub(super) shutdown: Shutdown,
 }
 
-/// A proxy's connection.
+/// The connection of a proxy.
 pub(super) struct Session {
     context: Arc<SessionContext>,
     stream: StreamId,
     peer: SocketAddr,
 }
 
-/// What is known of a TLS peer after its handshake.
+/// A TLS peer after its handshake.
 struct TlsPeer {
+    /// The caller of its client certificate; none if it presented none.
     certificate: Option<CertCaller>,
-    /// Held until the peer is authenticated by its first message, too.
+    /// Held until the peer's first message has been authenticated as well.
     handshake: HandshakeGuard,
 }
 
-/// A proxy that may join.
+/// A proxy that was admitted.
 struct AdmittedProxy {
     /// The engine of its tenant.
     engine: EngineHandle,
-    /// None without identity.
+    /// None if connections are not authenticated.
     grant: Option<StreamGrant>,
 }
 
-/// The end of the wait for a stream's first message.
+/// The result of waiting for a stream's first message.
 enum FirstMessage {
     Received(FromProxy),
+    /// The bytes are not a valid frame; the text describes the error.
     Invalid(String),
-    /// The peer has closed the stream, nothing came in time, or the conductor stops.
-    Missing,
+    /// The peer closed the stream, no message arrived within the timeout, or the conductor stops.
+    NotReceived,
 }
 
 impl Session {
-    /// A session for a connection that was accepted.
+    /// Creates the session of an accepted connection.
     pub(super) fn new(context: Arc<SessionContext>, stream: StreamId, peer: SocketAddr) -> Self {
         Self { context, stream, peer }
     }
 
     /// Serves the connection until it ends.
     pub(super) async fn run(self, socket: TcpStream) {
-        // Updates are small and must not wait for each other. A socket that refuses this is only slower.
+        // Nagle's algorithm would delay small updates. If the option cannot be set, the stream is only
+        // slower.
         let _ = socket.set_nodelay(true);
         let Some(identity) = &self.context.identity else {
             let (read, write) = socket.into_split();
@@ -121,7 +127,7 @@
             FirstMessage::Invalid(detail) => {
                 return self.reject(reader, write, v1::Reason::BadFrame, &detail).await;
             }
-            FirstMessage::Missing => return,
+            FirstMessage::NotReceived => return,
         };
         reader.decoder_mut().set_largest(listen.largest_frame);
         let received_at = Instant::now();
@@ -136,24 +142,24 @@
         let (epoch, stream) = (self.context.epoch, self.stream.0);
         let received = tokio::select! {
             received = timeout(self.context.config.listen.hello_timeout, reader.next()) => received,
-            () = self.context.shutdown.stop.cancelled() => return FirstMessage::Missing,
+            () = self.context.shutdown.stop.cancelled() => return FirstMessage::NotReceived,
         };
         match received {
             Ok(Some(Ok(hello))) => FirstMessage::Received(hello),
-            Ok(None) => FirstMessage::Missing,
+            Ok(None) => FirstMessage::NotReceived,
             Ok(Some(Err(error))) => {
                 tracing::warn!(event = "stream_closed", epoch, stream, cause = %error);
                 FirstMessage::Invalid(error.to_string())
             }
             Err(_) => {
-                tracing::warn!(event = "stream_closed", epoch, stream, cause = "no Hello in time");
-                FirstMessage::Missing
+                tracing::warn!(event = "stream_closed", epoch, stream, cause = "no Hello within the timeout");
+                FirstMessage::NotReceived
             }
         }
     }
 
-    /// Admits a proxy to its tenant's engine. None: it is rejected; the reason is in the logs alone. A first
-    /// message that is no `Hello` is not logged.
+    /// Admits a proxy to the engine of its tenant, or returns none to reject it. The reason is written only
+    /// to the logs. A first message other than `Hello` is rejected without a log line.
     fn admit(&self, first_message: &FromProxy, tls_peer: Option<TlsPeer>) -> Option<AdmittedProxy> {
         let (Some(identity), Some(TlsPeer { certificate, handshake })) = (&self.context.identity, tls_peer)
         else {
@@ -198,10 +204,10 @@
     {
         let (stream, epoch) = (self.stream, self.context.epoch);
         let listen = &self.context.config.listen;
-        // Frames have a largest size, so that their number bounds their bytes.
+        // The size of a frame is bounded, so the limit of messages also bounds the bytes.
         let limits = QueueLimits { messages: listen.frames_waiting_max, bytes: usize::MAX };
-        // This handle keeps the queue open: the engine's last frame, a broken connection or a cut ends the
-        // writer.
+        // This handle keeps the queue open. The writer ends by the engine's last frame, by a failed
+        // connection or by a cut.
         let (queue, outbound) = SendQueue::new(limits);
         let cut = self.context.shutdown.kill.child_token();
         if !engine.open_with(stream, queue.clone(), cut.clone()).await
@@ -215,14 +221,14 @@
             engine: &engine,
             stream,
             epoch,
-            silence_timeout: listen.keepalive * KEEPALIVES_UNTIL_SILENT,
+            silence_timeout: listen.keepalive * SILENCE_TIMEOUT_KEEPALIVES,
             grant,
             queue: queue.downgrade(),
         };
-        let written = self.run_halves(reading.run(), writing, &engine, &cut).await;
+        let written = self.run_reader_and_writer(reading.run(), writing, &engine, &cut).await;
         engine.send(Input::StreamEnded { stream }).await;
         match written {
-            // A reset over unread bytes would lose the last frame.
+            // Closing with unread bytes would reset the connection, and the peer would lose the last frame.
             Ok(()) if !cut.is_cancelled() => linger(&mut reader, &cut).await,
             Ok(()) => {}
             Err(error) => {
@@ -231,9 +237,9 @@
         }
     }
 
-    /// Reads and writes until the writer has ended or the stream is cut. A reader that ends first reports why
-    /// to the engine, whose last frame, if it sends one, ends the writer.
-    async fn run_halves(
+    /// Reads and writes until the writer has ended or the stream is cut. If the reader ends first, the reason
+    /// is sent to the engine, and the engine's last frame, if it sends one, ends the writer.
+    async fn run_reader_and_writer(
         &self,
         reading: impl Future<Output = Result<(), StreamFault>>,
         writing: impl Future<Output = Result<(), WriteTimeout>>,
@@ -258,7 +264,7 @@
         }
     }
 
-    /// Sends a go-away message as the only frame and closes the connection.
+    /// Sends a go-away message as the only frame, and closes the connection.
     async fn reject<R, W>(&self, reader: FrameReader<R>, write: W, reason: v1::Reason, detail: &str)
     where
         R: AsyncRead + Unpin,
@@ -274,10 +280,10 @@
     }
 }
 
-/// Reads and drops what the peer still sends, until it closes its side.
+/// Reads and discards bytes until the peer closes its side, within [`LINGER_TIMEOUT`].
 async fn linger<R: AsyncRead + Unpin>(reader: &mut FrameReader<R>, cut: &CancellationToken) {
     tokio::select! {
-        // The stream ends either way: how makes no difference.
+        // The stream ends whether or not this succeeds.
         _ = timeout(LINGER_TIMEOUT, drain(reader.get_mut())) => {}
         () = cut.cancelled() => {}
     }
--- a/crates/stepspur-conductor/src/service/session/reader.rs
+++ b/crates/stepspur-conductor/src/service/session/reader.rs
@@ -20,15 +20,16 @@
 use super::FrameReader;
 use crate::engine::{Input, StreamId};
 
-/// The interval at which a grant is checked, besides at every frame: the system clock may jump.
+/// The interval at which a grant is checked in addition to every frame. A timer for the grant's end would not
+/// do, because the system clock may jump.
 const GRANT_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Why the conductor must end a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct StreamFault {
-    /// The reason that the peer is sent.
+    /// The reason that is sent to the peer.
     pub(super) reason: v1::Reason,
-    /// The detail that the peer is sent.
+    /// The description that is sent to the peer.
     pub(super) detail: String,
 }
 
@@ -42,19 +43,21 @@
     }
 }
 
-/// A frame as read; none at the end of the stream.
+/// The result of reading a frame; none at the end of the stream.
 type ReadFrame = Option<Result<FromProxy, FrameError>>;
 
-/// Reads a stream's frames and sends those that the proxy's grant allows to the engine.
+/// Reads the frames of a stream, and forwards to the engine those that the proxy's grant allows.
 pub(super) struct StreamReader<'a, R> {
     pub(super) frames: &'a mut FrameReader<R>,
     pub(super) engine: &'a EngineHandle,
     pub(super) stream: StreamId,
     pub(super) epoch: u64,
-    /// The stream has failed if nothing comes within this.
+    /// The stream has failed if no frame arrives within this time.
     pub(super) silence_timeout: Duration,
+    /// None if connections are not authenticated.
     pub(super) grant: Option<StreamGrant>,
-    /// For the notice that the grant expires.
+    /// The send queue, for the notice that the grant expires. It is weak so that it does not keep the stream
+    /// open.
     pub(super) queue: WeakSendQueue,
 }
 
@@ -62,9 +65,9 @@
     /// Reads until the stream or the engine ends.
     ///
     /// # Errors
-    /// The conductor must end the stream, for the reason given.
+    /// A [`StreamFault`] for which the conductor must end the stream.
     pub(super) async fn run(mut self) -> Result<(), StreamFault> {
-        let mut last_heard = Instant::now();
+        let mut last_frame_at = Instant::now();
         let mut grant_check = interval(GRANT_CHECK_INTERVAL);
         grant_check.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut keys = self.grant.as_ref().map(StreamGrant::subscribe_to_keys);
@@ -73,20 +76,23 @@
                 read = self.frames.next() => Some(read),
                 () = keys_changed(&mut keys) => None,
                 _ = grant_check.tick(), if self.grant.is_some() => None,
-                () = sleep_until(last_heard + self.silence_timeout) => {
+                () = sleep_until(last_frame_at + self.silence_timeout) => {
                     return Err(StreamFault::new(v1::Reason::Silent, "nothing was heard in time"));
                 }
             };
             self.check_grant()?;
             let Some(read) = read else { continue };
-            last_heard = Instant::now();
+            last_frame_at = Instant::now();
             if self.handle(read).await?.is_break() {
                 return Ok(());
             }
         }
     }
 
-    /// Ends the stream if its grant has ended, and announces the end a while before.
+    /// Notifies the proxy if its grant expires soon.
+    ///
+    /// # Errors
+    /// The grant has expired or was revoked.
     fn check_grant(&mut self) -> Result<(), StreamFault> {
         let Some(grant) = &mut self.grant else { return Ok(()) };
         match grant.check() {
@@ -102,7 +108,7 @@
         }
     }
 
-    /// Handles a frame; breaks at the end of the stream or of the engine.
+    /// Handles a frame. Returns a break at the end of the stream or of the engine.
     async fn handle(&mut self, read: ReadFrame) -> Result<ControlFlow<()>, StreamFault> {
         let frame = match read {
             None | Some(Err(FrameError::Io(_))) => return Ok(ControlFlow::Break(())),
@@ -111,7 +117,7 @@
         };
         let Some(kind) = &frame.kind else { return Ok(ControlFlow::Continue(())) };
         match (kind, &mut self.grant) {
-            // It has done its work by being read: the stream is not silent.
+            // Reading the frame has already reset the silence timeout.
             (from_proxy::Kind::Pong(_), _) => return Ok(ControlFlow::Continue(())),
             (from_proxy::Kind::Renew(renew), Some(grant)) => {
                 check_right(grant.renew(&renew.credentials))?;
@@ -134,17 +140,17 @@
     if allowed { Ok(()) } else { Err(StreamFault::not_allowed()) }
 }
 
-/// Waits for a change of the keys; forever without identity.
+/// Waits for a change of the keys. Without identity there are no keys, and it never returns.
 async fn keys_changed(keys: &mut Option<watch::Receiver<Arc<ActiveKeys>>>) {
     match keys {
-        // The keys outlive the stream, which has a reference to their owner.
+        // The sender lives longer than the stream, because the grant holds a reference to its owner.
         Some(keys) => drop(keys.changed().await),
         None => pending().await,
     }
 }
 
 /// Queues the notice that the proxy's grant ends in `remaining_us` microseconds. If the queue is full, the
-/// stream is about to be cut anyway.
+/// notice is dropped: the engine closes the stream at its next message.
 fn announce_expiry(queue: &WeakSendQueue, epoch: u64, remaining_us: u64) {
     let notice = from_conductor::Kind::Expiring(v1::Expiring { in_us: remaining_us });
     let Some(queue) = queue.upgrade() else { return };
--- a/crates/stepspur-conductor/src/service/session/writer.rs
+++ b/crates/stepspur-conductor/src/service/session/writer.rs
@@ -11,35 +11,38 @@
 use super::super::send_queue::{OutboundMessage, SendQueueReceiver};
 use crate::config::Listen;
 
-/// Frames are batched into one write up to this many bytes; the buffer keeps no more between writes.
+/// Frames are batched into one write until the batch has this many bytes. A larger buffer is freed after its
+/// write.
 const WRITE_BATCH_BYTES: usize = 64 << 10;
 
-/// The peer took too long to receive what was written.
+/// The peer did not receive a write within the write timeout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a write was not taken in time")]
+#[error("a write did not complete within the write timeout")]
 pub(super) struct WriteTimeout;
 
-/// Whether a stream goes on after a batch.
+/// Whether a stream continues after a batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum BatchKind {
     /// Further frames may follow.
     Open,
-    /// The batch ends with the stream's last frame.
+    /// The batch ends with the last frame of the stream.
     Last,
 }
 
-/// Writes a stream's queue to its socket, and pings while the queue is empty.
+/// Writes the messages of a stream's send queue to its socket, and sends pings while the queue is empty.
 pub(super) struct StreamWriter<W> {
     socket: W,
     queue: SendQueueReceiver,
+    /// The time without messages after which a ping is sent.
     keepalive: Duration,
     write_timeout: Duration,
+    /// An encoded ping frame.
     ping: Bytes,
     batch: BytesMut,
 }
 
 impl<W: AsyncWrite + Unpin> StreamWriter<W> {
-    /// A writer that has written nothing yet.
+    /// Creates a writer with an empty batch.
     pub(super) fn new(socket: W, queue: SendQueueReceiver, listen: &Listen, epoch: u64) -> Self {
         let ping = FromConductor::new(epoch, 0, from_conductor::Kind::Ping(v1::Ping::default()));
         Self {
@@ -52,20 +55,20 @@
         }
     }
 
-    /// Runs until the last frame is written, the queue is closed, or the connection breaks.
+    /// Runs until the last frame is written, the queue is closed, or the connection fails.
     ///
     /// # Errors
-    /// The peer takes nothing within the write timeout.
+    /// A write does not complete within the write timeout, because the peer does not read.
     pub(super) async fn run(mut self) -> Result<(), WriteTimeout> {
         while let Some(kind) = self.next_batch().await {
             match timeout(self.write_timeout, self.write_batch()).await {
                 Ok(Ok(())) => {}
-                // The reader sees the broken connection, too.
+                // The reader detects the failed connection as well, and reports it.
                 Ok(Err(_)) => return Ok(()),
                 Err(_) => return Err(WriteTimeout),
             }
             if kind == BatchKind::Last {
-                // A peer that does not take the end within the timeout is reset.
+                // The connection is reset if the shutdown does not complete within the timeout.
                 let _ = timeout(self.write_timeout, self.socket.shutdown()).await;
                 return Ok(());
             }
@@ -74,8 +77,8 @@
         Ok(())
     }
 
-    /// Fills the batch with what is queued, or with a ping if nothing comes within the keepalive interval.
-    /// None once the queue is closed.
+    /// Fills the batch with the queued messages, or with a ping if none is queued within the keepalive
+    /// interval. Returns none once the queue is closed.
     async fn next_batch(&mut self) -> Option<BatchKind> {
         match timeout(self.keepalive, self.queue.recv()).await {
             Ok(message) => {
@@ -112,7 +115,8 @@
         self.socket.flush().await
     }
 
-    /// Empties the batch; the buffer of a large table is not kept for each of thousands of streams.
+    /// Empties the batch. A buffer that has grown for a large table is freed, since a conductor has thousands
+    /// of streams.
     fn clear_batch(&mut self) {
         if self.batch.capacity() > WRITE_BATCH_BYTES {
             self.batch = BytesMut::new();
--- a/crates/stepspur-conductor/src/service/start.rs
+++ b/crates/stepspur-conductor/src/service/start.rs
@@ -1,4 +1,4 @@
-//! The start of a conductor that serves the project's own protocol, step by step.
+//! The start of a conductor that serves the project's own protocol.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -32,11 +32,11 @@
 const MAX_SHUTDOWN_GRACE: Duration = Duration::from_secs(2);
 
 impl Conductor {
-    /// Listens and starts all tasks. The epoch is the time of the start.
+    /// Listens and starts all tasks. The conductor's epoch is the time of the start.
     ///
     /// # Errors
-    /// Settings out of bounds, an address that cannot be listened on, or a file that cannot be used: see
-    /// [`StartError`].
+    /// See [`StartError`]: settings are out of bounds, an address cannot be listened on, or a file cannot be
+    /// used.
     pub async fn start(config: Config, source: Box<dyn ServiceDiscovery>) -> Result<Self, StartError> {
         let invalid_settings = config.faults();
         if !invalid_settings.is_empty() {
@@ -53,7 +53,7 @@
         let engine = startup.start_own_engine(source);
         let engines = startup.start_tenant_engines(identity.as_deref(), &engine);
         let distribution = Distribution::start(&startup.config, &member, &engines, startup.epoch).await?;
-        let parts = Parts { engine, engines, identity, council: member.into_node(), distribution };
+        let parts = Parts { engine, engines, identity, consensus_node: member.into_node(), distribution };
 
         let addresses = ListenAddresses {
             proxies: proxy_listener.address,
@@ -71,15 +71,15 @@
 
 /// The parts of a conductor that its listeners use.
 struct Parts {
-    /// The engine of the settings' own tenant.
+    /// The engine of the conductor's own tenant.
     engine: EngineHandle,
     engines: Arc<EnginesByTenant>,
     identity: Option<Arc<Identity>>,
-    council: Option<Arc<NodeHandle>>,
+    consensus_node: Option<Arc<NodeHandle>>,
     distribution: Distribution,
 }
 
-/// What the steps of a start share.
+/// The state that the steps of a start share.
 struct Startup {
     config: Arc<Config>,
     clock: Clock,
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Opens the audit log and loads the keys, if the settings have identity.
+    /// Opens the audit log, loads the keys and starts their tasks; none if the settings have no identity.
     fn start_identity(&self) -> Result<Option<Arc<Identity>>, StartError> {
         let Some(settings) = &self.config.identity else { return Ok(None) };
         let (audit_log, write_entries) = AuditLog::open(&settings.audit)
@@ -112,12 +112,12 @@
         Ok(Some(identity))
     }
 
-    /// Starts the engine of the settings' own tenant.
+    /// Starts the engine of the conductor's own tenant, on the endpoint source that the caller gives.
     fn start_own_engine(&mut self, source: Box<dyn ServiceDiscovery>) -> EngineHandle {
         self.start_engine(without_tenants(&self.config), source)
     }
 
-    /// Starts the engines of the further tenants and returns all engines by tenant.
+    /// Starts the engines of the additional tenants and returns all engines by tenant.
     fn start_tenant_engines(
         &mut self,
         identity: Option<&Identity>,
@@ -151,7 +151,7 @@
         tasks.start(source, &self.supervisor, &mut self.engine_tasks)
     }
 
-    /// Starts the operators' API, if the settings have one, and returns its address.
+    /// Starts the operators' API and returns its address; none if the settings do not name one.
     fn start_operator_api(&self, parts: &Parts) -> Result<Option<SocketAddr>, StartError> {
         let address = self.config.identity.as_ref().and_then(|settings| settings.operators);
         let (Some(identity), Some(address)) = (&parts.identity, address) else { return Ok(None) };
@@ -159,7 +159,7 @@
         let api = OperatorApi {
             identity: Arc::clone(identity),
             engines: Arc::clone(&parts.engines),
-            council: parts.council.clone(),
+            consensus_node: parts.consensus_node.clone(),
             distribution: parts.distribution.view(),
         };
         let server =
@@ -171,7 +171,7 @@
     fn start_status_page(&self, bound: BoundListener, parts: &Parts) {
         let snapshot = StatusSnapshot {
             engine: parts.engine.clone(),
-            council: parts.council.clone(),
+            consensus_node: parts.consensus_node.clone(),
             distribution: parts.distribution.view(),
         };
         let serve = status::run(bound.listener, snapshot, self.supervisor.shutdown.stop.clone());
@@ -198,14 +198,15 @@
             engine_tasks: self.engine_tasks,
             engine: parts.engine,
             shutdown_grace: self.config.listen.write_timeout.min(MAX_SHUTDOWN_GRACE),
-            council: parts.council,
+            consensus_node: parts.consensus_node,
             distribution: parts.distribution,
         }
     }
 }
 
-/// The settings without the further tenants, which an engine does not need. With them every engine and every
-/// prober would store the settings of all tenants, and memory would grow with the square of their number.
+/// Copies the settings without the additional tenants, which an engine does not need. Otherwise every engine
+/// and every prober would store the settings of all tenants, and memory would grow with the square of their
+/// number.
 fn without_tenants(config: &Config) -> Config {
     Config {
         fleet: config.fleet.clone(),
--- a/crates/stepspur-conductor/src/service/status.rs
+++ b/crates/stepspur-conductor/src/service/status.rs
@@ -1,5 +1,7 @@
-//! The status page, as JSON: `GET /v1/status` has the engine's counters, `GET /v1/council` the status of the
-//! consensus member, and `GET /v1/distribution` that of the distribution of configuration.
+//! The status page, as JSON.
+//!
+//! `GET /v1/status` returns the engine's counters, `GET /v1/council` the status of the consensus member, and
+//! `GET /v1/distribution` the status of the configuration distribution.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,18 +20,19 @@
 use super::engine_handle::EngineHandle;
 use crate::engine::Stats;
 
-/// How long requests in progress may take after the conductor is stopped.
+/// How long requests in progress may take once the conductor stops.
 const SHUTDOWN_GRACE: Duration = Duration::from_secs(1);
 
-/// What the status page reads.
+/// The handles from which the status page reads.
 #[derive(Clone)]
 pub(super) struct StatusSnapshot {
     pub(super) engine: EngineHandle,
-    pub(super) council: Option<Arc<NodeHandle>>,
+    /// None if the conductor is not a member of a consensus group.
+    pub(super) consensus_node: Option<Arc<NodeHandle>>,
     pub(super) distribution: DistributionView,
 }
 
-/// A conductor's counters, and the status of its distribution of configuration if it has one.
+/// The counters of an engine, and the status of the configuration distribution if the conductor has one.
 #[derive(Debug, Serialize)]
 pub(super) struct ConductorStatus {
     #[serde(flatten)]
@@ -42,7 +45,7 @@
 pub(super) async fn run(listener: TcpListener, snapshot: StatusSnapshot, stop: CancellationToken) {
     let router = Router::new()
         .route("/v1/status", get(status))
-        .route("/v1/council", get(council))
+        .route("/v1/council", get(consensus_status))
         .route("/v1/distribution", get(distribution))
         .with_state(snapshot);
     let serve = axum::serve(listener, router).with_graceful_shutdown(stop.clone().cancelled_owned());
@@ -51,13 +54,13 @@
         sleep(SHUTDOWN_GRACE).await;
     };
     tokio::select! {
-        // It ends by the shutdown alone: failed accepts are retried.
+        // Serving ends only by the shutdown, since failed accepts are retried.
         _ = serve => {}
         () = grace_is_over => {}
     }
 }
 
-/// The status of a conductor; none once its engine has ended.
+/// Reads the status of a conductor; none once the engine has ended.
 pub(super) async fn conductor_status(
     engine: &EngineHandle,
     distribution: &DistributionView,
@@ -71,8 +74,10 @@
     status.map(Json).ok_or(StatusCode::SERVICE_UNAVAILABLE)
 }
 
-async fn council(State(snapshot): State<StatusSnapshot>) -> Result<Json<ConsensusStatus>, StatusCode> {
-    let node = snapshot.council.ok_or(StatusCode::NOT_FOUND)?;
+async fn consensus_status(
+    State(snapshot): State<StatusSnapshot>,
+) -> Result<Json<ConsensusStatus>, StatusCode> {
+    let node = snapshot.consensus_node.ok_or(StatusCode::NOT_FOUND)?;
     node.status().await.map(Json).map_err(|_| StatusCode::SERVICE_UNAVAILABLE)
 }
 
--- a/crates/stepspur-conductor/src/service/stream_grant.rs
+++ b/crates/stepspur-conductor/src/service/stream_grant.rs
@@ -1,4 +1,5 @@
-//! The grant of a stream: checked on every frame and at intervals, and renewed within the stream.
+//! The grant of a stream. It is checked on every frame and at intervals, and the proxy renews it within the
+//! stream.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,34 +13,34 @@
 use super::clock::unix_now;
 use super::identity::{ActiveKeys, Identity};
 
-/// A stream's grant under the keys in use.
+/// The grant of a stream's proxy, checked against the keys in use.
 pub(super) struct StreamGrant {
     identity: Arc<Identity>,
     certificate: Option<CertCaller>,
     grant: Grant,
     peer: SocketAddr,
-    /// Whether the proxy was notified that the grant expires soon.
+    /// Whether the proxy was already notified that the grant expires soon.
     expiry_announced: bool,
 }
 
-/// What follows from a grant's status for its stream.
+/// What the stream must do, given the status of its grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum GrantCheck {
-    /// The stream goes on.
+    /// The stream continues.
     Valid,
-    /// The proxy is to be notified that the grant expires.
+    /// The proxy must be notified that the grant expires soon.
     Expiring {
-        /// The time until then, in microseconds.
+        /// The time until the grant expires, in microseconds.
         remaining: Micros,
     },
-    /// The stream ends: its grant has expired.
+    /// The stream must end: its grant has expired.
     Expired,
-    /// The stream ends: its credentials were revoked.
+    /// The stream must end: its credentials were revoked.
     Revoked,
 }
 
 impl StreamGrant {
-    /// The grant of a proxy that has joined.
+    /// Creates the grant of a proxy that has joined.
     pub(super) fn new(
         identity: Arc<Identity>,
         certificate: Option<CertCaller>,
@@ -49,18 +50,18 @@
         Self { identity, certificate, grant, peer, expiry_announced: false }
     }
 
-    /// Subscribes to changes of the keys, which may revoke the grant.
+    /// Subscribes to changes of the keys in use, since a change may revoke the grant.
     pub(super) fn subscribe_to_keys(&self) -> watch::Receiver<Arc<ActiveKeys>> {
         self.identity.subscribe_to_keys()
     }
 
-    /// Whether the stream may do this now. A rejection is recorded.
+    /// Returns whether the grant has the right now. A rejection of `call` is logged and audited.
     pub(super) fn may(&self, right: Right, call: &str) -> bool {
         self.allowed(self.grant.may(right, unix_now()), call)
     }
 
-    /// Replaces the grant by one from a newer token of the same caller. Returns false, and records the
-    /// rejection, if the proxy may not go on by it.
+    /// Replaces the grant by one from a newer token of the same caller. Returns false and records the
+    /// rejection if the new grant does not allow the stream to continue.
     pub(super) fn renew(&mut self, credentials: &[u8]) -> bool {
         let newer = self.identity.grant(self.certificate.clone(), credentials);
         let renewed = newer.and_then(|newer| self.grant.renew(newer));
@@ -71,7 +72,7 @@
         self.may(Right::Join, "renew") && self.may(Right::ReadTables, "renew")
     }
 
-    /// Checks the grant's status under the keys in use.
+    /// Checks the grant against the keys in use and the system clock. The expiry is announced once.
     pub(super) fn check(&mut self) -> GrantCheck {
         let keys = self.identity.keys();
         match self.grant.status(&keys.keys, unix_now()) {
@@ -86,6 +87,7 @@
         }
     }
 
+    /// Returns whether the result is a success. A rejection of `call` is recorded.
     fn allowed(&self, result: Result<(), Denied>, call: &str) -> bool {
         let Err(denied) = result else { return true };
         self.identity.record_rejection(&self.grant, self.peer, call, denied);
--- a/crates/stepspur-conductor/src/service/supervisor.rs
+++ b/crates/stepspur-conductor/src/service/supervisor.rs
@@ -1,4 +1,4 @@
-//! Supervision: all tasks of a conductor stop together, and the failure of one stops the others.
+//! Supervision of tasks: all tasks of a conductor stop together, and the failure of one stops the others.
 
 use std::future::Future;
 use std::sync::{Arc, OnceLock};
@@ -12,10 +12,10 @@
 /// The two stages of a conductor's shutdown.
 #[derive(Clone, Debug, Default)]
 pub struct Shutdown {
-    /// Graceful: no new connections; messages that the engine has sent go out, and connections close in
-    /// order.
+    /// Graceful: no new connections are accepted, messages that the engine has queued are written, and
+    /// connections are shut down without a reset.
     pub stop: CancellationToken,
-    /// Immediate: the grace period is over, and every connection ends as it is.
+    /// Immediate: the grace period is over, and every connection is closed at once.
     pub kill: CancellationToken,
 }
 
@@ -28,13 +28,13 @@
 }
 
 impl Supervisor {
-    /// Starts a task without which the conductor cannot run.
+    /// Starts a task without which the conductor cannot run. The conductor stops if it ends early.
     pub(super) fn spawn(&self, name: TaskName, run: impl Future<Output = ()> + Send + 'static) {
         self.tasks.spawn(self.watch(name).run(run));
     }
 
-    /// As [`Supervisor::spawn`], for the tasks that own the engines: their set is awaited first at a
-    /// shutdown.
+    /// Starts a task that owns an engine, like [`Supervisor::spawn`]. The tasks of `engine_tasks` are awaited
+    /// first at a shutdown.
     pub(super) fn spawn_engine(
         &self,
         engine_tasks: &mut JoinSet<()>,
@@ -43,7 +43,7 @@
         engine_tasks.spawn(self.tasks.track_future(self.watch(TaskName::Engine).run(run)));
     }
 
-    /// The first task that failed, if any has.
+    /// The first task that failed; none if no task has failed.
     pub(super) fn failure(&self) -> Option<TaskFailed> {
         self.failure.get().copied()
     }
@@ -53,7 +53,7 @@
     }
 }
 
-/// Stops the conductor if its task ends, by a panic too, before the conductor is stopped.
+/// Stops the conductor if its task returns or panics before the conductor is stopped.
 struct SupervisedTask {
     name: TaskName,
     stop: CancellationToken,
@@ -70,7 +70,7 @@
     fn drop(&mut self) {
         if !self.stop.is_cancelled() {
             tracing::error!(event = "task_failed", task = self.name.as_str());
-            // An earlier failure stays: it is the cause.
+            // The first failure is the cause of later ones, so it is not replaced.
             let _ = self.failure.set(TaskFailed { task: self.name });
             self.stop.cancel();
         }
--- a/crates/stepspur-conductor/src/source/feed.rs
+++ b/crates/stepspur-conductor/src/source/feed.rs
@@ -1,4 +1,4 @@
-//! The channels between a source and the conductor.
+//! The channels between an endpoint source and the conductor.
 
 use stepspur::interface::ListUpdate;
 use tokio::sync::mpsc;
@@ -6,61 +6,61 @@
 
 use crate::engine::{DiscoveredEndpoint, Input};
 
-/// Requests, and updates, that may wait.
-const QUEUE: usize = 16;
+/// Capacity of the channel of requests, and of the channel of updates.
+const CHANNEL_CAPACITY: usize = 16;
 
-/// What the decision module requests of a source.
+/// A request of the decision module to an endpoint source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryRequest {
-    /// Send updates from now on, beginning with what was missed.
+    /// Send updates from now on, beginning with the changes since the last update.
     Watch,
     /// Send the complete list once.
     Fetch,
 }
 
-/// A source's side of its channels.
+/// The source's side of the channels.
 #[derive(Debug)]
 pub struct EndpointFeed {
-    /// The requests; closed when the conductor stops.
+    /// The requests of the decision module. The channel is closed when the conductor stops.
     pub requests: mpsc::Receiver<DiscoveryRequest>,
-    /// Where updates go.
+    /// Sends updates to the conductor.
     pub updates: EndpointUpdateSender,
     /// Cancelled when the conductor stops.
     pub stop: CancellationToken,
 }
 
-/// The other side: what drives a source.
+/// The conductor's side of the channels, which drives a source.
 #[derive(Debug)]
 pub struct FeedDriver {
-    /// Where requests go.
+    /// Sends requests to the source.
     pub requests: mpsc::Sender<DiscoveryRequest>,
     /// The source's updates.
     pub updates: mpsc::Receiver<Input>,
 }
 
 impl EndpointFeed {
-    /// Creates both sides of the channels.
+    /// Creates both sides of the channels. `stop` is cancelled when the conductor stops.
     pub fn new(stop: CancellationToken) -> (Self, FeedDriver) {
-        let (request_sender, requests) = mpsc::channel(QUEUE);
-        let (update_sender, updates) = mpsc::channel(QUEUE);
+        let (request_sender, requests) = mpsc::channel(CHANNEL_CAPACITY);
+        let (update_sender, updates) = mpsc::channel(CHANNEL_CAPACITY);
         let feed = Self { requests, updates: EndpointUpdateSender(update_sender), stop };
         (feed, FeedDriver { requests: request_sender, updates })
     }
 }
 
-/// Sends a source's updates, waiting while the conductor is busy. Updates after the conductor's end are
-/// dropped.
+/// Sends the updates of a source, waiting while the channel is full. Updates are dropped once the conductor
+/// has ended.
 #[derive(Clone, Debug)]
 pub struct EndpointUpdateSender(mpsc::Sender<Input>);
 
 impl EndpointUpdateSender {
-    /// Sends endpoints; `how` says whether they are the complete list, its changes, or a cached list.
-    pub async fn send(&self, how: ListUpdate, endpoints: Vec<DiscoveredEndpoint>) {
-        // The source is stopped by its token: there is nothing to do here once the conductor has ended.
-        let _ = self.0.send(Input::EndpointList { update: how, entries: endpoints }).await;
+    /// Sends endpoints. `kind` states whether they are the complete list, its changes, or a cached list.
+    pub async fn send(&self, kind: ListUpdate, endpoints: Vec<DiscoveredEndpoint>) {
+        // Sending fails only once the conductor has ended. The source is stopped by its token then.
+        let _ = self.0.send(Input::EndpointList { update: kind, entries: endpoints }).await;
     }
 
-    /// Logs and reports that a request or the watch has failed. The list before stays in use.
+    /// Logs and reports that a request or the watch has failed. The previous list stays in use.
     pub async fn send_failure(&self, error: impl std::fmt::Display) {
         tracing::warn!(event = "discovery_task_failed", cause = %error);
         self.send(ListUpdate::Failed, Vec::new()).await;
--- a/crates/stepspur-conductor/src/source/file.rs
+++ b/crates/stepspur-conductor/src/source/file.rs
@@ -13,32 +13,33 @@
 
 /// The largest file that is read, in bytes.
 const MAX_FILE_BYTES: u64 = 64 << 20;
-/// A text that has changed is read again after this time, or after the poll interval if that is shorter.
+/// A file whose text has changed is read again after this time, or after the poll interval if that is
+/// shorter.
 const CONFIRM_DELAY: Duration = Duration::from_millis(200);
 
-/// Endpoints in a TOML file, one `[[node]]` each. A change that is complete and valid is sent as a complete
-/// list; an invalid one is reported as a failure, and the list before stays in use.
+/// An endpoint list in a TOML file, with one `[[node]]` for each endpoint. After a change, the complete list
+/// is sent. An invalid text is reported as a failure, and the previous list stays in use.
 ///
-/// A text counts as complete once two reads in a row have found the same: one that is still being written may
-/// end between two entries, which is valid TOML. Against a writer that died, the file may state the number of
-/// its entries: `servers = 12`.
+/// A text counts as complete once two consecutive reads have found it unchanged, because a file that is still
+/// being written may end between two entries, which is valid TOML. To detect a writer that failed before the
+/// end, the file may state its number of entries, such as `servers = 12`.
 #[derive(Debug)]
 pub struct FileSource {
     path: PathBuf,
     poll_interval: Duration,
 }
 
-/// The file's form.
+/// The content of the file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct EndpointFile {
-    /// The number of entries, if the file states it.
+    /// The number of entries that the file states; none if it states none.
     servers: Option<usize>,
     #[serde(default)]
     node: Vec<EndpointRecord>,
 }
 
-/// Why a file is not used.
+/// A file that cannot be used, and the reason.
 #[derive(Debug, thiserror::Error)]
 #[error("{}: {fault}", .path.display())]
 struct FileError {
@@ -46,31 +47,31 @@
     fault: FileFault,
 }
 
-/// What is wrong with a file.
+/// Why a file cannot be used.
 #[derive(Debug, thiserror::Error)]
 enum FileFault {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// It is too large.
-    #[error("{bytes} bytes are more than {MAX_FILE_BYTES}")]
+    /// The file is larger than [`MAX_FILE_BYTES`].
+    #[error("the file has {bytes} bytes, more than the limit of {MAX_FILE_BYTES}")]
     TooLarge { bytes: u64 },
-    /// It is not TOML of the file's form.
+    /// The text is not valid TOML, or does not have the form of [`EndpointFile`].
     #[error(transparent)]
     Toml(#[from] toml::de::Error),
-    /// It lacks entries, or has too many.
-    #[error("`servers` counts {stated}, and {listed} are listed")]
+    /// The number of entries differs from the number that the file states.
+    #[error("`servers` states {stated} entries, but the file has {listed}")]
     Count { stated: usize, listed: usize },
 }
 
-/// The state of a source between two reads.
+/// The state of a source between two polls.
 #[derive(Debug, Default)]
 struct PollState {
-    /// Whether changes are to be sent without a request.
+    /// Whether changes are sent without a request.
     watching: bool,
-    /// Whether a request has not been answered yet.
+    /// Whether a request is waiting for its update.
     request_pending: bool,
-    /// Whether the last text has changed and is to be confirmed by a further read.
+    /// Whether the text changed at the last read and must be confirmed by another read.
     unconfirmed: bool,
     /// The text at the last read.
     last_read: Option<String>,
@@ -79,7 +80,7 @@
 }
 
 impl FileSource {
-    /// A source that reads the file at this interval.
+    /// Creates a source that reads the file at this interval while a watch or a request is active.
     pub fn new(path: PathBuf, poll_interval: Duration) -> Self {
         Self { path, poll_interval }
     }
@@ -99,7 +100,7 @@
                 },
                 () = sleep(interval), if state.watching || state.request_pending => None,
             };
-            // Each request is answered, even if nothing has changed.
+            // Each request gets an update, even if the file has not changed.
             state.request_pending |= request.is_some();
             state.watching |= request == Some(DiscoveryRequest::Watch);
             if let Err(fault) = self.poll(&feed, &mut state).await {
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Reads the file, and sends its list if that is complete and either requested or changed.
+    /// Reads the file, and sends its list if the text is complete and the list was requested or has changed.
     async fn poll(&self, feed: &EndpointFeed, state: &mut PollState) -> Result<(), FileFault> {
         let text = self.read().await?;
         if state.last_read.as_ref() != Some(&text) {
--- a/crates/stepspur-conductor/src/source/mod.rs
+++ b/crates/stepspur-conductor/src/source/mod.rs
@@ -1,7 +1,7 @@
 //! Sources of the endpoint list.
 //!
-//! A source serves the requests of the decision module: watch the list from now on, or fetch it once. The
-//! module decides when to retry, so a source that fails reports that and waits for the next request.
+//! A source serves the requests of the decision module to watch the list or to fetch it once. The decision
+//! module decides when to retry, so a source reports a failure and waits for the next request.
 
 mod feed;
 mod file;
@@ -23,14 +23,14 @@
 
 /// A source of the endpoint list.
 ///
-/// Every [`DiscoveryRequest`] is answered by one update; while a watch is active, further updates follow by
-/// themselves. The future ends when the feed's `stop` is cancelled.
+/// Each [`DiscoveryRequest`] gets one update. While a watch is active, the source sends further updates when
+/// the list changes. The future ends when the feed's `stop` is cancelled.
 pub trait ServiceDiscovery: Send + 'static {
-    /// Serves the feed until it is stopped.
+    /// Serves the requests of the feed until `stop` is cancelled.
     fn run(self: Box<Self>, feed: EndpointFeed) -> DiscoveryFuture;
 }
 
-/// Creates the source that the settings name.
+/// Creates the source that the settings describe.
 pub fn from_config(source: &config::Source) -> Box<dyn ServiceDiscovery> {
     match source {
         config::Source::File { path, every, .. } => Box::new(FileSource::new(path.clone(), *every)),
--- a/crates/stepspur-conductor/src/source/record.rs
+++ b/crates/stepspur-conductor/src/source/record.rs
@@ -1,4 +1,4 @@
-//! An endpoint's form in files and HTTP answers.
+//! The representation of an endpoint in files and HTTP responses.
 
 use std::net::SocketAddr;
 
@@ -10,35 +10,35 @@
 /// Microseconds in a millisecond.
 const MICROS_PER_MILLI: u64 = 1000;
 
-/// An endpoint in a file or an HTTP answer.
+/// An endpoint in a file or an HTTP response.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct EndpointRecord {
-    /// IPv4 or IPv6 address and port.
+    /// The IPv4 or IPv6 address and the port.
     pub address: SocketAddr,
-    /// The name of its zone.
+    /// The name of the endpoint's zone.
     pub zone: String,
-    /// Its state; ready where left out.
+    /// The endpoint's state; ready if absent.
     #[serde(default)]
     pub state: EndpointRecordState,
-    /// Its weight relative to other endpoints; 0 or left out: it has none.
+    /// The weight relative to other endpoints; 0 or absent if the list assigns none.
     #[serde(default)]
     pub weight: f64,
-    /// Its last start in milliseconds since 1970; 0 or left out: long ago.
+    /// The last start in milliseconds since 1970; 0 or absent means long ago.
     #[serde(default)]
     pub started_unix_ms: u64,
 }
 
-/// An endpoint's state in a file or an HTTP answer.
+/// The state of an endpoint in a file or an HTTP response.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum EndpointRecordState {
-    /// It serves requests.
+    /// The endpoint serves requests.
     #[default]
     Ready,
-    /// It completes the requests that it has and must get no new ones.
+    /// The endpoint completes its requests in progress and must get no new ones.
     Draining,
-    /// It is removed.
+    /// The endpoint is removed from the list.
     Gone,
 }
 
@@ -59,7 +59,7 @@
     }
 }
 
-/// Converts a list of records.
+/// Converts records to endpoints of the engine.
 pub(super) fn to_endpoints(records: Vec<EndpointRecord>) -> Vec<DiscoveredEndpoint> {
     records.into_iter().map(DiscoveredEndpoint::from).collect()
 }
