--- a/crates/stepspur-identity/src/cert.rs
+++ b/crates/stepspur-identity/src/cert.rs
@@ -1,8 +1,8 @@
-//! Callers by their client certificates. TLS has verified the chain; this module reads the caller's name.
+//! Reads the caller from a client certificate. TLS has already verified the certificate chain.
 //!
-//! Exactly one URI among the subject's alternative names must begin with `stepspur://`, and it is either
+//! Exactly one URI among the subject alternative names must begin with `stepspur://`. Its form is either
 //! `stepspur://TENANT/proxy/ZONE/NAME` or `stepspur://TENANT/operator/NAME`. Each part has 1 to 128 bytes and
-//! none of `/`, `?`, `#` and `%`. Common names are ignored.
+//! contains none of `/`, `?`, `#` and `%`. The common name is ignored.
 
 use std::ops::RangeInclusive;
 
@@ -12,43 +12,43 @@
 
 use crate::Micros;
 
-/// The scheme of the URIs that name callers.
+/// The prefix of URIs that identify callers.
 const URI_PREFIX: &str = "stepspur://";
-/// The length of each part of such a URI, in bytes.
+/// The allowed length of each part of such a URI, in bytes.
 const URI_PART_BYTES: RangeInclusive<usize> = 1..=128;
 
-/// The caller that a certificate names.
+/// The caller that a certificate identifies.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CertCaller {
     /// The caller's tenant.
     pub tenant: String,
-    /// Whether it is a proxy or an operator, and its name.
+    /// Whether the caller is a proxy or an operator, and its name.
     pub role: Role,
     /// The certificate's serial number, big-endian.
     pub serial: Vec<u8>,
-    /// The end of the certificate's validity, in microseconds since 1970.
+    /// When the certificate expires, in microseconds since 1970.
     pub expires_at: Micros,
 }
 
-/// The kind and name of a certificate's caller.
+/// The kind and name of the caller that a certificate identifies.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// A proxy.
+    /// A proxy, which may join only by this name and in this zone.
     Proxy {
-        /// Its zone.
+        /// The zone of the proxy.
         zone: String,
-        /// Its name.
+        /// The name of the proxy.
         name: String,
     },
-    /// An operator.
+    /// An operator, whose rights are listed in the manifest.
     Operator {
-        /// Its name.
+        /// The name of the operator.
         name: String,
     },
 }
 
 impl Role {
-    /// The caller's name.
+    /// The name of the proxy or operator.
     pub fn name(&self) -> &str {
         match self {
             Role::Proxy { name, .. } | Role::Operator { name } => name,
@@ -56,18 +56,18 @@
     }
 }
 
-/// Why a certificate names no caller.
+/// Why a certificate does not identify a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CertError {
-    /// It cannot be parsed.
-    #[error("not a certificate")]
+    /// The bytes are not an X.509 certificate.
+    #[error("not an X.509 certificate")]
     Malformed,
-    /// It has no URI of the module's form, or more than one.
-    #[error("not exactly one stepspur URI among its names")]
+    /// The certificate has no URI of the required form, or more than one.
+    #[error("the certificate must have exactly one valid `stepspur://` URI")]
     Name,
 }
 
-/// Reads the caller from a certificate in DER.
+/// Reads the caller from a DER-encoded certificate.
 ///
 /// # Errors
 /// See [`CertError`].
@@ -93,7 +93,7 @@
     })
 }
 
-/// The URIs among the subject's alternative names that name callers, without their prefix.
+/// The URIs among the subject alternative names that identify callers, without their prefix.
 fn caller_uris<'a>(certificate: &X509Certificate<'a>) -> Vec<&'a str> {
     let mut uris = Vec::new();
     for extension in certificate.iter_extensions() {
--- a/crates/stepspur-identity/src/grant.rs
+++ b/crates/stepspur-identity/src/grant.rs
@@ -1,4 +1,4 @@
-//! Grants: what a caller may do by the credentials that it showed, for as long as those are valid.
+//! Grants: the rights of a caller according to the credentials that it presented, while these are valid.
 
 use crate::Micros;
 use crate::cert::{CertCaller, Role};
@@ -6,50 +6,52 @@
 use crate::rights::{Right, Rights};
 use crate::token::VerifiedToken;
 
-/// A caller and its rights.
+/// An authenticated caller and its rights.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Caller {
-    /// The caller's tenant: it gets data of no other.
+    /// The tenant of the caller. The caller gets only the data of this tenant.
     pub tenant: String,
     /// The caller's name.
     pub name: String,
-    /// The zone that it may join in; none: any.
+    /// The zone in which the caller may join; none if it may join in any zone.
     pub zone: Option<String>,
-    /// Its rights.
+    /// The rights of the caller.
     pub rights: Rights,
 }
 
-/// The credentials that a grant rests on: it ends when one of them is revoked.
+/// The credentials from which a grant was made. The grant ends when one of them is revoked.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct Credentials {
-    /// The key that signed the token.
+    /// The key that signed the token; none if the caller presented no token.
     signing_key: Option<KeyId>,
-    /// The certificate's serial number.
+    /// The serial number of the certificate; none if the caller presented none.
     certificate_serial: Option<Vec<u8>>,
 }
 
-/// A caller's rights until their end. They are checked on every call.
+/// The rights of a caller until they expire. They are checked on every call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Grant {
     caller: Caller,
     credentials: Credentials,
+    /// The earliest expiry of the credentials, in microseconds since 1970.
     expires_at: Micros,
 }
 
-/// Why a call is denied. It is for logs and the audit log: the caller gets [`Denied::PUBLIC_MESSAGE`] alone.
+/// Why a call is denied. The reason is written to the log and the audit log. The caller gets only
+/// [`Denied::PUBLIC_MESSAGE`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Denied {
-    /// The caller showed no credentials, or a token that was rejected (`token_rejected` says why), or no
-    /// token where one is required.
+    /// The caller presented no credentials, an invalid token (the log event `token_rejected` has the reason),
+    /// or no token although one is required.
     #[error("the caller shows nothing")]
     NoCredentials,
-    /// Certificate and token name different callers.
+    /// The certificate and the token identify different callers.
     #[error("certificate and token name different callers")]
     CallerMismatch,
-    /// The caller lacks the right.
+    /// The caller does not have the right.
     #[error("the right is missing")]
     MissingRight,
-    /// The name, zone or tenant is not the caller's.
+    /// The name, zone or tenant is not that of the caller.
     #[error("another's name or zone")]
     Name,
     /// The credentials have expired.
@@ -61,33 +63,35 @@
 }
 
 impl Denied {
-    /// What a caller is sent, whatever the reason.
+    /// The message that a denied caller gets. It is the same for every reason, so that it does not reveal the
+    /// reason.
     pub const PUBLIC_MESSAGE: &'static str = "not allowed";
 }
 
 /// Whether a grant is still valid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GrantStatus {
-    /// It is valid.
+    /// The grant is valid.
     Valid {
         /// When the caller should renew it, in microseconds since 1970.
         renew_at: Micros,
     },
-    /// It is valid, but ends soon: the caller should renew it.
+    /// The grant is valid, but expires within [`EXPIRY_NOTICE`], so the caller should renew it.
     Expiring {
-        /// The time until its end, in microseconds.
+        /// The time until the grant expires, in microseconds.
         remaining: Micros,
     },
-    /// It is no longer valid.
+    /// The grant is no longer valid, for this reason.
     Ended(Denied),
 }
 
-/// How long before a grant's end its caller is notified, so that it renews it, in microseconds.
+/// How long before the expiry of a grant its caller is notified, so that it can renew the grant, in
+/// microseconds.
 pub const EXPIRY_NOTICE: Micros = 60 * crate::MICROS_PER_SECOND;
 
 impl Grant {
-    /// The grant of a caller that shows a certificate, a token, or both. A token's rights take precedence;
-    /// with both, names and tenants must be the same, and zones where both have one.
+    /// Creates the grant of a caller that presents a certificate, a token, or both. With both, the names and
+    /// tenants must be equal, and the zones as well if both have one; the rights are those of the token.
     ///
     /// # Errors
     /// [`Denied::NoCredentials`], [`Denied::CallerMismatch`] or [`Denied::Revoked`].
@@ -135,7 +139,8 @@
         }
     }
 
-    /// The grant of a caller that shows both, by the token's rights.
+    /// Combines the grants of a certificate and a token of the same caller. The rights are those of the
+    /// token, and the expiry is the earlier one.
     fn combine(certificate: Self, token: Self) -> Result<Self, Denied> {
         if !certificate.caller.is_same(&token.caller) {
             return Err(Denied::CallerMismatch);
@@ -150,12 +155,12 @@
         })
     }
 
-    /// The caller.
+    /// The caller that has this grant.
     pub fn caller(&self) -> &Caller {
         &self.caller
     }
 
-    /// Whether the caller may do this now. This runs on every call: it allocates nothing.
+    /// Checks that the caller has the right now. It runs on every call and does not allocate.
     ///
     /// # Errors
     /// [`Denied::Expired`] or [`Denied::MissingRight`].
@@ -166,10 +171,10 @@
         if self.caller.rights.has(right) { Ok(()) } else { Err(Denied::MissingRight) }
     }
 
-    /// Whether the caller may join now as the proxy of that name, in that zone.
+    /// Checks that the caller may join now as the proxy of this name in this zone.
     ///
     /// # Errors
-    /// Those of [`Grant::may`], and [`Denied::Name`].
+    /// The errors of [`Grant::may`], and [`Denied::Name`].
     pub fn may_join(&self, name: &str, zone: &str, now: Micros) -> Result<(), Denied> {
         self.may(Right::Join, now)?;
         let zone_matches = self.caller.zone.as_ref().is_none_or(|own| own == zone);
@@ -182,8 +187,9 @@
         key_revoked || certificate_serial.as_ref().is_some_and(|serial| keys.is_revoked(serial))
     }
 
-    /// The grant's status now, by these keys. Times are compared, never counted down: a clock that jumps back
-    /// does not extend a grant beyond its end, and one that jumps forward ends it.
+    /// The status of the grant at time `now`, given the present keys. The expiry is an absolute time and not
+    /// a countdown: a clock that jumps back does not extend a grant beyond its expiry, and a clock that jumps
+    /// forward past it ends the grant.
     pub fn status(&self, keys: &KeySet, now: Micros) -> GrantStatus {
         if self.is_revoked(keys) {
             return GrantStatus::Ended(Denied::Revoked);
@@ -199,11 +205,11 @@
         }
     }
 
-    /// Replaces the grant by a newer one of the same caller, whose rights may differ. A zone, once known,
-    /// stays.
+    /// Replaces the grant by a newer one of the same caller, whose rights may differ. If the old grant has a
+    /// zone, it is retained.
     ///
     /// # Errors
-    /// [`Denied::CallerMismatch`] if the newer grant is another caller's.
+    /// [`Denied::CallerMismatch`] if the newer grant belongs to a different caller.
     pub fn renew(&mut self, new: Grant) -> Result<(), Denied> {
         if !self.caller.is_same(&new.caller) {
             return Err(Denied::CallerMismatch);
@@ -215,7 +221,7 @@
 }
 
 impl Caller {
-    /// Whether names and tenants are the same, and the zones where both have one.
+    /// Whether the names and tenants are equal, and the zones as well if both have one.
     fn is_same(&self, other: &Caller) -> bool {
         let same_zone = match (&self.zone, &other.zone) {
             (Some(own), Some(other)) => own == other,
--- a/crates/stepspur-identity/src/handshake_limiter.rs
+++ b/crates/stepspur-identity/src/handshake_limiter.rs
@@ -1,26 +1,26 @@
-//! Limits the handshakes in progress, before callers are identified.
+//! Limits the handshakes in progress, before callers are authenticated.
 //!
-//! A source address that authenticated lately is a known source. Part of the permits is reserved for known
-//! sources, so that a flood from unknown ones does not lock out proxies.
+//! A source address from which a caller authenticated recently is a known source. Some of the permits are
+//! reserved for known sources, so that a flood of handshakes from unknown sources does not block proxies.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 
 use crate::Micros;
 
-/// Limits of handshakes in progress.
+/// The limits of handshakes in progress.
 #[derive(Clone, Copy, Debug)]
 pub struct HandshakeLimits {
-    /// Handshakes in progress at once.
+    /// The largest number of handshakes in progress.
     pub max_handshakes: usize,
-    /// Of them, those that only known sources may use.
+    /// How many of `max_handshakes` only known sources may use.
     pub reserved_for_known: usize,
-    /// Handshakes in progress of one unknown source.
+    /// The largest number of handshakes in progress from one unknown source.
     pub max_per_unknown_source: usize,
     /// How long a source stays known after it has authenticated, in microseconds.
     pub known_for: Micros,
-    /// Known sources that are remembered; beyond that the one whose last authentication is the oldest is
-    /// forgotten.
+    /// The largest number of known sources that are stored. Beyond it, the source whose last authentication
+    /// is the oldest is removed.
     pub max_known_sources: usize,
 }
 
@@ -36,54 +36,55 @@
     }
 }
 
-/// Permission for one handshake; return it with [`HandshakeLimiter::finish`].
+/// A permit for one handshake, to be returned by [`HandshakeLimiter::finish`].
 #[derive(Debug, PartialEq, Eq)]
 pub struct HandshakePermit {
     source: IpAddr,
+    /// Whether the source was known when the handshake began, which determines the counter to decrement.
     known: bool,
 }
 
 /// Why a handshake may not begin now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HandshakeRejected {
-    /// No permit is left for a source of this kind.
-    #[error("too many handshakes are under way")]
+    /// All permits that the source may use are in use.
+    #[error("too many handshakes are in progress")]
     NoPermit,
-    /// This unknown source has as many handshakes in progress as it may.
-    #[error("too many handshakes of one source are under way")]
+    /// The unknown source has reached its limit of handshakes in progress.
+    #[error("too many handshakes from one source are in progress")]
     SourceLimit,
 }
 
 /// How a handshake ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HandshakeOutcome {
-    /// The caller authenticated: its source is known from now on.
+    /// The caller authenticated, so its source is known from now on.
     Authenticated,
     /// The caller did not authenticate.
     Failed,
 }
 
-/// Handshakes in progress by the kind of their source.
+/// The number of handshakes in progress by the kind of their source.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HandshakesInProgress {
-    /// From sources that have not authenticated lately.
+    /// Handshakes from unknown sources.
     pub unknown: usize,
-    /// From sources that have.
+    /// Handshakes from known sources.
     pub known: usize,
 }
 
-/// Decides which handshakes may begin. It has no clock: times are given, in microseconds since 1970.
+/// Decides which handshakes may begin. It has no clock: the caller passes times, in microseconds since 1970.
 #[derive(Debug)]
 pub struct HandshakeLimiter {
     limits: HandshakeLimits,
     in_progress: HandshakesInProgress,
     per_unknown_source: BTreeMap<IpAddr, usize>,
-    /// When known sources authenticated last.
+    /// The time of the last authentication of each known source.
     authenticated_at: BTreeMap<IpAddr, Micros>,
 }
 
 impl HandshakeLimiter {
-    /// A limiter with no handshakes in progress and no known sources.
+    /// Creates a limiter with no handshakes in progress and no known sources.
     pub fn new(limits: HandshakeLimits) -> Self {
         Self {
             limits,
@@ -137,7 +138,7 @@
             self.finish_unknown(permit.source);
         }
         if outcome == HandshakeOutcome::Authenticated {
-            self.remember(permit.source, now);
+            self.add_known_source(permit.source, now);
         }
     }
 
@@ -151,7 +152,8 @@
         }
     }
 
-    fn remember(&mut self, source: IpAddr, now: Micros) {
+    /// Makes a source known, and removes the source that authenticated longest ago if there are too many.
+    fn add_known_source(&mut self, source: IpAddr, now: Micros) {
         self.authenticated_at.insert(source, now);
         if self.authenticated_at.len() <= self.limits.max_known_sources {
             return;
--- a/crates/stepspur-identity/src/keys/error.rs
+++ b/crates/stepspur-identity/src/keys/error.rs
@@ -1,4 +1,4 @@
-//! Why a set of keys was rejected.
+//! Errors of loading and writing a set of keys.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -6,93 +6,93 @@
 
 use super::{InvalidKeyId, KeyId};
 
-/// A set of keys was rejected, or one of its files cannot be read or written.
+/// A set of keys is invalid, or one of its files cannot be read or written.
 #[derive(Clone, Debug, thiserror::Error)]
 #[error("{}: {fault}", .file.display())]
 pub struct KeyError {
-    /// The file with the fault.
+    /// The file that has the fault.
     pub file: PathBuf,
-    /// What is wrong with it.
+    /// The fault of the file.
     pub fault: KeyFault,
 }
 
-/// What is wrong with a file of a set of keys.
+/// The fault of a file in a set of keys.
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum KeyFault {
     /// The file cannot be read or written.
     #[error("{0}")]
     Io(Arc<io::Error>),
-    /// The manifest is not TOML of the manifest's form.
+    /// The manifest is not valid TOML, or does not have the form of a manifest.
     #[error("{0}")]
     Manifest(String),
-    /// The manifest cannot be written as TOML.
+    /// The manifest cannot be serialized as TOML.
     #[error("{0}")]
     Serialize(#[from] toml::ser::Error),
     /// The manifest has no issuer or no audience.
-    #[error("`issuer` and `audience` are needed")]
+    #[error("`issuer` and `audience` must not be empty")]
     NoIssuerOrAudience,
-    /// A key's name is invalid.
+    /// The id of a key is invalid.
     #[error("{0}")]
     KeyId(#[from] InvalidKeyId),
-    /// A public key cannot be read.
-    #[error("key `{id}`: {cause}")]
+    /// A public key cannot be decoded.
+    #[error("public key `{id}`: {cause}")]
     PublicKey {
-        /// The key.
+        /// The id of the key.
         id: KeyId,
-        /// Why.
+        /// Why the key cannot be decoded.
         cause: PublicKeyError,
     },
-    /// Two signing keys have the same name.
-    #[error("key `{0}` is named twice")]
+    /// Two signing keys have the same id.
+    #[error("key `{0}` is listed twice")]
     DuplicateKey(KeyId),
     /// A revoked serial number is not hexadecimal.
-    #[error("`{0}` is no serial number")]
+    #[error("`{0}` is not a hexadecimal serial number")]
     SerialNumber(String),
     /// The manifest refers to a file outside its folder.
-    #[error("must be a file of the manifest's folder")]
+    #[error("the file must be in the manifest's folder")]
     OutsideFolder,
-    /// A file of certificates has none.
-    #[error("holds no certificate")]
+    /// A file that must contain certificates has none.
+    #[error("the file contains no certificate")]
     NoCertificate,
     /// A certificate cannot be parsed.
-    #[error("no certificate: {0}")]
+    #[error("invalid certificate: {0}")]
     Certificate(String),
-    /// A file is not PEM of the kind expected.
+    /// A file is not PEM, or does not contain the expected kind of object.
     #[error("{0}")]
     Pem(String),
-    /// A private signing key is not base64.
-    #[error("no key")]
+    /// A private signing key is not valid base64.
+    #[error("the private key is not valid base64")]
     PrivateKey,
-    /// A private signing key has another length than 32 bytes.
-    #[error("a key has 32 bytes")]
+    /// A private signing key is not 32 bytes long.
+    #[error("a private key must have 32 bytes")]
     PrivateKeyLength,
     /// A certificate or its key cannot be generated.
     #[error("{0}")]
     Generate(#[from] rcgen::Error),
-    /// TLS needs a server certificate, and the manifest names none.
-    #[error("`server` is needed for TLS")]
+    /// TLS requires a server certificate, but the manifest lists none.
+    #[error("`server` is required for TLS")]
     NoServerCertificate,
-    /// A trust anchor cannot be used.
-    #[error("an anchor: {0}")]
+    /// A trust anchor is invalid.
+    #[error("invalid trust anchor: {0}")]
     Anchor(rustls::Error),
     /// The trust anchors cannot verify client certificates.
-    #[error("anchors: {0}")]
+    #[error("trust anchors: {0}")]
     ClientVerifier(#[from] rustls::server::VerifierBuilderError),
-    /// TLS cannot be set up with these certificates.
+    /// TLS cannot be configured with these certificates and keys.
     #[error("{0}")]
     Tls(#[from] rustls::Error),
 }
 
-/// Why a public key cannot be read.
+/// Why a public key cannot be decoded.
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum PublicKeyError {
-    /// It is not base64 for URLs.
+    /// The text is not URL-safe base64.
     #[error("{0}")]
     Base64(#[from] base64::DecodeError),
-    /// It has another length than 32 bytes.
-    #[error("a public key has 32 bytes")]
+    /// The key is not 32 bytes long.
+    #[error("a public key must have 32 bytes")]
     Length,
-    /// It is no Ed25519 public key.
+    /// The bytes are not an Ed25519 public key.
     #[error("{0}")]
     Point(String),
 }
@@ -104,7 +104,7 @@
 }
 
 impl KeyError {
-    /// An error about this file.
+    /// Creates an error about a file.
     pub fn new(file: &Path, fault: impl Into<KeyFault>) -> Self {
         Self { file: file.to_owned(), fault: fault.into() }
     }
--- a/crates/stepspur-identity/src/keys/key_set.rs
+++ b/crates/stepspur-identity/src/keys/key_set.rs
@@ -1,4 +1,4 @@
-//! A checked set of keys, as loaded from a folder.
+//! A validated set of keys, loaded from a folder.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Component, Path, PathBuf};
@@ -14,26 +14,27 @@
 use super::{KeyError, KeyFault, KeyId, KeyState};
 use crate::rights::Rights;
 
-/// A complete, checked set of keys. It never changes: a reload makes another.
+/// A complete, validated set of keys. It is immutable: a reload creates a new set.
 #[derive(Debug)]
 pub struct KeySet {
-    /// The issuer of tokens.
+    /// The issuer that tokens must state.
     pub issuer: String,
-    /// The audience of tokens.
+    /// The audience that tokens must state.
     pub audience: String,
     signing: BTreeMap<KeyId, SigningKeyEntry>,
     operators: BTreeMap<OperatorKey, Rights>,
     revoked_serials: BTreeSet<Vec<u8>>,
     anchors: Vec<Anchor>,
+    /// None if the manifest lists no server certificate.
     server: Option<ServerCertificate>,
 }
 
-/// The conductor's own certificate.
+/// The certificate that the conductor presents to TLS clients.
 #[derive(Debug)]
 pub struct ServerCertificate {
-    /// The certificate chain, the leaf first.
+    /// The certificate chain, beginning with the leaf.
     pub chain: Vec<CertificateDer<'static>>,
-    /// The private key.
+    /// The private key of the leaf certificate.
     pub key: PrivateKeyDer<'static>,
 }
 
@@ -56,17 +57,17 @@
 }
 
 impl KeySet {
-    /// Reads and checks a folder completely.
+    /// Reads and validates all files of a folder.
     ///
     /// # Errors
-    /// The first fault, with its file; nothing of the set is used then.
+    /// The first fault that is found, with its file. No part of the set is used then.
     pub fn load(folder: &Path) -> Result<Self, KeyError> {
         let path = folder.join(MANIFEST);
         let text = std::fs::read_to_string(&path).map_err(|error| KeyError::new(&path, error))?;
         Self::build(folder, &manifest::parse(&path, &text)?)
     }
 
-    /// Checks a manifest and reads the files that it refers to.
+    /// Validates a manifest and reads the files that it refers to.
     pub(super) fn build(folder: &Path, manifest: &Manifest) -> Result<Self, KeyError> {
         let path = folder.join(MANIFEST);
         if manifest.issuer.is_empty() || manifest.audience.is_empty() {
@@ -83,29 +84,29 @@
         })
     }
 
-    /// The signing key of that name, if tokens that it signed are accepted.
+    /// The signing key of this id; none if it is unknown or revoked.
     pub fn accepted_key(&self, id: &KeyId) -> Option<&VerifyingKey> {
         let entry = self.signing.get(id)?;
         (entry.state != KeyState::Revoked).then_some(&entry.key)
     }
 
-    /// Whether certificates of that serial number are revoked.
+    /// Whether certificates with this serial number are revoked. `serial` is big-endian.
     pub fn is_revoked(&self, serial: &[u8]) -> bool {
         self.revoked_serials.contains(without_leading_zeros(serial))
     }
 
-    /// The certificate authorities that are trusted.
+    /// The certificates of the trusted authorities.
     pub fn trusted_anchors(&self) -> impl Iterator<Item = &CertificateDer<'static>> {
         let trusted = self.anchors.iter().filter(|anchor| anchor.state != KeyState::Revoked);
         trusted.map(|anchor| &anchor.certificate)
     }
 
-    /// The conductor's own certificate.
+    /// The certificate that the conductor presents; none if the manifest lists none.
     pub fn server_certificate(&self) -> Option<&ServerCertificate> {
         self.server.as_ref()
     }
 
-    /// The rights of an operator that shows a certificate; none for an unknown one.
+    /// The rights of an operator that presents a certificate. An operator that is not listed has no rights.
     pub fn operator_rights(&self, tenant: &str, name: &str) -> Rights {
         let key = OperatorKey { tenant: tenant.to_owned(), name: name.to_owned() };
         self.operators.get(&key).copied().unwrap_or_default()
@@ -163,7 +164,7 @@
     operators
 }
 
-/// The path of a file that the manifest refers to. It must lie in the manifest's folder itself.
+/// The path of a file that the manifest refers to. The file must be directly in the manifest's folder.
 fn path_in_folder(folder: &Path, file: &Path) -> Result<PathBuf, KeyError> {
     let mut components = file.components();
     match (components.next(), components.next()) {
@@ -187,7 +188,7 @@
     Ok(certificates)
 }
 
-/// Parses a serial number in hexadecimal, with or without colons, to bytes without leading zeros.
+/// Parses a hexadecimal serial number, with or without colons, into bytes without leading zeros.
 fn parse_serial(text: &str) -> Option<Vec<u8>> {
     let mut digits = Vec::new();
     for character in text.chars().filter(|character| *character != ':') {
@@ -201,7 +202,7 @@
     (!serial.is_empty()).then_some(serial)
 }
 
-/// Serial numbers are integers: leading zeros mean nothing.
+/// Removes leading zeros, which do not change a serial number, since it is an integer.
 fn without_leading_zeros(serial: &[u8]) -> &[u8] {
     let zeros = serial.iter().take_while(|byte| **byte == 0).count();
     &serial[zeros..]
--- a/crates/stepspur-identity/src/keys/manifest.rs
+++ b/crates/stepspur-identity/src/keys/manifest.rs
@@ -1,4 +1,4 @@
-//! The manifest of a folder of keys, and the states of its keys.
+//! The manifest of a folder of keys, and the states of keys in a rotation.
 
 use std::fs;
 use std::io::{self, Write};
@@ -12,41 +12,41 @@
 /// The manifest's file name.
 pub const MANIFEST: &str = "identity.toml";
 
-/// The state of a key or trust anchor in its rotation.
+/// The state of a signing key or trust anchor in its rotation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum KeyState {
-    /// Accepted, and not used to sign yet: every conductor must have loaded it first.
+    /// The key is accepted but does not sign yet, because every conductor must have loaded it first.
     Next,
-    /// Accepted, and used to sign.
+    /// The key is accepted and signs.
     Active,
-    /// Accepted, and no longer used to sign.
+    /// The key is accepted but no longer signs.
     Retiring,
-    /// Rejected; grants that rest on it end.
+    /// The key is rejected, and grants from its tokens or certificates end.
     Revoked,
 }
 
-/// The manifest of a folder of keys.
+/// The manifest of a folder of keys, stored in [`MANIFEST`].
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Manifest {
-    /// The issuer of tokens.
+    /// The issuer that tokens must state.
     pub issuer: String,
-    /// The audience of tokens: this conductor or its group.
+    /// The audience that tokens must state: this conductor or its group.
     pub audience: String,
-    /// Keys that sign tokens.
+    /// The keys that sign tokens.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub signing: Vec<SigningEntry>,
-    /// Certificate authorities that are trusted.
+    /// The certificate authorities.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub anchor: Vec<AnchorEntry>,
-    /// The conductor's own certificate.
+    /// The certificate that the conductor presents; without one, it cannot use TLS.
     #[serde(default)]
     pub server: Option<ServerEntry>,
-    /// Operators that show a certificate, and their rights.
+    /// The rights of operators that present a certificate.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub operator: Vec<OperatorEntry>,
-    /// Serial numbers of revoked certificates, in hexadecimal.
+    /// The serial numbers of revoked certificates, in hexadecimal.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub revoked_serials: Vec<String>,
 }
@@ -55,35 +55,36 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SigningEntry {
-    /// Its name.
+    /// The id of the key, which tokens state as `kid`.
     pub id: KeyId,
-    /// Its state.
+    /// The state of the key in its rotation.
     pub state: KeyState,
-    /// The public key, in base64 for URLs. The private key is in `ID.key` beside, where tokens are issued.
+    /// The public key, in URL-safe base64. Where tokens are issued, the private key is in `ID.key` of the
+    /// same folder.
     pub public: String,
 }
 
-/// A certificate authority that is trusted.
+/// A certificate authority, whose certificates are accepted according to its state.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AnchorEntry {
-    /// A PEM file in the folder.
+    /// A PEM file in the manifest's folder, with the certificates of the authority.
     pub file: PathBuf,
-    /// Its state.
+    /// The state of the authority in its rotation.
     pub state: KeyState,
 }
 
-/// The conductor's own certificate.
+/// The files of the certificate that the conductor presents.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServerEntry {
-    /// A PEM file with the certificate chain, the leaf first.
+    /// A PEM file with the certificate chain, beginning with the leaf.
     pub certificates: PathBuf,
     /// A PEM file with the private key.
     pub key: PathBuf,
 }
 
-/// The rights of an operator that shows a certificate.
+/// The rights of an operator that presents a certificate.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OperatorEntry {
@@ -95,7 +96,7 @@
     pub rights: Rights,
 }
 
-/// Reads a folder's manifest; an empty one if there is none.
+/// Reads the manifest of a folder, or returns an empty one if the folder has none.
 ///
 /// # Errors
 /// The file cannot be read or parsed.
@@ -115,10 +116,10 @@
     })
 }
 
-/// Replaces a folder's manifest atomically: a reader sees the old one or the new one.
+/// Replaces the manifest of a folder atomically: a reader sees either the old or the new one.
 ///
 /// # Errors
-/// The set would be rejected with this manifest, or the file cannot be written.
+/// The set of keys is invalid with this manifest, or the file cannot be written.
 pub fn write_manifest(folder: &Path, manifest: &Manifest) -> Result<(), KeyError> {
     KeySet::build(folder, manifest)?;
     let path = folder.join(MANIFEST);
@@ -134,9 +135,9 @@
 }
 
 impl Manifest {
-    /// Advances the rotation of the signing keys: next ones become active, active ones retire if there is a
-    /// next one, and `new` becomes the next one. Two calls, with time between them for every conductor to
-    /// reload, bring a new key into use without a rejected token.
+    /// Advances the rotation of the signing keys. A next key becomes active, the active key then becomes
+    /// retiring, and `new` becomes the next key. Two calls, with enough time between them for every conductor
+    /// to reload, bring a new key into use without rejecting a token.
     pub fn rotate(&mut self, new: Option<&Signer>) {
         let has_next = self.signing.iter().any(|key| key.state == KeyState::Next);
         for entry in &mut self.signing {
@@ -147,14 +148,14 @@
             };
         }
         if let Some(signer) = new {
-            // The very first key is used at once: there is no other.
+            // The first key becomes active at once, since no other key can sign.
             let state = if self.signing.is_empty() { KeyState::Active } else { KeyState::Next };
             let entry = SigningEntry { id: signer.id.clone(), state, public: signer.public_key() };
             self.signing.push(entry);
         }
     }
 
-    /// The key that signs tokens.
+    /// The id of the key that signs tokens; none if no key is active.
     pub fn active(&self) -> Option<&KeyId> {
         self.signing.iter().find(|key| key.state == KeyState::Active).map(|key| &key.id)
     }
--- a/crates/stepspur-identity/src/keys/mod.rs
+++ b/crates/stepspur-identity/src/keys/mod.rs
@@ -1,7 +1,8 @@
-//! Signing keys, trust anchors and the server's certificate: several of a kind at once, each with a state.
+//! Signing keys, trust anchors and the server certificate. Several keys and anchors exist at once, each with
+//! a state of its rotation.
 //!
-//! A folder contains `identity.toml`, the manifest that lists everything, and the files that it refers to. A
-//! set is loaded and checked completely or rejected, so that a reload can fall back on the set before.
+//! A folder contains the manifest `identity.toml` and the files that it refers to. A set of keys is either
+//! loaded and validated completely or rejected, so that the previous set stays in use if a reload fails.
 
 mod error;
 mod key_id;
--- a/crates/stepspur-identity/src/keys/signer.rs
+++ b/crates/stepspur-identity/src/keys/signer.rs
@@ -11,9 +11,10 @@
 
 use super::{KeyError, KeyFault, KeyId, write_private};
 
-/// A private Ed25519 key that signs tokens. It is wiped when dropped, and its debug output hides it.
+/// A private Ed25519 key that signs tokens. It is erased from memory when dropped, and its debug output omits
+/// it.
 pub struct Signer {
-    /// The key's name.
+    /// The id of the key, which tokens state as `kid`.
     pub id: KeyId,
     key: SigningKey,
 }
@@ -25,27 +26,27 @@
 }
 
 impl Signer {
-    /// Generates a key from the system's random numbers.
+    /// Generates a key from a cryptographically secure random number generator.
     pub fn new(id: KeyId) -> Self {
         let mut seed = Zeroizing::new([0; SECRET_KEY_LENGTH]);
         rand::rng().fill_bytes(&mut *seed);
         Self { id, key: SigningKey::from_bytes(&seed) }
     }
 
-    /// The public key as the manifest has it, in base64 for URLs.
+    /// The public key in URL-safe base64, as the manifest stores it.
     pub fn public_key(&self) -> String {
         BASE64.encode(self.key.verifying_key().to_bytes())
     }
 
-    /// The private key.
+    /// The private key, for signing.
     pub(crate) fn key(&self) -> &SigningKey {
         &self.key
     }
 
-    /// Reads `ID.key` of a folder.
+    /// Reads the private key from `ID.key` in a folder.
     ///
     /// # Errors
-    /// The file cannot be read, or contains no key.
+    /// The file cannot be read, or does not contain a private key.
     pub fn load(folder: &Path, id: KeyId) -> Result<Self, KeyError> {
         let path = key_file(folder, &id);
         let text = std::fs::read_to_string(&path).map_err(|error| KeyError::new(&path, error))?;
@@ -57,10 +58,11 @@
         Ok(Self { id, key: SigningKey::from_bytes(seed) })
     }
 
-    /// Writes `ID.key` for its owner alone. An existing file is never overwritten.
+    /// Writes the private key to `ID.key`, which only its owner may read. An existing file is never
+    /// overwritten.
     ///
     /// # Errors
-    /// The file exists, or cannot be written.
+    /// The file already exists, or cannot be written.
     pub fn save(&self, folder: &Path) -> Result<(), KeyError> {
         let text = Zeroizing::new(BASE64.encode(self.key.to_bytes()));
         write_private(&key_file(folder, &self.id), text.as_bytes())
--- a/crates/stepspur-identity/src/lib.rs
+++ b/crates/stepspur-identity/src/lib.rs
@@ -1,9 +1,9 @@
-//! The identity of a conductor's callers, and what they may do.
+//! Authentication and authorization of a conductor's callers.
 //!
-//! A caller shows a client certificate, a token, or both. From these a [`grant::Grant`] is made, which is
-//! checked on every call until it ends. All of this is sans-IO but the files of [`keys`]: times are given, in
-//! microseconds since
-//! 1970. `docs/identity.md` has the alternatives that were weighed and the threats.
+//! A caller presents a client certificate, a token, or both. They yield a [`grant::Grant`], which is checked
+//! on every call until it ends. The crate is sans-IO except for the files of [`keys`] and [`pki`]: it has no
+//! clock, and callers pass times in microseconds since 1970. `docs/identity.md` describes the threats and the
+//! alternatives considered.
 
 pub mod cert;
 pub mod grant;
--- a/crates/stepspur-identity/src/pki.rs
+++ b/crates/stepspur-identity/src/pki.rs
@@ -1,4 +1,4 @@
-//! A small certificate authority, for teams that have none, and for tests and the emulator.
+//! A minimal certificate authority, for deployments that have none, and for tests and the emulator.
 
 use std::net::IpAddr;
 use std::path::Path;
@@ -14,30 +14,31 @@
 
 use crate::keys::{KeyError, KeyFault, write_private};
 
-/// What errors name in place of a file, for certificates in memory.
-const CERTIFICATE: &str = "certificate";
-/// The same for certificates that were just issued.
-const ISSUED_CERTIFICATE: &str = "issued";
+/// The file name in errors about a certificate in memory.
+const IN_MEMORY_CERTIFICATE_FILE: &str = "certificate";
+/// The file name in errors about a certificate that was just issued.
+const ISSUED_CERTIFICATE_FILE: &str = "issued";
 
-/// The subject of a certificate.
+/// The subject of a leaf certificate.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Leaf {
-    /// A conductor at these addresses.
+    /// A conductor that listens on these addresses.
     Server(Vec<IpAddr>),
-    /// A caller by its URI, in the form of [`crate::cert`].
+    /// A caller, identified by a URI of the form that [`crate::cert`] describes.
     Caller(String),
 }
 
 /// An issued certificate and its private key, in PEM.
 pub struct Issued {
-    /// The certificate.
+    /// The certificate, without the authority's.
     pub certificates: String,
-    /// The private key; wiped when dropped.
+    /// The private key. It is erased from memory when dropped.
     pub key: Zeroizing<String>,
 }
 
 impl Issued {
-    /// Writes `NAME.pem`, and `NAME.key` for its owner alone; an existing key is never overwritten.
+    /// Writes the certificate to `NAME.pem` and the key to `NAME.key`, which only its owner may read. An
+    /// existing key is never overwritten.
     ///
     /// # Errors
     /// The key's file exists, or a file cannot be written.
@@ -47,13 +48,13 @@
         std::fs::write(&path, &self.certificates).map_err(|error| KeyError::new(&path, error))
     }
 
-    /// The certificate chain and private key for TLS.
+    /// Converts the certificate chain and private key to the types of the TLS library.
     ///
     /// # Errors
     /// The PEM cannot be parsed.
     pub fn for_tls(&self) -> Result<(Vec<CertificateDer<'static>>, PrivateKeyDer<'static>), KeyError> {
         let pem_error = |error: pem::Error| {
-            KeyError::new(Path::new(ISSUED_CERTIFICATE), KeyFault::Pem(error.to_string()))
+            KeyError::new(Path::new(ISSUED_CERTIFICATE_FILE), KeyFault::Pem(error.to_string()))
         };
         let sections = CertificateDer::pem_slice_iter(self.certificates.as_bytes());
         let chain = sections.collect::<Result<Vec<_>, _>>().map_err(pem_error)?;
@@ -62,14 +63,15 @@
     }
 }
 
-/// A certificate authority.
+/// A certificate authority with its private key.
 pub struct Authority {
+    /// The certificate of the authority, in PEM.
     pem: String,
     issuer: Issuer<'static, KeyPair>,
 }
 
 impl Authority {
-    /// Creates an authority, and returns its private key in PEM, to be stored.
+    /// Creates an authority with this common name, and returns its private key in PEM for storage.
     ///
     /// # Errors
     /// The key or certificate cannot be generated.
@@ -111,7 +113,7 @@
     /// Issues a certificate that is valid from `not_before_s` (seconds since 1970) for `lifetime`.
     ///
     /// # Errors
-    /// The caller's name is not a URI, or the key or certificate cannot be generated.
+    /// The caller's URI is invalid, or the key or certificate cannot be generated.
     pub fn issue(&self, leaf: &Leaf, not_before_s: u64, lifetime: Duration) -> Result<Issued, KeyError> {
         let mut params = leaf_params(leaf).map_err(generate_error)?;
         params.not_before = rcgen::date_time_ymd(1970, 1, 1) + Duration::from_secs(not_before_s);
@@ -122,7 +124,7 @@
     }
 }
 
-/// The usages and names of a leaf certificate.
+/// Sets the key usages and the subject alternative names of a leaf certificate.
 fn leaf_params(leaf: &Leaf) -> Result<CertificateParams, rcgen::Error> {
     let mut params = CertificateParams::default();
     params.key_usages = vec![KeyUsagePurpose::DigitalSignature];
@@ -140,7 +142,7 @@
 }
 
 fn certificate_error(fault: KeyFault) -> KeyError {
-    KeyError::new(Path::new(CERTIFICATE), fault)
+    KeyError::new(Path::new(IN_MEMORY_CERTIFICATE_FILE), fault)
 }
 
 fn generate_error(error: rcgen::Error) -> KeyError {
--- a/crates/stepspur-identity/src/rights.rs
+++ b/crates/stepspur-identity/src/rights.rs
@@ -1,24 +1,24 @@
-//! Rights of callers, and the calls that need them.
+//! The rights of callers, and the calls that require them.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// One right.
+/// A right, which allows a kind of call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Right {
     /// Receive tables and their updates.
     ReadTables,
-    /// Join as a proxy of its zone, and acknowledge updates.
+    /// Join as a proxy in the caller's zone, and acknowledge updates.
     Join,
     /// Send load reports.
     Report,
     /// Read the status page.
     ReadStatus,
-    /// Drain and withdraw servers, set admission levels, propose configuration.
+    /// Drain and withdraw servers, set admission levels, and propose configuration changes.
     Change,
-    /// Reload keys, read the audit log.
+    /// Reload keys, read the audit log, change the consensus group, and act on all tenants.
     Administer,
 }
 
@@ -27,7 +27,7 @@
     pub const ALL: [Right; 6] =
         [Right::ReadTables, Right::Join, Right::Report, Right::ReadStatus, Right::Change, Right::Administer];
 
-    /// The right's name, as in tokens.
+    /// The name of the right, as in tokens and the manifest.
     pub fn name(self) -> &'static str {
         match self {
             Right::ReadTables => "read_tables",
@@ -39,24 +39,24 @@
         }
     }
 
-    /// The right's bit in a set.
+    /// The bit of the right in a [`Rights`] set.
     const fn bit(self) -> u8 {
         1 << self as u8
     }
 
-    /// The right of that name.
+    /// The right of this name; none if there is no such right.
     pub fn from_name(name: &str) -> Option<Right> {
         Right::ALL.into_iter().find(|right| right.name() == name)
     }
 }
 
-/// A set of rights, a bit for each: checking one allocates nothing.
+/// A set of rights. Each right is one bit, so that a check does not allocate.
 #[derive(Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "Vec<Right>", into = "Vec<Right>")]
 pub struct Rights(u8);
 
 impl Rights {
-    /// The rights of a proxy.
+    /// The rights of a proxy that presents only a certificate.
     pub const PROXY: Rights = Rights(Right::ReadTables.bit() | Right::Join.bit() | Right::Report.bit());
 
     /// Whether the set contains a right.
--- a/crates/stepspur-identity/src/tls.rs
+++ b/crates/stepspur-identity/src/tls.rs
@@ -1,4 +1,4 @@
-//! TLS 1.3 from a set of keys: the configurations of servers and clients.
+//! TLS 1.3 configurations of servers and clients, built from a set of keys.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -12,32 +12,32 @@
 
 use crate::keys::{KeyError, KeyFault, KeySet, MANIFEST};
 
-/// Whether clients must show certificates.
+/// Whether clients must present certificates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClientCertificates {
-    /// Every client must show a certificate of a trusted authority.
+    /// Every client must present a certificate of a trusted authority.
     #[default]
     Required,
-    /// A client may show a certificate; one that is shown must be of a trusted authority.
+    /// A client may present a certificate, which must be issued by a trusted authority.
     Optional,
-    /// No client certificates are requested: clients authenticate by tokens alone.
+    /// Client certificates are not requested. Clients authenticate only by tokens.
     Off,
 }
 
-/// Sessions that a server stores for resumption.
-const SESSION_CACHE: usize = 32_768;
-/// Session tickets that a server sends after a handshake.
-const SESSION_TICKETS: usize = 1;
+/// The number of TLS sessions that a server stores for resumption.
+const SESSION_CACHE_ENTRIES: usize = 32_768;
+/// The number of session tickets that a server sends after a handshake.
+const TICKETS_PER_HANDSHAKE: usize = 1;
 
-/// The configuration of a server. Sessions of an earlier set of keys cannot be resumed: each set has a cache
-/// of its own.
+/// Builds the configuration of a server. Each configuration has a session cache of its own, so that sessions
+/// of an earlier set of keys cannot be resumed.
 ///
 /// # Errors
-/// The set has no server certificate, or no anchors where client certificates are wanted, or its certificate
-/// and private key don't match.
+/// The set has no server certificate, or has no trust anchors although client certificates are requested, or
+/// its certificate and private key don't match.
 pub fn server_config(keys: &KeySet, clients: ClientCertificates) -> Result<Arc<ServerConfig>, KeyError> {
-    build_server_config(keys, clients).map_err(in_manifest)
+    build_server_config(keys, clients).map_err(manifest_error)
 }
 
 fn build_server_config(keys: &KeySet, clients: ClientCertificates) -> Result<Arc<ServerConfig>, KeyFault> {
@@ -48,8 +48,8 @@
         .with_protocol_versions(&[&rustls::version::TLS13])?
         .with_client_cert_verifier(verifier)
         .with_single_cert(own.chain.clone(), own.key.clone_key())?;
-    config.session_storage = ServerSessionMemoryCache::new(SESSION_CACHE);
-    config.send_tls13_tickets = SESSION_TICKETS;
+    config.session_storage = ServerSessionMemoryCache::new(SESSION_CACHE_ENTRIES);
+    config.send_tls13_tickets = TICKETS_PER_HANDSHAKE;
     Ok(Arc::new(config))
 }
 
@@ -70,15 +70,16 @@
     Ok(verifier)
 }
 
-/// The configuration of a client: the authorities that it trusts, and its own certificate, if it has one.
+/// Builds the configuration of a client from the authorities that it trusts and its own certificate chain and
+/// key, if it has any.
 ///
 /// # Errors
-/// An anchor cannot be used, or the client's certificate and private key don't match.
+/// A trust anchor is invalid, or the client's certificate and private key don't match.
 pub fn client_config(
     anchors: &[CertificateDer<'static>],
     own: Option<(Vec<CertificateDer<'static>>, PrivateKeyDer<'static>)>,
 ) -> Result<Arc<ClientConfig>, KeyError> {
-    build_client_config(anchors, own).map_err(in_manifest)
+    build_client_config(anchors, own).map_err(manifest_error)
 }
 
 fn build_client_config(
@@ -109,7 +110,7 @@
     Ok(roots)
 }
 
-/// All certificates are those that the manifest lists.
-fn in_manifest(fault: KeyFault) -> KeyError {
+/// Attributes a fault to the manifest, which lists all certificates.
+fn manifest_error(fault: KeyFault) -> KeyError {
     KeyError::new(Path::new(MANIFEST), fault)
 }
--- a/crates/stepspur-identity/src/token.rs
+++ b/crates/stepspur-identity/src/token.rs
@@ -1,6 +1,7 @@
-//! Tokens: JSON web tokens (RFC 7519) signed by Ed25519 (RFC 8037), and by nothing else.
+//! Tokens: JSON web tokens (RFC 7519) that are signed with Ed25519 (RFC 8037).
 //!
-//! The header's `alg` must be `EdDSA`; it never chooses the algorithm. `kid` names a key of the set.
+//! No other algorithm is supported: the header's `alg` must be `EdDSA` and never selects the algorithm. `kid`
+//! is the id of a key in the set of keys.
 
 use base64::Engine;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD as BASE64;
@@ -12,30 +13,31 @@
 use crate::rights::Rights;
 use crate::{MICROS_PER_SECOND, Micros};
 
-/// The longest token that is accepted, in bytes.
+/// The largest size of an accepted token, in bytes.
 pub const MAX_TOKEN_BYTES: usize = 4096;
-/// The only algorithm that is accepted.
+/// The only accepted value of the header's `alg`.
 const ALGORITHM: &str = "EdDSA";
 
-/// The claims of a token (RFC 7519, 4.1), and the caller's tenant, zone and rights.
+/// The claims of a token: the registered claims (RFC 7519, section 4.1), and the caller's tenant, zone and
+/// rights.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Claims {
-    /// The issuer.
+    /// The issuer, which must be that of the manifest.
     pub iss: String,
-    /// The audience.
+    /// The audience, which must be that of the manifest.
     pub aud: String,
-    /// The subject: the caller's name; a proxy joins by it.
+    /// The subject, which is the name of the caller. A proxy joins by this name.
     pub sub: String,
     /// The caller's tenant.
     pub tenant: String,
-    /// The zone that it may join in; none: any.
+    /// The zone in which the caller may join; none if it may join in any zone.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
     /// The caller's rights.
     pub rights: Rights,
-    /// Not valid before this time, in seconds since 1970.
+    /// The token is not valid before this time, in seconds since 1970.
     pub nbf: u64,
-    /// Not valid at or after this time, in seconds since 1970.
+    /// The token is not valid at or after this time, in seconds since 1970.
     pub exp: u64,
 }
 
@@ -48,72 +50,73 @@
 /// The bounds within which tokens are accepted.
 #[derive(Clone, Copy, Debug)]
 pub struct TokenPolicy {
-    /// The tolerated difference between clocks, in microseconds.
+    /// The tolerated difference between the clocks of issuer and verifier, in microseconds.
     pub leeway: Micros,
     /// The longest time from `nbf` to `exp`, in microseconds.
     pub max_lifetime: Micros,
 }
 
 impl Default for TokenPolicy {
-    /// 30 seconds of leeway and a lifetime of a day.
+    /// A leeway of 30 seconds and a lifetime of at most a day.
     fn default() -> Self {
         Self { leeway: 30 * MICROS_PER_SECOND, max_lifetime: 24 * 3600 * MICROS_PER_SECOND }
     }
 }
 
-/// Why a token is rejected. It is for logs: the caller does not get it.
+/// Why a token is rejected. The reason is logged and never sent to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TokenError {
-    /// Not three parts of base64, or too long.
-    #[error("not a token")]
+    /// The token does not consist of three parts in base64, or is too long.
+    #[error("malformed token")]
     Malformed,
-    /// The header names another algorithm.
-    #[error("another algorithm than EdDSA")]
+    /// The header states an algorithm other than EdDSA.
+    #[error("the algorithm is not EdDSA")]
     Algorithm,
-    /// The key is unknown or revoked.
-    #[error("the key is unknown or revoked")]
+    /// The signing key is unknown or revoked.
+    #[error("the signing key is unknown or revoked")]
     Key,
-    /// The signature is not that key's.
-    #[error("the signature is wrong")]
+    /// The signature does not verify with the key.
+    #[error("the signature is invalid")]
     Signature,
-    /// The signature is right, but the claims cannot be parsed.
-    #[error("the claims cannot be read")]
+    /// The signature is valid, but the claims cannot be parsed.
+    #[error("the claims cannot be parsed")]
     Claims,
-    /// The issuer or audience is another.
-    #[error("another issuer or audience")]
+    /// The issuer or the audience is not that of the manifest.
+    #[error("the issuer or audience does not match")]
     IssuerOrAudience,
     /// The token is not valid yet.
-    #[error("not valid yet")]
+    #[error("the token is not valid yet")]
     NotYetValid,
     /// The token has expired.
-    #[error("no longer valid")]
+    #[error("the token has expired")]
     Expired,
-    /// The token's lifetime is longer than accepted, or ends before it begins.
-    #[error("its life is too long, or none")]
+    /// The lifetime of the token is not positive, or longer than the policy allows.
+    #[error("the token's lifetime is not positive or too long")]
     Lifetime,
 }
 
 /// A token whose signature and claims were verified.
 #[derive(Clone, Debug, PartialEq)]
 pub struct VerifiedToken {
-    /// The token's claims.
+    /// The verified claims.
     pub claims: Claims,
-    /// The key that signed it.
+    /// The id of the key that signed the token.
     pub key: KeyId,
-    /// When grants that rest on it end, in microseconds since 1970: the token's end and the leeway.
+    /// When grants from this token expire, in microseconds since 1970: the expiry of the token plus the
+    /// leeway.
     pub expires_at: Micros,
 }
 
 /// The content of a token, without any verification.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UnverifiedToken {
-    /// The name of the key that signed it, as its header states.
+    /// The id of the signing key, as stated in the header.
     pub key: String,
-    /// The token's claims.
+    /// The claims, which are not verified.
     pub claims: Claims,
 }
 
-/// Issues a token.
+/// Issues a token with these claims, signed by `signer`.
 pub fn issue(signer: &Signer, claims: &Claims) -> String {
     let header = Header { alg: ALGORITHM.into(), kid: signer.id.to_string() };
     let signed = format!("{}.{}", encode_part(&header), encode_part(claims));
@@ -132,7 +135,7 @@
     Ok(UnverifiedToken { key: header.kid, claims })
 }
 
-/// Verifies a token by a set of keys, at a time in microseconds since 1970.
+/// Verifies a token against a set of keys, at time `now` in microseconds since 1970.
 ///
 /// # Errors
 /// See [`TokenError`].
@@ -152,7 +155,7 @@
     Ok(VerifiedToken { claims, key, expires_at })
 }
 
-/// Verifies the signature and returns the name of the key.
+/// Verifies the signature and returns the id of the signing key.
 fn verify_signature(parts: &TokenParts<'_>, keys: &KeySet) -> Result<KeyId, TokenError> {
     let header: Header = decode_part(parts.header).ok_or(TokenError::Malformed)?;
     if header.alg != ALGORITHM {
@@ -166,7 +169,7 @@
     Ok(id)
 }
 
-/// Verifies the times and returns the end of the validity with the leeway.
+/// Verifies the validity period and returns its end plus the leeway.
 fn verify_validity(claims: &Claims, policy: TokenPolicy, now: Micros) -> Result<Micros, TokenError> {
     let not_before = claims.nbf.saturating_mul(MICROS_PER_SECOND);
     let expires_at = claims.exp.saturating_mul(MICROS_PER_SECOND);
@@ -201,7 +204,7 @@
     }
 }
 
-/// Encodes a part of a token. Its types always serialize: they have no maps with keys other than strings.
+/// Encodes a part of a token. Serialization cannot fail, because the types have no maps with non-string keys.
 fn encode_part(part: &impl Serialize) -> String {
     BASE64.encode(serde_json::to_string(part).unwrap_or_default())
 }
--- a/crates/stepspur-identity/tests/cert.rs
+++ b/crates/stepspur-identity/tests/cert.rs
@@ -1,4 +1,4 @@
-//! Callers of certificates.
+//! Tests of reading callers from client certificates.
 
 use rcgen::{BasicConstraints, CertificateParams, IsCa, Issuer, KeyPair, SanType, SerialNumber};
 use stepspur_identity::cert::{self, CertError, Role};
@@ -15,6 +15,8 @@
     leaf.signed_by(&key, &issuer).unwrap().der().to_vec()
 }
 
+/// A certificate with an ambiguous or malformed URI must not identify a caller: it could be taken for one of
+/// another tenant, role or name.
 #[test]
 fn parse_caller_accepts_exactly_one_uri_of_the_stated_form() {
     let proxy = Role::Proxy { zone: "a".into(), name: "p-1".into() };
--- a/crates/stepspur-identity/tests/common/mod.rs
+++ b/crates/stepspur-identity/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Folders of keys and claims for tests.
+//! Folders of keys, and claims of tokens, that the tests share.
 
 use std::path::PathBuf;
 
@@ -6,12 +6,12 @@
 use stepspur_identity::rights::Rights;
 use stepspur_identity::token::Claims;
 
-/// Microseconds.
+/// A second in microseconds.
 pub(crate) const SECOND: u64 = 1_000_000;
-/// The tests' present time, in microseconds since 1970.
+/// The present time in all tests, in microseconds since 1970.
 pub(crate) const NOW: u64 = 1_800_000_000 * SECOND;
 
-/// A temporary folder, which is removed at the end of the test.
+/// A temporary folder that is removed when dropped.
 pub(crate) struct Folder(pub(crate) PathBuf);
 
 impl Folder {
@@ -36,7 +36,7 @@
     }
 }
 
-/// A key's name.
+/// Creates a key id.
 pub(crate) fn id(name: &str) -> KeyId {
     KeyId::try_from(name.to_owned()).unwrap()
 }
@@ -46,7 +46,7 @@
     Manifest { issuer: "issuer".into(), audience: "conductors".into(), ..Manifest::default() }
 }
 
-/// A folder of keys with one active key.
+/// Creates a folder of keys with the active signing key `k1`.
 pub(crate) fn one_key(test: &str) -> (Folder, Manifest, Signer) {
     let folder = Folder::new(test);
     let mut manifest = manifest();
@@ -56,7 +56,8 @@
     (folder, manifest, signer)
 }
 
-/// The claims of the proxy `p-1`.
+/// The claims of the proxy `p-1` of the tenant `north` in zone `a`, valid from 10 seconds before [`NOW`] to
+/// 600 seconds after it.
 pub(crate) fn claims() -> Claims {
     Claims {
         iss: "issuer".into(),
--- a/crates/stepspur-identity/tests/fuzz.rs
+++ b/crates/stepspur-identity/tests/fuzz.rs
@@ -1,10 +1,11 @@
-//! Fuzz targets for the parsers of unauthenticated input, by bolero: plain tests over random inputs in CI;
-//! `cargo bolero test -p stepspur-identity TARGET` drives them by coverage.
+//! Fuzz targets for the parsers of unauthenticated input. `cargo test` runs them on random inputs;
+//! `cargo bolero test -p stepspur-identity TARGET` runs a target with coverage guidance.
 
 use stepspur_identity::cert;
 use stepspur_identity::keys::{KeySet, Manifest, write_manifest};
 use stepspur_identity::token::{TokenPolicy, decode_unverified, verify};
 
+/// No input is accepted by a set of keys without signing keys, and none causes a panic.
 #[test]
 fn fuzz_token() {
     let folder = std::env::temp_dir().join(format!("stepspur-fuzz-{}", std::process::id()));
@@ -19,6 +20,7 @@
     let _ = std::fs::remove_dir_all(&folder);
 }
 
+/// No input causes a panic.
 #[test]
 fn fuzz_certificate() {
     bolero::check!().for_each(|bytes: &[u8]| {
--- a/crates/stepspur-identity/tests/grant.rs
+++ b/crates/stepspur-identity/tests/grant.rs
@@ -1,4 +1,4 @@
-//! Grants from certificates and tokens.
+//! Tests of grants from certificates and tokens.
 
 mod common;
 
@@ -9,10 +9,10 @@
 use stepspur_identity::rights::{Right, Rights};
 use stepspur_identity::token::{Claims, TokenPolicy, VerifiedToken, issue, verify};
 
-/// The end of the grants from [`common::claims`], in microseconds since 1970: its leeway is included.
-const END: u64 = NOW + 630 * SECOND;
+/// When grants from [`common::claims`] expire, in microseconds since 1970, including the leeway.
+const EXPIRES_AT: u64 = NOW + 630 * SECOND;
 
-/// Keys, and tokens that one of them signs.
+/// A folder of keys, and the signer of tokens that they accept.
 struct Issuer {
     folder: Folder,
     manifest: Manifest,
@@ -27,7 +27,7 @@
         Self { folder, manifest, signer, keys }
     }
 
-    /// A token with changed claims.
+    /// Issues and verifies a token, whose claims are those of [`claims`] after `change`.
     fn token(&self, change: impl Fn(&mut Claims)) -> VerifiedToken {
         let mut claims = claims();
         change(&mut claims);
@@ -35,11 +35,12 @@
         verify(token.as_bytes(), &self.keys, TokenPolicy::default(), NOW).unwrap()
     }
 
+    /// The grant of a caller that presents only a token.
     fn grant_of_token(&self, change: impl Fn(&mut Claims)) -> Grant {
         Grant::new(None, Some(self.token(change)), &self.keys).unwrap()
     }
 
-    /// The grant of a caller that shows a certificate, too.
+    /// The grant of a caller that presents a certificate and a token.
     fn grant_of_both(&self, change: impl Fn(&mut Claims)) -> Result<Grant, Denied> {
         Grant::new(Some(certificate("a")), Some(self.token(change)), &self.keys)
     }
@@ -49,23 +50,26 @@
     [right].into_iter().collect()
 }
 
+/// The certificate of the proxy `p-1` in this zone.
 fn certificate(zone: &str) -> CertCaller {
     let role = Role::Proxy { zone: zone.into(), name: "p-1".into() };
     CertCaller { tenant: "north".into(), role, serial: vec![7], expires_at: NOW + 900 * SECOND }
 }
 
+/// A right must not imply another one, and no right outlives the grant.
 #[test]
-fn may_with_each_single_right_allows_that_right_alone_until_the_end() {
+fn may_with_each_single_right_allows_only_that_right_until_expiry() {
     let issuer = Issuer::new("grant-rights");
     for held in Right::ALL {
         let grant = issuer.grant_of_token(|claims| claims.rights = only(held));
         for required in Right::ALL {
             assert_eq!(grant.may(required, NOW).is_ok(), held == required, "{held:?} {required:?}");
         }
-        assert_eq!(grant.may(held, END), Err(Denied::Expired));
+        assert_eq!(grant.may(held, EXPIRES_AT), Err(Denied::Expired));
     }
 }
 
+/// A proxy must not join under the name or in the zone of another proxy.
 #[test]
 fn may_join_allows_only_own_name_and_zone() {
     let issuer = Issuer::new("grant-join");
@@ -77,8 +81,9 @@
     assert_eq!(reader.may_join("p-1", "a", NOW), Err(Denied::MissingRight));
 }
 
+/// A stolen token must not be usable with the certificate of a different caller.
 #[test]
-fn new_with_token_of_another_caller_or_nothing_is_denied() {
+fn new_with_token_of_different_caller_or_without_credentials_is_denied() {
     let issuer = Issuer::new("grant-mismatch");
     let mismatch = Err(Denied::CallerMismatch);
     assert_eq!(issuer.grant_of_both(|claims| claims.tenant = "south".into()), mismatch);
@@ -87,32 +92,35 @@
     assert_eq!(Grant::new(None, None, &issuer.keys), Err(Denied::NoCredentials));
 }
 
-/// The end comes with notice. A clock that jumps forward ends the grant; one that jumps back does not extend
-/// it.
+/// The expiry is announced before it takes effect. A clock that jumps forward ends the grant, and a clock
+/// that jumps back does not extend it.
 #[test]
-fn status_before_and_at_the_end_announces_it_whatever_the_clock_does() {
+fn status_announces_expiry_and_does_not_depend_on_clock_jumps() {
     let issuer = Issuer::new("grant-status");
     let grant = issuer.grant_of_both(|_| {}).unwrap();
-    let valid = GrantStatus::Valid { renew_at: END - EXPIRY_NOTICE };
+    let valid = GrantStatus::Valid { renew_at: EXPIRES_AT - EXPIRY_NOTICE };
     assert_eq!(grant.status(&issuer.keys, NOW), valid);
-    assert_eq!(grant.status(&issuer.keys, END - 5), GrantStatus::Expiring { remaining: 5 });
-    assert_eq!(grant.status(&issuer.keys, END), GrantStatus::Ended(Denied::Expired));
+    assert_eq!(grant.status(&issuer.keys, EXPIRES_AT - 5), GrantStatus::Expiring { remaining: 5 });
+    assert_eq!(grant.status(&issuer.keys, EXPIRES_AT), GrantStatus::Ended(Denied::Expired));
     assert_eq!(grant.status(&issuer.keys, 0), valid);
 }
 
+/// A grant must not be renewed by the token of a different caller.
 #[test]
-fn renew_with_newer_token_extends_the_grant_of_the_same_caller_alone() {
+fn renew_with_newer_token_extends_grant_of_same_caller_only() {
     let issuer = Issuer::new("grant-renew");
     let mut grant = issuer.grant_of_both(|_| {}).unwrap();
     grant.renew(issuer.grant_of_token(|claims| claims.exp += 600)).unwrap();
-    assert!(grant.may(Right::Join, END).is_ok());
+    assert!(grant.may(Right::Join, EXPIRES_AT).is_ok());
     assert_eq!(grant.caller().zone.as_deref(), Some("a"));
-    let of_another = issuer.grant_of_token(|claims| claims.sub = "p-2".into());
-    assert_eq!(grant.renew(of_another), Err(Denied::CallerMismatch));
+    let of_other_caller = issuer.grant_of_token(|claims| claims.sub = "p-2".into());
+    assert_eq!(grant.renew(of_other_caller), Err(Denied::CallerMismatch));
 }
 
+/// A revocation takes effect on grants that exist already. The manifest may write the serial number with
+/// colons and leading zeros, although the certificate has none.
 #[test]
-fn status_with_revoked_serial_in_any_notation_ends_the_grant() {
+fn status_with_revoked_serial_in_any_notation_ends_grant() {
     let mut issuer = Issuer::new("grant-revoked");
     let grant = issuer.grant_of_both(|_| {}).unwrap();
     issuer.manifest.revoked_serials = vec!["00:07".into()];
--- a/crates/stepspur-identity/tests/handshake_limiter.rs
+++ b/crates/stepspur-identity/tests/handshake_limiter.rs
@@ -1,4 +1,4 @@
-//! Limits of handshakes in progress.
+//! Tests of the limits of handshakes in progress.
 
 use std::net::IpAddr;
 
@@ -11,9 +11,10 @@
     IpAddr::from([127, 0, 0, last_byte])
 }
 
-/// Without the reserved permits unknown sources would take all of them.
+/// Without reserved permits, a flood of handshakes from unknown sources would use all permits, and known
+/// proxies could not connect.
 #[test]
-fn begin_with_many_unknown_sources_keeps_permits_for_known_ones() {
+fn begin_with_many_unknown_sources_reserves_permits_for_known_ones() {
     let limits = HandshakeLimits {
         max_handshakes: 10,
         reserved_for_known: 4,
@@ -28,7 +29,7 @@
     let of_one_source: Vec<HandshakePermit> = (0..3).map(|_| begin(2).unwrap()).collect();
     assert_eq!(begin(2), Err(HandshakeRejected::SourceLimit));
     let of_others: Vec<HandshakePermit> = (3..6).map(|source| begin(source).unwrap()).collect();
-    assert_eq!(begin(9), Err(HandshakeRejected::NoPermit), "unknown sources have six permits");
+    assert_eq!(begin(9), Err(HandshakeRejected::NoPermit), "unknown sources may use six permits");
     let of_known: Vec<HandshakePermit> = (0..4).map(|_| begin(1).unwrap()).collect();
     assert_eq!(begin(1), Err(HandshakeRejected::NoPermit));
     assert_eq!(limiter.in_progress(), HandshakesInProgress { unknown: 6, known: 4 });
@@ -40,5 +41,9 @@
         limiter.begin(address(1), 101).unwrap();
     }
     let after_known_time = limiter.begin(address(1), 101);
-    assert_eq!(after_known_time, Err(HandshakeRejected::SourceLimit), "a source is known for a time only");
+    assert_eq!(
+        after_known_time,
+        Err(HandshakeRejected::SourceLimit),
+        "a source stays known only for `known_for`"
+    );
 }
--- a/crates/stepspur-identity/tests/keys.rs
+++ b/crates/stepspur-identity/tests/keys.rs
@@ -1,4 +1,4 @@
-//! Folders of keys: rotation, faults and private files.
+//! Tests of folders of keys: rotation, invalid manifests and private files.
 
 mod common;
 
@@ -7,9 +7,10 @@
 use stepspur_identity::keys::{KeySet, KeyState, MANIFEST, Manifest, Signer, read_manifest};
 use stepspur_identity::token::{TokenPolicy, issue, verify};
 
-/// Tokens stay valid through a rotation (next, active, retiring) and end with the revocation.
+/// Tokens of both keys stay valid throughout a rotation (next, active, retiring). Revoking the old key ends
+/// its grants. A rotation in the wrong order would reject tokens that are still in use.
 #[test]
-fn rotate_in_two_steps_rejects_no_token_and_revocation_ends_grants() {
+fn rotate_in_two_steps_accepts_all_tokens_and_revocation_ends_grants() {
     let (folder, mut manifest, old) = one_key("rotation");
     let states = |m: &Manifest| m.signing.iter().map(|k| k.state).collect::<Vec<_>>();
     let (new, token) = (Signer::new(id("k2")), issue(&old, &claims()));
@@ -26,7 +27,7 @@
     manifest.rotate(Some(&new));
     assert_eq!(states(&manifest), [KeyState::Active, KeyState::Next]);
     folder.write(&manifest);
-    assert!(accepted(&old) && accepted(&new), "known before it is used");
+    assert!(accepted(&old) && accepted(&new), "the new key is accepted before it signs");
     manifest.rotate(None);
     assert_eq!(
         (states(&manifest), manifest.active()),
@@ -41,8 +42,10 @@
     assert_eq!(grant.status(&folder.load(), NOW), GrantStatus::Ended(Denied::Revoked));
 }
 
+/// An invalid manifest is rejected as a whole, and the error names the faulty value or file, so that an
+/// operator can correct it.
 #[test]
-fn load_with_faulty_manifest_names_the_fault() {
+fn load_with_invalid_manifest_names_the_fault() {
     let (folder, manifest, signer) = one_key("faults");
     let path = folder.0.join(MANIFEST);
     let text = std::fs::read_to_string(&path).unwrap();
@@ -70,6 +73,7 @@
     assert!(folder.load().accepted_key(&id("k1")).is_some());
 }
 
+/// A private key must be neither readable by other users nor lost by overwriting nor printed.
 #[test]
 fn save_private_key_is_owner_only_and_never_overwrites() {
     use std::os::unix::fs::PermissionsExt;
--- a/crates/stepspur-identity/tests/token.rs
+++ b/crates/stepspur-identity/tests/token.rs
@@ -1,4 +1,4 @@
-//! Tokens: validity, signatures and malformed input.
+//! Tests of tokens: validity period, signatures and malformed input.
 
 mod common;
 
@@ -10,8 +10,10 @@
     Claims, TokenError, TokenPolicy, UnverifiedToken, decode_unverified, issue, verify,
 };
 
+/// The validity period, with the leeway for clocks, is exact to the microsecond. Tokens of a different issuer
+/// or audience, and tokens with a longer lifetime than allowed, are rejected.
 #[test]
-fn verify_at_bounds_of_validity_accepts_only_within_leeway_and_for_its_audience() {
+fn verify_accepts_only_within_leeway_and_for_own_issuer_and_audience() {
     let (folder, _, signer) = one_key("validity");
     let keys = folder.load();
     let policy = TokenPolicy::default();
@@ -21,11 +23,11 @@
         verify(issue(&signer, &claims).as_bytes(), &keys, policy, at).map(|token| token.expires_at)
     };
     let unchanged = |_: &mut Claims| {};
-    let end = NOW + 630 * SECOND;
-    assert_eq!(expiry(&unchanged, NOW), Ok(end));
-    assert_eq!(expiry(&unchanged, end - 1), Ok(end), "leeway for clocks");
-    assert_eq!(expiry(&unchanged, end), Err(TokenError::Expired));
-    assert_eq!(expiry(&unchanged, NOW - 40 * SECOND), Ok(end));
+    let expires_at = NOW + 630 * SECOND;
+    assert_eq!(expiry(&unchanged, NOW), Ok(expires_at));
+    assert_eq!(expiry(&unchanged, expires_at - 1), Ok(expires_at), "within the leeway for clocks");
+    assert_eq!(expiry(&unchanged, expires_at), Err(TokenError::Expired));
+    assert_eq!(expiry(&unchanged, NOW - 40 * SECOND), Ok(expires_at));
     assert_eq!(expiry(&unchanged, NOW - 40 * SECOND - 1), Err(TokenError::NotYetValid));
     assert_eq!(expiry(&|c| c.iss = "other".into(), NOW), Err(TokenError::IssuerOrAudience));
     assert_eq!(expiry(&|c| c.aud = "other".into(), NOW), Err(TokenError::IssuerOrAudience));
@@ -34,7 +36,8 @@
     assert_eq!(expiry(&|c| c.exp = u64::MAX, NOW), Err(TokenError::Lifetime));
 }
 
-/// No algorithm, HMAC with the public key, another key name: the header chooses nothing.
+/// The attacker controls the header: it may state no algorithm, HMAC with the public key as its secret, or a
+/// different key id. None of them may be accepted.
 #[test]
 fn verify_with_forged_header_rejects_other_algorithms_and_keys() {
     use base64::Engine;
@@ -55,19 +58,19 @@
         assert_eq!(with(&header), TokenError::Key, "{kid}");
     }
     assert_eq!(with(r#"{"alg":"EdDSA"}"#), TokenError::Malformed);
-    // Another's key under a known name; no signature at all.
+    // A different key under a known id, and an empty signature.
     let other = Signer::new(id("k1"));
     let forged = issue(&other, &claims());
     assert_eq!(verify(forged.as_bytes(), &keys, TokenPolicy::default(), NOW), Err(TokenError::Signature));
-    let bare = format!("{}.", token.rsplit_once('.').unwrap().0);
-    assert_eq!(verify(bare.as_bytes(), &keys, TokenPolicy::default(), NOW), Err(TokenError::Malformed));
+    let unsigned = format!("{}.", token.rsplit_once('.').unwrap().0);
+    assert_eq!(verify(unsigned.as_bytes(), &keys, TokenPolicy::default(), NOW), Err(TokenError::Malformed));
     let expected = UnverifiedToken { key: "k1".to_owned(), claims: claims() };
     assert_eq!(decode_unverified(token.as_bytes()), Ok(expected));
 }
 
-/// Every bit and every cut of a token: none but the token itself is accepted.
+/// Any flipped bit, and truncation at any byte, must invalidate a token.
 #[test]
-fn verify_with_flipped_bit_or_cut_rejects_token() {
+fn verify_with_flipped_bit_or_truncation_rejects_token() {
     let (folder, _, signer) = one_key("bits");
     let (keys, token) = (folder.load(), issue(&signer, &claims()).into_bytes());
     let accepted = |token: &[u8]| verify(token, &keys, TokenPolicy::default(), NOW).is_ok();
@@ -86,7 +89,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(512) })]
 
-    /// Whatever an unauthenticated caller sends is an error, never a panic.
+    /// Arbitrary bytes of an unauthenticated caller lead to an error and never to a panic.
     #[test]
     fn arbitrary_bytes_are_rejected_without_panic(
         bytes in prop::collection::vec(any::<u8>(), 0..300),
