--- a/crates/stepspur-conductor/tests/common/mod.rs
+++ b/crates/stepspur-conductor/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Settings, endpoint lists and helpers that the engine's and the service's tests share.
+//! Settings, endpoint lists and helpers that the tests of the engine and of the service share.
 #![allow(dead_code)]
 
 pub(crate) mod closing;
@@ -15,7 +15,7 @@
 use stepspur_conductor::engine::{DiscoveredEndpoint, ProbeTarget};
 use stepspur_proto::{FromProxy, VERSION, from_proxy, v1};
 
-/// Settings of a small deployment with two zones and two classes.
+/// Settings of a small deployment with the zones `a` and `b` and the classes `read` and `write`.
 pub(crate) fn config() -> Config {
     let class = |name: &str, effect| ClassConfig {
         name: name.into(),
@@ -62,19 +62,19 @@
     }
 }
 
-/// The address of the server of this index.
+/// The address of the server with this index.
 pub(crate) fn address(k: usize) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 9000 + k as u16))
 }
 
-/// The target of a probe of a server that started at `started`.
+/// A probe of the server with this index that started at `started`, in microseconds since 1970.
 pub(crate) fn probe_target(k: usize, started: u64) -> ProbeTarget {
     let address = address(k);
     let [high, low] = address.port().to_be_bytes();
     ProbeTarget { server: ServerId([127, 0, 0, 1, high, low]), address, started }
 }
 
-/// Servers alternating between the two zones, all ready and warm.
+/// The first `count` servers, alternately in the zones `a` and `b`, all ready and past their slow start.
 pub(crate) fn nodes(count: usize) -> Vec<DiscoveredEndpoint> {
     let zone = |k: usize| ["a", "b"][k % 2].to_owned();
     let entry = |k| DiscoveredEndpoint {
@@ -88,7 +88,7 @@
     (0..count).map(entry).collect()
 }
 
-/// A proxy's first frame.
+/// The first frame of a proxy that has no table yet.
 pub(crate) fn hello(name: &str, zone: &str) -> FromProxy {
     let hello = v1::Hello {
         version: VERSION,
@@ -100,12 +100,12 @@
     FromProxy::new(0, 0, from_proxy::Kind::Hello(hello))
 }
 
-/// The addresses of the first servers.
+/// The addresses of the first `count` servers.
 pub(crate) fn all(count: usize) -> BTreeSet<SocketAddr> {
     (0..count).map(address).collect()
 }
 
-/// The entries, one of them with another state.
+/// Returns the entries after setting the state of the entry with this index.
 pub(crate) fn with_state(
     mut entries: Vec<DiscoveredEndpoint>,
     k: usize,
--- a/crates/stepspur-conductor/tests/common/peer.rs
+++ b/crates/stepspur-conductor/tests/common/peer.rs
@@ -1,4 +1,4 @@
-//! A conductor on loopback, a node list file, and a proxy that follows the protocol.
+//! A conductor on loopback, an endpoint list file, and a proxy that follows the protocol.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -17,33 +17,37 @@
 use super::rules::Rules;
 use super::{address, config, hello, nodes};
 
-pub(crate) const LONG: Duration = Duration::from_secs(10);
+/// How long any step of a test may take.
+pub(crate) const STEP_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A node list file that is removed with the test.
-pub(crate) struct Nodes(pub PathBuf);
+/// An endpoint list file that is removed when dropped.
+pub(crate) struct EndpointListFile(pub PathBuf);
 
-impl Nodes {
+impl EndpointListFile {
+    /// Writes the file, whose name contains that of the test.
     pub(crate) fn new(test: &str, text: &str) -> Self {
         let nodes = Self(std::env::temp_dir().join(format!("stepspur-{test}-{}.toml", std::process::id())));
         nodes.write(text);
         nodes
     }
 
-    /// Replaces the file atomically, as an operator should: a reader sees the old text or the new one.
+    /// Replaces the file atomically, as operators should: a reader sees either the old or the new text.
     pub(crate) fn write(&self, text: &str) {
-        let beside = self.0.with_extension("new");
-        std::fs::write(&beside, text).unwrap();
-        std::fs::rename(&beside, &self.0).unwrap();
+        let temporary = self.0.with_extension("new");
+        std::fs::write(&temporary, text).unwrap();
+        std::fs::rename(&temporary, &self.0).unwrap();
     }
 }
 
-impl Drop for Nodes {
+impl Drop for EndpointListFile {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.0);
     }
 }
 
-pub(crate) fn listed(count: usize, draining: Option<usize>) -> String {
+/// The text of a list of the first `count` servers, alternately in the zones `a` and `b`. They are ready,
+/// except for the one with the index `draining`.
+pub(crate) fn endpoint_list(count: usize, draining: Option<usize>) -> String {
     let state = |k| if Some(k) == draining { "draining" } else { "ready" };
     let node = |k| {
         format!(
@@ -56,41 +60,44 @@
     (0..count).map(node).collect()
 }
 
-pub(crate) async fn start(config: Config, nodes: &Nodes) -> Conductor {
+/// Starts a conductor that polls the file every 10 ms.
+pub(crate) async fn start(config: Config, nodes: &EndpointListFile) -> Conductor {
     let source = FileSource::new(nodes.0.clone(), Duration::from_millis(10));
     Conductor::start(config, Box::new(source)).await.unwrap()
 }
 
-/// A proxy that keeps its table as the protocol says and acknowledges updates.
+/// A proxy that applies updates to its table as the protocol requires, and acknowledges them.
 pub(crate) struct Proxy {
     pub frames: Framed<TcpStream, Frames<FromConductor, FromProxy>>,
     epoch: u64,
-    pub held: BTreeSet<SocketAddr>,
-    /// The rules that check it, and its stream's number there.
-    checked: Option<(Checker, u64)>,
+    /// The servers in the proxy's table.
+    pub table: BTreeSet<SocketAddr>,
+    /// The rules that check the proxy, and the key of its stream there; none if it is not checked.
+    rules: Option<(SharedRules, u64)>,
 }
 
-/// The rules that all proxies of a test share.
-pub(crate) type Checker = Arc<Mutex<Rules>>;
+/// The rules that check all proxies of a test.
+pub(crate) type SharedRules = Arc<Mutex<Rules>>;
 
-/// The rules for servers that are all ready. Sockets run in real time, so the grace periods are ten times as
-/// long.
-pub(crate) fn checker(servers: usize) -> Checker {
-    let mut set = config();
-    for grace in [&mut set.fleet.drain_grace, &mut set.fleet.unserved_max] {
+/// Creates the rules for servers that are all ready. Tests with sockets run in real time, so the grace
+/// periods are ten times as long as in the settings.
+pub(crate) fn rules_for(servers: usize) -> SharedRules {
+    let mut settings = config();
+    for grace in [&mut settings.fleet.drain_grace, &mut settings.fleet.unserved_max] {
         *grace *= 10;
     }
-    let mut rules = Rules::new(&set);
+    let mut rules = Rules::new(&settings);
     rules.truth(now(), &nodes(servers));
     Arc::new(Mutex::new(rules))
 }
 
+/// Microseconds since 1970.
 pub(crate) fn now() -> u64 {
     SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap().as_micros() as u64
 }
 
-/// Waits until no state of an ended stream is left, checks the five rules and stops the conductor.
-pub(crate) async fn close(conductor: Conductor, rules: Checker) {
+/// Waits until no state of ended streams is left, checks the five rules and stops the conductor.
+pub(crate) async fn check_and_stop(conductor: Conductor, rules: SharedRules) {
     let settled = async {
         loop {
             let stats = conductor.stats().await.unwrap();
@@ -100,44 +107,51 @@
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    let stats = timeout(LONG, settled).await.expect("the conductor settles in time");
+    let stats = timeout(STEP_TIMEOUT, settled).await.expect("the conductor settles in time");
     rules.lock().unwrap().end(now(), &stats);
-    timeout(LONG, conductor.stop()).await.expect("every task ends");
+    timeout(STEP_TIMEOUT, conductor.stop()).await.expect("every task ends");
 }
 
 impl Proxy {
+    /// Connects a proxy in zone `a` that no rules check.
     pub(crate) async fn join(conductor: &Conductor, name: &str) -> Self {
         let socket = TcpStream::connect(conductor.address()).await.unwrap();
         let mut frames = Framed::new(socket, Frames::new(1 << 20));
         frames.send(hello(name, "a")).await.unwrap();
-        Self { frames, epoch: 0, held: BTreeSet::new(), checked: None }
+        Self { frames, epoch: 0, table: BTreeSet::new(), rules: None }
     }
 
-    /// Connects a proxy that the rules check until its stream ends.
-    pub(crate) async fn checked(conductor: &Conductor, name: &str, rules: &Checker, key: u64) -> Self {
+    /// Connects a proxy that the rules check until it is dropped. `key` identifies its stream in the rules.
+    pub(crate) async fn join_checked(
+        conductor: &Conductor,
+        name: &str,
+        rules: &SharedRules,
+        key: u64,
+    ) -> Self {
         let mut proxy = Self::join(conductor, name).await;
         rules.lock().unwrap().joined(key, now());
-        proxy.checked = Some((Arc::clone(rules), key));
+        proxy.rules = Some((Arc::clone(rules), key));
         proxy
     }
 
-    /// The next frame; none at the end of the stream.
+    /// Reads the next frame, and applies and acknowledges it if it is an update. Returns none at the end of
+    /// the stream.
     pub(crate) async fn next(&mut self) -> Option<from_conductor::Kind> {
-        let frame = timeout(LONG, self.frames.next()).await.expect("a frame in time")?.ok()?;
+        let frame = timeout(STEP_TIMEOUT, self.frames.next()).await.expect("a frame in time")?.ok()?;
         self.epoch = frame.epoch;
         if let Some(from_conductor::Kind::Order(order)) = &frame.kind {
-            if let Some((rules, key)) = &self.checked {
+            if let Some((rules, key)) = &self.rules {
                 rules.lock().unwrap().order(*key, now(), order);
             }
             if let Some(table) = &order.table {
-                self.held = table.lines.iter().map(|l| address_of(&l.server).unwrap()).collect();
+                self.table = table.lines.iter().map(|l| address_of(&l.server).unwrap()).collect();
             }
             for line in &order.lines {
                 let server = address_of(&line.server).unwrap();
                 if line.weight > 0.0 {
-                    self.held.insert(server)
+                    self.table.insert(server)
                 } else {
-                    self.held.remove(&server)
+                    self.table.remove(&server)
                 };
             }
             if let Some(mark) = order.mark {
@@ -148,25 +162,26 @@
         frame.kind
     }
 
-    pub(crate) async fn until(&mut self, held: impl Fn(&BTreeSet<SocketAddr>) -> bool) {
-        while !held(&self.held) {
+    /// Reads until the condition holds for the proxy's table.
+    pub(crate) async fn read_until(&mut self, condition: impl Fn(&BTreeSet<SocketAddr>) -> bool) {
+        while !condition(&self.table) {
             assert!(self.next().await.is_some(), "the stream ended");
         }
     }
 
-    /// Sends a ping and reads until its token comes back: all earlier updates have been read then.
-    pub(crate) async fn settle(&mut self) {
+    /// Sends a ping and reads until its response: all updates that were sent before it have been read then.
+    pub(crate) async fn read_pending(&mut self) {
         let token = now();
         self.frames.send(FromProxy::new(0, 0, from_proxy::Kind::Ping(v1::Ping { token }))).await.unwrap();
         while self.next().await != Some(from_conductor::Kind::Pong(v1::Pong { token })) {}
     }
 
-    /// Reads to the end of the stream; the reason of the last message.
-    pub(crate) async fn end(&mut self) -> Option<v1::Reason> {
+    /// Reads to the end of the stream. Returns the reason of the go-away message, or none if there was none.
+    pub(crate) async fn read_to_end(&mut self) -> Option<v1::Reason> {
         let mut reason = None;
         while let Some(kind) = self.next().await {
-            if let from_conductor::Kind::Goodbye(goodbye) = kind {
-                reason = Some(goodbye.reason());
+            if let from_conductor::Kind::Goodbye(go_away) = kind {
+                reason = Some(go_away.reason());
             }
         }
         reason
@@ -175,7 +190,7 @@
 
 impl Drop for Proxy {
     fn drop(&mut self) {
-        if let Some((rules, key)) = &self.checked {
+        if let Some((rules, key)) = &self.rules {
             rules.lock().unwrap().left(*key);
         }
     }
--- a/crates/stepspur-conductor/tests/identity/council.rs
+++ b/crates/stepspur-conductor/tests/identity/consensus.rs
@@ -1,4 +1,4 @@
-//! Operators' calls on the consensus group.
+//! Tests of the operators' calls on the consensus group.
 
 use std::time::Duration;
 
@@ -7,13 +7,14 @@
 
 use crate::support::{Keys, call};
 
-/// Only administrators change the consensus group, and every change is in the audit log.
+/// Only administrators may change the consensus group, and every change is recorded in the audit log. A
+/// failure would let an operator of one tenant move the leadership of all.
 #[tokio::test(flavor = "multi_thread")]
-async fn council_calls_need_administrators_and_are_recorded() {
+async fn consensus_calls_require_administrators_and_are_recorded() {
     let keys = Keys::new("council");
-    let mut set = keys.config();
+    let mut settings = keys.config();
     let member = MemberAddress { id: 1, address: ([127, 0, 0, 1], 0).into() };
-    let council = ConsensusConfig {
+    let consensus = ConsensusConfig {
         id: 1,
         state: keys.folder.join("council.redb"),
         conductors: vec![member],
@@ -23,9 +24,9 @@
         disk_stall: Duration::from_secs(5),
         drift_ppm: 1_000,
     };
-    council.bootstrap().unwrap();
-    set.council = Some(council);
-    let conductor = keys.start(set).await;
+    consensus.bootstrap().unwrap();
+    settings.council = Some(consensus);
+    let conductor = keys.start(settings).await;
     let operators = conductor.operators_address().unwrap();
     let call_with = |right, line, body: &'static str| {
         let client = keys.client(None);
@@ -44,15 +45,19 @@
         assert_eq!(call_with(Right::Administer, line, "{\"member\": \"two\"}").await.0, 400, "{line}");
     }
     let add = "POST /v1/council/add";
-    assert_eq!(call_with(Right::Administer, add, "{\"member\": 1}").await.0, 422, "it is a member already");
+    assert_eq!(call_with(Right::Administer, add, "{\"member\": 1}").await.0, 422, "it is already a member");
     assert_eq!(
         call_with(Right::Administer, "POST /v1/council/remove", "{\"member\": 1}").await.0,
         422,
-        "the last"
+        "it is the last member"
     );
     let (status, body) = call_with(Right::Administer, add, "{\"member\": 2}").await;
     assert_eq!((status, body.contains("begun")), (200, true), "{body}");
-    assert_eq!(call_with(Right::Administer, add, "{\"member\": 3}").await.0, 422, "one at a time");
+    assert_eq!(
+        call_with(Right::Administer, add, "{\"member\": 3}").await.0,
+        422,
+        "a change is already in progress"
+    );
     let audit = keys.audit_log();
     for line in ["council add 2", "council remove 1", "council transfer"] {
         assert!(audit.contains(line), "{line}: {audit}");
--- a/crates/stepspur-conductor/tests/identity/join.rs
+++ b/crates/stepspur-conductor/tests/identity/join.rs
@@ -1,4 +1,4 @@
-//! Joins by certificates and tokens, and the end of grants in streams.
+//! Tests of joining by certificates and tokens, and of grants that end during a stream.
 
 use std::time::Duration;
 
@@ -13,28 +13,29 @@
 
 use crate::support::{Join, Keys, Proxy, lifetime, not_allowed, now};
 
-/// A proxy joins its own tenant's engine. All rejections look alike, whatever their reason.
+/// A proxy joins the engine of its own tenant. All rejections have the same reason, text and delay, so that
+/// they do not reveal which credentials are nearly valid.
 #[tokio::test]
-async fn join_with_any_credentials_admits_only_valid_ones_and_rejects_alike() {
+async fn join_admits_only_valid_credentials_and_rejects_all_others_alike() {
     let keys = Keys::new("callers");
     let conductor = keys.start(keys.config()).await;
     let address = conductor.address();
-    let good = |tenant: &str, name: &str| keys.token(tenant, name, Rights::PROXY, 600);
+    let valid_token = |tenant: &str, name: &str| keys.token(tenant, name, Rights::PROXY, 600);
     let uri = Some("stepspur://north/proxy/a/p");
     let none = None::<&str>;
     let empty = Vec::new;
     let no_tables: Rights = [Right::Join, Right::Report].into_iter().collect();
     let cases = [
-        ("a certificate alone", uri, "p", "a", empty(), Join::Bound(6)),
-        ("a token alone", none, "p", "a", good("north", "p"), Join::Bound(6)),
-        ("both", uri, "p", "a", good("north", "p"), Join::Bound(6)),
-        ("the same name of another tenant", none, "p", "a", good("south", "p"), Join::Bound(4)),
-        ("nothing", none, "p", "a", empty(), not_allowed()),
-        ("another's name", uri, "q", "a", empty(), not_allowed()),
+        ("only a certificate", uri, "p", "a", empty(), Join::Admitted(6)),
+        ("only a token", none, "p", "a", valid_token("north", "p"), Join::Admitted(6)),
+        ("certificate and token", uri, "p", "a", valid_token("north", "p"), Join::Admitted(6)),
+        ("the same name of another tenant", none, "p", "a", valid_token("south", "p"), Join::Admitted(4)),
+        ("no credentials", none, "p", "a", empty(), not_allowed()),
+        ("the name of another proxy", uri, "q", "a", empty(), not_allowed()),
         ("a certificate for another zone", uri, "p", "b", empty(), not_allowed()),
-        ("a tenant that is not here", none, "p", "a", good("west", "p"), not_allowed()),
-        ("another tenant's token", uri, "p", "a", good("south", "p"), not_allowed()),
-        ("no right to tables", none, "p", "a", keys.token("north", "p", no_tables, 600), not_allowed()),
+        ("an unknown tenant", none, "p", "a", valid_token("west", "p"), not_allowed()),
+        ("a token of another tenant", uri, "p", "a", valid_token("south", "p"), not_allowed()),
+        ("no right to read tables", none, "p", "a", keys.token("north", "p", no_tables, 600), not_allowed()),
         (
             "no right to join",
             none,
@@ -43,9 +44,16 @@
             keys.token("north", "p", [Right::ReadTables].into_iter().collect(), 600),
             not_allowed(),
         ),
-        ("an operator", Some("stepspur://north/operator/ann"), "ann", "a", empty(), not_allowed()),
-        ("no token", none, "p", "a", b"e30.e30.e30".to_vec(), not_allowed()),
-        ("a name that is none of ours", Some("https://elsewhere/"), "p", "a", empty(), Join::Closed),
+        (
+            "an operator's certificate",
+            Some("stepspur://north/operator/ann"),
+            "ann",
+            "a",
+            empty(),
+            not_allowed(),
+        ),
+        ("an invalid token", none, "p", "a", b"e30.e30.e30".to_vec(), not_allowed()),
+        ("a certificate without a caller", Some("https://elsewhere/"), "p", "a", empty(), Join::Closed),
     ];
     for (what, uri, name, zone, token, expected) in cases {
         let started_at = Instant::now();
@@ -54,13 +62,13 @@
         assert_eq!(end, expected, "{what}");
         assert!(
             !rejected || started_at.elapsed() >= Duration::from_millis(100),
-            "{what}: rejected after the same time"
+            "{what}: rejected before the fixed delay"
         );
     }
     conductor.stop().await;
 }
 
-/// A certificate of an unknown authority, and one that has expired, end at the handshake.
+/// A certificate of an unknown authority, and an expired one, are rejected during the TLS handshake.
 #[tokio::test]
 async fn join_with_untrusted_or_expired_certificate_ends_at_handshake() {
     let keys = Keys::new("untrusted");
@@ -76,25 +84,26 @@
         .authority
         .issue(&Leaf::Caller("stepspur://north/proxy/a/p".into()), now() - 7200, lifetime())
         .unwrap();
-    let late =
+    let expired_client =
         tls::client_config(&[keys.authority.anchor().unwrap()], Some(expired.for_tls().unwrap())).unwrap();
-    assert_eq!(Proxy::join(address, late, "p", "a", Vec::new()).await.0, Join::Closed);
+    assert_eq!(Proxy::join(address, expired_client, "p", "a", Vec::new()).await.0, Join::Closed);
     conductor.stop().await;
 }
 
-/// A grant's end is announced. It is renewed in the stream by a token of the same caller alone.
+/// The expiry of a grant is announced, and a token of the same caller renews the grant within the stream.
+/// Otherwise the stream ends, and a token of a different caller ends it at once.
 #[tokio::test]
-async fn grant_in_stream_ends_unless_its_caller_renews_it() {
+async fn grant_ends_its_stream_unless_its_caller_renews_it() {
     let keys = Keys::new("ends");
     let conductor = keys.start(keys.config()).await;
     let address = conductor.address();
     let token = |name: &str, seconds| keys.token("north", name, Rights::PROXY, seconds);
-    let anyone = || keys.client(None);
-    let (_, proxy) = Proxy::join(address, anyone(), "renews", "a", token("renews", 3)).await;
+    let client = || keys.client(None);
+    let (_, proxy) = Proxy::join(address, client(), "renews", "a", token("renews", 3)).await;
     let mut renews = proxy.unwrap();
-    let (_, proxy) = Proxy::join(address, anyone(), "ends", "a", token("ends", 3)).await;
+    let (_, proxy) = Proxy::join(address, client(), "ends", "a", token("ends", 3)).await;
     let mut ends = proxy.unwrap();
-    let (_, proxy) = Proxy::join(address, anyone(), "cheats", "a", token("cheats", 3)).await;
+    let (_, proxy) = Proxy::join(address, client(), "cheats", "a", token("cheats", 3)).await;
     let mut cheats = proxy.unwrap();
     while !renews.expiring {
         assert!(renews.next().await.is_some());
@@ -107,11 +116,11 @@
     assert!(started_at.elapsed() < Duration::from_secs(4));
     sleep(Duration::from_millis(700)).await;
     renews.ping(7).await;
-    // A token for reading tables and joining alone does not allow reports.
+    // A token that allows only reading tables and joining does not allow reports.
     let quiet: Rights = [Right::ReadTables, Right::Join].into_iter().collect();
     let (end, proxy) =
-        Proxy::join(address, anyone(), "quiet", "a", keys.token("north", "quiet", quiet, 600)).await;
-    assert_eq!(end, Join::Bound(6));
+        Proxy::join(address, client(), "quiet", "a", keys.token("north", "quiet", quiet, 600)).await;
+    assert_eq!(end, Join::Admitted(6));
     let mut quiet = proxy.unwrap();
     quiet.send(from_proxy::Kind::Report(v1::Report { period_us: 1, ..Default::default() })).await;
     assert_eq!(quiet.go_away().await, Some(v1::Reason::NotAllowed));
@@ -122,20 +131,21 @@
     }
 }
 
-/// A table that still waits for the channel when the grant ends is never sent.
+/// A table that is still queued in the channel when the grant ends must not be sent.
 #[tokio::test]
-async fn grant_that_ends_before_table_is_sent_ends_stream_without_it() {
+async fn grant_that_ends_before_table_is_sent_ends_stream_without_the_table() {
     let keys = Keys::new("middle");
-    let mut set = keys.config();
-    set.channel.lines_per_s = 1.0;
-    let conductor = keys.start(set).await;
+    let mut settings = keys.config();
+    settings.channel.lines_per_s = 1.0;
+    let conductor = keys.start(settings).await;
     let token = keys.token("north", "p", Rights::PROXY, 2);
     let (end, _) = Proxy::join(conductor.address(), keys.client(None), "p", "a", token).await;
     assert!(matches!(end, Join::Rejected(v1::Reason::Expired, _)), "{end:?}");
     conductor.stop().await;
 }
 
-/// An intermediate certificate must be valid, and an authority's.
+/// An intermediate certificate must be valid and must be that of an authority. Otherwise any holder of a leaf
+/// certificate could issue certificates for other callers.
 #[tokio::test]
 async fn join_with_invalid_intermediate_certificate_ends_at_handshake() {
     let keys = Keys::new("chain");
@@ -159,9 +169,9 @@
     let mut leaf = CertificateParams::default();
     leaf.subject_alt_names = vec![SanType::URI("stepspur://north/proxy/a/p".try_into().unwrap())];
     for (what, end_year, is_ca, expected) in [
-        ("good", 2100, IsCa::Ca(BasicConstraints::Unconstrained), Join::Bound(6)),
+        ("good", 2100, IsCa::Ca(BasicConstraints::Unconstrained), Join::Admitted(6)),
         ("expired", 2001, IsCa::Ca(BasicConstraints::Unconstrained), Join::Closed),
-        ("no authority", 2100, IsCa::NoCa, Join::Closed),
+        ("not an authority", 2100, IsCa::NoCa, Join::Closed),
     ] {
         let mut params = authority("intermediate");
         params.is_ca = is_ca;
--- a/crates/stepspur-conductor/tests/identity/main.rs
+++ b/crates/stepspur-conductor/tests/identity/main.rs
@@ -1,8 +1,9 @@
-//! Identity at the sockets: certificates, tokens, rights, tenants, rotation of keys, limits of handshakes.
+//! Tests of authentication and authorization through sockets: certificates, tokens, rights, tenants, rotation
+//! of keys, and limits of handshakes.
 
 #[path = "../common/mod.rs"]
 mod common;
-mod council;
+mod consensus;
 mod handshakes;
 mod join;
 mod operators;
--- a/crates/stepspur-conductor/tests/identity/support.rs
+++ b/crates/stepspur-conductor/tests/identity/support.rs
@@ -1,4 +1,4 @@
-//! Keys, a proxy over TLS, and operators' calls.
+//! A folder of keys, a proxy that connects by TLS, and operators' calls.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -27,10 +27,10 @@
 
 use crate::common::{config, hello};
 
-/// No step of a test takes longer.
-pub(crate) const LONG: Duration = Duration::from_secs(20);
+/// How long any step of a test may take.
+pub(crate) const STEP_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Keys, endpoint lists and an audit log in a temporary folder, which is removed at the end of the test.
+/// Keys, endpoint lists and an audit log in a temporary folder that is removed when dropped.
 pub(crate) struct Keys {
     pub(crate) folder: PathBuf,
     pub(crate) manifest: Manifest,
@@ -43,12 +43,14 @@
     SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap().as_secs()
 }
 
-/// The lifetime of certificates.
+/// The lifetime of certificates, and the longest lifetime of tokens.
 pub(crate) fn lifetime() -> Duration {
     Duration::from_secs(3600)
 }
 
 impl Keys {
+    /// Creates a folder with one authority, one signing key, and endpoint lists of the tenants `north` with
+    /// six servers and `south` with four.
     pub(crate) fn new(test: &str) -> Self {
         let folder = std::env::temp_dir().join(format!("stepspur-service-{test}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
@@ -58,16 +60,16 @@
         let mut keys = Self { folder, manifest, authority, signer };
         keys.manifest.rotate(Some(&keys.signer));
         keys.trust("ca-1");
-        for (name, zones) in [("north", 6), ("south", 4)] {
+        for (name, servers) in [("north", 6), ("south", 4)] {
             let node = |k| format!("[[node]]\naddress = \"127.0.0.1:{}\"\nzone = \"a\"\n", 9000 + k);
-            let text: String = (0..zones).map(node).collect();
+            let text: String = (0..servers).map(node).collect();
             std::fs::write(keys.folder.join(format!("{name}.toml")), text).unwrap();
         }
         keys.write();
         keys
     }
 
-    /// Trusts the authority, and lets the server show a certificate of it.
+    /// Adds the present authority to the trusted ones, and issues the server's certificate by it.
     pub(crate) fn trust(&mut self, name: &str) {
         std::fs::write(self.folder.join(format!("{name}.pem")), self.authority.pem()).unwrap();
         let server =
@@ -80,10 +82,12 @@
         self.manifest.server = Some(ServerEntry { certificates, key });
     }
 
+    /// Writes the manifest.
     pub(crate) fn write(&self) {
         write_manifest(&self.folder, &self.manifest).unwrap();
     }
 
+    /// Settings with the tenants `north`, the conductor's own, and `south`, and with the operators' API.
     pub(crate) fn config(&self) -> Config {
         let source = |name: &str| Source::File {
             path: self.folder.join(format!("{name}.toml")),
@@ -107,18 +111,19 @@
             audit: self.folder.join("audit.jsonl"),
         };
         let south = Tenant { fleet: base.fleet.clone(), source: source("south") };
-        let mut set =
+        let mut settings =
             Config { identity: Some(identity), tenants: BTreeMap::from([("south".into(), south)]), ..base };
-        set.listen.plain_on_loopback = false;
-        set.source = source("north");
-        set
+        settings.listen.plain_on_loopback = false;
+        settings.source = source("north");
+        settings
     }
 
-    pub(crate) async fn start(&self, set: Config) -> Conductor {
+    pub(crate) async fn start(&self, settings: Config) -> Conductor {
         let path = self.folder.join("north.toml");
-        Conductor::start(set, Box::new(FileSource::new(path, Duration::from_millis(20)))).await.unwrap()
+        Conductor::start(settings, Box::new(FileSource::new(path, Duration::from_millis(20)))).await.unwrap()
     }
 
+    /// The TLS configuration of a client. It presents a certificate for this URI, or none.
     pub(crate) fn client(&self, uri: Option<&str>) -> Arc<ClientConfig> {
         let own = uri.map(|uri| {
             let issued = self.authority.issue(&Leaf::Caller(uri.into()), now() - 60, lifetime()).unwrap();
@@ -140,6 +145,7 @@
         }
     }
 
+    /// A token that is valid for this number of seconds.
     pub(crate) fn token(&self, tenant: &str, name: &str, rights: Rights, seconds: u64) -> Vec<u8> {
         issue(&self.signer, &self.claims(tenant, name, rights, seconds)).into_bytes()
     }
@@ -155,7 +161,7 @@
     }
 }
 
-/// A TLS connection from an address of loopback.
+/// Opens a TLS connection from this loopback address.
 pub(crate) async fn dial(
     address: SocketAddr,
     from: [u8; 4],
@@ -170,22 +176,25 @@
 /// A proxy that acknowledges updates.
 pub(crate) struct Proxy {
     frames: Framed<TlsStream<TcpStream>, Frames<FromConductor, FromProxy>>,
+    /// The number of lines in the last table.
     lines: usize,
-    /// Whether the end of its grant was announced.
+    /// Whether the expiry of the proxy's grant was announced.
     pub(crate) expiring: bool,
 }
 
-/// How a join ended.
+/// The outcome of a join.
 #[derive(Debug, PartialEq)]
 pub(crate) enum Join {
-    /// The proxy got a table with this number of lines.
-    Bound(usize),
+    /// The proxy received a table with this number of lines.
+    Admitted(usize),
+    /// The proxy received a go-away message with this reason and detail.
     Rejected(v1::Reason, String),
-    /// The handshake failed, or the stream ended without a go-away message.
+    /// The TLS handshake failed, or the stream ended without a go-away message.
     Closed,
 }
 
 impl Proxy {
+    /// Connects from 127.0.0.1 and joins.
     pub(crate) async fn join(
         address: SocketAddr,
         client: Arc<ClientConfig>,
@@ -196,6 +205,7 @@
         Self::join_from(address, [127, 0, 0, 1], client, name, zone, token).await
     }
 
+    /// Connects from a loopback address, joins, and reads until the table or a go-away message.
     pub(crate) async fn join_from(
         address: SocketAddr,
         from: [u8; 4],
@@ -204,7 +214,7 @@
         zone: &str,
         token: Vec<u8>,
     ) -> (Join, Option<Self>) {
-        let Ok(Ok(stream)) = timeout(LONG, dial(address, from, client)).await else {
+        let Ok(Ok(stream)) = timeout(STEP_TIMEOUT, dial(address, from, client)).await else {
             return (Join::Closed, None);
         };
         let mut proxy = Self { frames: Framed::new(stream, Frames::new(1 << 20)), lines: 0, expiring: false };
@@ -218,7 +228,7 @@
         loop {
             match proxy.next().await {
                 Some(from_conductor::Kind::Order(order)) if order.table.is_some() => {
-                    return (Join::Bound(proxy.lines), Some(proxy));
+                    return (Join::Admitted(proxy.lines), Some(proxy));
                 }
                 Some(from_conductor::Kind::Goodbye(go_away)) => {
                     return (Join::Rejected(go_away.reason(), go_away.detail), None);
@@ -233,9 +243,9 @@
         let _ = self.frames.send(FromProxy::new(0, 0, kind)).await;
     }
 
-    /// The next frame; updates are acknowledged.
+    /// Reads the next frame, and acknowledges it if it is an update. Returns none at the end of the stream.
     pub(crate) async fn next(&mut self) -> Option<from_conductor::Kind> {
-        let frame = timeout(LONG, self.frames.next()).await.expect("a frame in time")?.ok()?;
+        let frame = timeout(STEP_TIMEOUT, self.frames.next()).await.expect("a frame in time")?.ok()?;
         self.expiring |= matches!(frame.kind, Some(from_conductor::Kind::Expiring(_)));
         if let Some(from_conductor::Kind::Order(order)) = &frame.kind {
             self.lines = order.table.as_ref().map_or(self.lines, |t| t.lines.len());
@@ -247,14 +257,14 @@
         frame.kind
     }
 
-    /// Sends a ping and reads until its answer: the stream still works.
+    /// Sends a ping and reads until its response, which shows that the stream is still open.
     pub(crate) async fn ping(&mut self, token: u64) {
         self.send(from_proxy::Kind::Ping(v1::Ping { token })).await;
         let pong = from_conductor::Kind::Pong(v1::Pong { token });
         while self.next().await.expect("the stream is open") != pong {}
     }
 
-    /// Reads to the go-away message and returns its reason.
+    /// Reads until the go-away message and returns its reason, or none if the stream ends without one.
     pub(crate) async fn go_away(&mut self) -> Option<v1::Reason> {
         while let Some(kind) = self.next().await {
             if let from_conductor::Kind::Goodbye(go_away) = kind {
@@ -265,12 +275,13 @@
     }
 }
 
-/// A rejection that gives no reason.
+/// The rejection that does not reveal its reason.
 pub(crate) fn not_allowed() -> Join {
     Join::Rejected(v1::Reason::NotAllowed, "not allowed".into())
 }
 
-/// An operator's call over HTTPS. Returns the answer's status and body.
+/// Makes an operator's call over HTTPS. `line` is the method and the path. Returns the status and the body of
+/// the response.
 pub(crate) async fn call(
     address: SocketAddr,
     client: Arc<ClientConfig>,
@@ -285,9 +296,9 @@
         "{line} HTTP/1.1\r\nhost: x\r\nconnection: close\r\nauthorization: Bearer {token}\r\ncontent-length: {length}\r\n\r\n{body}"
     );
     stream.write_all(request.as_bytes()).await.unwrap();
-    let mut answer = Vec::new();
-    let _ = timeout(LONG, stream.read_to_end(&mut answer)).await.unwrap();
-    let answer = String::from_utf8_lossy(&answer).into_owned();
-    let status = answer.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0);
-    (status, answer.split("\r\n\r\n").nth(1).unwrap_or_default().to_owned())
+    let mut response = Vec::new();
+    let _ = timeout(STEP_TIMEOUT, stream.read_to_end(&mut response)).await.unwrap();
+    let response = String::from_utf8_lossy(&response).into_owned();
+    let status = response.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0);
+    (status, response.split("\r\n\r\n").nth(1).unwrap_or_default().to_owned())
 }
