--- a/crates/stepspur-conductor/src/http.rs
+++ b/crates/stepspur-conductor/src/http.rs
@@ -1,5 +1,5 @@
-//! An HTTP client that uses a new connection for each request. It serves health checks, endpoint lists and
-//! requests of the status page.
+//! An HTTP client that uses a new connection for each request. It is used for health checks, endpoint lists
+//! and reads of the status page.
 
 use std::io;
 use std::net::SocketAddr;
--- a/crates/stepspur-conductor/src/service/audit.rs
+++ b/crates/stepspur-conductor/src/service/audit.rs
@@ -59,7 +59,7 @@
 struct WriteRequest {
     entry: AuditEntry,
     /// Receives true once the entry is synced to disk, or false if the write fails. None for rejected calls,
-    /// which nobody waits for.
+    /// whose callers do not wait.
     written: Option<oneshot::Sender<bool>>,
 }
 
--- a/crates/stepspur-conductor/src/service/distribution/apply.rs
+++ b/crates/stepspur-conductor/src/service/distribution/apply.rs
@@ -148,6 +148,7 @@
         others.map(|(_, applied)| applied.setting).reduce(stricter)
     }
 
+    /// Executes an operation at the engine, within [`ENGINE_TIMEOUT`].
     async fn operate(&self, operation: Operation) -> Result<(), ApplyError> {
         let executed = timeout(ENGINE_TIMEOUT, self.engine.operate(operation)).await;
         Ok(executed.map_err(|_| ApplyError::Timeout)??)
@@ -190,6 +191,10 @@
     Operation::Override { server, state, on }
 }
 
+/// The state that a server is overridden with.
+///
+/// # Errors
+/// The setting is a level, which applies only to classes.
 fn override_state(setting: Setting) -> Result<OverrideState, ApplyError> {
     match setting {
         Setting::Draining => Ok(OverrideState::Draining),
--- a/crates/stepspur-conductor/src/service/distribution/consensus_member.rs
+++ b/crates/stepspur-conductor/src/service/distribution/consensus_member.rs
@@ -23,7 +23,7 @@
     /// Starts the member if the settings name a consensus group. `seed` seeds its random numbers.
     ///
     /// # Errors
-    /// [`StartError::Council`] if the member cannot start.
+    /// [`StartError::Consensus`] if the member cannot start.
     pub(in crate::service) async fn start(config: &Config, seed: u64) -> Result<Self, StartError> {
         let Some(consensus) = &config.council else { return Ok(Self::default()) };
         if config.distribution.as_ref().is_some_and(|distribution| distribution.control.is_some()) {
--- a/crates/stepspur-conductor/src/service/distribution/mod.rs
+++ b/crates/stepspur-conductor/src/service/distribution/mod.rs
@@ -146,6 +146,7 @@
     }
 }
 
+/// Starts the control member, with the address and region that the settings list for it.
 async fn start_control(
     config: &ControlConfig,
     replication: &ReplicationClient,
@@ -166,6 +167,7 @@
     Ok(Control::start(settings, replication.clone(), network).await?)
 }
 
+/// Starts the subscriber, which applies documents to the engines.
 async fn start_subscriber(
     config: &SubscriberConfig,
     engines: Arc<TenantEngines>,
--- a/crates/stepspur-conductor/src/service/engine_task.rs
+++ b/crates/stepspur-conductor/src/service/engine_task.rs
@@ -93,6 +93,7 @@
         }
     }
 
+    /// Handles a command at time `now`.
     fn handle(&mut self, now: Micros, command: EngineCommand) {
         match command {
             EngineCommand::Input(input) => self.handle_input(now, input),
@@ -122,6 +123,7 @@
         self.engine.handle(now, input);
     }
 
+    /// Executes an output of the engine. It never waits for a full queue.
     fn execute(&mut self, output: Output) {
         match output {
             Output::Send { stream, frame } => {
@@ -158,12 +160,14 @@
         self.engine.handle(self.clock.now(), Input::StreamEnded { stream });
     }
 
+    /// Requests the endpoint list from the source, or drops the request if the source's queue is full.
     fn request_endpoints(&self, request: DiscoveryRequest) {
         if self.outputs.discovery.try_send(request).is_err() {
             tracing::warn!(event = "discovery_request_dropped", ask = ?request, cause = "queue is full");
         }
     }
 
+    /// Writes a log event, unless it is subject to the rate limit and the limit is reached.
     fn log(&mut self, event: LogEvent) {
         let now = self.clock.now();
         if !event.is_rate_limited() || self.rate_limiter.allow(now) {
@@ -171,6 +175,7 @@
         }
     }
 
+    /// Queues a go-away message as the last message of every stream.
     fn queue_go_away(&self) {
         let go_away = self.engine.go_away_frame(Reason::Stopping, "the conductor stops");
         for handle in self.streams.values() {
--- a/crates/stepspur-conductor/src/service/error.rs
+++ b/crates/stepspur-conductor/src/service/error.rs
@@ -32,7 +32,7 @@
     },
     /// The consensus member cannot start. The message begins with the name of its settings.
     #[error("council: {0}")]
-    Council(#[from] stepspur_consensus_node::StartError),
+    Consensus(#[from] stepspur_consensus_node::StartError),
     /// The control member of the configuration distribution cannot start.
     #[error("distribution.control: {0}")]
     Control(#[from] ControlStartError),
--- a/crates/stepspur-conductor/src/service/identity.rs
+++ b/crates/stepspur-conductor/src/service/identity.rs
@@ -97,6 +97,7 @@
         Ok(Arc::new(Self { settings, token_policy, active_keys, handshakes, audit_log }))
     }
 
+    /// Locks the limiter, even if a task has panicked while it held the lock.
     fn handshakes(&self) -> MutexGuard<'_, HandshakeLimiter> {
         self.handshakes.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -200,6 +201,7 @@
         Grant::new(certificate, token, &keys.keys)
     }
 
+    /// Verifies a token; none if `credentials` are empty. An invalid token is logged.
     fn verify_token(&self, credentials: &[u8], keys: &KeySet) -> Result<Option<VerifiedToken>, Denied> {
         if credentials.is_empty() {
             return Ok(None);
--- a/crates/stepspur-conductor/src/service/operator/configuration.rs
+++ b/crates/stepspur-conductor/src/service/operator/configuration.rs
@@ -148,6 +148,10 @@
     Ok(call.record_and_respond(change, outcome).await)
 }
 
+/// The control member.
+///
+/// # Errors
+/// [`CallError::NoControlMember`].
 fn control(call: &AuthorizedCall) -> Result<&Control, CallError> {
     call.api.distribution.control.as_deref().ok_or(CallError::NoControlMember)
 }
--- a/crates/stepspur-conductor/src/service/operator/consensus.rs
+++ b/crates/stepspur-conductor/src/service/operator/consensus.rs
@@ -56,6 +56,10 @@
     Ok(call.record_and_respond(format!("council remove {member}"), outcome(result)).await)
 }
 
+/// The consensus node.
+///
+/// # Errors
+/// [`CallError::NoConsensusMember`].
 fn node(call: &AuthorizedCall) -> Result<&NodeHandle, CallError> {
     call.api.consensus_node.as_deref().ok_or(CallError::NoConsensusMember)
 }
@@ -75,7 +79,7 @@
     }
 }
 
-/// The leader's id as text, or a text that states that the leader is unknown.
+/// The leader's id as text, or a text that states that no leader is known.
 pub(super) fn leader_name(leader: Option<u64>) -> String {
     leader.map_or("nobody that it knows of".to_owned(), |member| member.to_string())
 }
--- a/crates/stepspur-conductor/src/service/operator/server.rs
+++ b/crates/stepspur-conductor/src/service/operator/server.rs
@@ -54,6 +54,8 @@
         }
     }
 
+    /// Performs the handshake and serves calls until the connection ends. When the conductor stops, the call
+    /// in progress is completed.
     async fn serve(self, socket: TcpStream, peer: std::net::SocketAddr, handshake: HandshakeGuard) {
         let accepted = tokio::select! {
             accepted = self.identity.accept_tls(socket) => accepted,
--- a/crates/stepspur-conductor/src/service/prober.rs
+++ b/crates/stepspur-conductor/src/service/prober.rs
@@ -68,6 +68,7 @@
     }
 }
 
+/// Sends a health check and classifies its result. The load report is parsed only from a successful response.
 async fn probe(config: &Config, parse_load_report: LoadReportParser, target: ProbeTarget) -> Input {
     let sent_at = Instant::now();
     let path = &config.probes.path;
--- a/crates/stepspur-conductor/src/service/session/mod.rs
+++ b/crates/stepspur-conductor/src/service/session/mod.rs
@@ -138,6 +138,7 @@
         self.exchange(reader, write, hello, admitted).await;
     }
 
+    /// Waits for the first frame, within the hello timeout. Errors are logged.
     async fn first_message<R: AsyncRead + Unpin>(&self, reader: &mut FrameReader<R>) -> FirstMessage {
         let (epoch, stream) = (self.context.epoch, self.stream.0);
         let received = tokio::select! {
@@ -183,7 +184,7 @@
             return None;
         }
         let Some(engine) = self.context.engines.get(&grant.caller().tenant).cloned() else {
-            identity.record_rejection(&grant, self.peer, "join", Denied::Name);
+            identity.record_rejection(&grant, self.peer, "join", Denied::NameOrZone);
             return None;
         };
         handshake.authenticated();
--- a/crates/stepspur-conductor/src/service/session/reader.rs
+++ b/crates/stepspur-conductor/src/service/session/reader.rs
@@ -20,8 +20,8 @@
 use super::FrameReader;
 use crate::engine::{Input, StreamId};
 
-/// The interval at which a grant is checked in addition to every frame. A timer for the grant's end would not
-/// do, because the system clock may jump.
+/// The interval at which a grant is checked in addition to every frame. A timer for the grant's end would
+/// be wrong after a jump of the system clock.
 const GRANT_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Why the conductor must end a stream.
--- a/crates/stepspur-conductor/src/service/session/writer.rs
+++ b/crates/stepspur-conductor/src/service/session/writer.rs
@@ -97,6 +97,7 @@
         Some(BatchKind::Open)
     }
 
+    /// Appends a message to the batch. Returns whether it is the last one of the stream.
     fn append(&mut self, message: OutboundMessage) -> BatchKind {
         match message {
             OutboundMessage::Frame(frame) => {
--- a/crates/stepspur-conductor/src/service/start.rs
+++ b/crates/stepspur-conductor/src/service/start.rs
@@ -19,7 +19,7 @@
 use super::identity::Identity;
 use super::operator::{OperatorApi, OperatorServer};
 use super::session::SessionContext;
-use super::status::StatusSnapshot;
+use super::status::StatusHandles;
 use super::supervisor::Supervisor;
 use super::{prober, status};
 use crate::config::Config;
@@ -138,6 +138,7 @@
         Arc::new(engines)
     }
 
+    /// Starts an engine and its tasks for one tenant.
     fn start_engine(&mut self, config: Config, source: Box<dyn ServiceDiscovery>) -> EngineHandle {
         let tasks = EngineTasks {
             settings: config.settings(),
@@ -169,12 +170,12 @@
     }
 
     fn start_status_page(&self, bound: BoundListener, parts: &Parts) {
-        let snapshot = StatusSnapshot {
+        let handles = StatusHandles {
             engine: parts.engine.clone(),
             consensus_node: parts.consensus_node.clone(),
             distribution: parts.distribution.view(),
         };
-        let serve = status::run(bound.listener, snapshot, self.supervisor.shutdown.stop.clone());
+        let serve = status::run(bound.listener, handles, self.supervisor.shutdown.stop.clone());
         self.supervisor.spawn(TaskName::StatusPage, serve);
     }
 
--- a/crates/stepspur-conductor/src/service/status.rs
+++ b/crates/stepspur-conductor/src/service/status.rs
@@ -25,7 +25,7 @@
 
 /// The handles from which the status page reads.
 #[derive(Clone)]
-pub(super) struct StatusSnapshot {
+pub(super) struct StatusHandles {
     pub(super) engine: EngineHandle,
     /// None if the conductor is not a member of a consensus group.
     pub(super) consensus_node: Option<Arc<NodeHandle>>,
@@ -42,12 +42,12 @@
 }
 
 /// Serves the status page until `stop` is cancelled.
-pub(super) async fn run(listener: TcpListener, snapshot: StatusSnapshot, stop: CancellationToken) {
+pub(super) async fn run(listener: TcpListener, handles: StatusHandles, stop: CancellationToken) {
     let router = Router::new()
         .route("/v1/status", get(status))
         .route("/v1/council", get(consensus_status))
         .route("/v1/distribution", get(distribution))
-        .with_state(snapshot);
+        .with_state(handles);
     let serve = axum::serve(listener, router).with_graceful_shutdown(stop.clone().cancelled_owned());
     let grace_is_over = async {
         stop.cancelled().await;
@@ -69,20 +69,16 @@
     Some(ConductorStatus { counters, distribution: distribution.status() })
 }
 
-async fn status(State(snapshot): State<StatusSnapshot>) -> Result<Json<ConductorStatus>, StatusCode> {
-    let status = conductor_status(&snapshot.engine, &snapshot.distribution).await;
+async fn status(State(handles): State<StatusHandles>) -> Result<Json<ConductorStatus>, StatusCode> {
+    let status = conductor_status(&handles.engine, &handles.distribution).await;
     status.map(Json).ok_or(StatusCode::SERVICE_UNAVAILABLE)
 }
 
-async fn consensus_status(
-    State(snapshot): State<StatusSnapshot>,
-) -> Result<Json<ConsensusStatus>, StatusCode> {
-    let node = snapshot.consensus_node.ok_or(StatusCode::NOT_FOUND)?;
+async fn consensus_status(State(handles): State<StatusHandles>) -> Result<Json<ConsensusStatus>, StatusCode> {
+    let node = handles.consensus_node.ok_or(StatusCode::NOT_FOUND)?;
     node.status().await.map(Json).map_err(|_| StatusCode::SERVICE_UNAVAILABLE)
 }
 
-async fn distribution(
-    State(snapshot): State<StatusSnapshot>,
-) -> Result<Json<DistributionStatus>, StatusCode> {
-    snapshot.distribution.status().map(Json).ok_or(StatusCode::NOT_FOUND)
+async fn distribution(State(handles): State<StatusHandles>) -> Result<Json<DistributionStatus>, StatusCode> {
+    handles.distribution.status().map(Json).ok_or(StatusCode::NOT_FOUND)
 }
--- a/crates/stepspur-conductor/src/source/file.rs
+++ b/crates/stepspur-conductor/src/source/file.rs
@@ -85,6 +85,7 @@
         Self { path, poll_interval }
     }
 
+    /// Serves requests, and polls the file while a watch or a request is active.
     async fn serve(self, mut feed: EndpointFeed) {
         let mut state = PollState::default();
         loop {
@@ -139,6 +140,7 @@
     }
 }
 
+/// Parses the entries, and checks their number against the stated one.
 fn parse(text: &str) -> Result<Vec<EndpointRecord>, FileFault> {
     let file: EndpointFile = toml::from_str(text)?;
     let listed = file.node.len();
--- a/crates/stepspur-conductor/tests/faults_service.rs
+++ b/crates/stepspur-conductor/tests/faults_service.rs
@@ -110,8 +110,8 @@
     check_and_stop(conductor, rules).await;
 }
 
-/// The file becomes empty, invalid TOML, a list with an unknown zone, or is deleted. The previous list stays
-/// in use, and the next valid text takes effect.
+/// The file becomes empty, NUL bytes, invalid TOML, a list with an unknown zone, or is deleted. The previous
+/// list stays in use, and the next valid text takes effect.
 #[tokio::test]
 async fn invalid_or_deleted_file_does_not_change_the_list() {
     let (file, conductor, rules, mut proxy) = start_with_proxy("nonsense", config(), 4).await;
--- a/crates/stepspur-conductor/tests/identity/handshakes.rs
+++ b/crates/stepspur-conductor/tests/identity/handshakes.rs
@@ -37,9 +37,9 @@
     sleep(Duration::from_millis(200)).await;
     let rejoin = async {
         for k in 0..20 {
-            let (end, _) =
+            let (outcome, _) =
                 Proxy::join_from(address, known, keys.client(None), &format!("p{k}"), "a", token(k)).await;
-            assert_eq!(end, Join::Admitted(6));
+            assert_eq!(outcome, Join::Admitted(6));
         }
     };
     timeout(STEP_TIMEOUT, rejoin).await.expect("known proxies rejoin");
--- a/crates/stepspur-conductor/tests/identity/join.rs
+++ b/crates/stepspur-conductor/tests/identity/join.rs
@@ -57,9 +57,9 @@
     ];
     for (what, uri, name, zone, token, expected) in cases {
         let started_at = Instant::now();
-        let (end, _held) = Proxy::join(address, keys.client(uri), name, zone, token).await;
-        let rejected = end == not_allowed();
-        assert_eq!(end, expected, "{what}");
+        let (outcome, _proxy) = Proxy::join(address, keys.client(uri), name, zone, token).await;
+        let rejected = outcome == not_allowed();
+        assert_eq!(outcome, expected, "{what}");
         assert!(
             !rejected || started_at.elapsed() >= Duration::from_millis(100),
             "{what}: rejected before the fixed delay"
@@ -118,9 +118,9 @@
     renews.ping(7).await;
     // A token that allows only reading tables and joining does not allow reports.
     let quiet: Rights = [Right::ReadTables, Right::Join].into_iter().collect();
-    let (end, proxy) =
+    let (outcome, proxy) =
         Proxy::join(address, client(), "quiet", "a", keys.token("north", "quiet", quiet, 600)).await;
-    assert_eq!(end, Join::Admitted(6));
+    assert_eq!(outcome, Join::Admitted(6));
     let mut quiet = proxy.unwrap();
     quiet.send(from_proxy::Kind::Report(v1::Report { period_us: 1, ..Default::default() })).await;
     assert_eq!(quiet.go_away().await, Some(v1::Reason::NotAllowed));
@@ -139,8 +139,8 @@
     settings.channel.lines_per_s = 1.0;
     let conductor = keys.start(settings).await;
     let token = keys.token("north", "p", Rights::PROXY, 2);
-    let (end, _) = Proxy::join(conductor.address(), keys.client(None), "p", "a", token).await;
-    assert!(matches!(end, Join::Rejected(v1::Reason::Expired, _)), "{end:?}");
+    let (outcome, _) = Proxy::join(conductor.address(), keys.client(None), "p", "a", token).await;
+    assert!(matches!(outcome, Join::Rejected(v1::Reason::Expired, _)), "{outcome:?}");
     conductor.stop().await;
 }
 
--- a/crates/stepspur-conductor/tests/identity/operators.rs
+++ b/crates/stepspur-conductor/tests/identity/operators.rs
@@ -47,9 +47,9 @@
         let token = keys.token(tenant, "p", Rights::PROXY, 600);
         Proxy::join(conductor.address(), keys.client(None), "p", "a", token)
     };
-    let (north_end, north) = join("north").await;
-    let (south_end, south) = join("south").await;
-    assert_eq!((north_end, south_end), (Join::Admitted(6), Join::Admitted(4)));
+    let (north_outcome, north) = join("north").await;
+    let (south_outcome, south) = join("south").await;
+    assert_eq!((north_outcome, south_outcome), (Join::Admitted(6), Join::Admitted(4)));
     call_with_each_right(&keys, operators).await;
     assert_eq!(call(operators, keys.client(None), b"", CALLS[0].0, "").await.0, 403);
     assert_change_reaches(&mut north.unwrap()).await;
@@ -68,9 +68,9 @@
     for right in Right::ALL {
         let token = keys.token("north", "olga", [right].into_iter().collect(), 600);
         for (line, body, required) in CALLS {
-            let (status, answer) = call(operators, keys.client(None), &token, line, body).await;
-            assert_eq!(status, if right == required { 200 } else { 403 }, "{right:?} {line}: {answer}");
-            assert!(right == required || answer == "{\"result\":\"not allowed\"}", "{answer}");
+            let (status, response) = call(operators, keys.client(None), &token, line, body).await;
+            assert_eq!(status, if right == required { 200 } else { 403 }, "{right:?} {line}: {response}");
+            assert!(right == required || response == "{\"result\":\"not allowed\"}", "{response}");
         }
     }
 }
@@ -150,9 +150,9 @@
         std::io::Read::read_exact(&mut pipe, &mut log).unwrap();
         std::io::BufRead::read_line(&mut std::io::BufReader::new(pipe), &mut String::new()).unwrap()
     });
-    let (status, answer) = timeout(STEP_TIMEOUT, called).await.unwrap().unwrap();
+    let (status, response) = timeout(STEP_TIMEOUT, called).await.unwrap().unwrap();
     // A pipe cannot be synced, so the response states that the change is done but could not be recorded.
-    assert_eq!((status, answer.contains("done")), (507, true), "{answer}");
+    assert_eq!((status, response.contains("done")), (507, true), "{response}");
     assert!(timeout(STEP_TIMEOUT, read).await.unwrap().unwrap() > 0);
     timeout(STEP_TIMEOUT, stopping).await.expect("the conductor stops").unwrap();
 }
--- a/crates/stepspur-conductor/tests/identity/rotation.rs
+++ b/crates/stepspur-conductor/tests/identity/rotation.rs
@@ -31,8 +31,8 @@
     for k in 0..STREAMS {
         let name = format!("p{k}");
         let token = keys.token("north", &name, Rights::PROXY, 600);
-        let (end, proxy) = Proxy::join(address, keys.client(None), &name, "a", token).await;
-        assert_eq!(end, Join::Admitted(6));
+        let (outcome, proxy) = Proxy::join(address, keys.client(None), &name, "a", token).await;
+        assert_eq!(outcome, Join::Admitted(6));
         proxies.push(proxy.unwrap());
     }
     proxies.into_iter().map(|proxy| tokio::spawn(ping_until_end(proxy))).collect()
@@ -84,8 +84,8 @@
     keys.manifest.anchor[0].state = KeyState::Retiring;
     keys.trust("ca-2");
     break_manifest(&keys).await;
-    let (end, _proxy) = Proxy::join(address, old_client, "old", "a", Vec::new()).await;
-    assert_eq!(end, Join::Admitted(6), "the old set stays in use");
+    let (outcome, _proxy) = Proxy::join(address, old_client, "old", "a", Vec::new()).await;
+    assert_eq!(outcome, Join::Admitted(6), "the old set stays in use");
     // A new signing key: next, then active.
     let new_signer = Signer::new(KeyId::try_from("k2".to_owned()).unwrap());
     keys.manifest.rotate(Some(&new_signer));
@@ -104,8 +104,8 @@
     sleep(Duration::from_millis(300)).await;
     let new_token = keys.token("north", "t-new", Rights::PROXY, 600);
     for (name, token) in [("t-old", old_token.clone()), ("t-new", new_token)] {
-        let (end, _) = Proxy::join(address, keys.client(None), name, "a", token).await;
-        assert_eq!(end, Join::Admitted(6), "{name}");
+        let (outcome, _) = Proxy::join(address, keys.client(None), name, "a", token).await;
+        assert_eq!(outcome, Join::Admitted(6), "{name}");
     }
     // A client of the retiring authority that trusts the new one; its certificate is still valid.
     let uri = "stepspur://north/proxy/a/old";
--- a/crates/stepspur-conductor/tests/service.rs
+++ b/crates/stepspur-conductor/tests/service.rs
@@ -79,9 +79,9 @@
     // The first four bytes state a length of 1,024 bytes: too large for a first frame, but not for later
     // ones.
     unknown_peer.write_all(&[0, 0, 4, 0, 1]).await.unwrap();
-    let mut answer = Vec::new();
-    timeout(STEP_TIMEOUT, unknown_peer.read_to_end(&mut answer)).await.unwrap().unwrap();
-    assert!(answer.len() > 4);
+    let mut response = Vec::new();
+    timeout(STEP_TIMEOUT, unknown_peer.read_to_end(&mut response)).await.unwrap().unwrap();
+    assert!(response.len() > 4);
     nodes.write(&endpoint_list(4, Some(0)));
     good.read_until(|table| table.len() == 3).await;
     conductor.stop().await;
@@ -204,9 +204,9 @@
     let mut unknown_peer = TcpStream::connect(conductor.address()).await.unwrap();
     let ends = Ends::of(&unknown_peer);
     unknown_peer.write_all(&flood).await.unwrap();
-    let mut answer = Vec::new();
-    timeout(STEP_TIMEOUT, unknown_peer.read_to_end(&mut answer)).await.unwrap().unwrap();
-    assert!(answer.len() > 4);
+    let mut response = Vec::new();
+    timeout(STEP_TIMEOUT, unknown_peer.read_to_end(&mut response)).await.unwrap().unwrap();
+    assert!(response.len() > 4);
     unknown_peer.shutdown().await.unwrap();
     ends.closed_in_order(&unknown_peer).await;
     let mut joined = Proxy::join(&conductor, "p").await;
--- a/crates/stepspur-identity/src/cert.rs
+++ b/crates/stepspur-identity/src/cert.rs
@@ -64,7 +64,7 @@
     Malformed,
     /// The certificate has no URI of the required form, or more than one.
     #[error("the certificate must have exactly one valid `stepspur://` URI")]
-    Name,
+    CallerUri,
 }
 
 /// Reads the caller from a DER-encoded certificate.
@@ -74,15 +74,15 @@
 pub fn parse_caller(der: &[u8]) -> Result<CertCaller, CertError> {
     let (_, certificate) = x509_parser::parse_x509_certificate(der).map_err(|_| CertError::Malformed)?;
     let uris = caller_uris(&certificate);
-    let [uri] = uris[..] else { return Err(CertError::Name) };
+    let [uri] = uris[..] else { return Err(CertError::CallerUri) };
     let parts: Vec<&str> = uri.split('/').collect();
     if !parts.iter().all(|part| is_valid_part(part)) {
-        return Err(CertError::Name);
+        return Err(CertError::CallerUri);
     }
     let (tenant, role) = match parts[..] {
         [tenant, "proxy", zone, name] => (tenant, Role::Proxy { zone: zone.into(), name: name.into() }),
         [tenant, "operator", name] => (tenant, Role::Operator { name: name.into() }),
-        _ => return Err(CertError::Name),
+        _ => return Err(CertError::CallerUri),
     };
     let expires_at_s = u64::try_from(certificate.validity().not_after.timestamp()).unwrap_or(0);
     Ok(CertCaller {
--- a/crates/stepspur-identity/src/grant.rs
+++ b/crates/stepspur-identity/src/grant.rs
@@ -53,7 +53,7 @@
     MissingRight,
     /// The name, zone or tenant is not that of the caller.
     #[error("another's name or zone")]
-    Name,
+    NameOrZone,
     /// The credentials have expired.
     #[error("the grant has ended")]
     Expired,
@@ -111,6 +111,8 @@
         if grant.is_revoked(keys) { Err(Denied::Revoked) } else { Ok(grant) }
     }
 
+    /// The grant of a certificate. A proxy has the rights [`Rights::PROXY`]; the rights of an operator are
+    /// listed in the manifest.
     fn from_certificate(certificate: CertCaller, keys: &KeySet) -> Self {
         let caller = match certificate.role {
             Role::Proxy { zone, name } => {
@@ -174,13 +176,14 @@
     /// Checks that the caller may join now as the proxy of this name in this zone.
     ///
     /// # Errors
-    /// The errors of [`Grant::may`], and [`Denied::Name`].
+    /// The errors of [`Grant::may`], and [`Denied::NameOrZone`].
     pub fn may_join(&self, name: &str, zone: &str, now: Micros) -> Result<(), Denied> {
         self.may(Right::Join, now)?;
         let zone_matches = self.caller.zone.as_ref().is_none_or(|own| own == zone);
-        if self.caller.name == name && zone_matches { Ok(()) } else { Err(Denied::Name) }
+        if self.caller.name == name && zone_matches { Ok(()) } else { Err(Denied::NameOrZone) }
     }
 
+    /// Whether the signing key is no longer accepted or the certificate's serial number is revoked.
     fn is_revoked(&self, keys: &KeySet) -> bool {
         let Credentials { signing_key, certificate_serial } = &self.credentials;
         let key_revoked = signing_key.as_ref().is_some_and(|id| keys.accepted_key(id).is_none());
--- a/crates/stepspur-identity/src/handshake_limiter.rs
+++ b/crates/stepspur-identity/src/handshake_limiter.rs
@@ -111,11 +111,14 @@
         Ok(HandshakePermit { source, known })
     }
 
+    /// Whether the source authenticated within the last `known_for`.
     fn is_known(&self, source: IpAddr, now: Micros) -> bool {
         let known_since = now.saturating_sub(self.limits.known_for);
         self.authenticated_at.get(&source).is_some_and(|at| *at >= known_since)
     }
 
+    /// Counts a handshake from an unknown source, if an unreserved permit is free and the source is below its
+    /// limit.
     fn begin_unknown(&mut self, source: IpAddr) -> Result<(), HandshakeRejected> {
         let unreserved = self.limits.max_handshakes.saturating_sub(self.limits.reserved_for_known);
         if self.in_progress.unknown >= unreserved {
--- a/crates/stepspur-identity/src/keys/key_set.rs
+++ b/crates/stepspur-identity/src/keys/key_set.rs
@@ -113,6 +113,7 @@
     }
 }
 
+/// Decodes the signing keys, whose ids must be unique.
 fn signing_keys(manifest: &Manifest) -> Result<BTreeMap<KeyId, SigningKeyEntry>, KeyFault> {
     let mut keys = BTreeMap::new();
     for entry in &manifest.signing {
@@ -173,6 +174,7 @@
     }
 }
 
+/// Reads the certificates of a PEM file, which must have at least one.
 fn load_certificates(path: &Path) -> Result<Vec<CertificateDer<'static>>, KeyError> {
     let pem_error =
         |error: rustls::pki_types::pem::Error| KeyError::new(path, KeyFault::Pem(error.to_string()));
--- a/crates/stepspur-identity/src/tls.rs
+++ b/crates/stepspur-identity/src/tls.rs
@@ -53,6 +53,7 @@
     Ok(Arc::new(config))
 }
 
+/// The verifier of client certificates against the trusted authorities.
 fn client_verifier(
     keys: &KeySet,
     clients: ClientCertificates,
@@ -96,6 +97,7 @@
     Ok(Arc::new(config))
 }
 
+/// The cryptography of TLS, passed explicitly so that no process-wide default is required.
 fn crypto_provider() -> Arc<CryptoProvider> {
     Arc::new(rustls::crypto::ring::default_provider())
 }
--- a/crates/stepspur-identity/tests/cert.rs
+++ b/crates/stepspur-identity/tests/cert.rs
@@ -36,7 +36,7 @@
         &["https://elsewhere/"],
         &[],
     ] {
-        assert_eq!(cert::parse_caller(&certificate_with_uris(uris)), Err(CertError::Name), "{uris:?}");
+        assert_eq!(cert::parse_caller(&certificate_with_uris(uris)), Err(CertError::CallerUri), "{uris:?}");
     }
     assert_eq!(cert::parse_caller(b"no certificate"), Err(CertError::Malformed));
 }
--- a/crates/stepspur-identity/tests/grant.rs
+++ b/crates/stepspur-identity/tests/grant.rs
@@ -75,8 +75,8 @@
     let issuer = Issuer::new("grant-join");
     let both = issuer.grant_of_both(|_| {}).unwrap();
     assert_eq!(both.may_join("p-1", "a", NOW), Ok(()));
-    assert_eq!(both.may_join("p-2", "a", NOW), Err(Denied::Name));
-    assert_eq!(both.may_join("p-1", "b", NOW), Err(Denied::Name), "a certificate for another zone");
+    assert_eq!(both.may_join("p-2", "a", NOW), Err(Denied::NameOrZone));
+    assert_eq!(both.may_join("p-1", "b", NOW), Err(Denied::NameOrZone), "a certificate for another zone");
     let reader = issuer.grant_of_both(|claims| claims.rights = only(Right::ReadStatus)).unwrap();
     assert_eq!(reader.may_join("p-1", "a", NOW), Err(Denied::MissingRight));
 }
