--- a/crates/stepspur-cli/src/bench/bare_writes.rs
+++ b/crates/stepspur-cli/src/bench/bare_writes.rs
@@ -1,4 +1,4 @@
-//! The bare limit of the machine: a process whose tasks, one a socket, write a drain's bytes and read the answers.
+//! The baseline: a process whose tasks, one per socket, write the bytes of a drain's order and read the answers.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::process::Stdio;
@@ -19,57 +19,57 @@
 
 use super::settings::BenchArgs;
 use super::stream::follow;
-use super::times::Times;
-use super::{LARGEST_PLAIN_FRAME, OBSERVATIONS_WAITING_MOST, PATIENCE};
-use crate::End;
+use super::times::DeliveryTimes;
+use super::{MAX_PLAIN_FRAME_BYTES, OBSERVATION_CAPACITY, WAIT_TIMEOUT};
+use crate::ExitStatus;
 
-/// Between two writes: the writer reads the last answers. It does not tell when it has, as that would be work that
-/// the limit must not have.
-const BETWEEN_WRITES: Duration = Duration::from_millis(100);
-/// The largest answer that the writer reads, in bytes.
-const LARGEST_ANSWER: usize = 256;
+/// Pause between two rounds, in which the writer reads the last answers. The writer does not report when it has read
+/// them, because that work would distort the baseline.
+const PAUSE_BETWEEN_WRITES: Duration = Duration::from_millis(100);
+/// Size of the buffer for an answer, in bytes.
+const MAX_ANSWER_BYTES: usize = 256;
 
-/// What bare writes took.
+/// Results of the bare writes.
 pub(super) struct BareWrites {
-    /// From the command to the streams' reading.
-    pub times: Times,
-    /// Processor time of the writer over all writes, in seconds.
+    /// From the command to write until streams have read the bytes.
+    pub times: DeliveryTimes,
+    /// Processor time of the writer over all rounds, in seconds.
     pub cpu_s: f64,
 }
 
-/// The line by which the writer says that it has taken in all its sockets.
+/// The line that the writer prints once it has accepted all its sockets.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 struct Accepted {
     accepted: usize,
 }
 
-/// The writer's process as its measurer has it.
+/// The writer's process, as seen by the measuring process.
 struct Writer {
     child: Child,
     pid: u32,
     commands: ChildStdin,
-    said: Lines<BufReader<ChildStdout>>,
+    output: Lines<BufReader<ChildStdout>>,
     listening: SocketAddr,
 }
 
-/// Has the writer write to as many streams as there are proxies, as often as servers are drained.
+/// Measures writes to one stream per proxy, one write per round of drains.
 pub(super) async fn measure(args: &BenchArgs) -> anyhow::Result<BareWrites> {
     let mut writer = Writer::start(drain_order()?.len(), args.proxies).await?;
-    let (observer, mut observations) = mpsc::channel(OBSERVATIONS_WAITING_MOST);
+    let (observer, mut observations) = mpsc::channel(OBSERVATION_CAPACITY);
     let mut streams = JoinSet::new();
     for _ in 0..args.proxies {
         let socket = TcpStream::connect(writer.listening).await?;
         streams.spawn(follow(socket, Bytes::new(), observer.clone()));
     }
     writer.wait_accepted(args.proxies).await?;
-    let (mut times, mut cpu_s) = (Times::new()?, 0.0);
+    let (mut times, mut cpu_s) = (DeliveryTimes::new()?, 0.0);
     for _ in 0..args.rounds {
         let before = writer.cpu_s()?;
         let from = Instant::now();
-        writer.command().await?;
+        writer.start_round().await?;
         times.collect(from, &mut observations, args.proxies).await?;
         cpu_s += writer.cpu_s()? - before;
-        sleep(BETWEEN_WRITES).await;
+        sleep(PAUSE_BETWEEN_WRITES).await;
     }
     writer.child.kill().await?;
     Ok(BareWrites { times, cpu_s })
@@ -84,64 +84,73 @@
             .stdout(Stdio::piped())
             .kill_on_drop(true)
             .spawn()?;
-        let pid = child.id().context("the limit has ended")?;
+        let pid = child.id().context("the baseline's process has ended")?;
         let commands = child.stdin.take().context("no standard input")?;
-        let said = child.stdout.take().context("no standard output")?;
-        let mut said = BufReader::new(said).lines();
-        let announcement: Announcement = serde_json::from_str(&next_line(&mut said).await?)?;
-        Ok(Self { child, pid, commands, said, listening: announcement.listening })
+        let output = child.stdout.take().context("no standard output")?;
+        let mut output = BufReader::new(output).lines();
+        let announcement: Announcement = serde_json::from_str(&next_line(&mut output).await?)?;
+        Ok(Self { child, pid, commands, output, listening: announcement.listening })
     }
 
-    /// Waits until it has taken in so many sockets.
+    /// Waits until the writer has accepted this many sockets.
     async fn wait_accepted(&mut self, sockets: usize) -> anyhow::Result<()> {
-        let Accepted { accepted } = serde_json::from_str(&next_line(&mut self.said).await?)?;
-        anyhow::ensure!(accepted == sockets, "the limit has {accepted} sockets, not {sockets}");
+        let Accepted { accepted } = serde_json::from_str(&next_line(&mut self.output).await?)?;
+        anyhow::ensure!(
+            accepted == sockets,
+            "the baseline's process has accepted {accepted} sockets, not {sockets}"
+        );
         Ok(())
     }
 
-    /// Has it write to all its sockets.
-    async fn command(&mut self) -> anyhow::Result<()> {
+    /// Makes the writer write to all its sockets.
+    async fn start_round(&mut self) -> anyhow::Result<()> {
         self.commands.write_all(b"\n").await?;
         Ok(self.commands.flush().await?)
     }
 
-    /// Its processor time so far, in seconds.
+    /// The writer's processor time so far, in seconds.
     fn cpu_s(&self) -> anyhow::Result<f64> {
         Ok(Usage::of(self.pid)?.cpu_s)
     }
 }
 
-async fn next_line(said: &mut Lines<BufReader<ChildStdout>>) -> anyhow::Result<String> {
-    let line = timeout(PATIENCE, said.next_line()).await.context("the limit says nothing")??;
-    line.context("the limit has ended")
+async fn next_line(output: &mut Lines<BufReader<ChildStdout>>) -> anyhow::Result<String> {
+    let line = timeout(WAIT_TIMEOUT, output.next_line())
+        .await
+        .context("the baseline's process printed nothing in time")??;
+    line.context("the baseline's process has ended")
 }
 
-/// The order that a drain makes: as many bytes are written by the limit.
+/// An order of the size that a drain produces.
 fn drain_order() -> anyhow::Result<Bytes> {
     let address = SocketAddr::from(([127, 1, 0, 1], 80));
     let line = v1::Line { server: Some(address.into()), weight: 0.0 };
     let order = v1::Order { lines: vec![line], mark: Some(77), decided_us: 1 << 50, ..Default::default() };
     let order = FromConductor::new(1 << 50, 1000, from_conductor::Kind::Order(order));
-    Ok(frame(&order, LARGEST_PLAIN_FRAME)?)
+    Ok(frame(&order, MAX_PLAIN_FRAME_BYTES)?)
 }
 
-/// The writer's own process: a task a socket, all woken at once by a line on standard input; each writes the order and
-/// reads the answer.
-pub(super) async fn write(bytes: usize, sockets: usize) -> anyhow::Result<End> {
+/// Runs the writer's process. It has a task for each socket; a line on standard input wakes all tasks, and each writes
+/// the order and reads the answer.
+pub(super) async fn write(bytes: usize, sockets: usize) -> anyhow::Result<ExitStatus> {
     let order = drain_order()?;
-    anyhow::ensure!(order.len() == bytes, "another version of this program asks");
+    anyhow::ensure!(
+        order.len() == bytes,
+        "an order has {} bytes, not {bytes}: the measuring process is another version",
+        order.len()
+    );
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
-    say(&Announcement { listening: listener.local_addr()?, status: None, epoch: 0 })?;
+    print_line(&Announcement { listening: listener.local_addr()?, status: None, epoch: 0 })?;
     let (rounds, round) = watch::channel(0u64);
     tokio::spawn(accept(listener, sockets, order, round));
     let mut commands = BufReader::new(tokio::io::stdin()).lines();
     while commands.next_line().await?.is_some() {
         rounds.send_modify(|round| *round += 1);
     }
-    Ok(End::Well)
+    Ok(ExitStatus::Success)
 }
 
-/// Takes in so many sockets, says so, and runs their tasks until all have ended.
+/// Accepts this many sockets, prints [`Accepted`], and runs their tasks until all have ended.
 async fn accept(
     listener: TcpListener,
     sockets: usize,
@@ -153,15 +162,16 @@
         let (socket, _) = listener.accept().await?;
         tasks.spawn(write_each_round(socket, order.clone(), round.clone()));
     }
-    say(&Accepted { accepted: sockets })?;
+    print_line(&Accepted { accepted: sockets })?;
     while tasks.join_next().await.is_some() {}
     Ok(())
 }
 
+/// Writes the order once per round and reads the answer, until the socket fails.
 async fn write_each_round(mut socket: TcpStream, order: Bytes, mut round: watch::Receiver<u64>) {
-    // Without it the bytes come later, and the limit is too high.
+    // An error is ignored: without `TCP_NODELAY` writes are delayed and the baseline's times are too long.
     let _ = socket.set_nodelay(true);
-    let mut answer = [0; LARGEST_ANSWER];
+    let mut answer = [0; MAX_ANSWER_BYTES];
     while round.changed().await.is_ok() {
         if socket.write_all(&order).await.is_err() || socket.read(&mut answer).await.is_err() {
             return;
@@ -169,7 +179,8 @@
     }
 }
 
-fn say(line: &impl Serialize) -> anyhow::Result<()> {
+/// Prints a line of JSON on standard output.
+fn print_line(line: &impl Serialize) -> anyhow::Result<()> {
     println!("{}", serde_json::to_string(line)?);
     Ok(())
 }
--- a/crates/stepspur-cli/src/bench/conductor.rs
+++ b/crates/stepspur-cli/src/bench/conductor.rs
@@ -1,4 +1,4 @@
-//! The conductor under measurement: its settings, its list of servers, and its process.
+//! The conductor under measurement: its settings, its list of servers and its process.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,18 +23,18 @@
 
 use super::settings::BenchArgs;
 use super::stream::{Observation, follow};
-use super::{LARGEST_PLAIN_FRAME, PATIENCE};
+use super::{MAX_PLAIN_FRAME_BYTES, WAIT_TIMEOUT};
 
-/// A long poll of the list of servers is answered within this.
-const POLL: Duration = Duration::from_secs(5);
-/// A proxy that is slow to acknowledge holds up the measurement, and is not cut off.
+/// Timeout of a long poll of the list of servers.
+const POLL_TIMEOUT: Duration = Duration::from_secs(5);
+/// Long enough that a proxy slow to acknowledge delays the measurement instead of being disconnected.
 const MARK_TIMEOUT: Duration = Duration::from_secs(30);
-/// Lines that may wait: more than ever do.
-const LINES_WAITING_MOST: f64 = 1e9;
-/// The port of servers that nobody dials.
+/// Limit of lines that wait in the channel; so high that the limit is never reached.
+const UNLIMITED_WAITING_LINES: f64 = 1e9;
+/// The port of the listed servers, to which nothing connects.
 const UNUSED_PORT: u16 = 80;
 
-/// The settings to start a conductor by, and the list of servers that it reads.
+/// A conductor to be started, and the list of servers that it reads.
 pub(super) struct BenchConductor {
     pub config: Config,
     pub registry: Arc<Registry>,
@@ -43,7 +43,7 @@
 }
 
 impl BenchConductor {
-    /// Serves a list of servers that are all ready. No conductor runs yet.
+    /// Serves a list of servers that are all ready. Does not start the conductor yet.
     pub(super) async fn new(args: &BenchArgs) -> anyhow::Result<Self> {
         let registry = Registry::new(Arc::new(Trace::default()));
         let listener = TcpListener::bind((std::net::Ipv4Addr::LOCALHOST, 0)).await?;
@@ -57,12 +57,12 @@
         Ok(conductor)
     }
 
-    /// Lists these servers in a state, all at once.
+    /// Sets the state of these servers in the list, in one update.
     pub(super) fn set_states(&self, servers: impl IntoIterator<Item = usize>, state: EndpointRecordState) {
         self.registry.set(servers.into_iter().map(|number| self.node(number, state)));
     }
 
-    /// Addresses that nobody dials: probes are off.
+    /// The list's entry for a server. Its address is never dialed, because probes are off.
     fn node(&self, number: usize, state: EndpointRecordState) -> EndpointRecord {
         let address = SocketAddr::from(([127, 1, (number >> 8) as u8, number as u8], UNUSED_PORT));
         EndpointRecord { address, zone: self.zone(number).to_owned(), state, weight: 1.0, started_unix_ms: 0 }
@@ -74,7 +74,7 @@
         &zones[number % zones.len()]
     }
 
-    /// The first frame of the proxy with this number.
+    /// The `Hello` frame of the proxy with this number.
     pub(super) fn hello(&self, number: usize) -> FromProxy {
         let hello = v1::Hello {
             version: VERSION,
@@ -95,13 +95,13 @@
     pub(super) async fn start_with_list(&self) -> anyhow::Result<Running> {
         let polls = self.registry.polls();
         let running = self.start().await?;
-        timeout(PATIENCE, self.registry.polled(polls))
+        timeout(WAIT_TIMEOUT, self.registry.polled(polls))
             .await
-            .context("the conductor does not read its list")?;
+            .context("the conductor did not read the list of servers in time")?;
         Ok(running)
     }
 
-    /// Joins so many proxies' streams, each followed by a task of its own.
+    /// Connects this many proxies, each with a task of its own that follows the stream.
     pub(super) async fn join(
         &self,
         address: SocketAddr,
@@ -110,14 +110,14 @@
     ) -> anyhow::Result<JoinSet<()>> {
         let mut streams = JoinSet::new();
         for number in 0..proxies {
-            let hello = frame(&self.hello(number), LARGEST_PLAIN_FRAME)?;
+            let hello = frame(&self.hello(number), MAX_PLAIN_FRAME_BYTES)?;
             let socket = TcpStream::connect(address).await?;
             streams.spawn(follow(socket, hello, observer.clone()));
         }
         Ok(streams)
     }
 
-    /// Ends the list of servers.
+    /// Stops serving the list of servers.
     pub(super) fn stop(&self) {
         self.stop.cancel();
     }
@@ -128,7 +128,7 @@
     format!("p{number}")
 }
 
-/// What a conductor that runs has used so far.
+/// CPU time and memory that a running conductor has used so far.
 pub(super) fn usage(running: &Running) -> anyhow::Result<Usage> {
     let pid = running.pid().context("the conductor has no process of its own")?;
     Ok(Usage::of(pid)?)
@@ -140,16 +140,16 @@
     config.status.address = None;
     config.probes.enabled = false;
     config.fleet.proxies = args.proxies as u32;
-    // One table a zone: a drain is news for every proxy of its zone.
+    // Without a minimum of connections all proxies of a zone get the same table, so a drain reaches each of them.
     config.fleet.connections_min = 0;
     config.channel.lines_per_s = args.lines_per_s;
-    config.channel.waiting_max = LINES_WAITING_MOST;
+    config.channel.waiting_max = UNLIMITED_WAITING_LINES;
     config.channel.mark_timeout = MARK_TIMEOUT;
     config.source = Source::Http {
         address: list,
         path: "/v1/nodes".into(),
-        poll: POLL,
-        timeout: POLL,
+        poll: POLL_TIMEOUT,
+        timeout: POLL_TIMEOUT,
         doubt: config.source.mass_removal_guard().clone(),
     };
     Ok(config)
--- a/crates/stepspur-cli/src/bench/drain.rs
+++ b/crates/stepspur-cli/src/bench/drain.rs
@@ -1,4 +1,4 @@
-//! Drains of servers as proxies learn of them, and the rejoin of all proxies after a kill.
+//! Measures how fast drains of servers reach proxies, and how fast all proxies rejoin after the conductor is killed.
 
 use std::time::Duration;
 
@@ -11,28 +11,28 @@
 
 use super::conductor::{BenchConductor, usage};
 use super::settings::BenchArgs;
-use super::stream::{Observation, forget, wait_bound, wait_weighted};
-use super::times::Times;
-use super::{OBSERVATIONS_WAITING_MOST, PATIENCE};
+use super::stream::{Observation, discard_pending, wait_tables, wait_weighted};
+use super::times::DeliveryTimes;
+use super::{OBSERVATION_CAPACITY, WAIT_TIMEOUT};
 
-/// From the last join to the look at the conductor's memory: what the joins took for a moment is given back.
-const MEMORY_SETTLES: Duration = Duration::from_secs(3);
+/// Pause between the last join and the measurement of memory, so that memory used only by the joins is returned.
+const MEMORY_SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// What drains and a rejoin took.
+/// Results of drains and a rejoin.
 pub(super) struct Drains {
-    /// From the list's change to the proxies' reading.
-    pub times: Times,
+    /// From the change of the list until proxies have read the order.
+    pub times: DeliveryTimes,
     /// Processor time of the conductor over all drains, in seconds.
     pub cpu_s: f64,
-    /// The conductor before any proxy.
+    /// The conductor's usage before any proxy has joined.
     pub before: Usage,
-    /// The conductor with all proxies bound.
+    /// The conductor's usage once all proxies have their tables.
     pub with_proxies: Usage,
-    /// All proxies joined again after a kill.
+    /// The rejoin of all proxies after a kill.
     pub rejoin: Rejoin,
 }
 
-/// All proxies joined a conductor that was started anew.
+/// Cost of the rejoin of all proxies to a restarted conductor.
 pub(super) struct Rejoin {
     /// From its start until all have their tables, in seconds.
     pub took_s: f64,
@@ -40,31 +40,31 @@
     pub cpu_s: f64,
 }
 
-/// Drains servers one round after the other, then kills the conductor and has all proxies join again.
+/// Drains servers in consecutive rounds, then kills the conductor, restarts it and lets all proxies join again.
 pub(super) async fn measure(args: &BenchArgs) -> anyhow::Result<Drains> {
     let conductor = BenchConductor::new(args).await?;
     let running = conductor.start_with_list().await?;
     let before = usage(&running)?;
-    let (observer, mut observations) = mpsc::channel(OBSERVATIONS_WAITING_MOST);
+    let (observer, mut observations) = mpsc::channel(OBSERVATION_CAPACITY);
     let mut streams = conductor.join(running.address, args.proxies, &observer).await?;
-    wait_bound(&mut observations, args.proxies).await?;
-    sleep(MEMORY_SETTLES).await;
+    wait_tables(&mut observations, args.proxies).await?;
+    sleep(MEMORY_SETTLE_TIME).await;
     let with_proxies = usage(&running)?;
 
-    let (mut times, mut cpu_s) = (Times::new()?, 0.0);
+    let (mut times, mut cpu_s) = (DeliveryTimes::new()?, 0.0);
     for round in 0..args.rounds {
         cpu_s += drain(args, &conductor, &running, round, &mut observations, &mut times).await?;
     }
 
     running.kill().await;
     streams.shutdown().await;
-    forget(&mut observations);
+    discard_pending(&mut observations);
     let rejoin = rejoin(args, &conductor, &observer, &mut observations).await?;
     conductor.stop();
     Ok(Drains { times, cpu_s, before, with_proxies, rejoin })
 }
 
-/// Drains one server of each zone at once, and gives the conductor's processor time in seconds. It ends when the
+/// Drains one server of each zone at once, and returns the conductor's processor time in seconds. Returns when the
 /// servers are back in all tables and the conductor waits for the next change.
 async fn drain(
     args: &BenchArgs,
@@ -72,29 +72,32 @@
     running: &Running,
     round: usize,
     observations: &mut mpsc::Receiver<Observation>,
-    times: &mut Times,
+    times: &mut DeliveryTimes,
 ) -> anyhow::Result<f64> {
-    let picked = picked(round, args.servers, conductor.config.fleet.zones.len());
-    forget(observations);
+    let drained = drained_servers(round, args.servers, conductor.config.fleet.zones.len());
+    discard_pending(observations);
     let cpu_before = usage(running)?.cpu_s;
     let from = Instant::now();
-    conductor.set_states(picked.clone(), EndpointRecordState::Draining);
+    conductor.set_states(drained.clone(), EndpointRecordState::Draining);
     times.collect(from, observations, args.proxies).await?;
     let cpu_s = usage(running)?.cpu_s - cpu_before;
     let polls = conductor.registry.polls();
-    conductor.set_states(picked, EndpointRecordState::Ready);
+    conductor.set_states(drained, EndpointRecordState::Ready);
     wait_weighted(observations, args.proxies).await?;
-    timeout(PATIENCE, conductor.registry.polled(polls)).await.context("the list is not read any more")?;
+    timeout(WAIT_TIMEOUT, conductor.registry.polled(polls))
+        .await
+        .context("the conductor did not read the list again in time")?;
     Ok(cpu_s)
 }
 
-/// One server of each zone; servers are taken in turn from the first half of the list.
-fn picked(round: usize, servers: usize, zones: usize) -> Vec<usize> {
-    let turns = (servers / zones / 2).max(1);
-    let first = (round % turns) * zones;
+/// The servers to drain in a round: one of each zone, round-robin over the first half of the list.
+fn drained_servers(round: usize, servers: usize, zones: usize) -> Vec<usize> {
+    let groups = (servers / zones / 2).max(1);
+    let first = (round % groups) * zones;
     (first..first + zones).collect()
 }
 
+/// Starts the conductor again and joins all proxies.
 async fn rejoin(
     args: &BenchArgs,
     conductor: &BenchConductor,
@@ -104,7 +107,7 @@
     let from = Instant::now();
     let running = conductor.start().await?;
     let streams = conductor.join(running.address, args.proxies, observer).await?;
-    wait_bound(observations, args.proxies).await?;
+    wait_tables(observations, args.proxies).await?;
     let rejoin = Rejoin { took_s: from.elapsed().as_secs_f64(), cpu_s: usage(&running)?.cpu_s };
     drop(streams);
     running.kill().await;
--- a/crates/stepspur-cli/src/bench/joins.rs
+++ b/crates/stepspur-cli/src/bench/joins.rs
@@ -1,4 +1,5 @@
-//! Joins of all proxies: over plain TCP, by mutual TLS with tokens, again with sessions resumed, and under a flood.
+//! Measures joins of all proxies: over plain TCP, over mutual TLS with tokens, with resumed TLS sessions, and during a
+//! flood of half-open connections.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,94 +17,97 @@
 
 use super::conductor::{BenchConductor, proxy_name, usage};
 use super::settings::BenchArgs;
-use super::stream::{Observation, follow_on, wait_bound};
-use super::{LARGEST_PLAIN_FRAME, OBSERVATIONS_WAITING_MOST, PATIENCE, rights};
-use crate::End;
+use super::stream::{Observation, follow_stream, wait_tables};
+use super::{MAX_PLAIN_FRAME_BYTES, OBSERVATION_CAPACITY, WAIT_TIMEOUT, rights};
+use crate::ExitStatus;
 
-/// Handshakes that are under way at once.
-const HANDSHAKES_AT_ONCE: usize = 64;
-/// The largest first frame of a proxy with a token, in bytes.
-const LARGEST_HELLO: usize = 8192;
-/// From the end of all streams to their rejoin: the conductor clears up after them, which nothing tells.
-const STREAMS_END: Duration = Duration::from_secs(1);
-/// Strangers that never finish their handshakes, and the addresses that they come from.
-const STRANGERS: u32 = 500;
-const STRANGERS_ADDRESSES: u32 = 50;
+/// The largest number of concurrent TLS handshakes of the proxies.
+const CONCURRENT_HANDSHAKES: usize = 64;
+/// The largest `Hello` frame of a proxy with a token, in bytes.
+const MAX_HELLO_BYTES: usize = 8192;
+/// Pause between the end of all streams and their rejoin: nothing signals when the conductor has cleaned up after them.
+const CLEANUP_PAUSE: Duration = Duration::from_secs(1);
+/// Connections of the flood, which never finish their handshakes.
+const HALF_OPEN_CONNECTIONS: u32 = 500;
+/// Source addresses of the flood.
+const HALF_OPEN_ADDRESSES: u32 = 50;
 
 /// A proxy with a certificate and a token of its own.
-struct KnownProxy {
+struct ProxyIdentity {
     name: String,
     zone: String,
     tls: TlsConnector,
 }
 
-/// What a proxy joins by.
+/// What a proxy needs to join.
 #[derive(Clone)]
 struct Client {
     hello: Bytes,
-    /// None: over plain TCP.
+    /// None for plain TCP.
     tls: Option<TlsConnector>,
 }
 
-/// Measures all ways of joining and prints a line of each.
-pub(super) async fn bench(args: &BenchArgs) -> anyhow::Result<End> {
+/// Measures all kinds of joins and prints one line for each.
+pub(super) async fn bench(args: &BenchArgs) -> anyhow::Result<ExitStatus> {
     println!(
         "{} servers, {} proxies: until the last has its table, s; the conductor's CPU, s; memory a stream, KiB",
         args.servers, args.proxies
     );
     let mut conductor = BenchConductor::new(args).await?;
-    from_cold(&conductor, "plain TCP", &plain_clients(&conductor, args.proxies)?).await?;
+    first_joins(&conductor, "plain TCP", &plain_clients(&conductor, args.proxies)?).await?;
     let keys = DayKeys::new()?;
     conductor.config.listen.plain_on_loopback = false;
     conductor.config.identity = Some(keys.config());
-    let proxies = known_proxies(&conductor, &keys, args.proxies)?;
+    let proxies = proxy_identities(&conductor, &keys, args.proxies)?;
     let clients = clients_with_tokens(&conductor, &keys, &proxies)?;
-    from_cold(&conductor, "mutual TLS and token, from cold", &clients).await?;
+    first_joins(&conductor, "mutual TLS and token, from cold", &clients).await?;
     rejoins(&conductor, &keys, &proxies).await?;
     conductor.stop();
     rights::print_cost(&keys)?;
-    Ok(End::Well)
+    Ok(ExitStatus::Success)
 }
 
+/// Clients that join over plain TCP.
 fn plain_clients(conductor: &BenchConductor, proxies: usize) -> anyhow::Result<Vec<Client>> {
     let client = |number| {
-        let hello = frame(&conductor.hello(number), LARGEST_PLAIN_FRAME)?;
+        let hello = frame(&conductor.hello(number), MAX_PLAIN_FRAME_BYTES)?;
         Ok(Client { hello, tls: None })
     };
     (0..proxies).map(client).collect()
 }
 
-fn known_proxies(
+/// Creates a certificate for each proxy.
+fn proxy_identities(
     conductor: &BenchConductor,
     keys: &DayKeys,
     proxies: usize,
-) -> anyhow::Result<Vec<KnownProxy>> {
-    let known = |number| {
+) -> anyhow::Result<Vec<ProxyIdentity>> {
+    let identity = |number| {
         let (name, zone) = (proxy_name(number), conductor.zone(number).to_owned());
         let tls = TlsConnector::from(keys.client(&zone, &name)?);
-        Ok(KnownProxy { name, zone, tls })
+        Ok(ProxyIdentity { name, zone, tls })
     };
-    (0..proxies).map(known).collect()
+    (0..proxies).map(identity).collect()
 }
 
-/// Tokens are short: they are made anew for each round.
+/// Tokens expire soon: each measurement issues new ones.
 fn clients_with_tokens(
     conductor: &BenchConductor,
     keys: &DayKeys,
-    proxies: &[KnownProxy],
+    proxies: &[ProxyIdentity],
 ) -> anyhow::Result<Vec<Client>> {
-    let client = |(number, KnownProxy { name, zone, tls }): (usize, &KnownProxy)| {
+    let client = |(number, ProxyIdentity { name, zone, tls }): (usize, &ProxyIdentity)| {
         let mut hello = conductor.hello(number);
         if let Some(from_proxy::Kind::Hello(hello)) = &mut hello.kind {
             hello.credentials = keys.token(zone, name).into();
         }
-        Ok(Client { hello: frame(&hello, LARGEST_HELLO)?, tls: Some(tls.clone()) })
+        Ok(Client { hello: frame(&hello, MAX_HELLO_BYTES)?, tls: Some(tls.clone()) })
     };
     proxies.iter().enumerate().map(client).collect()
 }
 
-/// Joins all clients to a conductor that has just started.
-async fn from_cold(conductor: &BenchConductor, what: &str, clients: &[Client]) -> anyhow::Result<()> {
+/// Measures the joins of all clients to a conductor that has just started, without TLS sessions to resume.
+async fn first_joins(conductor: &BenchConductor, what: &str, clients: &[Client]) -> anyhow::Result<()> {
     let running = conductor.start_with_list().await?;
     let before = usage(&running)?;
     let (took_s, streams) = join_all(running.address, clients).await?;
@@ -115,38 +119,42 @@
     Ok(())
 }
 
-/// Joins all proxies to a conductor that knows them, without strangers and with them.
-async fn rejoins(conductor: &BenchConductor, keys: &DayKeys, proxies: &[KnownProxy]) -> anyhow::Result<()> {
+/// Measures joins with TLS sessions to resume, without and with a flood of half-open connections.
+async fn rejoins(
+    conductor: &BenchConductor,
+    keys: &DayKeys,
+    proxies: &[ProxyIdentity],
+) -> anyhow::Result<()> {
     let running = conductor.start().await?;
     let (_, streams) = join_all(running.address, &clients_with_tokens(conductor, keys, proxies)?).await?;
     drop(streams);
     for (what, flood) in [("the same, rejoin", false), ("the same, rejoin while strangers flood", true)] {
-        sleep(STREAMS_END).await;
-        let strangers = if flood { half_open(running.address).await? } else { Vec::new() };
+        sleep(CLEANUP_PAUSE).await;
+        let flood_sockets = if flood { half_open_connections(running.address).await? } else { Vec::new() };
         let before = usage(&running)?.cpu_s;
         let clients = clients_with_tokens(conductor, keys, proxies)?;
         let (took_s, streams) = join_all(running.address, &clients).await?;
         println!("{what:42} {took_s:7.2} {:7.2}", usage(&running)?.cpu_s - before);
-        drop((streams, strangers));
+        drop((streams, flood_sockets));
     }
     running.kill().await;
     Ok(())
 }
 
-/// Joins all clients: the seconds until the last has its table, and the streams.
+/// Joins all clients; returns the seconds until the last one has its table, and the streams.
 async fn join_all(address: SocketAddr, clients: &[Client]) -> anyhow::Result<(f64, JoinSet<()>)> {
-    let (observer, mut observations) = mpsc::channel(OBSERVATIONS_WAITING_MOST);
-    let handshakes = Arc::new(Semaphore::new(HANDSHAKES_AT_ONCE));
+    let (observer, mut observations) = mpsc::channel(OBSERVATION_CAPACITY);
+    let handshakes = Arc::new(Semaphore::new(CONCURRENT_HANDSHAKES));
     let from = Instant::now();
     let mut streams = JoinSet::new();
     for client in clients.iter().cloned() {
         streams.spawn(join(address, client, Arc::clone(&handshakes), observer.clone()));
     }
-    wait_bound(&mut observations, clients.len()).await?;
+    wait_tables(&mut observations, clients.len()).await?;
     Ok((from.elapsed().as_secs_f64(), streams))
 }
 
-/// Dials until a connection stands, and follows it.
+/// Dials until a connection is established, and follows its stream.
 async fn join(
     address: SocketAddr,
     Client { hello, tls }: Client,
@@ -154,31 +162,31 @@
     observer: mpsc::Sender<Observation>,
 ) {
     loop {
-        let place = Arc::clone(&handshakes).acquire_owned().await;
+        let permit = Arc::clone(&handshakes).acquire_owned().await;
         let Ok(socket) = TcpStream::connect(address).await else { continue };
-        // Without it answers wait for each other; the stream works all the same.
+        // An error is ignored: without `TCP_NODELAY` answers are delayed, but the stream works.
         let _ = socket.set_nodelay(true);
         let Some(tls) = &tls else {
-            drop(place);
-            return follow_on(socket, hello, observer).await;
+            drop(permit);
+            return follow_stream(socket, hello, observer).await;
         };
-        // Turned away at the door while strangers hold it: dial again.
+        // The conductor refuses a connection while the flood uses up its handshakes: dial again.
         let name = ServerName::from(address.ip());
-        if let Ok(Ok(stream)) = timeout(PATIENCE, tls.connect(name, socket)).await {
-            drop(place);
-            return follow_on(stream, hello, observer).await;
+        if let Ok(Ok(stream)) = timeout(WAIT_TIMEOUT, tls.connect(name, socket)).await {
+            drop(permit);
+            return follow_stream(stream, hello, observer).await;
         }
     }
 }
 
-/// Connections of strangers that never finish their handshakes.
-async fn half_open(address: SocketAddr) -> anyhow::Result<Vec<TcpStream>> {
-    let mut strangers = Vec::new();
-    for number in 0..STRANGERS {
+/// Opens connections that never finish their handshakes.
+async fn half_open_connections(address: SocketAddr) -> anyhow::Result<Vec<TcpStream>> {
+    let mut sockets = Vec::new();
+    for number in 0..HALF_OPEN_CONNECTIONS {
         let socket = TcpSocket::new_v4()?;
-        let own = [127, 0, 1, (number % STRANGERS_ADDRESSES) as u8 + 1];
-        socket.bind((own, 0).into())?;
-        strangers.push(socket.connect(address).await?);
+        let source = [127, 0, 1, (number % HALF_OPEN_ADDRESSES) as u8 + 1];
+        socket.bind((source, 0).into())?;
+        sockets.push(socket.connect(address).await?);
     }
-    Ok(strangers)
+    Ok(sockets)
 }
--- a/crates/stepspur-cli/src/bench/mod.rs
+++ b/crates/stepspur-cli/src/bench/mod.rs
@@ -1,7 +1,8 @@
-//! `stepspur bench`: how fast orders reach many proxies, beside the bare limit of the machine in the same run.
+//! `stepspur bench`: measures how fast orders reach many proxies, against a baseline of bare socket writes.
 //!
-//! The conductor runs as a process of its own; proxies are plain streams in this one that keep no table. The
-//! limit is a second process whose tasks write the same bytes to as many sockets and read the same answers.
+//! The conductor runs in a process of its own; proxies are plain streams in this process that keep no table. The
+//! baseline, in the same run, is another process whose tasks write the same bytes to as many sockets and read the same
+//! answers.
 
 mod bare_writes;
 mod churn;
@@ -16,21 +17,21 @@
 
 use std::time::Duration;
 
-use crate::End;
+use crate::ExitStatus;
 pub(crate) use settings::BenchArgs;
 
-/// Whatever a bench waits for comes within this, or the bench fails.
-const PATIENCE: Duration = Duration::from_secs(120);
-/// Observations of streams that may wait for the measurer.
-const OBSERVATIONS_WAITING_MOST: usize = 1 << 16;
-/// The largest frame that a plain stream sends: its first one, and its answers.
-const LARGEST_PLAIN_FRAME: usize = 4096;
+/// The longest wait for any single event; after it the benchmark fails.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(120);
+/// Capacity of the channel that carries observations from the streams to the measuring task.
+const OBSERVATION_CAPACITY: usize = 1 << 16;
+/// The largest frame that a plain stream sends, in bytes: its `Hello` and its answers.
+const MAX_PLAIN_FRAME_BYTES: usize = 4096;
 
-/// Runs the bench that the arguments name.
+/// Runs the benchmark that the arguments select.
 ///
 /// # Errors
-/// A process that does not start or ends, and whatever does not come in time.
-pub(crate) async fn bench(args: BenchArgs) -> anyhow::Result<End> {
+/// A process does not start or ends early, or an expected event does not happen in time.
+pub(crate) async fn bench(args: BenchArgs) -> anyhow::Result<ExitStatus> {
     if let Some(bytes) = args.bare_writer {
         return bare_writes::write(bytes, args.proxies).await;
     }
@@ -45,11 +46,12 @@
     }
     let measured = measure(&args).await?;
     measured.print(args.json)?;
-    Ok(End::Well)
+    Ok(ExitStatus::Success)
 }
 
+/// Measures drains and then the baseline.
 async fn measure(args: &BenchArgs) -> anyhow::Result<report::Measured> {
     let drains = drain::measure(args).await?;
-    let bare = bare_writes::measure(args).await?;
-    Ok(report::Measured::new(args, &drains, &bare))
+    let baseline = bare_writes::measure(args).await?;
+    Ok(report::Measured::new(args, &drains, &baseline))
 }
--- a/crates/stepspur-cli/src/bench/report.rs
+++ b/crates/stepspur-cli/src/bench/report.rs
@@ -1,4 +1,4 @@
-//! What the bench of drains tells, as text and as JSON.
+//! The report of the drain benchmark, as text and as JSON.
 
 use serde::Serialize;
 
@@ -7,38 +7,39 @@
 use super::settings::BenchArgs;
 use super::times::Quantiles;
 
-/// What was measured; times in milliseconds.
+/// Results of drains and of the baseline; field names are keys of the JSON output.
 #[derive(Debug, Serialize)]
 pub(super) struct Measured {
     servers: usize,
     proxies: usize,
     rounds: usize,
     cores: usize,
-    /// From the list's change to the last proxy's reading: p50, p99, most.
+    /// From the change of the list until the last proxy has read the order: p50, p99, maximum.
     drain_last_ms: Quantiles,
-    /// To each proxy's reading.
+    /// The same until each proxy has read the order.
     drain_each_ms: Quantiles,
-    /// The bare limit, the same.
+    /// From the command to write until the last stream has read the bytes, for the baseline.
     bare_last_ms: Quantiles,
+    /// The same until each stream has read the bytes.
     bare_each_ms: Quantiles,
-    /// Medians of the last ones, conductor over limit.
+    /// Median of `drain_last_ms` divided by that of `bare_last_ms`.
     ratio_last: f64,
-    /// The conductor's CPU a drain, and its limit's a write.
+    /// CPU time per round: of the conductor for a drain, of the baseline's process for a write.
     cpu_ms: [f64; 2],
-    /// Resident memory of the conductor: before any proxy, with all bound, a stream.
+    /// Resident memory of the conductor: before any proxy, with all proxies joined, and the difference per stream.
     memory_kib: [f64; 3],
-    /// From the start after a kill until all are joined and bound.
+    /// From the restart after a kill until all proxies have joined and have their tables.
     rejoin_s: f64,
-    /// The same, in the conductor's CPU.
+    /// The conductor's CPU time for that.
     rejoin_cpu_s: f64,
 }
 
 impl Measured {
-    /// Of drains and bare writes with the same arguments.
-    pub(super) fn new(args: &BenchArgs, drains: &Drains, bare: &BareWrites) -> Self {
-        let (drain_last_ms, bare_last_ms) = (drains.times.last(), bare.times.last());
+    /// Combines drains and bare writes that were measured with the same arguments.
+    pub(super) fn new(args: &BenchArgs, drains: &Drains, baseline: &BareWrites) -> Self {
+        let (drain_last_ms, bare_last_ms) = (drains.times.last(), baseline.times.last());
         let (before_kib, with_kib) = (drains.before.rss_kib, drains.with_proxies.rss_kib);
-        let ms_a_round = |seconds: f64| seconds * 1e3 / args.rounds.max(1) as f64;
+        let ms_per_round = |seconds: f64| seconds * 1e3 / args.rounds.max(1) as f64;
         Self {
             servers: args.servers,
             proxies: args.proxies,
@@ -47,16 +48,16 @@
             drain_last_ms,
             drain_each_ms: drains.times.each(),
             bare_last_ms,
-            bare_each_ms: bare.times.each(),
+            bare_each_ms: baseline.times.each(),
             ratio_last: drain_last_ms[0] / bare_last_ms[0].max(1e-9),
-            cpu_ms: [ms_a_round(drains.cpu_s), ms_a_round(bare.cpu_s)],
+            cpu_ms: [ms_per_round(drains.cpu_s), ms_per_round(baseline.cpu_s)],
             memory_kib: [before_kib, with_kib, (with_kib - before_kib) / args.proxies.max(1) as f64],
             rejoin_s: drains.rejoin.took_s,
             rejoin_cpu_s: drains.rejoin.cpu_s,
         }
     }
 
-    /// Prints it as JSON or as text.
+    /// Prints the results as JSON or as text.
     pub(super) fn print(&self, json: bool) -> anyhow::Result<()> {
         if json {
             println!("{}", serde_json::to_string_pretty(self)?);
@@ -69,7 +70,8 @@
     fn print_text(&self) {
         let Self { servers, proxies, rounds, cores, .. } = self;
         println!("{servers} servers, {proxies} proxies, {rounds} rounds, {cores} cores; p50, p99, most");
-        let row = |what: &str, [a, b, c]: Quantiles| println!("{what:34} {a:9.2} {b:9.2} {c:9.2}");
+        let row =
+            |label: &str, [p50, p99, max]: Quantiles| println!("{label:34} {p50:9.2} {p99:9.2} {max:9.2}");
         row("drain to the last proxy, ms", self.drain_last_ms);
         row("drain to each proxy, ms", self.drain_each_ms);
         row("bare write to the last, ms", self.bare_last_ms);
--- a/crates/stepspur-cli/src/bench/settings.rs
+++ b/crates/stepspur-cli/src/bench/settings.rs
@@ -1,33 +1,33 @@
-//! The arguments of `stepspur bench`.
+//! Command-line arguments of `stepspur bench`.
 
-/// What is measured.
+/// Arguments of `stepspur bench`.
 #[derive(Debug, clap::Args)]
 pub(crate) struct BenchArgs {
-    /// Servers that the list names.
+    /// Number of servers in the list.
     #[arg(long, default_value_t = 379)]
     pub servers: usize,
-    /// Proxies' streams.
+    /// Number of proxies.
     #[arg(long, default_value_t = 1249)]
     pub proxies: usize,
-    /// Drains, and writes of the bare limit, one after the other.
+    /// Number of rounds of drains, and of bare writes.
     #[arg(long, default_value_t = 30)]
     pub rounds: usize,
-    /// Orders a second, in lines; large enough to be out of the way unless told otherwise.
+    /// The conductor's limit of order lines per second; the default is too high to have an effect.
     #[arg(long, default_value_t = 1e9)]
     pub lines_per_s: f64,
-    /// Instead: proxies join and leave for so many seconds, one in twenty reads nothing; memory is watched.
+    /// Instead: watch memory while proxies join and leave for this many seconds; one in twenty reads nothing.
     #[arg(long)]
     pub churn: Option<u64>,
-    /// Instead: joins over plain TCP, mutual TLS from cold, resumed, and under a flood of strangers.
+    /// Instead: measure joins over TCP, over mutual TLS (full and resumed), and under a flood of handshakes.
     #[arg(long)]
     pub joins: bool,
-    /// Instead: the bare server model on one core, and the memory of a server.
+    /// Instead: measure the server model alone on one core, and the memory of a modelled server.
     #[arg(long)]
     pub model: bool,
     /// Print as JSON.
     #[arg(long)]
     pub json: bool,
-    /// The limit's own process: writes so many bytes to so many sockets whenever a line comes on standard input.
+    /// Run as the baseline's process: at each line on standard input, write an order of this size to each socket.
     #[arg(long, hide = true)]
     pub bare_writer: Option<usize>,
 }
--- a/crates/stepspur-cli/src/bench/stream.rs
+++ b/crates/stepspur-cli/src/bench/stream.rs
@@ -1,4 +1,4 @@
-//! A proxy's stream: it answers marks and pings, keeps no table, and tells the measurer what it read.
+//! A proxy's stream: answers marks and pings, keeps no table, and reports what it reads to the measuring task.
 
 use anyhow::Context;
 use bytes::Bytes;
@@ -8,28 +8,28 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, timeout};
 
-use super::{LARGEST_PLAIN_FRAME, PATIENCE};
+use super::{MAX_PLAIN_FRAME_BYTES, WAIT_TIMEOUT};
 
-/// Bytes of a frame's length, which comes before its body.
+/// Size of the length prefix of a frame, in bytes.
 const LENGTH_BYTES: usize = 4;
 
-/// What a stream tells its measurer.
+/// What a stream reports to the measuring task about an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Observation {
-    /// A whole table came.
-    Bound,
-    /// An order took servers out of the table; it was read at that time.
+    /// The order contains a whole table.
+    TableReceived,
+    /// The order removes servers from the table; it was read at this time.
     Removed(Instant),
-    /// An order gave servers of the table other weights than none.
+    /// The order sets weights other than zero.
     Weighted,
-    /// An order came that changes no server.
+    /// The order changes no server.
     Unchanged,
 }
 
 impl Observation {
     fn of(order: &v1::Order, at: Instant) -> Self {
         if order.table.is_some() {
-            Self::Bound
+            Self::TableReceived
         } else if order.lines.iter().any(|line| line.weight == 0.0) {
             Self::Removed(at)
         } else if order.lines.is_empty() {
@@ -40,15 +40,15 @@
     }
 }
 
-/// Follows a plain stream until it ends, from its first frame on.
+/// Sends `Hello` over TCP and follows the stream until it ends.
 pub(super) async fn follow(socket: TcpStream, hello: Bytes, observer: mpsc::Sender<Observation>) {
-    // Without it answers wait for each other; the stream works all the same.
+    // An error is ignored: without `TCP_NODELAY` answers are delayed, but the stream works.
     let _ = socket.set_nodelay(true);
-    follow_on(socket, hello, observer).await;
+    follow_stream(socket, hello, observer).await;
 }
 
-/// The same of any stream.
-pub(super) async fn follow_on<S: AsyncRead + AsyncWrite + Unpin>(
+/// As [`follow`], for any kind of stream.
+pub(super) async fn follow_stream<S: AsyncRead + AsyncWrite + Unpin>(
     mut stream: S,
     hello: Bytes,
     observer: mpsc::Sender<Observation>,
@@ -60,7 +60,7 @@
     while let Some((read, at)) = read_frame(&mut stream, &mut buffer).await {
         if let Some(answer) = answer_to(&read) {
             let answer = FromProxy::new(read.epoch, read.sequence, answer);
-            let Ok(answer) = frame(&answer, LARGEST_PLAIN_FRAME) else { return };
+            let Ok(answer) = frame(&answer, MAX_PLAIN_FRAME_BYTES) else { return };
             if stream.write_all(&answer).await.is_err() {
                 return;
             }
@@ -73,7 +73,7 @@
     }
 }
 
-/// The next frame with the time at which it was read; none: the stream has ended, or what came is no frame.
+/// The next frame and the time at which it was read. None if the stream has ended or the bytes are no valid frame.
 async fn read_frame<S: AsyncRead + Unpin>(
     stream: &mut S,
     buffer: &mut Vec<u8>,
@@ -88,7 +88,7 @@
     Some((split_frame::<FromConductor>(buffer).ok()?, at))
 }
 
-/// What a proxy must answer to a frame.
+/// The answer that the protocol requires to a frame, if any.
 fn answer_to(read: &FromConductor) -> Option<from_proxy::Kind> {
     match &read.kind {
         Some(from_conductor::Kind::Order(order)) => {
@@ -101,41 +101,44 @@
     }
 }
 
-/// Waits until so many streams have their tables.
-pub(super) async fn wait_bound(
+/// Waits until this many tables have been received.
+pub(super) async fn wait_tables(
     observations: &mut mpsc::Receiver<Observation>,
     streams: usize,
 ) -> anyhow::Result<()> {
-    wait_for(observations, streams, Observation::Bound).await.context("not all proxies were bound")
+    wait_for(observations, streams, Observation::TableReceived)
+        .await
+        .context("not all proxies received a table")
 }
 
-/// Waits until so many orders have given servers weights: those that were removed are back in the tables.
+/// Waits until this many orders have set weights: removed servers are back in the tables.
 pub(super) async fn wait_weighted(
     observations: &mut mpsc::Receiver<Observation>,
     streams: usize,
 ) -> anyhow::Result<()> {
     wait_for(observations, streams, Observation::Weighted)
         .await
-        .context("not all proxies have their servers back")
+        .context("the drained servers did not return to all proxies")
 }
 
+/// Waits for this many observations of one kind; discards the others.
 async fn wait_for(
     observations: &mut mpsc::Receiver<Observation>,
     count: usize,
     wanted: Observation,
 ) -> anyhow::Result<()> {
     let all = async {
-        let mut left = count;
-        while left > 0 {
-            let observed = observations.recv().await.context("the streams have ended")?;
-            left -= usize::from(observed == wanted);
+        let mut remaining = count;
+        while remaining > 0 {
+            let observed = observations.recv().await.context("all streams have ended")?;
+            remaining -= usize::from(observed == wanted);
         }
         anyhow::Ok(())
     };
-    timeout(PATIENCE, all).await.with_context(|| format!("within {PATIENCE:?}"))?
+    timeout(WAIT_TIMEOUT, all).await.with_context(|| format!("within {WAIT_TIMEOUT:?}"))?
 }
 
-/// Forgets what streams have told so far.
-pub(super) fn forget(observations: &mut mpsc::Receiver<Observation>) {
+/// Discards all observations that are in the channel.
+pub(super) fn discard_pending(observations: &mut mpsc::Receiver<Observation>) {
     while observations.try_recv().is_ok() {}
 }
--- a/crates/stepspur-cli/src/bench/times.rs
+++ b/crates/stepspur-cli/src/bench/times.rs
@@ -1,35 +1,35 @@
-//! How long orders were under way: to the last stream and to each.
+//! Delivery times of orders: to the last stream of a round, and to each stream.
 
 use anyhow::Context;
 use hdrhistogram::Histogram;
 use tokio::sync::mpsc;
 use tokio::time::{Instant, timeout};
 
-use super::PATIENCE;
+use super::WAIT_TIMEOUT;
 use super::stream::Observation;
 
-/// The longest time that is told apart, in microseconds: ten minutes.
-const LONGEST_US: u64 = 600_000_000;
-/// Decimal digits to which times are kept.
-const DIGITS: u8 = 3;
+/// Upper bound of the histograms, in microseconds: ten minutes.
+const MAX_TIME_US: u64 = 600_000_000;
+/// Precision of the histograms, in significant decimal digits.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// The median, the 99th in a hundred and the longest time, in milliseconds.
+/// p50, p99 and maximum, in milliseconds.
 pub(super) type Quantiles = [f64; 3];
 
-/// Times of rounds: to the last stream, and to each.
-pub(super) struct Times {
+/// Histograms of delivery times over all rounds.
+pub(super) struct DeliveryTimes {
     last: Histogram<u64>,
     each: Histogram<u64>,
 }
 
-impl Times {
-    /// None yet.
+impl DeliveryTimes {
+    /// Creates empty histograms.
     pub(super) fn new() -> anyhow::Result<Self> {
-        let empty = || Histogram::new_with_bounds(1, LONGEST_US, DIGITS);
+        let empty = || Histogram::new_with_bounds(1, MAX_TIME_US, SIGNIFICANT_DIGITS);
         Ok(Self { last: empty()?, each: empty()? })
     }
 
-    /// Records one round: so many streams tell that a server was removed by an order made at `from`.
+    /// Records one round: waits until this many streams have reported a removal, timed from `from`.
     pub(super) async fn collect(
         &mut self,
         from: Instant,
@@ -46,21 +46,23 @@
         Ok(())
     }
 
-    /// To the last stream of each round.
+    /// Times to the last stream of each round.
     pub(super) fn last(&self) -> Quantiles {
         quantiles(&self.last)
     }
 
-    /// To each stream.
+    /// Times to each stream.
     pub(super) fn each(&self) -> Quantiles {
         quantiles(&self.each)
     }
 }
 
+/// The time at which the next stream reports a removal; discards other observations.
 async fn next_removal(observations: &mut mpsc::Receiver<Observation>) -> anyhow::Result<Instant> {
     loop {
-        let observed = timeout(PATIENCE, observations.recv()).await.context("a change did not come")?;
-        if let Observation::Removed(at) = observed.context("the streams have ended")? {
+        let observed =
+            timeout(WAIT_TIMEOUT, observations.recv()).await.context("an order did not arrive in time")?;
+        if let Observation::Removed(at) = observed.context("all streams have ended")? {
             return Ok(at);
         }
     }
--- a/crates/stepspur-cli/src/fleet.rs
+++ b/crates/stepspur-cli/src/fleet.rs
@@ -1,4 +1,4 @@
-//! `stepspur model` and `stepspur experiment`: the fleet in virtual time.
+//! `stepspur model` and `stepspur experiment`: simulate a fleet in virtual time.
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -12,20 +12,20 @@
 use stepspur_simulation::experiment::{ArmResult, Estimate, ExperimentError, Lab};
 use stepspur_simulation::{Options, run};
 
-use crate::End;
+use crate::ExitStatus;
 
-/// What is played.
+/// Arguments of `stepspur model`.
 #[derive(Debug, clap::Args)]
 pub(crate) struct ModelArgs {
-    /// A scenario (TOML) or a bench day (JSON).
+    /// Scenario (TOML) or simulator day (JSON).
     file: PathBuf,
-    /// The seed, in place of the file's.
+    /// Random seed, in place of the file's.
     #[arg(long)]
     seed: Option<u64>,
-    /// Conductors, in place of the day's (a scenario has one); proxies are dealt to them in turn.
+    /// Number of conductors, in place of the day's (a scenario has one); proxies join them round-robin.
     #[arg(long, value_parser = clap::value_parser!(u32).range(1..=100))]
     conductors: Option<u32>,
-    /// Of a bench day: servers, proxies and traffic as a part of the day's.
+    /// Fraction of a simulator day's servers, proxies and traffic to play.
     #[arg(long, default_value_t = 1.0)]
     scale: f64,
     /// Print as JSON.
@@ -33,14 +33,14 @@
     json: bool,
 }
 
-/// Plays a file in virtual time.
-pub(crate) fn model(args: &ModelArgs) -> anyhow::Result<End> {
+/// Plays a scenario or simulator day in virtual time and prints the outcome.
+pub(crate) fn model(args: &ModelArgs) -> anyhow::Result<ExitStatus> {
     let name = args.file.display().to_string();
     let mut options = Options::default();
     let plan: Result<Plan, String> = if args.file.extension().is_some_and(|e| e == "json") {
         let text = std::fs::read_to_string(&args.file).with_context(|| name.clone())?;
         replay::read(&text, Some(args.scale)).map_err(|e| format!("{name}: {e}")).map(|replayed| {
-            replayed.left_out.iter().for_each(|left| eprintln!("not mapped: {left}"));
+            replayed.left_out.iter().for_each(|omitted| eprintln!("not mapped: {omitted}"));
             options.conductors = replayed.conductor_zones.len().max(1);
             options.conductor_zones = replayed.conductor_zones;
             options.reports_late = replayed.reports_late.as_micros() as u64;
@@ -53,7 +53,7 @@
         Ok(plan) => plan,
         Err(error) => {
             eprintln!("stepspur: {error}");
-            return Ok(End::WrongUse);
+            return Ok(ExitStatus::UsageError);
         }
     };
     plan.seed = args.seed.unwrap_or(plan.seed);
@@ -74,28 +74,31 @@
             "service {:.4}; {} orders; {} servers fell over",
             outcome.service, outcome.orders, outcome.fallen
         );
-        for broken in &outcome.breaks {
-            println!("BROKEN  {} ({} times): {}", broken.rule.words(), broken.times, broken.what);
+        for violation in &outcome.breaks {
+            println!("BROKEN  {} ({} times): {}", violation.rule.words(), violation.times, violation.what);
         }
-        let [all, engine] = outcome.took_s;
-        let ratio = plan.length.as_secs_f64() / all.max(1e-9);
-        println!("{ratio:.0} times the clock; {:.0}% of it in the engine", 100.0 * engine / all.max(1e-9));
+        let [total_s, engine_s] = outcome.took_s;
+        let speedup = plan.length.as_secs_f64() / total_s.max(1e-9);
+        println!(
+            "{speedup:.0} times real time; {:.0}% of it in the engine",
+            100.0 * engine_s / total_s.max(1e-9)
+        );
     }
-    Ok(if outcome.breaks.is_empty() { End::Well } else { End::RuleBroken })
+    Ok(if outcome.breaks.is_empty() { ExitStatus::Success } else { ExitStatus::RuleViolated })
 }
 
-/// What is tried.
+/// Arguments of `stepspur experiment`.
 #[derive(Debug, clap::Args)]
 pub(crate) struct ExperimentArgs {
-    /// The experiment's file (TOML).
+    /// Experiment file (TOML).
     file: PathBuf,
-    /// Where results are kept; beside the file if not told. Finished runs are not played again.
+    /// File of results; finished runs are not played again. Default: FILE with the extension `results.jsonl`.
     #[arg(long)]
     results: Option<PathBuf>,
-    /// Runs at the same time; as many as there are cores if not told.
+    /// Number of concurrent runs; by default, the number of cores.
     #[arg(long)]
     threads: Option<usize>,
-    /// Write a report here: one HTML file with plots.
+    /// Write a report with plots to this HTML file.
     #[arg(long, value_name = "FILE")]
     report: Option<PathBuf>,
     /// Print as JSON.
@@ -103,42 +106,47 @@
     json: bool,
 }
 
-/// Plays an experiment to its end.
-pub(crate) fn experiment(args: &ExperimentArgs) -> anyhow::Result<End> {
+/// Plays all runs of an experiment that have no result yet, and prints the results.
+pub(crate) fn experiment(args: &ExperimentArgs) -> anyhow::Result<ExitStatus> {
     let results = args.results.clone().unwrap_or_else(|| args.file.with_extension("results.jsonl"));
     let lab = match Lab::open(&args.file, &results) {
         Ok(lab) => lab,
         Err(error @ ExperimentError::Io { .. }) => return Err(error.into()),
         Err(error) => {
             eprintln!("stepspur: {error}");
-            return Ok(End::WrongUse);
+            return Ok(ExitStatus::UsageError);
         }
     };
     let threads = args.threads.or(std::thread::available_parallelism().ok().map(|n| n.get())).unwrap_or(1);
-    let (arms, most) = (lab.experiment().arms.len() as u64, lab.experiment().most);
-    let bar = ProgressBar::new(arms * most).with_position(lab.finished() as u64);
+    let (arms, max_runs) = (lab.experiment().arms.len() as u64, lab.experiment().most);
+    let bar = ProgressBar::new(arms * max_runs).with_position(lab.finished() as u64);
     bar.set_style(
         ProgressStyle::with_template("{bar:30} {pos}/{len} runs at most, {eta} left  {msg}")
             .unwrap_or_else(|_| ProgressStyle::default_bar()),
     );
     bar.enable_steady_tick(Duration::from_millis(500));
-    let found = lab.play(threads, &|finished| {
+    let arm_results = lab.play(threads, &|finished| {
         bar.inc(1);
         bar.set_message(format!("{} seed {}", finished.arm, finished.seed));
     })?;
     bar.finish_and_clear();
     if let Some(path) = &args.report {
-        write_report(path, &lab, &found)?;
+        write_report(path, &lab, &arm_results)?;
     }
     if args.json {
-        println!("{}", serde_json::to_string_pretty(&found)?);
+        println!("{}", serde_json::to_string_pretty(&arm_results)?);
     } else {
-        print(&lab, &found);
+        print(&lab, &arm_results);
     }
-    Ok(if found.iter().any(|arm| !arm.crashed.is_empty()) { End::Failed } else { End::Well })
+    Ok(if arm_results.iter().any(|arm| !arm.crashed.is_empty()) {
+        ExitStatus::Failure
+    } else {
+        ExitStatus::Success
+    })
 }
 
-fn shown(estimate: Option<Estimate>) -> String {
+/// Formats an estimate with the half-width of its t interval and its bootstrap interval.
+fn format_estimate(estimate: Option<Estimate>) -> String {
     match estimate {
         None => "-".into(),
         Some(Estimate { mean, t_half, bootstrap: [low, high] }) => {
@@ -147,6 +155,7 @@
     }
 }
 
+/// Column heads of the table of results.
 const HEADS: [&str; 10] = [
     "arm",
     "runs",
@@ -160,12 +169,13 @@
     "crashed",
 ];
 
+/// The cells of an arm, in the order of [`HEADS`].
 fn row(arm: &ArmResult) -> [String; 10] {
     [
         arm.name.clone(),
         arm.runs.to_string(),
         arm.service.map_or("-".into(), |s| format!("{:.4} +- {:.4}", s.mean, s.t_half)),
-        shown(arm.difference),
+        format_estimate(arm.difference),
         format!("{:.4}", arm.lost),
         format!("{:.0}", arm.p99_ms),
         format!("{:.0}", arm.orders),
@@ -175,19 +185,21 @@
     ]
 }
 
-fn print(lab: &Lab, found: &[ArmResult]) {
+/// Prints the results as an aligned text table.
+fn print(lab: &Lab, arms: &[ArmResult]) {
     println!("{} (modelled servers; 95% intervals)", lab.experiment().name);
     let rows: Vec<[String; 10]> =
-        std::iter::once(HEADS.map(String::from)).chain(found.iter().map(row)).collect();
-    let wide = |k: usize| rows.iter().map(|r| r[k].chars().count()).max().unwrap_or(0);
+        std::iter::once(HEADS.map(String::from)).chain(arms.iter().map(row)).collect();
+    let width = |k: usize| rows.iter().map(|r| r[k].chars().count()).max().unwrap_or(0);
     for row in &rows {
         let cells: Vec<String> =
-            row.iter().enumerate().map(|(k, cell)| format!("{cell:w$}", w = wide(k))).collect();
+            row.iter().enumerate().map(|(k, cell)| format!("{cell:w$}", w = width(k))).collect();
         println!("{}", cells.join("  ").trim_end());
     }
 }
 
-fn write_report(path: &Path, lab: &Lab, found: &[ArmResult]) -> anyhow::Result<()> {
+/// Writes an HTML page with the table of results and a chart of service by arm.
+fn write_report(path: &Path, lab: &Lab, arms: &[ArmResult]) -> anyhow::Result<()> {
     let experiment = lab.experiment();
     let point = |(k, arm): (usize, &ArmResult)| {
         let Estimate { mean, t_half, .. } = arm.service?;
@@ -206,13 +218,13 @@
         tables: vec![Table {
             title: "Arms".into(),
             heads: HEADS.map(String::from).to_vec(),
-            rows: found.iter().map(|arm| row(arm).to_vec()).collect(),
+            rows: arms.iter().map(|arm| row(arm).to_vec()).collect(),
         }],
         charts: vec![Chart {
             title: "Service by arm, with its interval".into(),
             x: "arm".into(),
             y: "service".into(),
-            lines: found.iter().enumerate().filter_map(point).collect(),
+            lines: arms.iter().enumerate().filter_map(point).collect(),
             ..Chart::default()
         }],
         bands: Vec::new(),
--- a/crates/stepspur-cli/src/keys.rs
+++ b/crates/stepspur-cli/src/keys.rs
@@ -1,4 +1,4 @@
-//! `stepspur keys` and `stepspur token`.
+//! `stepspur keys` and `stepspur token`: manage the folder of keys and certificates, issue and inspect tokens.
 
 use std::net::IpAddr;
 use std::path::{Path, PathBuf};
@@ -13,68 +13,68 @@
 use stepspur_identity::rights::{Right, Rights};
 use stepspur_identity::token::{Claims, UnverifiedToken, decode_unverified, issue};
 
-use crate::End;
+use crate::ExitStatus;
 
-/// Where keys stand.
+/// The folder that a command reads or changes.
 #[derive(Debug, Args)]
-pub(crate) struct Folder {
-    /// The folder of `identity.toml`.
+pub(crate) struct KeyFolder {
+    /// Folder with `identity.toml`, keys and certificates.
     #[arg(long, default_value = "identity")]
     dir: PathBuf,
 }
 
 #[derive(Debug, Subcommand)]
 pub(crate) enum KeysCommand {
-    /// Make a folder with a first signing key, an authority and a server certificate.
+    /// Create a folder with a first signing key, a certificate authority and a server certificate.
     New {
         #[command(flatten)]
-        folder: Folder,
-        /// Who issues tokens.
+        folder: KeyFolder,
+        /// Issuer of tokens (the claim `iss`).
         #[arg(long)]
         issuer: String,
-        /// For whom they are.
+        /// Audience of tokens (the claim `aud`).
         #[arg(long)]
         audience: String,
-        /// Addresses of the conductor.
+        /// IP addresses of the conductor, for its server certificate.
         #[arg(long, default_value = "127.0.0.1")]
         address: Vec<IpAddr>,
     },
-    /// Move signing keys one step on: the next one becomes active, the active one retires. With none next, a new one
-    /// is made and is next: run it again once every conductor has reloaded.
+    /// Rotate signing keys by one step: the next key becomes active and the active one retires. Without a next key,
+    /// create one: run the command again once every conductor has reloaded.
     Rotate {
         #[command(flatten)]
-        folder: Folder,
+        folder: KeyFolder,
     },
-    /// Make a new authority and server certificate: the old authority retires, and is believed until it is revoked.
+    /// Create a new authority and server certificate; the old authority stays trusted until it is revoked.
     RotateAuthority {
         #[command(flatten)]
-        folder: Folder,
-        /// Addresses of the conductor.
+        folder: KeyFolder,
+        /// IP addresses of the conductor, for its server certificate.
         #[arg(long, default_value = "127.0.0.1")]
         address: Vec<IpAddr>,
     },
-    /// Keys, authorities and revoked serial numbers, with their states.
+    /// List keys, authorities and revoked serial numbers, with their states.
     List {
         #[command(flatten)]
-        folder: Folder,
+        folder: KeyFolder,
     },
     /// Revoke a signing key by its id, an authority by its file, or a certificate by `serial:HEX`.
     Revoke {
         #[command(flatten)]
-        folder: Folder,
-        /// What.
+        folder: KeyFolder,
+        /// Key id, authority file or `serial:HEX`.
         what: String,
     },
-    /// Issue a certificate to a caller: `stepspur://TENANT/proxy/ZONE/NAME` or `stepspur://TENANT/operator/NAME`.
+    /// Issue a client certificate for `stepspur://TENANT/proxy/ZONE/NAME` or `stepspur://TENANT/operator/NAME`.
     Cert {
         #[command(flatten)]
-        folder: Folder,
-        /// The caller.
+        folder: KeyFolder,
+        /// URI of the caller.
         uri: String,
-        /// Files are OUT.pem and OUT.key.
+        /// Path without extension: writes OUT.pem and OUT.key.
         #[arg(long)]
         out: String,
-        /// How long it holds.
+        /// Validity of the certificate.
         #[arg(long, default_value = "30d")]
         life: humantime::Duration,
     },
@@ -82,87 +82,90 @@
 
 #[derive(Debug, Subcommand)]
 pub(crate) enum TokenCommand {
-    /// Issue a token, signed by the active key.
+    /// Issue a token, signed with the active key.
     Issue {
         #[command(flatten)]
-        folder: Folder,
-        /// The tenant.
+        folder: KeyFolder,
+        /// Tenant of the caller.
         #[arg(long)]
         tenant: String,
-        /// The caller's name.
+        /// Name of the caller (the claim `sub`).
         #[arg(long)]
         name: String,
-        /// The zone that it may join in; any where left out.
+        /// The only zone that the caller may join; any zone by default.
         #[arg(long)]
         zone: Option<String>,
-        /// A right: read_tables, join, report, read_status, change, administer. What a proxy needs where left out.
-        #[arg(long = "right", value_parser = right)]
+        /// A right: read_tables, join, report, read_status, change, administer. By default, the rights of a proxy.
+        #[arg(long = "right", value_parser = parse_right)]
         rights: Vec<Right>,
-        /// How long it holds.
+        /// Validity of the token.
         #[arg(long, default_value = "1h")]
         life: humantime::Duration,
     },
-    /// Show what a token says, without believing it.
+    /// Print the claims of a token without verifying it.
     Inspect {
-        /// The token.
+        /// Token to print.
         token: String,
     },
 }
 
-fn right(name: &str) -> Result<Right, String> {
-    Right::from_name(name).ok_or_else(|| format!("`{name}` is no right"))
+fn parse_right(name: &str) -> Result<Right, String> {
+    Right::from_name(name).ok_or_else(|| format!("`{name}` is not a right"))
 }
 
-fn now() -> u64 {
+/// The time now, in seconds since the Unix epoch.
+fn unix_seconds() -> u64 {
     SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_secs()
 }
 
-/// Names of new keys and files tell when they were made.
-fn stamp(what: &str) -> anyhow::Result<KeyId> {
+/// A key id or file name that ends with the time of creation, in Unix milliseconds.
+fn timestamped_id(prefix: &str) -> anyhow::Result<KeyId> {
     let at = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-    KeyId::try_from(format!("{what}-{}", at.as_millis())).map_err(anyhow::Error::msg)
+    KeyId::try_from(format!("{prefix}-{}", at.as_millis())).map_err(anyhow::Error::msg)
 }
 
-const YEARS: Duration = Duration::from_secs(86_400 * 365 * 2);
+/// Validity of a server certificate: two years.
+const SERVER_CERTIFICATE_LIFETIME: Duration = Duration::from_secs(86_400 * 365 * 2);
 
-pub(crate) fn keys(command: KeysCommand) -> anyhow::Result<End> {
+/// Runs a command of `stepspur keys`.
+pub(crate) fn keys(command: KeysCommand) -> anyhow::Result<ExitStatus> {
     match command {
         KeysCommand::New { folder, issuer, audience, address } => {
             let dir = folder.dir;
             std::fs::create_dir_all(&dir).with_context(|| dir.display().to_string())?;
             let mut manifest = read_manifest(&dir)?;
-            anyhow::ensure!(manifest.issuer.is_empty(), "{}: keys stand here already", dir.display());
+            anyhow::ensure!(manifest.issuer.is_empty(), "{}: the folder already has keys", dir.display());
             (manifest.issuer, manifest.audience) = (issuer, audience);
-            let signer = Signer::new(stamp("sign")?);
+            let signer = Signer::new(timestamped_id("sign")?);
             signer.save(&dir)?;
             manifest.rotate(Some(&signer));
-            (manifest.anchor, manifest.server) = authority(&dir, &address)?;
+            (manifest.anchor, manifest.server) = create_authority(&dir, &address)?;
             write_manifest(&dir, &manifest)?;
             println!("signing key {}, authority {}", signer.id, manifest.anchor[0].file.display());
         }
         KeysCommand::Rotate { folder } => {
             let mut manifest = read_manifest(&folder.dir)?;
-            let next = manifest.signing.iter().any(|k| k.state == KeyState::Next);
-            let signer = if next { None } else { Some(Signer::new(stamp("sign")?)) };
+            let has_next = manifest.signing.iter().any(|k| k.state == KeyState::Next);
+            let signer = if has_next { None } else { Some(Signer::new(timestamped_id("sign")?)) };
             if let Some(signer) = &signer {
                 signer.save(&folder.dir)?;
             }
             manifest.rotate(signer.as_ref());
             write_manifest(&folder.dir, &manifest)?;
-            list(&folder.dir)?;
+            print_keys(&folder.dir)?;
         }
         KeysCommand::RotateAuthority { folder, address } => {
             let mut manifest = read_manifest(&folder.dir)?;
             for anchor in manifest.anchor.iter_mut().filter(|a| a.state == KeyState::Active) {
                 anchor.state = KeyState::Retiring;
             }
-            let (anchors, server) = authority(&folder.dir, &address)?;
+            let (anchors, server) = create_authority(&folder.dir, &address)?;
             manifest.anchor.extend(anchors);
             manifest.server = server;
             write_manifest(&folder.dir, &manifest)?;
-            list(&folder.dir)?;
+            print_keys(&folder.dir)?;
         }
-        KeysCommand::List { folder } => list(&folder.dir)?,
+        KeysCommand::List { folder } => print_keys(&folder.dir)?,
         KeysCommand::Revoke { folder, what } => {
             let mut manifest = read_manifest(&folder.dir)?;
             let mut found = false;
@@ -178,7 +181,7 @@
             }
             anyhow::ensure!(found, "no key, authority or serial number `{what}`");
             write_manifest(&folder.dir, &manifest)?;
-            list(&folder.dir)?;
+            print_keys(&folder.dir)?;
         }
         KeysCommand::Cert { folder, uri, out, life } => {
             let dir = folder.dir;
@@ -187,25 +190,32 @@
             let file = dir.join(&anchor.context("no active authority")?.file);
             let read =
                 |path: &Path| std::fs::read_to_string(path).with_context(|| path.display().to_string());
-            let secret = zeroize::Zeroizing::new(read(&file.with_extension("key"))?);
-            let authority = Authority::load(&read(&file)?, &secret)?;
-            let issued = authority.issue(&Leaf::Caller(uri), now() - 60, *life)?;
+            let private_key = zeroize::Zeroizing::new(read(&file.with_extension("key"))?);
+            let authority = Authority::load(&read(&file)?, &private_key)?;
+            let issued = authority.issue(&Leaf::Caller(uri), unix_seconds() - 60, *life)?;
             let out = PathBuf::from(out);
             let name = out.file_name().and_then(|n| n.to_str()).context("--out must name a file")?;
             issued.save(out.parent().unwrap_or(Path::new("")), name)?;
         }
     }
-    Ok(End::Well)
+    Ok(ExitStatus::Success)
 }
 
-/// A new authority, and a server certificate of it.
-fn authority(dir: &Path, addresses: &[IpAddr]) -> anyhow::Result<(Vec<AnchorEntry>, Option<ServerEntry>)> {
-    let name = stamp("ca")?;
-    let (authority, secret) = Authority::new(&name.to_string())?;
+/// Creates a certificate authority and a server certificate that it issues, and writes both to the folder.
+fn create_authority(
+    dir: &Path,
+    addresses: &[IpAddr],
+) -> anyhow::Result<(Vec<AnchorEntry>, Option<ServerEntry>)> {
+    let name = timestamped_id("ca")?;
+    let (authority, private_key) = Authority::new(&name.to_string())?;
     let file = PathBuf::from(format!("{name}.pem"));
-    write_private(&dir.join(format!("{name}.key")), secret.as_bytes())?;
+    write_private(&dir.join(format!("{name}.key")), private_key.as_bytes())?;
     std::fs::write(dir.join(&file), authority.pem()).with_context(|| file.display().to_string())?;
-    let issued: Issued = authority.issue(&Leaf::Server(addresses.to_vec()), now() - 60, YEARS)?;
+    let issued: Issued = authority.issue(
+        &Leaf::Server(addresses.to_vec()),
+        unix_seconds() - 60,
+        SERVER_CERTIFICATE_LIFETIME,
+    )?;
     let server = format!("server-{name}");
     issued.save(dir, &server)?;
     let entry =
@@ -213,7 +223,8 @@
     Ok((vec![AnchorEntry { file, state: KeyState::Active }], Some(entry)))
 }
 
-fn list(dir: &Path) -> Result<(), KeyError> {
+/// Prints issuer, audience, keys, authorities and revoked serial numbers.
+fn print_keys(dir: &Path) -> Result<(), KeyError> {
     let manifest = read_manifest(dir)?;
     println!("issuer {}, audience {}", manifest.issuer, manifest.audience);
     for key in &manifest.signing {
@@ -228,14 +239,15 @@
     Ok(())
 }
 
-pub(crate) fn token(command: TokenCommand) -> anyhow::Result<End> {
+/// Runs a command of `stepspur token`.
+pub(crate) fn token(command: TokenCommand) -> anyhow::Result<ExitStatus> {
     match command {
         TokenCommand::Issue { folder, tenant, name, zone, rights, life } => {
             let manifest = read_manifest(&folder.dir)?;
             let signer = Signer::load(&folder.dir, manifest.active().context("no active key")?.clone())?;
             let rights = if rights.is_empty() { Rights::PROXY } else { rights.into_iter().collect() };
             let (iss, aud) = (manifest.issuer.clone(), manifest.audience.clone());
-            let (nbf, exp) = (now(), now() + life.as_secs());
+            let (nbf, exp) = (unix_seconds(), unix_seconds() + life.as_secs());
             println!("{}", issue(&signer, &Claims { iss, aud, sub: name, tenant, zone, rights, nbf, exp }));
         }
         TokenCommand::Inspect { token } => {
@@ -244,5 +256,5 @@
             println!("{}", serde_json::to_string_pretty(&claims)?);
         }
     }
-    Ok(End::Well)
+    Ok(ExitStatus::Success)
 }
--- a/crates/stepspur-cli/src/logging.rs
+++ b/crates/stepspur-cli/src/logging.rs
@@ -1,17 +1,17 @@
-//! Logs of the program: their filter, their form, and where they go.
+//! Sets up logging: filter, format and output.
 
 use std::io::IsTerminal;
 
 use clap::{Args, ValueEnum};
 use tracing_subscriber::EnvFilter;
 
-/// Which log lines are written, and how.
+/// Command-line arguments of logging.
 #[derive(Debug, Args)]
-pub(crate) struct Logs {
-    /// What is logged: a level, or directives as `stepspur_conductor=debug`.
+pub(crate) struct LogArgs {
+    /// Log filter: a level, or directives such as `stepspur_conductor=debug`.
     #[arg(long, default_value = "info")]
     log: String,
-    /// How it is logged, on standard error.
+    /// Format of log lines, which go to standard error.
     #[arg(long, value_enum, default_value_t = LogFormat::Plain)]
     log_format: LogFormat,
 }
@@ -22,7 +22,7 @@
     Json,
 }
 
-/// Log targets by the names that their crates had before, which directives may still use.
+/// Former and current crate names of log targets: directives may still use the former ones.
 const RENAMED_TARGETS: [(&str, &str); 10] = [
     ("stepspur_council", "stepspur_consensus"),
     ("stepspur_peers", "stepspur_consensus_node"),
@@ -36,11 +36,11 @@
     ("stepspur_wirehost", "stepspur_simulator_adapter"),
 ];
 
-impl Logs {
-    /// Starts logging for the whole process.
+impl LogArgs {
+    /// Installs the global log subscriber.
     ///
     /// # Errors
-    /// The directives cannot be parsed.
+    /// The filter cannot be parsed.
     pub(crate) fn start(&self) -> anyhow::Result<()> {
         let filter = EnvFilter::try_new(with_current_targets(&self.log))?;
         let subscriber = tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr);
@@ -53,7 +53,7 @@
     }
 }
 
-/// The directives with former crate names replaced by the current ones.
+/// Replaces former crate names in the directives by the current ones.
 fn with_current_targets(directives: &str) -> String {
     directives.split(',').map(with_current_target).collect::<Vec<_>>().join(",")
 }
--- a/crates/stepspur-cli/src/main.rs
+++ b/crates/stepspur-cli/src/main.rs
@@ -1,7 +1,7 @@
-//! The program `stepspur`: runs a conductor, checks its settings, rehearses bad days.
+//! The `stepspur` program: runs a conductor, checks its settings, plays fault scenarios and measures performance.
 //!
-//! Exit codes: 0 all well; 1 something failed while running; 2 wrong use, or settings with faults; 3 a rule was
-//! broken; 4 the day says nothing, as this machine was too slow for it; 5 an expectation of a scenario was not met.
+//! Exit codes: 0 success; 1 a failure at run time; 2 wrong arguments or invalid settings; 3 a rule was violated;
+//! 4 the run is void because this machine was too slow for it; 5 an expectation of a scenario was not met.
 #![forbid(unsafe_code)]
 
 mod bench;
@@ -21,13 +21,13 @@
 
 use clap::{Args, Parser, Subcommand};
 
-use logging::Logs;
+use logging::LogArgs;
 
 /// Directs the traffic of a fleet of sidecar proxies.
 #[derive(Debug, Parser)]
 #[command(
     version,
-    after_help = "Exit codes: 0 well, 1 failed, 2 wrong use or settings, 3 a rule broken, 4 void, \
+    after_help = "Exit codes: 0 success, 1 failure, 2 wrong arguments or settings, 3 a rule violated, 4 void, \
                   5 an expectation not met."
 )]
 struct Cli {
@@ -37,21 +37,21 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Run a conductor until SIGINT or SIGTERM; one line of JSON on standard output says where it listens.
+    /// Run a conductor until SIGINT or SIGTERM; prints its addresses as one line of JSON on standard output.
     Run {
-        /// The settings file (TOML).
+        /// Settings file (TOML).
         #[arg(long, required_unless_present = "platform")]
         config: Option<PathBuf>,
-        /// One setting, over the file and the environment: `listen.address=127.0.0.1:7500`.
+        /// Override one setting of the file and the environment: `listen.address=127.0.0.1:7500`.
         #[arg(long, value_name = "KEY=VALUE")]
         set: Vec<String>,
-        /// Serve the users' platform, as `LB_CONFIG` and the other variables of its environment say.
+        /// Serve the platform's protocol, configured by `LB_CONFIG` and the other `LB_*` environment variables.
         #[arg(long, conflicts_with_all = ["config", "set"])]
         platform: bool,
         #[command(flatten)]
-        logs: Logs,
+        logs: LogArgs,
     },
-    /// Check a conductor's settings: all faults at once, each with its place.
+    /// Check a conductor's settings and print all errors at once, each with its line.
     Check {
         #[command(flatten)]
         settings: SettingsArgs,
@@ -59,72 +59,72 @@
         #[arg(long)]
         json: bool,
     },
-    /// The council of conductors, where the settings name one.
+    /// Create or inspect the Raft group of conductors that `[council]` in the settings names.
     #[command(subcommand)]
     Council(CouncilCommand),
-    /// Counts of a running conductor.
+    /// Show the counters of a running conductor.
     Status {
-        /// Where its status page answers.
+        /// Address of the conductor's status page.
         #[arg(long, default_value = "127.0.0.1:7401")]
         address: SocketAddr,
         /// Print as JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Play a scenario with stand-ins on loopback and judge the five rules; with no file, the bad day.
+    /// Play a fault scenario with emulated servers and proxies on loopback and check the five rules.
     Rehearse {
-        /// A scenario file.
+        /// Scenario file (TOML); the built-in `bad-day.toml` by default.
         scenario: Option<PathBuf>,
-        /// The seed, in place of the scenario's.
+        /// Random seed, in place of the scenario's.
         #[arg(long)]
         seed: Option<u64>,
-        /// Only check the scenario.
+        /// Validate the scenario, print its faults and exit.
         #[arg(long)]
         check: bool,
-        /// Play it so often, with seeds that follow the first, and say how sure the verdict is.
+        /// Number of runs, with consecutive seeds; with more than one, print 95% confidence intervals.
         #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u32).range(1..=1000))]
         runs: u32,
-        /// Print the JSON schema of scenario files, and play nothing.
+        /// Print the JSON schema of scenario files and exit.
         #[arg(long)]
         schema: bool,
         #[command(flatten)]
         play: PlayArgs,
     },
-    /// Play a bench day, as the simulator's `draw` printed it, through a real conductor, and judge it.
+    /// Play a simulator day through a real conductor in real time and check the five rules.
     Replay {
-        /// The day file.
+        /// Day file (JSON), as printed by the simulator's `draw`.
         day: PathBuf,
-        /// Servers, proxies and traffic as a part of the day's; else what fits this machine.
+        /// Fraction of the day's servers, proxies and traffic to play; by default, what this machine can run.
         #[arg(long)]
         scale: Option<f64>,
         #[command(flatten)]
         play: PlayArgs,
     },
-    /// Play a scenario or a bench day in virtual time: the real engine, modelled servers, no sockets.
+    /// Play a scenario or a simulator day in virtual time: the real engine, modelled servers, no sockets.
     Model(fleet::ModelArgs),
-    /// Compare settings in virtual time on the same seeds, with intervals; goes on where it was interrupted.
+    /// Compare settings in virtual time on the same seeds, with confidence intervals; resumes if interrupted.
     Experiment(fleet::ExperimentArgs),
-    /// Keys and certificates, for teams with no authority of their own.
+    /// Manage keys and certificates, for teams without a certificate authority of their own.
     #[command(subcommand)]
     Keys(keys::KeysCommand),
-    /// Tokens.
+    /// Issue and inspect access tokens.
     #[command(subcommand)]
     Token(keys::TokenCommand),
-    /// Measure the way of orders to many proxies beside the bare limit of this machine.
+    /// Measure how fast orders reach many proxies, compared with bare socket writes on this machine.
     Bench(bench::BenchArgs),
 }
 
 #[derive(Debug, Subcommand)]
 enum CouncilCommand {
-    /// Make this conductor's state file, once, before the council's first start. It is never made anew over another.
+    /// Create this conductor's Raft state file, once, before the council's first start; fails if it exists.
     #[command(alias = "found")]
     Bootstrap {
         #[command(flatten)]
         settings: SettingsArgs,
     },
-    /// How a running conductor's member stands.
+    /// Show the Raft status of a running conductor.
     Status {
-        /// Where the conductor's status page answers.
+        /// Address of the conductor's status page.
         #[arg(long, default_value = "127.0.0.1:7401")]
         address: SocketAddr,
         /// Print as JSON.
@@ -135,10 +135,10 @@
 
 #[derive(Debug, Args)]
 struct SettingsArgs {
-    /// The settings file (TOML).
+    /// Settings file (TOML).
     #[arg(long)]
     config: PathBuf,
-    /// One setting, over the file and the environment: `listen.address=127.0.0.1:7500`.
+    /// Override one setting of the file and the environment: `listen.address=127.0.0.1:7500`.
     #[arg(long, value_name = "KEY=VALUE")]
     set: Vec<String>,
 }
@@ -148,40 +148,42 @@
     /// Print as JSON.
     #[arg(long)]
     json: bool,
-    /// Run the conductor inside this process rather than as one of its own.
+    /// Run the conductor inside this process instead of as a child process.
     #[arg(long)]
     inside: bool,
-    /// Streams by TLS with client certificates and tokens that must be renewed.
+    /// Use TLS with client certificates, and tokens that proxies must renew.
     #[arg(long)]
     identity: bool,
-    /// Write a report here: one HTML file with plots. Of several runs, that of the worst.
+    /// Write a report with plots to this HTML file; of several runs, that of the worst one.
     #[arg(long, value_name = "FILE")]
     report: Option<PathBuf>,
-    /// Write the report's data here as CSV.
+    /// Write the report's data to this CSV file.
     #[arg(long, value_name = "FILE")]
     csv: Option<PathBuf>,
-    /// Show zones, levels and outcomes in the terminal while it runs.
+    /// Show zones, admission levels and outcomes in the terminal during the run.
     #[arg(long)]
     watch: bool,
 }
 
-/// How a command ended.
+/// The result of a command; the value is the exit code of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum End {
-    Well = 0,
-    Failed = 1,
-    WrongUse = 2,
-    RuleBroken = 3,
+enum ExitStatus {
+    Success = 0,
+    Failure = 1,
+    /// Wrong arguments, or settings or an input file with errors.
+    UsageError = 2,
+    RuleViolated = 3,
+    /// No verdict: this machine was too slow for the run.
     Void = 4,
-    NotMet = 5,
+    ExpectationNotMet = 5,
 }
 
-/// A call of the system that has not ended so long after all tasks have is left behind: its disk hangs.
-const LEFT_BEHIND: Duration = Duration::from_secs(1);
+/// How long the process waits at its end for blocking system calls, such as a read from a disk that hangs.
+const BLOCKING_CALLS_GRACE: Duration = Duration::from_secs(1);
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    // The platform gives a conductor part of a core: more threads would cost memory and bring nothing.
+    // The platform gives a conductor a fraction of a core: more threads would cost memory without a gain.
     let mut builder = match cli.command {
         Command::Run { platform: true, .. } => tokio::runtime::Builder::new_current_thread(),
         _ => tokio::runtime::Builder::new_multi_thread(),
@@ -189,20 +191,20 @@
     let runtime = match builder.enable_all().build() {
         Ok(runtime) => runtime,
         Err(error) => {
-            eprintln!("stepspur: no runtime: {error}");
-            return ExitCode::from(End::Failed as u8);
+            eprintln!("stepspur: cannot start the async runtime: {error}");
+            return ExitCode::from(ExitStatus::Failure as u8);
         }
     };
-    let end = runtime.block_on(dispatch(cli.command)).unwrap_or_else(|error| {
+    let status = runtime.block_on(dispatch(cli.command)).unwrap_or_else(|error| {
         eprintln!("stepspur: {error:#}");
-        End::Failed
+        ExitStatus::Failure
     });
-    // Dropping it would wait for ever for a thread in a call that hangs.
-    runtime.shutdown_timeout(LEFT_BEHIND);
-    ExitCode::from(end as u8)
+    // Dropping the runtime would wait without limit for a thread whose system call hangs.
+    runtime.shutdown_timeout(BLOCKING_CALLS_GRACE);
+    ExitCode::from(status as u8)
 }
 
-async fn dispatch(command: Command) -> anyhow::Result<End> {
+async fn dispatch(command: Command) -> anyhow::Result<ExitStatus> {
     match command {
         Command::Run { platform: true, logs, .. } => {
             logs.start()?;
@@ -210,30 +212,32 @@
         }
         Command::Run { config, set, logs, .. } => {
             logs.start()?;
-            // `clap` asks for one of the two.
+            // `clap` requires `--config` unless `--platform` is set.
             match settings::load(&config.unwrap_or_default(), &set) {
                 Ok(config) => run::run(config).await,
-                Err(faults) => Ok(settings::show(&faults, false)),
+                Err(errors) => Ok(settings::print_errors(&errors, false)),
             }
         }
         Command::Check { settings, json } => match settings::load(&settings.config, &settings.set) {
             Ok(_) => {
                 println!("{}", if json { "[]" } else { "no faults" });
-                Ok(End::Well)
+                Ok(ExitStatus::Success)
             }
-            Err(faults) => Ok(settings::show(&faults, json)),
+            Err(errors) => Ok(settings::print_errors(&errors, json)),
         },
         Command::Status { address, json } => run::status(address, json).await,
         Command::Council(CouncilCommand::Bootstrap { settings }) => {
             match settings::load(&settings.config, &settings.set) {
                 Ok(config) => run::bootstrap(&config),
-                Err(faults) => Ok(settings::show(&faults, false)),
+                Err(errors) => Ok(settings::print_errors(&errors, false)),
             }
         }
-        Command::Council(CouncilCommand::Status { address, json }) => run::council(address, json).await,
+        Command::Council(CouncilCommand::Status { address, json }) => {
+            run::council_status(address, json).await
+        }
         Command::Rehearse { schema: true, .. } => {
             println!("{}", serde_json::to_string_pretty(&stepspur_emulator::scenario::schema())?);
-            Ok(End::Well)
+            Ok(ExitStatus::Success)
         }
         Command::Rehearse { scenario, seed, check, runs, play, .. } => {
             play::rehearse(scenario, seed, check, runs, &play).await
--- a/crates/stepspur-cli/src/settings.rs
+++ b/crates/stepspur-cli/src/settings.rs
@@ -1,4 +1,5 @@
-//! A conductor's settings: file, then environment, then flags; all faults at once, each with its place.
+//! Loads a conductor's settings from three layers: file, environment, flags. Reports all errors at once, each with its
+//! location.
 
 use std::path::Path;
 
@@ -9,97 +10,103 @@
 use serde::Serialize;
 use stepspur_conductor::Config;
 
-use crate::End;
+use crate::ExitStatus;
 
-/// A fault and where it stands.
+/// An error in the settings and its location; the field names are keys of the JSON output.
 #[derive(Clone, Debug, Serialize, PartialEq)]
-pub(crate) struct Fault {
-    /// `file:line`, or the layer above it.
+pub(crate) struct SettingsError {
+    /// `file:line`. `or a layer above` follows where the key is not in the file: the environment or a flag sets it, or
+    /// it is missing.
     pub place: String,
-    /// The key.
+    /// The key's path, such as `fleet.proxies`; empty for an error of the whole file.
     pub key: String,
-    /// What is wrong.
+    /// The cause.
     pub what: String,
 }
 
-/// Every key with a sound value.
+/// The example settings: a valid value for every key.
 const EXAMPLE: &str = include_str!("../../../examples/conductor.toml");
 
-/// Faults that are looked for at most: each costs a pass.
-const MOST: usize = 100;
+/// The largest number of type errors that are reported: each costs a pass over the settings.
+const MAX_ERRORS: usize = 100;
 
-/// Loads the layers.
-pub(crate) fn load(path: &Path, set: &[String]) -> Result<Config, Vec<Fault>> {
+/// Loads the settings; each layer overrides the one before it.
+///
+/// # Errors
+/// All errors that were found, in all layers.
+pub(crate) fn load(path: &Path, set: &[String]) -> Result<Config, Vec<SettingsError>> {
     let file = path.display().to_string();
-    let whole = |what: String| vec![Fault { place: file.clone(), key: String::new(), what }];
-    let text = std::fs::read_to_string(path).map_err(|error| whole(error.to_string()))?;
-    let lines = Lines::parse(&file, &text).map_err(|fault| vec![fault])?;
+    let file_error = |what: String| vec![SettingsError { place: file.clone(), key: String::new(), what }];
+    let text = std::fs::read_to_string(path).map_err(|error| file_error(error.to_string()))?;
+    let locations = KeyLocations::parse(&file, &text).map_err(|error| vec![error])?;
     let mut figment = Figment::from(Toml::string(&text)).merge(Env::prefixed("STEPSPUR_").split("__"));
     for pair in set {
         let Some((key, value)) = pair.split_once('=') else {
-            return Err(whole(format!("--set {pair}: expected KEY=VALUE")));
+            return Err(file_error(format!("--set {pair}: expected KEY=VALUE")));
         };
-        // A value as TOML would word it, else text.
+        // A TOML value, or a plain string where it does not parse as one.
         let value = value.parse::<toml::Value>().unwrap_or_else(|_| toml::Value::String(value.to_owned()));
         figment = figment.merge(Serialized::default(key, value));
     }
-    let mut dict: Dict = figment.extract().map_err(|error| whole(error.to_string()))?;
-    let mut faults: Vec<Fault> = Vec::new();
-    // Serde stops at the first fault: it is noted, mended by the example's value, and the rest is tried again.
+    let mut dict: Dict = figment.extract().map_err(|error| file_error(error.to_string()))?;
+    let mut errors: Vec<SettingsError> = Vec::new();
+    // Serde stops at the first error. It is recorded and its value replaced by the example's; then the settings are
+    // extracted again, to find the next error.
     let example: Dict = Figment::from(Toml::string(EXAMPLE)).extract().unwrap_or_default();
-    while faults.len() < MOST {
+    while errors.len() < MAX_ERRORS {
         let layer = Figment::from(Serialized::from(&dict, Profile::Default));
         let error = match layer.extract::<Config>() {
             Ok(config) => {
-                let mended: Vec<String> = faults.iter().map(|f| f.key.clone()).collect();
-                let bounds = config.faults().into_iter().map(|f| lines.fault(&parts(&f.key), f.what));
-                faults.extend(bounds.filter(|f| !mended.contains(&f.key)));
-                return if faults.is_empty() { Ok(config) } else { Err(faults) };
+                let reported: Vec<String> = errors.iter().map(|e| e.key.clone()).collect();
+                let bounds =
+                    config.faults().into_iter().map(|f| locations.error_at(&path_of(&f.key), f.what));
+                errors.extend(bounds.filter(|e| !reported.contains(&e.key)));
+                return if errors.is_empty() { Ok(config) } else { Err(errors) };
             }
             Err(error) => error,
         };
         let mut path = error.path.clone();
-        let named = match &error.kind {
+        let field = match &error.kind {
             Kind::UnknownField(name, _) => Some(name.clone()),
             Kind::MissingField(name) => Some(name.to_string()),
             _ => None,
         };
-        // The path may end with the field or with the table round it.
-        if path.last() != named.as_ref() {
-            path.extend(named);
+        // The path of the error may end with the field or with the table that contains it.
+        if path.last() != field.as_ref() {
+            path.extend(field);
         }
-        let (what, fits) = match error.kind {
-            Kind::MissingField(_) => ("this key is needed".to_owned(), find(&example, &path)),
+        let (what, replacement) = match error.kind {
+            Kind::MissingField(_) => ("this key is needed".to_owned(), example_value(&example, &path)),
             Kind::UnknownField(..) => (error.kind.to_string(), None),
-            _ => (error.kind.to_string(), find(&example, &path)),
+            _ => (error.kind.to_string(), example_value(&example, &path)),
         };
-        faults.push(lines.fault(&path, what));
-        if !put(&mut dict, &path, fits) {
+        errors.push(locations.error_at(&path, what));
+        if !replace_value(&mut dict, &path, replacement) {
             break;
         }
     }
-    Err(faults)
+    Err(errors)
 }
 
-/// Prints faults; they are the only output on standard output where JSON is asked for.
-pub(crate) fn show(faults: &[Fault], json: bool) -> End {
+/// Prints the errors: as JSON on standard output, or as text on standard error.
+pub(crate) fn print_errors(errors: &[SettingsError], json: bool) -> ExitStatus {
     if json {
-        println!("{}", serde_json::to_string(faults).unwrap_or_default());
+        println!("{}", serde_json::to_string(errors).unwrap_or_default());
     } else {
-        for Fault { place, key, what } in faults {
+        for SettingsError { place, key, what } in errors {
             eprintln!("{place}: {key}{}{what}", if key.is_empty() { "" } else { ": " });
         }
     }
-    End::WrongUse
+    ExitStatus::UsageError
 }
 
-/// `fleet.classes[0].aim` as its parts.
-fn parts(key: &str) -> Vec<String> {
+/// Splits a key such as `fleet.classes[0].aim` into the parts of its path.
+fn path_of(key: &str) -> Vec<String> {
     key.split(['.', '[', ']']).filter(|part| !part.is_empty()).map(str::to_owned).collect()
 }
 
-/// The example's value at a path; of lists, the first item stands for all.
-fn find(dict: &Dict, path: &[String]) -> Option<Value> {
+/// The example's value at a path; every index of a list maps to its first item.
+fn example_value(dict: &Dict, path: &[String]) -> Option<Value> {
     let (first, rest) = path.split_first()?;
     let mut value = dict.get(first)?;
     let mut rest = rest.iter();
@@ -113,30 +120,33 @@
     }
 }
 
-/// Puts a value at a path, or takes out what is there; false if nothing could be changed.
-fn put(dict: &mut Dict, path: &[String], fits: Option<Value>) -> bool {
-    match (path, fits) {
+/// Replaces the value at a path, or removes it where there is no replacement. False if nothing could be changed.
+fn replace_value(dict: &mut Dict, path: &[String], replacement: Option<Value>) -> bool {
+    match (path, replacement) {
         ([], _) => false,
         ([key], None) => dict.remove(key).is_some(),
         ([key], Some(value)) => {
             dict.insert(key.clone(), value);
             true
         }
-        ([key, rest @ ..], fits) => dict.get_mut(key).is_some_and(|value| put_in(value, rest, fits)),
+        ([key, rest @ ..], replacement) => {
+            dict.get_mut(key).is_some_and(|value| replace_in_value(value, rest, replacement))
+        }
     }
 }
 
-fn put_in(value: &mut Value, path: &[String], fits: Option<Value>) -> bool {
+/// As [`replace_value`], for a path that begins inside a table or a list.
+fn replace_in_value(value: &mut Value, path: &[String], replacement: Option<Value>) -> bool {
     match (value, path) {
-        (Value::Dict(_, dict), path) => put(dict, path, fits),
-        (Value::Array(_, items), [place, rest @ ..]) => {
-            let item = place.parse().ok().and_then(|k: usize| items.get_mut(k));
-            match (item, rest.is_empty(), fits) {
+        (Value::Dict(_, dict), path) => replace_value(dict, path, replacement),
+        (Value::Array(_, items), [index, rest @ ..]) => {
+            let item = index.parse().ok().and_then(|k: usize| items.get_mut(k));
+            match (item, rest.is_empty(), replacement) {
                 (Some(item), true, Some(value)) => {
                     *item = value;
                     true
                 }
-                (Some(item), false, fits) => put_in(item, rest, fits),
+                (Some(item), false, replacement) => replace_in_value(item, rest, replacement),
                 _ => false,
             }
         }
@@ -144,38 +154,40 @@
     }
 }
 
-/// Where keys stand in a file.
-struct Lines<'a> {
+/// The locations of all keys in a settings file.
+struct KeyLocations<'a> {
     file: &'a str,
     text: &'a str,
     table: toml::Spanned<toml::de::DeTable<'a>>,
 }
 
-impl<'a> Lines<'a> {
-    fn parse(file: &'a str, text: &'a str) -> Result<Self, Fault> {
+impl<'a> KeyLocations<'a> {
+    fn parse(file: &'a str, text: &'a str) -> Result<Self, SettingsError> {
         match toml::de::DeTable::parse(text) {
             Ok(table) => Ok(Self { file, text, table }),
             Err(error) => {
                 let line = line_of(text, error.span().map_or(0, |span| span.start));
                 let what = error.message().to_owned();
-                Err(Fault { place: format!("{file}:{line}"), key: String::new(), what })
+                Err(SettingsError { place: format!("{file}:{line}"), key: String::new(), what })
             }
         }
     }
 
-    fn fault(&self, path: &[String], what: String) -> Fault {
+    /// An error at the key with this path.
+    fn error_at(&self, path: &[String], what: String) -> SettingsError {
         let key = path.join(".");
-        let place = match self.span(path) {
+        let place = match self.find_key(path) {
             Some((at, true)) => format!("{}:{}", self.file, line_of(self.text, at)),
-            // Not in the file: a layer above it, or missing.
+            // The key is not in the file: a layer above sets it, or it is missing.
             Some((at, false)) => format!("{}:{} or a layer above", self.file, line_of(self.text, at)),
             None => format!("{} or a layer above", self.file),
         };
-        Fault { place, key, what }
+        SettingsError { place, key, what }
     }
 
-    /// Where the key begins, or the deepest table above it; true: the key itself.
-    fn span(&self, path: &[String]) -> Option<(usize, bool)> {
+    /// The byte offset of the key and true, or that of the deepest table on its path that the file has and false.
+    /// None if the file has neither.
+    fn find_key(&self, path: &[String]) -> Option<(usize, bool)> {
         let mut table = self.table.get_ref();
         let mut found = None;
         let mut parts = path.iter().peekable();
@@ -203,6 +215,7 @@
     }
 }
 
+/// The line number, from 1, of a byte offset.
 fn line_of(text: &str, at: usize) -> usize {
     text.as_bytes().iter().take(at).filter(|b| **b == b'\n').count() + 1
 }
