--- a/crates/stepspur-cli/src/bench/bare_writes.rs
+++ b/crates/stepspur-cli/src/bench/bare_writes.rs
@@ -1,5 +1,4 @@
-//! The baseline: a process whose tasks, one per socket, write the bytes of a drain's order and read the
-//! answers.
+//! The baseline: a process with a task per socket that writes the bytes of a drain's order and reads answers.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::process::Stdio;
--- a/crates/stepspur-cli/src/bench/conductor.rs
+++ b/crates/stepspur-cli/src/bench/conductor.rs
@@ -140,8 +140,7 @@
     config.status.address = None;
     config.probes.enabled = false;
     config.fleet.proxies = args.proxies as u32;
-    // Without a minimum of connections all proxies of a zone get the same table, so a drain reaches each of
-    // them.
+    // Without a minimum of connections all proxies of a zone get the same table: a drain reaches each one.
     config.fleet.connections_min = 0;
     config.channel.lines_per_s = args.lines_per_s;
     config.channel.waiting_max = UNLIMITED_WAITING_LINES;
--- a/crates/stepspur-cli/src/bench/drain.rs
+++ b/crates/stepspur-cli/src/bench/drain.rs
@@ -1,5 +1,4 @@
-//! Measures how fast drains of servers reach proxies, and how fast all proxies rejoin after the conductor is
-//! killed.
+//! Measures how fast drains reach proxies, and how fast all proxies rejoin after the conductor is killed.
 
 use std::time::Duration;
 
@@ -16,8 +15,7 @@
 use super::times::DeliveryTimes;
 use super::{OBSERVATION_CAPACITY, WAIT_TIMEOUT};
 
-/// Pause between the last join and the measurement of memory, so that memory used only by the joins is
-/// returned.
+/// Pause between the last join and the measurement of memory: memory used only by the joins is freed.
 const MEMORY_SETTLE_TIME: Duration = Duration::from_secs(3);
 
 /// Results of drains and a rejoin.
@@ -42,8 +40,7 @@
     pub cpu_s: f64,
 }
 
-/// Drains servers in consecutive rounds, then kills the conductor, restarts it and lets all proxies join
-/// again.
+/// Drains servers in consecutive rounds, then kills and restarts the conductor and joins all proxies again.
 pub(super) async fn measure(args: &BenchArgs) -> anyhow::Result<Drains> {
     let conductor = BenchConductor::new(args).await?;
     let running = conductor.start_with_list().await?;
--- a/crates/stepspur-cli/src/bench/joins.rs
+++ b/crates/stepspur-cli/src/bench/joins.rs
@@ -33,7 +33,7 @@
 /// Source addresses of the flood.
 const HALF_OPEN_ADDRESSES: u32 = 50;
 
-/// A proxy with a certificate and a token of its own.
+/// A proxy with a certificate of its own, for which tokens can be issued.
 struct ProxyIdentity {
     name: String,
     zone: String,
--- a/crates/stepspur-cli/src/bench/report.rs
+++ b/crates/stepspur-cli/src/bench/report.rs
@@ -26,8 +26,7 @@
     ratio_last: f64,
     /// CPU time per round: of the conductor for a drain, of the baseline's process for a write.
     cpu_ms: [f64; 2],
-    /// Resident memory of the conductor: before any proxy, with all proxies joined, and the difference per
-    /// stream.
+    /// Resident memory of the conductor: without proxies, with all of them, and the difference per stream.
     memory_kib: [f64; 3],
     /// From the restart after a kill until all proxies have joined and have their tables.
     rejoin_s: f64,
--- a/crates/stepspur-cli/src/bench/settings.rs
+++ b/crates/stepspur-cli/src/bench/settings.rs
@@ -27,8 +27,7 @@
     /// Print as JSON.
     #[arg(long)]
     pub json: bool,
-    /// Run as the baseline's process: at each line on standard input, write an order of this size to each
-    /// socket.
+    /// Run as the baseline's process: for each input line, write an order of this size to each socket.
     #[arg(long, hide = true)]
     pub bare_writer: Option<usize>,
 }
--- a/crates/stepspur-cli/src/bench/stream.rs
+++ b/crates/stepspur-cli/src/bench/stream.rs
@@ -1,5 +1,4 @@
-//! A proxy's stream: answers marks and pings, keeps no table, and reports what it reads to the measuring
-//! task.
+//! A proxy's stream: answers marks and pings, keeps no table, and reports orders to the measuring task.
 
 use anyhow::Context;
 use bytes::Bytes;
@@ -74,8 +73,7 @@
     }
 }
 
-/// The next frame and the time at which it was read. None if the stream has ended or the bytes are no valid
-/// frame.
+/// The next frame and the time at which it was read. None if the stream has ended or the frame is invalid.
 async fn read_frame<S: AsyncRead + Unpin>(
     stream: &mut S,
     buffer: &mut Vec<u8>,
--- a/crates/stepspur-cli/src/keys.rs
+++ b/crates/stepspur-cli/src/keys.rs
@@ -1,5 +1,4 @@
-//! `stepspur keys` and `stepspur token`: manage the folder of keys and certificates, issue and inspect
-//! tokens.
+//! `stepspur keys` and `stepspur token`: manage keys and certificates, issue and inspect tokens.
 
 use std::net::IpAddr;
 use std::path::{Path, PathBuf};
@@ -97,8 +96,7 @@
         /// The only zone that the caller may join; any zone by default.
         #[arg(long)]
         zone: Option<String>,
-        /// A right: read_tables, join, report, read_status, change, administer. By default, the rights of a
-        /// proxy.
+        /// A right: read_tables, join, report, read_status, change, administer. Default: a proxy's rights.
         #[arg(long = "right", value_parser = parse_right)]
         rights: Vec<Right>,
         /// Validity of the token.
--- a/crates/stepspur-cli/src/main.rs
+++ b/crates/stepspur-cli/src/main.rs
@@ -1,5 +1,4 @@
-//! The `stepspur` program: runs a conductor, checks its settings, plays fault scenarios and measures
-//! performance.
+//! The `stepspur` program: runs a conductor, checks its settings, plays fault scenarios and benchmarks.
 //!
 //! Exit codes: 0 success; 1 a failure at run time; 2 wrong arguments or invalid settings; 3 a rule was
 //! violated; 4 the run is void because this machine was too slow for it; 5 an expectation of a scenario was
@@ -47,8 +46,7 @@
         /// Override one setting of the file and the environment: `listen.address=127.0.0.1:7500`.
         #[arg(long, value_name = "KEY=VALUE")]
         set: Vec<String>,
-        /// Serve the platform's protocol, configured by `LB_CONFIG` and the other `LB_*` environment
-        /// variables.
+        /// Serve the platform's protocol, configured by `LB_CONFIG` and the other `LB_*` variables.
         #[arg(long, conflicts_with_all = ["config", "set"])]
         platform: bool,
         #[command(flatten)]
--- a/crates/stepspur-cli/src/model_bench.rs
+++ b/crates/stepspur-cli/src/model_bench.rs
@@ -1,5 +1,4 @@
-//! `stepspur bench --model`: measures the server model alone, on one core: events per second, and memory per
-//! server.
+//! `stepspur bench --model`: measures the server model alone: events per second on a core, memory per server.
 
 use std::time::Instant;
 
@@ -16,8 +15,7 @@
 /// The results; field names are keys of the JSON output.
 #[derive(Debug, Serialize)]
 struct Measured {
-    /// Pairs of load (utilization of a server of four cores) and arrivals and completions simulated per
-    /// second.
+    /// Pairs: utilization of a server of four cores; arrivals and completions simulated per second.
     events_per_s: Vec<(f64, f64)>,
     /// Resident memory of a server in KiB: idle, and with 20 requests and 20 connections.
     server_kib: [f64; 2],
@@ -32,8 +30,7 @@
     Spec { cores: 4, slots: 8, room: 1000, handshake_work: 500.0, idle: 1_000_000, ..Spec::default() }
 }
 
-/// Simulates one server at a utilization, and gives the arrivals and completions per second of wall clock
-/// time.
+/// Simulates one server at this utilization; returns arrivals and completions per second of wall-clock time.
 fn events_per_s(load: f64) -> f64 {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let work = Work { form: Form::LogNormal, mean: 10_000.0, cv: 1.0 };
--- a/crates/stepspur-cli/src/platform.rs
+++ b/crates/stepspur-cli/src/platform.rs
@@ -12,13 +12,11 @@
 
 use crate::ExitStatus;
 
-/// Pause between the first attempts to reload: a configuration that cannot be read after SIGHUP may be half
-/// written.
+/// Pause between the first attempts to reload: a file that cannot be read after SIGHUP may be half written.
 const FAST_RELOAD_PAUSE: Duration = Duration::from_millis(100);
 /// Attempts to reload with the short pause.
 const FAST_RELOAD_ATTEMPTS: u32 = 40;
-/// Pause between all later attempts, which go on until the file can be read. Another SIGHUP ends a pause
-/// early.
+/// Pause between all later attempts, until the file can be read. Another SIGHUP ends a pause early.
 const SLOW_RELOAD_PAUSE: Duration = Duration::from_secs(1);
 
 /// Runs a conductor that serves the platform's protocol, until SIGINT or SIGTERM.
--- a/crates/stepspur-cli/src/settings.rs
+++ b/crates/stepspur-cli/src/settings.rs
@@ -27,7 +27,7 @@
 /// The example settings: a valid value for every key.
 const EXAMPLE: &str = include_str!("../../../examples/conductor.toml");
 
-/// The largest number of type errors that are reported: each costs a pass over the settings.
+/// Limit of reported keys that are missing, unknown or of a wrong type: each costs a pass over the settings.
 const MAX_ERRORS: usize = 100;
 
 /// Loads the settings; each layer overrides the one before it.
@@ -50,8 +50,8 @@
     }
     let mut dict: Dict = figment.extract().map_err(|error| file_error(error.to_string()))?;
     let mut errors: Vec<SettingsError> = Vec::new();
-    // Serde stops at the first error. It is recorded and its value replaced by the example's; then the
-    // settings are extracted again, to find the next error.
+    // Serde stops at the first error. The error is recorded, its value replaced by the example's or, for an
+    // unknown key, removed, and the settings are extracted again to find the next error.
     let example: Dict = Figment::from(Toml::string(EXAMPLE)).extract().unwrap_or_default();
     while errors.len() < MAX_ERRORS {
         let layer = Figment::from(Serialized::from(&dict, Profile::Default));
@@ -120,8 +120,7 @@
     }
 }
 
-/// Replaces the value at a path, or removes it where there is no replacement. False if nothing could be
-/// changed.
+/// Replaces the value at a path, or removes it without a replacement. False if nothing could be changed.
 fn replace_value(dict: &mut Dict, path: &[String], replacement: Option<Value>) -> bool {
     match (path, replacement) {
         ([], _) => false,
--- a/crates/stepspur-cli/tests/cli.rs
+++ b/crates/stepspur-cli/tests/cli.rs
@@ -139,7 +139,7 @@
     let report: serde_json::Value = serde_json::from_slice(&output.stdout).unwrap();
     assert_eq!(&report["seed"], &serde_json::json!(9), "{report:#}");
     let all_rules_kept = report["rules"].as_array().unwrap().iter().all(|r| r["kept"] == true);
-    // A machine that is too slow for the scenario is reported by exit exit_code 4.
+    // A machine that is too slow for the scenario is reported by exit code 4.
     let void = !report["void"].is_null();
     assert_eq!(exit_code(&output), if void { 4 } else { 0 }, "{report:#}");
     assert!(all_rules_kept || void);
--- a/crates/stepspur-cli/tests/common/distribution.rs
+++ b/crates/stepspur-cli/tests/common/distribution.rs
@@ -1,5 +1,4 @@
-//! Runs control members and subscribers as processes, proxies' streams and operators' calls. Every wait is
-//! bounded.
+//! Control members and subscribers as processes, proxies' streams, operators' calls. Every wait is bounded.
 
 use std::collections::BTreeSet;
 use std::io::{BufRead, BufReader, Read};
@@ -119,8 +118,7 @@
         })
     }
 
-    /// Calls `ask`, and again after each new log line of any process, until the answer satisfies the
-    /// condition.
+    /// Calls `ask`, again after each new log line of any process, until its answer satisfies the condition.
     async fn until(
         &self,
         what: &str,
@@ -288,8 +286,7 @@
         self.write(&format!("{name}.toml"), &text)
     }
 
-    /// Writes the settings of a control member that is a subscriber as well and serves a second tenant,
-    /// `south`.
+    /// Writes the settings of a control member that is also a subscriber and has a second tenant, `south`.
     pub(crate) fn control_and_subscriber_config(&self, id: usize) -> PathBuf {
         let control = std::fs::read_to_string(self.control_config(id)).unwrap();
         let (fleet, _) = BASE.split_once("[probes]").unwrap();
--- a/crates/stepspur-cli/tests/common/loopback.rs
+++ b/crates/stepspur-cli/tests/common/loopback.rs
@@ -6,8 +6,7 @@
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicU8, Ordering};
 
-/// A loopback address that differs for each caller in this process and, very likely, from those of other
-/// processes.
+/// A loopback address that is unique in this process and very unlikely to be used by another one.
 pub(crate) fn own_address() -> Ipv4Addr {
     static CALLERS: AtomicU8 = AtomicU8::new(1);
     let [low, high, ..] = std::process::id().to_le_bytes();
--- a/crates/stepspur-cli/tests/common/mod.rs
+++ b/crates/stepspur-cli/tests/common/mod.rs
@@ -12,8 +12,7 @@
 /// Upper bound of every wait in a test; it is not a limit on speed.
 pub(crate) const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A configuration with one class, one zone, these known servers, and limits that suffice for this many
-/// proxies.
+/// A configuration with one class, one zone, these known servers, and limits for this many proxies.
 pub(crate) fn configuration(discovery: SocketAddr, proxies: usize, known: &[String]) -> String {
     let class = r#"{"name":"lookup","effect":"read_like","credit":1,"promiseUs":1e6,"deadlineUs":3e6}"#;
     let info = format!(
--- a/crates/stepspur-cli/tests/council.rs
+++ b/crates/stepspur-cli/tests/council.rs
@@ -148,8 +148,7 @@
     let back = until(running[at].as_ref().unwrap(), "it follows", |s| leader(s) == leader(&second));
     assert_eq!((back["votes"].as_bool(), back["retired"].as_bool()), (Some(true), Some(false)));
 
-    // Its state file is deleted, then corrupt: it runs as a conductor, does not vote, and does not change the
-    // file.
+    // Its state file is deleted, then corrupt: it runs as a conductor, does not vote and keeps the file.
     for bytes in [None, Some(b"not a state file".as_slice())] {
         running[at] = None;
         std::fs::remove_file(disk(at + 1)).unwrap_or_default();
--- a/crates/stepspur-cli/tests/distribution.rs
+++ b/crates/stepspur-cli/tests/distribution.rs
@@ -168,7 +168,7 @@
     let older = older.await["distribution"]["subscriber"].clone();
     assert_eq!(older["control"], Value::Null, "{older}");
 
-    // The control members restart, the document is deleted, and all versions are in force again.
+    // The control members restart, the document is deleted, and its version is in force everywhere.
     let _control = control_members(&fleet);
     let version = propose(&fleet, 2, &token, &[level("unknown", None), level("read", None)]).await;
     proxy.until_share(READ, 1.0).await;
@@ -269,8 +269,7 @@
     assert!(code == 503 && response["operation"].is_string(), "{code} {response}");
     assert!(fleet.audit(1).contains("is unknown"), "the unknown outcome is in the audit log");
     body["operation"] = response["operation"].clone();
-    // The operation is retried once there is a quorum, also at another member: each time with the same
-    // version.
+    // The operation is retried with a quorum, also at another member: each time it gets the same version.
     control[1] = Some(fleet.start(&fleet.control_config(2)));
     let mut versions = Vec::new();
     for id in [1, 2, 1] {
@@ -348,8 +347,7 @@
     };
     assert_eq!(tenants(&changes).await, [Value::Null, json!("north")]);
     assert_eq!(tenants(&both).await, [Value::Null, json!("north"), json!("south")]);
-    // Nor the distribution's status without the right `administer`, because it counts documents of all
-    // tenants.
+    // Nor, without `administer`, the distribution's status, which counts documents of all tenants.
     let document_count = async |rights: &[&str]| {
         let (code, status) = fleet.call(1, &fleet.token("default", rights), "GET /v1/status", "").await;
         (code, status["distribution"]["control"]["documents"].as_u64())
--- a/crates/stepspur-cli/tests/fleet.rs
+++ b/crates/stepspur-cli/tests/fleet.rs
@@ -31,6 +31,7 @@
     assert_passed(&play_scenario("conductors-killed.toml").await);
 }
 
+/// A rolling restart of all conductors while a release replaces half of the servers and one server hangs.
 #[tokio::test(flavor = "multi_thread")]
 async fn all_conductors_are_restarted_one_by_one_under_load_and_a_release() {
     assert_passed(&play_scenario("conductors-restarted.toml").await);
--- a/crates/stepspur-cli/tests/scripts.rs
+++ b/crates/stepspur-cli/tests/scripts.rs
@@ -214,8 +214,7 @@
 }
 
 /// Runs `scripts/fleet-seeds` in a temporary repository with a fake bench, which logs when each play begins
-/// and ends and breaks a rule in each `crowd` play. Returns the lines of that log and the output of the
-/// script.
+/// and ends and breaks a rule in each `crowd` play. Returns the lines of that log and the script's output.
 fn fleet_seeds(kinds: &str) -> (Vec<String>, Output) {
     let folder = tempfile::tempdir().unwrap();
     let at = |name: &str| folder.path().join(name);
--- a/crates/stepspur-cli/tests/streams.rs
+++ b/crates/stepspur-cli/tests/streams.rs
@@ -1,5 +1,4 @@
-//! `stepspur run --platform` as a process with 400 streams: SIGHUP moves discovery, and all streams are
-//! replaced.
+//! `stepspur run --platform` as a process with 400 streams: SIGHUP moves discovery, streams are replaced.
 
 mod common;
 
