--- a/crates/stepspur-consensus-node/src/config.rs
+++ b/crates/stepspur-consensus-node/src/config.rs
@@ -1,4 +1,4 @@
-//! The setting `[council]`, and how a conductor starts a member by it.
+//! The configuration section `[council]`, and how a conductor starts its consensus member from it.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -16,59 +16,63 @@
 use crate::storage::Storage;
 use crate::tcp::Tcp;
 
-/// The timeout for connecting to a peer, for each write, and for a first frame.
+/// The timeout for connecting to a peer, for each write to it, and for the first frame of an accepted
+/// connection.
 const IO_TIMEOUT: Duration = Duration::from_secs(2);
-/// The largest frame, in bytes: a batch of the largest commands fits.
+/// The largest frame, in bytes (16 MiB): a full batch of commands of the largest size fits.
 const MAX_FRAME_BYTES: usize = 16 << 20;
-/// All conductors want the same share of roles.
+/// The weight of each conductor in the assignment of roles: equal, so that all get the same share.
 const ROLE_WEIGHT: f64 = 1.0;
 
-/// The setting `[council]`: the consensus group that a conductor belongs to.
+/// The configuration section `[council]`: the consensus group that a conductor belongs to.
 #[derive(Clone, Debug, Deserialize, Serialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct ConsensusConfig {
-    /// The conductor's number. A conductor that has lost its state file gets a new one.
+    /// The conductor's member number. A conductor that has lost its state file needs a new number, because it
+    /// may have voted under the old one.
     #[garde(range(min = 1))]
     pub id: u64,
-    /// The state file, created by `stepspur council bootstrap`. Without it the conductor only follows.
+    /// The path of the state file, which `stepspur council bootstrap` creates. Without the file the conductor
+    /// applies committed entries but never votes.
     #[garde(skip)]
     pub state: PathBuf,
-    /// All conductors of the group with this one, 1 to 1,000, the same in all their settings. They are its
-    /// first voters.
-    #[garde(dive, length(min = 1, max = 1000), custom(lists_members_once(&self.id)))]
+    /// All conductors of the group including this one, 1 to 1,000; the same list in the settings of each.
+    /// They are the group's initial voters.
+    #[garde(dive, length(min = 1, max = 1000), custom(validate_member_list(&self.id)))]
     pub conductors: Vec<MemberAddress>,
-    /// The election timeout: a conductor without a leader's messages for one to two times this long
-    /// campaigns. 10 ms to 10 minutes; default: 1 s.
+    /// The election timeout: a conductor that receives no message from a leader for a random time of one to
+    /// two times this long starts an election. 10 ms to 10 minutes; default: 1 s.
     #[serde(default = "default_election", with = "humantime_serde")]
-    #[garde(custom(fits_other_settings(self)))]
+    #[garde(custom(validate_consensus_settings(self)))]
     pub election: Duration,
-    /// The interval of a leader's heartbeats. 1 ms to a third of `election`; default: 200 ms.
+    /// The interval between a leader's heartbeats. 1 ms to a third of `election`; default: 200 ms.
     #[serde(default = "default_heartbeat", with = "humantime_serde")]
     #[garde(skip)]
     pub heartbeat: Duration,
-    /// The interval of lease renewals. `heartbeat` or more; default: 400 ms.
+    /// The interval between a holder's lease renewals. `heartbeat` or more; default: 400 ms.
     #[serde(default = "default_renew", with = "humantime_serde")]
     #[garde(skip)]
     pub renew: Duration,
-    /// A disk that takes longer than this for a write counts as stalled. `heartbeat` or more; default: 2 s.
+    /// The time after which a write that is not durable yet counts as stalled: the member steps down.
+    /// `heartbeat` or more; default: 2 s.
     #[serde(default = "default_disk_stall", with = "humantime_serde")]
     #[garde(skip)]
     pub disk_stall: Duration,
-    /// How much faster or slower than true time a clock may run, in parts in a million. Up to 100,000;
-    /// default: 1,000.
+    /// The largest clock drift that leases allow for, in parts per million: how much faster or slower than
+    /// true time a clock may run. Up to 100,000; default: 1,000.
     #[serde(default = "default_drift_ppm")]
     #[garde(skip)]
     pub drift_ppm: u32,
 }
 
-/// A member's number and address.
+/// The number and the address of one conductor in the group.
 #[derive(Clone, Debug, Deserialize, Serialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct MemberAddress {
-    /// The member's number.
+    /// The conductor's member number, 1 or more.
     #[garde(range(min = 1))]
     pub id: u64,
-    /// The address at which it accepts peers.
+    /// The loopback address at which the conductor accepts connections from the other members.
     #[garde(custom(is_loopback))]
     pub address: SocketAddr,
 }
@@ -93,41 +97,45 @@
     if address.ip().is_loopback() {
         Ok(())
     } else {
-        Err(garde::Error::new("must be a loopback address: peers carry no identity yet"))
+        Err(garde::Error::new(
+            "must be a loopback address: connections between members are not authenticated yet",
+        ))
     }
 }
 
-fn lists_members_once(own_id: &u64) -> impl FnOnce(&Vec<MemberAddress>, &()) -> garde::Result + '_ {
+fn validate_member_list(own_id: &u64) -> impl FnOnce(&Vec<MemberAddress>, &()) -> garde::Result + '_ {
     move |members, ()| {
         let ids: BTreeSet<u64> = members.iter().map(|member| member.id).collect();
         match (ids.len() == members.len(), ids.contains(own_id)) {
             (true, true) => Ok(()),
-            (false, _) => Err(garde::Error::new("name a number twice")),
+            (false, _) => Err(garde::Error::new("must contain each number only once")),
             (_, false) => {
-                Err(garde::Error::new(format!("do not name this conductor's own number, {own_id}")))
+                Err(garde::Error::new(format!("must contain this conductor's own number, {own_id}")))
             }
         }
     }
 }
 
-/// The durations have bounds that depend on each other.
-fn fits_other_settings(config: &ConsensusConfig) -> impl FnOnce(&Duration, &()) -> garde::Result + '_ {
+/// Checks the bounds of all consensus settings together, because some durations bound others.
+fn validate_consensus_settings(
+    config: &ConsensusConfig,
+) -> impl FnOnce(&Duration, &()) -> garde::Result + '_ {
     move |_, ()| match config.consensus_settings().invalid_settings().first() {
         None => Ok(()),
-        Some(invalid) => Err(garde::Error::new(format!("does not fit: {invalid}"))),
+        Some(invalid) => Err(garde::Error::new(format!("out of bounds: {invalid}"))),
     }
 }
 
 impl ConsensusConfig {
-    /// The member's settings.
+    /// Returns the settings of this conductor's member.
     pub fn settings(&self) -> Settings {
         let address = |member: &MemberAddress| (MemberId(member.id), member.address);
         let own = self.conductors.iter().find(|member| member.id == self.id);
-        // Validation rejects settings without their own member.
-        let unlisted = SocketAddr::from(([127, 0, 0, 1], 0));
+        // Not used after validation, which requires the own number in the list.
+        let placeholder = SocketAddr::from(([127, 0, 0, 1], 0));
         Settings {
             id: MemberId(self.id),
-            listen: own.map_or(unlisted, |member| member.address),
+            listen: own.map_or(placeholder, |member| member.address),
             peers: self.conductors.iter().map(address).collect(),
             consensus: self.consensus_settings(),
             role_prefixes: Vec::new(),
@@ -137,17 +145,20 @@
         }
     }
 
-    /// Creates the state file of a first member, which votes from its start with all conductors of the group.
+    /// Creates the state file for a member of a new group, whose initial voters are all listed conductors.
     ///
     /// # Errors
-    /// [`StorageError::AlreadyExists`] if there is one; see [`StorageError`].
+    /// [`StorageError::AlreadyExists`] if the file exists; otherwise see [`StorageError`].
     pub fn bootstrap(&self) -> Result<(), StorageError> {
         let voters = self.conductors.iter().map(|member| MemberId(member.id)).collect();
         Store::create(&self.state, MemberId(self.id), &RaftNode::bootstrap(voters)).map(drop)
     }
 
-    /// Starts the member, without replicated state beside the roles. If its state file cannot be used, that
-    /// is logged, and the member only follows: the conductor still runs. Random numbers come from `seed`.
+    /// Starts the member with the role table as its only replicated state.
+    ///
+    /// If the state file cannot be used, the error is logged and the member never votes, so that a storage
+    /// fault does not stop the conductor. `seed` is combined with the member number, so that members started
+    /// with the same seed draw different random numbers.
     ///
     /// # Errors
     /// See [`StartError`].
@@ -155,7 +166,8 @@
         self.start_with(seed, ()).await
     }
 
-    /// As [`ConsensusConfig::start`], with the state machine as in a new group.
+    /// As [`ConsensusConfig::start`], with a replicated state machine. `state` is its state in a new group,
+    /// before any entry is applied.
     ///
     /// # Errors
     /// See [`StartError`].
@@ -168,7 +180,7 @@
         NodeHandle::start_on(Arc::new(Tcp), self.settings(), storage, seed ^ self.id, state).await
     }
 
-    /// Opens the state file; none if it cannot be used, which is logged.
+    /// Opens the state file. If that fails, logs the cause and returns `None`.
     async fn open_storage(&self) -> Option<(Box<dyn Storage>, PersistentState)> {
         let path = self.state.clone();
         let member = MemberId(self.id);
--- a/crates/stepspur-consensus-node/src/events.rs
+++ b/crates/stepspur-consensus-node/src/events.rs
@@ -1,9 +1,10 @@
-//! What a member writes to the program's log.
+//! Log events of a member. Operators' tools match their names and fields.
 
 use stepspur_consensus::{MemberId, RaftEvent, RoleChange};
 
-/// Logs a role command as it is applied here: every member logs it, whoever the holder is. `lease_acquired`
-/// means granted in the log; the holder may act once a renewal is confirmed.
+/// Logs a change of a role's holder when this member applies it. Every member logs it, not only the holder.
+/// `lease_acquired` means that the grant is committed; the holder may act only after the leader has confirmed
+/// a renewal.
 pub(crate) fn log_role_change(member: MemberId, change: &RoleChange) {
     match change {
         RoleChange::Granted { role, holder, token, previous_holder } => {
@@ -32,7 +33,7 @@
     }
 }
 
-/// Logs elections, membership changes and failures.
+/// Logs elections, changes of the leader or the voters, and failures.
 pub(crate) fn log_raft_event(member: MemberId, event: &RaftEvent) {
     match event {
         RaftEvent::BecameCandidate { term, reason } => {
--- a/crates/stepspur-consensus-node/src/handle.rs
+++ b/crates/stepspur-consensus-node/src/handle.rs
@@ -23,9 +23,9 @@
 use crate::tcp::Tcp;
 use crate::transport::Transport;
 
-/// The member has stopped.
+/// The request was not answered, because the member has stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the council's member has stopped")]
+#[error("the consensus member has stopped")]
 pub struct NodeStopped;
 
 /// The handle to a running member. Dropping it stops the member without waiting; [`NodeHandle::stop`] waits.
@@ -43,9 +43,10 @@
 }
 
 impl NodeHandle {
-    /// Starts a member over TCP, without replicated state beside the roles: a voter on its store with the
-    /// state that was read from it, or without a store a member that only follows. Random numbers come from
-    /// `seed`.
+    /// Starts a member over TCP whose only replicated state is the role table.
+    ///
+    /// `storage` is the open state file with the state read from it. Without it the member applies committed
+    /// entries but never votes. `seed` seeds its random numbers, for example its election timeouts.
     ///
     /// # Errors
     /// See [`StartError`].
@@ -58,7 +59,8 @@
         Self::start_on(Arc::new(Tcp), settings, storage, seed, ()).await
     }
 
-    /// As [`NodeHandle::start`], on a transport and a storage, with the state machine as in a new group.
+    /// As [`NodeHandle::start`], on any transport and storage. `state` is the replicated state machine as it
+    /// is in a new group, before any entry is applied.
     ///
     /// # Errors
     /// See [`StartError`].
@@ -73,7 +75,7 @@
             Some((storage, stored)) => (Some(storage), stored),
             None => (None, PersistentState::default()),
         };
-        startup::check(&settings, storage.as_deref())?;
+        startup::validate(&settings, storage.as_deref())?;
         let listen_error = |cause| StartError::Listen { address: settings.listen, cause };
         let listener = transport.listen(settings.listen).await.map_err(listen_error)?;
         let address = listener.address();
@@ -93,73 +95,77 @@
         })
     }
 
-    /// The member's identity.
+    /// Returns the member's identity.
     pub fn id(&self) -> MemberId {
         self.id
     }
 
-    /// The address at which the member accepts peers.
+    /// Returns the address at which the member accepts peers, with the port that the system has chosen.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// How far the member has applied the log, with its updates.
+    /// Watches the last applied index, and the reason why no more entries are applied, if so.
     pub fn applied(&self) -> watch::Receiver<AppliedState> {
         self.applied.clone()
     }
 
-    /// The token by which the member may act on a role now; none if it may not.
+    /// Returns the fencing token of a role whose lease the member holds now; `None` if it may not act on the
+    /// role.
     ///
-    /// Call it right before each act, and send the token with the act: a receiver rejects lower tokens than
-    /// it has seen ([`stepspur_consensus::Fence`]).
+    /// Call it right before each action under the role, and send the token with the action: a receiver
+    /// rejects tokens lower than the highest that it has seen ([`stepspur_consensus::Fence`]).
     pub fn token(&self, role: &RoleName) -> Option<FencingToken> {
         self.leases.token(role, self.clock.now())
     }
 
-    /// The member's status.
+    /// Requests the member's status.
     ///
     /// # Errors
-    /// [`NodeStopped`].
+    /// [`NodeStopped`] if the member has stopped.
     pub async fn status(&self) -> Result<Status, NodeStopped> {
         let (reply, answer) = oneshot::channel();
         self.send(Request::Status { reply }).await?;
         answer.await.map_err(|_| NodeStopped)
     }
 
-    /// Proposes a command for the state machine, through the leader. It may be lost; proposed twice, it may
-    /// be applied twice. That it was applied shows only in the state machine.
+    /// Proposes a command for the state machine, through the leader. The command may be lost, and if it is
+    /// proposed again it may be applied twice. Only the state machine shows whether it was applied.
     ///
     /// # Errors
-    /// [`NodeStopped`].
+    /// [`NodeStopped`] if the member has stopped.
     pub async fn propose_command(&self, command: Bytes) -> Result<(), NodeStopped> {
         self.send(Request::ProposeCommand { command }).await
     }
 
-    /// Proposes a command for the roles, through the leader. It may be lost; its effect shows in the status.
+    /// Proposes a command for the role table, through the leader. The command may be lost; its effect shows
+    /// in the status.
     ///
     /// # Errors
-    /// [`NodeStopped`].
+    /// [`NodeStopped`] if the member has stopped.
     pub async fn propose_role_command(&self, command: RoleCommand) -> Result<(), NodeStopped> {
         self.send(Request::ProposeRoleCommand { command }).await
     }
 
-    /// Requests a read index: a read sees all that was committed before the request once this entry is
-    /// applied. None: request it again. It never completes if no leader answers, so it belongs under a
-    /// timeout.
+    /// Requests a read index (Raft thesis, section 6.4): once the entry at this index is applied, a read of
+    /// the local state sees all that was committed before the request. `None` if the request has to be
+    /// repeated.
+    ///
+    /// The future never completes if no leader answers, so call it with a timeout.
     ///
     /// # Errors
-    /// [`NodeStopped`].
+    /// [`NodeStopped`] if the member has stopped.
     pub async fn read_index(&self) -> Result<Option<Index>, NodeStopped> {
         let (reply, answer) = oneshot::channel();
         self.send(Request::ReadIndex { reply }).await?;
         Ok(answer.await.unwrap_or_default())
     }
 
-    /// Starts a change of the voters, at the leader. See
+    /// Starts a change of the voters. Only the leader accepts it. See
     /// [`stepspur_consensus::RaftNode::change_membership`].
     ///
     /// # Errors
-    /// [`NodeStopped`], and within it why the member rejects the change.
+    /// [`NodeStopped`] if the member has stopped; the inner error says why the member rejects the change.
     pub async fn change_membership(
         &self,
         change: MembershipChange,
@@ -169,17 +175,18 @@
         answer.await.map_err(|_| NodeStopped)
     }
 
-    /// Transfers the leadership, at the leader. See [`stepspur_consensus::RaftNode::transfer_leadership`].
+    /// Starts a leadership transfer. Only the leader accepts it. See
+    /// [`stepspur_consensus::RaftNode::transfer_leadership`].
     ///
     /// # Errors
-    /// [`NodeStopped`], and within it why the member rejects the transfer.
+    /// [`NodeStopped`] if the member has stopped; the inner error says why the member rejects the transfer.
     pub async fn transfer_leadership(&self, to: MemberId) -> Result<Result<(), RequestError>, NodeStopped> {
         let (reply, answer) = oneshot::channel();
         self.send(Request::TransferLeadership { to, reply }).await?;
         answer.await.map_err(|_| NodeStopped)
     }
 
-    /// Stops the member: waits until its tasks have ended and its storage has written what was queued.
+    /// Stops the member, and waits until its tasks have ended and its storage has finished the queued writes.
     /// Storage that hangs is abandoned after two seconds.
     pub async fn stop(&self) {
         self.stop.cancel();
--- a/crates/stepspur-consensus-node/src/lib.rs
+++ b/crates/stepspur-consensus-node/src/lib.rs
@@ -1,16 +1,18 @@
-//! A consensus member in service.
+//! Runs a consensus member: its tasks, its connections to peers, its clock and its storage.
 //!
-//! [`NodeHandle`] runs a [`stepspur_consensus::Member`]. One task owns the member, one task per peer writes
-//! to that peer, and the storage has a thread of its own, so that a slow peer or a slow disk delays nothing
-//! else. All queues are bounded; a full send queue drops its oldest message, as Raft repeats what is lost.
-//! docs/council.md has the design.
+//! [`NodeHandle`] runs a [`stepspur_consensus::Member`], which does no I/O itself. One task owns the member,
+//! one task per peer writes to that peer, and the storage has a thread of its own, so that a slow peer or a
+//! slow disk delays nothing else. All queues are bounded. A full send queue drops its oldest message, because
+//! Raft tolerates lost messages and resends what is still needed. docs/council.md has the design.
 //!
-//! - `handle`: the handle to a running member; `startup`: starts its tasks; `settings`, `config`: what it is
-//!   started with.
-//! - `member_task`: the task that owns the member; `request`: what it receives; `status`, `lease_table`: what
-//!   it publishes; `events`: what it logs.
-//! - `peer_listener`, `peer_link`, `send_queue`: connections from and to peers; `schema`: their messages.
-//! - `transport`, `storage`: what it depends on, as traits; `tcp`: the program's transport.
+//! - `handle`: the handle to a running member; `startup`: starts the member's tasks; `settings`, `config`:
+//!   the member's settings and the configuration section that they come from.
+//! - `member_task`: the task that owns the member; `request`: the requests, messages and write results that
+//!   the task receives; `status`, `lease_table`: the state that it publishes; `events`: its log events.
+//! - `peer_listener`, `peer_link`, `send_queue`: connections from and to peers; `schema`: the conversion of
+//!   messages to and from the peer protocol.
+//! - `transport`, `storage`: the traits behind which network and disk are replaceable; `tcp`: the transport
+//!   used in production.
 #![forbid(unsafe_code)]
 
 mod clock;
--- a/crates/stepspur-consensus-node/src/member_task.rs
+++ b/crates/stepspur-consensus-node/src/member_task.rs
@@ -1,5 +1,5 @@
-//! The task that owns a member: it passes on messages, requests, finished writes and the time, and does what
-//! the member asks for.
+//! The task that owns a member: it feeds the member with messages, requests, write results and ticks, and
+//! executes the member's outputs.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -17,46 +17,48 @@
 use crate::lease_table::LeaseTable;
 use crate::request::{ReceivedMessage, Request, WriteProgress};
 use crate::schema::PeerFrame;
-use crate::send_queue::{Pushed, SendQueue};
+use crate::send_queue::{PushOutcome, SendQueue};
 use crate::status::{AppliedState, RoleStatus, Status};
 use crate::storage::{WriteQueue, WriteRejected};
 
-/// The most reads that wait for an answer.
+/// The maximum number of reads that wait for a read index. A read beyond it gets `None` at once.
 const MAX_PENDING_READS: usize = 1_024;
-/// The shortest time between two ticks.
+/// The minimum delay before the next tick, so that a tick that is already due cannot cause a busy loop.
 const MIN_TICK_INTERVAL: Duration = Duration::from_millis(1);
-/// The longest sleep, for a tick beyond the clock's range.
+/// How long the task sleeps at most (one day) if the next tick is beyond the range of [`Instant`].
 const MAX_SLEEP: Duration = Duration::from_secs(86_400);
-/// How long a stop waits for the storage; after that the storage counts as hanging.
+/// How long a shutdown waits for queued writes; storage that takes longer is abandoned as hanging.
 const STORAGE_CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What comes to the task.
+/// The receiving ends of the task's channels.
 pub(crate) struct Inputs {
     pub(crate) messages: mpsc::Receiver<ReceivedMessage>,
     pub(crate) requests: mpsc::Receiver<Request>,
-    /// The newest progress covers all earlier writes.
+    /// A watch channel suffices: the newest progress covers all earlier writes.
     pub(crate) writes: watch::Receiver<WriteProgress>,
     pub(crate) stop: CancellationToken,
 }
 
-/// The task's state.
+/// The member and the state that its task needs to execute the member's outputs.
 pub(crate) struct MemberTask<S> {
     pub(crate) id: MemberId,
     pub(crate) member: Member<S>,
     pub(crate) clock: Clock,
     pub(crate) send_queues: BTreeMap<MemberId, Arc<SendQueue>>,
-    /// None for a member that only follows.
+    /// `None` for a member without stable storage, which applies committed entries but never votes.
     pub(crate) storage: Option<Box<dyn WriteQueue>>,
     pub(crate) leases: Arc<LeaseTable>,
     pub(crate) applied: watch::Sender<AppliedState>,
-    /// Reads that wait for an answer, by the number of their request.
+    /// Reads that wait for a read index, by request number.
     pub(crate) pending_reads: BTreeMap<u64, oneshot::Sender<Option<Index>>>,
-    /// Messages that full send queues have dropped.
+    /// The number of messages dropped by full send queues since the start, over all peers.
     pub(crate) dropped_messages: u64,
 }
 
 impl<S: StateMachine> MemberTask<S> {
-    /// Runs until stopped; then waits for the storage, [`STORAGE_CLOSE_TIMEOUT`] at most.
+    /// Runs until stopped, then waits up to [`STORAGE_CLOSE_TIMEOUT`] for queued writes.
+    ///
+    /// Leases are cleared before that wait, so that the member does not act on a role while it shuts down.
     pub(crate) async fn run(mut self, mut inputs: Inputs) {
         while let Some(outputs) = self.next_outputs(&mut inputs).await {
             self.handle_outputs(outputs);
@@ -74,10 +76,11 @@
         }
     }
 
-    /// What the member asks for after the next event; none once stopped.
+    /// Waits for the next input and returns the member's outputs for it; `None` once stopped.
     ///
-    /// The order of the branches is fixed so that the same events give the same run. Requests cannot starve
-    /// the others: their senders wait for answers, and a tick may follow each event.
+    /// The branches are polled in a fixed order, so that the same events produce the same run. Requests
+    /// cannot starve the branches after them: their senders wait for answers, and `run` ticks the member
+    /// after any input if a tick is due.
     async fn next_outputs(&mut self, inputs: &mut Inputs) -> Option<Vec<MemberOutput>> {
         let next_tick = self.next_tick();
         tokio::select! {
@@ -95,6 +98,7 @@
         }
     }
 
+    /// Returns when to wake up for the member's next tick.
     fn next_tick(&self) -> Instant {
         let earliest = Instant::now() + MIN_TICK_INTERVAL;
         let due = self.clock.instant(self.member.next_tick_at());
@@ -113,7 +117,7 @@
         let now = self.clock.now();
         match request {
             Request::Status { reply } => {
-                // The caller may have stopped waiting.
+                // An error means that the caller has stopped waiting.
                 let _ = reply.send(self.status());
                 Vec::new()
             }
@@ -129,6 +133,8 @@
         }
     }
 
+    /// Requests a read index. With [`MAX_PENDING_READS`] reads pending, those whose caller has stopped
+    /// waiting are removed first.
     fn request_read(&mut self, reply: oneshot::Sender<Option<Index>>) -> Vec<MemberOutput> {
         if self.pending_reads.len() >= MAX_PENDING_READS {
             self.pending_reads.retain(|_, reply| !reply.is_closed());
@@ -156,7 +162,8 @@
         }
     }
 
-    /// Does what the member asks for. A write that cannot be queued halts the member, which may ask for more.
+    /// Executes the member's outputs in order. A write that cannot be queued halts the member, which may
+    /// produce further outputs.
     fn handle_outputs(&mut self, outputs: Vec<MemberOutput>) {
         let mut remaining = VecDeque::from(outputs);
         while let Some(output) = remaining.pop_front() {
@@ -181,14 +188,15 @@
     fn enqueue_write(&self, write: WriteRequest) -> Result<(), WriteRejected> {
         match &self.storage {
             Some(storage) => storage.enqueue(write),
-            None => Err(WriteRejected { reason: "it has no disk".to_owned() }),
+            None => Err(WriteRejected { reason: "the member has no state file".to_owned() }),
         }
     }
 
+    /// Queues a message to a peer. Dropped messages are logged whenever their count reaches a power of two.
     fn send(&mut self, to: MemberId, message: PeerMessage) {
         let Some(queue) = self.send_queues.get(&to) else { return };
         let frame = PeerFrame { from: self.id, to, message };
-        if queue.push(frame.into()) == Pushed::Added {
+        if queue.push(frame.into()) == PushOutcome::Added {
             return;
         }
         self.dropped_messages += 1;
@@ -197,7 +205,7 @@
         }
     }
 
-    /// Publishes the applied entry and the leases for readers outside of the task.
+    /// Publishes the last applied index, the halt reason and the leases to readers outside of this task.
     fn publish(&mut self) {
         let index = self.member.roles().applied();
         let halt_reason = self.member.halt_reason();
@@ -220,7 +228,7 @@
     statuses.collect()
 }
 
-/// Answers a request, and gives what is to be done for it.
+/// Sends the result of a request to its caller, and returns the outputs to execute.
 fn send_result(
     result: Result<Vec<MemberOutput>, RequestError>,
     reply: oneshot::Sender<Result<(), RequestError>>,
--- a/crates/stepspur-consensus-node/src/peer_link.rs
+++ b/crates/stepspur-consensus-node/src/peer_link.rs
@@ -1,4 +1,4 @@
-//! The link to one peer: a task that sends the messages of its queue.
+//! The outgoing link to one peer: a task that sends the queued messages and reconnects with backoff.
 
 use std::convert::Infallible;
 use std::io;
@@ -16,12 +16,12 @@
 use crate::send_queue::SendQueue;
 use crate::transport::Transport;
 
-/// The backoff before the first new connection; it doubles with each failure up to [`MAX_BACKOFF`].
+/// The backoff after the first failed connection. It doubles with each failure up to [`MAX_BACKOFF`].
 const FIRST_BACKOFF: Duration = Duration::from_millis(50);
-/// The longest backoff between two connections.
+/// The upper bound of the backoff.
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
-/// The link to one peer.
+/// The outgoing link to one peer. Messages from the peer arrive over the peer's own link.
 pub(crate) struct PeerLink {
     pub(crate) transport: Arc<dyn Transport>,
     /// The peer's address.
@@ -34,7 +34,7 @@
 }
 
 impl PeerLink {
-    /// Sends until stopped. It connects once there is a message, and again whenever the connection fails.
+    /// Sends until stopped. Connects when there is a message to send, and reconnects when a connection fails.
     pub(crate) async fn run(self, stop: CancellationToken) {
         tokio::select! {
             () = stop.cancelled() => {}
@@ -42,6 +42,8 @@
         }
     }
 
+    /// Sends over one connection after another. The message at which a connection fails is lost; Raft resends
+    /// its content.
     async fn send_with_reconnects(&self) -> Infallible {
         let mut backoff = FIRST_BACKOFF;
         loop {
@@ -55,7 +57,7 @@
         }
     }
 
-    /// Sends over one connection until it fails. A sent message resets the backoff.
+    /// Sends over one connection until it fails, starting with `first`. A sent message resets the backoff.
     async fn send_connected(
         &self,
         first: FromPeer,
@@ -69,7 +71,7 @@
         let mut message = first;
         loop {
             match timeout(self.io_timeout, frames.send(message)).await.map_err(timed_out)? {
-                // The message is skipped: the connection is intact, and the others need not wait for it.
+                // The message is dropped: the codec has written nothing, so the connection stays usable.
                 Err(FrameError::TooLarge { size, largest }) => {
                     tracing::error!(event = "peer_message_too_large", to = %self.address, size, largest);
                 }
--- a/crates/stepspur-consensus-node/src/peer_listener.rs
+++ b/crates/stepspur-consensus-node/src/peer_listener.rs
@@ -1,5 +1,5 @@
-//! Accepts connections of peers and reads their messages. A peer's newest connection replaces older ones, so
-//! that half-open connections hold no resources.
+//! Accepts connections from peers and reads their messages. A peer's newest connection replaces its older
+//! one, so that half-open connections do not accumulate.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -20,24 +20,25 @@
 use crate::settings::Settings;
 use crate::transport::{Listener, Stream};
 
-/// The most connections whose first frame has not come yet.
+/// The maximum number of connections whose first valid frame has not been received yet. It bounds what
+/// clients that are no peers can occupy.
 const MAX_UNIDENTIFIED: usize = 16;
-/// The pause after a connection could not be accepted.
+/// The pause after a failed accept, for example while the process is out of file descriptors.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(10);
 
-/// The newest connection of each peer.
+/// The cancellation token of each peer's newest connection.
 type NewestConnections = Mutex<BTreeMap<MemberId, CancellationToken>>;
 
-/// What the connections of a member share.
-struct Shared {
+/// State shared by the reader tasks of all connections.
+struct ReaderContext {
     settings: Settings,
     messages: mpsc::Sender<ReceivedMessage>,
     newest: NewestConnections,
 }
 
-/// The task that accepts connections; each is read by a task of its own.
+/// Accepts connections in one task, and reads each connection in a task of its own.
 pub(crate) struct PeerListener {
-    shared: Arc<Shared>,
+    shared: Arc<ReaderContext>,
     stop: CancellationToken,
     tasks: TaskTracker,
 }
@@ -50,7 +51,7 @@
         tasks: TaskTracker,
     ) -> Self {
         let newest = NewestConnections::default();
-        Self { shared: Arc::new(Shared { settings, messages, newest }), stop, tasks }
+        Self { shared: Arc::new(ReaderContext { settings, messages, newest }), stop, tasks }
     }
 
     /// Accepts connections until stopped.
@@ -62,10 +63,11 @@
         }
     }
 
+    /// Accepts connections without end.
     async fn accept_all(self, mut listener: Box<dyn Listener>) {
         let unidentified = Arc::new(Semaphore::new(MAX_UNIDENTIFIED));
         loop {
-            // Without a permit further connections wait in the system's queue.
+            // Without a permit, further connections wait in the listen backlog of the operating system.
             let Ok(permit) = Arc::clone(&unidentified).acquire_owned().await else { return };
             match listener.accept().await {
                 Ok(connection) => self.spawn_reader(connection, permit),
@@ -74,11 +76,12 @@
         }
     }
 
+    /// Starts a task that reads a connection until it ends, is replaced, or the member stops.
     fn spawn_reader(&self, connection: Box<dyn Stream>, permit: OwnedSemaphorePermit) {
         let shared = Arc::clone(&self.shared);
         let stop = self.stop.child_token();
         self.tasks.spawn(async move {
-            let reading = read(connection, &shared, &stop, permit);
+            let reading = read_messages(connection, &shared, &stop, permit);
             let result = tokio::select! {
                 () = stop.cancelled() => return,
                 result = reading => result,
@@ -90,25 +93,26 @@
     }
 }
 
-/// Why a connection is rejected.
+/// Why a connection is closed by this side.
 #[derive(Debug, thiserror::Error)]
 enum ConnectionRejected {
-    #[error("no frame in time")]
+    #[error("no first frame within the timeout")]
     FirstFrameTimeout,
     #[error("{0}")]
     Frame(#[from] stepspur_proto::FrameError),
     #[error("{0}")]
     Message(#[from] InvalidPeerMessage),
-    #[error("{from} means {to}, and this is {own_id}")]
+    #[error("member {from} sent a frame to member {to}, but this is member {own_id}")]
     WrongReceiver { from: MemberId, to: MemberId, own_id: MemberId },
-    #[error("{0} is none of this council's conductors")]
+    #[error("unexpected sender {0}: not a configured member, or not the peer that opened this connection")]
     UnknownPeer(MemberId),
 }
 
-/// Reads one connection until it ends. The permit is released with the first valid frame.
-async fn read(
+/// Reads one connection until it ends, and passes its messages to the member's task. The first valid frame
+/// identifies the peer and releases the permit; all further frames must come from the same peer.
+async fn read_messages(
     connection: Box<dyn Stream>,
-    shared: &Shared,
+    shared: &ReaderContext,
     stop: &CancellationToken,
     permit: OwnedSemaphorePermit,
 ) -> Result<(), ConnectionRejected> {
@@ -119,13 +123,13 @@
     let Some(first) = first.await.map_err(|_| ConnectionRejected::FirstFrameTimeout)? else {
         return Ok(());
     };
-    let PeerFrame { from: peer, message, .. } = accept(settings, first?)?;
+    let PeerFrame { from: peer, message, .. } = validate_frame(settings, first?)?;
     drop(permit);
-    replace_older(&shared.newest, peer, stop);
+    close_older_connection(&shared.newest, peer, stop);
     let mut received = ReceivedMessage { from: peer, message };
     while shared.messages.send(received).await.is_ok() {
         let Some(frame) = frames.next().await else { return Ok(()) };
-        let PeerFrame { from, message, .. } = accept(settings, frame?)?;
+        let PeerFrame { from, message, .. } = validate_frame(settings, frame?)?;
         if from != peer {
             return Err(ConnectionRejected::UnknownPeer(from));
         }
@@ -134,8 +138,8 @@
     Ok(())
 }
 
-/// Checks that a frame comes from a peer and is meant for this member.
-fn accept(settings: &Settings, frame: FromPeer) -> Result<PeerFrame, ConnectionRejected> {
+/// Decodes a frame, and checks that it comes from a configured member and is addressed to this one.
+fn validate_frame(settings: &Settings, frame: FromPeer) -> Result<PeerFrame, ConnectionRejected> {
     let frame = PeerFrame::try_from(frame)?;
     if frame.to != settings.id {
         let PeerFrame { from, to, .. } = frame;
@@ -147,8 +151,8 @@
     Ok(frame)
 }
 
-/// Ends the peer's older connection.
-fn replace_older(newest: &NewestConnections, peer: MemberId, stop: &CancellationToken) {
+/// Records the peer's newest connection, and closes its older one, if any.
+fn close_older_connection(newest: &NewestConnections, peer: MemberId, stop: &CancellationToken) {
     let mut newest = newest.lock().unwrap_or_else(PoisonError::into_inner);
     if let Some(older) = newest.insert(peer, stop.clone()) {
         older.cancel();
--- a/crates/stepspur-consensus-node/src/schema.rs
+++ b/crates/stepspur-consensus-node/src/schema.rs
@@ -1,6 +1,6 @@
-//! Converts messages to the peers' schema and back. Invalid messages are rejected.
+//! Converts messages between members to and from the Protobuf schema. Rejects invalid messages.
 //!
-//! The schema has the names of earlier versions; they are mapped here and nowhere else.
+//! The schema keeps the names of earlier versions for compatibility. Only this module uses them.
 
 use stepspur_consensus::{MemberId, PeerMessage};
 use stepspur_proto::v1::{self, from_peer::Kind};
@@ -12,14 +12,14 @@
 
 pub use error::{InvalidPeerMessage, PeerField};
 
-/// A message with its sender and its receiver, as a link carries it.
+/// A message with its sender and its receiver: the unit that is sent over a connection.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeerFrame {
-    /// The sender.
+    /// The sender, as it states itself: connections are not authenticated yet.
     pub from: MemberId,
-    /// The receiver.
+    /// The receiver. A member closes the connection if it receives a frame addressed to another.
     pub to: MemberId,
-    /// The message.
+    /// The content.
     pub message: PeerMessage,
 }
 
@@ -40,23 +40,23 @@
 
 fn decode(kind: Kind) -> Result<PeerMessage, InvalidPeerMessage> {
     Ok(match kind {
-        Kind::PreVote(ballot) => PeerMessage::Raft(raft::decode_pre_vote_request(&ballot)?),
-        Kind::PreVoted(verdict) => PeerMessage::Raft(raft::decode_pre_vote_response(&verdict)),
-        Kind::Vote(ballot) => PeerMessage::Raft(raft::decode_vote_request(&ballot)?),
-        Kind::Voted(verdict) => PeerMessage::Raft(raft::decode_vote_response(&verdict)),
+        Kind::PreVote(request) => PeerMessage::Raft(raft::decode_pre_vote_request(&request)?),
+        Kind::PreVoted(response) => PeerMessage::Raft(raft::decode_pre_vote_response(&response)),
+        Kind::Vote(request) => PeerMessage::Raft(raft::decode_vote_request(&request)?),
+        Kind::Voted(response) => PeerMessage::Raft(raft::decode_vote_response(&response)),
         Kind::Append(append) => PeerMessage::Raft(raft::decode_append(append)?),
         Kind::Appended(response) => PeerMessage::Raft(raft::decode_append_response(&response)),
-        Kind::Snapshot(part) => PeerMessage::Raft(raft::decode_snapshot(part)?),
+        Kind::Snapshot(chunk) => PeerMessage::Raft(raft::decode_snapshot(chunk)?),
         Kind::SnapshotTaken(response) => PeerMessage::Raft(raft::decode_snapshot_response(&response)),
-        Kind::Stand(stand) => PeerMessage::Raft(raft::decode_timeout_now(&stand)),
-        Kind::Renew(renew) => member::decode_renewal(renew)?,
-        Kind::Renewed(renewed) => member::decode_renewal_response(&renewed),
-        Kind::Order(order) => member::decode_proposal(order),
-        Kind::Elsewhere(elsewhere) => member::decode_not_leader(&elsewhere),
+        Kind::Stand(timeout_now) => PeerMessage::Raft(raft::decode_timeout_now(&timeout_now)),
+        Kind::Renew(renewal) => member::decode_renewal(renewal)?,
+        Kind::Renewed(response) => member::decode_renewal_response(&response),
+        Kind::Order(proposal) => member::decode_proposal(proposal),
+        Kind::Elsewhere(not_leader) => member::decode_not_leader(&not_leader),
         Kind::Read(read) => PeerMessage::ReadIndex { request: read.number },
-        Kind::ReadAt(read_at) => member::decode_read_response(&read_at),
+        Kind::ReadAt(response) => member::decode_read_response(&response),
         Kind::Fetch(fetch) => member::decode_fetch(&fetch),
-        Kind::Fetched(fetched) => member::decode_entries(fetched)?,
-        Kind::FetchedState(fetched) => member::decode_state(fetched),
+        Kind::Fetched(response) => member::decode_entries(response)?,
+        Kind::FetchedState(response) => member::decode_state(response),
     })
 }
--- a/crates/stepspur-consensus-node/src/schema/entry.rs
+++ b/crates/stepspur-consensus-node/src/schema/entry.rs
@@ -1,4 +1,4 @@
-//! Log entries, positions and voters in the schema.
+//! Conversion of log entries, log positions and voter sets to and from the schema.
 
 use stepspur_consensus::{Entry, Index, LogPosition, MemberId, Payload, Term, Voters};
 use stepspur_proto::v1::{self, peer_entry};
@@ -10,11 +10,11 @@
 }
 
 pub(super) fn decode_position(
-    place: Option<v1::PeerPlace>,
+    position: Option<v1::PeerPlace>,
     field: PeerField,
 ) -> Result<LogPosition, InvalidPeerMessage> {
-    let place = place.ok_or(InvalidPeerMessage::Missing(field))?;
-    Ok(LogPosition { term: Term(place.term), index: Index(place.index) })
+    let position = position.ok_or(InvalidPeerMessage::Missing(field))?;
+    Ok(LogPosition { term: Term(position.term), index: Index(position.index) })
 }
 
 pub(super) fn encode_voters(voters: &Voters) -> v1::PeerVoters {
@@ -34,13 +34,13 @@
 }
 
 fn encode_entry(entry: Entry) -> v1::PeerEntry {
-    let place = encode_position(entry.position());
+    let position = encode_position(entry.position());
     let payload = match entry.payload {
         Payload::Empty => peer_entry::Payload::Nothing(v1::PeerNothing {}),
         Payload::Voters(voters) => peer_entry::Payload::Voters(encode_voters(&voters)),
         Payload::Command(command) => peer_entry::Payload::Command(command),
     };
-    v1::PeerEntry { place, payload: Some(payload) }
+    v1::PeerEntry { place: position, payload: Some(payload) }
 }
 
 fn decode_entry(entry: v1::PeerEntry) -> Result<Entry, InvalidPeerMessage> {
--- a/crates/stepspur-consensus-node/src/schema/member.rs
+++ b/crates/stepspur-consensus-node/src/schema/member.rs
@@ -1,4 +1,4 @@
-//! Messages between members in the schema.
+//! Conversion of the messages between members other than Raft's to and from the schema.
 
 use stepspur_consensus::{Index, MemberId, PeerMessage};
 use stepspur_proto::v1::{self, from_peer::Kind};
@@ -39,47 +39,47 @@
     leader.map(|leader| leader.0)
 }
 
-pub(super) fn decode_renewal(renew: v1::PeerRenew) -> Result<PeerMessage, InvalidPeerMessage> {
-    if !renew.weight.is_finite() || renew.weight < 0.0 {
+pub(super) fn decode_renewal(renewal: v1::PeerRenew) -> Result<PeerMessage, InvalidPeerMessage> {
+    if !renewal.weight.is_finite() || renewal.weight < 0.0 {
         return Err(InvalidPeerMessage::OutOfRange(PeerField::Weight));
     }
     Ok(PeerMessage::RenewLeases {
-        request: renew.number,
-        last_answered: renew.heard,
-        weight: renew.weight,
-        role_prefixes: renew.wants,
+        request: renewal.number,
+        last_answered: renewal.heard,
+        weight: renewal.weight,
+        role_prefixes: renewal.wants,
     })
 }
 
-pub(super) fn decode_renewal_response(renewed: &v1::PeerRenewed) -> PeerMessage {
-    PeerMessage::LeasesRenewed { request: renewed.number, applied: Index(renewed.applied) }
+pub(super) fn decode_renewal_response(response: &v1::PeerRenewed) -> PeerMessage {
+    PeerMessage::LeasesRenewed { request: response.number, applied: Index(response.applied) }
 }
 
-pub(super) fn decode_proposal(order: v1::PeerOrder) -> PeerMessage {
-    PeerMessage::Propose { request: order.number, command: order.command }
+pub(super) fn decode_proposal(proposal: v1::PeerOrder) -> PeerMessage {
+    PeerMessage::Propose { request: proposal.number, command: proposal.command }
 }
 
-pub(super) fn decode_not_leader(elsewhere: &v1::PeerElsewhere) -> PeerMessage {
-    PeerMessage::NotLeader { request: elsewhere.number, leader: elsewhere.leader.map(MemberId) }
+pub(super) fn decode_not_leader(not_leader: &v1::PeerElsewhere) -> PeerMessage {
+    PeerMessage::NotLeader { request: not_leader.number, leader: not_leader.leader.map(MemberId) }
 }
 
-pub(super) fn decode_read_response(read_at: &v1::PeerReadAt) -> PeerMessage {
-    PeerMessage::ReadIndexResponse { request: read_at.number, index: Index(read_at.index) }
+pub(super) fn decode_read_response(response: &v1::PeerReadAt) -> PeerMessage {
+    PeerMessage::ReadIndexResponse { request: response.number, index: Index(response.index) }
 }
 
 pub(super) fn decode_fetch(fetch: &v1::PeerFetch) -> PeerMessage {
     PeerMessage::Fetch { from: Index(fetch.next) }
 }
 
-pub(super) fn decode_entries(fetched: v1::PeerFetched) -> Result<PeerMessage, InvalidPeerMessage> {
-    let entries = entry::decode_entries(fetched.entries)?;
-    Ok(PeerMessage::CommittedEntries { entries, leader: fetched.leader.map(MemberId) })
+pub(super) fn decode_entries(response: v1::PeerFetched) -> Result<PeerMessage, InvalidPeerMessage> {
+    let entries = entry::decode_entries(response.entries)?;
+    Ok(PeerMessage::CommittedEntries { entries, leader: response.leader.map(MemberId) })
 }
 
-pub(super) fn decode_state(fetched: v1::PeerFetchedState) -> PeerMessage {
+pub(super) fn decode_state(response: v1::PeerFetchedState) -> PeerMessage {
     PeerMessage::CommittedState {
-        index: Index(fetched.index),
-        state: fetched.state,
-        leader: fetched.leader.map(MemberId),
+        index: Index(response.index),
+        state: response.state,
+        leader: response.leader.map(MemberId),
     }
 }
--- a/crates/stepspur-consensus-node/src/schema/raft.rs
+++ b/crates/stepspur-consensus-node/src/schema/raft.rs
@@ -1,4 +1,4 @@
-//! Raft's messages in the schema.
+//! Conversion of Raft's messages to and from the schema.
 
 use stepspur_consensus::{
     AppendEntries, AppendEntriesResponse, Index, InstallSnapshot, InstallSnapshotResponse, LogPosition,
@@ -13,15 +13,17 @@
 
 pub(super) fn encode(message: Message) -> Kind {
     match message {
-        Message::PreVoteRequest { term, last_log } => Kind::PreVote(ballot(term, last_log, false)),
-        Message::PreVoteResponse { term, granted } => Kind::PreVoted(verdict(term, granted)),
+        Message::PreVoteRequest { term, last_log } => {
+            Kind::PreVote(encode_vote_request(term, last_log, false))
+        }
+        Message::PreVoteResponse { term, granted } => Kind::PreVoted(encode_vote_response(term, granted)),
         Message::VoteRequest { term, last_log, leadership_transfer } => {
-            Kind::Vote(ballot(term, last_log, leadership_transfer))
+            Kind::Vote(encode_vote_request(term, last_log, leadership_transfer))
         }
-        Message::VoteResponse { term, granted } => Kind::Voted(verdict(term, granted)),
+        Message::VoteResponse { term, granted } => Kind::Voted(encode_vote_response(term, granted)),
         Message::AppendEntries(append) => Kind::Append(encode_append(append)),
         Message::AppendEntriesResponse(response) => Kind::Appended(encode_append_response(&response)),
-        Message::InstallSnapshot(part) => Kind::Snapshot(encode_snapshot(part)),
+        Message::InstallSnapshot(chunk) => Kind::Snapshot(encode_snapshot(chunk)),
         Message::InstallSnapshotResponse(response) => {
             Kind::SnapshotTaken(encode_snapshot_response(&response))
         }
@@ -29,30 +31,32 @@
     }
 }
 
-fn ballot(term: Term, last_log: LogPosition, handed: bool) -> v1::PeerBallot {
-    v1::PeerBallot { term: term.0, last: encode_position(last_log), handed }
+/// Encodes a vote or pre-vote request.
+fn encode_vote_request(term: Term, last_log: LogPosition, leadership_transfer: bool) -> v1::PeerBallot {
+    v1::PeerBallot { term: term.0, last: encode_position(last_log), handed: leadership_transfer }
 }
 
-fn verdict(term: Term, granted: bool) -> v1::PeerVerdict {
+/// Encodes the response to a vote or pre-vote request.
+fn encode_vote_response(term: Term, granted: bool) -> v1::PeerVerdict {
     v1::PeerVerdict { term: term.0, granted }
 }
 
-pub(super) fn decode_pre_vote_request(ballot: &v1::PeerBallot) -> Result<Message, InvalidPeerMessage> {
-    let last_log = decode_position(ballot.last, PeerField::LastLog)?;
-    Ok(Message::PreVoteRequest { term: Term(ballot.term), last_log })
+pub(super) fn decode_pre_vote_request(request: &v1::PeerBallot) -> Result<Message, InvalidPeerMessage> {
+    let last_log = decode_position(request.last, PeerField::LastLog)?;
+    Ok(Message::PreVoteRequest { term: Term(request.term), last_log })
 }
 
-pub(super) fn decode_pre_vote_response(verdict: &v1::PeerVerdict) -> Message {
-    Message::PreVoteResponse { term: Term(verdict.term), granted: verdict.granted }
+pub(super) fn decode_pre_vote_response(response: &v1::PeerVerdict) -> Message {
+    Message::PreVoteResponse { term: Term(response.term), granted: response.granted }
 }
 
-pub(super) fn decode_vote_request(ballot: &v1::PeerBallot) -> Result<Message, InvalidPeerMessage> {
-    let last_log = decode_position(ballot.last, PeerField::LastLog)?;
-    Ok(Message::VoteRequest { term: Term(ballot.term), last_log, leadership_transfer: ballot.handed })
+pub(super) fn decode_vote_request(request: &v1::PeerBallot) -> Result<Message, InvalidPeerMessage> {
+    let last_log = decode_position(request.last, PeerField::LastLog)?;
+    Ok(Message::VoteRequest { term: Term(request.term), last_log, leadership_transfer: request.handed })
 }
 
-pub(super) fn decode_vote_response(verdict: &v1::PeerVerdict) -> Message {
-    Message::VoteResponse { term: Term(verdict.term), granted: verdict.granted }
+pub(super) fn decode_vote_response(response: &v1::PeerVerdict) -> Message {
+    Message::VoteResponse { term: Term(response.term), granted: response.granted }
 }
 
 fn encode_append(append: AppendEntries) -> v1::PeerAppend {
@@ -93,29 +97,29 @@
     })
 }
 
-fn encode_snapshot(part: InstallSnapshot) -> v1::PeerSnapshot {
+fn encode_snapshot(chunk: InstallSnapshot) -> v1::PeerSnapshot {
     v1::PeerSnapshot {
-        term: part.term.0,
-        covers: encode_position(part.last_included),
-        voters: Some(encode_voters(&part.voters)),
-        offset: part.offset,
-        part: part.bytes,
-        last: part.done,
-        round: part.round,
+        term: chunk.term.0,
+        covers: encode_position(chunk.last_included),
+        voters: Some(encode_voters(&chunk.voters)),
+        offset: chunk.offset,
+        part: chunk.bytes,
+        last: chunk.done,
+        round: chunk.round,
     }
 }
 
-pub(super) fn decode_snapshot(part: v1::PeerSnapshot) -> Result<Message, InvalidPeerMessage> {
-    let last_included = decode_position(part.covers, PeerField::LastIncluded)?;
-    let voters = part.voters.ok_or(InvalidPeerMessage::Missing(PeerField::Voters))?;
+pub(super) fn decode_snapshot(chunk: v1::PeerSnapshot) -> Result<Message, InvalidPeerMessage> {
+    let last_included = decode_position(chunk.covers, PeerField::LastIncluded)?;
+    let voters = chunk.voters.ok_or(InvalidPeerMessage::Missing(PeerField::Voters))?;
     Ok(Message::InstallSnapshot(InstallSnapshot {
-        term: Term(part.term),
+        term: Term(chunk.term),
         last_included,
         voters: decode_voters(voters),
-        offset: part.offset,
-        bytes: part.part,
-        done: part.last,
-        round: part.round,
+        offset: chunk.offset,
+        bytes: chunk.part,
+        done: chunk.last,
+        round: chunk.round,
     }))
 }
 
@@ -137,6 +141,6 @@
     })
 }
 
-pub(super) fn decode_timeout_now(stand: &v1::PeerStand) -> Message {
-    Message::TimeoutNow { term: Term(stand.term) }
+pub(super) fn decode_timeout_now(timeout_now: &v1::PeerStand) -> Message {
+    Message::TimeoutNow { term: Term(timeout_now.term) }
 }
--- a/crates/stepspur-consensus-node/src/send_queue.rs
+++ b/crates/stepspur-consensus-node/src/send_queue.rs
@@ -1,4 +1,4 @@
-//! Messages that wait to be sent to a peer.
+//! The bounded queue of outgoing messages to one peer.
 
 use std::collections::VecDeque;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -6,28 +6,28 @@
 use stepspur_proto::v1::FromPeer;
 use tokio::sync::Notify;
 
-/// The most messages that wait. Raft repeats what is dropped, with newer content.
+/// The capacity in messages. A drop is harmless: Raft resends the content of lost messages in newer ones.
 const MAX_MESSAGES: usize = 256;
 
-/// Messages that wait to be sent to a peer. A full queue drops its oldest message.
+/// Messages that wait to be sent to one peer. A push to a full queue drops the oldest message.
 #[derive(Debug, Default)]
 pub(crate) struct SendQueue {
     messages: Mutex<VecDeque<FromPeer>>,
     pushed: Notify,
 }
 
-/// What adding a message caused.
+/// Whether a push has dropped another message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Pushed {
-    /// Nothing else.
+pub(crate) enum PushOutcome {
+    /// The queue had space.
     Added,
-    /// The oldest message was dropped for it.
+    /// The queue was full, and its oldest message was dropped.
     DroppedOldest,
 }
 
 impl SendQueue {
-    /// Adds a message. It never waits.
-    pub(crate) fn push(&self, message: FromPeer) -> Pushed {
+    /// Adds a message without waiting.
+    pub(crate) fn push(&self, message: FromPeer) -> PushOutcome {
         let mut messages = self.lock();
         let is_full = messages.len() >= MAX_MESSAGES;
         if is_full {
@@ -36,10 +36,10 @@
         messages.push_back(message);
         drop(messages);
         self.pushed.notify_one();
-        if is_full { Pushed::DroppedOldest } else { Pushed::Added }
+        if is_full { PushOutcome::DroppedOldest } else { PushOutcome::Added }
     }
 
-    /// Takes the oldest message, and waits for one if there is none.
+    /// Removes and returns the oldest message; waits while the queue is empty. For a single reader.
     pub(crate) async fn next(&self) -> FromPeer {
         loop {
             let oldest = self.lock().pop_front();
--- a/crates/stepspur-consensus-node/src/settings.rs
+++ b/crates/stepspur-consensus-node/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a member is started with, and why it may not start.
+//! The settings of a member, and the errors of its start.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -7,51 +7,53 @@
 
 use stepspur_consensus::{InvalidSetting, MemberId};
 
-/// A member's settings.
+/// The settings of one member.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Its identity, which must be that of its storage.
+    /// The member's identity, which must match that of its storage.
     pub id: MemberId,
-    /// The address at which it accepts peers: on loopback, as the links have no authentication yet.
+    /// The address at which the member accepts connections from peers. [`Tcp`](crate::Tcp) accepts only a
+    /// loopback address, because the connections are not authenticated yet.
     pub listen: SocketAddr,
-    /// The members and their addresses; its own entry is ignored.
+    /// The addresses of all members of the group. No link is opened to the member itself.
     pub peers: BTreeMap<MemberId, SocketAddr>,
-    /// The settings that all members share.
+    /// The timeouts and limits of consensus, the same for all members of a group.
     pub consensus: stepspur_consensus::Settings,
-    /// Prefixes of the names of roles that it would hold, 64 at most.
+    /// Name prefixes of the roles that the member accepts: the first 64 count. An empty list matches no role,
+    /// an empty prefix matches all.
     pub role_prefixes: Vec<String>,
-    /// Its share of these roles relative to other members'; 0: none.
+    /// The member's share of these roles relative to the weights of the other members; 0: no further roles.
     pub role_weight: f64,
     /// The timeout for connecting to a peer, for each write to it, and for the first frame of an accepted
     /// connection.
     pub io_timeout: Duration,
-    /// The largest frame, in bytes: a batch of the largest commands must fit.
+    /// The largest frame, in bytes. A full batch of commands of the largest size must fit.
     pub max_frame_bytes: usize,
 }
 
-/// Why a member did not start.
+/// Errors that prevent the start of a member.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// A setting is out of bounds.
+    /// A consensus setting is out of bounds.
     #[error("council.{0}")]
     InvalidSetting(#[from] InvalidSetting),
     /// The storage belongs to another member.
-    #[error("the state file is that of {found}, and the settings name {expected}")]
+    #[error("the state file belongs to member {found}, but the settings are for member {expected}")]
     WrongIdentity {
-        /// The storage's member.
+        /// The member that the storage belongs to.
         found: MemberId,
-        /// The settings' member.
+        /// The member that the settings are for.
         expected: MemberId,
     },
-    /// It cannot listen at its address.
+    /// The transport cannot listen at the member's address.
     #[error("cannot listen on {address}: {cause}")]
     Listen {
-        /// The address.
+        /// The address from the settings.
         address: SocketAddr,
-        /// The system's error.
+        /// The error of the operating system.
         cause: io::Error,
     },
-    /// The system starts no thread for the storage.
-    #[error("no thread for the disk: {0}")]
+    /// The operating system cannot start the thread for the storage.
+    #[error("cannot start the storage thread: {0}")]
     StorageThread(io::Error),
 }
--- a/crates/stepspur-consensus-node/src/startup.rs
+++ b/crates/stepspur-consensus-node/src/startup.rs
@@ -1,4 +1,4 @@
-//! Starts the tasks of a member.
+//! Validates a member's settings and starts its tasks.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -20,12 +20,13 @@
 use crate::storage::{Storage, StorageEvent, WriteQueue};
 use crate::transport::{Listener, Transport};
 
-/// The most messages, and the most requests, that wait for the member's task; further senders wait.
+/// The capacity of the member task's message queue and of its request queue. Senders wait while a queue is
+/// full.
 const QUEUE_CAPACITY: usize = 1_024;
-/// The member's clock starts with it.
-const STARTED_AT: Micros = 0;
+/// The time at which the member starts: its clock is started at the same moment.
+const START_TIME: Micros = 0;
 
-/// The tasks of a running member, and the ends of their channels that its handle needs.
+/// The tasks of a running member, and the channels and shared state through which its handle reaches them.
 pub(crate) struct RunningMember {
     pub(crate) requests: mpsc::Sender<Request>,
     pub(crate) applied: watch::Receiver<AppliedState>,
@@ -35,16 +36,16 @@
     pub(crate) tasks: TaskTracker,
 }
 
-/// What a member is started on.
+/// The I/O that a member runs on.
 pub(crate) struct Environment {
     pub(crate) transport: Arc<dyn Transport>,
     pub(crate) listener: Box<dyn Listener>,
-    /// None for a member that only follows.
+    /// `None` for a member without stable storage, which applies committed entries but never votes.
     pub(crate) storage: Option<Box<dyn Storage>>,
 }
 
-/// Checks that the settings are within bounds, and that the storage is this member's.
-pub(crate) fn check(settings: &Settings, storage: Option<&dyn Storage>) -> Result<(), StartError> {
+/// Checks that the settings are within bounds, and that the storage belongs to this member.
+pub(crate) fn validate(settings: &Settings, storage: Option<&dyn Storage>) -> Result<(), StartError> {
     if let Some(invalid) = settings.consensus.invalid_settings().into_iter().next() {
         return Err(invalid.into());
     }
@@ -56,7 +57,7 @@
     }
 }
 
-/// Starts the tasks of a member with its persistent state.
+/// Starts the tasks of a member from its persistent state. `state` is the state machine before any entry.
 pub(crate) fn start_tasks<S: StateMachine + Send + Sync + 'static>(
     settings: &Settings,
     environment: Environment,
@@ -104,12 +105,12 @@
         settings: settings.consensus.clone(),
         seed,
     };
-    let mut member = Member::with_state(config, stored, STARTED_AT, state);
+    let mut member = Member::with_state(config, stored, START_TIME, state);
     member.set_role_preferences(settings.role_prefixes.clone(), settings.role_weight);
     member
 }
 
-/// Starts the storage; its events become the progress of the writes.
+/// Starts the storage, and publishes its events as [`WriteProgress`].
 fn start_storage(
     storage: Box<dyn Storage>,
     progress: watch::Sender<WriteProgress>,
@@ -123,7 +124,7 @@
     storage.start(on_event).map_err(StartError::StorageThread)
 }
 
-/// Starts a link to each peer.
+/// Starts a link task for each peer, and returns the send queues of the links.
 fn start_links(
     transport: &Arc<dyn Transport>,
     settings: &Settings,
--- a/crates/stepspur-consensus-node/src/storage.rs
+++ b/crates/stepspur-consensus-node/src/storage.rs
@@ -1,4 +1,5 @@
-//! A member's storage as a trait, and the state file as one. Tests use storage in memory.
+//! The traits for a member's stable storage, and their implementation by the state file. Tests implement them
+//! with storage in memory.
 
 use std::io;
 
@@ -7,56 +8,56 @@
 
 use crate::transport::BoxFuture;
 
-/// The most writes in the queue: a member with more has stalled storage.
+/// The capacity of the write queue. A full queue means that the disk has stalled, and halts the member.
 const MAX_QUEUED_WRITES: usize = 1_024;
 
-/// What became of writes.
+/// The result of writes, reported by the storage.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StorageEvent {
     /// All writes up to this number are durable.
     Durable {
-        /// The number.
+        /// The highest number of a durable write, as in [`WriteRequest::number`].
         number: u64,
     },
-    /// The storage has failed. No event follows.
+    /// The storage has failed. It writes nothing more, and no event follows.
     Failed {
-        /// Why.
+        /// The storage's error, for the log.
         reason: String,
     },
 }
 
-/// Called for each event of the storage.
+/// The function that the storage calls for each event, possibly in another thread.
 pub type StorageCallback = Box<dyn FnMut(StorageEvent) + Send>;
 
-/// Why a write was not queued: the queue is full, or the storage has failed.
+/// A write was not queued, because the queue is full or the storage has failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{reason}")]
 pub struct WriteRejected {
-    /// The storage's reason.
+    /// The storage's error, for the log.
     pub reason: String,
 }
 
-/// A member's storage, opened and read.
+/// A member's stable storage, open and already read, before it accepts writes.
 pub trait Storage: Send {
-    /// The member that it belongs to.
+    /// Returns the identity of the member that the storage belongs to.
     fn id(&self) -> MemberId;
 
-    /// Starts to accept writes, and reports what becomes of them.
+    /// Starts to accept writes. Calls `on_event` with their results.
     ///
     /// # Errors
-    /// The system starts no thread.
+    /// The error of the operating system if it cannot start a thread.
     fn start(self: Box<Self>, on_event: StorageCallback) -> io::Result<Box<dyn WriteQueue>>;
 }
 
-/// Writes on their way to the storage.
+/// The queue of writes to the storage.
 pub trait WriteQueue: Send {
-    /// Queues a write. It never waits.
+    /// Queues a write without waiting for the disk. Writes are done in the order of the calls.
     ///
     /// # Errors
-    /// The queue is full, or the storage has failed.
+    /// [`WriteRejected`] if the queue is full or the storage has failed.
     fn enqueue(&self, write: WriteRequest) -> Result<(), WriteRejected>;
 
-    /// Writes what is queued, and ends. It may never complete if the storage hangs.
+    /// Finishes the queued writes, and closes the storage. The future never completes if the storage hangs.
     fn close(self: Box<Self>) -> BoxFuture<'static, ()>;
 }
 
@@ -81,7 +82,7 @@
 
     fn close(self: Box<Self>) -> BoxFuture<'static, ()> {
         Box::pin(async {
-            // The thread is joined on the blocking pool, as that may take long.
+            // Joining the thread blocks until the disk has finished, so it is done on the blocking pool.
             let _ = tokio::task::spawn_blocking(|| drop(Writer::close(*self))).await;
         })
     }
--- a/crates/stepspur-consensus-node/src/tcp.rs
+++ b/crates/stepspur-consensus-node/src/tcp.rs
@@ -1,4 +1,4 @@
-//! The program's transport: TCP on loopback.
+//! The transport used in production: TCP on loopback addresses.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 
 use crate::transport::{BoxFuture, Listener, Stream, Transport};
 
-/// Plain TCP. It listens on loopback only, as links have no authentication yet.
+/// Plain TCP. Listens only on loopback addresses, because connections are not authenticated yet.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tcp;
 
@@ -15,7 +15,9 @@
     fn listen(&self, at: SocketAddr) -> BoxFuture<'_, io::Result<Box<dyn Listener>>> {
         Box::pin(async move {
             if !at.ip().is_loopback() {
-                return Err(io::Error::other("peers' links carry no identity yet: loopback only"));
+                return Err(io::Error::other(
+                    "not a loopback address: connections are not authenticated yet",
+                ));
             }
             let listener = TcpListener::bind(at).await?;
             let address = listener.local_addr()?;
@@ -32,6 +34,7 @@
     }
 }
 
+/// A TCP listener on a loopback address.
 struct TcpLoopback {
     listener: TcpListener,
     address: SocketAddr,
--- a/crates/stepspur-consensus-storage/src/error.rs
+++ b/crates/stepspur-consensus-storage/src/error.rs
@@ -1,91 +1,93 @@
-//! Why a state file cannot be opened or written.
+//! The errors of creating, opening and writing a state file, with what an operator can do about them.
 
 use std::fmt;
 use std::path::PathBuf;
 
-/// Why a state file cannot be opened or written.
+/// A state file cannot be created, opened or written.
 #[derive(Debug, thiserror::Error)]
 pub enum StorageError {
-    /// No such file. Check the path; for a new member run `bootstrap` once. It is never created implicitly:
-    /// an existing member that lost its state may have voted, and must be replaced under a new number.
-    #[error("{}: no such state file", .0.display())]
+    /// The file does not exist. Check the path; for a new member run `bootstrap` once. The file is never
+    /// created implicitly: an existing member that has lost its state may have voted, and must be replaced by
+    /// a member with a new number.
+    #[error("{}: the state file does not exist", .0.display())]
     NotFound(PathBuf),
-    /// There is such a file already. It is never overwritten.
-    #[error("{}: there is a state file already", .0.display())]
+    /// The file to be created exists. It is never overwritten.
+    #[error("{}: the state file exists already", .0.display())]
     AlreadyExists(PathBuf),
-    /// Another process has locked the file: end it.
+    /// Another process has locked the file. Stop that process.
     #[error("the state file is in use by another process")]
     InUse,
-    /// A later version of the program wrote the file.
+    /// The file was written by a later version of the program.
     #[error(
-        "the state file has format {found}, this version knows {supported}: start the newer version, or \
-         replace the member"
+        "the state file has format {found}, but this version supports formats up to {supported}: start the \
+         newer version, or replace the member"
     )]
     UnsupportedFormat {
-        /// The file's format.
+        /// The format number in the file.
         found: u32,
         /// The newest format that this version reads.
         supported: u32,
     },
-    /// The file is empty, larger than [`MAX_FILE_BYTES`](crate::MAX_FILE_BYTES), or damaged. It was left as
-    /// it is: replace the member under a new number, do not bootstrap it again.
-    #[error("the state file cannot be read and was left as it is: {0}")]
+    /// The file is empty, larger than [`MAX_FILE_BYTES`](crate::MAX_FILE_BYTES), or damaged. It was not
+    /// changed. Replace the member by one with a new number; do not bootstrap it again, because it may have
+    /// voted.
+    #[error("the state file is unreadable and was left unchanged: {0}")]
     Corrupted(String),
-    /// An earlier write failed, so that the file's content is uncertain: nothing is written until it is
-    /// opened again. Free or replace the disk and restart the member.
+    /// An earlier write failed, so the content of the file is uncertain, and nothing is written until it is
+    /// opened again. Free space on the disk or replace it, then restart the member.
     #[error("an earlier write failed: {0}")]
     EarlierWriteFailed(String),
-    /// The system rejects an operation, for example as the disk is full.
+    /// The operating system has reported an error, for example that the disk is full.
     #[error("{operation}: {source}")]
     Io {
-        /// The operation.
+        /// The operation that failed.
         operation: Operation,
-        /// The system's error.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The database rejects an operation.
+    /// redb has reported an error other than an I/O error.
     #[error("{operation}: {cause}")]
     Database {
-        /// The operation.
+        /// The operation that failed.
         operation: Operation,
-        /// The database's error.
+        /// The error text of redb.
         cause: String,
     },
 }
 
-/// What was tried with a state file.
+/// The operation on a state file that failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Operation {
-    /// Checking that a file to be created does not exist yet.
+    /// Checking that the file to be created does not exist yet.
     Find,
-    /// Opening it.
+    /// Opening an existing file.
     Open,
-    /// Reading it.
+    /// Reading the content of the file.
     Read,
-    /// Locking it against other processes.
+    /// Locking the file against other processes.
     Lock,
-    /// Creating it under a temporary name.
+    /// Creating the file under a temporary name.
     Create,
-    /// Linking a complete file under its name.
+    /// Publishing a complete file under its final name by a hard link.
     Rename,
-    /// Writing it.
+    /// The first commit of a write, which contains its changes.
     Write,
-    /// The second commit of a write, which guards the first against a roll-back, see
+    /// The second commit of a write, which protects the first from a roll-back by redb, see
     /// [`Store::write`](crate::Store::write).
-    Seal,
+    SecondCommit,
 }
 
 impl fmt::Display for Operation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Operation::Find => "looking for the state file",
+            Operation::Find => "checking whether the state file exists",
             Operation::Open => "opening the state file",
             Operation::Read => "reading the state file",
             Operation::Lock => "locking the state file",
-            Operation::Create => "making the state file",
-            Operation::Rename => "naming the state file",
+            Operation::Create => "creating the state file",
+            Operation::Rename => "linking the state file to its final name",
             Operation::Write => "writing the state file",
-            Operation::Seal => "sealing the state file",
+            Operation::SecondCommit => "making the second commit to the state file",
         })
     }
 }
--- a/crates/stepspur-consensus-storage/src/lib.rs
+++ b/crates/stepspur-consensus-storage/src/lib.rs
@@ -1,8 +1,8 @@
 //! Stable storage of a consensus member.
 //!
-//! - [`Store`] holds a member's identity, term, vote, log and snapshot in one redb file. A file that it
-//!   cannot read it leaves as it is, and after a failed write it writes no more: a member that may have lost
-//!   its vote must not vote again.
+//! - [`Store`] holds a member's identity, term, vote, log and snapshot in one redb file: the persistent state
+//!   of the Raft paper's figure 2. It leaves a file that it cannot read unchanged, and writes nothing after a
+//!   failed write, because a member that may have lost its vote must not vote again.
 //! - [`Writer`] writes in a thread of its own, so that a slow disk delays only what depends on the writes.
 //!
 //! docs/state.md has the design and its alternatives.
--- a/crates/stepspur-consensus-storage/src/memory_copy.rs
+++ b/crates/stepspur-consensus-storage/src/memory_copy.rs
@@ -1,7 +1,7 @@
 //! A copy of the state file in memory, on which the file is checked before it is opened.
 //!
-//! redb repairs a file that was not closed in place, and a repair of a file that cannot be read would destroy
-//! what a person might still recover.
+//! When redb opens a file that was not closed cleanly, it repairs the file in place. Repairing a damaged file
+//! could destroy data that an operator might still recover.
 
 use std::io;
 use std::ops::Range;
@@ -9,12 +9,13 @@
 
 use redb::StorageBackend;
 
-/// A copy of a storage backend in memory.
+/// A redb storage backend in memory, with the content of another backend. Syncs do nothing.
 #[derive(Debug, Default)]
 pub(crate) struct MemoryCopy(RwLock<Vec<u8>>);
 
 impl MemoryCopy {
-    /// Copies all bytes of a backend.
+    /// Reads all bytes of a backend, up to [`MAX_FILE_BYTES`](crate::MAX_FILE_BYTES) as checked by the
+    /// caller.
     pub(crate) fn of(backend: &impl StorageBackend) -> io::Result<Self> {
         let mut bytes = vec![0; usize::try_from(backend.len()?).map_err(io::Error::other)?];
         backend.read(0, &mut bytes)?;
@@ -30,9 +31,11 @@
     }
 }
 
+/// The byte range of a read or write, checked for overflow.
 fn range(offset: u64, len: usize) -> io::Result<Range<usize>> {
     let start = usize::try_from(offset).map_err(io::Error::other)?;
-    let end = start.checked_add(len).ok_or_else(|| io::Error::other("beyond the end"))?;
+    let end =
+        start.checked_add(len).ok_or_else(|| io::Error::other("byte range exceeds the address space"))?;
     Ok(start..end)
 }
 
--- a/crates/stepspur-consensus-storage/src/state_file.rs
+++ b/crates/stepspur-consensus-storage/src/state_file.rs
@@ -1,4 +1,4 @@
-//! The state file in its directory: created completely or not at all, and locked by one process.
+//! The state file in the file system: created atomically, and locked by one process at a time.
 
 use std::fs::{File, OpenOptions};
 use std::io;
@@ -8,7 +8,7 @@
 
 use crate::error::{Operation, StorageError};
 
-/// What the name of a file ends with until it is complete.
+/// The suffix of the file name until the file is complete.
 const TEMPORARY_SUFFIX: &str = ".new";
 
 /// Opens and locks an existing file.
@@ -21,11 +21,11 @@
     lock(file)
 }
 
-/// Creates and locks a file under a temporary name, so that a crash leaves none under its own. The remains of
-/// an earlier crash are overwritten.
+/// Creates and locks a file under a temporary name, so that a crash leaves no incomplete file under the final
+/// name. A temporary file left by an earlier crash is overwritten.
 pub(crate) fn create_temporary(path: &Path) -> Result<FileBackend, StorageError> {
-    let find = |source| StorageError::Io { operation: Operation::Find, source };
-    if path.try_exists().map_err(find)? {
+    let find_error = |source| StorageError::Io { operation: Operation::Find, source };
+    if path.try_exists().map_err(find_error)? {
         return Err(StorageError::AlreadyExists(path.to_owned()));
     }
     let mut options = OpenOptions::new();
@@ -34,7 +34,7 @@
     lock(file.map_err(|source| StorageError::Io { operation: Operation::Create, source })?)
 }
 
-/// Gives a complete file its name, durably, and never replaces another file.
+/// Gives a complete file its final name, durably. Never replaces another file.
 pub(crate) fn publish(path: &Path) -> Result<(), StorageError> {
     link_and_sync(path).map_err(|source| match source.kind() {
         io::ErrorKind::AlreadyExists => StorageError::AlreadyExists(path.to_owned()),
@@ -42,7 +42,7 @@
     })
 }
 
-/// A rename would replace another file; a hard link does not.
+/// Uses a hard link, because a rename would replace an existing file. Syncs the directory at the end.
 fn link_and_sync(path: &Path) -> io::Result<()> {
     let temporary = temporary_path(path);
     std::fs::hard_link(&temporary, path)?;
@@ -57,6 +57,7 @@
     PathBuf::from(name)
 }
 
+/// Locks the file against other processes until it is closed.
 fn lock(file: File) -> Result<FileBackend, StorageError> {
     FileBackend::new(file).map_err(|cause| match cause {
         redb::DatabaseError::DatabaseAlreadyOpen => StorageError::InUse,
--- a/crates/stepspur-consensus-storage/src/tables.rs
+++ b/crates/stepspur-consensus-storage/src/tables.rs
@@ -1,4 +1,4 @@
-//! The tables of a state file. Their names and the encoding of their values never change within a format.
+//! The redb tables of a state file. Their names and the encoding of their values are fixed for each format.
 
 use std::sync::Arc;
 
@@ -9,50 +9,50 @@
 use crate::codec::{decode, encode};
 use crate::error::StorageError;
 
-/// The format that this version writes. Later ones are rejected.
+/// The format of the state files that this version writes. Later formats are rejected.
 pub const FORMAT_VERSION: u32 = 1;
 
-/// Single values, by name.
+/// The table of single values, by name.
 pub(crate) const VALUES: TableDefinition<&str, &[u8]> = TableDefinition::new("facts");
-/// Log entries, by index.
+/// The table of log entries, by index.
 pub(crate) const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
 
-/// The file's format.
+/// The value's name for the format number.
 const FORMAT: &str = "format";
-/// The member's identity.
+/// The value's name for the member's identity.
 const IDENTITY: &str = "identity";
-/// The term, and the vote in it.
+/// The value's name for the current term and the vote in that term.
 const VOTE: &str = "vote";
-/// The snapshot at the log's start.
+/// The value's name for the snapshot that precedes the log's entries.
 const SNAPSHOT: &str = "snapshot";
-/// The number of second commits, see [`Store::write`](crate::Store::write).
-const SEAL_COUNT: &str = "seals";
+/// The value's name for the count of second commits, see [`Store::write`](crate::Store::write).
+const SECOND_COMMITS: &str = "seals";
 
-/// The tables in a write transaction.
+/// The tables, open in a write transaction.
 pub(crate) struct Tables<'txn> {
     values: redb::Table<'txn, &'static str, &'static [u8]>,
     log: redb::Table<'txn, u64, &'static [u8]>,
 }
 
-/// What a state file holds.
+/// The decoded content of a state file.
 pub(crate) struct Contents {
     pub(crate) id: MemberId,
     pub(crate) state: PersistentState,
 }
 
 impl<'txn> Tables<'txn> {
-    /// Opens the tables, and creates them in a new file.
+    /// Opens the tables. Creates them in a new file.
     pub(crate) fn open(transaction: &'txn redb::WriteTransaction) -> Result<Self, redb::Error> {
         Ok(Self { values: transaction.open_table(VALUES)?, log: transaction.open_table(LOG)? })
     }
 
-    /// Writes what a file never changes.
+    /// Writes the format and the identity, which never change in a file.
     pub(crate) fn put_identity(&mut self, id: MemberId) -> Result<(), redb::Error> {
         self.put(FORMAT, &FORMAT_VERSION)?;
         self.put(IDENTITY, &id)
     }
 
-    /// Applies a write request.
+    /// Applies a write request: the term and the vote, then the snapshot, the truncation and the new entries.
     pub(crate) fn apply(&mut self, request: &WriteRequest) -> Result<(), redb::Error> {
         self.put(VOTE, &(request.term, request.vote))?;
         if let Some(snapshot) = &request.snapshot {
@@ -68,14 +68,14 @@
         Ok(())
     }
 
-    /// Counts a second commit.
-    pub(crate) fn seal(&mut self) -> Result<(), redb::Error> {
-        let count = match self.values.get(SEAL_COUNT)? {
-            Some(bytes) => decode::<u64>(SEAL_COUNT, bytes.value())
+    /// Increments the count of second commits.
+    pub(crate) fn increment_second_commits(&mut self) -> Result<(), redb::Error> {
+        let count = match self.values.get(SECOND_COMMITS)? {
+            Some(bytes) => decode::<u64>(SECOND_COMMITS, bytes.value())
                 .map_err(|cause| redb::Error::Corrupted(cause.to_string()))?,
             None => 0,
         };
-        self.put(SEAL_COUNT, &count.wrapping_add(1))
+        self.put(SECOND_COMMITS, &count.wrapping_add(1))
     }
 
     fn put(&mut self, name: &str, value: &impl Serialize) -> Result<(), redb::Error> {
@@ -84,14 +84,14 @@
     }
 }
 
-/// Reads and checks all values of a file.
+/// Reads and checks all values of a file. Any error means that the file cannot be used.
 pub(crate) fn read(database: &Database) -> Result<Contents, StorageError> {
     let transaction = database.begin_read().map_err(|cause| corrupted(cause.into()))?;
     let values = transaction.open_table(VALUES).map_err(|cause| corrupted(cause.into()))?;
     let log = transaction.open_table(LOG).map_err(|cause| corrupted(cause.into()))?;
     let value = |name: &str| {
         let value = values.get(name).map_err(|cause| corrupted(cause.into()))?;
-        value.ok_or_else(|| StorageError::Corrupted(format!("{name} is missing")))
+        value.ok_or_else(|| StorageError::Corrupted(format!("value {name} is missing")))
     };
     let format: u32 = decode(FORMAT, value(FORMAT)?.value())?;
     if format > FORMAT_VERSION {
@@ -105,7 +105,7 @@
     Ok(Contents { id, state: PersistentState { term, vote, log } })
 }
 
-/// Reads the log's entries, which follow one another from `first` on.
+/// Reads the log's entries, and checks that their indexes are consecutive from `first` on.
 fn read_entries(
     log: &impl ReadableTable<u64, &'static [u8]>,
     first: Index,
@@ -114,11 +114,11 @@
     let mut entries = Vec::new();
     for row in log.iter().map_err(|cause| corrupted(cause.into()))? {
         let (index, bytes) = row.map_err(|cause| corrupted(cause.into()))?;
-        let entry: Entry = decode("an entry of the log", bytes.value())?;
+        let entry: Entry = decode("log entry", bytes.value())?;
         if entry.index != Index(index.value()) || entry.index != expected {
             let found = entry.index;
             return Err(StorageError::Corrupted(format!(
-                "entry {expected} is missing: {found} stands in its place"
+                "log entry {expected} is missing: found entry {found} instead"
             )));
         }
         expected = expected.next();
--- a/crates/stepspur-consensus-storage/src/writer.rs
+++ b/crates/stepspur-consensus-storage/src/writer.rs
@@ -1,4 +1,4 @@
-//! The thread that writes, so that nothing but what depends on a write waits for a slow disk.
+//! A thread that writes to the store, so that a slow disk delays only what depends on a write.
 
 use std::io;
 use std::sync::mpsc::{Receiver, SyncSender, TrySendError, sync_channel};
@@ -9,31 +9,31 @@
 use crate::error::StorageError;
 use crate::store::Store;
 
-/// The most requests in a transaction. They gather while an earlier one is written, so that a slow disk has
-/// fewer transactions.
+/// The maximum number of requests in one transaction. Requests queue up while an earlier transaction is
+/// written, so that a slow disk has fewer and larger transactions.
 const MAX_REQUESTS_PER_TRANSACTION: usize = 64;
-/// The name of the thread.
+/// The thread's name in tools such as `top` and in panic messages.
 const THREAD_NAME: &str = "state";
 
-/// What became of write requests.
+/// The result of write requests.
 #[derive(Debug)]
 pub enum WriteOutcome {
-    /// All requests up to this number are durable.
+    /// All requests up to this [number](WriteRequest::number) are durable.
     Durable(u64),
-    /// A write failed. Nothing more is written, and no outcome follows.
+    /// A write failed. The thread ends: nothing more is written, and no outcome follows.
     Failed(StorageError),
 }
 
-/// The queue is full, as the disk stalls or has failed. The request is lost: its member must take no part in
-/// the group from here on.
+/// The request was not queued, because the disk has stalled or a write has failed. The request is lost, so
+/// its member must not vote or acknowledge entries until it is restarted.
 #[derive(Debug, thiserror::Error)]
-#[error("the disk takes no more: {capacity} saves wait")]
+#[error("the write queue of {capacity} requests is full, or an earlier write has failed")]
 pub struct QueueFull {
-    /// The requests that may wait.
+    /// The capacity of the queue, in requests.
     pub capacity: usize,
 }
 
-/// Writes requests in a thread of its own.
+/// Writes requests to a [`Store`] in a thread of its own.
 #[derive(Debug)]
 pub struct Writer {
     queue: SyncSender<WriteRequest>,
@@ -42,10 +42,10 @@
 }
 
 impl Writer {
-    /// Starts the thread, with a queue for `capacity` requests. `on_outcome` is called in that thread.
+    /// Starts the thread, with a queue of `capacity` requests. Calls `on_outcome` in that thread.
     ///
     /// # Errors
-    /// The system starts no thread.
+    /// The error of the operating system if it cannot start a thread.
     pub fn start(
         store: Store,
         capacity: usize,
@@ -57,26 +57,27 @@
         Ok(Self { queue, capacity, thread })
     }
 
-    /// Queues a request. It never waits.
+    /// Queues a request without waiting for the disk.
     ///
     /// # Errors
-    /// [`QueueFull`] if the queue is full, or a write has failed.
+    /// [`QueueFull`] if the queue is full or a write has failed.
     pub fn enqueue(&self, request: WriteRequest) -> Result<(), QueueFull> {
         self.queue.try_send(request).map_err(|cause| match cause {
             TrySendError::Full(_) | TrySendError::Disconnected(_) => QueueFull { capacity: self.capacity },
         })
     }
 
-    /// Writes what is queued, and ends the thread. It waits for the disk. Gives the store back; none if the
-    /// thread panicked.
+    /// Writes the queued requests and ends the thread. Blocks until the disk has finished. Returns the store;
+    /// `None` if the thread panicked.
     pub fn close(self) -> Option<Store> {
         drop(self.queue);
         self.thread.join().ok()
     }
 }
 
-/// Writes until the queue is closed or a write fails. `requests` is the last parameter so that it is dropped
-/// first: once no outcome follows, no request is accepted either.
+/// Writes until the queue is closed or a write fails. `requests` is the last parameter because parameters are
+/// dropped in reverse order: the queue is closed before `on_outcome` is dropped, so that no request is
+/// accepted once no further outcome can follow.
 fn run(
     mut on_outcome: impl FnMut(WriteOutcome),
     mut store: Store,
