--- a/crates/stepspur-consensus-node/src/peer_link.rs
+++ b/crates/stepspur-consensus-node/src/peer_link.rs
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Sends over one connection after another. The message at which a connection fails is lost; Raft resends
-    /// its content.
+    /// Sends over one connection after another. The message at which a connection fails is lost, which Raft
+    /// tolerates as it does a dropped message.
     async fn send_with_reconnects(&self) -> Infallible {
         let mut backoff = FIRST_BACKOFF;
         loop {
--- a/crates/stepspur-consensus-node/src/send_queue.rs
+++ b/crates/stepspur-consensus-node/src/send_queue.rs
@@ -6,7 +6,7 @@
 use stepspur_proto::v1::FromPeer;
 use tokio::sync::Notify;
 
-/// The capacity in messages. A drop is harmless: Raft resends the content of lost messages in newer ones.
+/// The capacity in messages. Drops are tolerated: Raft resends what is lost, with newer content.
 const MAX_MESSAGES: usize = 256;
 
 /// Messages that wait to be sent to one peer. A push to a full queue drops the oldest message.
--- a/crates/stepspur-consensus-node/tests/common/log.rs
+++ b/crates/stepspur-consensus-node/tests/common/log.rs
@@ -1,4 +1,4 @@
-//! The log of the project's crates in this test process, for tests that wait for a line.
+//! Records the log events of this project's crates in the test process, for tests that wait for one.
 #![allow(dead_code, reason = "not every test uses both kinds of waits")]
 
 use std::fmt::{Debug, Write as _};
@@ -9,47 +9,47 @@
 use tracing::span::{Attributes, Id, Record};
 use tracing::{Event, Level, Metadata, Subscriber};
 
-/// All lines of this process so far: concurrent tests write to the same log.
+/// All lines recorded in this process. Tests that run concurrently share them.
 static LINES: LazyLock<watch::Sender<Vec<String>>> = LazyLock::new(|| {
-    tracing::subscriber::set_global_default(Recorder).expect("the only subscriber");
+    tracing::subscriber::set_global_default(Recorder).expect("no other global subscriber");
     watch::Sender::default()
 });
 
-/// A reader of the log. Its waits are unbounded, so they belong under a timeout.
+/// A reader of the recorded lines. Its waits have no timeout; callers add one.
 pub(crate) struct Log {
     lines: watch::Receiver<Vec<String>>,
-    /// Lines that it has read, or that were written before it started.
-    read: usize,
+    /// The index of the first line that it has not read; it skips lines recorded before it started.
+    next_line: usize,
 }
 
 impl Log {
-    /// Reads the lines from now on.
+    /// Creates a reader of the lines that are recorded from now on.
     pub(crate) fn follow() -> Self {
         let lines = LINES.subscribe();
-        let read = lines.borrow().len();
-        Self { lines, read }
+        let next_line = lines.borrow().len();
+        Self { lines, next_line }
     }
 
-    /// Waits for any line, and skips all lines up to it.
+    /// Waits for a further line, and skips all lines recorded by then.
     pub(crate) async fn next(&mut self) {
-        let read = self.read;
-        let lines = self.lines.wait_for(|lines| lines.len() > read).await.expect("it is recorded");
-        self.read = lines.len();
+        let next_line = self.next_line;
+        let lines = self.lines.wait_for(|lines| lines.len() > next_line).await.expect("the sender is static");
+        self.next_line = lines.len();
     }
 
-    /// Waits for the next line that contains all of these words.
+    /// Waits for the next line that contains all of these words, and returns it.
     pub(crate) async fn next_with(&mut self, words: &[&str]) -> String {
-        let read = self.read;
-        let holds = |line: &String| words.iter().all(|word| line.contains(word));
-        let found = |lines: &Vec<String>| lines[read..].iter().any(holds);
-        let lines = self.lines.wait_for(found).await.expect("it is recorded");
-        let position = lines[read..].iter().position(holds).expect("it was found") + read;
-        self.read = position + 1;
+        let next_line = self.next_line;
+        let matches = |line: &String| words.iter().all(|word| line.contains(word));
+        let found = |lines: &Vec<String>| lines[next_line..].iter().any(matches);
+        let lines = self.lines.wait_for(found).await.expect("the sender is static");
+        let position = lines[next_line..].iter().position(matches).expect("a matching line") + next_line;
+        self.next_line = position + 1;
         lines[position].clone()
     }
 }
 
-/// Writes each event of the project's crates as a line of `name=value` pairs.
+/// A subscriber that records each event of this project's crates as a line of `name=value` pairs.
 struct Recorder;
 
 impl Subscriber for Recorder {
@@ -76,6 +76,7 @@
     fn exit(&self, _: &Id) {}
 }
 
+/// The fields of one event, as text.
 #[derive(Default)]
 struct Line(String);
 
--- a/crates/stepspur-consensus-node/tests/process_group/mod.rs
+++ b/crates/stepspur-consensus-node/tests/process_group/mod.rs
@@ -1,5 +1,5 @@
-//! A consensus group of several processes: this test program starts itself once per member, with a relay
-//! between every ordered pair, and a receiver of the members' orders.
+//! A consensus group of several processes. The test program starts itself once per member, and runs a relay
+//! for each ordered pair of members, which injects network faults, and a receiver of the members' orders.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader};
@@ -20,29 +20,34 @@
 pub(crate) use relay::Mode;
 use relay::Relay;
 
-/// A test fails if it waits longer for something.
+/// How long a test waits for a condition before it fails.
 pub(crate) const TIMEOUT: Duration = Duration::from_secs(60);
-/// The environment variable that makes the test program a member.
+/// The environment variable with the JSON of [`ChildSettings`]; if it is set, the test program runs as a
+/// member.
 pub(crate) const CHILD_VARIABLE: &str = "STEPSPUR_PEERS_TEST_CHILD";
 
-/// The settings of a member's process.
+/// The settings that a member's process receives from the test.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct ChildSettings {
     pub id: u64,
+    /// The address of the relay to each other member.
     pub peers: BTreeMap<u64, SocketAddr>,
+    /// The path of the state file.
     pub state: PathBuf,
     pub receiver: SocketAddr,
+    /// The roles that the member declares and wants to hold.
     pub roles: Vec<String>,
 }
 
-/// A group of processes.
+/// A running group of member processes. Dropping it kills them.
 pub(crate) struct ProcessGroup {
-    folder: tempfile::TempDir,
+    directory: tempfile::TempDir,
     pub receiver: Receiver,
     receiver_address: SocketAddr,
+    /// The relay for each sender and receiver, with its address.
     relays: BTreeMap<(u64, u64), (Relay, SocketAddr)>,
     processes: BTreeMap<u64, Child>,
-    /// Where members' processes serve clients, if they do.
+    /// The addresses at which members' processes accept clients, if they do.
     client_addresses: BTreeMap<u64, SocketAddr>,
     roles: Vec<String>,
 }
@@ -63,7 +68,7 @@
         let receiver_address = receiver.listen();
         let all: Vec<u64> = (1..=members).collect();
         let mut group = Self {
-            folder: tempfile::tempdir().expect("a folder"),
+            directory: tempfile::tempdir().expect("a temporary directory"),
             receiver,
             receiver_address,
             relays: start_relays(&all),
@@ -79,12 +84,12 @@
         group
     }
 
-    /// A member's state file.
+    /// The path of a member's state file.
     pub(crate) fn state_file(&self, member: u64) -> PathBuf {
-        self.folder.path().join(format!("member-{member}.redb"))
+        self.directory.path().join(format!("member-{member}.redb"))
     }
 
-    /// Starts a member's process on its state file.
+    /// Starts a member's process from its state file, waits until it listens, and directs the relays to it.
     pub(crate) fn start(&mut self, member: u64) {
         let peers = self.relays.iter().filter(|((from, _), _)| *from == member);
         let settings = ChildSettings {
@@ -96,7 +101,7 @@
         };
         let mut child = Command::new(std::env::current_exe().expect("this test"))
             .args(["--exact", "child_that_is_a_member", "--nocapture", "--test-threads=1"])
-            .env(CHILD_VARIABLE, serde_json::to_string(&settings).expect("it encodes"))
+            .env(CHILD_VARIABLE, serde_json::to_string(&settings).expect("encoded"))
             .stdout(Stdio::piped())
             .stderr(Stdio::null())
             .spawn()
@@ -121,31 +126,31 @@
         self.processes.insert(member, child);
     }
 
-    /// Where a member's process serves clients.
+    /// The address at which a member's process accepts clients.
     #[allow(dead_code, reason = "the fault tests' processes serve clients")]
     pub(crate) fn client_address(&self, member: u64) -> SocketAddr {
         self.client_addresses[&member]
     }
 
-    /// Kills a member's process.
+    /// Kills a member's process (SIGKILL) and waits for its end.
     pub(crate) fn kill(&mut self, member: u64) {
-        let mut child = self.processes.remove(&member).expect("it runs");
+        let mut child = self.processes.remove(&member).expect("the member runs");
         child.kill().expect("killed");
         child.wait().expect("ended");
     }
 
-    /// Sends a signal to a member's process, by its id.
+    /// Sends a signal, such as `-STOP`, to a member's process.
     pub(crate) fn signal(&self, member: u64, name: &str) {
         let id = self.processes[&member].id().to_string();
         assert!(Command::new("kill").args([name, &id]).status().expect("kill").success());
     }
 
-    /// Sets how what a member sends is relayed.
+    /// Sets the relay mode of all messages that a member sends.
     pub(crate) fn set_outbound(&self, member: u64, mode: Mode) {
         self.set_modes(|from, _| from == member, mode);
     }
 
-    /// Sets how what the others send to a member is relayed.
+    /// Sets the relay mode of all messages that the others send to a member.
     pub(crate) fn set_inbound(&self, member: u64, mode: Mode) {
         self.set_modes(|_, to| to == member, mode);
     }
@@ -159,7 +164,7 @@
     }
 }
 
-/// A relay between every ordered pair of members, with its address.
+/// Starts a relay for each ordered pair of members.
 fn start_relays(members: &[u64]) -> BTreeMap<(u64, u64), (Relay, SocketAddr)> {
     let mut relays = BTreeMap::new();
     for from in members {
@@ -172,7 +177,7 @@
     relays
 }
 
-/// The address at the end of a line of a member's process.
+/// Parses the address that follows `label` at the end of an output line of a member's process.
 fn address_after(line: &str, label: &str) -> Option<SocketAddr> {
     line.rsplit_once(label).and_then(|(_, address)| address.parse().ok())
 }
--- a/crates/stepspur-consensus-node/tests/process_group/relay.rs
+++ b/crates/stepspur-consensus-node/tests/process_group/relay.rs
@@ -1,4 +1,4 @@
-//! A relay between an ordered pair of members, which can pass, hold back or close their connections.
+//! A relay of the connections from one member to another, which can forward, block or close them.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -6,30 +6,32 @@
 use std::thread;
 use std::time::Duration;
 
-/// How often a relay checks its mode while nothing comes.
+/// How often a relay checks its mode while it receives nothing.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// The bytes that a relay reads at once.
+/// The size of a relay's read buffer.
 const BUFFER_BYTES: usize = 16 << 10;
 
-/// How a relay treats connections.
+/// How a relay treats its connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Mode {
-    /// All bytes pass.
+    /// All bytes are forwarded.
     #[default]
     Pass,
-    /// Connections stay up, and nothing passes: as behind a cut cable.
+    /// Connections stay open, but nothing is forwarded, as in a network partition.
     Silent,
-    /// Connections are closed, new ones too.
+    /// Connections are closed, including new ones.
     Down,
 }
 
+/// The mode and the target of a relay.
 #[derive(Debug, Default)]
 struct Route {
     mode: Mode,
+    /// The address of the receiving member; `None` until it has started.
     to: Option<SocketAddr>,
 }
 
-/// The route from one member to another.
+/// A relay from one member to another; clones are the same relay.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Relay(Arc<(Mutex<Route>, Condvar)>);
 
@@ -53,7 +55,7 @@
             for stream in listener.incoming().flatten() {
                 let relay = relay.clone();
                 thread::spawn(move || {
-                    // The members reconnect.
+                    // Errors are ignored, because the members reconnect.
                     let _ = relay.forward(stream);
                 });
             }
@@ -65,8 +67,9 @@
         self.0.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits while the mode is silent. Gives the target, if it is known; none in mode down.
-    fn wait_until_passable(&self) -> Option<Option<SocketAddr>> {
+    /// Waits while the mode is [`Mode::Silent`]. Returns `None` in mode [`Mode::Down`], otherwise the target,
+    /// which is `None` until it is known.
+    fn wait_while_silent(&self) -> Option<Option<SocketAddr>> {
         let mut route = self.lock();
         while route.mode == Mode::Silent {
             route = self.0.1.wait(route).unwrap_or_else(PoisonError::into_inner);
@@ -74,12 +77,13 @@
         (route.mode != Mode::Down).then_some(route.to)
     }
 
+    /// Forwards one connection until it ends or the mode closes it. Connects to the target at the first byte.
     fn forward(&self, mut from: TcpStream) -> std::io::Result<()> {
         let mut to: Option<TcpStream> = None;
         let mut buffer = [0; BUFFER_BYTES];
         from.set_read_timeout(Some(POLL_INTERVAL))?;
         loop {
-            let Some(target) = self.wait_until_passable() else { return Ok(()) };
+            let Some(target) = self.wait_while_silent() else { return Ok(()) };
             let read = match from.read(&mut buffer) {
                 Ok(0) => return Ok(()),
                 Ok(read) => read,
--- a/crates/stepspur-consensus-node/tests/schema.rs
+++ b/crates/stepspur-consensus-node/tests/schema.rs
@@ -1,4 +1,5 @@
-//! Every message survives the schema unchanged, and invalid bytes are rejected.
+//! Conversion of peer messages to and from the schema: valid messages decode to what was encoded, invalid
+//! ones are rejected.
 
 use proptest::prelude::*;
 use stepspur_consensus::{
@@ -55,9 +56,9 @@
 }
 
 fn install_snapshot() -> impl Strategy<Value = Message> {
-    let part = any::<(u64, u64, bool, Vec<u8>)>();
-    (term(), position(), any::<u64>(), part).prop_map(|(term, last_included, voter, part)| {
-        let (offset, round, done, bytes) = part;
+    let chunk = any::<(u64, u64, bool, Vec<u8>)>();
+    (term(), position(), any::<u64>(), chunk).prop_map(|(term, last_included, voter, chunk)| {
+        let (offset, round, done, bytes) = chunk;
         let voters = [MemberId(voter)].into();
         let bytes = bytes.into();
         Message::InstallSnapshot(InstallSnapshot { term, last_included, voters, offset, bytes, done, round })
@@ -127,6 +128,7 @@
 }
 
 proptest! {
+    /// A field that is left out or swapped in one of the two conversions would alter a message silently.
     #[test]
     fn encoded_message_decodes_unchanged(from in any::<u64>(), to in any::<u64>(), message in message()) {
         let sent = PeerFrame { from: MemberId(from), to: MemberId(to), message };
@@ -135,6 +137,7 @@
         prop_assert_eq!(received, sent);
     }
 
+    /// Peers are not authenticated, so any bytes may be received; a panic would end the reader's task.
     #[test]
     fn arbitrary_bytes_are_decoded_without_a_panic(bytes in any::<Vec<u8>>()) {
         let mut framed = (bytes.len() as u32).to_be_bytes().to_vec();
@@ -145,19 +148,21 @@
     }
 }
 
+/// A default in place of a missing field, such as position 0, would be taken for Raft state; a weight that is
+/// not finite or negative would distort the assignment of roles.
 #[test]
-fn message_with_a_missing_or_impossible_field_is_rejected() {
+fn message_with_a_missing_or_out_of_range_field_is_rejected() {
     let decode = |kind| PeerFrame::try_from(v1::FromPeer { from: 1, to: 2, kind });
     let missing = |field| Err(InvalidPeerMessage::Missing(field));
     assert_eq!(decode(None), missing(PeerField::Kind));
-    let ballot = v1::PeerBallot { term: 1, last: None, handed: false };
-    assert_eq!(decode(Some(Kind::Vote(ballot))), missing(PeerField::LastLog));
+    let vote_request = v1::PeerBallot { term: 1, last: None, handed: false };
+    assert_eq!(decode(Some(Kind::Vote(vote_request))), missing(PeerField::LastLog));
     let entries = vec![v1::PeerEntry { place: Some(v1::PeerPlace { index: 1, term: 1 }), payload: None }];
-    let fetched = v1::PeerFetched { entries, leader: None };
-    assert_eq!(decode(Some(Kind::Fetched(fetched))), missing(PeerField::EntryPayload));
+    let response = v1::PeerFetched { entries, leader: None };
+    assert_eq!(decode(Some(Kind::Fetched(response))), missing(PeerField::EntryPayload));
     for weight in [f64::NAN, f64::INFINITY, -1.0] {
-        let renew = v1::PeerRenew { number: 1, weight, wants: Vec::new(), heard: 0 };
+        let renewal = v1::PeerRenew { number: 1, weight, wants: Vec::new(), heard: 0 };
         let rejected = Err(InvalidPeerMessage::OutOfRange(PeerField::Weight));
-        assert_eq!(decode(Some(Kind::Renew(renew))), rejected);
+        assert_eq!(decode(Some(Kind::Renew(renewal))), rejected);
     }
 }
--- a/crates/stepspur-consensus-node/tests/status.rs
+++ b/crates/stepspur-consensus-node/tests/status.rs
@@ -1,11 +1,12 @@
-//! The status that operators see.
+//! The JSON of a member's status, which operators' tools read.
 
 use stepspur_consensus_node::{MemberId, RoleStatus, Status};
 
+/// Guards against a rename in the code that changes the JSON: its names are those of earlier versions.
 #[test]
 fn status_keeps_the_json_of_earlier_versions() {
     let role = RoleStatus { holder: Some(MemberId(7)), token: 3 };
-    let free = RoleStatus { holder: None, token: 0 };
+    let unheld = RoleStatus { holder: None, token: 0 };
     let status = Status {
         id: MemberId(1),
         term: 2,
@@ -13,7 +14,7 @@
         is_voter: true,
         is_halted: false,
         applied: 4,
-        roles: [("probe/a".to_owned(), role), ("probe/b".to_owned(), free)].into(),
+        roles: [("probe/a".to_owned(), role), ("probe/b".to_owned(), unheld)].into(),
     };
     let json = concat!(
         r#"{"id":1,"term":2,"leader":3,"votes":true,"retired":false,"applied":4,"#,
--- a/crates/stepspur-consensus-storage/src/error.rs
+++ b/crates/stepspur-consensus-storage/src/error.rs
@@ -45,7 +45,7 @@
         /// The error of the operating system.
         source: std::io::Error,
     },
-    /// redb has reported an error other than an I/O error.
+    /// redb has reported an error.
     #[error("{operation}: {cause}")]
     Database {
         /// The operation that failed.
--- a/crates/stepspur-consensus-storage/tests/common/mod.rs
+++ b/crates/stepspur-consensus-storage/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A disk in memory that fills up, stalls, or loses power before its writes are synced.
+//! A storage backend in memory that can fail, stall, or lose unsynced writes at a power loss.
 
 use std::io;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
@@ -7,46 +7,51 @@
 use rand_chacha::ChaCha8Rng;
 use redb::StorageBackend;
 
-/// A sector is written completely or not at all.
-const SECTOR: usize = 512;
+/// The size of a sector, which a power loss leaves completely written or not at all.
+const SECTOR_BYTES: usize = 512;
 
+/// A change of the disk's content.
 #[derive(Debug, Clone)]
 enum Change {
+    /// Bytes written at an offset.
     Write(u64, Vec<u8>),
+    /// A new length.
     Length(u64),
 }
 
 #[derive(Debug, Default)]
 struct State {
-    /// What survives a power loss.
+    /// The content as of the last sync, which survives a power loss.
     durable: Vec<u8>,
-    /// What a reader sees.
+    /// The content with all changes, as read.
     visible: Vec<u8>,
+    /// The changes since the last sync.
     pending: Vec<Change>,
-    /// Changes and syncs so far.
+    /// The number of changes and syncs so far, including failed ones.
     operations: u64,
-    /// From this operation on all fail, with this error.
+    /// The number of the first operation that fails, and the error. All later operations fail too.
     failure: Option<(u64, io::ErrorKind)>,
-    /// True: syncs wait.
+    /// True if syncs block.
     stalled: bool,
 }
 
-/// A disk in memory; clones are the same disk.
+/// A disk in memory; clones share its content.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Disk(Arc<(Mutex<State>, Condvar)>);
 
 impl State {
+    /// Counts an operation, and fails if it is to fail.
     fn count_operation(&mut self) -> io::Result<()> {
         self.operations += 1;
         match self.failure {
-            Some((from, kind)) if self.operations >= from => Err(kind.into()),
+            Some((first, kind)) if self.operations >= first => Err(kind.into()),
             _ => Ok(()),
         }
     }
 }
 
-fn apply(bytes: &mut Vec<u8>, op: &Change) {
-    match op {
+fn apply(bytes: &mut Vec<u8>, change: &Change) {
+    match change {
         Change::Length(len) => bytes.resize(*len as usize, 0),
         Change::Write(at, data) => {
             let end = *at as usize + data.len();
@@ -63,54 +68,59 @@
         self.0.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A disk with these bytes.
-    pub(crate) fn of(bytes: Vec<u8>) -> Self {
+    /// Creates a disk with these bytes, all of them durable.
+    pub(crate) fn with_bytes(bytes: Vec<u8>) -> Self {
         let disk = Self::default();
         *disk.state() = State { durable: bytes.clone(), visible: bytes, ..State::default() };
         disk
     }
 
-    /// All that a reader sees.
+    /// Returns the content as read.
     pub(crate) fn bytes(&self) -> Vec<u8> {
         self.state().visible.clone()
     }
 
-    /// Changes and syncs so far.
+    /// Returns the number of changes and syncs so far.
     pub(crate) fn operations(&self) -> u64 {
         self.state().operations
     }
 
-    /// Operations fail from this one on; none: they succeed again.
-    pub(crate) fn fail(&self, from: Option<(u64, io::ErrorKind)>) {
-        self.state().failure = from;
+    /// Makes all operations from this number on fail; `None` lets them succeed again.
+    pub(crate) fn set_failure(&self, first: Option<(u64, io::ErrorKind)>) {
+        self.state().failure = first;
     }
 
-    /// Stalls syncs, or lets them go on.
-    pub(crate) fn stall(&self, stalled: bool) {
+    /// Makes syncs block, or lets them continue.
+    pub(crate) fn set_stalled(&self, stalled: bool) {
         self.state().stalled = stalled;
         self.0.1.notify_all();
     }
 
-    /// The disk after a power loss: of the writes that were not synced, each sector may be there or not.
+    /// Returns the disk as it may be after a power loss: each sector of an unsynced write is written or not,
+    /// and each unsynced change of the length is done or not.
     pub(crate) fn after_power_loss(&self, seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let state = self.state();
         let mut bytes = state.durable.clone();
-        for op in &state.pending {
-            match op {
-                Change::Length(_) if rng.random_bool(0.5) => apply(&mut bytes, op),
+        for change in &state.pending {
+            match change {
+                Change::Length(_) if rng.random_bool(0.5) => apply(&mut bytes, change),
                 Change::Length(_) => {}
                 Change::Write(at, data) => {
-                    let kept = rng.next_u32() % 3;
-                    for (k, sector) in data.chunks(SECTOR).enumerate() {
-                        if kept == 0 || kept == 1 && rng.random_bool(0.5) {
-                            apply(&mut bytes, &Change::Write(at + (k * SECTOR) as u64, sector.to_vec()));
+                    // 0: all sectors are written; 1: some; 2: none.
+                    let outcome = rng.next_u32() % 3;
+                    for (k, sector) in data.chunks(SECTOR_BYTES).enumerate() {
+                        if outcome == 0 || outcome == 1 && rng.random_bool(0.5) {
+                            apply(
+                                &mut bytes,
+                                &Change::Write(at + (k * SECTOR_BYTES) as u64, sector.to_vec()),
+                            );
                         }
                     }
                 }
             }
         }
-        Self::of(bytes)
+        Self::with_bytes(bytes)
     }
 }
 
@@ -148,9 +158,9 @@
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
         let mut state = self.state();
         state.count_operation()?;
-        let op = Change::Write(offset, data.to_vec());
-        apply(&mut state.visible, &op);
-        state.pending.push(op);
+        let change = Change::Write(offset, data.to_vec());
+        apply(&mut state.visible, &change);
+        state.pending.push(change);
         Ok(())
     }
 }
--- a/crates/stepspur-consensus-storage/tests/store.rs
+++ b/crates/stepspur-consensus-storage/tests/store.rs
@@ -1,4 +1,5 @@
-//! A member's state on disks that lose power, fill up, flip bits and stall, and in processes that are killed.
+//! A member's persistent state on disks that lose power, fill up, corrupt bits or stall, and in processes
+//! that are killed.
 
 use std::io::{BufRead, BufReader, ErrorKind, Write};
 use std::process::{Command, Stdio};
@@ -17,15 +18,17 @@
 mod common;
 use common::Disk;
 
-const ME: MemberId = MemberId(0xa1);
-/// A test fails if it waits longer for something.
+/// The member that the state files belong to.
+const OWN_ID: MemberId = MemberId(0xa1);
+/// How long a test waits for an outcome before it fails.
 const TIMEOUT: Duration = Duration::from_secs(60);
 
+/// The state of a new member in a group of three.
 fn initial_state() -> PersistentState {
-    RaftNode::bootstrap([ME, MemberId(2), MemberId(3)].into())
+    RaftNode::bootstrap([OWN_ID, MemberId(2), MemberId(3)].into())
 }
 
-/// A random write that a member may request after its state so far.
+/// Returns a random write that a member with this state may request.
 fn random_write(rng: &mut ChaCha8Rng, stored: &PersistentState, number: u64) -> WriteRequest {
     let term = Term(stored.term.0 + rng.random_range(0..2));
     let vote = rng.random_bool(0.5).then(|| MemberId(rng.random_range(1..4)));
@@ -37,7 +40,7 @@
     match rng.random_range(0..6) {
         0 => first = rng.random_range(base + 1..=last + 1),
         1 => {
-            // A leader's snapshot may cover more than the log has.
+            // A snapshot from the leader may cover entries beyond the end of the log.
             let index = Index(rng.random_range(base + 1..=last + 4));
             let state = Bytes::from(vec![rng.random::<u8>(); rng.random_range(0..9_000)]);
             let voters = stored.log.voters().clone();
@@ -50,7 +53,7 @@
     for index in first..first + rng.random_range(0..4) {
         let payload = match rng.random_range(0..4) {
             0 => Payload::Empty,
-            1 => Payload::Voters([ME, MemberId(rng.random_range(2..9))].into()),
+            1 => Payload::Voters([OWN_ID, MemberId(rng.random_range(2..9))].into()),
             _ => Payload::Command(Bytes::from(vec![rng.random::<u8>(); rng.random_range(0..3_000)])),
         };
         write.entries.push(Entry { index: Index(index), term, payload });
@@ -58,12 +61,14 @@
     write
 }
 
+/// A record that is not written, or not removed with a truncated or compacted log, would show after a
+/// restart.
 #[test]
 fn reopened_file_holds_all_writes() {
     for seed in 0..10 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let disk = Disk::default();
-        let mut store = Store::create_on(disk.clone(), ME, &initial_state()).expect("created");
+        let mut store = Store::create_on(disk.clone(), OWN_ID, &initial_state()).expect("created");
         let mut expected = initial_state();
         for number in 1..40 {
             let write = random_write(&mut rng, &expected, number);
@@ -72,22 +77,23 @@
             if rng.random_bool(0.2) {
                 drop(store);
                 let (reopened, stored) = Store::open_on(disk.clone()).expect("opens");
-                assert_eq!((reopened.id(), &stored), (ME, &expected), "seed {seed}, write {number}");
+                assert_eq!((reopened.id(), &stored), (OWN_ID, &expected), "seed {seed}, write {number}");
                 store = reopened;
             }
         }
     }
 }
 
-/// A member that loses a vote may vote twice in a term, which would have two leaders.
+/// A member that loses a reported vote may vote twice in a term, so that two leaders are elected. A power
+/// loss must leave the state before or after a write, and after it if the write was reported.
 #[test]
 fn power_loss_during_a_write_leaves_the_state_before_or_after_it() {
-    let mut lost = 0;
-    let mut kept = 0;
+    let mut old_states = 0;
+    let mut new_states = 0;
     for seed in 0..150 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let disk = Disk::default();
-        let mut store = Store::create_on(disk.clone(), ME, &initial_state()).expect("created");
+        let mut store = Store::create_on(disk.clone(), OWN_ID, &initial_state()).expect("created");
         let mut before = initial_state();
         for number in 1..rng.random_range(2..8) {
             let write = random_write(&mut rng, &before, number);
@@ -96,21 +102,26 @@
         }
         let write = random_write(&mut rng, &before, 99);
         let after = before.with_write(&write);
-        let at = disk.operations() + rng.random_range(1..24);
-        disk.fail(Some((at, ErrorKind::BrokenPipe)));
+        let first_failure = disk.operations() + rng.random_range(1..24);
+        disk.set_failure(Some((first_failure, ErrorKind::BrokenPipe)));
         let reported = store.write(&[write]).is_ok();
         let disk = disk.after_power_loss(seed);
         let (_, stored) = Store::open_on(disk).expect("the file opens again");
         assert!(stored == after || !reported && stored == before, "seed {seed}: {stored:?}");
-        if stored == after { kept += 1 } else { lost += 1 }
+        if stored == after { new_states += 1 } else { old_states += 1 }
     }
-    assert!(lost > 20 && kept > 20, "both cases occur: {lost} lost, {kept} kept");
+    assert!(
+        old_states > 20 && new_states > 20,
+        "both cases must occur: {old_states} old states, {new_states} new states"
+    );
 }
 
+/// A corrupted bit must not be read as another term, vote or entry; and a file that cannot be read must not
+/// be repaired in place, which could destroy data that is still recoverable.
 #[test]
-fn flipped_bit_is_reported_and_the_file_is_left_as_it_is() {
+fn flipped_bit_is_reported_and_the_file_is_left_unchanged() {
     let disk = Disk::default();
-    let mut store = Store::create_on(disk.clone(), ME, &initial_state()).expect("created");
+    let mut store = Store::create_on(disk.clone(), OWN_ID, &initial_state()).expect("created");
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     let mut expected = initial_state();
     for number in 1..30 {
@@ -121,18 +132,18 @@
     let bytes = disk.bytes();
     let mut rejected = 0;
     for _ in 0..300 {
-        let mut bad = bytes.clone();
-        let at = rng.random_range(0..bad.len());
-        bad[at] ^= 1 << rng.random_range(0..8);
-        let disk = Disk::of(bad.clone());
+        let mut corrupted = bytes.clone();
+        let offset = rng.random_range(0..corrupted.len());
+        corrupted[offset] ^= 1 << rng.random_range(0..8);
+        let disk = Disk::with_bytes(corrupted.clone());
         match Store::open_on(disk.clone()) {
-            Ok((_, stored)) => assert!(stored == expected, "byte {at}: read as another state"),
+            Ok((_, stored)) => assert!(stored == expected, "byte {offset}: read as another state"),
             Err(error) => {
                 assert!(
                     matches!(error, StorageError::Corrupted(_) | StorageError::UnsupportedFormat { .. }),
-                    "byte {at}: {error}"
+                    "byte {offset}: {error}"
                 );
-                assert!(disk.bytes() == bad, "byte {at}: the unreadable file was written to");
+                assert!(disk.bytes() == corrupted, "byte {offset}: the unreadable file was written to");
                 rejected += 1;
             }
         }
@@ -140,22 +151,24 @@
     assert!(rejected > 0, "no flip was detected");
 }
 
+/// After a downgrade, the older version must not interpret or change a file whose format it does not know.
 #[test]
-fn file_of_a_later_format_is_rejected_and_left_as_it_is() {
+fn file_of_a_later_format_is_rejected_and_left_unchanged() {
     let disk = Disk::default();
-    let store = Store::create_on(disk.clone(), ME, &initial_state()).expect("created");
+    let store = Store::create_on(disk.clone(), OWN_ID, &initial_state()).expect("created");
     drop(store);
     let db = redb::Builder::new().create_with_backend(disk.clone()).expect("opens");
     let write = db.begin_write().expect("begun");
     let checksum = crc::Crc::<u32>::new(&crc::CRC_32_ISCSI);
-    let later = postcard::to_stdvec_crc32(&(FORMAT_VERSION + 1), checksum.digest()).expect("it encodes");
-    let facts = redb::TableDefinition::<&str, &[u8]>::new("facts");
-    write.open_table(facts).expect("there").insert("format", later.as_slice()).expect("put");
+    let later = postcard::to_stdvec_crc32(&(FORMAT_VERSION + 1), checksum.digest()).expect("encoded");
+    let values = redb::TableDefinition::<&str, &[u8]>::new("facts");
+    write.open_table(values).expect("the table").insert("format", later.as_slice()).expect("inserted");
     write.commit().expect("written");
-    // The bytes as a killed process leaves them: opening the database would repair them.
-    let left = disk.bytes();
+    // The bytes are copied before the database is closed, as a killed process leaves them, so that opening
+    // the file would repair it.
+    let unclosed = disk.bytes();
     drop(db);
-    let disk = Disk::of(left.clone());
+    let disk = Disk::with_bytes(unclosed.clone());
     let error = Store::open_on(disk.clone()).expect_err("a later format");
     assert!(
         matches!(
@@ -165,28 +178,30 @@
         ),
         "{error}"
     );
-    assert!(disk.bytes() == left, "the file was written to");
+    assert!(disk.bytes() == unclosed, "the file was written to");
 }
 
+/// After a failed write it is unknown what the disk holds. A further write could report a vote as durable on
+/// top of a lost one, so the store must reject it until the file is opened again.
 #[test]
 fn store_after_a_failed_write_writes_nothing() {
     for kind in [ErrorKind::StorageFull, ErrorKind::ReadOnlyFilesystem] {
         for skip in 1..12 {
             let disk = Disk::default();
-            let mut store = Store::create_on(disk.clone(), ME, &initial_state()).expect("created");
+            let mut store = Store::create_on(disk.clone(), OWN_ID, &initial_state()).expect("created");
             let mut rng = ChaCha8Rng::seed_from_u64(skip);
             let write = random_write(&mut rng, &initial_state(), 1);
             let after = initial_state().with_write(&write);
-            disk.fail(Some((disk.operations() + skip, kind)));
+            disk.set_failure(Some((disk.operations() + skip, kind)));
             if store.write(&[write]).is_ok() {
                 continue;
             }
-            disk.fail(None);
+            disk.set_failure(None);
             let operations = disk.operations();
             let next = random_write(&mut rng, &after, 2);
-            let error = store.write(&[next]).expect_err("it may have lost a vote");
+            let error = store.write(&[next]).expect_err("rejected, as a vote may be lost");
             assert!(matches!(error, StorageError::EarlierWriteFailed(_)), "{error}");
-            assert_eq!(disk.operations(), operations, "it wrote after a write that failed");
+            assert_eq!(disk.operations(), operations, "the store wrote after a failed write");
             drop(store);
             let (_, stored) = Store::open_on(disk).expect("the file opens again");
             assert!(stored == initial_state() || stored == after, "{kind} at write {skip}");
@@ -194,43 +209,48 @@
     }
 }
 
+/// A member whose file is missing or empty may have voted. If a new state were created in its place, the
+/// member could vote twice in a term.
 #[test]
 fn missing_or_emptied_file_is_rejected_and_never_overwritten() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let path = folder.path().join("council.redb");
+    let directory = tempfile::tempdir().expect("a temporary directory");
+    let path = directory.path().join("council.redb");
     assert!(matches!(Store::open(&path), Err(StorageError::NotFound(_))));
     std::fs::write(&path, b"").expect("emptied");
     assert!(
         matches!(Store::open(&path), Err(StorageError::Corrupted(_))),
-        "an emptied file is no new member"
+        "an empty file was accepted as a new member"
     );
-    assert_eq!(std::fs::read(&path).expect("there"), b"", "it was overwritten");
-    assert!(matches!(Store::create(&path, ME, &initial_state()), Err(StorageError::AlreadyExists(_))));
+    assert_eq!(std::fs::read(&path).expect("the file"), b"", "the file was overwritten");
+    assert!(matches!(Store::create(&path, OWN_ID, &initial_state()), Err(StorageError::AlreadyExists(_))));
     std::fs::remove_file(&path).expect("removed");
 
-    // A file that was not complete when its creation crashed is no state file.
-    let unfinished = folder.path().join("council.redb.new");
-    std::fs::write(&unfinished, b"half").expect("left by a crash");
-    let store = Store::create(&path, ME, &initial_state()).expect("created");
+    // A temporary file, left by a crash during the creation, does not count as a state file.
+    let unfinished = directory.path().join("council.redb.new");
+    std::fs::write(&unfinished, b"half").expect("written");
+    let store = Store::create(&path, OWN_ID, &initial_state()).expect("created");
     assert!(!unfinished.exists());
-    assert!(matches!(Store::open(&path), Err(StorageError::InUse)), "two processes on one file");
+    assert!(matches!(Store::open(&path), Err(StorageError::InUse)), "a second process opened the file");
     drop(store);
     let (store, stored) = Store::open(&path).expect("opens");
-    assert_eq!((store.id(), stored), (ME, initial_state()));
+    assert_eq!((store.id(), stored), (OWN_ID, initial_state()));
 }
 
+/// A stalled disk must not block the member's task, which enqueues writes, nor let the queue grow without
+/// bound.
 #[test]
 fn enqueue_on_a_stalled_disk_never_waits() {
     let disk = Disk::default();
-    let store = Store::create_on(disk.clone(), ME, &initial_state()).expect("created");
+    let store = Store::create_on(disk.clone(), OWN_ID, &initial_state()).expect("created");
     let (outcomes, received) = channel();
     let writer =
         Writer::start(store, 4, move |outcome| outcomes.send(outcome).expect("received")).expect("a thread");
-    disk.stall(true);
+    disk.set_stalled(true);
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut expected = initial_state();
     let mut accepted = 0;
-    // The thread holds some requests while four wait: what counts is that the queue is bounded.
+    // The number of accepted requests varies, as the thread has taken some while four are queued. Only the
+    // bound is checked.
     let queue_full = (1..200).find_map(|number| {
         let write = random_write(&mut rng, &expected, number);
         let next = expected.with_write(&write);
@@ -242,8 +262,8 @@
         rejected
     });
     assert_eq!(queue_full.expect("the queue is bounded").capacity, 4);
-    assert!(received.try_recv().is_err(), "reported before it was durable");
-    disk.stall(false);
+    assert!(received.try_recv().is_err(), "a write was reported before it was durable");
+    disk.set_stalled(false);
     loop {
         match received.recv_timeout(TIMEOUT).expect("an outcome") {
             WriteOutcome::Durable(number) if number == accepted => break,
@@ -255,28 +275,30 @@
     assert_eq!(Store::open_on(disk).expect("opens").1, expected);
 }
 
+/// A member must learn of a failed write, and must not queue requests that nothing writes.
 #[test]
 fn failing_disk_is_reported_once_and_ends_the_writer() {
     let disk = Disk::default();
-    let store = Store::create_on(disk.clone(), ME, &initial_state()).expect("created");
-    disk.fail(Some((disk.operations() + 1, ErrorKind::StorageFull)));
+    let store = Store::create_on(disk.clone(), OWN_ID, &initial_state()).expect("created");
+    disk.set_failure(Some((disk.operations() + 1, ErrorKind::StorageFull)));
     let (outcomes, received) = channel();
     let writer =
         Writer::start(store, 4, move |outcome| outcomes.send(outcome).expect("received")).expect("a thread");
-    writer.enqueue(random_write(&mut ChaCha8Rng::seed_from_u64(1), &initial_state(), 1)).expect("taken");
+    writer.enqueue(random_write(&mut ChaCha8Rng::seed_from_u64(1), &initial_state(), 1)).expect("queued");
     let failed = received.recv_timeout(TIMEOUT).expect("an outcome");
     assert!(matches!(failed, WriteOutcome::Failed(StorageError::Io { .. })), "{failed:?}");
     assert!(received.recv_timeout(TIMEOUT).is_err(), "the thread has ended");
     let late = random_write(&mut ChaCha8Rng::seed_from_u64(2), &initial_state(), 2);
-    assert!(writer.enqueue(late).is_err(), "a request was accepted that nothing writes");
+    assert!(writer.enqueue(late).is_err(), "a request was accepted after the thread ended");
 }
 
+/// Entries and snapshots that stay in the file after they are replaced would fill the disk over time.
 #[test]
 fn file_size_stays_bounded_while_snapshots_replace_the_log() {
     let disk = Disk::default();
-    let mut store = Store::create_on(disk.clone(), ME, &initial_state()).expect("created");
+    let mut store = Store::create_on(disk.clone(), OWN_ID, &initial_state()).expect("created");
     let mut index = 1;
-    let mut early = 0;
+    let mut size_after_quarter = 0;
     for round in 0..40 {
         let mut writes = Vec::new();
         for number in 0..50 {
@@ -294,7 +316,7 @@
             });
         }
         let state = Bytes::from(vec![round as u8; 50_000]);
-        let snapshot = Snapshot { index: Index(index), term: Term(1), voters: [ME].into(), state };
+        let snapshot = Snapshot { index: Index(index), term: Term(1), voters: [OWN_ID].into(), state };
         let snapshot = Some(Arc::new(snapshot));
         writes.push(WriteRequest {
             number: 50,
@@ -306,21 +328,27 @@
         });
         writes.chunks(7).for_each(|batch| store.write(batch).expect("written"));
         if round == 9 {
-            early = disk.bytes().len();
+            size_after_quarter = disk.bytes().len();
         }
     }
-    assert!(disk.bytes().len() <= early * 2, "{} bytes, {early} after a quarter", disk.bytes().len());
+    assert!(
+        disk.bytes().len() <= size_after_quarter * 2,
+        "{} bytes, {size_after_quarter} after a quarter of the rounds",
+        disk.bytes().len()
+    );
     drop(store);
     let (_, stored) = Store::open_on(disk).expect("opens");
     assert_eq!((stored.log.last_index(), stored.log.len()), (Index(index), 0));
 }
 
-const CHILD: &str = "STEPSPUR_STATE_TEST_CHILD";
+/// The environment variable with the path of the state file; if it is set, the test program runs as the child
+/// process.
+const CHILD_VARIABLE: &str = "STEPSPUR_STATE_TEST_CHILD";
 
-/// Not a test of its own: the process that the next test kills.
+/// Not a test by itself: the process that the next test kills. It reports each vote once it is durable.
 #[test]
 fn child_process_that_votes_repeatedly() {
-    let Ok(path) = std::env::var(CHILD) else { return };
+    let Ok(path) = std::env::var(CHILD_VARIABLE) else { return };
     let (mut store, stored) = Store::open(path.as_ref()).expect("opens");
     let mut term = stored.term;
     let mut out = std::io::stdout();
@@ -340,16 +368,17 @@
     }
 }
 
+/// A vote that was reported as durable must survive a crash of the process at any time.
 #[test]
 fn process_killed_while_it_writes_keeps_every_reported_vote() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let path = folder.path().join("council.redb");
-    drop(Store::create(&path, ME, &initial_state()).expect("created"));
+    let directory = tempfile::tempdir().expect("a temporary directory");
+    let path = directory.path().join("council.redb");
+    drop(Store::create(&path, OWN_ID, &initial_state()).expect("created"));
     let mut rng = ChaCha8Rng::seed_from_u64(3);
     for _ in 0..12 {
         let mut child = Command::new(std::env::current_exe().expect("this test"))
             .args(["--exact", "child_process_that_votes_repeatedly", "--nocapture", "--test-threads=1"])
-            .env(CHILD, &path)
+            .env(CHILD_VARIABLE, &path)
             .stdout(Stdio::piped())
             .spawn()
             .expect("a process");
@@ -358,7 +387,8 @@
             line.ok().and_then(|l| l.rsplit_once("voted ").and_then(|(_, term)| term.parse::<u64>().ok()))
         };
         let votes_before_kill = rng.random_range(1..40);
-        let mut reported = lines.by_ref().filter_map(votes).take(votes_before_kill).last().expect("it votes");
+        let mut reported =
+            lines.by_ref().filter_map(votes).take(votes_before_kill).last().expect("a reported vote");
         child.kill().expect("killed");
         child.wait().expect("ended");
         reported = lines.filter_map(votes).last().unwrap_or(reported).max(reported);
