--- a/crates/stepspur-distribution/src/control/attached.rs
+++ b/crates/stepspur-distribution/src/control/attached.rs
@@ -1,4 +1,4 @@
-//! An attached subscriber and its progress.
+//! A subscriber that is connected to this member, and its progress.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
@@ -11,24 +11,28 @@
 use crate::document::Interest;
 use crate::version::Version;
 
-/// Length of the reason why a subscriber is behind, in characters, at most.
+/// Maximum length of the reason why a subscriber is behind, in characters. It bounds the size of summaries.
 const MAX_REASON_CHARS: usize = 64;
+/// The reason of a subscriber that is behind and has reported no failed document.
 const NOT_ACKNOWLEDGED: &str = "not acknowledged yet";
+/// The reason of a subscriber whose current interest is not in the replicated registrations.
 const NOT_REGISTERED: &str = "attached, not registered yet";
 
 /// The progress of an attached subscriber.
 #[derive(Clone, Debug)]
 pub(super) struct SubscriberProgress {
-    /// It was sent all changes up to this version, and acknowledges nothing beyond.
+    /// It was sent all changes of its interest up to this version. An acknowledgement beyond it is invalid.
     pub(super) sent_version: Version,
-    /// The version that it acknowledged last.
+    /// The version that it last acknowledged as applied. It may decrease, if the subscriber restored older
+    /// data.
     pub(super) applied_version: Version,
     /// The last version that concerns it.
     pub(super) required_version: Version,
-    /// Since when it is behind. Without meaning while it is not behind.
+    /// Since when it is behind. Only valid while it is behind or not registered.
     pub(super) behind_since: Instant,
+    /// When its last frame was received.
     pub(super) last_frame: Instant,
-    /// Why it has not applied a document; empty if it reported none.
+    /// Why it has not applied some documents; empty if it reported none.
     pub(super) reason: String,
 }
 
@@ -38,22 +42,23 @@
     }
 }
 
-/// An attached subscriber.
+/// A subscriber in the progress table, shared by the table and its connection.
 #[derive(Debug)]
 pub(super) struct AttachedSubscriber {
     /// Which documents concern it.
     pub(super) interest: Interest,
-    /// Notified when a change concerns it.
+    /// Wakes its connection when a change concerns it.
     pub(super) changed: Notify,
-    /// Ends its connection.
+    /// Cancelled to end its connection.
     pub(super) stop: CancellationToken,
+    /// The registration that the replicated configuration should have.
     pub(super) registration: Registration,
-    /// Distinguishes connections of the same name.
+    /// Distinguishes connections of subscribers with the same name: a newer one has a higher number.
     pub(super) connection_number: u64,
     pub(super) progress: Mutex<SubscriberProgress>,
 }
 
-/// A subscriber acknowledged a version that it was not sent.
+/// Error: a subscriber acknowledged a version that it was not sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("it acknowledges {applied_version}, and was sent up to {sent_version}")]
 pub(super) struct AcknowledgedBeyondSent {
@@ -70,19 +75,19 @@
         self.progress.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The subscriber is about to be sent all changes up to a version.
+    /// Records that the next frame to the subscriber covers all changes up to a version.
     pub(super) fn mark_sent(&self, version: Version) {
         let mut progress = self.progress();
         progress.sent_version = progress.sent_version.max(version);
     }
 
-    /// A frame was received.
+    /// Records that a frame was received now.
     pub(super) fn record_frame(&self) {
         self.progress().last_frame = Instant::now();
     }
 
-    /// The subscriber has applied all changes up to a version. `reason` says why it has not applied later
-    /// ones.
+    /// Records that the subscriber has applied all changes up to a version. `reason` says why it has not
+    /// applied later ones; it is truncated.
     pub(super) fn acknowledge(
         &self,
         applied_version: Version,
@@ -102,7 +107,7 @@
         Ok(())
     }
 
-    /// A version concerns the subscriber: wakes its connection.
+    /// Records that a version concerns the subscriber, and wakes its connection.
     pub(super) fn require(&self, version: Version) {
         let mut progress = self.progress();
         if !progress.is_behind() {
@@ -113,7 +118,7 @@
         self.changed.notify_one();
     }
 
-    /// Evaluates all changes after the applied version, and wakes the connection.
+    /// Finds the last version after the applied one that concerns the subscriber, and wakes its connection.
     pub(super) fn require_last_concerning(&self, state: &ConfigurationState) {
         let applied_version = self.progress().applied_version;
         match state.last_concerning(applied_version, &self.interest) {
@@ -122,14 +127,17 @@
         }
     }
 
+    /// Whether it has not applied all changes that concern it.
     pub(super) fn is_behind(&self) -> bool {
         self.progress().is_behind()
     }
 
+    /// Whether the replicated configuration has its current registration.
     pub(super) fn is_registered(&self, state: &ConfigurationState) -> bool {
         state.registration(self.name()) == Some(&self.registration)
     }
 
+    /// The state to report to the leader.
     pub(super) fn state(&self, state: &ConfigurationState) -> SubscriberState {
         let progress = self.progress();
         if self.is_registered(state) && !progress.is_behind() {
@@ -149,7 +157,7 @@
         })
     }
 
-    /// The lag of the subscriber once its connection has ended.
+    /// The lag to report after the connection has ended for this reason.
     pub(super) fn detached_lag(&self, reason: &str) -> Lag {
         let progress = self.progress();
         Lag {
--- a/crates/stepspur-distribution/src/control/connection.rs
+++ b/crates/stepspur-distribution/src/control/connection.rs
@@ -1,4 +1,5 @@
-//! One connection of a control member: frames with time limits, and a counter of written bytes.
+//! One accepted connection of a control member: reads and writes frames with time limits, and counts written
+//! bytes.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -16,12 +17,12 @@
 use super::messages::{MAX_FIRST_FRAME_BYTES, MAX_LATER_FRAME_BYTES, MAX_WRITTEN_FRAME_BYTES};
 use super::summary_collector::SummaryError;
 
-/// Time limit of writing a frame.
+/// Time limit for writing a frame. A subscriber that reads more slowly is disconnected.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time limit of closing a connection after the last frame.
+/// Time limit for closing a connection after the last frame.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A violation of the protocol by the other side.
+/// A violation of the protocol by the other side. It ends the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum ProtocolError {
     #[error("the first frame names neither a subscriber nor a summary")]
@@ -36,7 +37,7 @@
     Summary(#[from] SummaryError),
 }
 
-/// Why a connection ended.
+/// Why a connection ended. The text is the reason that the leader is sent for a detached subscriber.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ConnectionError {
     /// A frame is invalid, or the transport failed.
@@ -54,13 +55,13 @@
     Stopped,
 }
 
-/// Reads frames of a subscriber or of another control member.
+/// Reads the frames of a subscriber or of another control member.
 pub(super) struct FrameReader(FramedRead<ReadHalf<Box<dyn Stream>>, Frames<FromSubscriber, FromControl>>);
 
-/// Writes frames.
+/// Writes frames to a subscriber.
 pub(super) struct FrameWriter {
     half: WriteHalf<Box<dyn Stream>>,
-    /// Bytes written by all connections.
+    /// Counter of the bytes written by all connections of the member.
     bytes_written: Arc<AtomicU64>,
     last_written: Instant,
 }
@@ -90,7 +91,7 @@
 }
 
 impl FrameReader {
-    /// Reads the next frame.
+    /// Reads the next frame; fails after `limit`. Frames after the first have a lower maximum length.
     pub(super) async fn next(&mut self, limit: Duration) -> Result<FromSubscriber, ConnectionError> {
         let next = timeout(limit, self.0.next()).await.map_err(|_| ConnectionError::ReadTimeout(limit))?;
         let frame = next.ok_or(ConnectionError::Closed)??;
@@ -98,19 +99,19 @@
         Ok(frame)
     }
 
-    /// Waits until the other side has closed, so that it reads the last frame. What it still writes is
-    /// discarded.
+    /// Reads and discards until the other side has closed, so that it receives the last frame: closing a
+    /// socket with unread data may reset the connection.
     async fn wait_until_closed(self) {
         let mut half = self.0.into_inner();
         let mut buffer = [0; 1_024];
         let discard_all = async { while matches!(half.read(&mut buffer).await, Ok(1..)) {} };
-        // After the timeout the connection is dropped all the same.
+        // After the timeout the connection is dropped anyway.
         drop(timeout(CLOSE_TIMEOUT, discard_all).await);
     }
 }
 
 impl FrameWriter {
-    /// Writes a frame.
+    /// Writes a frame, within [`WRITE_TIMEOUT`].
     pub(super) async fn write(&mut self, message: &FromControl) -> Result<(), ConnectionError> {
         let bytes = frame(message, MAX_WRITTEN_FRAME_BYTES)?;
         let written = timeout(WRITE_TIMEOUT, self.half.write_all(&bytes)).await;
@@ -120,7 +121,7 @@
         Ok(())
     }
 
-    /// When the last frame was written.
+    /// When the last frame was written; the time of the connection before the first one.
     pub(super) fn last_written(&self) -> Instant {
         self.last_written
     }
--- a/crates/stepspur-distribution/src/control/evaluator.rs
+++ b/crates/stepspur-distribution/src/control/evaluator.rs
@@ -1,4 +1,4 @@
-//! The task that finds the subscribers that new versions concern.
+//! The task that finds the attached subscribers that each new version concerns, and wakes their connections.
 
 use std::sync::Arc;
 
@@ -6,7 +6,7 @@
 
 use super::member::Member;
 
-/// Evaluates new versions until stopped, or until the consensus node ends.
+/// Evaluates the versions that this member applies, until stopped or until the consensus node ends.
 pub(super) async fn run(member: Arc<Member>, stop: CancellationToken) {
     let mut applied = member.replication.node().applied();
     loop {
--- a/crates/stepspur-distribution/src/control/listener.rs
+++ b/crates/stepspur-distribution/src/control/listener.rs
@@ -14,11 +14,12 @@
 use super::member::Member;
 use super::{subscriber_session, summary_receiver};
 
-/// Connections whose first frame has not come, at most. Further ones wait in the system's queue.
+/// Maximum number of connections before their first frame is handled. Further ones wait in the operating
+/// system's backlog.
 const MAX_HANDSHAKES: usize = 64;
-/// Time limit of the first frame.
+/// Time limit for the first frame.
 const FIRST_FRAME_TIMEOUT: Duration = Duration::from_secs(2);
-/// The pause after a failed accept.
+/// The pause after a failed accept, so that a lasting error causes no busy loop.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// Accepts connections until stopped.
@@ -54,7 +55,7 @@
 ) {
     let ended = tokio::select! {
         ended = serve(&member, stream, handshake, &stop) => ended,
-        // An attached subscriber's own token is cancelled as well, and it is detached first.
+        // This also cancels the token of an attached subscriber's session, which is a child of this one.
         () = stop.cancelled() => return,
     };
     if let Err(cause) = ended {
--- a/crates/stepspur-distribution/src/control/local_configuration.rs
+++ b/crates/stepspur-distribution/src/control/local_configuration.rs
@@ -1,4 +1,4 @@
-//! Reads of the configuration as this member has applied it.
+//! Reads the configuration as this member has applied it, without a call to the consensus group.
 
 use stepspur_replication::ReplicationClient;
 
@@ -15,8 +15,8 @@
         Self { replication }
     }
 
-    /// Calls `read` with the configuration. [`super::Control::start`] checks that there is one; the default
-    /// stands in for the missing one.
+    /// Calls `read` with the configuration and returns the result; the default if no configuration is
+    /// replicated, which [`super::Control::start`] rules out.
     pub(super) fn read<T: Default>(&self, read: impl FnOnce(&ConfigurationState) -> T) -> T {
         self.replication.registry().inspect(CONFIGURATION, read).unwrap_or_default()
     }
--- a/crates/stepspur-distribution/src/control/member.rs
+++ b/crates/stepspur-distribution/src/control/member.rs
@@ -1,4 +1,4 @@
-//! What the tasks of a control member share.
+//! The state that the tasks of a control member share.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -14,15 +14,15 @@
 use super::snapshot_admission::SnapshotAdmission;
 use super::summary_collector::SummaryCollector;
 
-/// Time limit of asking the consensus node for its status.
+/// Time limit for reading the status of the consensus node.
 const NODE_STATUS_TIMEOUT: Duration = Duration::from_secs(1);
-/// Stands for an unknown leader. Ids of members are above it.
+/// The value of `last_known_leader` while the leader is unknown. Ids of members start at 1.
 const UNKNOWN_LEADER: u64 = 0;
 
-/// The shared part of a control member.
+/// The shared state of a control member.
 pub(super) struct Member {
     pub(super) settings: ControlSettings,
-    /// All control members but this one.
+    /// All control members except this one.
     pub(super) others: Vec<ControlMember>,
     pub(super) replication: ReplicationClient,
     pub(super) net: Arc<dyn Transport>,
@@ -30,9 +30,10 @@
     pub(super) progress: ProgressTable,
     pub(super) admission: SnapshotAdmission,
     pub(super) collector: SummaryCollector,
-    /// Bytes written to subscribers.
+    /// Bytes written to subscribers, over all connections.
     pub(super) bytes_written: Arc<AtomicU64>,
     pub(super) started: Instant,
+    /// Id of the leader, or [`UNKNOWN_LEADER`].
     last_known_leader: AtomicU64,
 }
 
@@ -61,13 +62,13 @@
         }
     }
 
-    /// Asks the consensus node who leads, as far as it knows.
+    /// The leader as the consensus node knows it. `None` if it knows none or does not answer in time.
     pub(super) async fn leader(&self) -> Option<u64> {
         let status = timeout(NODE_STATUS_TIMEOUT, self.replication.node().status()).await;
         status.ok()?.ok()?.leader.map(|leader| leader.0)
     }
 
-    /// The leader, as the reporter saw it last.
+    /// The leader at the reporter's last round; costs no call to the consensus node.
     pub(super) fn last_known_leader(&self) -> Option<u64> {
         Some(self.last_known_leader.load(Ordering::Relaxed)).filter(|leader| *leader != UNKNOWN_LEADER)
     }
--- a/crates/stepspur-distribution/src/control/messages.rs
+++ b/crates/stepspur-distribution/src/control/messages.rs
@@ -8,17 +8,18 @@
 use crate::document::Document;
 use crate::version::Version;
 
-/// Length of the documents of a delta, in bytes, at most. The changes of one version are never divided and
-/// may exceed it.
+/// Maximum length of the documents in a delta, in bytes. The changes of one version are never divided and may
+/// exceed it.
 pub const MAX_DELTA_BYTES: usize = 64 << 10;
-/// Length of the documents of a part of a snapshot, in bytes, at most.
+/// Maximum length of the documents in one part of a snapshot, in bytes. A single larger document is a part of
+/// its own.
 pub const MAX_PART_BYTES: usize = 16 << 10;
-/// Length of the first frame that is read, in bytes, at most: an interest of all allowed services and tenants
-/// fits.
+/// Maximum length of the first frame that is read, in bytes. An interest with the maximum number of services
+/// and tenants fits.
 pub(super) const MAX_FIRST_FRAME_BYTES: usize = 2 << 20;
-/// Length of a later frame that is read, in bytes, at most. Also that of a summary that is written.
+/// Maximum length of each later frame that is read, and of each summary that is written, in bytes.
 pub(super) const MAX_LATER_FRAME_BYTES: usize = 512 << 10;
-/// Length of a frame to a subscriber, in bytes, at most.
+/// Maximum length of a frame to a subscriber, in bytes.
 pub(super) const MAX_WRITTEN_FRAME_BYTES: usize = stepspur_proto::LARGEST_FRAME;
 
 fn frame(kind: from_control::Kind) -> FromControl {
@@ -46,7 +47,7 @@
     }))
 }
 
-/// Rejects a subscriber, which may go to one of `members`, or come back after `retry_after`.
+/// Redirects a subscriber to one of `members`. It may try this member again after `retry_after`.
 pub(super) fn redirect(detail: String, members: &[ControlMember], retry_after: Duration) -> FromControl {
     frame(from_control::Kind::Redirect(v1::ConfigRedirect {
         detail,
@@ -55,7 +56,7 @@
     }))
 }
 
-/// All documents that changed after `from`, up to `to`.
+/// A delta: all documents that changed after `from`, up to `to`.
 pub(super) fn delta(from: Version, to: Version, documents: Vec<Document>) -> FromControl {
     frame(from_control::Kind::Delta(v1::ConfigDelta {
         from: Some(from.into()),
@@ -76,7 +77,7 @@
     frame(from_control::Kind::SnapshotPart(v1::ConfigSnapshotPart { version, part, last, documents }))
 }
 
-/// No document changed between the last update and `covered`.
+/// A keep-alive that states that no document of the interest changed between the last update and `covered`.
 pub(super) fn keep_alive(covered: Version) -> FromControl {
     frame(from_control::Kind::KeepAlive(v1::ConfigKeepAlive { covered: Some(covered.into()) }))
 }
--- a/crates/stepspur-distribution/src/control/mod.rs
+++ b/crates/stepspur-distribution/src/control/mod.rs
@@ -1,4 +1,5 @@
-//! A control member: it serves the configuration to its subscribers, and answers where a version is applied.
+//! A control member: it serves the configuration to its subscribers and reports rollout status, that is,
+//! which subscribers have applied a version.
 //!
 //! [`Control::start`] runs these tasks until [`Control::stop`]:
 //! - the listener, which accepts subscribers and, at the leader, summaries of other control members;
@@ -55,10 +56,10 @@
 use crate::document::{Change, Document};
 use crate::version::Version;
 
-/// Time limit of the linearizable read of the registrations for a rollout status.
+/// Time limit for the linearizable read of the registrations that a rollout status is based on.
 const READ_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A running control member.
+/// A running control member. Dropping it stops its tasks without waiting; [`Control::stop`] waits.
 pub struct Control {
     member: Arc<Member>,
     address: SocketAddr,
@@ -67,36 +68,37 @@
     tasks: TaskTracker,
 }
 
-/// The status of a control member.
+/// A control member's state at one time, for operators and tests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ControlStatus {
     /// Its id in the consensus group.
     pub id: u64,
-    /// The leader, as known a second ago.
+    /// Id of the consensus leader as of the last summary, at most about a second ago. `None` if unknown.
     pub leader: Option<u64>,
-    /// Whether this member is the leader.
+    /// Whether this member is the leader, by the same information.
     pub leads: bool,
-    /// The last version that it has applied.
+    /// The last version that this member's replica has applied.
     pub head: Version,
-    /// The earliest version from which a delta can be computed.
+    /// The earliest version from which it can compute a delta. Older subscribers need a snapshot.
     pub oldest: Version,
-    /// The number of documents.
+    /// The number of documents that currently have a setting.
     pub documents: usize,
-    /// Registered subscribers of all control members.
+    /// The number of subscribers registered in the replicated configuration, at whichever control member.
     pub registered: usize,
-    /// Subscribers attached to this member.
+    /// The number of subscribers connected to this member.
     pub attached: usize,
-    /// Attached subscribers that have not applied all changes that concern them.
+    /// The number of attached subscribers that have not applied all changes that concern them.
     pub behind: usize,
-    /// Registered subscribers that were attached to this member before, as far as it knows.
+    /// The number of registered subscribers whose last connection to this member ended. They may be attached
+    /// to another member.
     pub detached: usize,
-    /// Attached subscribers that wait for the rest of a snapshot.
+    /// The number of attached subscribers whose snapshot is not completely sent.
     pub snapshots_waiting: usize,
-    /// Bytes written to subscribers since the start.
+    /// Bytes written to subscribers since this member started.
     pub bytes_written: u64,
 }
 
-/// The configuration's part of a status.
+/// The fields of [`ControlStatus`] that are read from the replicated configuration.
 #[derive(Default)]
 struct ConfigurationSummary {
     head: Version,
@@ -120,8 +122,8 @@
     /// Starts a control member on a consensus member that replicates [`ConfigurationState`].
     ///
     /// # Errors
-    /// [`ControlStartError`] if a setting is invalid, the state machine is missing or the address cannot be
-    /// listened on.
+    /// [`ControlStartError`] if a setting is invalid, the configuration is not replicated here, or the
+    /// address cannot be bound.
     pub async fn start(
         settings: ControlSettings,
         replication: ReplicationClient,
@@ -145,13 +147,14 @@
         Ok(Self { member, address, _stop_on_drop: stop.clone().drop_guard(), stop, tasks })
     }
 
-    /// The address at which it accepts subscribers.
+    /// The address at which it accepts subscribers, with the port that the system assigned for port 0.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Proposes changes, and returns the version that they make: all of them or none. Proposed again with the
-    /// id of an earlier proposal they take effect once.
+    /// Proposes changes, and returns the version that contains them. Either all changes take effect or none.
+    /// `id` makes a retry idempotent: a proposal that is repeated with the same id takes effect once.
+    /// `within` limits the wait for the outcome.
     ///
     /// # Errors
     /// [`ProposeError`] if the changes are invalid or rejected, or their outcome is unknown.
@@ -164,8 +167,8 @@
         propose::change(&self.member.replication, id, changes, within).await
     }
 
-    /// Removes the registration of a subscriber, so that no version waits for it. Returns whether it was
-    /// registered. An attached subscriber is registered again.
+    /// Removes the registration of a subscriber, so that rollouts no longer wait for it. Returns whether it
+    /// was registered. A subscriber that is still attached is registered again.
     ///
     /// # Errors
     /// [`ProposeError`] if the removal is rejected or its outcome unknown.
@@ -173,7 +176,8 @@
         propose::remove(&self.member.replication, subscriber, within).await
     }
 
-    /// Where a version is applied. Only the leader answers, after a linearizable read of the registrations.
+    /// Which of the subscribers that a version concerns have applied it. Only the leader answers, after a
+    /// linearizable read of the registrations.
     ///
     /// # Errors
     /// [`RolloutStatusError`] if this member is not the leader, the version is unknown or the read fails.
@@ -200,7 +204,7 @@
         self.member.configuration.read(ConfigurationState::documents)
     }
 
-    /// The status of this member.
+    /// The current status of this member, without a read from the group.
     pub fn status(&self) -> ControlStatus {
         let member = &self.member;
         let counts = member.progress.counts();
--- a/crates/stepspur-distribution/src/control/progress_table.rs
+++ b/crates/stepspur-distribution/src/control/progress_table.rs
@@ -1,4 +1,5 @@
-//! The attached subscribers of a control member and their progress, and which of them a change concerns.
+//! The table of the attached subscribers of a control member: their progress, and which of them a change
+//! concerns.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -14,40 +15,41 @@
 use crate::document::{Interest, Scope};
 use crate::version::Version;
 
-/// A member with fewer subscribers redirects none, as those may not be registered yet that count for its
-/// share.
+/// Minimum share of a member, in subscribers. The share is computed from the registered subscribers; after a
+/// start many are not registered yet, and a smaller share would redirect them needlessly.
 const MIN_SHARE: usize = 64;
-/// A member accepts this percentage of its even share of the registered subscribers, and redirects further
-/// ones.
+/// A member accepts up to this percentage of an even share of the registered subscribers, and redirects
+/// further ones.
 const MAX_SHARE_PERCENT: usize = 125;
 
-/// The numbers of subscribers by state.
+/// The numbers of subscribers of this member by state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct SubscriberCounts {
-    /// Attached subscribers.
+    /// The number of attached subscribers.
     pub(super) attached: usize,
-    /// Attached subscribers that have not applied all changes that concern them.
+    /// The number of attached subscribers that have not applied all changes that concern them.
     pub(super) behind: usize,
-    /// Subscribers that were attached before.
+    /// The number of subscribers whose last connection to this member has ended.
     pub(super) detached: usize,
 }
 
-/// A subscriber that asks to be attached.
+/// A subscriber whose first frame is valid and that is to be attached.
 #[derive(Debug)]
 pub(super) struct NewSubscriber {
     /// Which documents concern it.
     pub(super) interest: Interest,
-    /// What is registered of it.
+    /// What the replicated configuration is to register of it.
     pub(super) registration: Registration,
     /// It has stored all changes of its interest up to this version.
     pub(super) stored_version: Version,
     /// It has applied all changes of its interest up to this version.
     pub(super) applied_version: Version,
-    /// Whether all other control members have redirected it or failed.
+    /// Whether it asks to be accepted beyond this member's share, as all control members have redirected it
+    /// or failed.
     pub(super) insists: bool,
 }
 
-/// This member has as many subscribers as it accepts.
+/// Error: this member already has as many subscribers as it accepts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("this control member has {attached} subscribers, and takes {max}")]
 pub(super) struct SubscriberLimitReached {
@@ -55,7 +57,7 @@
     max: usize,
 }
 
-/// The attached subscribers and their progress.
+/// The attached subscribers by name, and the last lag of detached ones.
 pub(super) struct ProgressTable {
     configuration: LocalConfiguration,
     member_count: usize,
@@ -68,14 +70,16 @@
     /// Changes up to this version are evaluated for every attached subscriber.
     evaluated_version: Version,
     attached: BTreeMap<String, Arc<AttachedSubscriber>>,
-    /// Names of attached subscribers by service.
+    /// Names of attached subscribers by service of their interest, so that a change of one service does not
+    /// visit all subscribers.
     names_by_service: BTreeMap<String, BTreeSet<String>>,
+    /// Subscribers whose last connection to this member ended. At most [`MAX_SUBSCRIBERS`].
     detached: BTreeMap<String, Lag>,
     last_connection_number: u64,
 }
 
 impl ProgressTable {
-    /// The table of one of `member_count` control members.
+    /// Creates the table of one of `member_count` control members, with `max_subscribers` as its hard limit.
     pub(super) fn new(
         configuration: LocalConfiguration,
         member_count: usize,
@@ -88,7 +92,7 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Attaches a subscriber. A newer connection ends an older one of the same name.
+    /// Attaches a subscriber. Ends an older connection of a subscriber with the same name.
     pub(super) fn attach(
         &self,
         new: NewSubscriber,
@@ -124,6 +128,8 @@
         Ok(attached)
     }
 
+    /// Checks the number of attached subscribers against this member's share; if `insists`, only against its
+    /// hard limit.
     fn check_limit(&self, attached: usize, insists: bool) -> Result<(), SubscriberLimitReached> {
         let registered = self.configuration.read(ConfigurationState::registered_count);
         let share = (registered * MAX_SHARE_PERCENT).div_ceil(self.member_count * 100).max(MIN_SHARE);
@@ -154,15 +160,16 @@
         let head = self.configuration.read(|state| {
             match state.scopes_after(from) {
                 Some(scopes) => scopes.for_each(|(version, scope)| inner.require(version, scope)),
-                // The retained changes do not reach back to the last evaluation.
-                None => inner.attached.values().for_each(|one| one.require_last_concerning(state)),
+                // Changes since the last evaluation are no longer retained: each subscriber is evaluated by
+                // itself.
+                None => inner.attached.values().for_each(|attached| attached.require_last_concerning(state)),
             }
             state.head()
         });
         inner.evaluated_version = from.max(head);
     }
 
-    /// The states of all subscribers. Detached ones that are not registered any more are forgotten.
+    /// The states of all subscribers. Removes detached ones that are no longer registered.
     pub(super) fn states(&self) -> SubscriberStates {
         let mut inner = self.inner();
         let states = self.configuration.read(|state| {
@@ -172,13 +179,16 @@
         states.unwrap_or(SubscriberStates { evaluated_version: Version::NONE, by_name: BTreeMap::new() })
     }
 
-    /// Registrations of attached subscribers that are not registered as such, limited by number and by bytes.
+    /// Registrations of attached subscribers that the replicated configuration lacks or has with another
+    /// interest, at most `max_count` of `max_bytes` together.
     pub(super) fn unregistered(&self, max_count: usize, max_bytes: usize) -> Vec<Registration> {
         let inner = self.inner();
         self.configuration.read(|state| {
             let mut registrations = Vec::new();
             let mut bytes = 0;
-            for attached in inner.attached.values().filter(|one| !one.is_registered(state)).take(max_count) {
+            for attached in
+                inner.attached.values().filter(|attached| !attached.is_registered(state)).take(max_count)
+            {
                 bytes += attached.registration.encoded_bytes();
                 if bytes > max_bytes {
                     break;
@@ -189,10 +199,10 @@
         })
     }
 
-    /// The numbers of subscribers by state.
+    /// The current numbers of subscribers by state.
     pub(super) fn counts(&self) -> SubscriberCounts {
         let inner = self.inner();
-        let behind = inner.attached.values().filter(|one| one.is_behind()).count();
+        let behind = inner.attached.values().filter(|attached| attached.is_behind()).count();
         SubscriberCounts { attached: inner.attached.len(), behind, detached: inner.detached.len() }
     }
 }
@@ -227,10 +237,10 @@
         }
     }
 
-    /// A version has a change of this scope: wakes the subscribers that it concerns.
+    /// Wakes the subscribers that a change of this scope in a version concerns.
     fn require(&self, version: Version, scope: &Scope) {
         match &scope.service {
-            None => self.attached.values().for_each(|one| require_if_covered(one, version, scope)),
+            None => self.attached.values().for_each(|attached| require_if_covered(attached, version, scope)),
             Some(service) => {
                 let names = self.names_by_service.get(service).into_iter().flatten();
                 for subscriber in names.filter_map(|name| self.attached.get(name)) {
--- a/crates/stepspur-distribution/src/control/propose.rs
+++ b/crates/stepspur-distribution/src/control/propose.rs
@@ -1,4 +1,4 @@
-//! Proposals of changes, registrations and removals.
+//! Proposes changes, registrations and removals to the replicated configuration.
 
 use std::time::Duration;
 
@@ -8,9 +8,9 @@
 use crate::document::Change;
 use crate::version::Version;
 
-/// The tenant under which operators' proposals are limited.
+/// The tenant by which the proposal limits count operators' proposals.
 const OPERATORS: &str = "operators";
-/// The tenant under which registrations are limited.
+/// The tenant by which the proposal limits count registrations.
 const SUBSCRIBERS: &str = "subscribers";
 
 /// Why a proposal did not succeed.
@@ -19,30 +19,30 @@
     /// The command is invalid: nothing was proposed.
     #[error(transparent)]
     InvalidCommand(#[from] CommandError),
-    /// The command is too large: nothing was proposed.
+    /// The encoded command is too large: nothing was proposed.
     #[error("too large: {0}")]
     TooLarge(String),
     /// Too many proposals are in flight: nothing was proposed.
-    #[error("too much is under way; come again after {after:?}")]
+    #[error("too many proposals are in flight; retry after {after:?}")]
     Full {
-        /// When to retry.
+        /// The time to wait before a retry.
         after: Duration,
     },
     /// The replicated configuration rejected the command; the state is unchanged.
     #[error("refused: {0}")]
     Rejected(String),
-    /// No outcome came in time: the operation may have taken effect, or may yet. It can be proposed again
-    /// under this id and takes effect once.
+    /// The outcome was not known within the time limit: the operation may have taken effect, or may yet. It
+    /// can be proposed again with this id and takes effect once.
     #[error("the outcome of {id} is unknown")]
     Unknown {
-        /// The operation.
+        /// The id of the operation.
         id: OperationId,
     },
-    /// The operation came so late that the outcome of an earlier proposal may be discarded. It was not
-    /// applied now.
-    #[error("{id} is too old to be told from what was forgotten")]
+    /// The id is so old that the outcome of an earlier proposal with it may no longer be remembered. This
+    /// proposal was not applied, as it might be a repetition.
+    #[error("{id} is older than the completed operations that are remembered")]
     TooOld {
-        /// The operation.
+        /// The id of the operation.
         id: OperationId,
     },
     /// This member has stopped applying entries, or no leader answered.
@@ -64,7 +64,7 @@
     }
 }
 
-/// Proposes changes. Returns the version that they made.
+/// Proposes changes. Returns the version that contains them.
 pub(super) async fn change(
     replication: &ReplicationClient,
     id: Option<OperationId>,
@@ -87,7 +87,7 @@
     postcard::from_bytes(&answer).map_err(|_| ProposeError::Unknown { id })
 }
 
-/// Proposes registrations.
+/// Proposes registrations, several in one command.
 pub(super) async fn register(
     replication: &ReplicationClient,
     registrations: Vec<Registration>,
@@ -97,7 +97,7 @@
     propose(replication, None, SUBSCRIBERS, &command, within).await.map(drop)
 }
 
-/// An operation that was applied, with the answer of the configuration.
+/// An operation that was applied, and the encoded answer of the state machine.
 struct Applied {
     id: OperationId,
     answer: Vec<u8>,
--- a/crates/stepspur-distribution/src/control/registrar.rs
+++ b/crates/stepspur-distribution/src/control/registrar.rs
@@ -10,11 +10,12 @@
 use super::propose;
 use crate::configuration::{MAX_REGISTRATION_BYTES, MAX_REGISTRATIONS};
 
-/// The interval of checks for subscribers that are not registered.
+/// The interval at which the task looks for attached subscribers that are not registered.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Time limit of a proposal. The subscribers are proposed again after it.
+/// Time limit for the outcome of a proposal. After it, subscribers that are still not registered are proposed
+/// again.
 const PROPOSE_TIMEOUT: Duration = Duration::from_secs(3);
-/// The pause after a failed proposal: a rejection, too, costs an entry of the log.
+/// The pause after a failed proposal, as a rejected one costs a log entry as well.
 const FAILURE_BACKOFF: Duration = Duration::from_secs(2);
 
 /// Registers subscribers until stopped.
--- a/crates/stepspur-distribution/src/control/reporter.rs
+++ b/crates/stepspur-distribution/src/control/reporter.rs
@@ -1,4 +1,4 @@
-//! The task that reports a summary of the subscriber states to the leader each second.
+//! The task that sends the leader a summary of this member's subscriber states each second.
 
 use std::io;
 use std::sync::Arc;
@@ -16,20 +16,20 @@
 use super::summary_collector::{ReportingConnection, SummaryError};
 use super::summary_encoder::SummaryEncoder;
 
-/// The interval of summaries.
+/// The interval at which each control member sends a summary to the leader.
 pub const SUMMARY_INTERVAL: Duration = Duration::from_secs(1);
-/// Time limit of connecting to the leader, and of writing a part of a summary.
+/// Time limit for connecting to the leader, and for writing each part of a summary.
 const LEADER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Where the summaries go.
+/// Where the summaries are sent.
 enum Destination {
-    /// This member leads.
+    /// This member is the leader: its own collector.
     Local(ReportingConnection),
-    /// Another member leads.
+    /// Another member is the leader: a connection to it.
     Remote(Box<dyn Stream>),
 }
 
-/// Reports to one leader.
+/// The reporting to one leader: its connection, and the states that it was sent.
 struct LeaderReport {
     leader: u64,
     destination: Destination,
@@ -39,13 +39,13 @@
 /// Why a summary was not reported.
 #[derive(Debug, thiserror::Error)]
 enum ReportError {
-    #[error("the leader is none of the control members")]
+    #[error("the leader is not one of the configured control members")]
     UnknownLeader,
-    #[error("not dialled in time")]
+    #[error("connecting to the leader took longer than {LEADER_TIMEOUT:?}")]
     DialTimeout,
     #[error(transparent)]
     Dial(io::Error),
-    #[error("not written in time")]
+    #[error("writing to the leader took longer than {LEADER_TIMEOUT:?}")]
     WriteTimeout,
     #[error(transparent)]
     Write(io::Error),
@@ -73,11 +73,12 @@
     }
 }
 
-/// Reports changes to the leader; all states if the leader is new or the last report failed.
+/// Sends one summary to the leader: changes, or all states if the leader is new or the last report failed.
+/// Returns the report to continue; `None` after a failure.
 async fn report_once(member: &Member, last: Option<LeaderReport>) -> Option<LeaderReport> {
     let current_leader = member.leader().await;
     member.set_last_known_leader(current_leader);
-    // While no leader is known the reports go to the last one, which may still lead.
+    // While no leader is known, reports are sent to the last one, which may still be the leader.
     let leader = current_leader.or(last.as_ref().map(|report| report.leader))?;
     let known = last.filter(|report| report.leader == leader);
     match report_to(member, leader, known).await {
@@ -96,14 +97,15 @@
 ) -> Result<LeaderReport, ReportError> {
     let mut report = match known {
         Some(report) => report,
-        None => LeaderReport::begin(member, leader).await?,
+        None => LeaderReport::connect(member, leader).await?,
     };
     report.send(member).await?;
     Ok(report)
 }
 
 impl LeaderReport {
-    async fn begin(member: &Member, leader: u64) -> Result<Self, ReportError> {
+    /// Connects to the leader.
+    async fn connect(member: &Member, leader: u64) -> Result<Self, ReportError> {
         let own_id = member.settings.id;
         let destination = if leader == own_id {
             Destination::Local(member.collector.connect(own_id)?)
@@ -113,6 +115,7 @@
         Ok(Self { leader, destination, encoder: SummaryEncoder::new(own_id) })
     }
 
+    /// Sends the states that have changed since the last summary.
     async fn send(&mut self, member: &Member) -> Result<(), ReportError> {
         for part in self.encoder.encode_changes(member.progress.states()) {
             match &mut self.destination {
--- a/crates/stepspur-distribution/src/control/rollout_status.rs
+++ b/crates/stepspur-distribution/src/control/rollout_status.rs
@@ -1,5 +1,5 @@
-//! Where a version is applied: the leader's answer from the registrations and the summaries of all control
-//! members.
+//! The rollout status of a version: which subscribers have applied it. The leader computes it from the
+//! registrations and the summaries of all control members.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,25 +12,26 @@
 use super::summary_collector::MemberSummary;
 use crate::version::Version;
 
-/// An older summary proves nothing. Its age counts from when its last part was received.
+/// Maximum age of a summary, counted from when its last part was received. An older one does not prove that a
+/// subscriber has applied a version.
 pub const SUMMARY_MAX_AGE: Duration = Duration::from_secs(3);
-/// Pending subscribers in a rollout status, at most.
+/// Maximum number of pending subscribers that a rollout status lists.
 pub const MAX_PENDING_LISTED: usize = 256;
 
-/// Where a version is applied.
+/// Which of the subscribers that a version concerns have applied it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct RolloutStatus {
-    /// The version.
+    /// The version that the status is about.
     pub version: Version,
     /// The number of registered subscribers that the version concerns.
     pub expected: usize,
-    /// The number of those that have certainly applied the version.
+    /// The number of those that are proven to have applied the version.
     #[serde(rename = "in_force")]
     pub applied: usize,
-    /// Whether all of them have applied it.
+    /// Whether all of them are proven to have applied it.
     #[serde(rename = "everywhere")]
     pub applied_everywhere: bool,
-    /// The others, sorted by name, [`MAX_PENDING_LISTED`] at most.
+    /// The others, sorted by name, at most [`MAX_PENDING_LISTED`].
     #[serde(rename = "missing")]
     pub pending: Vec<PendingSubscriber>,
     /// The number of others that are not listed.
@@ -41,32 +42,33 @@
 /// A subscriber that is not known to have applied a version.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct PendingSubscriber {
-    /// Its name.
+    /// The name under which it is registered.
     pub name: String,
-    /// It has applied all changes that concern it up to this version, as far as known.
+    /// The last version up to which it is known to have applied all changes that concern it;
+    /// [`Version::NONE`] if unknown.
     #[serde(rename = "in_force")]
     pub applied_version: Version,
-    /// Seconds since it was last up to date or its last frame came, as far as this leader knows.
+    /// Seconds since it was last up to date or its last frame was received, as far as this leader knows.
     pub since_s: f64,
-    /// Why it is pending.
+    /// Why it is not known to have applied the version.
     pub reason: String,
 }
 
-/// Why there is no rollout status.
+/// Why a rollout status cannot be given.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RolloutStatusError {
     /// This member is not the leader.
-    #[error("this control member does not lead; {}", describe_leader(*.leader))]
+    #[error("this control member is not the leader; {}", describe_leader(*.leader))]
     NotLeader {
-        /// The leader, if known.
+        /// Id of the leader, if known.
         leader: Option<u64>,
     },
-    /// The version was never made, or its changes are not retained any more.
-    #[error("no such version is kept: they lie after {oldest}, up to {head}")]
+    /// The version does not exist, or its changes are no longer retained.
+    #[error("unknown version: the versions after {oldest}, up to {head}, are retained")]
     UnknownVersion {
-        /// The last version.
+        /// The last version of the configuration.
         head: Version,
-        /// Versions after this one are retained.
+        /// Only versions after this one are retained.
         oldest: Version,
     },
     /// The linearizable read failed.
@@ -76,18 +78,19 @@
 
 fn describe_leader(leader: Option<u64>) -> String {
     match leader {
-        Some(id) => format!("member {id} does"),
-        None => "nobody that it knows of does".to_owned(),
+        Some(id) => format!("member {id} is"),
+        None => "the leader is unknown".to_owned(),
     }
 }
 
-/// What the summaries show of one subscriber.
+/// What all summaries together show of one subscriber.
 #[derive(Clone, Debug, PartialEq)]
 enum SubscriberRollout {
     Applied,
     Pending(PendingDetail),
 }
 
+/// What is known of a subscriber that is not proven to have applied the version.
 #[derive(Clone, Debug, PartialEq)]
 struct PendingDetail {
     applied_version: Version,
@@ -99,23 +102,23 @@
 enum Evidence {
     /// The subscriber has applied the version.
     Proof,
-    /// The subscriber is attached there and has not certainly applied the version.
+    /// The subscriber is attached to that member, which does not prove that it has applied the version.
     Unproven(PendingDetail),
-    /// The subscriber was attached there before, or the summary is too old.
+    /// The subscriber's connection to that member has ended, or the summary is too old.
     Outdated(PendingDetail),
 }
 
-/// Evaluates where a version is applied.
+/// Computes the rollout status of a version from the summaries.
 pub(super) struct RolloutEvaluation<'a> {
     pub(super) version: Version,
     pub(super) summaries: &'a BTreeMap<u64, &'a MemberSummary>,
-    /// How long this leader runs.
+    /// How long this control member has been running.
     pub(super) leader_uptime: Duration,
     pub(super) now: Instant,
 }
 
 impl RolloutEvaluation<'_> {
-    /// The status among the subscribers that the version concerns.
+    /// The status of the version. `expected` has the names of the subscribers that it concerns, sorted.
     pub(super) fn status(&self, expected: &[String]) -> RolloutStatus {
         let mut applied = 0;
         let mut pending = Vec::new();
@@ -140,7 +143,8 @@
     }
 
     /// What the summaries show of a subscriber. If several members list it as attached, all of them must
-    /// prove the version. A subscriber that is attached nowhere is pending, whatever it applied last.
+    /// prove that it has applied the version. A subscriber that is attached to no member is pending, whatever
+    /// it applied last.
     fn rollout_at(&self, name: &str) -> SubscriberRollout {
         let mut is_proven = false;
         let mut most_recent: Option<PendingDetail> = None;
@@ -162,6 +166,7 @@
         SubscriberRollout::Pending(most_recent.unwrap_or_else(|| self.not_attached()))
     }
 
+    /// What one member's summary shows of a subscriber in this state.
     fn evidence(&self, control: u64, summary: &MemberSummary, state: &SubscriberState) -> Evidence {
         let age = self.now.saturating_duration_since(summary.received_at);
         let unproven = |applied_version, reason| {
@@ -182,7 +187,7 @@
                 format!("control member {control} is not at this version"),
             ),
             SubscriberState::UpToDate if summary.behind_unlisted > 0 => {
-                unproven(Version::NONE, format!("control member {control} names not all who are behind"))
+                unproven(Version::NONE, format!("control member {control} does not list all those behind"))
             }
             SubscriberState::Behind(lag) if lag.applied_version < self.version => {
                 Evidence::Unproven(self.pending_by(lag, lag.reason.clone()))
--- a/crates/stepspur-distribution/src/control/rollout_status/tests.rs
+++ b/crates/stepspur-distribution/src/control/rollout_status/tests.rs
@@ -81,7 +81,7 @@
     assert_eq!(pending.len(), 1);
     assert_eq!(
         (pending[0].0.as_str(), pending[0].3.as_str()),
-        ("a", "control member 1 names not all who are behind")
+        ("a", "control member 1 does not list all those behind")
     );
 }
 
@@ -100,7 +100,8 @@
     assert_eq!(pending_detail(&[here, detached]), None);
 }
 
-/// A connection may be half open at one member while the subscriber, its disk put back, is behind at another.
+/// A connection may be half open at one member while the subscriber, restored from an older disk, is attached
+/// to another member and behind there.
 #[tokio::test(start_paused = true)]
 async fn attached_at_two_members_is_applied_only_if_both_prove_it() {
     let here = summary(9, AGE, &[("a", SubscriberState::UpToDate)]);
--- a/crates/stepspur-distribution/src/control/settings.rs
+++ b/crates/stepspur-distribution/src/control/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a control member, and why it does not start.
+//! The settings of a control member, their checks, and the errors of its start.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -9,23 +9,23 @@
 use crate::keep_alive::{MAX_KEEP_ALIVE, MIN_KEEP_ALIVE};
 pub use crate::placement::ControlMember;
 
-/// The settings of a control member.
+/// What a control member is started with.
 #[derive(Clone, Debug)]
 pub struct ControlSettings {
     /// Its id in the consensus group.
     pub id: u64,
     /// The address at which it accepts subscribers and summaries of other control members.
     pub listen: SocketAddr,
-    /// Its region.
+    /// Its region, by which subscribers choose a member.
     pub region: String,
-    /// All control members, with or without this one.
+    /// All control members, as subscribers are given them. This one may be left out.
     pub members: Vec<ControlMember>,
-    /// Rate limit of snapshots over all subscribers, in bytes per second.
+    /// Rate limit of snapshots over all subscribers, in bytes per second. Deltas are not limited.
     pub snapshot_bytes_per_s: u32,
-    /// Subscribers at once, at most.
+    /// The maximum number of attached subscribers.
     pub subscribers_max: u32,
-    /// The longest interval between two frames of either side. Three intervals without a frame end a
-    /// connection.
+    /// The longest interval between two frames of either side. A connection without a frame for three
+    /// intervals is closed.
     pub keep_alive: Duration,
 }
 
@@ -35,17 +35,17 @@
 /// Why a setting is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidControlSetting {
-    /// The rate limit of snapshots is 0.
+    /// The rate limit of snapshots is 0, so that no snapshot could be sent.
     #[error("snapshot_bytes_per_s: must be above 0")]
     ZeroSnapshotRate,
-    /// The limit of subscribers is 0.
+    /// The limit of subscribers is 0, so that none could attach.
     #[error("subscribers_max: must be above 0")]
     ZeroSubscribers,
     /// The keep-alive interval is outside [`KEEP_ALIVE`].
-    #[error("keep_alive: must lie between 100 ms and 10 min")]
+    #[error("keep_alive: must be between 100 ms and 10 min")]
     KeepAlive(Duration),
     /// Two members have the same id.
-    #[error("members: an id stands twice")]
+    #[error("members: two members have the same id")]
     DuplicateMember,
 }
 
@@ -56,20 +56,20 @@
     #[error(transparent)]
     InvalidSetting(#[from] InvalidControlSetting),
     /// The consensus member does not replicate the configuration.
-    #[error("the council's member has no book {CONFIGURATION}")]
+    #[error("the consensus member does not replicate the configuration (state machine {CONFIGURATION})")]
     MissingStateMachine,
-    /// The address cannot be listened on.
+    /// The address cannot be bound.
     #[error("cannot listen at {address}: {cause}")]
     Listen {
-        /// The address.
+        /// The configured address.
         address: SocketAddr,
-        /// Why not.
+        /// The error of the transport.
         cause: std::io::Error,
     },
 }
 
 impl ControlSettings {
-    /// Checks the settings.
+    /// Checks every setting that has a bound.
     ///
     /// # Errors
     /// The first invalid setting.
@@ -90,7 +90,7 @@
         Ok(())
     }
 
-    /// The number of control members with this one.
+    /// The number of control members, this one included.
     pub(super) fn member_count(&self) -> usize {
         let is_listed = self.members.iter().any(|member| member.id == self.id);
         self.members.len() + usize::from(!is_listed)
--- a/crates/stepspur-distribution/src/control/snapshot_admission.rs
+++ b/crates/stepspur-distribution/src/control/snapshot_admission.rs
@@ -1,4 +1,4 @@
-//! Admission of snapshots: a rate limit over all subscribers, and a limit of memory.
+//! Admission control for snapshots: one rate limit and one memory limit over all subscribers.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -7,24 +7,25 @@
 use tokio::sync::{Mutex, OwnedSemaphorePermit, Semaphore};
 use tokio::time::{Instant, sleep_until};
 
-/// Bytes of one permit of memory.
+/// The memory that one permit of the semaphore stands for, in bytes.
 const PERMIT_BYTES: usize = 1 << 10;
-/// Permits of memory for snapshots in progress: 32 MiB.
+/// Number of permits for snapshots in progress: 32 MiB of memory.
 const MAX_PERMITS: u32 = 32 << 10;
 const MICROS_PER_S: u64 = 1_000_000;
 
-/// Admits snapshots part by part, in the order of the requests.
+/// Admits snapshots part by part, in the order of the requests, so that concurrent snapshots alternate.
 #[derive(Debug)]
 pub(super) struct SnapshotAdmission {
-    /// When the rate limit admits the next part. The lock is fair, so that requests are served in their
-    /// order.
+    /// When the rate limit admits the next part. The lock is fair, so that requests are served in the order
+    /// in which they were made.
     next_at: Mutex<Instant>,
     bytes_per_s: u32,
     memory: Arc<Semaphore>,
+    /// The number of subscribers whose snapshot is not completely sent.
     waiting: AtomicUsize,
 }
 
-/// Counts a subscriber that waits for its snapshot, until dropped.
+/// Counts a subscriber as waiting for its snapshot until the guard is dropped.
 #[derive(Debug)]
 pub(super) struct WaitingGuard<'a>(&'a AtomicUsize);
 
@@ -35,7 +36,7 @@
 }
 
 impl SnapshotAdmission {
-    /// Admits this many bytes per second.
+    /// Creates an admission control with this rate limit.
     pub(super) fn new(bytes_per_s: u32) -> Self {
         Self {
             next_at: Mutex::new(Instant::now()),
@@ -56,14 +57,15 @@
         self.waiting.load(Ordering::Relaxed)
     }
 
-    /// Waits for memory for a snapshot, released when the permit is dropped. A snapshot larger than the limit
-    /// takes all of it.
+    /// Waits for memory for a snapshot of `bytes`, which is released when the permit is dropped. A snapshot
+    /// larger than the limit waits for all of the memory and is then admitted alone.
     pub(super) async fn reserve_memory(&self, bytes: usize) -> Option<OwnedSemaphorePermit> {
         let permits = u32::try_from(bytes.div_ceil(PERMIT_BYTES)).unwrap_or(u32::MAX);
         Arc::clone(&self.memory).acquire_many_owned(permits.clamp(1, MAX_PERMITS)).await.ok()
     }
 
-    /// Waits until the rate limit admits a part. A request that is dropped uses no rate.
+    /// Waits until the rate limit admits a part of `bytes`. A call whose future is dropped uses none of the
+    /// rate.
     pub(super) async fn admit(&self, bytes: usize) {
         let mut next_at = self.next_at.lock().await;
         sleep_until(*next_at).await;
--- a/crates/stepspur-distribution/src/control/snapshot_admission/tests.rs
+++ b/crates/stepspur-distribution/src/control/snapshot_admission/tests.rs
@@ -7,7 +7,7 @@
 #[tokio::test(start_paused = true)]
 async fn admit_by_two_requesters_alternates_at_the_rate_limit() {
     let admission = Arc::new(SnapshotAdmission::new(1_000));
-    // Both wait from here on.
+    // The rate is used up, so that both requesters below have to wait.
     admission.admit(500).await;
     let (began, mut tasks) = (Instant::now(), JoinSet::new());
     for name in ["a", "b"] {
--- a/crates/stepspur-distribution/src/control/subscribe_request.rs
+++ b/crates/stepspur-distribution/src/control/subscribe_request.rs
@@ -1,4 +1,4 @@
-//! The first frame of a subscriber: its checks, and its rejection.
+//! Checks the first frame of a subscriber, and rejects an invalid one.
 
 use std::time::Duration;
 
@@ -14,12 +14,12 @@
 use crate::document_messages::interest_of;
 use crate::version::{Version, version_of};
 
-/// How long a subscriber with a later version than this member waits for the member to catch up, before a
-/// redirect.
+/// How long a subscriber with a later version than this member waits for the member to catch up before it is
+/// redirected.
 const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(2);
-/// When a subscriber may retry that another control member may accept.
+/// The delay before a redirected subscriber may try this member again.
 const REDIRECT_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// When a subscriber may retry whose request is invalid.
+/// The delay before a subscriber with an invalid request may try again.
 const INVALID_RETRY_AFTER: Duration = Duration::from_secs(30);
 
 /// Why a subscriber is not accepted.
@@ -31,7 +31,8 @@
     InvalidInterest(#[from] DocumentError),
     #[error(transparent)]
     InvalidRegistration(#[from] RegistrationError),
-    /// The subscriber has a later version than this member.
+    /// The subscriber has a later version than this member: the member lags behind, or its data was restored
+    /// from an older copy.
     #[error("version {claimed} is held, and this control member is at {head}")]
     MemberLags { claimed: Version, head: Version },
     #[error(transparent)]
@@ -76,7 +77,8 @@
     }
 }
 
-/// Tells a subscriber why it is not accepted and where else it may go, and closes the connection.
+/// Sends a redirect with the reason and the members that may accept the subscriber, then closes the
+/// connection.
 pub(super) async fn reject(
     member: &Member,
     error: &SubscribeError,
--- a/crates/stepspur-distribution/src/control/subscriber_session.rs
+++ b/crates/stepspur-distribution/src/control/subscriber_session.rs
@@ -1,4 +1,4 @@
-//! One subscriber's connection, from its first frame to its end.
+//! The session of one subscriber: its connection from the first frame to its end.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,7 +17,8 @@
 use crate::keep_alive::MAX_SILENT_INTERVALS;
 use crate::version::{Version, version_of};
 
-/// Serves a subscriber with this first frame until its connection ends.
+/// Serves the subscriber that sent this first frame until its connection ends. `handshake` is released once
+/// it is attached.
 pub(super) async fn serve(
     member: &Member,
     first: v1::ConfigSubscribe,
@@ -43,7 +44,7 @@
     ended
 }
 
-/// A subscriber in the progress table.
+/// A subscriber that was added to the progress table.
 struct Accepted {
     attached: Arc<AttachedSubscriber>,
     stored_version: Version,
@@ -77,7 +78,7 @@
     }
 }
 
-/// Receives frames until the connection fails.
+/// Receives acknowledgements and keep-alives until the connection fails.
 async fn receive(
     attached: &AttachedSubscriber,
     reader: &mut FrameReader,
@@ -109,7 +110,8 @@
     }
 }
 
-/// Describes the documents that a subscriber has not applied; empty if there are none.
+/// Describes the documents that a subscriber has not applied: the first with its reason, and the number of
+/// the others. Empty if there are none.
 fn describe_unapplied(unapplied: Vec<v1::UnappliedDocument>) -> String {
     let further_count = unapplied.len().saturating_sub(1);
     let Some(first) = unapplied.into_iter().next() else { return String::new() };
--- a/crates/stepspur-distribution/src/control/subscriber_state.rs
+++ b/crates/stepspur-distribution/src/control/subscriber_state.rs
@@ -11,20 +11,21 @@
 pub(super) struct Lag {
     /// It has applied all changes of its interest up to this version.
     pub(super) applied_version: Version,
-    /// When it was last up to date, or its last frame came.
+    /// For an attached subscriber: since when it is behind. For a detached one: when its last frame was
+    /// received.
     pub(super) since: Instant,
-    /// The reason in words.
+    /// The reason, as reported by the subscriber or the connection; shown in rollout statuses.
     pub(super) reason: String,
 }
 
-/// The state of a subscriber.
+/// The state of a subscriber as one control member sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum SubscriberState {
     /// Attached, and it has applied all changes that concern it up to the evaluated version.
     UpToDate,
     /// Attached, and it has not applied all changes that concern it.
     Behind(Lag),
-    /// It was attached to this member, and is not any more.
+    /// It was attached to this member and its connection has ended.
     Detached(Lag),
 }
 
@@ -33,6 +34,6 @@
 pub(super) struct SubscriberStates {
     /// Changes up to this version are evaluated for every attached subscriber.
     pub(super) evaluated_version: Version,
-    /// The states by name.
+    /// The states by name of the subscriber.
     pub(super) by_name: BTreeMap<String, SubscriberState>,
 }
--- a/crates/stepspur-distribution/src/control/summary_collector.rs
+++ b/crates/stepspur-distribution/src/control/summary_collector.rs
@@ -1,4 +1,4 @@
-//! Collects the summaries of all control members at the leader.
+//! Collects the summaries that all control members report to the leader.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -11,54 +11,55 @@
 use crate::configuration::MAX_SUBSCRIBERS;
 use crate::version::{Version, version_of};
 
-/// Names in the summaries of one member, at most.
+/// Maximum number of subscribers in the summaries of one member, attached and detached.
 const MAX_NAMES: usize = 2 * MAX_SUBSCRIBERS;
 
-/// Why a summary is rejected.
+/// Why a summary is rejected. It ends the reporting connection, and the member then reports all states again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum SummaryError {
-    #[error("{0} is none of the control members")]
+    #[error("member {0} is not a control member, or not the one that opened this connection")]
     UnknownMember(u64),
-    #[error("a newer connection of the same control member tells now")]
+    #[error("replaced by a newer connection of the same control member")]
     ConnectionReplaced,
-    /// The part does not follow the last one, or the first summary has changes only.
-    #[error("summary {found} does not follow {last:?}")]
+    /// The sequence number does not follow the last one, or the first summary has only changes.
+    #[error("summary part {found} is out of sequence, the last one was {last:?}")]
     OutOfSequence { last: Option<u64>, found: u64 },
-    #[error("more than {MAX_NAMES} subscribers are named")]
+    #[error("the summaries name more than {MAX_NAMES} subscribers")]
     TooManyNames,
 }
 
-/// A connection at which a member reports. Only the last one of a member is accepted.
+/// Identifies a connection over which a member reports. Only the newest one of a member is accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ReportingConnection {
+    /// Id of the reporting member.
     control: u64,
     number: u64,
 }
 
-/// What the summaries of one member say.
+/// The subscriber states of one member, as of its last complete summary.
 #[derive(Clone, Debug)]
 pub(super) struct MemberSummary {
-    /// When the last summary was complete.
+    /// When the last part of the last summary was received.
     pub(super) received_at: Instant,
     /// Changes up to this version are evaluated for every attached subscriber.
     pub(super) evaluated_version: Version,
-    /// Subscribers behind that are not listed.
+    /// The number of subscribers that are behind and not listed.
     pub(super) behind_unlisted: u32,
     /// The states of listed subscribers by name.
     pub(super) states: BTreeMap<String, SubscriberState>,
 }
 
-/// The reports of one member.
+/// The reporting of one member, across its connections.
 #[derive(Debug)]
 struct MemberReports {
     connection_number: u64,
     last_sequence: Option<u64>,
-    /// Parts of a summary that is not complete.
+    /// The parts of the summary that is being received.
     parts: Vec<v1::ControlSummary>,
     summary: Option<MemberSummary>,
 }
 
-/// Collects the summaries of all control members.
+/// Holds the last complete summary of each control member, and the parts of incomplete ones.
 #[derive(Debug)]
 pub(super) struct SummaryCollector {
     members: BTreeSet<u64>,
@@ -72,7 +73,7 @@
 }
 
 impl SummaryCollector {
-    /// Collects the summaries of these members.
+    /// Creates a collector for the members with these ids.
     pub(super) fn new(members: BTreeSet<u64>) -> Self {
         Self { members, inner: Mutex::default() }
     }
@@ -81,8 +82,8 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A member begins to report. Its last summary stays valid until the first one of this connection is
-    /// complete.
+    /// Registers a new reporting connection of a member, which replaces an older one. Its last summary stays
+    /// valid until the first one of this connection is complete.
     pub(super) fn connect(&self, control: u64) -> Result<ReportingConnection, SummaryError> {
         if !self.members.contains(&control) {
             return Err(SummaryError::UnknownMember(control));
@@ -97,7 +98,7 @@
         Ok(ReportingConnection { control, number })
     }
 
-    /// Adds a part of a summary.
+    /// Adds a part of a summary. The summary takes effect with its last part.
     pub(super) fn add(
         &self,
         connection: ReportingConnection,
@@ -117,7 +118,7 @@
         Ok(())
     }
 
-    /// Calls `read` with the last complete summary of each member.
+    /// Calls `read` with the last complete summary of each member, by its id.
     pub(super) fn read<T>(&self, read: impl FnOnce(&BTreeMap<u64, &MemberSummary>) -> T) -> T {
         let inner = self.inner();
         let reports = inner.reports.iter();
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Logs that rollout statuses are based on this summary from now on.
+    /// Logs that this summary is complete: rollout statuses are based on it from now on.
     fn log(&self, control: u64) {
         let count = |is_counted: fn(&SubscriberState) -> bool| {
             self.states.values().filter(|state| is_counted(state)).count()
@@ -158,7 +159,7 @@
 }
 
 impl MemberReports {
-    /// The last summary, if all its parts were received.
+    /// The last summary, if no parts of a newer one are pending.
     fn complete_summary(&self) -> Option<&MemberSummary> {
         self.summary.as_ref().filter(|_| self.parts.is_empty())
     }
@@ -199,12 +200,12 @@
         Ok(())
     }
 
-    /// Whether the parts have all states instead of changes.
+    /// Whether the pending parts contain all states, not only changes.
     fn replaces_summary(&self) -> bool {
         self.parts.first().is_some_and(|part| part.whole)
     }
 
-    /// Adds all parts to the summary.
+    /// Applies all pending parts to the summary.
     fn complete(&mut self) {
         let received_at = Instant::now();
         let changed = if self.replaces_summary() { None } else { self.summary.take() };
@@ -217,6 +218,7 @@
     }
 }
 
+/// Converts the reported age of a lag to a time of this process's clock.
 fn decode_lag(lag: v1::SubscriberLag, received_at: Instant) -> Lag {
     let since = received_at.checked_sub(Duration::from_micros(lag.since_us)).unwrap_or(received_at);
     Lag { applied_version: version_of(lag.in_force), since, reason: lag.reason }
--- a/crates/stepspur-distribution/src/control/summary_encoder.rs
+++ b/crates/stepspur-distribution/src/control/summary_encoder.rs
@@ -1,4 +1,4 @@
-//! Encodes the summaries that a member reports to a leader: all states once, then what has changed.
+//! Encodes the summaries that a member reports to the leader: all states first, then only changes.
 
 use std::collections::BTreeMap;
 
@@ -8,31 +8,34 @@
 use super::messages::saturating_micros;
 use super::subscriber_state::{Lag, SubscriberState, SubscriberStates};
 
-/// Subscribers in one part of a summary, at most.
+/// Maximum number of subscribers in one part of a summary.
 const MAX_NAMES_PER_PART: usize = 256;
-/// Subscribers that are listed as behind, at most. The others are counted.
+/// Maximum number of subscribers that are listed as behind. The others are only counted.
 const MAX_BEHIND_LISTED: usize = 1_024;
 
 /// Encodes the summaries of one member to one leader.
 #[derive(Debug)]
 pub(super) struct SummaryEncoder {
+    /// Id of this member.
     control: u64,
+    /// Sequence number of the last part.
     sequence: u64,
     /// The states as the leader knows them; `None` before the first summary.
     reported: Option<BTreeMap<String, SubscriberState>>,
 }
 
 impl SummaryEncoder {
-    /// The encoder of a member that has reported nothing.
+    /// Creates the encoder of a member that has reported nothing to this leader.
     pub(super) fn new(control: u64) -> Self {
         Self { control, sequence: 0, reported: None }
     }
 
-    /// The next summary in parts, with the states that differ from the reported ones.
+    /// Encodes the next summary, in one or more parts, with the states that differ from those reported
+    /// before.
     pub(super) fn encode_changes(&mut self, states: SubscriberStates) -> Vec<v1::ControlSummary> {
         let SubscriberStates { evaluated_version, by_name: mut states } = states;
         let behind_unlisted = self.leave_out_unlisted(&mut states);
-        // A summary cannot remove a name. All states are reported again instead.
+        // A summary of changes cannot remove a name. If one is gone, all states are reported again.
         let is_complete = |reported: &BTreeMap<_, _>| reported.keys().all(|name| states.contains_key(name));
         let reported = self.reported.take().filter(is_complete);
         let whole = reported.is_none();
@@ -58,8 +61,8 @@
         parts
     }
 
-    /// Puts the reported states in place of those of subscribers behind beyond [`MAX_BEHIND_LISTED`], so that
-    /// they are not listed. Returns their number.
+    /// Replaces the states of the subscribers that are behind beyond [`MAX_BEHIND_LISTED`] by those reported
+    /// last, or removes them, so that they are not listed as changes. Returns their number.
     fn leave_out_unlisted(&self, states: &mut BTreeMap<String, SubscriberState>) -> u32 {
         let behind = states.iter().filter(|(_, state)| matches!(state, SubscriberState::Behind(_)));
         let unlisted: Vec<String> = behind.skip(MAX_BEHIND_LISTED).map(|(name, _)| name.clone()).collect();
--- a/crates/stepspur-distribution/src/control/summary_encoder/tests.rs
+++ b/crates/stepspur-distribution/src/control/summary_encoder/tests.rs
@@ -22,7 +22,7 @@
     part.attached.len() + part.behind.len() + part.detached.len()
 }
 
-/// What the collector knows of member 1.
+/// The evaluated version and the states that the collector has of member 1.
 fn known(collector: &SummaryCollector) -> Option<(Version, BTreeMap<String, SubscriberState>)> {
     collector.read(|summaries| {
         summaries.get(&1).map(|summary| (summary.evaluated_version, summary.states.clone()))
@@ -40,7 +40,7 @@
     let first = encoder.encode_changes(states(5, &entries));
     assert_eq!((first.len(), first.iter().map(names).sum::<usize>()), (4, 1_000));
     for part in first {
-        assert_eq!(known(&collector), None, "it is complete with the last part");
+        assert_eq!(known(&collector), None, "the summary takes effect only with its last part");
         collector.add(at, part).unwrap();
     }
     entries[7].1 = behind(3);
@@ -103,7 +103,7 @@
     let sequence = |last, found| Err(SummaryError::OutOfSequence { last, found });
     assert_eq!(collector.add(older, parts[1].clone()), sequence(None, 2), "changes before all states");
     assert_eq!(collector.add(older, parts[0].clone()), Ok(()));
-    assert_eq!(collector.add(older, parts[2].clone()), sequence(Some(1), 3), "one is omitted");
+    assert_eq!(collector.add(older, parts[2].clone()), sequence(Some(1), 3), "one part is omitted");
     let newer = collector.connect(1).unwrap();
     assert_eq!(collector.add(older, parts[1].clone()), Err(SummaryError::ConnectionReplaced));
     assert_eq!(
--- a/crates/stepspur-distribution/src/control/summary_receiver.rs
+++ b/crates/stepspur-distribution/src/control/summary_receiver.rs
@@ -1,4 +1,4 @@
-//! A connection at which another control member reports its summaries to this one.
+//! Receives the summaries of another control member over its connection.
 
 use std::time::Duration;
 
@@ -8,10 +8,11 @@
 use super::connection::{ConnectionError, FrameStream, ProtocolError};
 use super::member::Member;
 
-/// Time limit of the next summary.
+/// Time limit for the next part of a summary: ten intervals of summaries.
 const SUMMARY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Receives summaries until the connection ends.
+/// Passes the summaries of a member to the collector until the connection ends. `handshake` is released once
+/// the member's id is accepted.
 pub(super) async fn receive(
     member: &Member,
     first: v1::ControlSummary,
--- a/crates/stepspur-distribution/src/control/update_sender.rs
+++ b/crates/stepspur-distribution/src/control/update_sender.rs
@@ -10,26 +10,28 @@
 use crate::document::Document;
 use crate::version::Version;
 
-/// Sends updates to one subscriber. There is no queue: each update is computed when the last one is written.
+/// Sends updates to one subscriber. There is no queue: each update is computed once the one before it is
+/// written, so that a slow subscriber costs no memory and receives the latest state.
 pub(super) struct UpdateSender<'a> {
     member: &'a Member,
     attached: &'a AttachedSubscriber,
     writer: FrameWriter,
-    /// The subscriber was sent all changes up to this version.
+    /// The subscriber has been sent all changes of its interest up to this version.
     sent_version: Version,
     /// No change between `sent_version` and this version concerns it. `None` if it needs a snapshot.
     evaluated_version: Option<Version>,
 }
 
 impl<'a> UpdateSender<'a> {
-    /// The sender to a subscriber that has stored all changes up to a version.
+    /// Creates the sender to a subscriber that has stored all changes up to `stored_version`.
     pub(super) fn new(
         member: &'a Member,
         attached: &'a AttachedSubscriber,
         stored_version: Version,
         writer: FrameWriter,
     ) -> Self {
-        // A new subscriber is sent a snapshot, which is rate limited, even if a delta could be computed.
+        // A new subscriber is sent a snapshot even if a delta could be computed, as only snapshots are rate
+        // limited.
         let head = member.configuration.read(ConfigurationState::head);
         let is_new = stored_version == Version::NONE && head != Version::NONE;
         let evaluated_version = if is_new { None } else { Some(stored_version) };
@@ -61,6 +63,7 @@
         }
     }
 
+    /// What to send next, by the configuration as this member has applied it.
     fn next_update(&self) -> SubscriberUpdate {
         let Some(from) = self.evaluated_version else { return SubscriberUpdate::Snapshot };
         let interest = &self.attached.interest;
@@ -69,15 +72,16 @@
         next.unwrap_or(SubscriberUpdate::Covered(from))
     }
 
-    /// Records what the next frame covers. This is done before the write, as the acknowledgement may come at
-    /// once.
+    /// Records the version up to which the next frame covers the interest. This is done before the write, as
+    /// the acknowledgement may arrive before the write returns.
     fn mark_sent(&mut self, version: Version) {
         self.attached.mark_sent(version);
         self.sent_version = version;
         self.evaluated_version = Some(version);
     }
 
-    /// Waits for a change, or sends a keep-alive with the covered version when it is due.
+    /// Waits until a change concerns the subscriber, or sends a keep-alive with the covered version when one
+    /// is due.
     async fn wait_for_change(&mut self, covered: Version) -> Result<(), ConnectionError> {
         tokio::select! {
             biased;
@@ -93,7 +97,8 @@
         self.writer.last_written() + self.member.settings.keep_alive
     }
 
-    /// Sends all documents of the interest as of the head, each part when it is admitted.
+    /// Sends all documents of the interest as of the head, in parts, each once the rate limit admits it. The
+    /// memory of the snapshot is reserved until the last part is written.
     async fn send_snapshot(&mut self) -> Result<(), ConnectionError> {
         let member = self.member;
         let interest = &self.attached.interest;
@@ -117,7 +122,7 @@
         Ok(())
     }
 
-    /// Sends keep-alives while it waits for a future.
+    /// Waits for a future, and sends keep-alives meanwhile.
     async fn keep_alive_during<T>(&mut self, future: impl Future<Output = T>) -> Result<T, ConnectionError> {
         tokio::pin!(future);
         loop {
@@ -139,7 +144,8 @@
     documents: Vec<Document>,
 }
 
-/// Divides documents into parts of [`MAX_PART_BYTES`] at most, one part at least.
+/// Divides documents into parts of at most [`MAX_PART_BYTES`]. An empty list becomes one empty part; a larger
+/// document becomes a part of its own.
 fn divide(documents: Vec<Document>) -> Vec<Vec<Document>> {
     let mut parts = Vec::new();
     let mut part: Vec<Document> = Vec::new();
