--- a/crates/stepspur-distribution/src/subscriber/candidates.rs
+++ b/crates/stepspur-distribution/src/subscriber/candidates.rs
@@ -1,4 +1,4 @@
-//! Decides which control member to connect to next.
+//! Selects the control member to connect to next.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -10,20 +10,21 @@
 use super::connection::ConnectionEnd;
 use crate::placement::{ControlMember, MAX_MEMBERS, order, order_addresses};
 
-/// The longest time for which a redirect keeps a subscriber from a control member.
+/// Maximum time for which a redirect can prevent further attempts at a control member.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
 
 /// The next step of connecting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum NextCandidate {
-    /// Connect to this control member.
+    /// Connect to this control member now.
     Dial {
-        /// Its address.
+        /// Address of the control member.
         address: SocketAddr,
-        /// Whether to ask to be accepted beyond its share: all control members have redirected or failed.
+        /// Whether to ask to be accepted beyond the member's share, as all control members have redirected
+        /// the subscriber or failed.
         insists: bool,
     },
-    /// No control member may be tried before this time.
+    /// Redirects forbid an attempt at any control member before this time.
     WaitUntil(Instant),
 }
 
@@ -32,17 +33,20 @@
 pub(super) struct Candidates {
     name: String,
     region: String,
+    /// Addresses from the settings, in the subscriber's order.
     configured: Vec<SocketAddr>,
+    /// All known addresses, in the order in which they are tried.
     order: Vec<SocketAddr>,
-    /// Those that redirected or failed in this round.
+    /// Those that redirected the subscriber or failed in this round.
     tried: BTreeSet<SocketAddr>,
-    /// Until when those that redirected are not tried.
+    /// For each that redirected the subscriber, the earliest time of the next attempt.
     retry_at: BTreeMap<SocketAddr, Instant>,
+    /// Whether all were tried in a round since the subscriber was last attached.
     insists: bool,
 }
 
 impl Candidates {
-    /// Starts with the configured addresses.
+    /// Creates the candidates of a subscriber with the configured addresses.
     pub(super) fn new(name: &str, region: &str, configured: &[SocketAddr]) -> Self {
         let configured = order_addresses(name, configured);
         Self {
@@ -56,7 +60,7 @@
         }
     }
 
-    /// The next candidate. Once all were tried a new round begins, in which the subscriber insists.
+    /// The next candidate. Once all were tried, a new round begins, in which the subscriber insists.
     pub(super) fn next(&mut self, now: Instant) -> NextCandidate {
         if self.order.iter().all(|address| self.tried.contains(address)) {
             self.tried.clear();
@@ -73,12 +77,13 @@
         NextCandidate::WaitUntil(earliest.unwrap_or(now))
     }
 
-    /// A control member did not answer, or its connection was lost.
+    /// Records that a control member did not answer or its connection was lost.
     pub(super) fn mark_failed(&mut self, address: SocketAddr) {
         self.tried.insert(address);
     }
 
-    /// A control member redirects the subscriber: it is not tried again before the time that it names.
+    /// Records that a control member redirected the subscriber. That member is not tried again before the
+    /// time that the redirect names.
     pub(super) fn follow_redirect(
         &mut self,
         address: SocketAddr,
@@ -94,7 +99,7 @@
         self.retry_at.insert(address, now + retry_after.min(MAX_RETRY_AFTER));
     }
 
-    /// The subscriber is attached: the attempts are forgotten.
+    /// Records that the subscriber is attached, and clears the record of earlier attempts.
     pub(super) fn mark_attached(&mut self) {
         self.tried.clear();
         self.retry_at.clear();
@@ -107,7 +112,7 @@
     }
 
     /// Replaces the known members by those that a control member names. Members with an invalid address are
-    /// omitted; if none is valid nothing changes. The configured addresses always remain, last in the order.
+    /// omitted; if none is valid, nothing changes. The configured addresses always remain, last in the order.
     pub(super) fn learn(&mut self, members: Vec<v1::ControlAddress>) {
         let mut learned: Vec<ControlMember> = Vec::new();
         for member in members.into_iter().take(MAX_MEMBERS) {
--- a/crates/stepspur-distribution/src/subscriber/connection.rs
+++ b/crates/stepspur-distribution/src/subscriber/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a control member: frames with time limits, and byte counters.
+//! One connection to a control member: reads and writes frames with time limits, and counts their bytes.
 
 use std::fmt;
 use std::io;
@@ -21,7 +21,7 @@
 use super::update::UpdateError;
 use crate::document::DocumentError;
 
-/// An operation with a time limit.
+/// An operation with a time limit, as named in errors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum TimedOperation {
     Dial,
@@ -39,7 +39,7 @@
     }
 }
 
-/// Why a connection, or an attempt to connect, ended.
+/// Why a connection, or an attempt to connect, ended. Shown in the status and in logs.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ConnectionEnd {
     #[error("{operation} took longer than {limit:?}")]
@@ -50,12 +50,12 @@
     Frame(#[from] FrameError),
     #[error("the control member ended the connection")]
     Closed,
-    #[error("a frame without a kind, or one that is not due")]
+    #[error("unexpected frame, or a frame of an unknown kind")]
     UnexpectedFrame,
-    #[error("silent for {0:?}")]
+    #[error("no frame for {0:?}")]
     Silent(Duration),
-    /// The control member asks the subscriber to go to another one, for this reason.
-    #[error("sent on: {0}")]
+    /// The control member redirected the subscriber, for this reason.
+    #[error("redirected: {0}")]
     Redirected(String),
     #[error(transparent)]
     InvalidDocument(#[from] DocumentError),
@@ -63,7 +63,8 @@
     InvalidSnapshot(#[from] SnapshotError),
     #[error(transparent)]
     UpdateFailed(#[from] UpdateError),
-    #[error("another control member comes first in the order")]
+    /// The first welcome named a control member that comes before this one in the order.
+    #[error("another control member is preferred")]
     PrefersAnother,
     #[error("stopped")]
     Stopped,
@@ -100,7 +101,7 @@
     }
 }
 
-/// A stream that counts its bytes.
+/// A stream that adds the bytes read and written to the counters of the status.
 struct CountedStream {
     stream: Box<dyn Stream>,
     publisher: Arc<StatusPublisher>,
--- a/crates/stepspur-distribution/src/subscriber/connector.rs
+++ b/crates/stepspur-distribution/src/subscriber/connector.rs
@@ -1,4 +1,4 @@
-//! The task that keeps a subscriber attached to a control member: it connects, and reconnects with backoff.
+//! The task that connects a subscriber to a control member, and reconnects with backoff.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,14 +21,15 @@
 use super::update::{Progress, UpdateRequest};
 use crate::keep_alive::{MAX_KEEP_ALIVE, MIN_KEEP_ALIVE};
 
-/// Backoff with full jitter: a wait is random between zero and a bound that doubles from the minimum to the
-/// maximum.
+/// The first bound of the backoff. The backoff has full jitter: each wait is random between zero and a bound
+/// that doubles from [`MIN_BACKOFF`] to [`MAX_BACKOFF`].
 const MIN_BACKOFF: Duration = Duration::from_millis(100);
+/// The last bound of the backoff.
 const MAX_BACKOFF: Duration = Duration::from_secs(3);
-/// A connection that lasted longer resets the backoff.
+/// A connection that lasted longer than this resets the backoff.
 const STABLE_AFTER: Duration = MAX_BACKOFF;
 
-/// Owns the connection.
+/// Owns the connection to a control member.
 pub(super) struct Connector {
     settings: SubscriberSettings,
     net: Arc<dyn Transport>,
@@ -37,14 +38,15 @@
     publisher: Arc<StatusPublisher>,
     candidates: Candidates,
     jitter: ChaCha8Rng,
+    /// The bound of the next wait.
     backoff: Duration,
     attach_count: u64,
-    /// Whether a control member was attached once. Before that, the first welcome may lead to a nearer
-    /// member.
+    /// Whether a welcome was ever received. The first one names the regions of all members, after which the
+    /// subscriber may move to a nearer member.
     has_been_welcomed: bool,
 }
 
-/// A control member to connect to.
+/// An attempt to connect to a control member.
 #[derive(Clone, Copy)]
 struct Attempt {
     address: SocketAddr,
@@ -76,7 +78,7 @@
         }
     }
 
-    /// Keeps the subscriber attached until stopped.
+    /// Connects and reconnects until stopped.
     pub(super) async fn run(mut self, stop: CancellationToken) {
         tokio::select! {
             () = stop.cancelled() => {}
@@ -118,6 +120,7 @@
         }
     }
 
+    /// Logs and publishes why a connection or an attempt ended, and waits before the next attempt.
     async fn back_off(&mut self, attempt: Attempt, end: &ConnectionEnd) {
         let Attempt { address, insists, started } = attempt;
         let is_redirected = matches!(end, ConnectionEnd::Redirected(_));
@@ -146,7 +149,7 @@
         Ok(Connection::new(stream, self.settings.write_timeout, Arc::clone(&self.publisher)))
     }
 
-    /// Sends the first frame, and reads the answer.
+    /// Sends the first frame, and waits for the welcome.
     async fn subscribe(
         &mut self,
         attempt: Attempt,
@@ -179,7 +182,8 @@
         self.candidates.learn(welcome.members);
         self.candidates.mark_attached();
         self.publisher.record_frame();
-        // The settings name control members without their regions. The first welcome names the regions.
+        // The settings have no regions of control members. The first welcome names them, so that the
+        // subscriber can then move to a preferred member.
         let is_first_welcome = !self.has_been_welcomed;
         self.has_been_welcomed = true;
         if is_first_welcome && !self.candidates.is_first(address) {
@@ -192,7 +196,7 @@
         let session =
             Session::new(connection, keep_alive, &self.updates, &mut self.progress, &self.publisher);
         match session.run().await {
-            // The control member redirects all its subscribers, as it stops.
+            // A control member that stops redirects all its subscribers.
             SessionEnd::Redirect(redirect) => self.candidates.follow_redirect(address, redirect),
             SessionEnd::Connection(end) => end,
         }
--- a/crates/stepspur-distribution/src/subscriber/document_applier.rs
+++ b/crates/stepspur-distribution/src/subscriber/document_applier.rs
@@ -1,14 +1,14 @@
-//! The interface to the engines, which act on the documents.
+//! The interface to the engines, on which documents take effect.
 
 use stepspur_consensus_node::BoxFuture;
 
 use crate::document::Document;
 
-/// Why a document was not applied.
+/// Error of an engine that did not apply a document.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{reason}")]
 pub struct DocumentNotApplied {
-    /// The reason, which is reported to the control member.
+    /// The reason, which is reported to the control member and shown in the status.
     pub reason: String,
 }
 
@@ -20,10 +20,11 @@
 
 /// Applies documents to the engines.
 pub trait DocumentApplier: Send + Sync + 'static {
-    /// Applies one document; one without a setting ends the effect of the earlier one. The same document may
-    /// be passed again. No result within two seconds counts as a failure.
+    /// Applies one document. A document without a setting removes the earlier one of its key. The call must
+    /// be idempotent, as the same document may be passed again. No result within two seconds counts as a
+    /// failure.
     ///
     /// # Errors
-    /// [`DocumentNotApplied`]; the earlier document stays in effect then. The call is repeated each second.
+    /// [`DocumentNotApplied`]: the earlier document stays in effect, and the call is repeated each second.
     fn apply<'a>(&'a self, document: &'a Document) -> BoxFuture<'a, Result<(), DocumentNotApplied>>;
 }
--- a/crates/stepspur-distribution/src/subscriber/document_cache.rs
+++ b/crates/stepspur-distribution/src/subscriber/document_cache.rs
@@ -1,4 +1,4 @@
-//! The documents that a subscriber holds, and which of an update's documents change them.
+//! The documents that a subscriber holds in memory, and which documents of an update change them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,7 +8,7 @@
 use crate::scope_store::StoredScope;
 use crate::version::Version;
 
-/// The documents of the interest, as of a version.
+/// The current documents of the interest, as of a version.
 #[derive(Debug)]
 pub(super) struct DocumentCache {
     interest: Interest,
@@ -17,7 +17,7 @@
 }
 
 impl DocumentCache {
-    /// The stored documents, without those that the interest does not cover.
+    /// Creates the cache from the stored documents, without those that the interest does not cover.
     pub(super) fn new(interest: Interest, stored: Option<StoredScope>) -> Self {
         let mut cache = Self { interest, version: Version::NONE, documents: BTreeMap::new() };
         let Some(StoredScope { version, documents, .. }) = stored else { return cache };
@@ -30,7 +30,7 @@
         cache
     }
 
-    /// All changes of the interest up to this version are included.
+    /// The version up to which all changes of the interest are included.
     pub(super) fn version(&self) -> Version {
         self.version
     }
@@ -48,7 +48,8 @@
     /// The documents of a delta that change this cache, oldest first.
     ///
     /// # Errors
-    /// [`UpdateError::Gap`] or [`UpdateError::DocumentAfterUpdate`].
+    /// [`UpdateError::Gap`] if the delta begins after the cached version,
+    /// [`UpdateError::DocumentAfterUpdate`] if a document is newer than the delta.
     pub(super) fn changes_of_delta(
         &self,
         from: Version,
@@ -63,10 +64,11 @@
         Ok(newest.filter(|document| self.is_newer(document)).collect())
     }
 
-    /// The changes that lead to a snapshot: removals of documents that it lacks, then its changed documents.
+    /// The changes that turn this cache into the snapshot: removals of documents that it lacks, then its
+    /// changed documents.
     ///
     /// # Errors
-    /// [`UpdateError::DocumentAfterUpdate`].
+    /// [`UpdateError::DocumentAfterUpdate`] if a document is newer than the snapshot.
     pub(super) fn changes_of_snapshot(&self, snapshot: Snapshot) -> Result<Vec<Document>, UpdateError> {
         let Snapshot { version, documents } = snapshot;
         check_versions(&documents, version)?;
@@ -78,8 +80,8 @@
     }
 
     /// Removals of the documents that a snapshot of this version lacks. A document that is newer than the
-    /// snapshot stays: that happens if the interest has grown and a control member that lags behind sends the
-    /// snapshot.
+    /// snapshot is not removed: this occurs if the interest has grown and a control member that lags behind
+    /// sends the snapshot.
     fn removals_of_snapshot(&self, version: Version, documents: &[Document]) -> Vec<Document> {
         let keys: BTreeSet<&Key> = documents.iter().map(|document| &document.key).collect();
         let is_removed = |document: &&Document| document.version <= version && !keys.contains(&document.key);
@@ -94,7 +96,7 @@
             && self.documents.get(&document.key).is_none_or(|cached| cached.version < document.version)
     }
 
-    /// All documents as they are after these changes.
+    /// All documents as they will be after these changes.
     pub(super) fn documents_after(&self, changes: &[Document]) -> Vec<Document> {
         let mut documents = self.documents.clone();
         for change in changes {
@@ -103,7 +105,7 @@
         documents.into_values().collect()
     }
 
-    /// Makes the changes that lead to a version.
+    /// Applies the changes of an update up to this version.
     pub(super) fn apply(&mut self, version: Version, changes: &[Document]) {
         self.version = version;
         for change in changes {
@@ -134,6 +136,7 @@
     sorted
 }
 
+/// Checks that no document is newer than the update's version.
 fn check_versions(documents: &[Document], to: Version) -> Result<(), UpdateError> {
     match documents.iter().find(|document| document.version > to) {
         Some(document) => Err(UpdateError::DocumentAfterUpdate { found: document.version, to }),
--- a/crates/stepspur-distribution/src/subscriber/messages.rs
+++ b/crates/stepspur-distribution/src/subscriber/messages.rs
@@ -7,10 +7,11 @@
 use crate::document::{Document, Interest};
 use crate::version::Version;
 
-/// Length of a frame of either side, in bytes, at most. The first frame may name 10,000 tenants.
+/// Maximum length of a frame in either direction, in bytes. The first frame may name 10,000 tenants.
 pub(super) const MAX_FRAME_BYTES: usize = 2 << 20;
 
-/// The first frame of a connection. `insists` asks to be accepted beyond the member's share of subscribers.
+/// The first frame of a connection: subscribes to the changes after `stored_version`. `insists` asks to be
+/// accepted beyond the member's share of subscribers.
 pub(super) fn subscribe(
     name: &str,
     interest: &Interest,
@@ -30,7 +31,7 @@
     FromSubscriber { kind: Some(from_subscriber::Kind::Subscribe(subscribe)) }
 }
 
-/// Acknowledges the stored and the applied version, and names documents that were not applied.
+/// Acknowledges the stored and the applied version, and lists documents that were not applied.
 pub(super) fn acknowledgement(progress: &Progress) -> FromSubscriber {
     let acknowledgement = v1::ConfigAcknowledgement {
         holds: Some(progress.stored_version.into()),
@@ -45,7 +46,7 @@
     v1::UnappliedDocument { document: Some(document.into()), reason: unapplied.reason.clone() }
 }
 
-/// Sent when no other frame was for a keep-alive interval.
+/// A keep-alive, sent when no other frame was sent for a keep-alive interval.
 pub(super) fn keep_alive() -> FromSubscriber {
     let keep_alive = v1::ConfigKeepAlive { covered: None };
     FromSubscriber { kind: Some(from_subscriber::Kind::KeepAlive(keep_alive)) }
--- a/crates/stepspur-distribution/src/subscriber/mod.rs
+++ b/crates/stepspur-distribution/src/subscriber/mod.rs
@@ -1,8 +1,8 @@
 //! A subscriber: the conductor's side of the distribution.
 //!
-//! It connects to one control member, names the documents that concern it and the version that it holds, and
-//! is sent the changes after that version. Each update is stored, then applied, then acknowledged. Without a
-//! control member the stored documents stay in effect, and the status tells their age.
+//! It connects to one control member, subscribes to the documents that concern it, states the version that it
+//! holds, and is sent the changes after that version. Each update is stored, then applied, then acknowledged.
+//! Without a control member the stored documents stay in effect, and the status has their age.
 //!
 //! Two tasks: the scope task (`scope_task`) owns the store, the documents and the applier; the connector
 //! (`connector`) owns the connection. The connector passes one update at a time, and reads nothing until it
@@ -74,7 +74,7 @@
 
         let stop = CancellationToken::new();
         let tasks = TaskTracker::new();
-        // One update at a time.
+        // Capacity 1: the connector sends one update at a time.
         let (updates, update_requests) = mpsc::channel(1);
         let progress = scope_task.progress();
         tasks.spawn(scope_task.run(update_requests, stop.clone()));
@@ -84,7 +84,7 @@
         Ok(Self { status, stop, _stop_on_drop: stop_on_drop, tasks })
     }
 
-    /// The status. Its age and its byte counters are updated each second.
+    /// The status, as it changes. Its age and its byte counters are updated each second.
     pub fn status(&self) -> watch::Receiver<SubscriberStatus> {
         self.status.clone()
     }
@@ -97,12 +97,13 @@
     }
 }
 
-/// A store and its content.
+/// A store and the content that was read from it.
 struct LoadedStore {
     store: Box<dyn ScopeStore>,
     stored: Option<StoredScope>,
 }
 
+/// Reads the store on a blocking thread.
 async fn load(mut store: Box<dyn ScopeStore>) -> Result<LoadedStore, SubscriberStartError> {
     let loading = tokio::task::spawn_blocking(move || -> Result<LoadedStore, StoreError> {
         let stored = store.load()?;
--- a/crates/stepspur-distribution/src/subscriber/retrying_applier.rs
+++ b/crates/stepspur-distribution/src/subscriber/retrying_applier.rs
@@ -1,4 +1,4 @@
-//! Applies documents, and retries those that failed.
+//! Applies documents to the engines, and retries those that failed.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -12,13 +12,14 @@
 use super::status::{MAX_UNAPPLIED_LISTED, Unapplied, truncate_reason};
 use crate::document::{Document, Key};
 
-/// An engine that does not answer within this time is not called again until the next retry.
+/// Time limit for a call of the engine. After a timeout it is not called again until the next retry.
 pub(super) const APPLY_TIMEOUT: Duration = Duration::from_secs(2);
-/// Documents per retry, at most.
+/// Maximum number of documents that are retried per tick.
 const MAX_RETRIES_PER_TICK: usize = 256;
-/// Other tasks run after this many documents.
+/// After this many documents the task yields, so that other tasks can run.
 const DOCUMENTS_PER_YIELD: usize = 64;
 
+/// A document that was not applied, and why.
 struct FailedDocument {
     document: Document,
     reason: String,
@@ -33,11 +34,13 @@
     Timeout,
 }
 
-/// Applies documents, and holds those that failed for retries.
+/// Applies documents, and retains those that failed for retries.
 pub(super) struct RetryingApplier {
     applier: Arc<dyn DocumentApplier>,
+    /// The documents whose last call failed.
     failed: BTreeMap<Key, FailedDocument>,
-    /// The key of the last document that was retried: the next retry continues after it.
+    /// The key of the document that was retried last. The next retry continues after it, so that documents
+    /// that always fail do not block the others.
     last_retried: Option<Key>,
 }
 
@@ -56,7 +59,7 @@
         self.failed.len()
     }
 
-    /// Failed documents, [`MAX_UNAPPLIED_LISTED`] at most.
+    /// The failed documents in the order of their keys, at most [`MAX_UNAPPLIED_LISTED`].
     pub(super) fn list_failed(&self) -> Vec<Unapplied> {
         let listed = self.failed.iter().take(MAX_UNAPPLIED_LISTED);
         listed
@@ -68,7 +71,7 @@
             .collect()
     }
 
-    /// Applies all documents. After a timeout the rest counts as failed without a call.
+    /// Applies all documents. After a timeout the remaining ones count as failed without a call.
     pub(super) async fn apply_all(&mut self, documents: &[Document]) {
         let mut has_timed_out = false;
         for (index, document) in documents.iter().enumerate() {
@@ -83,7 +86,7 @@
         }
     }
 
-    /// Retries failed documents until one times out, [`MAX_RETRIES_PER_TICK`] at most.
+    /// Retries failed documents until one times out, at most [`MAX_RETRIES_PER_TICK`].
     pub(super) async fn retry(&mut self) {
         for document in self.next_retries() {
             self.last_retried = Some(document.key.clone());
@@ -105,7 +108,7 @@
         retries.map(|(_, failed)| failed.document.clone()).collect()
     }
 
-    /// Applies one document, and records a failure. Only a timeout is returned.
+    /// Applies one document, and records a failure. Only a timeout is returned as an error.
     async fn apply(&mut self, document: &Document) -> Result<(), TimedOut> {
         match timeout(APPLY_TIMEOUT, self.applier.apply(document)).await {
             Ok(Ok(())) => {
@@ -133,5 +136,5 @@
     }
 }
 
-/// The engine did not answer in time.
+/// Error: the engine did not answer within [`APPLY_TIMEOUT`].
 struct TimedOut;
--- a/crates/stepspur-distribution/src/subscriber/scope_task.rs
+++ b/crates/stepspur-distribution/src/subscriber/scope_task.rs
@@ -1,4 +1,4 @@
-//! The task that owns a subscriber's documents: it stores each update, applies it, and publishes the
+//! The scope task, which owns a subscriber's documents: it stores each update, applies it, and publishes the
 //! progress.
 
 use std::sync::Arc;
@@ -17,9 +17,10 @@
 use crate::scope_store::{ScopeStore, ScopeUpdate};
 use crate::version::Version;
 
-/// The interval of retries of failed documents, and of status updates.
+/// The interval at which failed documents are retried and the status is refreshed.
 const TICK_INTERVAL: Duration = Duration::from_secs(1);
-/// A covered version is stored at this interval at most, as it changes no document.
+/// Minimum interval between saves of covered versions. They change no document; if one is lost, the next
+/// start begins at an earlier version.
 const COVERED_SAVE_INTERVAL: Duration = Duration::from_secs(60);
 
 /// Owns the documents of a subscriber, their store and the applier.
@@ -27,7 +28,7 @@
     cache: DocumentCache,
     store: Box<dyn ScopeStore>,
     applier: RetryingApplier,
-    /// All changes up to this version are applied.
+    /// All changes of the interest up to this version are applied.
     applied_version: Version,
     last_save: Instant,
     /// Whether a covered version was received since the last save.
@@ -55,7 +56,7 @@
         }
     }
 
-    /// The progress, as it changes.
+    /// Subscribes to the progress.
     pub(super) fn progress(&self) -> watch::Receiver<Progress> {
         self.progress.subscribe()
     }
@@ -75,7 +76,7 @@
                 biased;
                 () = stop.cancelled() => break,
                 Some(UpdateRequest { update, result }) = requests.recv() => {
-                    // The connection may have ended meanwhile, so that nobody waits for the result.
+                    // If the connection has ended in the meantime, nothing waits for the result.
                     drop(result.send(self.handle(update).await));
                 }
                 _ = ticks.tick() => self.tick().await,
@@ -86,6 +87,8 @@
         }
     }
 
+    /// Does the periodic work: retries failed documents, saves a covered version that is due, refreshes the
+    /// status.
     async fn tick(&mut self) {
         if self.applier.has_failed() {
             self.applier.retry().await;
@@ -135,7 +138,7 @@
         Ok(())
     }
 
-    /// Applies the changes of an update that is stored.
+    /// Applies the changes of an update that was stored.
     async fn apply_changes(&mut self, version: Version, changes: &[Document]) {
         self.cache.apply(version, changes);
         self.applier.apply_all(changes).await;
@@ -152,12 +155,14 @@
 
     async fn save_covered(&mut self) {
         if let Err(cause) = self.save(&ScopeUpdate::Covered { version: self.cache.version() }).await {
-            // Retried after the next interval. A restart before that begins at an earlier version.
+            // The save is retried after the next interval. A restart before that begins at an earlier
+            // version.
             self.last_save = Instant::now();
             tracing::warn!(event = "covered_version_not_stored", %cause);
         }
     }
 
+    /// Saves an update, within [`SAVE_TIMEOUT`], and publishes a failure.
     async fn save(&mut self, update: &ScopeUpdate) -> Result<(), UpdateError> {
         let saved = match timeout(SAVE_TIMEOUT, self.store.save(update)).await {
             Ok(saved) => saved.map_err(UpdateError::Store),
@@ -173,7 +178,8 @@
         saved
     }
 
-    /// The stored version is applied once no document has failed. Publishes the progress.
+    /// Advances the applied version to the stored one unless a document has failed, and publishes the
+    /// progress.
     fn publish_progress(&mut self) {
         let stored_version = self.cache.version();
         if !self.applier.has_failed() {
--- a/crates/stepspur-distribution/src/subscriber/session.rs
+++ b/crates/stepspur-distribution/src/subscriber/session.rs
@@ -1,4 +1,5 @@
-//! One connection after its welcome: passes updates to the scope task, and acknowledges the progress.
+//! A session: one connection after its welcome. It passes updates to the scope task, and acknowledges
+//! progress.
 
 use std::time::Duration;
 
@@ -17,7 +18,7 @@
 
 /// Why a session ended.
 pub(super) enum SessionEnd {
-    /// The control member asks the subscriber to go to another one.
+    /// The control member redirects the subscriber to another one.
     Redirect(v1::ConfigRedirect),
     /// The connection ended or failed.
     Connection(ConnectionEnd),
@@ -29,7 +30,7 @@
     }
 }
 
-/// A connection after its welcome.
+/// A connection after its welcome, and the channels to the scope task.
 pub(super) struct Session<'a> {
     connection: Connection,
     keep_alive_interval: Duration,
@@ -39,9 +40,9 @@
     snapshot: SnapshotAssembler,
     last_sent: Instant,
     last_received: Instant,
-    /// The progress that the control member knows.
+    /// The progress that was last acknowledged to the control member.
     acknowledged: Progress,
-    /// The result of the update that the scope task handles.
+    /// Receives the result of the update that the scope task is handling; `None` if there is none.
     pending_update: Option<oneshot::Receiver<Result<(), UpdateError>>>,
 }
 
@@ -63,7 +64,8 @@
         publisher: &'a StatusPublisher,
     ) -> Self {
         let now = Instant::now();
-        // The first frame of the connection had the versions, but not the documents that were not applied.
+        // The first frame of the connection had the versions, but no list of the documents that were not
+        // applied.
         let acknowledged = Progress { unapplied: Vec::new(), ..progress.borrow_and_update().clone() };
         Self {
             connection,
@@ -98,7 +100,7 @@
             }
             SessionEvent::UpdateHandled(result) => {
                 self.pending_update = None;
-                // No frame was read meanwhile.
+                // No frame was read during the update, so that the silence counts from here.
                 self.last_received = Instant::now();
                 result.map_err(ConnectionEnd::UpdateFailed)?;
             }
@@ -109,7 +111,8 @@
         Ok(())
     }
 
-    /// Waits for the next event. No frame is read while an update is handled.
+    /// Waits for the next event. No frame is read while an update is being handled: a slow store or engine
+    /// exerts backpressure on the control member.
     async fn next_event(&mut self) -> Result<SessionEvent, ConnectionEnd> {
         let may_read = self.pending_update.is_none();
         let silent_at = self.last_received + self.max_silence();
@@ -142,7 +145,7 @@
                     self.pass_update(ConfigUpdate::Snapshot(snapshot)).await?;
                 }
             }
-            // A covered version counts from the update before it, and the snapshot is not complete.
+            // Ignored while a snapshot is incomplete: a covered version is relative to the update before it.
             from_control::Kind::KeepAlive(_) if self.snapshot.is_in_progress() => {}
             from_control::Kind::KeepAlive(keep_alive) => {
                 self.pass_update(ConfigUpdate::Covered(version_of(keep_alive.covered))).await?;
@@ -153,7 +156,7 @@
         Ok(())
     }
 
-    /// Passes an update to the scope task. The channel has capacity, as no other update is pending.
+    /// Passes an update to the scope task. This does not block, as no other update is pending.
     async fn pass_update(&mut self, update: ConfigUpdate) -> Result<(), ConnectionEnd> {
         let (result, pending) = oneshot::channel();
         let request = UpdateRequest { update, result };
--- a/crates/stepspur-distribution/src/subscriber/settings.rs
+++ b/crates/stepspur-distribution/src/subscriber/settings.rs
@@ -1,4 +1,4 @@
-//! A subscriber's settings, and why it does not start.
+//! The settings of a subscriber, their checks, and the errors of its start.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,20 +10,20 @@
 use crate::scope_store::StoreError;
 use crate::version::Version;
 
-/// A subscriber's settings.
+/// What a subscriber is started with.
 #[derive(Clone, Debug)]
 pub struct SubscriberSettings {
-    /// The name under which it is registered. No two running subscribers share one.
+    /// The name under which it is registered. It must be unique among running subscribers.
     pub name: String,
     /// Which documents concern it.
     pub interest: Interest,
-    /// The first control members to try. They name the others.
+    /// Addresses of the control members to try first. Their welcome names the others.
     pub control: Vec<SocketAddr>,
-    /// Time limit of connecting, and again of the first frame.
+    /// Time limit for connecting, and again for the first frame of the control member.
     pub dial_timeout: Duration,
-    /// Time limit of writing a frame.
+    /// Time limit for writing a frame. Exceeding it ends the connection.
     pub write_timeout: Duration,
-    /// Seed of the jitter of the backoff.
+    /// Seed of the random jitter of the reconnect backoff.
     pub seed: u64,
 }
 
@@ -39,19 +39,19 @@
     /// The interest is invalid.
     #[error("interest: {0}")]
     InvalidInterest(#[from] DocumentError),
-    /// The interest does not fit in a frame.
+    /// The first frame with this interest is too large.
     #[error("interest: {0}")]
     InterestTooLarge(#[from] FrameError),
     /// The store cannot be read.
     #[error(transparent)]
     Store(#[from] StoreError),
     /// The task that reads the store ended without a result.
-    #[error("reading what is kept: {0}")]
+    #[error("cannot read the store: {0}")]
     Load(String),
 }
 
 impl SubscriberSettings {
-    /// Checks the settings, and sorts the interest.
+    /// Checks the settings, and returns them with a sorted interest.
     pub(super) fn checked(mut self) -> Result<Self, SubscriberStartError> {
         if !is_valid_name(&self.name) {
             return Err(SubscriberStartError::InvalidName);
--- a/crates/stepspur-distribution/src/subscriber/snapshot_assembler.rs
+++ b/crates/stepspur-distribution/src/subscriber/snapshot_assembler.rs
@@ -1,40 +1,41 @@
-//! Assembles a snapshot from its parts.
+//! Assembles a snapshot from the parts that a control member sends.
 
 use stepspur_proto::v1;
 
 use crate::document::{Document, DocumentError};
 use crate::version::{Version, version_of};
 
-/// Documents of a snapshot, at most.
+/// Maximum number of documents in a snapshot. It bounds the memory for parts that are not yet stored.
 pub(super) const MAX_SNAPSHOT_DOCUMENTS: usize = 65_536;
 
-/// Why a part is rejected.
+/// Why a part is rejected. It ends the connection.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum SnapshotError {
     /// The part does not continue the snapshot in progress.
     #[error(
-        "part {found} of the snapshot of {version} came where part {expected} of {expected_version} was due"
+        "received part {found} of the snapshot of {version}, expected part {expected} of {expected_version}"
     )]
     OutOfOrder { found: u32, version: Version, expected: u32, expected_version: Version },
     /// The snapshot has too many documents.
-    #[error("a snapshot of more than {MAX_SNAPSHOT_DOCUMENTS} documents")]
+    #[error("the snapshot has more than {MAX_SNAPSHOT_DOCUMENTS} documents")]
     TooLarge,
     /// A document is invalid.
-    #[error("a document of a snapshot: {0}")]
+    #[error("invalid document in a snapshot: {0}")]
     InvalidDocument(#[from] DocumentError),
 }
 
-/// A complete snapshot.
+/// All documents of the interest as of a version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Snapshot {
     pub(super) version: Version,
     pub(super) documents: Vec<Document>,
 }
 
-/// Collects the parts of a snapshot.
+/// Collects the parts of one snapshot at a time.
 #[derive(Debug, Default)]
 pub(super) struct SnapshotAssembler {
     in_progress: Option<Snapshot>,
+    /// The number of the next part, if a snapshot is in progress.
     next_part: u32,
 }
 
@@ -44,10 +45,11 @@
         self.in_progress.is_some()
     }
 
-    /// Adds a part. Part 0 begins a new snapshot; the last part returns it.
+    /// Adds a part. Part 0 begins a new snapshot and discards an incomplete one. Returns the snapshot with
+    /// its last part.
     ///
     /// # Errors
-    /// [`SnapshotError`]; the parts before are discarded.
+    /// [`SnapshotError`]; earlier parts are discarded.
     pub(super) fn add(&mut self, part: v1::ConfigSnapshotPart) -> Result<Option<Snapshot>, SnapshotError> {
         let version = version_of(part.version);
         let mut snapshot = self.take_matching(part.part, version)?;
@@ -65,7 +67,7 @@
         Ok(None)
     }
 
-    /// Takes the snapshot that this part continues.
+    /// Takes the snapshot that this part continues, or a new one for part 0.
     fn take_matching(&mut self, part: u32, version: Version) -> Result<Snapshot, SnapshotError> {
         let in_progress = self.in_progress.take();
         if part == 0 {
--- a/crates/stepspur-distribution/src/subscriber/status_publisher.rs
+++ b/crates/stepspur-distribution/src/subscriber/status_publisher.rs
@@ -10,30 +10,31 @@
 
 use super::status::{SubscriberStatus, truncate_reason};
 
-/// A time at which the age of the configuration was known.
+/// The age of the configuration at a time. The current age is computed from it.
 #[derive(Clone, Copy, Debug)]
 struct KnownAge {
     at: Instant,
     age: Duration,
 }
 
-/// Bytes read from and written to control members.
+/// Counters of the bytes read from and written to control members.
 #[derive(Debug, Default)]
 pub(super) struct ByteCounters {
     pub(super) read: AtomicU64,
     pub(super) written: AtomicU64,
 }
 
-/// Publishes the status.
+/// Holds the status, and publishes each change.
 #[derive(Debug)]
 pub(super) struct StatusPublisher {
     status: watch::Sender<SubscriberStatus>,
+    /// `None` before the first frame if nothing was stored in an earlier run.
     known_age: Mutex<Option<KnownAge>>,
     pub(super) bytes: ByteCounters,
 }
 
 impl StatusPublisher {
-    /// The publisher of a subscriber that saved its documents last at `stored_at`, in an earlier run.
+    /// Creates the publisher of a subscriber that last saved its documents at `stored_at`, in an earlier run.
     pub(super) fn new(stored_at: Option<SystemTime>) -> (Self, watch::Receiver<SubscriberStatus>) {
         let known_age = stored_at.map(|stored_at| KnownAge {
             at: Instant::now(),
@@ -45,13 +46,13 @@
         (publisher, receiver)
     }
 
-    /// Records a frame of a control member: the age starts from zero.
+    /// Records a frame from a control member: resets the age to zero.
     pub(super) fn record_frame(&self) {
         let known_age = KnownAge { at: Instant::now(), age: Duration::ZERO };
         *self.known_age.lock().unwrap_or_else(PoisonError::into_inner) = Some(known_age);
     }
 
-    /// The time since the last frame of a control member.
+    /// The time since the last frame from a control member; `None` if there never was one.
     pub(super) fn age(&self) -> Option<Duration> {
         let known_age = *self.known_age.lock().unwrap_or_else(PoisonError::into_inner);
         known_age.map(|known| known.age + known.at.elapsed())
@@ -73,7 +74,7 @@
         });
     }
 
-    /// Publishes an error.
+    /// Publishes an error that does not end the connection by itself.
     pub(super) fn set_error(&self, error: String) {
         let error = truncate_reason(error);
         self.update(|status| status.last_error = Some(error));
--- a/crates/stepspur-distribution/src/subscriber/update.rs
+++ b/crates/stepspur-distribution/src/subscriber/update.rs
@@ -1,4 +1,4 @@
-//! What the connector and the scope task exchange: updates one way, progress the other way.
+//! The messages between the connector and the scope task: updates one way, progress the other way.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use crate::scope_store::StoreError;
 use crate::version::Version;
 
-/// A save that takes longer fails, and the connection ends.
+/// Time limit for saving an update. A save that takes longer fails, and the connection ends.
 pub(super) const SAVE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// An update from a control member.
@@ -18,13 +18,13 @@
 pub(super) enum ConfigUpdate {
     /// All documents that changed after `from`, up to `to`.
     Delta { from: Version, to: Version, documents: Vec<Document> },
-    /// All documents.
+    /// All documents of the interest.
     Snapshot(Snapshot),
     /// No document changed between the last update and this version.
     Covered(Version),
 }
 
-/// An update, and where to send the result.
+/// An update to store and apply, and the channel for its result.
 #[derive(Debug)]
 pub(super) struct UpdateRequest {
     pub(super) update: ConfigUpdate,
@@ -34,11 +34,11 @@
 /// Why an update was not stored. It ends the connection.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum UpdateError {
-    /// Changes between the stored version and the delta are unknown.
-    #[error("a delta from {from} to a subscriber that holds {stored}: something is missing between them")]
+    /// The delta begins after the stored version, so that the changes in between are unknown.
+    #[error("the delta begins at {from}, after the stored version {stored}: changes in between are missing")]
     Gap { from: Version, stored: Version },
-    /// A document is newer than the update.
-    #[error("a document of version {found} in an update up to {to}")]
+    /// A document has a later version than the update that contains it.
+    #[error("a document of version {found} in an update up to version {to}")]
     DocumentAfterUpdate { found: Version, to: Version },
     /// The store failed.
     #[error(transparent)]
@@ -55,6 +55,6 @@
     pub(super) stored_version: Version,
     /// All changes of its interest up to this version are applied.
     pub(super) applied_version: Version,
-    /// Documents that were not applied, [`super::MAX_UNAPPLIED_LISTED`] at most.
+    /// Documents that were not applied, at most [`super::MAX_UNAPPLIED_LISTED`].
     pub(super) unapplied: Vec<Unapplied>,
 }
