--- a/crates/stepspur-distribution/src/config.rs
+++ b/crates/stepspur-distribution/src/config.rs
@@ -1,4 +1,5 @@
-//! The settings of `[distribution]`: for a control member, for a subscriber, and their bounds.
+//! The settings in `[distribution]`, for a control member and for a subscriber, with their defaults and
+//! bounds.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -14,15 +15,16 @@
 };
 use crate::keep_alive::{MAX_KEEP_ALIVE, MIN_KEEP_ALIVE};
 
-/// Control members in the settings, at most.
+/// Maximum number of control members in the settings.
 pub const MAX_CONTROL_MEMBERS: usize = 1_000;
-/// The largest limit of subscribers of one control member.
+/// Upper bound of the setting `subscribers_max` of a control member.
 pub const MAX_SUBSCRIBERS: u32 = 100_000;
 
-/// The smallest rate limit of snapshots, in bytes per second: one part each second.
+/// Lower bound of the rate limit of snapshots, in bytes per second: at least one part can be sent each second.
 const MIN_SNAPSHOT_BYTES_PER_S: u32 = 64 << 10;
-/// The largest rate limit of snapshots, in bytes per second.
+/// Upper bound of the rate limit of snapshots, in bytes per second.
 const MAX_SNAPSHOT_BYTES_PER_S: u32 = 1 << 30;
+/// Bounds of the time limits of a subscriber.
 const MIN_TIMEOUT: Duration = Duration::from_millis(10);
 const MAX_TIMEOUT: Duration = Duration::from_secs(3_600);
 
@@ -40,23 +42,26 @@
     pub subscriber: Option<SubscriberConfig>,
 }
 
-/// Settings of a control member. Its id is that of `council.id`.
+/// Settings of a control member. Its id is `council.id`.
 #[derive(Clone, Debug, Deserialize, Serialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct ControlConfig {
-    /// All control members with this one, the same in the settings of each. Each is a conductor of the
-    /// council.
+    /// All control members, this one included; the list must be the same at each. Each must be a conductor in
+    /// `council.conductors`.
     #[garde(dive, length(min = 1, max = MAX_CONTROL_MEMBERS), custom(distinct_ids))]
     pub members: Vec<ControlMemberAddress>,
-    /// Rate limit of snapshots over all subscribers, in bytes per second. Deltas are not limited.
+    /// Rate limit of snapshots over all subscribers, in bytes per second; 8 MiB/s by default. Deltas are not
+    /// limited.
     #[serde(default = "snapshot_bytes_per_s")]
     #[garde(range(min = MIN_SNAPSHOT_BYTES_PER_S, max = MAX_SNAPSHOT_BYTES_PER_S))]
     pub snapshot_bytes_per_s: u32,
-    /// Subscribers at once, at most. Further ones are rejected and go to the next control member.
+    /// Maximum number of attached subscribers; 10,000 by default. Further ones are redirected to other
+    /// control members.
     #[serde(default = "subscribers_max")]
     #[garde(range(min = 1, max = MAX_SUBSCRIBERS))]
     pub subscribers_max: u32,
-    /// The interval at which an idle subscriber is sent the version that it is covered to.
+    /// The interval at which an idle subscriber is sent a keep-alive with the version up to which no document
+    /// of its interest has changed; 5 s by default.
     #[serde(default = "keep_alive", with = "humantime_serde")]
     #[garde(custom(between(MIN_KEEP_ALIVE, MAX_KEEP_ALIVE)))]
     pub keep_alive: Duration,
@@ -69,7 +74,7 @@
     /// Its id in the consensus group.
     #[garde(range(min = 1))]
     pub id: u64,
-    /// Its address.
+    /// Its address. Must be a loopback address.
     #[garde(custom(loopback_address))]
     pub address: SocketAddr,
     /// Its region: subscribers of the same region try it first.
@@ -81,7 +86,7 @@
 #[derive(Clone, Debug, Deserialize, Serialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct SubscriberConfig {
-    /// The name under which it is registered. No two subscribers share one.
+    /// The name under which it is registered. It must be unique among subscribers.
     #[garde(custom(valid_name))]
     pub name: String,
     /// Its region: documents for other regions do not concern it.
@@ -90,17 +95,17 @@
     /// The file that stores its documents and their version. It is created if it does not exist.
     #[garde(custom(file_path))]
     pub state: PathBuf,
-    /// Addresses of some control members, in any order. They name the others.
+    /// Addresses of some control members, in any order. Their welcome names the others.
     #[garde(length(min = 1, max = MAX_CONTROL_MEMBERS), inner(custom(loopback_address)))]
     pub control: Vec<SocketAddr>,
     /// Services whose documents concern it.
     #[garde(dive, length(min = 1, max = MAX_SERVICES), custom(distinct_services))]
     pub services: Vec<ServiceConfig>,
-    /// The time limit for connecting to a control member, and again for its first frame.
+    /// Time limit for connecting to a control member, and again for its first frame; 2 s by default.
     #[serde(default = "dial_timeout", with = "humantime_serde")]
     #[garde(custom(between(MIN_TIMEOUT, MAX_TIMEOUT)))]
     pub dial_timeout: Duration,
-    /// The time limit for writing a frame. Exceeding it ends the connection.
+    /// Time limit for writing a frame; 5 s by default. Exceeding it ends the connection.
     #[serde(default = "write_timeout", with = "humantime_serde")]
     #[garde(custom(between(MIN_TIMEOUT, MAX_TIMEOUT)))]
     pub write_timeout: Duration,
@@ -110,10 +115,10 @@
 #[derive(Clone, Debug, Deserialize, Serialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceConfig {
-    /// Its name.
+    /// Name of the service.
     #[garde(custom(valid_name))]
     pub service: String,
-    /// Tenants of the service that this conductor serves. Documents for all tenants concern it in any case.
+    /// Tenants of the service that this conductor serves. Documents for all tenants always concern it.
     #[serde(default)]
     #[garde(inner(custom(valid_name)))]
     pub tenants: Vec<String>,
@@ -135,12 +140,12 @@
     Duration::from_secs(5)
 }
 
-/// A setting that does not fit the rest of the conductor's settings.
+/// A setting that conflicts with other settings of the conductor.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingError {
-    /// The key, as `distribution.control`.
+    /// The key of the setting, such as `distribution.control`.
     pub key: String,
-    /// Why it does not fit.
+    /// The conflict, to be shown after the key.
     pub reason: String,
 }
 
@@ -162,7 +167,7 @@
             (Some(control), Some(council)) => control.check_against(council),
             (Some(_), None) => vec![SettingError::new(
                 "distribution.control",
-                "needs `[council]`: control members agree on configuration there",
+                "needs `[council]`: control members replicate the configuration in that group",
             )],
         }
     }
@@ -173,7 +178,7 @@
         let members_key = "distribution.control.members";
         let mut errors = Vec::new();
         if self.member(council.id).is_none() {
-            let reason = format!("do not name this conductor's own number, {}", council.id);
+            let reason = format!("do not include this conductor's own id, {}", council.id);
             errors.push(SettingError::new(members_key, reason));
         }
         for (index, member) in self.members.iter().enumerate() {
@@ -210,11 +215,12 @@
     }
 }
 
-/// Whether both are the same address. Port 0 is assigned by the system and never the same.
+/// Whether both are the same address. With port 0 the system assigns a free port, which never collides.
 fn collides(one: SocketAddr, other: SocketAddr) -> bool {
     one == other && one.port() != 0
 }
 
+/// An error with this reason unless the condition holds.
 fn require(condition: bool, reason: impl FnOnce() -> String) -> garde::Result {
     if condition { Ok(()) } else { Err(garde::Error::new(reason())) }
 }
@@ -229,20 +235,20 @@
 }
 
 fn loopback_address(address: &SocketAddr, (): &()) -> garde::Result {
-    let reason = || "must be a loopback address: these links carry no identity yet".to_owned();
+    let reason = || "must be a loopback address: these connections are not authenticated yet".to_owned();
     require(address.ip().is_loopback(), reason)
 }
 
 fn distinct_ids(members: &[ControlMemberAddress], (): &()) -> garde::Result {
     let ids: BTreeSet<u64> = members.iter().map(|member| member.id).collect();
-    require(ids.len() == members.len(), || "name a number twice".to_owned())
+    require(ids.len() == members.len(), || "contain an id twice".to_owned())
 }
 
 fn distinct_services(services: &[ServiceConfig], (): &()) -> garde::Result {
     let names: BTreeSet<&str> = services.iter().map(|service| service.service.as_str()).collect();
-    require(names.len() == services.len(), || "name a service twice".to_owned())?;
+    require(names.len() == services.len(), || "contain a service twice".to_owned())?;
     let tenants: usize = services.iter().map(|service| service.tenants.len()).sum();
-    require(tenants <= MAX_TENANTS, || format!("name {tenants} tenants, {MAX_TENANTS} at most"))
+    require(tenants <= MAX_TENANTS, || format!("contain {tenants} tenants, {MAX_TENANTS} at most"))
 }
 
 fn between(min: Duration, max: Duration) -> impl FnOnce(&Duration, &()) -> garde::Result {
--- a/crates/stepspur-distribution/src/configuration/command.rs
+++ b/crates/stepspur-distribution/src/configuration/command.rs
@@ -1,4 +1,4 @@
-//! Commands of the configuration, and their checks.
+//! The commands that change the replicated configuration, and their checks.
 //!
 //! The texts of [`CommandError`] and [`RegistrationError`] are replicated as a rejection's reason. They must
 //! not change: members of different program versions must reject a command with the same text.
@@ -13,38 +13,40 @@
 };
 use crate::document::{Change, DocumentError, Interest, MAX_NAME_BYTES, Scope, is_valid_name};
 
-/// Length of a name in a registration without its letters, in bytes, at most.
+/// Maximum length of the encoding that is added to each name in a registration, in bytes.
 const NAME_OVERHEAD_BYTES: usize = 4;
 
-/// A command of the configuration.
+/// A command to the replicated configuration. It is a log entry; the order of variants and fields is its
+/// encoding.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// Makes a version of all these changes, or of none if any is invalid. One to [`MAX_CHANGES`], each key
-    /// once.
+    /// Creates a version with all these changes, or rejects them all if any is invalid. Has 1 to
+    /// [`MAX_CHANGES`], each key once.
     Change {
-        /// The changes.
+        /// The changes, of distinct documents.
         changes: Vec<Change>,
     },
-    /// Registers subscribers or replaces their registrations. One to [`MAX_REGISTRATIONS`].
+    /// Registers subscribers or replaces their registrations. Has 1 to [`MAX_REGISTRATIONS`].
     Register {
-        /// The subscribers.
+        /// The subscribers to register.
         registrations: Vec<Registration>,
     },
     /// Removes the registration of a subscriber.
     Remove {
-        /// The subscriber's name.
+        /// Name of the subscriber.
         name: String,
     },
 }
 
-/// A registered subscriber.
+/// The registration of a subscriber: rollouts of versions that concern it wait for it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Registration {
-    /// Its name.
+    /// Name of the subscriber, unique among all.
     pub name: String,
-    /// The documents that concern it.
+    /// Which documents concern it.
     pub interest: Interest,
-    /// Whether its tenants are omitted as too many. Documents of all tenants of its services concern it then.
+    /// Whether its tenants are omitted because they are too many. Documents of every tenant of its services
+    /// then count as concerning it.
     pub all_tenants: bool,
 }
 
@@ -59,7 +61,7 @@
     Count {
         /// The number in the command.
         count: usize,
-        /// The maximum.
+        /// The maximum for this kind of command.
         max: usize,
     },
     /// A change is invalid.
@@ -104,15 +106,15 @@
     /// Services or tenants of the interest are unsorted or repeated.
     #[error("services and tenants must be sorted, each once")]
     Unsorted,
-    /// The names have this many bytes together.
+    /// The names exceed [`MAX_REGISTRATION_BYTES`]. Contains their encoded length.
     #[error("{0} bytes of names are too many: {MAX_REGISTRATION_BYTES} may be registered")]
     TooLarge(usize),
 }
 
 impl Command {
-    /// Encodes the command for the log.
+    /// Encodes the command for the replicated log.
     pub fn encode(&self) -> Vec<u8> {
-        // Postcard encodes names and numbers without failing.
+        // Cannot fail: the command consists of strings and numbers.
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
@@ -126,7 +128,7 @@
         Ok(command)
     }
 
-    /// Checks all changes or registrations of the command.
+    /// Checks the number and the content of the changes or registrations.
     ///
     /// # Errors
     /// The first error found.
@@ -164,7 +166,7 @@
 }
 
 impl Registration {
-    /// The registration of a subscriber. Tenants are omitted if they need too many bytes.
+    /// Creates the registration of a subscriber. Its tenants are omitted if they need too many bytes.
     ///
     /// # Errors
     /// The first error found in the name or the interest.
@@ -180,7 +182,7 @@
         Ok(registration)
     }
 
-    /// Length of the registration in a command, in bytes, at most.
+    /// Upper bound of the registration's length in a command, in bytes.
     pub fn encoded_bytes(&self) -> usize {
         let mut bytes = name_bytes(&self.name) + name_bytes(&self.interest.region);
         for service in &self.interest.services {
@@ -190,7 +192,7 @@
         bytes
     }
 
-    /// Whether a document of this scope concerns the subscriber.
+    /// Whether a document of this scope concerns the subscriber, as far as the registration shows.
     pub fn covers(&self, scope: &Scope) -> bool {
         if self.all_tenants && scope.tenant.is_some() {
             return self.interest.covers(&Scope { tenant: None, ..scope.clone() });
--- a/crates/stepspur-distribution/src/configuration/mod.rs
+++ b/crates/stepspur-distribution/src/configuration/mod.rs
@@ -1,9 +1,10 @@
-//! The replicated configuration: current documents, recent changes, and the registered subscribers.
+//! The replicated configuration: a state machine with the current documents, recent changes, and the
+//! registered subscribers.
 //!
-//! Members reach the same state by the same entries, so nothing here uses a clock, random numbers or hash
-//! order. A delta from a version holds the last change of each document that changed after it. It is computed
-//! from the retained changes, [`MAX_RECENT_CHANGES`] at most. A subscriber at an earlier version needs a
-//! snapshot.
+//! The state must depend on the log entries alone, so that all members reach the same one: nothing here uses
+//! a clock, random numbers or hash order. A delta from a version contains the last change of each document
+//! that changed after it. It is computed from the retained changes, at most [`MAX_RECENT_CHANGES`]. A
+//! subscriber at an earlier version needs a snapshot.
 
 mod command;
 mod limits;
--- a/crates/stepspur-distribution/src/configuration/query.rs
+++ b/crates/stepspur-distribution/src/configuration/query.rs
@@ -1,4 +1,4 @@
-//! Reads of the replicated state: deltas, snapshots, and which subscribers a version concerns.
+//! Queries of the replicated state: deltas, snapshots, and the subscribers that a version concerns.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -8,7 +8,7 @@
 use crate::document::{Change, Document, Interest, Key, Scope, Target};
 use crate::version::Version;
 
-/// Length of a document in a message without its names, in bytes, at most.
+/// Upper bound of a document's length in a message without its names, in bytes.
 const DOCUMENT_OVERHEAD_BYTES: usize = 128;
 
 /// All documents of an interest that changed after one version, up to another.
@@ -16,23 +16,23 @@
 pub struct Delta {
     /// The version up to which changes are included.
     pub to: Version,
-    /// Sorted by key. A document without a setting was removed.
+    /// The changed documents, sorted by key. One without a setting was removed.
     pub documents: Vec<Document>,
 }
 
-/// What to send to a subscriber next.
+/// The next update to send to a subscriber.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SubscriberUpdate {
     /// No document of its interest changed up to this version, the head.
     Covered(Version),
-    /// Some documents of its interest changed.
+    /// Documents of its interest changed.
     Delta(Delta),
-    /// All documents of its interest, as deltas do not reach back to its version.
+    /// The subscriber needs all documents of its interest, as deltas do not reach back to its version.
     Snapshot,
 }
 
 impl ConfigurationState {
-    /// The last version.
+    /// The last version; [`Version::NONE`] before the first change.
     pub fn head(&self) -> Version {
         self.head
     }
@@ -59,8 +59,8 @@
 
     /// The next update of a subscriber that holds all changes up to `from`.
     ///
-    /// A delta has `max_bytes` of documents at most, but the changes of its first version always; the first
-    /// version that does not fit is left for the next delta.
+    /// A delta has at most `max_bytes` of documents, but always contains the changes of its first version.
+    /// Later versions that do not fit are left for the next delta.
     pub fn next_update(&self, from: Version, interest: &Interest, max_bytes: usize) -> SubscriberUpdate {
         if from < self.oldest {
             return SubscriberUpdate::Snapshot;
@@ -87,8 +87,8 @@
         SubscriberUpdate::Delta(Delta { to, documents: changed.into_values().collect() })
     }
 
-    /// The last version after `from` that concerns this interest; the head if `from` is before the retained
-    /// changes.
+    /// The last version after `from` that concerns this interest, `None` if there is none. If `from` is
+    /// before the retained changes, the head is returned instead.
     pub fn last_concerning(&self, from: Version, interest: &Interest) -> Option<Version> {
         if from < self.oldest {
             return Some(self.head);
@@ -98,7 +98,7 @@
         self.versions_after(from).rev().find(concerns).map(|version| version.version)
     }
 
-    /// The scopes of changes after `from`, by ascending version; `None` if `from` is before the retained
+    /// The scopes of the changes after `from`, by ascending version; `None` if `from` is before the retained
     /// changes.
     pub fn scopes_after(&self, from: Version) -> Option<impl Iterator<Item = (Version, &Scope)>> {
         if from < self.oldest {
@@ -110,18 +110,18 @@
         }))
     }
 
-    /// All documents of an interest, sorted by service and tenant. The cost grows with the interest and the
-    /// result, not with the number of all documents.
+    /// All documents of an interest, sorted by service and tenant. The cost grows with the sizes of the
+    /// interest and of the result, not with the total number of documents.
     pub fn snapshot(&self, interest: &Interest) -> Vec<Document> {
         self.covered_by(interest).map(document_of).collect()
     }
 
-    /// Length of the documents of an interest in messages, in bytes, at most.
+    /// Upper bound of the length of an interest's documents in messages, in bytes.
     pub fn snapshot_bytes(&self, interest: &Interest) -> usize {
         self.covered_by(interest).map(|(key, _)| encoded_bytes(&key.scope, &key.target)).sum()
     }
 
-    /// The registration of a subscriber.
+    /// The registration of a subscriber; `None` if it is not registered.
     pub fn registration(&self, name: &str) -> Option<&Registration> {
         self.registrations.get(name)
     }
@@ -147,6 +147,7 @@
         self.recent.range(start..)
     }
 
+    /// The documents of an interest. Visits only the documents of its services and tenants.
     fn covered_by<'a>(
         &'a self,
         interest: &'a Interest,
@@ -160,7 +161,7 @@
         of_all_services.chain(of_services).filter(|(key, _)| interest.covers(&key.scope))
     }
 
-    /// Documents of exactly this service and tenant, in all regions.
+    /// Documents whose scope has exactly this service and tenant, in all regions.
     fn documents_for(
         &self,
         service: Option<&str>,
@@ -169,14 +170,14 @@
         let service = service.map(str::to_owned);
         let tenant = tenant.map(str::to_owned);
         let scope = Scope { service: service.clone(), tenant: tenant.clone(), region: None };
-        // The least target: servers are before classes, IPv4 addresses before IPv6 addresses.
+        // The smallest target: servers sort before classes, IPv4 addresses before IPv6 addresses.
         let target = Target::Server(SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0)));
         let from_first = self.documents.range(Key { scope, target }..);
         from_first.take_while(move |(key, _)| key.scope.service == service && key.scope.tenant == tenant)
     }
 }
 
-/// Length of a document in a message, in bytes, at most.
+/// Upper bound of a document's length in a message, in bytes.
 pub(crate) fn document_bytes(document: &Document) -> usize {
     encoded_bytes(&document.key.scope, &document.key.target)
 }
--- a/crates/stepspur-distribution/src/configuration/snapshot.rs
+++ b/crates/stepspur-distribution/src/configuration/snapshot.rs
@@ -7,7 +7,7 @@
 use crate::document::Document;
 use crate::version::Version;
 
-/// The stored form. The order of fields is that of stored data.
+/// The stored form. It is encoded by position: the order of fields must not change.
 #[derive(Serialize, Deserialize)]
 pub(super) struct ConfigurationSnapshot {
     head: Version,
@@ -17,7 +17,7 @@
     registrations: Vec<Registration>,
 }
 
-/// Why a snapshot is not the state of a configuration.
+/// Why a snapshot cannot be restored as the state of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConfigurationSnapshotError {
     /// The bytes cannot be decoded.
@@ -26,12 +26,12 @@
     /// A current document has no setting.
     #[error("a current document of version {0} has no setting")]
     MissingSetting(Version),
-    /// A document was changed after the head version.
-    #[error("a document of version {version}, after the head {head}")]
+    /// A document has a later version than the head.
+    #[error("a document has version {version}, which is later than the head {head}")]
     DocumentAfterHead {
-        /// The document's version.
+        /// Version of the document.
         version: Version,
-        /// The last version.
+        /// The head version of the snapshot.
         head: Version,
     },
     /// The versions of the recent changes do not ascend from the oldest version to the head.
@@ -39,7 +39,7 @@
     UnorderedVersions {
         /// The version before the first of the recent changes.
         oldest: Version,
-        /// The last version.
+        /// The head version of the snapshot.
         head: Version,
     },
 }
--- a/crates/stepspur-distribution/src/configuration/state.rs
+++ b/crates/stepspur-distribution/src/configuration/state.rs
@@ -1,4 +1,4 @@
-//! The replicated state, and how commands change it.
+//! The replicated state, and its changes by commands.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,39 +9,40 @@
 use crate::document::{Change, Key, Setting};
 use crate::version::Version;
 
-/// A document's setting and the version that changed it last.
+/// The setting of a current document and the version that last changed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct CurrentSetting {
     pub(super) setting: Setting,
     pub(super) version: Version,
 }
 
-/// The changes of one version, each key once.
+/// The changes that make up one version, each key once.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct VersionChanges {
     pub(super) version: Version,
     pub(super) changes: Vec<Change>,
 }
 
-/// The replicated configuration.
+/// The state of the replicated configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ConfigurationState {
-    /// The last version.
+    /// The last version; [`Version::NONE`] before the first change.
     pub(super) head: Version,
     /// The earliest version from which a delta can be computed.
     pub(super) oldest: Version,
-    /// Current documents, in the order of service, tenant, region, target.
+    /// The current documents, ordered by service, tenant, region and target.
     pub(super) documents: BTreeMap<Key, CurrentSetting>,
-    /// Versions after `oldest`, ascending. Removed documents are known from here alone.
+    /// The retained versions after `oldest`, ascending. Only these contain removals of documents.
     pub(super) recent: VecDeque<VersionChanges>,
     /// The number of changes in `recent`.
     pub(super) recent_change_count: usize,
-    /// Registered subscribers by name: those that versions must reach.
+    /// Registered subscribers by name. A rollout is complete once those that it concerns have applied the
+    /// version.
     pub(super) registrations: BTreeMap<String, Registration>,
 }
 
 impl ConfigurationState {
-    /// Makes a new head version of these changes.
+    /// Applies changes as the new head version.
     pub(super) fn change(&mut self, version: Version, changes: Vec<Change>) -> Result<(), CommandError> {
         let set_count = changes.iter().filter(|change| change.setting.is_some()).count();
         if self.documents.len() + set_count > MAX_DOCUMENTS {
@@ -60,6 +61,7 @@
         Ok(())
     }
 
+    /// Discards the oldest versions beyond [`MAX_RECENT_CHANGES`].
     fn discard_old_changes(&mut self) {
         while self.recent_change_count > MAX_RECENT_CHANGES
             && let Some(discarded) = self.recent.pop_front()
@@ -82,7 +84,7 @@
         Ok(())
     }
 
-    /// Removes a subscriber. Returns whether it was registered.
+    /// Removes a registration. Returns whether the subscriber was registered.
     pub(super) fn remove(&mut self, name: &str) -> bool {
         self.registrations.remove(name).is_some()
     }
--- a/crates/stepspur-distribution/src/configuration/state_machine.rs
+++ b/crates/stepspur-distribution/src/configuration/state_machine.rs
@@ -1,4 +1,4 @@
-//! The configuration as a replicated state machine.
+//! Implements the replicated state machine for the configuration.
 
 use bytes::Bytes;
 use stepspur_consensus::LogPosition;
@@ -9,10 +9,10 @@
 use super::state::ConfigurationState;
 use crate::version::Version;
 
-/// Identifies the configuration among the replicated state machines.
+/// Id of the configuration among the replicated state machines. It is stored in log entries.
 pub const CONFIGURATION: StateMachineId = StateMachineId(10);
 
-/// The version of commands and snapshots.
+/// Format version of commands and snapshots.
 const FORMAT_VERSION: u16 = 1;
 
 impl ReplicatedStateMachine for ConfigurationState {
@@ -24,7 +24,7 @@
         FORMAT_VERSION
     }
 
-    /// The answer to a change is its version, that to a removal is whether the name was registered.
+    /// The answer to a change is its version; that to a removal is whether the name was registered.
     fn apply(&mut self, position: LogPosition, _: u16, body: &[u8]) -> Result<Bytes, Rejection> {
         self.apply_command(position, body).map_err(|error| Rejection(error.to_string()))
     }
@@ -53,7 +53,7 @@
             }
             Command::Remove { name } => postcard::to_stdvec(&self.remove(&name)),
         };
-        // Postcard encodes numbers and truth values without failing.
+        // Cannot fail: the answer consists of numbers or a boolean.
         Ok(answer.unwrap_or_default().into())
     }
 }
--- a/crates/stepspur-distribution/src/document.rs
+++ b/crates/stepspur-distribution/src/document.rs
@@ -1,5 +1,5 @@
-//! Documents: a setting for a server or a request class within a scope, and which documents concern a
-//! subscriber.
+//! Documents, each of which is a setting for a server or a request class within a scope, and interests, which
+//! define the documents that concern a subscriber.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -8,104 +8,105 @@
 
 use crate::version::Version;
 
-/// Length of a name of a service, tenant, region, class or subscriber, in bytes, at most.
+/// Maximum length of the name of a service, tenant, region, class or subscriber, in bytes.
 pub const MAX_NAME_BYTES: usize = 128;
-/// Services of an interest, at most.
+/// Maximum number of services in an interest.
 pub const MAX_SERVICES: usize = 1_000;
-/// Tenants of an interest over all its services, at most.
+/// Maximum number of tenants in an interest, over all its services.
 pub const MAX_TENANTS: usize = 10_000;
 /// An admission level of 100%, in millionths.
 pub const WHOLE_PPM: u32 = 1_000_000;
 
-/// Which conductors a document is for. An omitted part means all.
+/// Which conductors a document applies to. An omitted field means all.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scope {
-    /// The service.
+    /// Name of the service; `None` for all services.
     #[serde(default)]
     pub service: Option<String>,
-    /// The tenant of the service.
+    /// Name of a tenant of the service; `None` for all its tenants. Not allowed without a service.
     #[serde(default)]
     pub tenant: Option<String>,
-    /// The region of the conductor.
+    /// Region of the conductor; `None` for all regions.
     #[serde(default)]
     pub region: Option<String>,
 }
 
-/// What a document configures.
+/// The object that a document configures.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Target {
-    /// A server.
+    /// A server, by its address.
     Server(SocketAddr),
     /// A request class, by name.
     Class(String),
 }
 
-/// Identifies a document. A new document replaces the earlier one of the same key.
+/// Identifies a document. A new document replaces the earlier one with the same key.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key {
-    /// Which conductors it is for.
+    /// Which conductors the document applies to.
     pub scope: Scope,
-    /// What it configures.
+    /// The object that it configures.
     pub target: Target,
 }
 
-/// The setting of a document.
+/// The setting in a document.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Setting {
-    /// The server is treated as draining.
+    /// The server is treated as draining. Only for a server.
     Draining,
-    /// The server is treated as removed.
+    /// The server is treated as removed. Only for a server.
     Withdrawn,
-    /// At most this share of the class is admitted, in millionths.
+    /// Admission level of a class: at most this share of its requests is admitted, in millionths. Only for a
+    /// class.
     LevelPpm(u32),
 }
 
-/// A change of one document.
+/// A change of one document, as an operator proposes it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Change {
-    /// Which conductors it is for.
+    /// Which conductors the document applies to.
     #[serde(default)]
     pub scope: Scope,
-    /// What it configures.
+    /// The object that it configures.
     pub target: Target,
     /// The new setting; `None` removes the document.
     pub setting: Option<Setting>,
 }
 
-/// A document after the version that changed it last.
+/// A document as of the version that last changed it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Document {
     /// Identifies the document.
     pub key: Key,
-    /// Its setting; `None` if it was removed.
+    /// The current setting; `None` if the document was removed.
     pub setting: Option<Setting>,
-    /// The version that changed it last.
+    /// The version that last changed it.
     pub version: Version,
 }
 
-/// A service of an interest.
+/// A service and those of its tenants that a subscriber needs documents for.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ServiceInterest {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// Tenants of the service, sorted. Documents for all tenants of the service are covered in any case.
+    /// Tenants of the service, sorted. Documents for all tenants of the service are always covered.
     pub tenants: Vec<String>,
 }
 
-/// Which documents concern a subscriber.
+/// The documents that concern a subscriber, by region, service and tenant.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Interest {
     /// The region of the subscriber.
     pub region: String,
-    /// Its services, sorted by name, each once.
+    /// The services that it serves, sorted by name, each once.
     pub services: Vec<ServiceInterest>,
 }
 
-/// What a name names.
+/// The kind of a name, for error texts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NameKind {
     /// A service.
@@ -129,12 +130,12 @@
     }
 }
 
-/// A part of a document's message.
+/// A field of a document's message, for error texts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DocumentField {
-    /// The scope.
+    /// Which conductors the document applies to.
     Scope,
-    /// The target.
+    /// The object that it configures.
     Target,
     /// The address of a target that is a server.
     ServerAddress,
@@ -167,10 +168,10 @@
     /// An admission level is above 100%.
     #[error("a level lies between 0 and {WHOLE_PPM} millionths")]
     LevelTooHigh,
-    /// A message lacks a part, or the part cannot be parsed.
+    /// A message lacks a field, or the field cannot be parsed.
     #[error("{0} is missing or cannot be read")]
     Unreadable(DocumentField),
-    /// An interest has too many services or tenants: this many together.
+    /// An interest has more than [`MAX_SERVICES`] or [`MAX_TENANTS`]. Contains the number of both together.
     #[error("{0} services or tenants are too many")]
     TooMany(usize),
 }
@@ -204,7 +205,7 @@
 }
 
 impl Change {
-    /// Checks the scope, the target and the setting.
+    /// Checks the names, and that the setting fits the target.
     ///
     /// # Errors
     /// The first error found.
--- a/crates/stepspur-distribution/src/document_messages.rs
+++ b/crates/stepspur-distribution/src/document_messages.rs
@@ -1,4 +1,4 @@
-//! Conversion of documents and interests from and to their messages.
+//! Converts documents and interests to and from their protobuf messages.
 
 use stepspur_proto::v1;
 
@@ -16,7 +16,7 @@
     }
 }
 
-/// The interest that a subscriber's message names, sorted and checked.
+/// The interest in a subscriber's first frame, sorted and checked.
 ///
 /// # Errors
 /// The first error found, as by [`Interest::sorted`].
--- a/crates/stepspur-distribution/src/lib.rs
+++ b/crates/stepspur-distribution/src/lib.rs
@@ -1,9 +1,9 @@
-//! Configuration from control members to subscribing conductors, by scope and version.
+//! Distributes configuration from control members to subscribing conductors, by scope and version.
 //!
 //! Operators change documents in a replicated state machine ([`configuration`]). Control members serve it
-//! ([`control`]). A conductor is a subscriber ([`subscriber`]): it names the documents that concern it and
-//! the version that it holds, and is sent the changes after that version. docs/distribution.md has the
-//! design.
+//! ([`control`]). A conductor is a subscriber ([`subscriber`]): it subscribes to the documents that concern
+//! it, states the version that it holds, and is sent the changes after that version. docs/distribution.md has
+//! the design.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/stepspur-distribution/src/placement.rs
+++ b/crates/stepspur-distribution/src/placement.rs
@@ -1,6 +1,6 @@
 //! The order in which a subscriber tries control members.
 //!
-//! Members of its own region come first. Within each group the order is that of a hash of the subscriber's
+//! Members of its own region are first. Within each group, members are ordered by a hash of the subscriber's
 //! name and the member (rendezvous hashing, Thaler and Ravishankar 1998). So subscribers spread evenly, and
 //! when a member is lost only its own subscribers move, evenly to all the others.
 
@@ -10,23 +10,23 @@
 use sha2::{Digest, Sha256};
 use stepspur_proto::v1;
 
-/// Control members that a subscriber remembers, at most.
+/// Maximum number of control members that a subscriber learns from a welcome or redirect.
 pub const MAX_MEMBERS: usize = 256;
 
-/// A control member that subscribers can connect to.
+/// A control member, as subscribers need to know it to connect.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ControlMember {
     /// Its id in the consensus group.
     pub id: u64,
     /// The address at which it accepts subscribers.
     pub address: SocketAddr,
-    /// Its region.
+    /// Its region, which subscribers in the same region prefer.
     pub region: String,
 }
 
-/// The address of a control member in a message cannot be parsed.
+/// Error: the address of a control member in a message cannot be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("control member {id} has no address that can be read")]
+#[error("the address of control member {id} cannot be parsed")]
 pub struct InvalidControlAddress {
     /// The id of the member.
     pub id: u64,
@@ -58,7 +58,8 @@
     ordered
 }
 
-/// Addresses of unknown members in the order in which this subscriber tries them, without repeated ones.
+/// Addresses of members whose ids and regions are unknown, in the order in which this subscriber tries them.
+/// Drops repeated addresses.
 pub fn order_addresses(subscriber: &str, addresses: &[SocketAddr]) -> Vec<SocketAddr> {
     let mut ordered = addresses.to_vec();
     ordered.sort_by_cached_key(|address| {
@@ -69,6 +70,7 @@
     ordered
 }
 
+/// The rendezvous hash of a subscriber and a member. The length of the name separates the two inputs.
 fn weight(subscriber: &str, member: &[u8]) -> u64 {
     let length = (subscriber.len() as u64).to_be_bytes();
     let hash = Sha256::new().chain_update(length).chain_update(subscriber).chain_update(member).finalize();
--- a/crates/stepspur-distribution/src/scope_store/error.rs
+++ b/crates/stepspur-distribution/src/scope_store/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the stores.
+//! Errors of a subscriber's store.
 
 use std::fmt;
 use std::path::{Path, PathBuf};
@@ -8,61 +8,61 @@
 /// Why a store cannot be opened, read or written.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// Another process, or another store of this one, has the file open.
-    #[error("{}: in use", .path.display())]
+    /// Another process, or another store in this process, has the file open.
+    #[error("{}: in use by another process or store", .path.display())]
     InUse {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
     },
     /// A later version of the program wrote the file.
-    #[error("{}: has format {found}, this version knows {known}", .path.display())]
+    #[error("{}: has format {found}, this version supports {known}", .path.display())]
     NewerFormat {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The file's format.
+        /// Format version of the file.
         found: u32,
-        /// The newest known format.
+        /// The newest format version that this program supports.
         known: u32,
     },
-    /// The file cannot be read and was left unchanged. Once it is moved away a new one is created, and all
-    /// documents are fetched again.
-    #[error("{}: cannot be read and was left as it is: {cause}", .path.display())]
+    /// The content of the file is invalid. The file was left unchanged. Once it is moved away, a new one is
+    /// created and all documents are fetched again.
+    #[error("{}: damaged, left unchanged: {cause}", .path.display())]
     Damaged {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The first error found in it.
         cause: String,
     },
-    /// An operation on the disk failed: the disk is full, read-only or gone, for example.
+    /// An operation on the disk failed, for example because the disk is full, read-only or gone.
     #[error("{}: {operation}: {cause}", .path.display())]
     Disk {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The operation.
+        /// The failed operation.
         operation: DiskOperation,
-        /// Why it failed.
+        /// The error of the operating system or of redb.
         cause: String,
     },
     /// The interest with which the store is opened is invalid.
     #[error("interest: {0}")]
     InvalidInterest(#[from] DocumentError),
-    /// A test has a store in memory fail.
-    #[error("the store refuses: {0}")]
+    /// A test made a store in memory fail, for this reason.
+    #[error("injected failure: {0}")]
     Injected(String),
 }
 
 /// An operation on the file of a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiskOperation {
-    /// Checks whether it exists.
+    /// Checks whether the file exists.
     Find,
     /// Creates it under a temporary name.
     Create,
-    /// Moves it to its name.
+    /// Moves it from the temporary name to its own.
     Rename,
     /// Opens it.
     Open,
-    /// Locks it.
+    /// Locks it against other processes.
     Lock,
     /// Reads it.
     Read,
@@ -73,9 +73,9 @@
 impl fmt::Display for DiskOperation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Find => "looking for the file",
-            Self::Create => "making the file",
-            Self::Rename => "naming the file",
+            Self::Find => "checking for the file",
+            Self::Create => "creating the file",
+            Self::Rename => "renaming the file",
             Self::Open => "opening the file",
             Self::Lock => "locking the file",
             Self::Read => "reading the file",
--- a/crates/stepspur-distribution/src/scope_store/interface.rs
+++ b/crates/stepspur-distribution/src/scope_store/interface.rs
@@ -9,11 +9,11 @@
 use crate::document::Document;
 use crate::version::Version;
 
-/// The content of a store.
+/// The content of a subscriber's store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredScope {
-    /// The documents include all changes of the interest up to this version. [`Version::NONE`] if that is not
-    /// known: a snapshot is needed then.
+    /// The documents include all changes of the interest up to this version. [`Version::NONE`] if the version
+    /// is unknown, so that a snapshot is needed.
     pub version: Version,
     /// The current documents, each key once and each with a setting.
     pub documents: Vec<Document>,
@@ -28,17 +28,17 @@
     Snapshot {
         /// The documents include all changes of the interest up to this version.
         version: Version,
-        /// All documents.
+        /// All documents of the interest, each with a setting.
         documents: Arc<[Document]>,
     },
-    /// Replaces the documents of the same keys. One without a setting is deleted.
+    /// Replaces the documents with the same keys. A document without a setting is deleted.
     Delta {
         /// The documents include all changes of the interest up to this version.
         version: Version,
-        /// The changed documents.
+        /// The changed documents, each key once.
         documents: Arc<[Document]>,
     },
-    /// Advances the version alone, as no document changed.
+    /// Advances only the version, as no document changed.
     Covered {
         /// The documents include all changes of the interest up to this version.
         version: Version,
@@ -57,6 +57,6 @@
     /// saved, but before any later one.
     ///
     /// # Errors
-    /// [`StoreError`] if the update cannot be saved. The content is unchanged then.
+    /// [`StoreError`] if the update cannot be saved. The content is then unchanged.
     fn save<'a>(&'a mut self, update: &'a ScopeUpdate) -> BoxFuture<'a, Result<(), StoreError>>;
 }
--- a/crates/stepspur-distribution/src/scope_store/memory.rs
+++ b/crates/stepspur-distribution/src/scope_store/memory.rs
@@ -13,11 +13,12 @@
 #[derive(Debug, Default)]
 struct State {
     content: Option<StoredScope>,
-    /// Why saves fail, if a test has them fail.
+    /// The error of every save, if a test injected one.
     injected_failure: Option<String>,
 }
 
-/// Stores in memory. Clones share the content, so that it outlives a subscriber that is started again.
+/// A store in memory. Clones share the content, so that a subscriber can be started again with the same
+/// content.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryStore(Arc<Mutex<State>>);
 
@@ -36,12 +37,12 @@
         self.state().content.clone()
     }
 
-    /// Replaces the content, as if an older disk was put back.
+    /// Replaces the content, for example by an older one, as a restored backup would.
     pub fn set_content(&self, content: Option<StoredScope>) {
         self.state().content = content;
     }
 
-    /// Has every save fail for this reason from now on; `None` ends that.
+    /// Makes every save fail with this reason from now on; `None` ends this.
     pub fn inject_failure(&self, reason: Option<String>) {
         self.state().injected_failure = reason;
     }
--- a/crates/stepspur-distribution/src/scope_store/mod.rs
+++ b/crates/stepspur-distribution/src/scope_store/mod.rs
@@ -1,4 +1,4 @@
-//! A subscriber's persistent copy of its documents and their version.
+//! Stores of a subscriber: persistent copies of its documents and their version.
 
 mod error;
 mod interface;
--- a/crates/stepspur-distribution/src/scope_store/redb_file.rs
+++ b/crates/stepspur-distribution/src/scope_store/redb_file.rs
@@ -1,4 +1,4 @@
-//! Creates, checks and opens the file.
+//! Creates, checks and opens the redb file of a store.
 
 use std::fs::{self, File, OpenOptions};
 use std::io;
@@ -12,10 +12,10 @@
 use super::redb_tables::{read_tables, write_tables};
 use crate::document::Interest;
 
-/// The largest file that is opened, in bytes. It is read into memory once.
+/// Maximum size of a file that is opened, in bytes. It is copied into memory once for the check.
 pub const MAX_FILE_BYTES: u64 = 128 << 20;
 
-/// Opens an existing file, after it was read completely on a copy.
+/// Opens an existing file, after a complete check of a copy.
 pub(super) fn open(path: &Path) -> Result<Database, StoreError> {
     let file = OpenOptions::new().read(true).write(true).open(path);
     let backend = lock(path, file.map_err(|cause| disk_error(path, DiskOperation::Open, cause))?)?;
@@ -23,7 +23,7 @@
     open_database(path, backend)
 }
 
-/// Creates the file under a temporary name first, so that a crash leaves no incomplete file under its own
+/// Creates the file. It first has a temporary name, so that a crash leaves no incomplete file under the final
 /// name.
 pub(super) fn create(path: &Path, interest: &Interest) -> Result<(), StoreError> {
     let temporary = temporary_path(path);
@@ -39,7 +39,8 @@
     move_to_name(&temporary, path).map_err(|cause| disk_error(path, DiskOperation::Rename, cause))
 }
 
-/// A hard link never replaces a file that another process has created meanwhile.
+/// Moves the file to its name by a hard link. Unlike a rename, a link never replaces a file that another
+/// process has created in the meantime.
 fn move_to_name(temporary: &Path, path: &Path) -> io::Result<()> {
     fs::hard_link(temporary, path)?;
     fs::remove_file(temporary)?;
@@ -53,6 +54,7 @@
     PathBuf::from(name)
 }
 
+/// Locks the file, so that no other process opens it.
 fn lock(path: &Path, file: File) -> Result<FileBackend, StoreError> {
     FileBackend::new(file).map_err(|cause| match cause {
         DatabaseError::DatabaseAlreadyOpen => StoreError::InUse { path: path.to_owned() },
@@ -60,16 +62,16 @@
     })
 }
 
-/// Reads the file completely on a copy. Opening the file itself would repair one that was not closed, and a
-/// file that cannot be read must stay unchanged.
+/// Checks the file by reading a copy completely. Opening the file itself would repair one that was not closed
+/// cleanly, and a damaged file must stay unchanged.
 fn check(path: &Path, backend: &FileBackend) -> Result<(), StoreError> {
     let read_error = |cause: io::Error| disk_error(path, DiskOperation::Read, cause);
     let bytes = backend.len().map_err(read_error)?;
     if bytes == 0 || bytes > MAX_FILE_BYTES {
-        return Err(damaged(path, format!("it has {bytes} bytes")));
+        return Err(damaged(path, format!("its size is {bytes} bytes, not 1 to {MAX_FILE_BYTES}")));
     }
     let copy = copy_to_memory(backend, bytes).map_err(read_error)?;
-    // Where debug builds of redb panic, others return that the file is damaged.
+    // Debug builds of redb panic on some damage that release builds return as an error.
     let checked = catch_unwind(AssertUnwindSafe(|| check_copy(path, copy)));
     checked.unwrap_or_else(|_| Err(damaged(path, "redb panicked")))
 }
--- a/crates/stepspur-distribution/src/scope_store/redb_store.rs
+++ b/crates/stepspur-distribution/src/scope_store/redb_store.rs
@@ -1,4 +1,4 @@
-//! A store in one file of redb. Each update is one transaction, durable when it ends.
+//! A store in one redb file. Each update is one transaction, which is durable once it is committed.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -15,21 +15,22 @@
 use crate::document::{Interest, ServiceInterest};
 use crate::version::Version;
 
-/// An open file of documents.
+/// An open redb file with a subscriber's documents.
 #[derive(Debug)]
 pub struct RedbStore {
     database: Arc<Database>,
     path: PathBuf,
-    /// A write whose future was dropped. The next write waits for its end, so that writes are in order.
+    /// A write whose future was dropped before it completed. The next write waits for it, so that writes are
+    /// in order.
     abandoned_write: Option<JoinHandle<Result<(), StoreError>>>,
 }
 
 impl RedbStore {
-    /// Opens the file, or creates it. Blocks.
+    /// Opens the file, or creates it if it does not exist. Blocks.
     ///
-    /// An existing file is first read on a copy, and left unchanged if it cannot be read. If the interest
-    /// differs from that of the last start, documents that it does not cover are deleted. If it covers more
-    /// than before, the version is reset to [`Version::NONE`], so that a snapshot is requested.
+    /// A copy of an existing file is checked first, and the file is left unchanged if it is invalid. If the
+    /// interest differs from that of the last start, documents that it does not cover are deleted. If it
+    /// covers more than before, the version is reset to [`Version::NONE`], so that a snapshot is requested.
     ///
     /// # Errors
     /// [`StoreError`] if the interest is invalid or the file cannot be opened, read or written.
@@ -41,12 +42,12 @@
         }
         let database = redb_file::open(path)?;
         let store = Self { database: Arc::new(database), path: path.to_owned(), abandoned_write: None };
-        store.fit_to(&interest)?;
+        store.adapt_to_interest(&interest)?;
         Ok(store)
     }
 
     /// Adapts the content to an interest that has changed since the last start.
-    fn fit_to(&self, interest: &Interest) -> Result<(), StoreError> {
+    fn adapt_to_interest(&self, interest: &Interest) -> Result<(), StoreError> {
         let content = read_tables(&self.path, &self.database)?;
         if content.interest == *interest {
             return Ok(());
@@ -81,7 +82,7 @@
     fn save<'a>(&'a mut self, update: &'a ScopeUpdate) -> BoxFuture<'a, Result<(), StoreError>> {
         Box::pin(async move {
             if let Some(abandoned) = &mut self.abandoned_write {
-                // Its result is not needed: this update continues from before it, or repeats it.
+                // Its result is irrelevant: this update is relative to the state before it, or repeats it.
                 drop(abandoned.await);
                 self.abandoned_write = None;
             }
--- a/crates/stepspur-distribution/src/scope_store/redb_tables.rs
+++ b/crates/stepspur-distribution/src/scope_store/redb_tables.rs
@@ -1,4 +1,4 @@
-//! The tables of the file, and the encoding of their values.
+//! The tables of the redb file, and the encoding of their values.
 
 use std::io;
 use std::path::Path;
@@ -12,28 +12,32 @@
 use crate::document::{Document, Interest, Key};
 use crate::version::Version;
 
-/// The format of the file that this version writes. A later one is rejected.
+/// Format version of the files that this program writes. A file with another one is rejected.
 pub const FORMAT_VERSION: u32 = 1;
 
-/// The format, the interest and the position, by name.
-const FACTS: TableDefinition<&str, &[u8]> = TableDefinition::new("facts");
+/// The table of metadata: the format, the interest and the position, by name.
+const METADATA: TableDefinition<&str, &[u8]> = TableDefinition::new("facts");
+/// The table of documents by encoded key.
 const DOCUMENTS: TableDefinition<&[u8], &[u8]> = TableDefinition::new("documents");
-const FORMAT_FACT: &str = "format";
-const INTEREST_FACT: &str = "interest";
-const POSITION_FACT: &str = "position";
-/// Each value has a checksum of its own, as those of redb cover only the pages that it reads itself.
+const FORMAT_KEY: &str = "format";
+const INTEREST_KEY: &str = "interest";
+const POSITION_KEY: &str = "position";
+/// Checksum of each value. The checksums of redb do not suffice, as it verifies them only for pages that it
+/// reads itself.
 const CHECKSUM: Crc<u32> = Crc::<u32>::new(&CRC_32_ISCSI);
 
-/// The version of the documents, and when it was saved.
+/// The version of the stored documents, and when it was saved. Encoded by position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct StoredPosition {
+    /// The documents include all changes of the interest up to this version.
     pub(super) version: Version,
-    /// Microseconds from the Unix epoch.
+    /// Wall-clock time of the save, in microseconds since the Unix epoch.
     pub(super) stored_at_micros: u64,
 }
 
 /// The content of the tables.
 pub(super) struct TableContent {
+    /// The interest of the last start.
     pub(super) interest: Interest,
     /// `None` if nothing was ever saved.
     pub(super) position: Option<StoredPosition>,
@@ -42,41 +46,41 @@
 
 /// Reads all tables and checks them.
 pub(super) fn read_tables(path: &Path, database: &Database) -> Result<TableContent, StoreError> {
-    let broken = |cause: redb::Error| damaged(path, cause);
-    let transaction = database.begin_read().map_err(|cause| broken(cause.into()))?;
-    let facts = transaction.open_table(FACTS).map_err(|cause| broken(cause.into()))?;
-    let found: u32 = read_fact(path, &facts, FORMAT_FACT)?;
+    let to_damaged = |cause: redb::Error| damaged(path, cause);
+    let transaction = database.begin_read().map_err(|cause| to_damaged(cause.into()))?;
+    let metadata = transaction.open_table(METADATA).map_err(|cause| to_damaged(cause.into()))?;
+    let found: u32 = read_metadata(path, &metadata, FORMAT_KEY)?;
     if found != FORMAT_VERSION {
         return Err(StoreError::NewerFormat { path: path.to_owned(), found, known: FORMAT_VERSION });
     }
-    let interest = read_fact(path, &facts, INTEREST_FACT)?;
-    let position = read_fact(path, &facts, POSITION_FACT)?;
-    let table = transaction.open_table(DOCUMENTS).map_err(|cause| broken(cause.into()))?;
+    let interest = read_metadata(path, &metadata, INTEREST_KEY)?;
+    let position = read_metadata(path, &metadata, POSITION_KEY)?;
+    let table = transaction.open_table(DOCUMENTS).map_err(|cause| to_damaged(cause.into()))?;
     let mut documents = Vec::new();
-    for row in table.iter().map_err(|cause| broken(cause.into()))? {
-        let (key, value) = row.map_err(|cause| broken(cause.into()))?;
+    for row in table.iter().map_err(|cause| to_damaged(cause.into()))? {
+        let (key, value) = row.map_err(|cause| to_damaged(cause.into()))?;
         let document: Document = decode(path, "a document", value.value())?;
-        if encode_key(&document.key).map_err(broken)? != key.value() {
-            return Err(damaged(path, "a document stands in the place of another"));
+        if encode_key(&document.key).map_err(to_damaged)? != key.value() {
+            return Err(damaged(path, "a document is stored under the key of another"));
         }
         documents.push(document);
     }
     Ok(TableContent { interest, position, documents })
 }
 
-fn read_fact<T: DeserializeOwned>(
+fn read_metadata<T: DeserializeOwned>(
     path: &Path,
-    facts: &ReadOnlyTable<&'static str, &'static [u8]>,
+    metadata: &ReadOnlyTable<&'static str, &'static [u8]>,
     name: &str,
 ) -> Result<T, StoreError> {
-    let value = facts.get(name).map_err(|cause| damaged(path, cause))?;
+    let value = metadata.get(name).map_err(|cause| damaged(path, cause))?;
     let value = value.ok_or_else(|| damaged(path, format!("{name} is missing")))?;
     decode(path, name, value.value())
 }
 
-/// The tables in a transaction that writes.
+/// The tables within a write transaction.
 pub(super) struct TableWriter<'t> {
-    facts: redb::Table<'t, &'static str, &'static [u8]>,
+    metadata: redb::Table<'t, &'static str, &'static [u8]>,
     documents: redb::Table<'t, &'static [u8], &'static [u8]>,
 }
 
@@ -90,7 +94,7 @@
         let mut transaction = database.begin_write()?;
         transaction.set_durability(Durability::Immediate)?;
         write(&mut TableWriter {
-            facts: transaction.open_table(FACTS)?,
+            metadata: transaction.open_table(METADATA)?,
             documents: transaction.open_table(DOCUMENTS)?,
         })?;
         Ok(transaction.commit()?)
@@ -100,19 +104,19 @@
 
 impl TableWriter<'_> {
     pub(super) fn put_format(&mut self) -> Result<(), redb::Error> {
-        self.put_fact(FORMAT_FACT, &FORMAT_VERSION)
+        self.put_metadata(FORMAT_KEY, &FORMAT_VERSION)
     }
 
     pub(super) fn put_interest(&mut self, interest: &Interest) -> Result<(), redb::Error> {
-        self.put_fact(INTEREST_FACT, interest)
+        self.put_metadata(INTEREST_KEY, interest)
     }
 
     pub(super) fn put_position(&mut self, position: Option<StoredPosition>) -> Result<(), redb::Error> {
-        self.put_fact(POSITION_FACT, &position)
+        self.put_metadata(POSITION_KEY, &position)
     }
 
-    fn put_fact(&mut self, name: &str, value: &impl Serialize) -> Result<(), redb::Error> {
-        self.facts.insert(name, encode(value)?.as_slice())?;
+    fn put_metadata(&mut self, name: &str, value: &impl Serialize) -> Result<(), redb::Error> {
+        self.metadata.insert(name, encode(value)?.as_slice())?;
         Ok(())
     }
 
--- a/crates/stepspur-distribution/src/version.rs
+++ b/crates/stepspur-distribution/src/version.rs
@@ -6,13 +6,13 @@
 use stepspur_consensus::LogPosition;
 use stepspur_proto::v1;
 
-/// Characters of an invalid version that its error repeats, at most.
+/// Maximum length of an invalid version that its error quotes, in characters.
 const MAX_QUOTED_CHARS: usize = 64;
 
-/// A version of the configuration: the position of the log entry that made it.
+/// A version of the configuration: the position of the log entry that created it.
 ///
-/// Versions compare by term, then by index. So of two committed versions the later one is greater, whichever
-/// member led.
+/// Versions compare by term, then by index. So the later of two committed versions is always the greater one,
+/// also after a change of leader.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Version {
     /// The term of the leader that wrote the entry.
@@ -32,9 +32,9 @@
     }
 }
 
-/// A text is not a version in the form `TERM.INDEX`.
+/// Error: a text is not a version in the form `TERM.INDEX`.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("`{0}` is no version: expected TERM.INDEX")]
+#[error("`{0}` is not a version: expected TERM.INDEX")]
 pub struct InvalidVersion(String);
 
 impl std::str::FromStr for Version {
@@ -68,7 +68,7 @@
     }
 }
 
-/// The version of a message; [`Version::NONE`] if it is omitted.
+/// The version in a message field; [`Version::NONE`] if the field is omitted.
 pub fn version_of(message: Option<v1::ConfigVersion>) -> Version {
     message.map_or(Version::NONE, Version::from)
 }
