--- a/crates/stepspur-proto/build.rs
+++ b/crates/stepspur-proto/build.rs
@@ -1,4 +1,5 @@
-//! Compiles the schema with protox, so that no protoc is needed.
+//! Generates the message types from the schema. Compiles it with protox, so that the build does not require
+//! protoc.
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let schema = protox::compile(["proto/proxy.proto"], ["proto"])?;
--- a/crates/stepspur-proto/src/address.rs
+++ b/crates/stepspur-proto/src/address.rs
@@ -1,4 +1,4 @@
-//! Servers' addresses on the wire.
+//! Converts server addresses to and from their messages.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -6,16 +6,16 @@
 
 use crate::v1::Server;
 
-/// A server's address that is none.
+/// Why a message is not a valid server address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum BadAddress {
-    /// Neither 4 bytes nor 16.
+pub enum InvalidAddress {
+    /// The IP address has neither 4 nor 16 bytes, but this many.
     #[error("an address of {0} bytes is neither IPv4 nor IPv6")]
     Length(usize),
-    /// Not a port: 0, or above 65535.
+    /// The port is 0 or above 65535.
     #[error("{0} is no port")]
     Port(u32),
-    /// No server was named.
+    /// The message field is absent.
     #[error("no server is named")]
     Missing,
 }
@@ -31,25 +31,25 @@
 }
 
 impl TryFrom<&Server> for SocketAddr {
-    type Error = BadAddress;
+    type Error = InvalidAddress;
 
-    fn try_from(server: &Server) -> Result<Self, BadAddress> {
+    fn try_from(server: &Server) -> Result<Self, InvalidAddress> {
         let ip: IpAddr = if let Ok(v4) = <[u8; 4]>::try_from(&server.ip[..]) {
             v4.into()
         } else if let Ok(v6) = <[u8; 16]>::try_from(&server.ip[..]) {
             v6.into()
         } else {
-            return Err(BadAddress::Length(server.ip.len()));
+            return Err(InvalidAddress::Length(server.ip.len()));
         };
         let port = u16::try_from(server.port).ok().filter(|port| *port > 0);
-        Ok(SocketAddr::new(ip.to_canonical(), port.ok_or(BadAddress::Port(server.port))?))
+        Ok(SocketAddr::new(ip.to_canonical(), port.ok_or(InvalidAddress::Port(server.port))?))
     }
 }
 
-/// The address in a field that may be missing.
+/// The address in a message field that may be absent.
 ///
 /// # Errors
-/// [`BadAddress::Missing`], or what is wrong with it.
-pub fn address_of(server: &Option<Server>) -> Result<SocketAddr, BadAddress> {
-    server.as_ref().ok_or(BadAddress::Missing)?.try_into()
+/// [`InvalidAddress::Missing`] if the field is absent, or the error of the conversion.
+pub fn address_of(server: &Option<Server>) -> Result<SocketAddr, InvalidAddress> {
+    server.as_ref().ok_or(InvalidAddress::Missing)?.try_into()
 }
--- a/crates/stepspur-proto/src/frame.rs
+++ b/crates/stepspur-proto/src/frame.rs
@@ -1,4 +1,4 @@
-//! Frames: length-delimited protobuf with a stated largest size.
+//! Frames: length-delimited protobuf messages with a maximum length.
 
 use std::io;
 use std::marker::PhantomData;
@@ -7,30 +7,30 @@
 use prost::Message;
 use tokio_util::codec::{Decoder, Encoder};
 
-/// Bytes of a frame's length field.
-pub const HEADER: usize = 4;
+/// Length of a frame's length field, in bytes.
+pub const LENGTH_FIELD_BYTES: usize = 4;
 
-/// The largest body of a frame, in bytes, where nothing else is set: some 50,000 lines of a table.
+/// Default maximum length of a frame's body, in bytes: about 50,000 lines of a table.
 pub const LARGEST_FRAME: usize = 1 << 20;
 
-/// Why a stream's bytes are no frames. It ends that stream alone.
+/// Why the bytes of a stream are not valid frames. It ends only that stream.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
-    /// The body is larger than is taken.
+    /// The body is larger than the limit.
     #[error("a frame of {size} bytes is larger than {largest}")]
     TooLarge {
-        /// Its bytes, if told.
+        /// Length of the body, in bytes.
         size: usize,
-        /// As many are taken.
+        /// Maximum length, in bytes.
         largest: usize,
     },
     /// The stream ended inside a frame.
-    #[error("the stream ended inside a frame, {have} bytes after its start")]
-    Torn {
-        /// Bytes of it that came.
-        have: usize,
+    #[error("the stream ended inside a frame, {received} bytes after its start")]
+    Truncated {
+        /// Number of bytes of the frame that were received.
+        received: usize,
     },
-    /// The body is not the message that it should be.
+    /// The body cannot be decoded as the expected message.
     #[error("not a message: {0}")]
     Malformed(#[from] prost::DecodeError),
     /// The transport failed.
@@ -38,35 +38,36 @@
     Io(#[from] io::Error),
 }
 
-/// Encodes one message as a frame, length and all.
+/// Encodes one message as a frame, including its length field.
 ///
 /// # Errors
-/// [`FrameError::TooLarge`] where the body is larger than `largest` bytes.
+/// [`FrameError::TooLarge`] if the body is larger than `largest` bytes.
 pub fn frame(message: &impl Message, largest: usize) -> Result<Bytes, FrameError> {
     let size = message.encoded_len();
     if size > largest || u32::try_from(size).is_err() {
         return Err(FrameError::TooLarge { size, largest });
     }
-    let mut out = BytesMut::with_capacity(HEADER + size);
+    let mut out = BytesMut::with_capacity(LENGTH_FIELD_BYTES + size);
     out.put_u32(size as u32);
     message.encode(&mut out).map_err(|_| FrameError::TooLarge { size, largest })?;
     Ok(out.freeze())
 }
 
-/// The message of a whole frame, as [`frame`] made it.
+/// Decodes the message in one complete frame, as encoded by [`frame`].
 ///
 /// # Errors
-/// [`FrameError::Torn`] where bytes are missing or too many, [`FrameError::Malformed`] where the body is none.
+/// [`FrameError::Truncated`] if bytes are missing or left over, [`FrameError::Malformed`] if the body cannot
+/// be decoded.
 pub fn split_frame<M: Message + Default>(frame: &[u8]) -> Result<M, FrameError> {
-    let torn = FrameError::Torn { have: frame.len() };
-    let Some((head, body)) = frame.split_first_chunk::<HEADER>() else { return Err(torn) };
+    let truncated = FrameError::Truncated { received: frame.len() };
+    let Some((head, body)) = frame.split_first_chunk::<LENGTH_FIELD_BYTES>() else { return Err(truncated) };
     if u32::from_be_bytes(*head) as usize != body.len() {
-        return Err(torn);
+        return Err(truncated);
     }
     Ok(M::decode(body)?)
 }
 
-/// The codec of one side: takes messages `In`, gives messages `Out`.
+/// The codec of one side of a connection: decodes messages `In` and encodes messages `Out`.
 #[derive(Debug)]
 pub struct Frames<In, Out> {
     largest: usize,
@@ -74,12 +75,12 @@
 }
 
 impl<In, Out> Frames<In, Out> {
-    /// A codec for bodies of `largest` bytes at most, both ways.
+    /// Creates a codec with a maximum body length of `largest` bytes in both directions.
     pub fn new(largest: usize) -> Self {
         Self { largest, kinds: PhantomData }
     }
 
-    /// From now on bodies may have `largest` bytes.
+    /// Changes the maximum body length to `largest` bytes, for all later frames.
     pub fn set_largest(&mut self, largest: usize) {
         self.largest = largest;
     }
@@ -90,23 +91,23 @@
     type Error = FrameError;
 
     fn decode(&mut self, from: &mut BytesMut) -> Result<Option<In>, FrameError> {
-        let Some(head) = from.first_chunk::<HEADER>() else { return Ok(None) };
+        let Some(head) = from.first_chunk::<LENGTH_FIELD_BYTES>() else { return Ok(None) };
         let size = u32::from_be_bytes(*head) as usize;
-        // Before any room is made for it.
+        // Checked before any memory is reserved for the body.
         if size > self.largest {
             return Err(FrameError::TooLarge { size, largest: self.largest });
         }
-        if from.len() < HEADER + size {
-            from.reserve(HEADER + size - from.len());
+        if from.len() < LENGTH_FIELD_BYTES + size {
+            from.reserve(LENGTH_FIELD_BYTES + size - from.len());
             return Ok(None);
         }
-        from.advance(HEADER);
+        from.advance(LENGTH_FIELD_BYTES);
         Ok(Some(In::decode(from.split_to(size).freeze())?))
     }
 
     fn decode_eof(&mut self, from: &mut BytesMut) -> Result<Option<In>, FrameError> {
         match self.decode(from)? {
-            None if !from.is_empty() => Err(FrameError::Torn { have: from.len() }),
+            None if !from.is_empty() => Err(FrameError::Truncated { received: from.len() }),
             read => Ok(read),
         }
     }
--- a/crates/stepspur-proto/src/lib.rs
+++ b/crates/stepspur-proto/src/lib.rs
@@ -1,18 +1,20 @@
-//! The protocol between a stepspur conductor and its proxies.
+//! The messages and frames of the stepspur protocols: between a conductor and its proxies, between
+//! conductors, and between control members and subscribers.
 //!
-//! Frames are four bytes of length, most significant first, and so many bytes of one protobuf message:
-//! [`FromProxy`] one way, [`FromConductor`] the other. `docs/protocol.md` words the rules and shows bytes.
-//! This crate knows no socket: [`Frames`] is a codec for `tokio_util::codec::Framed`.
+//! A frame consists of a big-endian length of four bytes and a body of that length, which is one protobuf
+//! message; between conductor and proxy [`FromProxy`] one way and [`FromConductor`] the other.
+//! `docs/protocol.md` specifies that protocol and shows encoded frames. This crate does no I/O: [`Frames`] is
+//! a codec for `tokio_util::codec::Framed`.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 mod address;
 mod frame;
 
-pub use address::{BadAddress, address_of};
-pub use frame::{FrameError, Frames, HEADER, LARGEST_FRAME, frame, split_frame};
+pub use address::{InvalidAddress, address_of};
+pub use frame::{FrameError, Frames, LARGEST_FRAME, LENGTH_FIELD_BYTES, frame, split_frame};
 
-/// The messages, as the schema words them.
+/// The message types that are generated from `proto/proxy.proto`.
 #[allow(missing_docs, clippy::doc_lazy_continuation)]
 pub mod v1 {
     include!(concat!(env!("OUT_DIR"), "/stepspur.proxy.v1.rs"));
@@ -23,23 +25,23 @@
     from_proxy, from_subscriber,
 };
 
-/// The version of the protocol that this crate speaks.
+/// The protocol version that this crate implements.
 pub const VERSION: u32 = 1;
 
 impl FromProxy {
-    /// A frame of this kind.
+    /// Creates a frame of this kind, with the epoch and the sequence number of the newest order.
     pub fn new(epoch: u64, sequence: u64, kind: from_proxy::Kind) -> Self {
         Self { epoch, sequence, kind: Some(kind) }
     }
 }
 
 impl FromConductor {
-    /// A frame of this kind.
+    /// Creates a frame of this kind, with the epoch and the sequence number of the newest order.
     pub fn new(epoch: u64, sequence: u64, kind: from_conductor::Kind) -> Self {
         Self { epoch, sequence, kind: Some(kind) }
     }
 
-    /// The last frame of a conductor.
+    /// Creates the last frame of a conductor, without a minimum time before the proxy reconnects.
     pub fn goodbye(epoch: u64, sequence: u64, reason: v1::Reason, detail: impl Into<String>) -> Self {
         let goodbye = v1::Goodbye { reason: reason.into(), detail: detail.into(), retry_after_us: 0 };
         Self::new(epoch, sequence, from_conductor::Kind::Goodbye(goodbye))
@@ -47,8 +49,8 @@
 }
 
 impl v1::Order {
-    /// Lines that the order counts in the channel, without its head: one for each line, level and withdrawal,
-    /// one for a whole table, one for a mark.
+    /// The size of the order in lines, as the model of the channel counts it, without the message head: one
+    /// for each line, level and withdrawal, one for a complete table, one for a mark.
     pub fn cost(&self) -> usize {
         let table = |t: &v1::Table| 1 + t.lines.len() + t.levels.len() + t.withdrawals.len();
         let whole = self.table.as_ref().map_or(0, table);
--- a/crates/stepspur-proto/tests/frames.rs
+++ b/crates/stepspur-proto/tests/frames.rs
@@ -1,4 +1,5 @@
-//! Round trips, limits and total decoding of frames; bytes as `docs/protocol.md` shows them.
+//! Round trips and limits of frames, decoding of arbitrary bytes, and the encoded frames that
+//! `docs/protocol.md` shows.
 
 use bytes::{Bytes, BytesMut};
 use proptest::prelude::*;
@@ -28,31 +29,32 @@
 }
 
 #[test]
-fn documented_frames_are_byte_exact() {
+fn documented_frames_equal_the_encoded_ones() {
     let page = include_str!("../../../docs/protocol.md").replace(' ', "");
     let applied = FromProxy::new(3, 17, from_proxy::Kind::Applied(Applied { mark: 5, took_us: 250 }));
     let goodbye = FromConductor::goodbye(3, 18, Reason::Replaced, "p-7 again");
-    let shown = [frame(&hello(), 99), frame(&order(1), 99), frame(&applied, 99), frame(&goodbye, 99)];
-    for bytes in shown {
+    let expected = [frame(&hello(), 99), frame(&order(1), 99), frame(&applied, 99), frame(&goodbye, 99)];
+    for bytes in expected {
         let bytes = hex(&bytes.unwrap());
         assert!(page.contains(&bytes), "docs/protocol.md does not show {bytes}");
     }
 }
 
-/// One byte over the largest frame is refused by both sides, before any of it is kept; just at it passes.
+/// A frame of exactly the maximum length is accepted. One that is a byte larger is rejected by the encoder and,
+/// before any of its body is buffered, by the decoder: a peer must not be able to claim more memory.
 #[test]
-fn the_largest_frame_is_exact() {
+fn a_frame_of_the_maximum_length_is_accepted_and_a_larger_one_rejected() {
     let message = order(20);
     let size = message.encoded_len();
     let mut wire = BytesMut::from(&frame(&message, size).unwrap()[..]);
     assert!(matches!(frame(&message, size - 1), Err(FrameError::TooLarge { .. })));
-    let mut tight = Side::<FromConductor, FromProxy>::new(size - 1);
-    assert!(matches!(tight.decode(&mut wire.clone()), Err(FrameError::TooLarge { .. })));
-    let mut fits = Side::<FromConductor, FromProxy>::new(size);
-    assert_eq!(fits.decode(&mut wire).unwrap(), Some(message));
+    let mut too_small = Side::<FromConductor, FromProxy>::new(size - 1);
+    assert!(matches!(too_small.decode(&mut wire.clone()), Err(FrameError::TooLarge { .. })));
+    let mut large_enough = Side::<FromConductor, FromProxy>::new(size);
+    assert_eq!(large_enough.decode(&mut wire).unwrap(), Some(message));
 }
 
-/// A later version's fields and kinds are passed over: the message still reads, its kind is none.
+/// Fields and kinds of a later protocol version are skipped: the message is still decoded, with no kind.
 #[test]
 fn unknown_fields_and_kinds_are_skipped() {
     let mut body = hello().encode_to_vec();
@@ -86,9 +88,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(256) })]
 
-    /// What one side sends the other reads, however the bytes are cut on the way.
+    /// The receiver decodes the messages that were sent, however the bytes are split into reads.
     #[test]
-    fn round_trips_in_any_pieces(messages in prop::collection::vec(any_message(), 1..4), cut in 1usize..64) {
+    fn messages_round_trip_in_chunks(messages in prop::collection::vec(any_message(), 1..4), cut in 1usize..64) {
         let mut sender = Side::<FromProxy, FromConductor>::new(1 << 20);
         let mut wire = BytesMut::new();
         for message in &messages {
@@ -106,7 +108,7 @@
         prop_assert!(reader.decode_eof(&mut buffer).unwrap().is_none());
     }
 
-    /// Any bytes give a message, a wait for more, or a plain error; a torn end is told.
+    /// Arbitrary bytes from a peer yield a message, a wait for more bytes, or an error, and never a panic.
     #[test]
     fn decoding_is_total(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let mut reader = Side::<FromProxy, FromConductor>::new(4096);
@@ -115,14 +117,15 @@
         let _ = split_frame::<FromProxy>(&bytes);
     }
 
+    /// A stream that ends inside a frame is an error, not a silent end.
     #[test]
-    fn a_cut_frame_is_torn(message in any_message(), keep in 0.0f64..1.0) {
+    fn a_truncated_frame_is_an_error(message in any_message(), kept_share in 0.0f64..1.0) {
         let whole = frame(&message, 1 << 20).unwrap();
-        let kept = 1 + ((whole.len() - 2) as f64 * keep) as usize;
+        let length = 1 + ((whole.len() - 2) as f64 * kept_share) as usize;
         let mut reader = Side::<FromConductor, FromProxy>::new(1 << 20);
-        let end = reader.decode_eof(&mut BytesMut::from(&whole[..kept]));
-        let torn = matches!(end, Err(FrameError::Torn { .. }));
-        prop_assert!(torn);
+        let end = reader.decode_eof(&mut BytesMut::from(&whole[..length]));
+        let is_truncated = matches!(end, Err(FrameError::Truncated { .. }));
+        prop_assert!(is_truncated);
     }
 
     #[test]
--- a/crates/stepspur-proto/tests/fuzz.rs
+++ b/crates/stepspur-proto/tests/fuzz.rs
@@ -1,5 +1,5 @@
-//! A fuzz target for the frames that a stranger sends, by bolero: a plain test over drawn inputs in CI;
-//! `cargo bolero test -p stepspur-proto fuzz_frames` drives it by coverage.
+//! A bolero fuzz target for frames from an untrusted peer. In CI it is a plain test over random inputs;
+//! `cargo bolero test -p stepspur-proto fuzz_frames` runs it guided by coverage.
 
 use bytes::BytesMut;
 use stepspur_proto::{Frames, FromConductor, FromProxy};
@@ -13,7 +13,7 @@
         while let Ok(Some(_)) = reader.decode(&mut buffer) {}
         assert!(
             buffer.capacity() <= bytes.len() + 8192,
-            "room is made for what may come, not for what is claimed"
+            "the decoder reserves memory within the limit, not for the length that a frame claims"
         );
     });
 }
