--- a/crates/stepspur-distribution/src/config.rs
+++ b/crates/stepspur-distribution/src/config.rs
@@ -20,7 +20,7 @@
 /// Upper bound of the setting `subscribers_max` of a control member.
 pub const MAX_SUBSCRIBERS: u32 = 100_000;
 
-/// Lower bound of the rate limit of snapshots, in bytes per second: at least one part can be sent each second.
+/// Lower bound of the rate limit of snapshots, in bytes per second: at least one part per second.
 const MIN_SNAPSHOT_BYTES_PER_S: u32 = 64 << 10;
 /// Upper bound of the rate limit of snapshots, in bytes per second.
 const MAX_SNAPSHOT_BYTES_PER_S: u32 = 1 << 30;
--- a/crates/stepspur-distribution/src/configuration/tests.rs
+++ b/crates/stepspur-distribution/src/configuration/tests.rs
@@ -124,9 +124,10 @@
     assert_eq!(state.len(), 0);
 }
 
-/// A delta that ends before the head has the documents as of its end, not those changed after it.
+/// A delta that is limited by size and ends before the head must have the documents as of its last version. A
+/// later removal of one of them must not leak into it.
 #[test]
-fn delta_cut_by_size_has_the_documents_of_its_last_version() {
+fn delta_limited_by_size_has_the_documents_of_its_last_version() {
     let mut state = ConfigurationState::default();
     let shop = interest("north", &[("shop", &[])]);
     let a = level(scope(Some("shop"), None, None), "a", 1);
@@ -171,7 +172,7 @@
 }
 
 #[test]
-fn registrations_make_no_version_and_name_the_subscribers_a_version_concerns() {
+fn registrations_create_no_version_and_determine_the_subscribers_a_version_concerns() {
     let mut state = ConfigurationState::default();
     let of = |name: &str, interest: &Interest| Registration::new(name, interest).unwrap();
     let registrations = vec![
@@ -203,8 +204,8 @@
     assert_eq!(state.subscribers_concerned(version(12)).unwrap(), ["shop north"]);
 }
 
-/// The log and the registrations stay small for every interest: a subscriber with too many tenants is
-/// registered for all of them, so that every version that concerns it waits for it.
+/// Log entries and registrations must stay small for every interest. A subscriber with too many tenants is
+/// registered for all tenants of its services, so that no rollout that concerns it misses it.
 #[test]
 fn interest_with_many_tenants_is_registered_without_them_and_covers_all() {
     let tenants: Vec<String> = (0..5_000).map(|n| format!("tenant {n}")).collect();
@@ -308,8 +309,8 @@
         prop_assert_eq!(restored.encode(), state.encode());
     }
 
-    /// From every version and with every size of deltas, each delta leads to the documents of its last
-    /// version.
+    /// From every version and for every size limit, applying each delta in turn yields the documents of its
+    /// last version.
     #[test]
     fn deltas_lead_to_the_documents_of_their_version(
         commands in vec(some_command(), 1..40),
@@ -319,12 +320,12 @@
     ) {
         let (state, documents_at) = apply_all(&commands, &interest);
         let mut at = *documents_at.keys().nth(from.index(documents_at.len())).unwrap();
-        let mut holds = documents_at[&at].clone();
+        let mut held = documents_at[&at].clone();
         loop {
             match state.next_update(at, &interest, bytes) {
                 SubscriberUpdate::Covered(version) => {
                     prop_assert_eq!(version, state.head());
-                    prop_assert_eq!(&holds, &documents_at[&version]);
+                    prop_assert_eq!(&held, &documents_at[&version]);
                     break;
                 }
                 SubscriberUpdate::Snapshot => prop_assert!(false, "deltas reach back to {}", at),
@@ -332,12 +333,12 @@
                     prop_assert!(delta.to > at);
                     for document in delta.documents {
                         match document.setting {
-                            Some(_) => holds.insert(document.key.clone(), document),
-                            None => holds.remove(&document.key),
+                            Some(_) => held.insert(document.key.clone(), document),
+                            None => held.remove(&document.key),
                         };
                     }
                     at = delta.to;
-                    prop_assert_eq!(&holds, &documents_at[&at]);
+                    prop_assert_eq!(&held, &documents_at[&at]);
                 }
             }
         }
--- a/crates/stepspur-distribution/src/placement/tests.rs
+++ b/crates/stepspur-distribution/src/placement/tests.rs
@@ -15,7 +15,7 @@
     (0..2_400).map(|number| format!("conductor-{number}")).collect()
 }
 
-/// How many subscribers have each member as their first.
+/// The number of subscribers that try each member first.
 fn firsts(region: &str, members: &[ControlMember]) -> BTreeMap<u64, usize> {
     let mut counts: BTreeMap<u64, usize> = members.iter().map(|member| (member.id, 0)).collect();
     for name in names() {
@@ -50,7 +50,7 @@
 
 #[test]
 fn order_spreads_subscribers_evenly_over_members() {
-    // 160 each: the deviation of so many draws is 12, and each must lie within four of them.
+    // 160 are expected at each. The standard deviation is 12; each count must be within four of them.
     for (member, count) in firsts("elsewhere", &members(15, 5)) {
         assert!((112..=208).contains(&count), "member {member} has {count} of 2400");
     }
@@ -66,11 +66,11 @@
         if before == 7 {
             *taken_over.entry(after).or_default() += 1;
         } else {
-            assert_eq!(before, after, "{name} moved without need");
+            assert_eq!(before, after, "{name} moved although its member was not lost");
         }
     }
     assert_eq!(taken_over.len(), 14, "{taken_over:?}");
-    // 11 each on average.
+    // 11 are expected at each.
     assert!(taken_over.values().all(|count| *count <= 28), "{taken_over:?}");
 }
 
--- a/crates/stepspur-distribution/src/scope_store/tests.rs
+++ b/crates/stepspur-distribution/src/scope_store/tests.rs
@@ -91,7 +91,7 @@
     let (store, stored) = open(&path, &interest("north", &["a"]));
     assert_eq!(version_and_documents(stored), (version(3), vec![document("a", 1, 2, Some(5))]));
     drop(store);
-    // What was deleted has to be fetched once it is of interest again.
+    // The deleted documents must be fetched again once the interest covers them again.
     let (_, stored) = open(&path, &interest("north", &["a", "b"]));
     assert_eq!(version_and_documents(stored), (Version::NONE, vec![document("a", 1, 2, Some(5))]));
 }
@@ -149,8 +149,8 @@
     (interest, bytes)
 }
 
-/// Opens a file of these bytes. Returns whether that is an error, which names the path and leaves the file
-/// unchanged; otherwise everything is loaded.
+/// Writes a file with these bytes and opens it. Returns whether that is an error; the error must name the
+/// path and leave the file unchanged. Otherwise everything must be loaded.
 fn opens_with_an_error(path: &Path, interest: &Interest, bytes: &[u8], what: &str) -> bool {
     fs::write(path, bytes).expect("it is written");
     match RedbStore::open(path, interest) {
@@ -191,7 +191,7 @@
         damaged[*at] ^= 0x20;
         error_count += usize::from(opens_with_an_error(&path, &interest, &damaged, &format!("byte {at}")));
     }
-    // The others are in free pages, or in a commit that redb takes for torn and reverts.
+    // The other damage is in free pages, or in a commit that redb considers incomplete and rolls back.
     assert!(error_count >= 10, "{error_count} of {} damaged files were rejected", used.len());
 }
 
@@ -213,9 +213,9 @@
     let write = database.begin_write().expect("it is written");
     let later = postcard::to_stdvec_crc32(&(FORMAT_VERSION + 1), Crc::<u32>::new(&CRC_32_ISCSI).digest());
     {
-        let facts = TableDefinition::<&str, &[u8]>::new("facts");
-        let mut facts = write.open_table(facts).expect("it is there");
-        facts.insert("format", later.expect("it is encoded").as_slice()).expect("it is written");
+        let metadata = TableDefinition::<&str, &[u8]>::new("facts");
+        let mut metadata = write.open_table(metadata).expect("it is there");
+        metadata.insert("format", later.expect("it is encoded").as_slice()).expect("it is written");
     }
     write.commit().expect("it is written");
     drop(database);
@@ -241,7 +241,7 @@
     assert_eq!(store.content().map(|stored| stored.version), Some(version(3)));
 }
 
-/// An update of a few keys: its kind, and the classes with their levels.
+/// An update of a few documents: its kind, and the classes with their levels.
 type GeneratedUpdate = (u8, Vec<(u64, Option<u32>)>);
 
 fn generated_updates() -> impl Strategy<Value = Vec<GeneratedUpdate>> {
@@ -281,7 +281,7 @@
     }
 }
 
-/// Files of earlier versions have the position as a tuple.
+/// Files of earlier program versions have the position encoded as a tuple; they must stay readable.
 #[test]
 fn stored_position_encoded_has_the_bytes_of_a_tuple() {
     let position = super::redb_tables::StoredPosition { version: version(300), stored_at_micros: 1_700_000 };
--- a/crates/stepspur-distribution/src/subscriber/scope_task/tests.rs
+++ b/crates/stepspur-distribution/src/subscriber/scope_task/tests.rs
@@ -260,7 +260,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn newer_document_of_a_failed_key_releases_the_applied_version() {
+async fn newer_document_of_a_failed_key_lets_the_applied_version_advance() {
     let mut fixture = fixture().await;
     let rejected = document(1, 4, Some(9));
     fixture.engine.reject(std::slice::from_ref(&rejected.key));
@@ -314,7 +314,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn covered_version_counts_at_once_and_is_stored_once_a_minute() {
+async fn covered_version_advances_the_progress_at_once_and_is_stored_once_a_minute() {
     let mut fixture = fixture().await;
     fixture.snapshot(3, vec![document(1, 3, Some(5))]).await.expect("stored");
     let stored = |fixture: &Fixture| fixture.store.content().map(|stored| stored.version);
--- a/crates/stepspur-distribution/tests/control/common.rs
+++ b/crates/stepspur-distribution/tests/control/common.rs
@@ -1,4 +1,4 @@
-//! Control members on a consensus group in memory, and a scripted subscriber.
+//! A cluster of control members on a consensus group in memory, and a scripted subscriber.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -22,13 +22,14 @@
 use tokio::time::{Instant, sleep, timeout};
 use tokio_util::codec::Framed;
 
-/// Time limit of everything that a test waits for.
+/// Time limit for each step that a test waits for.
 pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(60);
-/// How long a test checks that nothing but keep-alives is sent.
+/// How long a test checks that only keep-alives are sent.
 pub(crate) const QUIET_PERIOD: Duration = Duration::from_secs(5);
-/// The keep-alive of all control members here.
+/// The keep-alive interval of all control members here.
 pub(crate) const KEEP_ALIVE: Duration = Duration::from_secs(2);
 const PROPOSE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Capacity of a pipe in each direction, in bytes. A subscriber that does not read soon blocks the writer.
 const PIPE_BYTES: usize = 16 << 10;
 
 /// A network of duplex pipes in memory.
@@ -68,7 +69,7 @@
     }
 }
 
-/// Members of a consensus group, the first ones voters. Each is a control member.
+/// A consensus group whose members are all control members. The first ones are voters.
 pub(crate) struct Cluster {
     pub network: MemoryNetwork,
     pub wire: Wire,
@@ -77,7 +78,7 @@
     settings: ClusterSettings,
 }
 
-/// The settings of a cluster.
+/// The size and the limits of a cluster.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ClusterSettings {
     pub voters: u64,
@@ -126,7 +127,7 @@
         for id in 1..=settings.members {
             cluster.start_member(id).await;
         }
-        // The group has a leader once a change is committed.
+        // Once a change is committed, the group has a leader.
         cluster.change(vec![level("nobody", "first", 1)]).await;
         cluster
     }
@@ -157,7 +158,7 @@
         timeout(TEST_TIMEOUT, control.stop()).await.unwrap();
     }
 
-    /// Transfers the leadership; the old leader keeps running.
+    /// Transfers the leadership, and waits until the new leader leads. The old leader keeps running.
     pub(crate) async fn transfer_leadership(&self, from: u64, to: u64) {
         let deadline = Instant::now() + TEST_TIMEOUT;
         while self.replication[&from].node().transfer_leadership(MemberId(to)).await.unwrap().is_err() {
@@ -167,7 +168,7 @@
         wait_until("the new leader leads", || self.control(to).status().leads).await;
     }
 
-    /// Waits until a running member leads, and returns it.
+    /// Waits until a running member is the leader, and returns its id.
     pub(crate) async fn leader(&self) -> u64 {
         let leads = || self.controls.iter().find(|(_, control)| control.status().leads).map(|(id, _)| *id);
         wait_until("a running member leads", || leads().is_some()).await;
@@ -178,6 +179,7 @@
         &self.controls[&id]
     }
 
+    /// Proposes changes at any member, and returns their version.
     pub(crate) async fn change(&self, changes: Vec<Change>) -> Version {
         let any = self.controls.values().next().unwrap();
         any.propose(None, changes, PROPOSE_TIMEOUT).await.unwrap()
@@ -192,7 +194,7 @@
     /// Waits until this many subscribers are registered at all members.
     pub(crate) async fn wait_for_registered(&self, count: usize) {
         let all = || self.controls.values().all(|control| control.status().registered == count);
-        wait_until("they are registered", all).await;
+        wait_until("all members have the registrations", all).await;
     }
 
     /// Waits until the leader returns an expected rollout status.
@@ -224,7 +226,7 @@
         Subscriber(Framed::new(socket, Frames::new(1 << 20)))
     }
 
-    /// As [`Cluster::subscribe`], and receives the welcome.
+    /// Connects to a member, sends this first frame, and receives the welcome.
     pub(crate) async fn attach(&self, id: u64, first: v1::ConfigSubscribe) -> Subscriber {
         let mut subscriber = self.subscribe(id, first).await;
         subscriber.welcome().await;
@@ -290,7 +292,7 @@
         next.and_then(Result::ok).and_then(|frame| frame.kind)
     }
 
-    /// Receives the next frame that is no keep-alive, and answers keep-alives.
+    /// Receives the next frame other than a keep-alive. Answers keep-alives.
     pub(crate) async fn next_update(&mut self) -> Option<from_control::Kind> {
         loop {
             match self.next().await {
@@ -300,7 +302,7 @@
         }
     }
 
-    /// Asserts that only keep-alives come for a time. Returns the version that the last one covers.
+    /// Asserts that only keep-alives are received for a time. Returns the version that the last one covers.
     pub(crate) async fn covered_while_quiet(&mut self, span: Duration) -> Version {
         let (until, mut covered) = (Instant::now() + span, Version::NONE);
         loop {
@@ -310,7 +312,7 @@
                     covered = version_of(keep_alive.covered);
                     self.keep_alive().await;
                 }
-                Ok(other) => panic!("{other:?} came"),
+                Ok(other) => panic!("received {other:?}"),
             }
         }
     }
--- a/crates/stepspur-distribution/tests/control/main.rs
+++ b/crates/stepspur-distribution/tests/control/main.rs
@@ -1,4 +1,4 @@
-//! Control members against scripted subscribers, on a consensus group in memory with the clock paused.
+//! Tests of control members with scripted subscribers, on a consensus group in memory with the clock paused.
 
 mod common;
 mod rollout_status;
--- a/crates/stepspur-distribution/tests/control/rollout_status.rs
+++ b/crates/stepspur-distribution/tests/control/rollout_status.rs
@@ -1,4 +1,4 @@
-//! The rollout status, as the leader answers.
+//! The rollout status that the leader returns.
 
 use std::time::Duration;
 
@@ -37,7 +37,8 @@
     }
 }
 
-/// Attaches one subscriber of the shop to each of these members, and waits until they are registered.
+/// Attaches one subscriber of the service `shop` to each of these members, and waits until they are
+/// registered.
 async fn attach_to_each(cluster: &Cluster, members: &[u64]) -> Vec<Subscriber> {
     let head = cluster.control(1).status().head;
     let mut subscribers = Vec::new();
@@ -50,7 +51,8 @@
     subscribers
 }
 
-/// Silences the consensus links of a member. Those between control members stay.
+/// Drops all consensus messages to and from a member. Its connections to other control members
+/// continue.
 fn disconnect_from_group(cluster: &Cluster, id: u64) {
     for other in cluster.controls.keys().filter(|other| **other != id) {
         cluster.wire.silence(MemberId(id), MemberId(*other), true);
@@ -153,7 +155,7 @@
     drop(moved);
 }
 
-/// Nothing is known of the subscribers of a control member that does not report.
+/// Once a control member stops reporting, its subscribers must not count as having applied the version.
 #[tokio::test(start_paused = true)]
 async fn subscriber_of_a_member_that_stopped_reporting_is_pending() {
     let mut cluster = Cluster::start(THREE_MEMBERS).await;
@@ -169,7 +171,8 @@
     serving.into_iter().for_each(AcknowledgingSubscriber::stop);
 }
 
-/// The member still reports, but it does not follow the log any more.
+/// The member still reports, but it no longer receives the log, so that its subscribers cannot have the
+/// version.
 #[tokio::test(start_paused = true)]
 async fn subscriber_of_a_member_without_the_version_is_pending() {
     let cluster = Cluster::start(THREE_MEMBERS).await;
@@ -178,7 +181,7 @@
     let stored = cluster.control(1).status().head;
     disconnect_from_group(&cluster, 2);
     let version = cluster.change(vec![level("shop", "bulk", 7)]).await;
-    // Until its earlier summaries are stale.
+    // Wait until its earlier summaries are too old.
     sleep(SUMMARY_MAX_AGE * 3).await;
     let is_expected =
         |status: &RolloutStatus| status.pending[0].reason == "control member 2 is not at this version";
@@ -188,7 +191,8 @@
     serving.into_iter().for_each(AcknowledgingSubscriber::stop);
 }
 
-/// The interest differs from the registered one, and the member cannot have the new one committed.
+/// The subscriber's interest differs from the registered one, and its member cannot commit the new
+/// registration.
 #[tokio::test(start_paused = true)]
 async fn attached_subscriber_with_an_unregistered_interest_is_pending() {
     let cluster = Cluster::start(THREE_MEMBERS).await;
@@ -208,7 +212,7 @@
     assert_eq!(status.pending[0].applied_version, Version::NONE);
 }
 
-/// The new leader knows nothing until all members have reported all states.
+/// A new leader has no subscriber states until the members have reported all of them to it.
 #[tokio::test(start_paused = true)]
 async fn new_leader_answers_after_the_leader_stopped() {
     let mut cluster = Cluster::start(ClusterSettings { voters: 3, members: 4, ..THREE_MEMBERS }).await;
@@ -226,7 +230,8 @@
     serving.into_iter().for_each(AcknowledgingSubscriber::stop);
 }
 
-/// The old leader and its connections continue, but it answers no more.
+/// The old leader keeps running with its connections. It must reject requests, and the members must report to
+/// the new leader.
 #[tokio::test(start_paused = true)]
 async fn members_report_to_the_new_leader_after_a_transfer() {
     let cluster = Cluster::start(ClusterSettings { voters: 3, members: 4, ..THREE_MEMBERS }).await;
@@ -247,7 +252,8 @@
     serving.into_iter().for_each(AcknowledgingSubscriber::stop);
 }
 
-/// An older disk was put back: earlier acknowledgements do not count any more.
+/// A subscriber that was restored from an older disk holds an older version: its earlier acknowledgements
+/// must no longer count.
 #[tokio::test(start_paused = true)]
 async fn subscriber_with_an_older_version_is_pending_until_it_acknowledges_again() {
     let cluster = Cluster::start(THREE_MEMBERS).await;
@@ -279,7 +285,8 @@
     }
 }
 
-/// More subscribers than fit in one proposal, and one that an operator removed while attached.
+/// There are more subscribers than fit in one proposal, and an operator removes one of them while it is
+/// attached.
 #[tokio::test(start_paused = true)]
 async fn attached_subscribers_are_registered_and_again_after_a_removal() {
     let cluster = Cluster::start(ClusterSettings { subscribers_max: 200, ..THREE_MEMBERS }).await;
--- a/crates/stepspur-distribution/tests/control/snapshot_admission.rs
+++ b/crates/stepspur-distribution/tests/control/snapshot_admission.rs
@@ -1,4 +1,4 @@
-//! Snapshots are rate limited and delay nothing else.
+//! Snapshots are rate limited, and delay neither deltas nor keep-alives.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 
 use crate::common::{Cluster, ClusterSettings, KEEP_ALIVE, level, subscribe_message};
 
-/// One part each second.
+/// The rate limit admits one part of a snapshot per second.
 const SLOW_SNAPSHOTS: ClusterSettings = ClusterSettings {
     voters: 1,
     members: 1,
@@ -57,7 +57,8 @@
     assert_eq!(cluster.control(1).status().snapshots_waiting, 0);
 }
 
-/// The rate limit has the last subscriber wait for longer than three keep-alive intervals.
+/// The rate limit makes the last subscriber wait for longer than three keep-alive intervals. Without
+/// keep-alives it would close the connection.
 #[tokio::test(start_paused = true)]
 async fn subscriber_that_waits_for_a_snapshot_is_sent_keep_alives() {
     let cluster = Cluster::start(SLOW_SNAPSHOTS).await;
--- a/crates/stepspur-distribution/tests/control/subscriber_sessions.rs
+++ b/crates/stepspur-distribution/tests/control/subscriber_sessions.rs
@@ -1,4 +1,4 @@
-//! What control members send to a subscriber.
+//! The sessions of subscribers at control members: what is sent, accepted, redirected and closed.
 
 use std::time::Duration;
 
@@ -31,9 +31,9 @@
         assert_eq!(shop.delta().await, (head, version, vec![document(&change, version)]));
     }
     assert!(started.elapsed() < Duration::from_secs(1), "{:?}", started.elapsed());
-    // The subscriber of the shop is behind until it acknowledges, that of the mail is not.
+    // The subscriber of `shop` is behind until it acknowledges; that of `mail` is not.
     assert_eq!(cluster.control(1).status().behind, 1);
-    // The others are sent keep-alives alone, and their next delta begins at the covered version.
+    // The others are sent only keep-alives, and their next delta begins at the covered version.
     assert_eq!(
         tokio::join!(mail_1.covered_while_quiet(QUIET_PERIOD), mail_2.covered_while_quiet(QUIET_PERIOD)),
         (version, version)
@@ -71,7 +71,8 @@
     assert_eq!((version, parts.len(), parts[0].1.len()), (head, 1, 0), "an empty snapshot is sent as well");
 }
 
-/// There is no queue: a subscriber that does not read is sent the last state once it reads again.
+/// Updates are not queued: a subscriber that does not read for a while must get the latest state when it
+/// reads again, and must not delay others meanwhile.
 #[tokio::test(start_paused = true)]
 async fn slow_subscriber_delays_no_other_and_catches_up_by_version() {
     let cluster = Cluster::start(ClusterSettings::default()).await;
@@ -94,7 +95,7 @@
         last = version;
         last_changes = changes;
     }
-    // The first delta was in flight; the later changes come as one.
+    // The first delta was in flight; the later changes are sent as one delta.
     let mut at = head;
     let mut frames = 0;
     let documents = loop {
@@ -121,7 +122,7 @@
         let class = |n: usize| level("shop", &format!("{n:02}{long}"), round);
         cluster.change((0..MAX_CHANGES).map(class).collect()).await;
     }
-    // It sends keep-alives meanwhile.
+    // It sends keep-alives meanwhile, so that only the write timeout can detach it.
     while cluster.control(1).status().attached == 1 && started.elapsed() < TEST_TIMEOUT {
         slow.keep_alive().await;
         sleep(KEEP_ALIVE / 4).await;
@@ -130,7 +131,8 @@
     assert!(limit.contains(&started.elapsed()), "{:?}", started.elapsed());
 }
 
-/// A delta begins at the version that was sent last, even if later versions were evaluated since.
+/// A delta must begin at the version that was sent last, even if later versions that do not concern the
+/// subscriber were evaluated since. Otherwise the subscriber would reject it as a gap.
 #[tokio::test(start_paused = true)]
 async fn delta_begins_at_the_stored_version_of_the_subscriber() {
     let cluster = Cluster::start(ClusterSettings::default()).await;
@@ -206,7 +208,8 @@
     assert_eq!((from, to), (version, next));
 }
 
-/// The member lags, or an older disk was put back: its version is older than that of the subscriber.
+/// The member lags behind, or was restored from an older disk: its version is older than that of the
+/// subscriber.
 #[tokio::test(start_paused = true)]
 async fn subscriber_with_a_later_version_waits_or_is_redirected() {
     let cluster = Cluster::start(ClusterSettings { members: 2, ..ClusterSettings::default() }).await;
@@ -320,7 +323,7 @@
         attached.push(cluster.attach(1, insists(name)).await);
     }
     assert!(cluster.subscribe(1, insists("66")).await.redirect().await.detail.contains("takes 66"));
-    // A subscriber that is attached already is no new one.
+    // A subscriber that is already attached does not count as a further one.
     cluster.attach(1, subscribe_message("07", "shop", head)).await;
     assert_eq!(cluster.control(1).status().attached, 66);
 }
--- a/crates/stepspur-distribution/tests/format.rs
+++ b/crates/stepspur-distribution/tests/format.rs
@@ -1,4 +1,6 @@
-//! Records as the program wrote them before its types were renamed: a subscriber's file and the replicated log.
+//! Files that earlier versions of the program wrote must stay readable: a subscriber's file, and the
+//! replicated log. A change of a stored type, even a rename of a field or variant, could alter their
+//! encoding.
 
 use std::path::Path;
 
@@ -11,21 +13,23 @@
 use stepspur_distribution::version::Version;
 use stepspur_replication::Command;
 
-const FACTS: TableDefinition<&str, &[u8]> = TableDefinition::new("facts");
+const METADATA: TableDefinition<&str, &[u8]> = TableDefinition::new("facts");
 const DOCUMENTS: TableDefinition<&[u8], &[u8]> = TableDefinition::new("documents");
-/// Table, key and value of each record of a subscriber's file; keys of documents and all values in hexadecimal.
+/// Records of a subscriber's file, one per line: table, key and value. Keys of documents and all values are
+/// hexadecimal.
 const SCOPE_RECORDS: &str = include_str!("data/format-1.txt");
-/// Index and entry of each command in a consensus member's log, with its checksum.
+/// Entries of a consensus member's log, one per line: index, and entry with its checksum.
 const LOG_RECORDS: &str = include_str!("data/consensus-log-1.txt");
-/// Bytes of an entry before its command: index, term, variant, length, and the mark of a replicated command.
-const ENTRY_HEAD: usize = 5;
+/// Length of an entry before its command, in bytes: index, term, variant, length, and the marker of a
+/// replicated command.
+const ENTRY_HEADER_BYTES: usize = 5;
 
 fn from_hex(text: &str) -> Vec<u8> {
     let byte = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).unwrap();
     (0..text.len()).step_by(2).map(byte).collect()
 }
 
-/// A subscriber's file with the records.
+/// Writes a subscriber's file with the records.
 fn write_file(path: &Path) {
     let database = Database::create(path).unwrap();
     let transaction = database.begin_write().unwrap();
@@ -33,7 +37,7 @@
         let [table, key, value] = line.split(' ').collect::<Vec<_>>().try_into().unwrap();
         let value = from_hex(value);
         match table {
-            "facts" => drop(transaction.open_table(FACTS).unwrap().insert(key, value.as_slice()).unwrap()),
+            "facts" => drop(transaction.open_table(METADATA).unwrap().insert(key, value.as_slice()).unwrap()),
             "documents" => {
                 let key = from_hex(key);
                 let mut documents = transaction.open_table(DOCUMENTS).unwrap();
@@ -78,11 +82,11 @@
     for line in LOG_RECORDS.lines() {
         let mut entry = from_hex(line.rsplit(' ').next().unwrap());
         entry.truncate(entry.len() - size_of::<u32>());
-        if entry.len() <= ENTRY_HEAD {
+        if entry.len() <= ENTRY_HEADER_BYTES {
             continue;
         }
-        let command = Command::decode(&entry[ENTRY_HEAD..]).expect("a command");
-        assert_eq!(command.encode(), entry[ENTRY_HEAD..]);
+        let command = Command::decode(&entry[ENTRY_HEADER_BYTES..]).expect("a command");
+        assert_eq!(command.encode(), entry[ENTRY_HEADER_BYTES..]);
         let change = configuration::Command::decode(&command.body).expect("a configuration command");
         assert_eq!(change.encode(), command.body);
         decoded.push(change);
@@ -96,6 +100,6 @@
         let change = Change { scope: shop(), target, setting: Some(Setting::LevelPpm(ppm)) };
         configuration::Command::Change { changes: vec![change] }
     };
-    let wanted = [registered("one"), registered("two"), changed("read", 500_000), changed("read", 250_000)];
-    assert_eq!(decoded, wanted);
+    let expected = [registered("one"), registered("two"), changed("read", 500_000), changed("read", 250_000)];
+    assert_eq!(decoded, expected);
 }
--- a/crates/stepspur-distribution/tests/subscriber/common.rs
+++ b/crates/stepspur-distribution/tests/subscriber/common.rs
@@ -20,9 +20,9 @@
 use tokio::time::{Instant, timeout};
 use tokio_util::codec::Framed;
 
-/// Time limit of everything that a test waits for.
+/// Time limit for each step that a test waits for.
 pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(60);
-/// The keep-alive interval that the control member names.
+/// The keep-alive interval in the control member's welcome.
 pub(crate) const KEEP_ALIVE: Duration = Duration::from_secs(5);
 
 pub(crate) fn address(port: u16) -> SocketAddr {
@@ -168,8 +168,8 @@
         frame.expect("a valid frame").kind
     }
 
-    /// Receives the next acknowledgement: the stored version, the applied version, and reason documents were
-    /// not applied.
+    /// Receives the next acknowledgement: the stored version, the applied version, and the reasons of
+    /// documents that were not applied.
     pub(crate) async fn next_acknowledgement(&mut self) -> (Version, Version, Vec<String>) {
         loop {
             match self.receive().await {
@@ -183,7 +183,7 @@
                         reasons,
                     );
                 }
-                other => panic!("{other:?} in place of an acknowledgement"),
+                other => panic!("expected an acknowledgement, received {other:?}"),
             }
         }
     }
@@ -194,7 +194,7 @@
     }
 }
 
-/// An engine that records applied documents. A test has it reject documents, or stall.
+/// An engine that records applied documents. A test can make it reject documents, or stall.
 #[derive(Clone, Default)]
 pub(crate) struct Engine {
     state: Arc<Mutex<EngineState>>,
@@ -205,7 +205,7 @@
 struct EngineState {
     applied: BTreeMap<Key, Document>,
     rejection: Option<String>,
-    /// Applied documents must be in this store.
+    /// The store that must have each document before it is applied.
     store: Option<MemoryStore>,
 }
 
@@ -278,7 +278,7 @@
         Self { engine, store, subscriber: subscriber.expect("it starts") }
     }
 
-    /// Waits for an expected status.
+    /// Waits until the status is as expected, and returns it.
     pub(crate) async fn status(&self, is_expected: impl Fn(&SubscriberStatus) -> bool) -> SubscriberStatus {
         let mut status = self.subscriber.status();
         let found =
--- a/crates/stepspur-distribution/tests/subscriber/main.rs
+++ b/crates/stepspur-distribution/tests/subscriber/main.rs
@@ -1,4 +1,4 @@
-//! A subscriber against a scripted control member, with the clock paused.
+//! Tests of a subscriber with a scripted control member, with the clock paused.
 
 mod common;
 
@@ -15,7 +15,7 @@
 use stepspur_proto::{from_control, from_subscriber, v1};
 use tokio::time::{Instant, sleep, timeout};
 
-/// Long compared to all steps of a subscriber, short compared to a keep-alive interval.
+/// Longer than any step of a subscriber, shorter than a keep-alive interval.
 const SHORT_WAIT: Duration = Duration::from_millis(500);
 
 #[tokio::test(start_paused = true)]
@@ -241,7 +241,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn frame_of_the_control_member_ends_its_silence() {
+async fn frames_of_the_control_member_prevent_the_silence_timeout() {
     let AttachedSubscriber { running, mut connection, listener: _listener, .. } =
         AttachedSubscriber::start().await;
     for _ in 0..10 {
@@ -327,7 +327,7 @@
     connection.send(welcome(&members)).await;
     let status = running.status(|status| status.control == Some(address(2))).await;
     assert_eq!(status.reconnects, 0);
-    // Later it stays attached to a farther member.
+    // After that it stays attached to a member of another region.
     drop((connection, near));
     let mut connection = far.accept().await;
     connection.send(welcome(&members)).await;
@@ -343,7 +343,7 @@
     sleep(Duration::from_secs(300)).await;
     let dials = network.dials();
     let waits: Vec<Duration> = dials.windows(2).map(|two| two[1].1 - two[0].1).collect();
-    // Half of three seconds on average.
+    // The waits are random up to three seconds, so 1.5 s on average: about 200 dials.
     assert!((120..=300).contains(&dials.len()), "{} dials", dials.len());
     assert!(waits.iter().all(|wait| *wait <= Duration::from_secs(3)), "{waits:?}");
     assert!(waits.iter().max().is_some_and(|wait| *wait > Duration::from_secs(2)), "{waits:?}");
@@ -351,7 +351,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn member_without_a_welcome_is_left_after_the_dial_timeout() {
+async fn member_that_sends_no_welcome_is_abandoned_after_the_dial_timeout() {
     let network = MemoryNetwork::default();
     let (mut first, mut second) = (network.listener(1), network.listener(2));
     let _running = RunningSubscriber::start(&network, &[1, 2]).await;
