--- a/crates/stepspur-distribution/src/configuration/command.rs
+++ b/crates/stepspur-distribution/src/configuration/command.rs
@@ -13,7 +13,7 @@
 };
 use crate::document::{Change, DocumentError, Interest, MAX_NAME_BYTES, Scope, is_valid_name};
 
-/// Maximum length of the encoding that is added to each name in a registration, in bytes.
+/// Upper bound of the encoding overhead of each name in a registration, in bytes.
 const NAME_OVERHEAD_BYTES: usize = 4;
 
 /// A command to the replicated configuration. It is a log entry; the order of variants and fields is its
--- a/crates/stepspur-distribution/src/control/progress_table.rs
+++ b/crates/stepspur-distribution/src/control/progress_table.rs
@@ -17,7 +17,7 @@
 
 /// Minimum share of a member, in subscribers. The share is computed from the registered subscribers; after a
 /// start many are not registered yet, and a smaller share would redirect them needlessly.
-const MIN_SHARE: usize = 64;
+const MIN_SUBSCRIBER_SHARE: usize = 64;
 /// A member accepts up to this percentage of an even share of the registered subscribers, and redirects
 /// further ones.
 const MAX_SHARE_PERCENT: usize = 125;
@@ -132,7 +132,8 @@
     /// hard limit.
     fn check_limit(&self, attached: usize, insists: bool) -> Result<(), SubscriberLimitReached> {
         let registered = self.configuration.read(ConfigurationState::registered_count);
-        let share = (registered * MAX_SHARE_PERCENT).div_ceil(self.member_count * 100).max(MIN_SHARE);
+        let share =
+            (registered * MAX_SHARE_PERCENT).div_ceil(self.member_count * 100).max(MIN_SUBSCRIBER_SHARE);
         let max = if insists { self.max_subscribers } else { share.min(self.max_subscribers) };
         if attached < max { Ok(()) } else { Err(SubscriberLimitReached { attached, max }) }
     }
--- a/crates/stepspur-distribution/src/control/summary_collector.rs
+++ b/crates/stepspur-distribution/src/control/summary_collector.rs
@@ -11,8 +11,8 @@
 use crate::configuration::MAX_SUBSCRIBERS;
 use crate::version::{Version, version_of};
 
-/// Maximum number of subscribers in the summaries of one member, attached and detached.
-const MAX_NAMES: usize = 2 * MAX_SUBSCRIBERS;
+/// Maximum number of subscribers in the summaries of one member, attached and detached ones together.
+const MAX_SUBSCRIBERS_PER_MEMBER: usize = 2 * MAX_SUBSCRIBERS;
 
 /// Why a summary is rejected. It ends the reporting connection, and the member then reports all states again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -24,8 +24,8 @@
     /// The sequence number does not follow the last one, or the first summary has only changes.
     #[error("summary part {found} is out of sequence, the last one was {last:?}")]
     OutOfSequence { last: Option<u64>, found: u64 },
-    #[error("the summaries name more than {MAX_NAMES} subscribers")]
-    TooManyNames,
+    #[error("the summaries name more than {MAX_SUBSCRIBERS_PER_MEMBER} subscribers")]
+    TooManySubscribers,
 }
 
 /// Identifies a connection over which a member reports. Only the newest one of a member is accepted.
@@ -194,8 +194,8 @@
             Some(summary) if !self.replaces_summary() => summary.states.len(),
             _ => 0,
         };
-        if known + received > MAX_NAMES || self.parts.len() > MAX_NAMES {
-            return Err(SummaryError::TooManyNames);
+        if known + received > MAX_SUBSCRIBERS_PER_MEMBER || self.parts.len() > MAX_SUBSCRIBERS_PER_MEMBER {
+            return Err(SummaryError::TooManySubscribers);
         }
         Ok(())
     }
--- a/crates/stepspur-distribution/src/control/summary_encoder.rs
+++ b/crates/stepspur-distribution/src/control/summary_encoder.rs
@@ -9,7 +9,7 @@
 use super::subscriber_state::{Lag, SubscriberState, SubscriberStates};
 
 /// Maximum number of subscribers in one part of a summary.
-const MAX_NAMES_PER_PART: usize = 256;
+const MAX_SUBSCRIBERS_PER_PART: usize = 256;
 /// Maximum number of subscribers that are listed as behind. The others are only counted.
 const MAX_BEHIND_LISTED: usize = 1_024;
 
@@ -43,7 +43,7 @@
         let is_changed = |(name, state): &(&String, &SubscriberState)| reported.get(*name) != Some(*state);
         let changed: Vec<(&String, &SubscriberState)> = states.iter().filter(is_changed).collect();
         let mut parts: Vec<v1::ControlSummary> =
-            changed.chunks(MAX_NAMES_PER_PART).map(encode_part).collect();
+            changed.chunks(MAX_SUBSCRIBERS_PER_PART).map(encode_part).collect();
         if parts.is_empty() {
             parts.push(v1::ControlSummary::default());
         }
--- a/crates/stepspur-distribution/src/control/summary_encoder/tests.rs
+++ b/crates/stepspur-distribution/src/control/summary_encoder/tests.rs
@@ -116,7 +116,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn add_beyond_max_names_is_an_error() {
+async fn add_beyond_max_subscribers_per_member_is_an_error() {
     let collector = SummaryCollector::new(BTreeSet::from([1]));
     let at = collector.connect(1).unwrap();
     let part = |sequence: u64| v1::ControlSummary {
@@ -129,7 +129,7 @@
     };
     collector.add(at, part(1)).unwrap();
     collector.add(at, part(2)).unwrap();
-    assert_eq!(collector.add(at, part(3)), Err(SummaryError::TooManyNames));
+    assert_eq!(collector.add(at, part(3)), Err(SummaryError::TooManySubscribers));
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/stepspur-distribution/src/control/update_sender.rs
+++ b/crates/stepspur-distribution/src/control/update_sender.rs
@@ -108,7 +108,7 @@
         let snapshot = member
             .configuration
             .read(|state| Snapshot { version: state.head(), documents: state.snapshot(interest) });
-        let mut parts = divide(snapshot.documents).into_iter().zip(0..).peekable();
+        let mut parts = divide_into_parts(snapshot.documents).into_iter().zip(0..).peekable();
         while let Some((documents, part)) = parts.next() {
             let is_last = parts.peek().is_none();
             let bytes = documents.iter().map(document_bytes).sum();
@@ -146,7 +146,7 @@
 
 /// Divides documents into parts of at most [`MAX_PART_BYTES`]. An empty list becomes one empty part; a larger
 /// document becomes a part of its own.
-fn divide(documents: Vec<Document>) -> Vec<Vec<Document>> {
+fn divide_into_parts(documents: Vec<Document>) -> Vec<Vec<Document>> {
     let mut parts = Vec::new();
     let mut part: Vec<Document> = Vec::new();
     let mut part_bytes = 0;
--- a/crates/stepspur-distribution/src/scope_store/error.rs
+++ b/crates/stepspur-distribution/src/scope_store/error.rs
@@ -88,6 +88,6 @@
     StoreError::Disk { path: path.to_owned(), operation, cause: cause.to_string() }
 }
 
-pub(super) fn damaged(path: &Path, cause: impl fmt::Display) -> StoreError {
+pub(super) fn damaged_error(path: &Path, cause: impl fmt::Display) -> StoreError {
     StoreError::Damaged { path: path.to_owned(), cause: cause.to_string() }
 }
--- a/crates/stepspur-distribution/src/scope_store/redb_file.rs
+++ b/crates/stepspur-distribution/src/scope_store/redb_file.rs
@@ -8,7 +8,7 @@
 use redb::backends::{FileBackend, InMemoryBackend};
 use redb::{Database, DatabaseError, StorageBackend, StorageError};
 
-use super::error::{DiskOperation, StoreError, damaged, disk_error};
+use super::error::{DiskOperation, StoreError, damaged_error, disk_error};
 use super::redb_tables::{read_tables, write_tables};
 use crate::document::Interest;
 
@@ -68,17 +68,17 @@
     let read_error = |cause: io::Error| disk_error(path, DiskOperation::Read, cause);
     let bytes = backend.len().map_err(read_error)?;
     if bytes == 0 || bytes > MAX_FILE_BYTES {
-        return Err(damaged(path, format!("its size is {bytes} bytes, not 1 to {MAX_FILE_BYTES}")));
+        return Err(damaged_error(path, format!("its size is {bytes} bytes, not 1 to {MAX_FILE_BYTES}")));
     }
     let copy = copy_to_memory(backend, bytes).map_err(read_error)?;
     // Debug builds of redb panic on some damage that release builds return as an error.
     let checked = catch_unwind(AssertUnwindSafe(|| check_copy(path, copy)));
-    checked.unwrap_or_else(|_| Err(damaged(path, "redb panicked")))
+    checked.unwrap_or_else(|_| Err(damaged_error(path, "redb panicked")))
 }
 
 fn check_copy(path: &Path, copy: InMemoryBackend) -> Result<(), StoreError> {
     let mut database = open_database(path, copy)?;
-    database.check_integrity().map_err(|cause| damaged(path, cause))?;
+    database.check_integrity().map_err(|cause| damaged_error(path, cause))?;
     read_tables(path, &database)?;
     Ok(())
 }
@@ -98,6 +98,6 @@
         DatabaseError::Storage(StorageError::Io(cause)) if cause.kind() != io::ErrorKind::InvalidData => {
             disk_error(path, DiskOperation::Open, cause)
         }
-        other => damaged(path, other),
+        other => damaged_error(path, other),
     })
 }
--- a/crates/stepspur-distribution/src/scope_store/redb_tables.rs
+++ b/crates/stepspur-distribution/src/scope_store/redb_tables.rs
@@ -8,7 +8,7 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-use super::error::{DiskOperation, StoreError, damaged, disk_error};
+use super::error::{DiskOperation, StoreError, damaged_error, disk_error};
 use crate::document::{Document, Interest, Key};
 use crate::version::Version;
 
@@ -46,7 +46,7 @@
 
 /// Reads all tables and checks them.
 pub(super) fn read_tables(path: &Path, database: &Database) -> Result<TableContent, StoreError> {
-    let to_damaged = |cause: redb::Error| damaged(path, cause);
+    let to_damaged = |cause: redb::Error| damaged_error(path, cause);
     let transaction = database.begin_read().map_err(|cause| to_damaged(cause.into()))?;
     let metadata = transaction.open_table(METADATA).map_err(|cause| to_damaged(cause.into()))?;
     let found: u32 = read_metadata(path, &metadata, FORMAT_KEY)?;
@@ -61,7 +61,7 @@
         let (key, value) = row.map_err(|cause| to_damaged(cause.into()))?;
         let document: Document = decode(path, "a document", value.value())?;
         if encode_key(&document.key).map_err(to_damaged)? != key.value() {
-            return Err(damaged(path, "a document is stored under the key of another"));
+            return Err(damaged_error(path, "a document is stored under the key of another"));
         }
         documents.push(document);
     }
@@ -73,8 +73,8 @@
     metadata: &ReadOnlyTable<&'static str, &'static [u8]>,
     name: &str,
 ) -> Result<T, StoreError> {
-    let value = metadata.get(name).map_err(|cause| damaged(path, cause))?;
-    let value = value.ok_or_else(|| damaged(path, format!("{name} is missing")))?;
+    let value = metadata.get(name).map_err(|cause| damaged_error(path, cause))?;
+    let value = value.ok_or_else(|| damaged_error(path, format!("{name} is missing")))?;
     decode(path, name, value.value())
 }
 
@@ -149,5 +149,5 @@
 
 fn decode<T: DeserializeOwned>(path: &Path, what: &str, bytes: &[u8]) -> Result<T, StoreError> {
     let decoded = postcard::from_bytes_crc32(bytes, CHECKSUM.digest());
-    decoded.map_err(|cause| damaged(path, format!("{what}: {cause}")))
+    decoded.map_err(|cause| damaged_error(path, format!("{what}: {cause}")))
 }
--- a/crates/stepspur-distribution/src/subscriber/document_applier.rs
+++ b/crates/stepspur-distribution/src/subscriber/document_applier.rs
@@ -1,4 +1,4 @@
-//! The interface to the engines, on which documents take effect.
+//! The interface through which a subscriber applies documents to the engines.
 
 use stepspur_consensus_node::BoxFuture;
 
