--- a/crates/stepspur-disruption-budget/src/lib.rs
+++ b/crates/stepspur-disruption-budget/src/lib.rs
@@ -1,23 +1,28 @@
-//! The release gate: gives release tools leave to restart servers, never more at once than a stated part of a zone's and
-//! of the fleet's capacity.
+//! The disruption budget: permits release tools to restart servers, and limits the capacity that is out of
+//! service at once to a configured fraction of each zone and of the fleet.
 //!
-//! - What is out counts, whoever took it out: servers under a permit, servers that are not ready, and young ones until
-//!   they are warm. A zone that is doubted gets no leave.
-//! - A permit is a lease: a tool that dies gives it back by itself, and what it left out is named.
-//! - Tools are served in the order in which they came, the one that holds least first; one whose request does not fit
-//!   yet is not overtaken in its zones.
-//! - The gate is a duty of one conductor at a time. Permits carry its fencing token; a new holder grants nothing until
-//!   all that a former one gave has surely run out, and takes over permits that are renewed meanwhile.
+//! - Servers out of service count whatever the cause: those under a permit, those that are not ready, and
+//!   those that warm up after a start. A zone whose server list is suspected to be wrong gets no permits.
+//! - A permit is a lease. When a tool dies, its permit expires, and the event names the servers that are
+//!   still out.
+//! - Requests are granted in order of arrival, but tools with fewer servers under permit go first. Later
+//!   requests do not overtake one that does not fit yet in its zones.
+//! - One conductor at a time runs the budget. Permits carry its fencing token. A new holder grants nothing
+//!   until every permit of its predecessor has expired, and takes over the permits that are renewed until
+//!   then.
 //!
-//! Sans-IO: events go in with their time, what is granted or lapsed comes out. docs/gate.md has the design.
+//! Sans-IO: events and the current time are inputs; granted and expired permits are returned. docs/gate.md
+//! has the design.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod budget;
 mod fleet;
-mod gate;
 
+pub use budget::{
+    ActivePermit, DisruptionBudget, Event, InvalidSetting, Permit, PermitId, RequestError, Settings,
+};
 pub use fleet::{Fleet, Server};
-pub use gate::{Gate, Held, Permit, PermitId, Refused, Settings, SettingsFault, Told};
 
-/// A time or a span, in microseconds of the holder's own clock, which only goes forward.
+/// A time or a duration, in microseconds of the holder's monotonic clock.
 pub type Micros = u64;
