--- a/crates/stepspur-fault-tests/src/disk.rs
+++ b/crates/stepspur-fault-tests/src/disk.rs
@@ -1,4 +1,4 @@
-//! A disk in memory: what was saved stands, what was on its way is lost when its member is killed.
+//! An in-memory disk. Completed writes survive a crash of the member, queued writes are lost.
 
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -10,22 +10,23 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-/// Saves that wait at most.
-const SAVES: usize = 1_024;
+/// Maximum number of queued writes.
+const MAX_QUEUED_WRITES: usize = 1_024;
 
-/// What a disk holds at a moment.
-pub type Moment = PersistentState;
+/// The durable state on a disk.
+pub type StoredState = PersistentState;
 
 #[derive(Debug)]
 struct State {
     stored: PersistentState,
-    takes: Duration,
-    fails: Option<String>,
-    /// Rises when its member is killed: what an earlier life still writes is lost.
-    life: u64,
+    write_latency: Duration,
+    /// The error of every write; `None` while writes succeed.
+    failure: Option<String>,
+    /// Increases when the member is killed: writes that an earlier incarnation queued are lost.
+    incarnation: u64,
 }
 
-/// A member's disk.
+/// The disk of one member. Clones share it.
 #[derive(Clone, Debug)]
 pub struct Image {
     member: MemberId,
@@ -33,96 +34,103 @@
 }
 
 impl Image {
-    /// A disk that holds this.
-    pub fn new(member: MemberId, stored: PersistentState, takes: Duration) -> Self {
-        Self { member, state: Arc::new(Mutex::new(State { stored, takes, fails: None, life: 0 })) }
+    /// Creates a disk with this content, on which each write takes the time `write_latency`.
+    pub fn new(member: MemberId, stored: PersistentState, write_latency: Duration) -> Self {
+        Self {
+            member,
+            state: Arc::new(Mutex::new(State { stored, write_latency, failure: None, incarnation: 0 })),
+        }
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What it holds now.
-    pub fn moment(&self) -> Moment {
+    /// The durable state now, without the queued writes.
+    pub fn stored_state(&self) -> StoredState {
         self.state().stored.clone()
     }
 
-    /// Each save takes so long from now on.
-    pub fn takes(&self, takes: Duration) {
-        self.state().takes = takes;
+    /// Sets how long each write takes from now on.
+    pub fn set_write_latency(&self, write_latency: Duration) {
+        self.state().write_latency = write_latency;
     }
 
-    /// It refuses all saves from now on.
-    pub fn fail(&self, why: &str) {
-        self.state().fails = Some(why.to_owned());
+    /// Makes all writes from now on fail with this reason.
+    pub fn fail_writes(&self, reason: &str) {
+        self.state().failure = Some(reason.to_owned());
     }
 
-    /// Its member is killed: what was not saved yet is lost.
-    pub fn cut(&self) {
-        self.state().life += 1;
+    /// Simulates a crash of the member: writes that are not complete are lost.
+    pub fn crash(&self) {
+        self.state().incarnation += 1;
     }
 
-    /// Opens it: as a member takes it, and what it holds.
+    /// Opens the disk: the storage to start a member on, and the durable state.
     pub fn open(&self) -> (Box<dyn Storage>, PersistentState) {
-        let stored = self.moment();
-        (Box::new(Opened { image: self.clone(), life: self.state().life }), stored)
+        let stored = self.stored_state();
+        (Box::new(OpenDisk { disk: self.clone(), incarnation: self.state().incarnation }), stored)
     }
 
-    fn save(&self, life: u64, save: &WriteRequest) -> Option<Result<u64, String>> {
+    /// Applies a write and returns its number, or the error of a failed disk; `None` if the incarnation was
+    /// killed.
+    fn write(&self, incarnation: u64, request: &WriteRequest) -> Option<Result<u64, String>> {
         let mut state = self.state();
-        if state.life != life {
+        if state.incarnation != incarnation {
             return None;
         }
-        if let Some(why) = &state.fails {
-            return Some(Err(why.clone()));
+        if let Some(reason) = &state.failure {
+            return Some(Err(reason.clone()));
         }
-        state.stored = state.stored.with_write(save);
-        Some(Ok(save.number))
+        state.stored = state.stored.with_write(request);
+        Some(Ok(request.number))
     }
 }
 
-struct Opened {
-    image: Image,
-    life: u64,
+/// The disk as one incarnation of its member has it.
+struct OpenDisk {
+    disk: Image,
+    incarnation: u64,
 }
 
-impl Storage for Opened {
+impl Storage for OpenDisk {
     fn id(&self) -> MemberId {
-        self.image.member
+        self.disk.member
     }
 
-    fn start(self: Box<Self>, mut tell: StorageCallback) -> io::Result<Box<dyn WriteQueue>> {
-        let (to, mut saves) = mpsc::channel::<WriteRequest>(SAVES);
+    fn start(self: Box<Self>, mut callback: StorageCallback) -> io::Result<Box<dyn WriteQueue>> {
+        let (writes, mut queue) = mpsc::channel::<WriteRequest>(MAX_QUEUED_WRITES);
         let task = tokio::spawn(async move {
-            while let Some(save) = saves.recv().await {
-                let takes = self.image.state().takes;
-                sleep(takes).await;
-                match self.image.save(self.life, &save) {
-                    Some(Ok(number)) => tell(StorageEvent::Durable { number }),
-                    Some(Err(reason)) => return tell(StorageEvent::Failed { reason }),
+            while let Some(request) = queue.recv().await {
+                let latency = self.disk.state().write_latency;
+                sleep(latency).await;
+                match self.disk.write(self.incarnation, &request) {
+                    Some(Ok(number)) => callback(StorageEvent::Durable { number }),
+                    Some(Err(reason)) => return callback(StorageEvent::Failed { reason }),
                     None => return,
                 }
             }
         });
-        Ok(Box::new(Serving { to, task }))
+        Ok(Box::new(WriteTask { writes, task }))
     }
 }
 
-struct Serving {
-    to: mpsc::Sender<WriteRequest>,
+/// The queue of the task that completes writes.
+struct WriteTask {
+    writes: mpsc::Sender<WriteRequest>,
     task: JoinHandle<()>,
 }
 
-impl WriteQueue for Serving {
-    fn enqueue(&self, save: WriteRequest) -> Result<(), WriteRejected> {
-        self.to
-            .try_send(save)
-            .map_err(|cause| WriteRejected { reason: format!("the disk takes no more: {cause}") })
+impl WriteQueue for WriteTask {
+    fn enqueue(&self, request: WriteRequest) -> Result<(), WriteRejected> {
+        self.writes.try_send(request).map_err(|cause| WriteRejected {
+            reason: format!("the disk's write queue is full or closed: {cause}"),
+        })
     }
 
     fn close(self: Box<Self>) -> BoxFuture<'static, ()> {
         Box::pin(async {
-            drop(self.to);
+            drop(self.writes);
             let _ = self.task.await;
         })
     }
--- a/crates/stepspur-fault-tests/src/distribution.rs
+++ b/crates/stepspur-fault-tests/src/distribution.rs
@@ -1,5 +1,6 @@
-//! The whole distribution of configuration in one runtime with its clock paused: a council of voters and further control
-//! members, subscribers in several regions, and a [`Checker`] that judges what the subscribers' engines really did.
+//! Runs the whole distribution of configuration in one runtime with a paused clock: control members of which
+//! some vote, subscribers in several regions, and a [`Checker`] that compares what the subscribers' engines
+//! applied with what was committed.
 
 mod checker;
 mod engine;
@@ -7,7 +8,7 @@
 mod network;
 mod node;
 
-pub use checker::{Broken, CLAIM_AGE_MOST, Checker, Claim, Observed};
-pub use engine::{Acted, Engine, Life, Planted, Record};
+pub use checker::{Checker, Claim, MAX_CLAIM_AGE, SubscriberState, Violation};
+pub use engine::{Applied, Engine, EngineRecord, Incarnation, InjectedFault};
 pub use fleet::{ControlFleet, REGIONS};
 pub use network::{Host, Network};
--- a/crates/stepspur-fault-tests/src/distribution/checker.rs
+++ b/crates/stepspur-fault-tests/src/distribution/checker.rs
@@ -1,8 +1,12 @@
-//! Judges a fleet from what was agreed and what its engines did, and from nothing that the mechanism keeps for itself.
+//! Checks a fleet by the committed changes and by what its engines applied, without the internal state of the
+//! distribution.
 //!
-//! - Level: a subscriber's engine and disk have just the documents that the agreed changes leave for its interest.
-//! - Never back: no version that a subscriber tells goes back within a life, and no document of its engine.
-//! - No false claim: wherever a version was said to be in force, the engine acted by it then, or by a later one.
+//! - In sync: a subscriber's engine and disk have exactly the documents that the committed changes leave for
+//!   its interest.
+//! - No regression: within an incarnation, neither the versions that a subscriber reports nor the versions of
+//!   its engine's documents decrease.
+//! - No false claim: wherever a version was reported as applied, the engine had applied it, or a later one,
+//!   by then.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,228 +15,243 @@
 use stepspur_distribution::version::Version;
 use tokio::time::Instant;
 
-use super::engine::{Life, Record};
+use super::engine::{EngineRecord, Incarnation};
 
-/// A claim rests on a summary that may be so old, and on what was under way with it.
-pub const CLAIM_AGE_MOST: Duration = Duration::from_secs(4);
+/// Maximum age of the reports on which a claim rests, with their transit time.
+pub const MAX_CLAIM_AGE: Duration = Duration::from_secs(4);
 
-/// What is broken.
+/// A violated invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Broken {
-    /// An engine or a disk has other documents than what was agreed on.
-    NotLevel {
-        /// Whose.
+pub enum Violation {
+    /// The documents of an engine or a disk differ from the committed ones.
+    OutOfSync {
+        /// Name of the subscriber.
         name: String,
-        /// Which.
-        what: &'static str,
-        /// What is there and should not be, and the other way round.
-        differs: Vec<Document>,
+        /// `engine` or `disk`.
+        copy: &'static str,
+        /// Documents that are there but not expected, then expected ones that are not there.
+        differences: Vec<Document>,
     },
-    /// A version that a subscriber told went back.
-    VersionBack {
-        /// Whose.
+    /// A version that a subscriber reported decreased.
+    VersionRegressed {
+        /// Name of the subscriber.
         name: String,
-        /// What it told before.
+        /// The version that it reported first.
         before: Version,
-        /// What it told then.
+        /// The lower version that it reported next.
         after: Version,
     },
-    /// An engine acted by an older document after a newer one.
-    DocumentBack {
-        /// Whose.
+    /// An engine applied an older version of a document after a newer one.
+    DocumentRegressed {
+        /// Name of the subscriber.
         name: String,
-        /// What it acted by before.
+        /// The newer document, applied first.
         before: Document,
-        /// What it acted by then.
+        /// The older document, applied afterwards.
         after: Document,
     },
-    /// A version was said to be in force where it was not.
+    /// A version was reported as applied at a subscriber whose engine had not applied it.
     FalseClaim {
-        /// Of whom it was said.
+        /// Name of the subscriber.
         name: String,
-        /// The version.
+        /// The claimed version.
         version: Version,
-        /// The document that the engine did not act by.
+        /// Key of the document that the engine had not applied.
         key: Key,
     },
 }
 
-/// What a subscriber has.
+/// The documents that a subscriber has.
 #[derive(Clone, Debug)]
-pub struct Observed {
-    /// Its name.
+pub struct SubscriberState {
+    /// Name of the subscriber.
     pub name: String,
-    /// What concerns it.
+    /// The scopes that it subscribes to.
     pub interest: Interest,
-    /// What its engine acts by, sorted by key.
-    pub acts_by: Vec<Document>,
-    /// What its disk holds, in any order.
-    pub kept: Vec<Document>,
+    /// Documents in effect at its engine, sorted by key.
+    pub in_effect: Vec<Document>,
+    /// Documents on its disk, in any order.
+    pub stored: Vec<Document>,
 }
 
-/// A version was said to be in force at a subscriber.
+/// A control member's statement that a version is applied at a subscriber.
 #[derive(Clone, Debug)]
 pub struct Claim {
-    /// Of whom it was said.
+    /// Name of the subscriber.
     pub name: String,
-    /// What concerns it.
+    /// The scopes that the subscriber subscribes to.
     pub interest: Interest,
     /// The version.
     pub version: Version,
-    /// When it was said.
+    /// When the statement was made.
     pub at: Instant,
 }
 
-/// Changes that were agreed on as one version.
+/// Changes that were committed as one version.
 #[derive(Clone, Debug)]
-struct Agreed {
-    /// When it was known.
-    at: Instant,
+struct CommittedVersion {
+    /// When the commit was known to the test.
+    known_at: Instant,
     changes: Vec<Change>,
 }
 
-impl Agreed {
+impl CommittedVersion {
     fn concerns(&self, interest: &Interest) -> bool {
         self.changes.iter().any(|change| interest.covers(&change.scope))
     }
 }
 
-/// What was agreed and said.
+/// Collects committed changes, reported versions and claims, and checks them.
 #[derive(Debug, Default)]
 pub struct Checker {
-    agreed: BTreeMap<Version, Agreed>,
+    committed: BTreeMap<Version, CommittedVersion>,
     claims: Vec<Claim>,
-    told: BTreeMap<(String, u64), [Version; 2]>,
-    broken: Vec<Broken>,
+    /// The last stored and applied version that each subscriber reported, by its name and incarnation.
+    reported: BTreeMap<(String, u64), [Version; 2]>,
+    version_regressions: Vec<Violation>,
 }
 
 impl Checker {
-    /// These changes were agreed on as this version, as is known now.
-    pub fn agreed(&mut self, version: Version, changes: Vec<Change>) {
-        self.agreed.insert(version, Agreed { at: Instant::now(), changes });
+    /// Records that these changes are committed as this version.
+    pub fn record_committed(&mut self, version: Version, changes: Vec<Change>) {
+        self.committed.insert(version, CommittedVersion { known_at: Instant::now(), changes });
     }
 
-    /// The last version that was agreed on.
-    pub fn head(&self) -> Version {
-        self.agreed.last_key_value().map_or(Version::NONE, |(version, _)| *version)
+    /// The last committed version.
+    pub fn last_version(&self) -> Version {
+        self.committed.last_key_value().map_or(Version::NONE, |(version, _)| *version)
     }
 
-    /// The last version that concerns an interest.
+    /// The last version with a change in the scopes of an interest.
     pub fn last_concerning(&self, interest: &Interest) -> Version {
-        let found = self.agreed.iter().rev().find(|(_, agreed)| agreed.concerns(interest));
+        let found = self.committed.iter().rev().find(|(_, committed)| committed.concerns(interest));
         found.map_or(Version::NONE, |(version, _)| *version)
     }
 
-    /// What the agreed changes leave for an interest, sorted by key.
+    /// The documents that the committed changes leave for an interest, sorted by key.
     pub fn expected(&self, interest: &Interest) -> Vec<Document> {
-        let standing = self.standing().into_iter();
-        standing.filter(|document| interest.covers(&document.key.scope)).collect()
+        let documents = self.documents().into_iter();
+        documents.filter(|document| interest.covers(&document.key.scope)).collect()
     }
 
-    /// What the agreed changes leave, sorted by key.
-    pub fn standing(&self) -> Vec<Document> {
-        let mut standing = BTreeMap::new();
-        for (version, agreed) in &self.agreed {
-            for change in &agreed.changes {
+    /// The documents that the committed changes leave, sorted by key.
+    pub fn documents(&self) -> Vec<Document> {
+        let mut documents = BTreeMap::new();
+        for (version, committed) in &self.committed {
+            for change in &committed.changes {
                 let (key, setting) = (change.key(), change.setting);
-                standing.insert(key.clone(), Document { key, setting, version: *version });
+                documents.insert(key.clone(), Document { key, setting, version: *version });
             }
         }
-        standing.into_values().filter(|document: &Document| document.setting.is_some()).collect()
+        documents.into_values().filter(|document: &Document| document.setting.is_some()).collect()
     }
 
-    /// A subscriber in its so many-th life told that it holds and has in force up to here.
-    pub fn told(&mut self, name: &str, life: u64, holds: Version, in_force: Version) {
-        let now = [holds, in_force];
-        let before = self.told.insert((name.to_owned(), life), now).unwrap_or_default();
+    /// Records the stored and applied versions that an incarnation of a subscriber reports.
+    pub fn record_reported(&mut self, name: &str, incarnation: u64, stored: Version, applied: Version) {
+        let now = [stored, applied];
+        let before = self.reported.insert((name.to_owned(), incarnation), now).unwrap_or_default();
         for (before, after) in before.into_iter().zip(now).filter(|(before, after)| after < before) {
-            self.broken.push(Broken::VersionBack { name: name.to_owned(), before, after });
+            self.version_regressions.push(Violation::VersionRegressed {
+                name: name.to_owned(),
+                before,
+                after,
+            });
         }
     }
 
-    /// A version was said to be in force at a subscriber. It is judged at the end.
-    pub fn claimed(&mut self, claim: Claim) {
+    /// Records a claim, which [`Checker::violations`] checks.
+    pub fn record_claim(&mut self, claim: Claim) {
         self.claims.push(claim);
     }
 
-    /// How many claims there were.
-    pub fn claims(&self) -> usize {
+    /// Number of recorded claims.
+    pub fn claim_count(&self) -> usize {
         self.claims.len()
     }
 
-    /// Judges what a subscriber has now, once it should be level.
-    pub fn level(&self, observed: &Observed) -> Vec<Broken> {
-        let expected = self.expected(&observed.interest);
-        let mut kept = observed.kept.clone();
-        kept.sort_by(|a, b| a.key.cmp(&b.key));
-        let found = [("engine", &observed.acts_by), ("disk", &kept)];
-        let differing = found.into_iter().filter(|(_, documents)| **documents != expected);
-        let broken = |(what, documents): (&'static str, &Vec<Document>)| {
+    /// Checks the present documents of a subscriber that should be in sync.
+    pub fn check_in_sync(&self, state: &SubscriberState) -> Vec<Violation> {
+        let expected = self.expected(&state.interest);
+        let mut stored = state.stored.clone();
+        stored.sort_by(|a, b| a.key.cmp(&b.key));
+        let copies = [("engine", &state.in_effect), ("disk", &stored)];
+        let differing = copies.into_iter().filter(|(_, documents)| **documents != expected);
+        let violation = |(copy, documents): (&'static str, &Vec<Document>)| {
             let surplus = documents.iter().filter(|document| !expected.contains(document));
             let missing = expected.iter().filter(|document| !documents.contains(document));
-            let differs = surplus.chain(missing).cloned().collect();
-            Broken::NotLevel { name: observed.name.clone(), what, differs }
+            let differences = surplus.chain(missing).cloned().collect();
+            Violation::OutOfSync { name: state.name.clone(), copy, differences }
         };
-        differing.map(broken).collect()
+        differing.map(violation).collect()
     }
 
-    /// Judges all that was said, by what the engines did.
-    pub fn verdict(&self, records: &BTreeMap<String, Record>) -> Vec<Broken> {
-        let mut broken = self.broken.clone();
+    /// Checks all reported versions and claims against what the engines applied, by name of the subscriber.
+    pub fn violations(&self, records: &BTreeMap<String, EngineRecord>) -> Vec<Violation> {
+        let mut violations = self.version_regressions.clone();
         for (name, record) in records {
-            broken.extend(record.lives.iter().flat_map(|life| went_back(name, life)));
+            violations.extend(
+                record.incarnations.iter().flat_map(|incarnation| document_regressions(name, incarnation)),
+            );
         }
-        let nothing = Record::default();
+        let empty = EngineRecord::default();
         for claim in &self.claims {
-            let record = records.get(&claim.name).unwrap_or(&nothing);
-            broken.extend(self.false_claim(claim, record));
+            let record = records.get(&claim.name).unwrap_or(&empty);
+            violations.extend(self.false_claim(claim, record));
         }
-        broken
+        violations
     }
 
-    fn false_claim(&self, claim: &Claim, record: &Record) -> Option<Broken> {
-        let from = claim.at.checked_sub(CLAIM_AGE_MOST).unwrap_or(claim.at);
-        let alive = |life: &&Life| life.from <= claim.at && life.until.is_none_or(|until| until >= from);
-        let lives: Vec<&Life> = record.lives.iter().filter(alive).collect();
-        let changes = self.agreed.get(&claim.version).into_iter().flat_map(|agreed| &agreed.changes);
+    /// Checks one claim by the incarnations that ran between `MAX_CLAIM_AGE` before the claim and the claim.
+    fn false_claim(&self, claim: &Claim, record: &EngineRecord) -> Option<Violation> {
+        let reports_from = claim.at.checked_sub(MAX_CLAIM_AGE).unwrap_or(claim.at);
+        let is_recent = |incarnation: &&Incarnation| {
+            incarnation.started_at <= claim.at
+                && incarnation.ended_at.is_none_or(|ended_at| ended_at >= reports_from)
+        };
+        let incarnations: Vec<&Incarnation> = record.incarnations.iter().filter(is_recent).collect();
+        let changes = self.committed.get(&claim.version).into_iter().flat_map(|committed| &committed.changes);
         let keys: BTreeSet<Key> =
             changes.filter(|change| claim.interest.covers(&change.scope)).map(Change::key).collect();
-        let acted = |key: &Key| lives.iter().any(|life| self.acted(life, key, claim));
-        let key = keys.into_iter().find(|key| !acted(key))?;
-        Some(Broken::FalseClaim { name: claim.name.clone(), version: claim.version, key })
+        let is_applied =
+            |key: &Key| incarnations.iter().any(|incarnation| self.had_applied(incarnation, key, claim));
+        let key = keys.into_iter().find(|key| !is_applied(key))?;
+        Some(Violation::FalseClaim { name: claim.name.clone(), version: claim.version, key })
     }
 
-    /// True: in this life, at the time of the claim or its end, the engine acted by the version for a key, or by a later
-    /// one. An engine that was started anew was never told of what no longer stood.
-    fn acted(&self, life: &Life, key: &Key, claim: &Claim) -> bool {
-        let at = life.until.map_or(claim.at, |until| until.min(claim.at));
-        match life.document(key, at) {
+    /// Whether the engine had applied the version, or a later one, for a key at the time of the claim or at
+    /// the end of the incarnation, if that is earlier. A restarted engine does not receive documents that
+    /// were removed before.
+    fn had_applied(&self, incarnation: &Incarnation, key: &Key, claim: &Claim) -> bool {
+        let at = incarnation.ended_at.map_or(claim.at, |ended_at| ended_at.min(claim.at));
+        match incarnation.document(key, at) {
             Some(document) => document.version >= claim.version,
-            None => self.was_lifted(key, claim),
+            None => self.was_removed(key, claim),
         }
     }
 
-    /// True: the version of a claim or a later one had lifted what stood for a key by then.
-    fn was_lifted(&self, key: &Key, claim: &Claim) -> bool {
-        let known = self.agreed.range(claim.version..).filter(|(_, agreed)| agreed.at <= claim.at);
-        let mut changes = known.flat_map(|(_, agreed)| &agreed.changes);
+    /// Whether the claimed version or a later one had removed the key's document by the time of the claim.
+    fn was_removed(&self, key: &Key, claim: &Claim) -> bool {
+        let later =
+            self.committed.range(claim.version..).filter(|(_, committed)| committed.known_at <= claim.at);
+        let mut changes = later.flat_map(|(_, committed)| &committed.changes);
         changes.any(|change| change.key() == *key && change.setting.is_none())
     }
 }
 
-fn went_back(name: &str, life: &Life) -> Vec<Broken> {
+/// The documents that an incarnation of an engine applied after a newer version of them.
+fn document_regressions(name: &str, incarnation: &Incarnation) -> Vec<Violation> {
     let mut newest: BTreeMap<&Key, &Document> = BTreeMap::new();
-    let mut broken = Vec::new();
-    for document in life.acted.iter().map(|acted| &acted.document) {
+    let mut violations = Vec::new();
+    for document in incarnation.applied.iter().map(|applied| &applied.document) {
         match newest.get(&document.key) {
             Some(before) if document.version < before.version => {
                 let (before, after) = (Document::clone(before), document.clone());
-                broken.push(Broken::DocumentBack { name: name.to_owned(), before, after });
+                violations.push(Violation::DocumentRegressed { name: name.to_owned(), before, after });
             }
             _ => drop(newest.insert(&document.key, document)),
         }
     }
-    broken
+    violations
 }
 
 #[cfg(test)]
--- a/crates/stepspur-fault-tests/src/distribution/checker/tests.rs
+++ b/crates/stepspur-fault-tests/src/distribution/checker/tests.rs
@@ -1,6 +1,6 @@
 use stepspur_distribution::document::{Scope, ServiceInterest, Setting, Target};
 
-use super::super::engine::Acted;
+use super::super::engine::Applied;
 use super::*;
 
 const NAME: &str = "conductor";
@@ -26,115 +26,119 @@
 
 fn checker() -> Checker {
     let mut checker = Checker::default();
-    checker.agreed(version(1), vec![change("one", Some(1)), change("two", Some(2))]);
-    checker.agreed(version(3), vec![change("two", None), change("three", Some(3))]);
+    checker.record_committed(version(1), vec![change("one", Some(1)), change("two", Some(2))]);
+    checker.record_committed(version(3), vec![change("two", None), change("three", Some(3))]);
     checker
 }
 
-fn level() -> Vec<Document> {
+fn in_sync_documents() -> Vec<Document> {
     vec![document("one", 1, Some(1)), document("three", 3, Some(3))]
 }
 
-fn observed(acts_by: Vec<Document>, kept: Vec<Document>) -> Observed {
-    Observed { name: NAME.to_owned(), interest: interest(), acts_by, kept }
+fn state(in_effect: Vec<Document>, stored: Vec<Document>) -> SubscriberState {
+    SubscriberState { name: NAME.to_owned(), interest: interest(), in_effect, stored }
 }
 
 #[test]
-fn who_has_what_was_agreed_is_level() {
-    let mut kept = level();
-    kept.reverse();
-    assert_eq!(checker().level(&observed(level(), kept)), []);
+fn a_subscriber_with_the_committed_documents_is_in_sync() {
+    let mut stored = in_sync_documents();
+    stored.reverse();
+    assert_eq!(checker().check_in_sync(&state(in_sync_documents(), stored)), []);
 }
 
 #[test]
-fn a_dropped_an_older_and_a_surplus_document_are_seen_in_engine_and_disk() {
+fn missing_older_and_surplus_documents_are_found_in_engine_and_disk() {
     let older = vec![document("one", 1, Some(1)), document("three", 2, Some(3))];
     let surplus =
         vec![document("one", 1, Some(1)), document("three", 3, Some(3)), document("two", 1, Some(2))];
-    for wrong in [level()[..1].to_vec(), older, surplus, Vec::new()] {
-        let broken = checker().level(&observed(wrong.clone(), level()));
-        assert!(matches!(&broken[..], [Broken::NotLevel { what: "engine", .. }]), "{broken:?}");
-        let broken = checker().level(&observed(level(), wrong));
-        assert!(matches!(&broken[..], [Broken::NotLevel { what: "disk", .. }]), "{broken:?}");
+    for wrong in [in_sync_documents()[..1].to_vec(), older, surplus, Vec::new()] {
+        let found = checker().check_in_sync(&state(wrong.clone(), in_sync_documents()));
+        assert!(matches!(&found[..], [Violation::OutOfSync { copy: "engine", .. }]), "{found:?}");
+        let found = checker().check_in_sync(&state(in_sync_documents(), wrong));
+        assert!(matches!(&found[..], [Violation::OutOfSync { copy: "disk", .. }]), "{found:?}");
     }
 }
 
 #[test]
-fn a_version_that_goes_back_within_a_life_is_seen() {
-    for (holds, in_force) in [(2, 3), (3, 2)] {
+fn a_reported_version_that_decreases_within_an_incarnation_is_found() {
+    for (stored, applied) in [(2, 3), (3, 2)] {
         let mut checker = checker();
-        checker.told(NAME, 1, version(3), version(3));
-        checker.told(NAME, 2, version(1), version(1));
-        assert_eq!(checker.verdict(&BTreeMap::new()), [], "another life");
-        checker.told(NAME, 1, version(holds), version(in_force));
-        let back = Broken::VersionBack { name: NAME.to_owned(), before: version(3), after: version(2) };
-        assert_eq!(checker.verdict(&BTreeMap::new()), [back]);
+        checker.record_reported(NAME, 1, version(3), version(3));
+        checker.record_reported(NAME, 2, version(1), version(1));
+        assert_eq!(checker.violations(&BTreeMap::new()), [], "another incarnation");
+        checker.record_reported(NAME, 1, version(stored), version(applied));
+        let regressed =
+            Violation::VersionRegressed { name: NAME.to_owned(), before: version(3), after: version(2) };
+        assert_eq!(checker.violations(&BTreeMap::new()), [regressed]);
     }
 }
 
-/// An engine that acted by these, one second after the other.
-fn record(began: Instant, documents: Vec<Document>) -> Record {
-    let acted = |(place, document)| Acted { at: began + Duration::from_secs(place as u64), document };
-    let acted = documents.into_iter().enumerate().map(acted).collect();
-    Record { lives: vec![Life { from: began, until: None, acted }] }
+/// The record of an engine that applied these documents, one per second.
+fn record(start: Instant, documents: Vec<Document>) -> EngineRecord {
+    let apply = |(index, document)| Applied { at: start + Duration::from_secs(index as u64), document };
+    let applied = documents.into_iter().enumerate().map(apply).collect();
+    EngineRecord { incarnations: vec![Incarnation { started_at: start, ended_at: None, applied }] }
 }
 
-fn verdict(checker: &Checker, record: Record) -> Vec<Broken> {
-    checker.verdict(&BTreeMap::from([(NAME.to_owned(), record)]))
+fn violations(checker: &Checker, record: EngineRecord) -> Vec<Violation> {
+    checker.violations(&BTreeMap::from([(NAME.to_owned(), record)]))
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_document_that_goes_back_is_seen() {
+async fn an_older_document_applied_after_a_newer_one_is_found() {
     let newer = document("one", 3, Some(3));
-    let sound = record(Instant::now(), vec![document("one", 1, Some(1)), newer.clone()]);
-    assert_eq!(verdict(&checker(), sound), []);
-    let back = record(Instant::now(), vec![newer.clone(), document("one", 1, Some(1))]);
+    let monotonic = record(Instant::now(), vec![document("one", 1, Some(1)), newer.clone()]);
+    assert_eq!(violations(&checker(), monotonic), []);
+    let regressed = record(Instant::now(), vec![newer.clone(), document("one", 1, Some(1))]);
     let name = NAME.to_owned();
-    let broken = Broken::DocumentBack { name, before: newer, after: document("one", 1, Some(1)) };
-    assert_eq!(verdict(&checker(), back), [broken]);
+    let expected = Violation::DocumentRegressed { name, before: newer, after: document("one", 1, Some(1)) };
+    assert_eq!(violations(&checker(), regressed), [expected]);
 }
 
-/// What is broken if a version is said to be in force at a time by an engine that did this.
-fn claimed(index: u64, at: Instant, record: Record) -> Vec<Broken> {
+/// The violations if a version is claimed as applied at `at` for an engine with this record.
+fn claim_violations(index: u64, at: Instant, record: EngineRecord) -> Vec<Violation> {
     let mut checker = checker();
-    checker.claimed(Claim { name: NAME.to_owned(), interest: interest(), version: version(index), at });
-    verdict(&checker, record)
+    checker.record_claim(Claim { name: NAME.to_owned(), interest: interest(), version: version(index), at });
+    violations(&checker, record)
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_claim_is_false_until_the_engine_acts_by_all_of_it() {
-    let began = Instant::now();
-    // What is agreed on below is agreed on after all this.
+async fn a_claim_is_false_until_the_engine_has_applied_all_documents_of_the_version() {
+    let start = Instant::now();
+    // The changes are committed only after all these claims.
     tokio::time::advance(Duration::from_secs(100)).await;
-    let done = || {
+    let full_record = || {
         let first = vec![document("one", 1, Some(1)), document("two", 1, Some(2))];
         let then = vec![document("two", 3, None), document("three", 3, Some(3))];
-        record(began, [first, then].concat())
+        record(start, [first, then].concat())
     };
-    let after = |seconds| began + Duration::from_secs(seconds);
+    let after = |seconds| start + Duration::from_secs(seconds);
     let is_false = |index, seconds| {
-        let broken = claimed(index, after(seconds), done());
-        assert!(matches!(&broken[..], [] | [Broken::FalseClaim { .. }]), "{broken:?}");
-        !broken.is_empty()
+        let found = claim_violations(index, after(seconds), full_record());
+        assert!(matches!(&found[..], [] | [Violation::FalseClaim { .. }]), "{found:?}");
+        !found.is_empty()
     };
     assert!(is_false(1, 0) && !is_false(1, 1));
     assert!(is_false(3, 1) && is_false(3, 2) && !is_false(3, 3));
-    assert!(!is_false(1, 3), "a later version stands for an earlier one");
-    assert!(!claimed(3, after(3), Record::default()).is_empty(), "an engine that did nothing");
+    assert!(!is_false(1, 3), "a later version implies an earlier one");
+    assert!(
+        !claim_violations(3, after(3), EngineRecord::default()).is_empty(),
+        "an engine that applied nothing"
+    );
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_claim_may_rest_on_a_life_that_ended_just_before_and_no_longer() {
-    let began = Instant::now();
-    let ended = began + Duration::from_secs(10);
-    let mut before = record(began, vec![document("two", 3, None), document("three", 3, Some(3))]);
-    before.lives[0].until = Some(ended);
-    before.lives.push(Life { from: ended, until: None, acted: Vec::new() });
-    assert_eq!(claimed(3, ended + CLAIM_AGE_MOST, before.clone()), []);
-    let late = ended + CLAIM_AGE_MOST + Duration::from_secs(1);
-    assert!(!claimed(3, late, before.clone()).is_empty());
-    // A new engine is not told of what was lifted.
+async fn a_claim_may_rest_on_an_incarnation_that_ended_at_most_the_claim_age_before() {
+    let start = Instant::now();
+    let ended_at = start + Duration::from_secs(10);
+    let mut before = record(start, vec![document("two", 3, None), document("three", 3, Some(3))]);
+    before.incarnations[0].ended_at = Some(ended_at);
+    before.incarnations.push(Incarnation { started_at: ended_at, ended_at: None, applied: Vec::new() });
+    assert_eq!(claim_violations(3, ended_at + MAX_CLAIM_AGE, before.clone()), []);
+    let late = ended_at + MAX_CLAIM_AGE + Duration::from_secs(1);
+    assert!(!claim_violations(3, late, before.clone()).is_empty());
+    // A restarted engine does not receive documents that were removed before.
     let at = late - Duration::from_secs(2);
-    before.lives[1].acted.push(Acted { at, document: document("three", 3, Some(3)) });
-    assert_eq!(claimed(3, late, before), []);
+    before.incarnations[1].applied.push(Applied { at, document: document("three", 3, Some(3)) });
+    assert_eq!(claim_violations(3, late, before), []);
 }
--- a/crates/stepspur-fault-tests/src/distribution/engine.rs
+++ b/crates/stepspur-fault-tests/src/distribution/engine.rs
@@ -1,4 +1,5 @@
-//! A subscriber's engine that keeps what it did, and errors that are planted in it to show that the checker sees them.
+//! A subscriber's engine that records the documents it applies. Faults can be injected into it, to test that
+//! the checker finds them.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -9,67 +10,67 @@
 use stepspur_distribution::subscriber::{DocumentApplier, DocumentNotApplied};
 use tokio::time::{Instant, sleep};
 
-/// An engine acted by a document.
+/// The application of a document.
 #[derive(Clone, Debug)]
-pub struct Acted {
-    /// When.
+pub struct Applied {
+    /// When it took effect.
     pub at: Instant,
-    /// By which document.
+    /// The document; one without a setting ends the effect of the earlier one.
     pub document: Document,
 }
 
-/// What an engine did between a start and the end of its process.
+/// What an engine applied between the start and the end of its process.
 #[derive(Clone, Debug)]
-pub struct Life {
-    /// When it started.
-    pub from: Instant,
-    /// When it ended; none: it has not.
-    pub until: Option<Instant>,
-    /// What it did, in order.
-    pub acted: Vec<Acted>,
+pub struct Incarnation {
+    /// When the process started.
+    pub started_at: Instant,
+    /// When the process ended; `None` while it runs.
+    pub ended_at: Option<Instant>,
+    /// Applied documents, in order.
+    pub applied: Vec<Applied>,
 }
 
-impl Life {
-    /// By which document it acted for a key at a time, be it that it was lifted.
+impl Incarnation {
+    /// The last document applied for a key up to a time, even one without a setting.
     pub fn document(&self, key: &Key, at: Instant) -> Option<&Document> {
-        let done = self.acted.iter().rev().filter(|acted| acted.at <= at);
-        done.map(|acted| &acted.document).find(|document| document.key == *key)
+        let applied = self.applied.iter().rev().filter(|applied| applied.at <= at);
+        applied.map(|applied| &applied.document).find(|document| document.key == *key)
     }
 
-    /// All documents that it acts by, sorted by key.
-    pub fn acts_by(&self) -> Vec<Document> {
+    /// All documents in effect at the end, sorted by key.
+    pub fn in_effect(&self) -> Vec<Document> {
         let last: BTreeMap<&Key, &Document> =
-            self.acted.iter().map(|acted| (&acted.document.key, &acted.document)).collect();
+            self.applied.iter().map(|applied| (&applied.document.key, &applied.document)).collect();
         last.into_values().filter(|document| document.setting.is_some()).cloned().collect()
     }
 }
 
-/// What a subscriber's engine did in all its lives.
+/// What a subscriber's engine applied in all incarnations.
 #[derive(Clone, Debug, Default)]
-pub struct Record {
-    /// Its lives, in order.
-    pub lives: Vec<Life>,
+pub struct EngineRecord {
+    /// The incarnations, in order.
+    pub incarnations: Vec<Incarnation>,
 }
 
-/// An error that is planted in an engine.
+/// A fault injected into an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Planted {
-    /// It says that it acts by documents that it drops.
-    Drops,
-    /// It says at once what it does only after so long.
-    SaysEarly(Duration),
-    /// Beside each document it acts again by what it acted by before.
-    GoesBack,
+pub enum InjectedFault {
+    /// Acknowledges documents without applying them.
+    DropDocuments,
+    /// Acknowledges documents at once but applies them only after this time.
+    AcknowledgeEarly(Duration),
+    /// After each document, applies the previous one of the same key again.
+    ReapplyPrevious,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    record: Record,
-    planted: Option<Planted>,
-    takes: Duration,
+    record: EngineRecord,
+    fault: Option<InjectedFault>,
+    apply_latency: Duration,
 }
 
-/// An engine. Clones are the same one.
+/// The engine of a subscriber. Clones share its state.
 #[derive(Clone, Debug, Default)]
 pub struct Engine(Arc<Mutex<State>>);
 
@@ -78,82 +79,86 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Its process starts.
-    pub fn begin(&self) {
-        let from = Instant::now();
-        self.state().record.lives.push(Life { from, until: None, acted: Vec::new() });
+    /// Records the start of its process.
+    pub fn start_process(&self) {
+        let started_at = Instant::now();
+        self.state().record.incarnations.push(Incarnation {
+            started_at,
+            ended_at: None,
+            applied: Vec::new(),
+        });
     }
 
-    /// Its process ends.
-    pub fn end(&self) {
-        let until = Some(Instant::now());
+    /// Records the end of its process.
+    pub fn end_process(&self) {
+        let ended_at = Some(Instant::now());
         self.state()
             .record
-            .lives
+            .incarnations
             .iter_mut()
-            .filter(|life| life.until.is_none())
-            .for_each(|l| l.until = until);
+            .filter(|incarnation| incarnation.ended_at.is_none())
+            .for_each(|l| l.ended_at = ended_at);
     }
 
-    /// What it did.
-    pub fn record(&self) -> Record {
+    /// What it applied in all incarnations.
+    pub fn record(&self) -> EngineRecord {
         self.state().record.clone()
     }
 
-    /// What it acts by now, sorted by key.
-    pub fn acts_by(&self) -> Vec<Document> {
-        self.state().record.lives.last().map_or_else(Vec::new, Life::acts_by)
+    /// Documents in effect now, sorted by key.
+    pub fn in_effect(&self) -> Vec<Document> {
+        self.state().record.incarnations.last().map_or_else(Vec::new, Incarnation::in_effect)
     }
 
-    /// Has it err from now on, or no more.
-    pub fn plant(&self, planted: Option<Planted>) {
-        self.state().planted = planted;
+    /// Sets the fault from now on; `None` ends it.
+    pub fn inject(&self, fault: Option<InjectedFault>) {
+        self.state().fault = fault;
     }
 
-    /// Each document takes it so long from now on.
-    pub fn takes(&self, takes: Duration) {
-        self.state().takes = takes;
+    /// Sets how long it takes to apply a document from now on.
+    pub fn set_apply_latency(&self, apply_latency: Duration) {
+        self.state().apply_latency = apply_latency;
     }
 
-    fn act(&self, document: Document) {
-        let acted = Acted { at: Instant::now(), document };
-        if let Some(life) = self.state().record.lives.last_mut() {
-            life.acted.push(acted);
+    fn record_applied(&self, document: Document) {
+        let applied = Applied { at: Instant::now(), document };
+        if let Some(incarnation) = self.state().record.incarnations.last_mut() {
+            incarnation.applied.push(applied);
         }
     }
 
-    fn before(&self, key: &Key) -> Option<Document> {
+    fn last_applied(&self, key: &Key) -> Option<Document> {
         let state = self.state();
-        state.record.lives.last()?.document(key, Instant::now()).cloned()
+        state.record.incarnations.last()?.document(key, Instant::now()).cloned()
     }
 }
 
 impl DocumentApplier for Engine {
     fn apply<'a>(&'a self, document: &'a Document) -> BoxFuture<'a, Result<(), DocumentNotApplied>> {
         Box::pin(async move {
-            let (planted, takes) = {
+            let (fault, latency) = {
                 let state = self.state();
-                (state.planted, state.takes)
+                (state.fault, state.apply_latency)
             };
-            if !takes.is_zero() {
-                sleep(takes).await;
+            if !latency.is_zero() {
+                sleep(latency).await;
             }
-            let before = self.before(&document.key);
-            match planted {
-                Some(Planted::Drops) => {}
-                Some(Planted::SaysEarly(after)) => {
+            let previous = self.last_applied(&document.key);
+            match fault {
+                Some(InjectedFault::DropDocuments) => {}
+                Some(InjectedFault::AcknowledgeEarly(delay)) => {
                     let (engine, document) = (self.clone(), document.clone());
-                    // Its end shows in the record alone.
+                    // Nothing waits for this task: its effect shows only in the record.
                     tokio::spawn(async move {
-                        sleep(after).await;
-                        engine.act(document);
+                        sleep(delay).await;
+                        engine.record_applied(document);
                     });
                 }
-                Some(Planted::GoesBack) => {
-                    self.act(document.clone());
-                    before.into_iter().for_each(|before| self.act(before));
+                Some(InjectedFault::ReapplyPrevious) => {
+                    self.record_applied(document.clone());
+                    previous.into_iter().for_each(|previous| self.record_applied(previous));
                 }
-                None => self.act(document.clone()),
+                None => self.record_applied(document.clone()),
             }
             Ok(())
         })
--- a/crates/stepspur-fault-tests/src/distribution/fleet.rs
+++ b/crates/stepspur-fault-tests/src/distribution/fleet.rs
@@ -1,4 +1,4 @@
-//! Control members, subscribers, and what is done to them.
+//! A fleet of control members and subscribers, and the faults injected into it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -16,48 +16,51 @@
 use stepspur_replication::OperationId;
 use tokio::time::{Instant, sleep, timeout};
 
-use super::checker::{Broken, Checker, Claim};
+use super::checker::{Checker, Claim, Violation};
 use super::engine::Engine;
 use super::network::{Host, Network};
 use super::node::{ControlNode, SubscriberNode, control_address};
 
-/// Where control members stand: three voters, then two that follow.
+/// Regions of the control members: three voters, then two without a vote.
 const CONTROL_REGIONS: [&str; 5] = ["north", "south", "east", "north", "west"];
-const VOTERS: u64 = 3;
-/// Where subscribers stand. No control member stands in the last one.
+/// The first control members vote.
+const VOTER_COUNT: u64 = 3;
+/// Regions of the subscribers. The last one has no control member.
 pub const REGIONS: [&str; 5] = ["north", "south", "east", "west", "island"];
-/// Services, and tenants of each.
-const SERVICES: u64 = 6;
-const TENANTS: u64 = 3;
-/// How long a test waits for what must come.
-const PATIENCE: Duration = Duration::from_secs(60);
-/// The time between two looks at the fleet.
-const LOOK: Duration = Duration::from_millis(100);
-/// A proposal, and a question for a version's standing, may take so long.
-const ASK_WITHIN: Duration = Duration::from_secs(1);
-/// Versions whose standing is asked for at each look: the last ones.
-const ASKED_VERSIONS: usize = 3;
-
-/// A fleet of three voters, two further control members and as many subscribers as a test wants.
+/// Number of services.
+const SERVICE_COUNT: u64 = 6;
+/// Number of tenants of each service.
+const TENANT_COUNT: u64 = 3;
+/// A test fails if it waits longer for a state that must be reached.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
+/// Interval at which the fleet is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Timeout of a proposal and of a query for the rollout status of a version.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
+/// Number of latest versions whose rollout status each poll queries.
+const POLLED_VERSION_COUNT: usize = 3;
+
+/// Three voting control members, two without a vote, and the subscribers.
 pub struct ControlFleet {
     network: Network,
     members: Vec<ControlMember>,
     controls: BTreeMap<u64, ControlNode>,
     subscribers: BTreeMap<String, SubscriberNode>,
     checker: Arc<Mutex<Checker>>,
-    asked: Vec<Version>,
+    /// Versions whose rollout status is polled, oldest first.
+    polled_versions: Vec<Version>,
     rng: ChaCha8Rng,
 }
 
 impl ControlFleet {
-    /// Starts all of it, and waits until every subscriber is registered.
+    /// Starts the fleet and waits until every subscriber is registered at every control member.
     ///
     /// # Panics
-    /// If that takes longer than a minute.
+    /// If that takes longer than 60 s.
     pub async fn start(seed: u64, subscribers: usize) -> Self {
-        let voters: BTreeSet<MemberId> = (1..=VOTERS).map(MemberId).collect();
-        let member = |(place, region): (usize, &&str)| {
-            let id = place as u64 + 1;
+        let voters: BTreeSet<MemberId> = (1..=VOTER_COUNT).map(MemberId).collect();
+        let member = |(index, region): (usize, &&str)| {
+            let id = index as u64 + 1;
             ControlMember { id, address: control_address(id), region: (*region).to_owned() }
         };
         let members: Vec<ControlMember> = CONTROL_REGIONS.iter().enumerate().map(member).collect();
@@ -73,16 +76,16 @@
             members,
             subscribers: (0..subscribers).map(subscriber).collect(),
             checker: Arc::default(),
-            asked: Vec::new(),
+            polled_versions: Vec::new(),
             rng: ChaCha8Rng::seed_from_u64(seed),
         };
         for id in fleet.control_ids() {
-            fleet.begin_control(id).await;
+            fleet.start_control(id).await;
         }
-        for name in fleet.names() {
-            fleet.begin_subscriber(&name).await;
+        for name in fleet.subscriber_names() {
+            fleet.start_subscriber(&name).await;
         }
-        fleet.wait_until("all are registered", |fleet| fleet.registered() == subscribers).await;
+        fleet.wait_until("all subscribers are registered", |fleet| fleet.registered() == subscribers).await;
         fleet
     }
 
@@ -90,345 +93,354 @@
         self.checker.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The network.
+    /// The network, to inject faults into it.
     pub fn network(&self) -> &Network {
         &self.network
     }
 
-    /// A number below this, by the seed.
-    pub fn draw(&mut self, below: u64) -> u64 {
-        self.rng.random_range(0..below)
+    /// A random number below this bound, from the seeded generator.
+    pub fn random_below(&mut self, bound: u64) -> u64 {
+        self.rng.random_range(0..bound)
     }
 
-    /// All control members.
+    /// Ids of all control members.
     pub fn control_ids(&self) -> Vec<u64> {
         self.controls.keys().copied().collect()
     }
 
-    /// A control member's host.
+    /// The host of a control member.
     pub fn control_host(&self, id: u64) -> Host {
         self.controls[&id].host.clone()
     }
 
-    /// Where a control member serves subscribers.
+    /// The address at which a control member serves subscribers.
     pub fn control_address(&self, id: u64) -> SocketAddr {
         control_address(id)
     }
 
-    /// The last version that was agreed on.
-    pub fn head(&self) -> Version {
-        self.checker().head()
+    /// The last committed version.
+    pub fn last_version(&self) -> Version {
+        self.checker().last_version()
     }
 
-    /// All subscribers.
-    pub fn names(&self) -> Vec<String> {
+    /// Names of all subscribers.
+    pub fn subscriber_names(&self) -> Vec<String> {
         self.subscribers.keys().cloned().collect()
     }
 
-    /// The subscribers of a region.
-    pub fn names_in(&self, region: &str) -> Vec<String> {
-        let there = self.subscribers.values().filter(|one| one.interest.region == region);
-        there.map(|one| one.name.clone()).collect()
+    /// Names of the subscribers in a region.
+    pub fn subscriber_names_in(&self, region: &str) -> Vec<String> {
+        let in_region = self.subscribers.values().filter(|node| node.interest.region == region);
+        in_region.map(|node| node.name.clone()).collect()
     }
 
-    /// A subscriber's host.
-    pub fn host(&self, name: &str) -> Host {
+    /// The host of a subscriber.
+    pub fn subscriber_host(&self, name: &str) -> Host {
         self.subscribers[name].host.clone()
     }
 
-    /// A subscriber's engine.
+    /// The engine of a subscriber.
     pub fn engine(&self, name: &str) -> Engine {
         self.subscribers[name].engine.clone()
     }
 
-    /// What a subscriber's disk holds.
-    pub fn kept(&self, name: &str) -> Option<StoredScope> {
+    /// The content of a subscriber's disk; `None` if nothing is stored.
+    pub fn stored(&self, name: &str) -> Option<StoredScope> {
         self.subscribers[name].store.content()
     }
 
-    /// How a subscriber stands.
+    /// The status of a subscriber.
     ///
     /// # Panics
-    /// If it does not run.
+    /// If the subscriber does not run.
     pub fn status(&self, name: &str) -> SubscriberStatus {
-        self.subscribers[name].status().expect("it runs")
+        self.subscribers[name].status().expect("the subscriber runs")
     }
 
     fn running(&self) -> impl Iterator<Item = &Control> {
         self.controls.values().filter_map(|node| node.running.as_ref().map(|(_, control)| control))
     }
 
+    /// The number of registered subscribers at the control member that knows the fewest.
     fn registered(&self) -> usize {
         self.running().map(|control| control.status().registered).min().unwrap_or_default()
     }
 
-    /// Starts a control member.
-    pub async fn begin_control(&mut self, id: u64) {
+    /// Starts a control member unless it runs.
+    pub async fn start_control(&mut self, id: u64) {
         let seed = self.rng.random();
-        let node = self.controls.get_mut(&id).expect("it is one of the fleet");
+        let node = self.controls.get_mut(&id).expect("the fleet has this member");
         if node.running.is_none() {
-            node.begin(&self.network, &self.members, seed).await;
+            node.start(&self.network, &self.members, seed).await;
         }
     }
 
-    /// Kills a control member: what its disk had not taken is lost.
+    /// Kills a control member: writes that its disk has not completed are lost.
     pub async fn kill_control(&mut self, id: u64) {
-        self.controls.get_mut(&id).expect("it is one of the fleet").kill(&self.network);
-        // Its tasks hear of it before anything else is done.
+        self.controls.get_mut(&id).expect("the fleet has this member").kill(&self.network);
+        // Lets its tasks end before the test goes on.
         sleep(Duration::from_millis(1)).await;
     }
 
-    /// Starts a subscriber. It knows two control members to begin with.
-    pub async fn begin_subscriber(&mut self, name: &str) {
+    /// Starts a subscriber unless it runs. It is configured with the addresses of two control members.
+    pub async fn start_subscriber(&mut self, name: &str) {
         let seed = self.rng.random();
         let control: Vec<SocketAddr> = self.members.iter().take(2).map(|member| member.address).collect();
-        let node = self.subscribers.get_mut(name).expect("it is one of the fleet");
+        let node = self.subscribers.get_mut(name).expect("the fleet has this member");
         if node.status().is_none() {
-            node.begin(&self.network, control, seed, &self.checker).await;
+            node.start(&self.network, control, seed, &self.checker).await;
         }
     }
 
-    /// Ends a subscriber's process.
-    pub async fn end_subscriber(&mut self, name: &str) {
-        self.subscribers.get_mut(name).expect("it is one of the fleet").end().await;
+    /// Ends the process of a subscriber.
+    pub async fn stop_subscriber(&mut self, name: &str) {
+        self.subscribers.get_mut(name).expect("the fleet has this member").stop().await;
     }
 
-    /// Ends a subscriber's process, puts an older disk in it, and starts it.
-    pub async fn put_back(&mut self, name: &str, older: Option<StoredScope>) {
-        self.end_subscriber(name).await;
-        self.subscribers[name].store.set_content(older);
-        self.begin_subscriber(name).await;
+    /// Restarts a subscriber on an older content of its disk.
+    pub async fn restore_disk(&mut self, name: &str, content: Option<StoredScope>) {
+        self.stop_subscriber(name).await;
+        self.subscribers[name].store.set_content(content);
+        self.start_subscriber(name).await;
     }
 
-    /// Who leads, once there is one that is not one of these.
+    /// Waits until a control member that is not `excluded` leads, and returns its id.
     ///
     /// # Panics
-    /// If there is none after a minute.
-    pub async fn leader(&mut self, not: &[u64]) -> u64 {
-        let found = |fleet: &Self| {
+    /// If there is none within 60 s.
+    pub async fn wait_for_leader(&mut self, excluded: &[u64]) -> u64 {
+        let leader = |fleet: &Self| {
             let statuses = fleet.running().map(Control::status).collect::<Vec<_>>();
             statuses
                 .into_iter()
-                .find(|status| status.leads && !not.contains(&status.id))
+                .find(|status| status.leads && !excluded.contains(&status.id))
                 .map(|status| status.id)
         };
-        self.wait_until("there is a leader", |fleet| found(fleet).is_some()).await;
-        found(self).expect("there is one")
+        self.wait_until("a leader is elected", |fleet| leader(fleet).is_some()).await;
+        leader(self).expect("a leader was found")
     }
 
-    /// Changes of one to three documents, by the seed.
-    pub fn draw_changes(&mut self) -> Vec<Change> {
+    /// Random changes of one to three documents.
+    pub fn random_changes(&mut self) -> Vec<Change> {
         let mut changes: BTreeMap<_, Change> = BTreeMap::new();
-        for _ in 0..=self.draw(3) {
-            let change = self.draw_change();
+        for _ in 0..=self.random_below(3) {
+            let change = self.random_change();
             changes.insert(change.key(), change);
         }
         changes.into_values().collect()
     }
 
-    fn draw_change(&mut self) -> Change {
-        let service = (self.draw(8) > 0).then(|| format!("service-{}", self.draw(SERVICES)));
-        let tenant =
-            (service.is_some() && self.draw(3) == 0).then(|| format!("tenant-{}", self.draw(TENANTS)));
-        let region =
-            (self.draw(3) == 0).then(|| REGIONS[self.draw(REGIONS.len() as u64) as usize].to_owned());
-        let (target, setting) = if self.draw(2) == 0 {
-            let server = SocketAddr::from(([10, 0, 0, self.draw(4) as u8 + 1], 80));
-            (Target::Server(server), [Setting::Draining, Setting::Withdrawn][self.draw(2) as usize])
+    fn random_change(&mut self) -> Change {
+        let service =
+            (self.random_below(8) > 0).then(|| format!("service-{}", self.random_below(SERVICE_COUNT)));
+        let tenant = (service.is_some() && self.random_below(3) == 0)
+            .then(|| format!("tenant-{}", self.random_below(TENANT_COUNT)));
+        let region = (self.random_below(3) == 0)
+            .then(|| REGIONS[self.random_below(REGIONS.len() as u64) as usize].to_owned());
+        let (target, setting) = if self.random_below(2) == 0 {
+            let server = SocketAddr::from(([10, 0, 0, self.random_below(4) as u8 + 1], 80));
+            (Target::Server(server), [Setting::Draining, Setting::Withdrawn][self.random_below(2) as usize])
         } else {
-            let class = format!("class-{}", self.draw(3));
-            (Target::Class(class), Setting::LevelPpm(self.draw(1_000_000) as u32))
+            let class = format!("class-{}", self.random_below(3));
+            (Target::Class(class), Setting::LevelPpm(self.random_below(1_000_000) as u32))
         };
-        let setting = (self.draw(4) > 0).then_some(setting);
+        let setting = (self.random_below(4) > 0).then_some(setting);
         Change { scope: Scope { service, tenant, region }, target, setting }
     }
 
-    /// Has changes agreed on, asking again under the same id, at one control member after the other, until it is told
-    /// what became of them.
+    /// Commits changes as one version: proposes them under the same id to random control members until one
+    /// returns the outcome.
     ///
     /// # Panics
-    /// If nobody knows after a minute, or they are refused.
+    /// If no member returns an outcome within 60 s, or the changes are refused.
     pub async fn propose(&mut self, changes: Vec<Change>) -> Version {
-        self.propose_as(None, changes).await
+        self.propose_with_id(None, changes).await
     }
 
-    async fn propose_as(&mut self, mut id: Option<OperationId>, changes: Vec<Change>) -> Version {
-        let until = Instant::now() + PATIENCE;
+    async fn propose_with_id(&mut self, mut id: Option<OperationId>, changes: Vec<Change>) -> Version {
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
-            let asked = self.control_ids()[self.draw(CONTROL_REGIONS.len() as u64) as usize];
-            if let Some((shared, control)) = &self.controls[&asked].running {
-                let id = *id.get_or_insert_with(|| shared.new_id());
-                match control.propose(Some(id), changes.clone(), ASK_WITHIN).await {
+            let member = self.control_ids()[self.random_below(CONTROL_REGIONS.len() as u64) as usize];
+            if let Some((client, control)) = &self.controls[&member].running {
+                let id = *id.get_or_insert_with(|| client.new_id());
+                match control.propose(Some(id), changes.clone(), REQUEST_TIMEOUT).await {
                     Ok(version) => {
-                        self.checker().agreed(version, changes);
+                        self.checker().record_committed(version, changes);
                         return version;
                     }
                     Err(
                         ProposeError::Unknown { .. } | ProposeError::Full { .. } | ProposeError::Stopped(_),
                     ) => {}
-                    Err(refused) => panic!("{refused}"),
+                    Err(error) => panic!("the proposal is refused: {error}"),
                 }
             }
-            assert!(Instant::now() < until, "nobody agrees");
-            self.look().await;
+            assert!(Instant::now() < deadline, "the proposal has no outcome within {WAIT_TIMEOUT:?}");
+            self.poll().await;
         }
     }
 
-    /// Kills a control member while a proposal to it is under way, and asks the others for it until it is agreed on.
+    /// Kills a control member while a proposal to it is in flight, and proposes the same operation to the
+    /// others until it is committed.
     ///
     /// # Panics
     /// See [`ControlFleet::propose`].
-    pub async fn kill_in_mid_change(&mut self, id: u64) -> Version {
-        let changes = self.draw_changes();
-        let under_way = Duration::from_millis(self.draw(12));
-        let (shared, control) = self.controls[&id].running.as_ref().expect("it runs");
-        let operation = shared.new_id();
-        let asked = timeout(under_way, control.propose(Some(operation), changes.clone(), ASK_WITHIN));
-        // Whatever became of it, it is asked for again under its id.
-        drop(asked.await);
+    pub async fn kill_during_proposal(&mut self, id: u64) -> Version {
+        let changes = self.random_changes();
+        let proposal_time = Duration::from_millis(self.random_below(12));
+        let (client, control) = self.controls[&id].running.as_ref().expect("the control member runs");
+        let operation = client.new_id();
+        let proposal =
+            timeout(proposal_time, control.propose(Some(operation), changes.clone(), REQUEST_TIMEOUT));
+        // The outcome does not matter: the operation is proposed again under its id.
+        drop(proposal.await);
         self.kill_control(id).await;
-        let version = self.propose_as(Some(operation), changes).await;
-        self.asked.push(version);
+        let version = self.propose_with_id(Some(operation), changes).await;
+        self.polled_versions.push(version);
         version
     }
 
-    /// Some drawn changes, one version each.
-    pub async fn propose_drawn(&mut self, versions: usize) -> Version {
+    /// Commits random changes as this many versions, and returns the last of them.
+    pub async fn propose_random(&mut self, versions: usize) -> Version {
         let mut last = Version::NONE;
         for _ in 0..versions {
-            let changes = self.draw_changes();
+            let changes = self.random_changes();
             last = self.propose(changes).await;
-            self.asked.push(last);
+            self.polled_versions.push(last);
         }
         last
     }
 
-    /// Lets a while pass, asking all along where the last versions are in force.
-    pub async fn pass(&mut self, span: Duration) {
+    /// Lets time pass while the rollout status of the last versions is polled.
+    pub async fn run_for(&mut self, span: Duration) {
         let until = Instant::now() + span;
         while Instant::now() < until {
-            self.look().await;
+            self.poll().await;
         }
     }
 
-    async fn wait_until(&mut self, what: &str, is_so: impl Fn(&Self) -> bool) {
-        let until = Instant::now() + PATIENCE;
-        while !is_so(self) {
-            assert!(Instant::now() < until, "not so: {what}");
-            self.look().await;
+    async fn wait_until(&mut self, condition: &str, is_met: impl Fn(&Self) -> bool) {
+        let deadline = Instant::now() + WAIT_TIMEOUT;
+        while !is_met(self) {
+            assert!(Instant::now() < deadline, "not within {WAIT_TIMEOUT:?}: {condition}");
+            self.poll().await;
         }
     }
 
-    async fn look(&mut self) {
-        sleep(LOOK).await;
-        let versions: Vec<Version> = self.asked.iter().rev().take(ASKED_VERSIONS).copied().collect();
+    /// Waits for one interval, then queries all control members for the rollout status of the last versions
+    /// and records their claims.
+    async fn poll(&mut self) {
+        sleep(POLL_INTERVAL).await;
+        let versions: Vec<Version> =
+            self.polled_versions.iter().rev().take(POLLED_VERSION_COUNT).copied().collect();
         for control in self.running() {
             for version in &versions {
-                let Ok(Ok(standing)) = timeout(ASK_WITHIN, control.rollout_status(*version)).await else {
+                let Ok(Ok(rollout)) = timeout(REQUEST_TIMEOUT, control.rollout_status(*version)).await else {
                     break;
                 };
-                if standing.pending_unlisted == 0 {
-                    let missing = standing.pending.into_iter().map(|pending| pending.name).collect();
-                    self.claim(*version, &missing);
+                if rollout.pending_unlisted == 0 {
+                    let pending = rollout.pending.into_iter().map(|subscriber| subscriber.name).collect();
+                    self.record_claims(*version, &pending);
                 }
             }
         }
     }
 
-    /// It was said that a version is in force wherever it concerns a subscriber, but for these.
-    fn claim(&self, version: Version, missing: &BTreeSet<String>) {
+    /// Records the claim that a version is applied at all subscribers that it concerns, except `pending`.
+    fn record_claims(&self, version: Version, pending: &BTreeSet<String>) {
         let at = Instant::now();
         let mut checker = self.checker();
-        for one in self.subscribers.values().filter(|one| !missing.contains(&one.name)) {
-            let (name, interest) = (one.name.clone(), one.interest.clone());
-            checker.claimed(Claim { name, interest, version, at });
+        for node in self.subscribers.values().filter(|node| !pending.contains(&node.name)) {
+            let (name, interest) = (node.name.clone(), node.interest.clone());
+            checker.record_claim(Claim { name, interest, version, at });
         }
     }
 
-    /// Subscribers that run, are not among these, and have not in force what concerns them.
-    pub fn behind(&self, but: &[String]) -> Vec<String> {
+    /// Running subscribers that are not connected to a control member or have not applied the last version
+    /// that concerns them, without those `excluded`.
+    pub fn behind(&self, excluded: &[String]) -> Vec<String> {
         let checker = self.checker();
-        let is_behind = |one: &&SubscriberNode| {
-            let Some(status) = one.status() else { return false };
-            status.control.is_none() || status.applied_version < checker.last_concerning(&one.interest)
+        let is_behind = |node: &&SubscriberNode| {
+            let Some(status) = node.status() else { return false };
+            status.control.is_none() || status.applied_version < checker.last_concerning(&node.interest)
         };
-        let expected = self.subscribers.values().filter(|one| !but.contains(&one.name));
-        expected.filter(is_behind).map(|one| one.name.clone()).collect()
+        let included = self.subscribers.values().filter(|node| !excluded.contains(&node.name));
+        included.filter(is_behind).map(|node| node.name.clone()).collect()
     }
 
-    /// Waits until all subscribers that run, but for these, are attached and have in force what concerns them, and
-    /// judges what each of them has: how long it took.
+    /// Waits until all running subscribers that are not `excluded` are connected and have applied the
+    /// versions that concern them, and checks their documents. Returns how long it took.
     ///
     /// # Panics
-    /// If it takes longer than this, or something is broken.
-    pub async fn settles(&mut self, within: Duration, but: &[String]) -> Duration {
-        let began = Instant::now();
-        while !self.behind(but).is_empty() {
-            let behind = self.behind(but);
+    /// If it takes longer than `within`, or a subscriber has other documents than committed.
+    pub async fn wait_until_in_sync(&mut self, within: Duration, excluded: &[String]) -> Duration {
+        let start = Instant::now();
+        while !self.behind(excluded).is_empty() {
+            let behind = self.behind(excluded);
             let statuses: Vec<_> = behind.iter().map(|name| (name, self.status(name))).collect();
-            assert!(began.elapsed() < within, "not level after {within:?}: {statuses:?}");
-            self.look().await;
+            assert!(start.elapsed() < within, "subscribers are behind after {within:?}: {statuses:?}");
+            self.poll().await;
         }
-        let took = began.elapsed();
-        let broken = self.not_level(but);
-        assert!(broken.is_empty(), "{broken:?}");
+        let took = start.elapsed();
+        let violations = self.out_of_sync(excluded);
+        assert!(violations.is_empty(), "{violations:?}");
         took
     }
 
-    /// Judges what the subscribers that run have now, but for these.
-    pub fn not_level(&self, but: &[String]) -> Vec<Broken> {
+    /// Checks the present documents of the running subscribers that are not `excluded`.
+    pub fn out_of_sync(&self, excluded: &[String]) -> Vec<Violation> {
         let checker = self.checker();
-        let expected = self.subscribers.values().filter(|one| !but.contains(&one.name));
-        let running = expected.filter(|one| one.status().is_some());
-        running.flat_map(|one| checker.level(&one.observed())).collect()
+        let included = self.subscribers.values().filter(|node| !excluded.contains(&node.name));
+        let running = included.filter(|node| node.status().is_some());
+        running.flat_map(|node| checker.check_in_sync(&node.state())).collect()
     }
 
-    /// Waits until all control members that run hold what was agreed on.
+    /// Waits until all running control members have the committed documents.
     ///
     /// # Panics
-    /// If they don't within a minute.
-    pub async fn books_agree(&mut self) {
-        let agreed = self.checker().standing();
-        let agree = |fleet: &Self| fleet.running().all(|control| control.documents() == agreed);
-        self.wait_until("all control members hold what was agreed on", agree).await;
+    /// If they do not within 60 s.
+    pub async fn wait_until_control_agrees(&mut self) {
+        let committed = self.checker().documents();
+        let agree = |fleet: &Self| fleet.running().all(|control| control.documents() == committed);
+        self.wait_until("all control members have the committed documents", agree).await;
     }
 
-    /// Judges all that was said and done.
-    pub fn verdict(&self) -> Vec<Broken> {
-        let records = self.subscribers.values().map(|one| (one.name.clone(), one.engine.record())).collect();
-        self.checker().verdict(&records)
+    /// All violations in the versions reported, the claims and the applied documents so far.
+    pub fn violations(&self) -> Vec<Violation> {
+        let records =
+            self.subscribers.values().map(|node| (node.name.clone(), node.engine.record())).collect();
+        self.checker().violations(&records)
     }
 
-    /// How many times a version was said to be in force somewhere.
-    pub fn claims(&self) -> usize {
-        self.checker().claims()
+    /// Number of claims so far that a version is applied at a subscriber.
+    pub fn claim_count(&self) -> usize {
+        self.checker().claim_count()
     }
 
-    /// Waits until the leader says that this version is in force everywhere: how long it took.
+    /// Waits until a control member reports this version as applied everywhere, and returns how long it took.
     ///
     /// # Panics
-    /// If it takes longer than this.
-    pub async fn everywhere(&mut self, version: Version, within: Duration) -> Duration {
-        let began = Instant::now();
+    /// If it takes longer than `within`.
+    pub async fn wait_until_applied_everywhere(&mut self, version: Version, within: Duration) -> Duration {
+        let start = Instant::now();
         loop {
             for control in self.running() {
-                if let Ok(Ok(standing)) = timeout(ASK_WITHIN, control.rollout_status(version)).await
-                    && standing.applied_everywhere
+                if let Ok(Ok(rollout)) = timeout(REQUEST_TIMEOUT, control.rollout_status(version)).await
+                    && rollout.applied_everywhere
                 {
-                    return began.elapsed();
+                    return start.elapsed();
                 }
             }
-            assert!(began.elapsed() < within, "{version} is not everywhere after {within:?}");
-            self.look().await;
+            assert!(start.elapsed() < within, "version {version} is not applied everywhere after {within:?}");
+            self.poll().await;
         }
     }
 }
 
-/// What concerns the so many-th subscriber: two services, with one tenant each.
+/// The interest of the subscriber of this number: up to two services, with one tenant each.
 fn interest(number: u64) -> Interest {
     let service = |service: u64| ServiceInterest {
-        service: format!("service-{}", service % SERVICES),
-        tenants: vec![format!("tenant-{}", number % TENANTS)],
+        service: format!("service-{}", service % SERVICE_COUNT),
+        tenants: vec![format!("tenant-{}", number % TENANT_COUNT)],
     };
     let mut services = vec![service(number), service(number / 2 + 1)];
     services.sort();
--- a/crates/stepspur-fault-tests/src/distribution/node.rs
+++ b/crates/stepspur-fault-tests/src/distribution/node.rs
@@ -1,4 +1,4 @@
-//! One control member and one subscriber, each with its host, its disk and, while it runs, its process.
+//! A control member and a subscriber, each with its host, its disk and, while it runs, its process.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -16,72 +16,76 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-use super::checker::{Checker, Observed};
+use super::checker::{Checker, SubscriberState};
 use super::engine::Engine;
 use super::network::{Host, Network};
 use crate::disk::Image;
 
-/// The span between two frames that control members name.
-pub(crate) const KEEP_ALIVE: Duration = Duration::from_secs(1);
-/// Dialling and each write are due in this time.
-const WITHIN: Duration = Duration::from_secs(2);
-/// A disk's time for a save.
-pub(crate) const DISK: Duration = Duration::from_millis(2);
-/// Entries that the council keeps before a snapshot takes their place.
-const LOG_MOST: usize = 256;
-/// The largest frame between peers, in bytes.
-const PEER_FRAME_MOST: usize = 16 << 20;
-
-/// A control member.
+/// Interval of keep-alive frames that control members announce to subscribers.
+pub(crate) const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// Timeout of each dial and each write.
+const IO_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time that a write takes on a disk.
+pub(crate) const DISK_WRITE_LATENCY: Duration = Duration::from_millis(2);
+/// Maximum number of log entries before a snapshot replaces them.
+const MAX_LOG_ENTRIES: usize = 256;
+/// Maximum size of a frame between peers, in bytes.
+const MAX_PEER_FRAME_BYTES: usize = 16 << 20;
+
+/// A control member, running or not.
 pub(crate) struct ControlNode {
     pub(crate) id: u64,
     pub(crate) host: Host,
-    /// None: it only follows.
-    pub(crate) image: Option<Image>,
+    /// `None` if it has no vote.
+    pub(crate) disk: Option<Image>,
+    /// `None` while it is killed.
     pub(crate) running: Option<(ReplicationClient, Control)>,
 }
 
-/// Where a member's peers dial in.
+/// The address at which a member listens for its peers.
 fn peer_address(id: u64) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 20_000 + id as u16))
 }
 
-/// Where a member serves subscribers.
+/// The address at which a member serves subscribers.
 pub(crate) fn control_address(id: u64) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 30_000 + id as u16))
 }
 
 impl ControlNode {
-    /// A member that does not run yet.
+    /// Creates a member that does not run yet.
     pub(crate) fn new(id: u64, region: &str, voters: &BTreeSet<MemberId>) -> Self {
-        let image = || Image::new(MemberId(id), RaftNode::bootstrap(voters.clone()), DISK);
+        let disk = || Image::new(MemberId(id), RaftNode::bootstrap(voters.clone()), DISK_WRITE_LATENCY);
         Self {
             id,
             host: Host { region: region.to_owned(), name: format!("control-{id}") },
-            image: voters.contains(&MemberId(id)).then(image),
+            disk: voters.contains(&MemberId(id)).then(disk),
             running: None,
         }
     }
 
-    /// Starts it, with its disk as it is.
-    pub(crate) async fn begin(&mut self, network: &Network, members: &[ControlMember], seed: u64) {
+    /// Starts it on the present content of its disk.
+    pub(crate) async fn start(&mut self, network: &Network, members: &[ControlMember], seed: u64) {
         let net = network.of(&self.host);
-        let book: Box<dyn ReplicatedStateMachine> = Box::new(ConfigurationState::default());
-        let books = StateMachineRegistry::new([book]);
+        let configuration: Box<dyn ReplicatedStateMachine> = Box::new(ConfigurationState::default());
+        let registry = StateMachineRegistry::new([configuration]);
         let settings = Settings {
             id: MemberId(self.id),
             listen: peer_address(self.id),
             peers: members.iter().map(|member| (MemberId(member.id), peer_address(member.id))).collect(),
-            consensus: stepspur_consensus::Settings { max_log_entries: LOG_MOST, ..Default::default() },
+            consensus: stepspur_consensus::Settings {
+                max_log_entries: MAX_LOG_ENTRIES,
+                ..Default::default()
+            },
             role_prefixes: Vec::new(),
             role_weight: 1.0,
-            io_timeout: WITHIN,
-            max_frame_bytes: PEER_FRAME_MOST,
+            io_timeout: IO_TIMEOUT,
+            max_frame_bytes: MAX_PEER_FRAME_BYTES,
         };
-        let disk = self.image.as_ref().map(Image::open);
-        let peers = NodeHandle::start_on(Arc::clone(&net), settings, disk, seed, books.clone()).await;
-        let peers = Arc::new(peers.expect("the member starts"));
-        let shared = ReplicationClient::new(peers, books, ProposalLimits::default(), seed);
+        let disk = self.disk.as_ref().map(Image::open);
+        let handle = NodeHandle::start_on(Arc::clone(&net), settings, disk, seed, registry.clone()).await;
+        let handle = Arc::new(handle.expect("the member starts"));
+        let client = ReplicationClient::new(handle, registry, ProposalLimits::default(), seed);
         let settings = ControlSettings {
             id: self.id,
             listen: control_address(self.id),
@@ -89,41 +93,42 @@
             members: members.to_vec(),
             snapshot_bytes_per_s: 1 << 20,
             subscribers_max: 1_000,
-            keep_alive: KEEP_ALIVE,
+            keep_alive: KEEP_ALIVE_INTERVAL,
         };
-        let control = Control::start(settings, shared.clone(), net).await.expect("the control member starts");
-        self.running = Some((shared, control));
+        let control = Control::start(settings, client.clone(), net).await.expect("the control member starts");
+        self.running = Some((client, control));
     }
 
-    /// Ends its process at once: what its disk had not taken is lost.
+    /// Ends its process at once: writes that its disk has not completed are lost.
     pub(crate) fn kill(&mut self, network: &Network) {
-        if let Some(image) = &self.image {
-            image.cut();
+        if let Some(disk) = &self.disk {
+            disk.crash();
         }
         self.running = None;
         network.kill(&self.host);
     }
 }
 
-/// A subscriber.
+/// A subscriber, running or not.
 pub(crate) struct SubscriberNode {
     pub(crate) name: String,
     pub(crate) host: Host,
     pub(crate) interest: Interest,
     pub(crate) store: MemoryStore,
     pub(crate) engine: Engine,
-    lives: u64,
+    /// Number of starts so far.
+    incarnations: u64,
     running: Option<Running>,
 }
 
 struct Running {
     subscriber: Subscriber,
     status: watch::Receiver<SubscriberStatus>,
-    watcher: JoinHandle<()>,
+    reporter: JoinHandle<()>,
 }
 
 impl SubscriberNode {
-    /// A subscriber that does not run yet.
+    /// Creates a subscriber that does not run yet.
     pub(crate) fn new(name: String, interest: Interest) -> Self {
         Self {
             host: Host { region: interest.region.clone(), name: name.clone() },
@@ -131,13 +136,13 @@
             interest,
             store: MemoryStore::new(),
             engine: Engine::default(),
-            lives: 0,
+            incarnations: 0,
             running: None,
         }
     }
 
-    /// Starts it, with its disk as it is.
-    pub(crate) async fn begin(
+    /// Starts it on the present content of its disk.
+    pub(crate) async fn start(
         &mut self,
         network: &Network,
         control: Vec<SocketAddr>,
@@ -148,59 +153,64 @@
             name: self.name.clone(),
             interest: self.interest.clone(),
             control,
-            dial_timeout: WITHIN,
-            write_timeout: WITHIN,
+            dial_timeout: IO_TIMEOUT,
+            write_timeout: IO_TIMEOUT,
             seed,
         };
-        self.engine.begin();
-        self.lives += 1;
+        self.engine.start_process();
+        self.incarnations += 1;
         let (store, apply) = (Box::new(self.store.clone()), Arc::new(self.engine.clone()));
         let subscriber = Subscriber::start(settings, store, apply, network.of(&self.host)).await;
         let subscriber = subscriber.expect("the subscriber starts");
         let status = subscriber.status();
-        let (name, life, checker) = (self.name.clone(), self.lives, Arc::clone(checker));
-        let watcher = tokio::spawn(watch_versions(status.clone(), name, life, checker));
-        self.running = Some(Running { subscriber, status, watcher });
+        let (name, incarnation, checker) = (self.name.clone(), self.incarnations, Arc::clone(checker));
+        let reporter = tokio::spawn(report_versions(status.clone(), name, incarnation, checker));
+        self.running = Some(Running { subscriber, status, reporter });
     }
 
-    /// Ends its process. Its disk stays.
-    pub(crate) async fn end(&mut self) {
+    /// Ends its process and keeps its disk.
+    pub(crate) async fn stop(&mut self) {
         let Some(running) = self.running.take() else { return };
         running.subscriber.stop().await;
-        // It ends with the status.
-        let _ = running.watcher.await;
-        self.engine.end();
+        // The task ends when the status channel closes.
+        let _ = running.reporter.await;
+        self.engine.end_process();
     }
 
-    /// How it stands, while it runs.
+    /// Its status; `None` while it does not run.
     pub(crate) fn status(&self) -> Option<SubscriberStatus> {
         self.running.as_ref().map(|running| running.status.borrow().clone())
     }
 
-    /// What it has.
-    pub(crate) fn observed(&self) -> Observed {
-        Observed {
+    /// The documents that it has.
+    pub(crate) fn state(&self) -> SubscriberState {
+        SubscriberState {
             name: self.name.clone(),
             interest: self.interest.clone(),
-            acts_by: self.engine.acts_by(),
-            kept: self.store.content().map_or_else(Vec::new, |kept| kept.documents),
+            in_effect: self.engine.in_effect(),
+            stored: self.store.content().map_or_else(Vec::new, |stored| stored.documents),
         }
     }
 }
 
-/// Tells the checker each version that a subscriber tells.
-async fn watch_versions(
+/// Passes each version that a subscriber reports to the checker.
+async fn report_versions(
     mut status: watch::Receiver<SubscriberStatus>,
     name: String,
-    life: u64,
+    incarnation: u64,
     checker: Arc<Mutex<Checker>>,
 ) {
     loop {
-        let (holds, in_force) = {
+        let (stored, applied) = {
             let now = status.borrow_and_update();
             (now.stored_version, now.applied_version)
         };
-        checker.lock().unwrap_or_else(PoisonError::into_inner).told(&name, life, holds, in_force);
+        checker.lock().unwrap_or_else(PoisonError::into_inner).record_reported(
+            &name,
+            incarnation,
+            stored,
+            applied,
+        );
         if status.changed().await.is_err() {
             return;
         }
--- a/crates/stepspur-fault-tests/src/history.rs
+++ b/crates/stepspur-fault-tests/src/history.rs
@@ -1,108 +1,121 @@
-//! What was asked and answered, and whether one order of it explains all answers: linearizability after Wing and Gong
-//! (1993), with Lowe's cut of states that were met before (2017), for each name by itself.
+//! Records operations and their responses, and checks each counter's history for linearizability by the
+//! algorithm of Wing and Gong (1993), with Lowe's (2017) pruning of states that were visited before.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// An operation on a sum.
+/// An operation on a counter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Op {
-    /// So much more: answers with the new sum.
+    /// Adds an amount and returns the new value.
     Add(u32),
-    /// Answers with the sum.
+    /// Returns the value.
     Read,
 }
 
-/// An operation that was asked for.
+/// An invocation of an operation and its response.
 #[derive(Clone, Debug)]
-pub struct Asked {
-    /// What.
+pub struct Operation {
+    /// The operation.
     pub op: Op,
-    /// When.
-    pub from: Duration,
-    /// When it was answered, and how; none if its outcome is unknown: it may have taken effect at any time since.
-    pub answer: Option<(Duration, u32)>,
+    /// When it was invoked, since the start of the run.
+    pub invoked_at: Duration,
+    /// When the response came, and its value. `None` if the outcome is unknown: it may take effect at any
+    /// time after its invocation, or never.
+    pub response: Option<(Duration, u32)>,
 }
 
-/// All that was asked, by name.
+/// All recorded operations, by counter.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    names: BTreeMap<String, Vec<Asked>>,
-    /// Operations that were answered twice, and not alike.
-    unlike: Vec<String>,
+    by_counter: BTreeMap<String, Vec<Operation>>,
+    /// Operations that were proposed again and got two different responses.
+    conflicting: Vec<String>,
 }
 
-/// Operations of one name that are judged at most: their set is kept in the bits of a number.
-const MOST: usize = 128;
+/// Maximum number of operations on one counter: sets of them are bit masks of a `u128`.
+const MAX_OPERATIONS: usize = 128;
 
 impl History {
-    /// Adds an operation: its place among those of its name.
-    pub fn add(&mut self, name: &str, asked: Asked) -> usize {
-        let all = self.names.entry(name.to_owned()).or_default();
-        all.push(asked);
+    /// Records an operation and returns its index among those of its counter.
+    pub fn record(&mut self, name: &str, operation: Operation) -> usize {
+        let all = self.by_counter.entry(name.to_owned()).or_default();
+        all.push(operation);
         all.len() - 1
     }
 
-    /// An operation was asked for again, and answered: it is one, and has one answer.
-    pub fn answer(&mut self, name: &str, place: usize, answer: (Duration, u32)) {
-        let asked = self.names.get_mut(name).and_then(|all| all.get_mut(place));
-        match asked.map(|a| a.answer.get_or_insert(answer).1) {
-            Some(sum) if sum == answer.1 => {}
-            before => {
-                self.unlike.push(format!("`{name}`, operation {place}: {before:?}, and then {answer:?}"))
-            }
+    /// Records the response to a repeated proposal of an operation. It must equal an earlier response,
+    /// because the operation takes effect once.
+    pub fn record_repeated_response(&mut self, name: &str, index: usize, response: (Duration, u32)) {
+        let operation = self.by_counter.get_mut(name).and_then(|all| all.get_mut(index));
+        match operation.map(|a| a.response.get_or_insert(response).1) {
+            Some(value) if value == response.1 => {}
+            before => self.conflicting.push(format!(
+                "counter `{name}`, operation {index}: first response {before:?}, then {response:?}"
+            )),
         }
     }
 
-    /// Operations that were kept.
+    /// Number of recorded operations.
     pub fn len(&self) -> usize {
-        self.names.values().map(Vec::len).sum()
+        self.by_counter.values().map(Vec::len).sum()
     }
 
-    /// True: none was.
+    /// Whether no operation was recorded.
     pub fn is_empty(&self) -> bool {
-        self.names.is_empty()
+        self.by_counter.is_empty()
     }
 
-    /// Judges each name.
+    /// Checks that the history of each counter is linearizable.
     ///
     /// # Errors
-    /// The name, and its operations, that no order explains.
-    pub fn judge(&self) -> Result<(), String> {
-        if let Some(unlike) = self.unlike.first() {
-            return Err(unlike.clone());
+    /// An operation with two different responses, or a counter and its operations, if no order of them
+    /// explains all responses.
+    ///
+    /// # Panics
+    /// If a counter has more than 128 operations.
+    pub fn check_linearizable(&self) -> Result<(), String> {
+        if let Some(conflicting) = self.conflicting.first() {
+            return Err(conflicting.clone());
         }
-        for (name, asked) in &self.names {
-            assert!(asked.len() <= MOST, "{name}: {} operations, {MOST} can be judged", asked.len());
-            if !explained(asked) {
-                return Err(format!("no order explains `{name}`: {asked:#?}"));
+        for (name, operations) in &self.by_counter {
+            assert!(
+                operations.len() <= MAX_OPERATIONS,
+                "counter `{name}`: {} operations, at most {MAX_OPERATIONS} can be checked",
+                operations.len()
+            );
+            if !is_linearizable(operations) {
+                return Err(format!("counter `{name}` is not linearizable: {operations:#?}"));
             }
         }
         Ok(())
     }
 }
 
-/// Tries orders depth first: next may be whatever began before the first end of those that are left.
-fn explained(asked: &[Asked]) -> bool {
+/// Searches depth first for an order that explains all responses. Next in the order may be every remaining
+/// operation that was invoked before the first response among the remaining ones.
+fn is_linearizable(operations: &[Operation]) -> bool {
     let answered: u128 =
-        asked.iter().enumerate().filter(|(_, a)| a.answer.is_some()).map(|(k, _)| 1 << k).sum();
-    let (mut met, mut left) = (BTreeSet::new(), vec![(0_u128, 0_u32)]);
-    while let Some((done, sum)) = left.pop() {
+        operations.iter().enumerate().filter(|(_, a)| a.response.is_some()).map(|(k, _)| 1 << k).sum();
+    let (mut visited, mut pending) = (BTreeSet::new(), vec![(0_u128, 0_u32)]);
+    while let Some((done, value)) = pending.pop() {
         if done & answered == answered {
             return true;
         }
-        if !met.insert((done, sum)) {
+        if !visited.insert((done, value)) {
             continue;
         }
-        let open = || asked.iter().enumerate().filter(|(k, _)| done & 1 << k == 0);
-        let first_end = open().filter_map(|(_, a)| a.answer.map(|(at, _)| at)).min();
-        for (k, a) in open().filter(|(_, a)| first_end.is_none_or(|end| a.from <= end)) {
+        let remaining = || operations.iter().enumerate().filter(|(k, _)| done & 1 << k == 0);
+        let first_response = remaining().filter_map(|(_, a)| a.response.map(|(at, _)| at)).min();
+        for (k, a) in
+            remaining().filter(|(_, a)| first_response.is_none_or(|response| a.invoked_at <= response))
+        {
             let after = match a.op {
-                Op::Add(more) => sum.wrapping_add(more),
-                Op::Read => sum,
+                Op::Add(amount) => value.wrapping_add(amount),
+                Op::Read => value,
             };
-            if a.answer.is_none_or(|(_, told)| told == after) {
-                left.push((done | 1 << k, after));
+            if a.response.is_none_or(|(_, returned)| returned == after) {
+                pending.push((done | 1 << k, after));
             }
         }
     }
--- a/crates/stepspur-fault-tests/src/lib.rs
+++ b/crates/stepspur-fault-tests/src/lib.rs
@@ -1,19 +1,20 @@
-//! Whole members of a council in one runtime with its clock paused: the program's own tasks, on a network and disks in
-//! memory that a test cuts, slows, tears and puts back.
+//! Runs whole members of a consensus group in one runtime with a paused clock: the same tasks as in
+//! production, on an in-memory network and in-memory disks in which a test injects faults.
 //!
-//! The same seed gives the same course. What was asked and answered is kept as a [`History`], and judged from it alone.
+//! The same seed gives the same run. Operations and their responses are recorded in a [`History`], which
+//! alone decides whether the run was linearizable.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod cluster;
+mod counters;
 mod disk;
 pub mod distribution;
-mod fleet;
 mod history;
 mod net;
-mod tally;
 
-pub use disk::{Image, Moment};
-pub use fleet::{Fleet, Shape, add, read};
-pub use history::{Asked, History, Op};
+pub use cluster::{Cluster, ClusterSettings, add, read};
+pub use counters::{COUNTERS, Counters};
+pub use disk::{Image, StoredState};
+pub use history::{History, Op, Operation};
 pub use net::Wire;
-pub use tally::{TALLY, Tally};
--- a/crates/stepspur-fault-tests/src/net.rs
+++ b/crates/stepspur-fault-tests/src/net.rs
@@ -1,4 +1,5 @@
-//! A network in memory: one task carries what goes from one member to another, as the state of that direction lets it.
+//! An in-memory network. For each connection one task forwards the bytes from the dialing to the accepting
+//! member, under the faults set for that direction.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -12,140 +13,143 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::sleep;
 
-/// Bytes under way in a connection.
-const PIPE: usize = 64 << 10;
-/// Calls that wait at a door.
-const CALLS: usize = 64;
+/// Buffer of each half of a connection, in bytes.
+const PIPE_BYTES: usize = 64 << 10;
+/// Maximum number of connections that wait to be accepted by one listener.
+const MAX_PENDING_CONNECTIONS: usize = 64;
 
-/// How one direction between two members is.
+/// State of one direction between two members.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-struct Way {
-    /// Nothing passes, and nobody is told: connections stay open, new ones never come up.
-    silent: bool,
-    /// What passes takes so long.
-    slow: Duration,
-    /// Rises to tear every connection, in the middle of what it carries.
-    torn: u64,
+struct LinkState {
+    /// Whether all bytes are held back without an error: open connections stay open, new ones never complete.
+    blocked: bool,
+    /// Delay of each chunk of bytes.
+    delay: Duration,
+    /// Increasing it ends every connection, possibly in the middle of a frame.
+    reset_count: u64,
 }
 
 #[derive(Default)]
-struct Wires {
-    doors: BTreeMap<SocketAddr, mpsc::Sender<DuplexStream>>,
-    ways: BTreeMap<(MemberId, MemberId), watch::Sender<Way>>,
+struct NetworkState {
+    listeners: BTreeMap<SocketAddr, mpsc::Sender<DuplexStream>>,
+    links: BTreeMap<(MemberId, MemberId), watch::Sender<LinkState>>,
 }
 
-/// The wires between all members.
+/// The network between all members. Clones share it.
 #[derive(Clone, Default)]
-pub struct Wire(Arc<Mutex<Wires>>);
+pub struct Wire(Arc<Mutex<NetworkState>>);
 
 impl Wire {
-    fn wires(&self) -> MutexGuard<'_, Wires> {
+    fn network(&self) -> MutexGuard<'_, NetworkState> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Where a member listens.
+    /// The address at which a member listens.
     pub fn address(member: MemberId) -> SocketAddr {
         SocketAddr::from(([127, 0, 0, 1], 10_000 + member.0 as u16))
     }
 
-    fn way(&self, from: MemberId, to: MemberId, change: impl FnOnce(&mut Way)) {
-        let mut wires = self.wires();
-        let way = wires.ways.entry((from, to)).or_insert_with(|| watch::channel(Way::default()).0);
-        way.send_modify(change);
+    fn update_link(&self, from: MemberId, to: MemberId, change: impl FnOnce(&mut LinkState)) {
+        let mut network = self.network();
+        let link = network.links.entry((from, to)).or_insert_with(|| watch::channel(LinkState::default()).0);
+        link.send_modify(change);
     }
 
-    fn watch(&self, from: MemberId, to: MemberId) -> watch::Receiver<Way> {
-        let mut wires = self.wires();
-        wires.ways.entry((from, to)).or_insert_with(|| watch::channel(Way::default()).0).subscribe()
+    fn watch_link(&self, from: MemberId, to: MemberId) -> watch::Receiver<LinkState> {
+        let mut network = self.network();
+        network.links.entry((from, to)).or_insert_with(|| watch::channel(LinkState::default()).0).subscribe()
     }
 
-    /// Lets nothing pass from one to the other, or all again.
-    pub fn silence(&self, from: MemberId, to: MemberId, silent: bool) {
-        self.way(from, to, |way| way.silent = silent);
+    /// Sets whether all bytes from one member to the other are held back, without an error at either end.
+    pub fn silence(&self, from: MemberId, to: MemberId, blocked: bool) {
+        self.update_link(from, to, |link| link.blocked = blocked);
     }
 
-    /// What goes from one to the other takes so long from now on.
-    pub fn slow(&self, from: MemberId, to: MemberId, slow: Duration) {
-        self.way(from, to, |way| way.slow = slow);
+    /// Sets the delay of bytes from one member to the other.
+    pub fn set_delay(&self, from: MemberId, to: MemberId, delay: Duration) {
+        self.update_link(from, to, |link| link.delay = delay);
     }
 
-    /// Ends the connections from one to the other, in the middle of a frame if one is under way.
-    pub fn tear(&self, from: MemberId, to: MemberId) {
-        self.way(from, to, |way| way.torn += 1);
+    /// Ends the connections from one member to the other, in the middle of a frame if one is in flight.
+    pub fn reset(&self, from: MemberId, to: MemberId) {
+        self.update_link(from, to, |link| link.reset_count += 1);
     }
 
-    /// The network as a member has it.
+    /// The transport through which a member uses the network.
     pub fn of(&self, member: MemberId) -> Arc<dyn Transport> {
-        Arc::new(Place { wire: self.clone(), member })
+        Arc::new(MemberTransport { wire: self.clone(), member })
     }
 }
 
-struct Place {
+struct MemberTransport {
     wire: Wire,
     member: MemberId,
 }
 
-impl Transport for Place {
+impl Transport for MemberTransport {
     fn listen(&self, at: SocketAddr) -> BoxFuture<'_, io::Result<Box<dyn Listener>>> {
-        let (calls, door) = mpsc::channel(CALLS);
-        self.wire.wires().doors.insert(at, calls);
-        Box::pin(async move { Ok(Box::new(Door { at, door }) as Box<dyn Listener>) })
+        let (connections, incoming) = mpsc::channel(MAX_PENDING_CONNECTIONS);
+        self.wire.network().listeners.insert(at, connections);
+        Box::pin(async move { Ok(Box::new(MemoryListener { at, incoming }) as Box<dyn Listener>) })
     }
 
     fn dial(&self, to: SocketAddr) -> BoxFuture<'_, io::Result<Box<dyn Stream>>> {
         Box::pin(async move {
-            let other = MemberId(u64::from(to.port()).saturating_sub(10_000));
-            let mut way = self.wire.watch(self.member, other);
-            let gone = |_| io::Error::from(io::ErrorKind::ConnectionReset);
-            way.wait_for(|way| !way.silent).await.map_err(gone)?;
-            let door = self.wire.wires().doors.get(&to).cloned();
-            let door = door.ok_or(io::ErrorKind::ConnectionRefused)?;
-            let ((near, inner), (outer, far)) = (duplex(PIPE), duplex(PIPE));
-            door.try_send(far).map_err(|_| io::ErrorKind::ConnectionRefused)?;
-            tokio::spawn(carry(inner, outer, way));
+            let peer = MemberId(u64::from(to.port()).saturating_sub(10_000));
+            let mut link = self.wire.watch_link(self.member, peer);
+            let reset = |_| io::Error::from(io::ErrorKind::ConnectionReset);
+            link.wait_for(|link| !link.blocked).await.map_err(reset)?;
+            let listener = self.wire.network().listeners.get(&to).cloned();
+            let listener = listener.ok_or(io::ErrorKind::ConnectionRefused)?;
+            let ((near, inner), (outer, far)) = (duplex(PIPE_BYTES), duplex(PIPE_BYTES));
+            listener.try_send(far).map_err(|_| io::ErrorKind::ConnectionRefused)?;
+            tokio::spawn(forward(inner, outer, link));
             Ok(Box::new(near) as Box<dyn Stream>)
         })
     }
 }
 
-struct Door {
+struct MemoryListener {
     at: SocketAddr,
-    door: mpsc::Receiver<DuplexStream>,
+    incoming: mpsc::Receiver<DuplexStream>,
 }
 
-impl Listener for Door {
+impl Listener for MemoryListener {
     fn address(&self) -> SocketAddr {
         self.at
     }
 
     fn accept(&mut self) -> BoxFuture<'_, io::Result<Box<dyn Stream>>> {
         Box::pin(async {
-            let call = self.door.recv().await.ok_or(io::ErrorKind::ConnectionAborted)?;
-            Ok(Box::new(call) as Box<dyn Stream>)
+            let connection = self.incoming.recv().await.ok_or(io::ErrorKind::ConnectionAborted)?;
+            Ok(Box::new(connection) as Box<dyn Stream>)
         })
     }
 }
 
-/// Carries what the caller writes; links go one way. It ends with either side, or torn.
-async fn carry(mut from: DuplexStream, mut to: DuplexStream, mut way: watch::Receiver<Way>) {
-    let torn = way.borrow().torn;
+/// Forwards what the dialing member writes; connections are one-way. Returns when either end closes or the
+/// direction is reset. A reset while a chunk is delayed or held back delivers only half of that chunk.
+async fn forward(mut from: DuplexStream, mut to: DuplexStream, mut link: watch::Receiver<LinkState>) {
+    let resets = link.borrow().reset_count;
     let mut bytes = vec![0; 4_096];
     loop {
         let read = tokio::select! {
             biased;
-            Ok(_) = way.wait_for(|way| way.torn != torn) => return,
+            Ok(_) = link.wait_for(|link| link.reset_count != resets) => return,
             read = from.read(&mut bytes) => read,
         };
         let Ok(size @ 1..) = read else { return };
-        let slow = way.borrow().slow;
-        if !slow.is_zero() {
-            sleep(slow).await;
+        let delay = link.borrow().delay;
+        if !delay.is_zero() {
+            sleep(delay).await;
         }
-        let Ok(now) = way.wait_for(|way| !way.silent || way.torn != torn).await.map(|way| *way) else {
+        let Ok(now) =
+            link.wait_for(|link| !link.blocked || link.reset_count != resets).await.map(|link| *link)
+        else {
             return;
         };
-        let part = if now.torn == torn { size } else { size / 2 };
-        if to.write_all(&bytes[..part]).await.is_err() || now.torn != torn {
+        let delivered = if now.reset_count == resets { size } else { size / 2 };
+        if to.write_all(&bytes[..delivered]).await.is_err() || now.reset_count != resets {
             return;
         }
     }
--- a/crates/stepspur-fault-tests/tests/processes.rs
+++ b/crates/stepspur-fault-tests/tests/processes.rs
@@ -1,5 +1,7 @@
-//! Books of several processes with faults between them, judged from the clients' sockets alone: each history is
-//! linearizable, and every operation that was asked for took effect exactly once in the end.
+//! Runs replicated counters on three processes and injects faults into the processes and the links between
+//! them. Guards against responses that are not linearizable, and against operations that are lost or take
+//! effect twice when a client repeats them after a fault. Only what the clients receive over their sockets is
+//! checked.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
@@ -12,25 +14,26 @@
 use stepspur_consensus::MemberId;
 use stepspur_consensus_node::{NodeHandle, Settings, Storage, Tcp};
 use stepspur_consensus_storage::Store;
-use stepspur_fault_tests::{Asked, History, Op, Tally};
+use stepspur_fault_tests::{Counters, History, Op, Operation};
 use stepspur_replication::{
     OperationId, ProposalLimits, ReplicatedStateMachine, ReplicationClient, ReplicationError,
     StateMachineRegistry,
 };
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt};
 
-#[allow(dead_code, reason = "of the peers' own rig, of which this test needs a part")]
+#[allow(dead_code, reason = "this test uses only a part of the module")]
 #[path = "../../stepspur-consensus-node/tests/process_group/mod.rs"]
 mod process_group;
 use process_group::{CHILD_VARIABLE, ChildSettings, Mode, ProcessGroup, TIMEOUT};
 
-/// How long a member's process tries before it answers that it does not know.
-const WITHIN: Duration = Duration::from_millis(1_200);
-/// How long a client waits for that answer before it goes elsewhere.
-const HEARD: Duration = Duration::from_secs(3);
-/// Operations of a client in each part of the course.
-const OPERATIONS: usize = 10;
-const CLIENTS: u64 = 3;
+/// Timeout of an operation within a member's process, which then responds that the outcome is unknown.
+const OPERATION_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// Timeout after which a client tries another member.
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
+/// Number of operations of a client during each fault.
+const OPERATIONS_PER_CLIENT: usize = 10;
+/// Number of concurrent clients.
+const CLIENT_COUNT: u64 = 3;
 
 #[derive(Debug, Serialize, Deserialize)]
 enum Request {
@@ -41,24 +44,25 @@
 }
 
 #[derive(Debug, Serialize, Deserialize)]
-enum Answer {
+enum Response {
     Id(OperationId),
     Sum(u32),
     Leader(Option<u64>),
-    /// Nothing is known: ask again, under the same id.
+    /// The outcome is unknown: the client proposes again under the same id.
     Unknown,
 }
 
-/// Not a test of its own: a member with a book, which serves clients.
+/// Not a test of its own: the process of a member, which serves clients. Returns at once unless started as a
+/// child.
 #[test]
 fn child_that_is_a_member() {
-    let Ok(told) = std::env::var(CHILD_VARIABLE) else { return };
-    let told: ChildSettings = serde_json::from_str(&told).expect("what it is told");
-    let (store, stored) = Store::open(&told.state).expect("its disk");
-    let set = Settings {
-        id: MemberId(told.id),
+    let Ok(settings) = std::env::var(CHILD_VARIABLE) else { return };
+    let child: ChildSettings = serde_json::from_str(&settings).expect("valid child settings");
+    let (store, stored) = Store::open(&child.state).expect("the store opens");
+    let settings = Settings {
+        id: MemberId(child.id),
         listen: "127.0.0.1:0".parse().expect("an address"),
-        peers: told.peers.iter().map(|(m, at)| (MemberId(*m), *at)).collect(),
+        peers: child.peers.iter().map(|(m, at)| (MemberId(*m), *at)).collect(),
         consensus: stepspur_consensus::Settings {
             election_timeout: 300_000,
             heartbeat_interval: 60_000,
@@ -73,160 +77,182 @@
     };
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
     runtime.expect("a runtime").block_on(async {
-        let life = told.id << 32 | u64::from(std::process::id());
-        let books = StateMachineRegistry::new([Box::new(Tally::new(1)) as Box<dyn ReplicatedStateMachine>]);
+        let incarnation = child.id << 32 | u64::from(std::process::id());
+        let registry =
+            StateMachineRegistry::new([Box::new(Counters::new(1)) as Box<dyn ReplicatedStateMachine>]);
         let disk: (Box<dyn Storage>, _) = (Box::new(store), stored);
-        let peers = NodeHandle::start_on(Arc::new(Tcp), set, Some(disk), life, books.clone()).await;
-        let peers = Arc::new(peers.expect("starts"));
-        let shared = ReplicationClient::new(Arc::clone(&peers), books, ProposalLimits::default(), life);
-        let clients = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        println!("serving {}", clients.local_addr().expect("bound"));
-        println!("listening {}", peers.address());
-        while let Ok((client, _)) = clients.accept().await {
-            tokio::spawn(serve(shared.clone(), client));
+        let node =
+            NodeHandle::start_on(Arc::new(Tcp), settings, Some(disk), incarnation, registry.clone()).await;
+        let node = Arc::new(node.expect("the member starts"));
+        let client =
+            ReplicationClient::new(Arc::clone(&node), registry, ProposalLimits::default(), incarnation);
+        let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+        println!("serving {}", listener.local_addr().expect("bound"));
+        println!("listening {}", node.address());
+        while let Ok((stream, _)) = listener.accept().await {
+            tokio::spawn(serve(client.clone(), stream));
         }
     });
 }
 
-async fn serve(shared: ReplicationClient, client: tokio::net::TcpStream) {
-    let (from, mut to) = client.into_split();
-    let mut lines = tokio::io::BufReader::new(from).lines();
+async fn serve(client: ReplicationClient, stream: tokio::net::TcpStream) {
+    let (reader, mut writer) = stream.into_split();
+    let mut lines = tokio::io::BufReader::new(reader).lines();
     while let Ok(Some(line)) = lines.next_line().await {
-        let sum = |told: Result<u32, ReplicationError>| told.map_or(Answer::Unknown, Answer::Sum);
-        let answer = match serde_json::from_str(&line).expect("a request") {
-            Request::Id => Answer::Id(shared.new_id()),
-            Request::Add(id, name, more) => {
-                sum(stepspur_fault_tests::add(&shared, id, &name, more, WITHIN).await)
+        let response =
+            |result: Result<u32, ReplicationError>| result.map_or(Response::Unknown, Response::Sum);
+        let response = match serde_json::from_str(&line).expect("a request") {
+            Request::Id => Response::Id(client.new_id()),
+            Request::Add(id, name, amount) => {
+                response(stepspur_fault_tests::add(&client, id, &name, amount, OPERATION_TIMEOUT).await)
+            }
+            Request::Read(name) => {
+                response(stepspur_fault_tests::read(&client, &name, OPERATION_TIMEOUT).await)
             }
-            Request::Read(name) => sum(stepspur_fault_tests::read(&shared, &name, WITHIN).await),
             Request::Leader => {
-                let status = shared.node().status().await.expect("it runs");
-                Answer::Leader(status.leader.filter(|_| status.is_voter).map(|m| m.0))
+                let status = client.node().status().await.expect("the member runs");
+                Response::Leader(status.leader.filter(|_| status.is_voter).map(|m| m.0))
             }
         };
-        let answer = serde_json::to_string(&answer).expect("a form") + "\n";
-        if to.write_all(answer.as_bytes()).await.is_err() {
+        let response = serde_json::to_string(&response).expect("serializable") + "\n";
+        if writer.write_all(response.as_bytes()).await.is_err() {
             return;
         }
     }
 }
 
-/// Where members serve now; a restart moves them.
-type Places = Arc<Mutex<BTreeMap<u64, SocketAddr>>>;
+/// Addresses at which members serve clients now; a restart changes them.
+type ClientAddresses = Arc<Mutex<BTreeMap<u64, SocketAddr>>>;
 
-/// Asks one member once; none if it cannot be reached or says nothing in time.
-fn ask(places: &Places, member: u64, request: &Request) -> Option<Answer> {
-    let at = *places.lock().expect("places").get(&member)?;
-    let mut stream = TcpStream::connect_timeout(&at, HEARD).ok()?;
-    stream.set_read_timeout(Some(HEARD)).ok()?;
-    let line = serde_json::to_string(request).expect("a form") + "\n";
+/// Sends a request to one member once. `None` if it cannot be reached or does not respond in time.
+fn send(addresses: &ClientAddresses, member: u64, request: &Request) -> Option<Response> {
+    let at = *addresses.lock().expect("the lock is not poisoned").get(&member)?;
+    let mut stream = TcpStream::connect_timeout(&at, CLIENT_TIMEOUT).ok()?;
+    stream.set_read_timeout(Some(CLIENT_TIMEOUT)).ok()?;
+    let line = serde_json::to_string(request).expect("serializable") + "\n";
     stream.write_all(line.as_bytes()).ok()?;
-    let mut answer = String::new();
-    BufReader::new(stream).read_line(&mut answer).ok()?;
-    serde_json::from_str(&answer).ok()
+    let mut response = String::new();
+    BufReader::new(stream).read_line(&mut response).ok()?;
+    serde_json::from_str(&response).ok()
 }
 
-/// Asks members the same thing until one knows: first the one that knew last, then in turn.
-fn until_known(places: &Places, turn: &mut u64, request: &Request) -> Answer {
-    let end = Instant::now() + TIMEOUT;
+/// Sends the same request until a member returns a known outcome: first to the member that did so last, then
+/// to the others in turn.
+fn send_until_known(addresses: &ClientAddresses, next: &mut u64, request: &Request) -> Response {
+    let deadline = Instant::now() + TIMEOUT;
     loop {
-        match ask(places, 1 + *turn % 3, request) {
-            None | Some(Answer::Unknown | Answer::Leader(None)) => *turn += 1,
+        match send(addresses, 1 + *next % 3, request) {
+            None | Some(Response::Unknown | Response::Leader(None)) => *next += 1,
             Some(known) => return known,
         }
-        assert!(Instant::now() < end, "in vain: {request:?}");
+        assert!(Instant::now() < deadline, "no member responds to {request:?}");
     }
 }
 
-/// Three clients at once: adds under one id until it is known, and reads. Once each has had two answers, `begun` lets
-/// the fault come.
-fn clients(places: &Places, name: &str, from: Instant, begun: &Arc<Barrier>) -> Vec<(u32, Vec<Asked>)> {
+/// Runs three concurrent clients that add, each operation under one id until its outcome is known, and read.
+/// Once each has completed two operations, the barrier `begun` lets the fault start. Returns the sum that
+/// each client added and its operations.
+fn clients(
+    addresses: &ClientAddresses,
+    name: &str,
+    start: Instant,
+    begun: &Arc<Barrier>,
+) -> Vec<(u32, Vec<Operation>)> {
     let one = |client: u64| {
-        let (places, name, begun) = (Arc::clone(places), name.to_owned(), Arc::clone(begun));
+        let (addresses, name, begun) = (Arc::clone(addresses), name.to_owned(), Arc::clone(begun));
         thread::spawn(move || {
-            let (mut added, mut all, mut turn) = (0, Vec::new(), client);
-            for n in 0..OPERATIONS {
+            let (mut added, mut all, mut next) = (0, Vec::new(), client);
+            for n in 0..OPERATIONS_PER_CLIENT {
                 if n == 2 {
                     begun.wait();
                 }
-                let adds = !(n as u64 + client).is_multiple_of(3);
-                let more = 1 + (n as u32 * 3 + client as u32) % 7;
-                let (op, request) = if adds {
-                    let Answer::Id(id) = until_known(&places, &mut turn, &Request::Id) else {
-                        panic!("no id")
+                let is_addition = !(n as u64 + client).is_multiple_of(3);
+                let amount = 1 + (n as u32 * 3 + client as u32) % 7;
+                let (op, request) = if is_addition {
+                    let Response::Id(id) = send_until_known(&addresses, &mut next, &Request::Id) else {
+                        panic!("not an id")
                     };
-                    added += more;
-                    (Op::Add(more), Request::Add(id, name.clone(), more))
+                    added += amount;
+                    (Op::Add(amount), Request::Add(id, name.clone(), amount))
                 } else {
                     (Op::Read, Request::Read(name.clone()))
                 };
-                let began = from.elapsed();
-                let Answer::Sum(sum) = until_known(&places, &mut turn, &request) else { panic!("no sum") };
-                all.push(Asked { op, from: began, answer: Some((from.elapsed(), sum)) });
+                let invoked_at = start.elapsed();
+                let Response::Sum(sum) = send_until_known(&addresses, &mut next, &request) else {
+                    panic!("not a value")
+                };
+                all.push(Operation { op, invoked_at, response: Some((start.elapsed(), sum)) });
             }
             (added, all)
         })
     };
-    let threads: Vec<_> = (0..CLIENTS).map(one).collect();
-    threads.into_iter().map(|t| t.join().expect("a client ends")).collect()
+    let threads: Vec<_> = (0..CLIENT_COUNT).map(one).collect();
+    threads.into_iter().map(|t| t.join().expect("the client thread ends")).collect()
 }
 
 #[test]
-fn operations_take_effect_once_whatever_fails_between_processes() {
-    let mut rig = ProcessGroup::new(3, &[]);
-    let places = Places::default();
-    let told = |rig: &ProcessGroup| (1..=3).map(|m| (m, rig.client_address(m))).collect::<BTreeMap<_, _>>();
-    *places.lock().expect("places") = told(&rig);
-    let faults =
-        ["leader killed", "leader stopped", "leader unheard", "leader deaf", "all killed", "links down"];
-    let from = Instant::now();
+fn operations_take_effect_once_under_faults_of_processes_and_links() {
+    let mut group = ProcessGroup::new(3, &[]);
+    let addresses = ClientAddresses::default();
+    let current_addresses =
+        |group: &ProcessGroup| (1..=3).map(|m| (m, group.client_address(m))).collect::<BTreeMap<_, _>>();
+    *addresses.lock().expect("the lock is not poisoned") = current_addresses(&group);
+    let faults = [
+        "leader killed",
+        "leader stopped",
+        "leader's outbound links blocked",
+        "leader's inbound links blocked",
+        "all killed",
+        "leader's outbound links down",
+    ];
+    let start = Instant::now();
     for fault in faults {
-        let Answer::Leader(Some(leader)) = until_known(&places, &mut 0, &Request::Leader) else {
-            panic!("none")
+        let Response::Leader(Some(leader)) = send_until_known(&addresses, &mut 0, &Request::Leader) else {
+            panic!("no leader")
         };
-        let begun = Arc::new(Barrier::new(CLIENTS as usize + 1));
-        let (at, begins) = (Arc::clone(&places), Arc::clone(&begun));
-        let asked = thread::spawn(move || clients(&at, fault, from, &begins));
+        let begun = Arc::new(Barrier::new(CLIENT_COUNT as usize + 1));
+        let (at, begun_by_clients) = (Arc::clone(&addresses), Arc::clone(&begun));
+        let results = thread::spawn(move || clients(&at, fault, start, &begun_by_clients));
         begun.wait();
         match fault {
-            "leader killed" => rig.kill(leader),
-            "leader stopped" => rig.signal(leader, "-STOP"),
-            "leader unheard" => rig.set_outbound(leader, Mode::Silent),
-            "leader deaf" => rig.set_inbound(leader, Mode::Silent),
-            "links down" => rig.set_outbound(leader, Mode::Down),
+            "leader killed" => group.kill(leader),
+            "leader stopped" => group.signal(leader, "-STOP"),
+            "leader's outbound links blocked" => group.set_outbound(leader, Mode::Silent),
+            "leader's inbound links blocked" => group.set_inbound(leader, Mode::Silent),
+            "leader's outbound links down" => group.set_outbound(leader, Mode::Down),
             _ => {
-                (1..=3).for_each(|m| rig.kill(m));
-                (1..=3).for_each(|m| rig.start(m));
-                *places.lock().expect("places") = told(&rig);
+                (1..=3).for_each(|m| group.kill(m));
+                (1..=3).for_each(|m| group.start(m));
+                *addresses.lock().expect("the lock is not poisoned") = current_addresses(&group);
             }
         }
-        // The rest goes on without it: the clients end before the fault does.
-        let asked = asked.join().expect("clients end");
+        // The other members go on without it: the clients finish before the fault ends.
+        let results = results.join().expect("the clients end");
         match fault {
             "leader killed" => {
-                rig.start(leader);
-                *places.lock().expect("places") = told(&rig);
+                group.start(leader);
+                *addresses.lock().expect("the lock is not poisoned") = current_addresses(&group);
             }
-            "leader stopped" => rig.signal(leader, "-CONT"),
+            "leader stopped" => group.signal(leader, "-CONT"),
             _ => (1..=3).for_each(|m| {
-                rig.set_outbound(m, Mode::Pass);
-                rig.set_inbound(m, Mode::Pass);
+                group.set_outbound(m, Mode::Pass);
+                group.set_inbound(m, Mode::Pass);
             }),
         }
         let mut history = History::default();
-        let sum: u32 = asked.iter().map(|(added, _)| added).sum();
-        asked.into_iter().flat_map(|(_, all)| all).for_each(|a| _ = history.add(fault, a));
-        assert_eq!(history.judge(), Ok(()), "{fault}");
-        // Each member itself, the one that was away as well, comes to exactly what was asked for.
+        let sum: u32 = results.iter().map(|(added, _)| added).sum();
+        results.into_iter().flat_map(|(_, all)| all).for_each(|a| _ = history.record(fault, a));
+        assert_eq!(history.check_linearizable(), Ok(()), "{fault}");
+        // Every member, including the faulty one, reaches exactly the sum of all additions.
         for member in 1..=3 {
-            let end = Instant::now() + TIMEOUT;
-            let found = loop {
-                match ask(&places, member, &Request::Read(fault.to_owned())) {
-                    Some(Answer::Sum(found)) => break found,
-                    _ => assert!(Instant::now() < end, "{fault}: {member} does not answer"),
+            let deadline = Instant::now() + TIMEOUT;
+            let value = loop {
+                match send(&addresses, member, &Request::Read(fault.to_owned())) {
+                    Some(Response::Sum(value)) => break value,
+                    _ => assert!(Instant::now() < deadline, "{fault}: member {member} does not respond"),
                 }
             };
-            assert_eq!(found, sum, "{fault}, at {member}: every operation once");
+            assert_eq!(value, sum, "{fault}, member {member}: every operation takes effect once");
         }
     }
 }
--- a/crates/stepspur-replication/src/registry.rs
+++ b/crates/stepspur-replication/src/registry.rs
@@ -105,7 +105,7 @@
     Decode(#[from] DecodeCommandError),
     #[error("book {0} is not known to this program: start a newer one")]
     UnknownStateMachine(StateMachineId),
-    #[error("book {id} in version {version}, and this program knows {supported:?}")]
+    #[error("state machine {id} in version {version}, and this program knows {supported:?}")]
     UnsupportedVersion { id: StateMachineId, version: u16, supported: RangeInclusive<u16> },
 }
 
