--- a/crates/stepspur-fault-tests/features/replication.feature
+++ b/crates/stepspur-fault-tests/features/replication.feature
@@ -1,6 +1,6 @@
 Feature: Replicated operations take effect once under faults
-  An acknowledged operation is durable and visible at every conductor. One with an unknown outcome takes effect
-  once or never.
+  An acknowledged operation is durable and visible at every conductor.
+  An operation with an unknown outcome takes effect once or never.
 
   Scenario: An addition without faults
     Given 5 conductors and 1 learner
--- a/crates/stepspur-fault-tests/tests/distribution_injected_faults.rs
+++ b/crates/stepspur-fault-tests/tests/distribution_injected_faults.rs
@@ -25,7 +25,8 @@
 async fn dropped_documents_are_found() {
     let (fleet, faulty) = fleet_with(InjectedFault::DropDocuments).await;
     let found = fleet.out_of_sync(&[]);
-    let is_expected = |violation: &Violation| matches!(violation, Violation::OutOfSync { name, copy: "engine", .. } if *name == faulty);
+    let is_expected =
+        |v: &Violation| matches!(v, Violation::OutOfSync { name, copy: "engine", .. } if *name == faulty);
     assert!(!found.is_empty() && found.iter().all(is_expected), "{found:?}");
 }
 
@@ -34,8 +35,7 @@
     let (fleet, faulty) = fleet_with(InjectedFault::AcknowledgeEarly(Duration::from_secs(2))).await;
     assert_eq!(fleet.out_of_sync(&[]), [], "it is in sync in the end");
     let found = fleet.violations();
-    let is_expected =
-        |violation: &Violation| matches!(violation, Violation::FalseClaim { name, .. } if *name == faulty);
+    let is_expected = |v: &Violation| matches!(v, Violation::FalseClaim { name, .. } if *name == faulty);
     assert!(!found.is_empty() && found.iter().all(is_expected), "{found:?}");
 }
 
@@ -43,6 +43,7 @@
 async fn an_older_document_applied_after_a_newer_one_is_found() {
     let (fleet, faulty) = fleet_with(InjectedFault::ReapplyPrevious).await;
     let found = fleet.violations();
-    let is_expected = |violation: &Violation| matches!(violation, Violation::DocumentRegressed { name, .. } if *name == faulty);
+    let is_expected =
+        |v: &Violation| matches!(v, Violation::DocumentRegressed { name, .. } if *name == faulty);
     assert!(found.iter().any(is_expected), "{found:?}");
 }
