--- a/crates/stepspur-replication/src/registry.rs
+++ b/crates/stepspur-replication/src/registry.rs
@@ -113,7 +113,7 @@
     Decode(#[from] DecodeCommandError),
     #[error("state machine {0} is not known to this program: upgrade it")]
     UnknownStateMachine(StateMachineId),
-    #[error("cannot read book {id} in version {version}: this program reads versions {supported:?}")]
+    #[error("state machine {id} in version {version}: this program reads versions {supported:?}")]
     UnsupportedVersion { id: StateMachineId, version: u16, supported: RangeInclusive<u16> },
 }
 
