--- a/crates/stepspur-model/src/lib.rs
+++ b/crates/stepspur-model/src/lib.rs
@@ -1,8 +1,8 @@
-//! What stepspur directs, without a socket: [`server::Server`] and [`proxy::Proxy`], with the [`work::Work`] of
-//! requests and the [`memory::Memory`] of groups of servers.
+//! Sans-IO models of what stepspur directs: [`server::Server`] and [`proxy::Proxy`], the [`work::Work`]
+//! distributions of requests and the [`memory::Memory`] that deduplicates requests in a group of servers.
 //!
-//! Both are sans-IO: time is given in microseconds and goes forward only, chance comes from a seed. The stand-ins
-//! of the rehearsal run them behind loopback sockets; a model of a whole fleet can run them in virtual time.
+//! Callers pass the current time in microseconds, which never decreases, and a seed for all random numbers. The
+//! emulator runs the models behind loopback sockets; the simulation runs a whole fleet of them in virtual time.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -12,5 +12,5 @@
 pub mod server;
 pub mod work;
 
-/// A time or a span, in whole microseconds.
+/// A point in time or a duration, in whole microseconds.
 pub type Micros = u64;
--- a/crates/stepspur-model/src/memory.rs
+++ b/crates/stepspur-model/src/memory.rs
@@ -1,57 +1,61 @@
-//! What a group of servers remembers of requests that it has met, so that a repeat has no second effect.
+//! Request deduplication in a group of servers, so that a repeated request takes effect only once.
 //!
-//! One memory stands for each class and group (the fleet, a zone, a server): the driver keeps it, as it outlives
-//! the servers of the group.
+//! The driver owns one [`Memory`] for each class and group (the fleet, a zone or a server), because it outlives
+//! the server processes of the group.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::Micros;
 
-/// The memory of one group.
+/// Identifiers of the requests that one group has received within the deduplication window.
 #[derive(Clone, Debug)]
 pub struct Memory {
     window: Micros,
-    most: usize,
-    met: BTreeMap<u64, Micros>,
+    capacity: usize,
+    /// Time of the first arrival by request.
+    seen: BTreeMap<u64, Micros>,
+    /// Arrivals from the oldest to the newest, for expiry; may still list forgotten requests.
     order: VecDeque<(Micros, u64)>,
 }
 
 impl Memory {
-    /// A memory of requests met within `window` microseconds, `most` at most: the oldest go first.
-    pub fn new(window: Micros, most: usize) -> Self {
-        Self { window, most: most.max(1), met: BTreeMap::new(), order: VecDeque::new() }
+    /// Creates a memory of about `capacity` requests (at least 1), each for `window` microseconds. When it is
+    /// over capacity, the oldest requests are dropped first.
+    pub fn new(window: Micros, capacity: usize) -> Self {
+        Self { window, capacity: capacity.max(1), seen: BTreeMap::new(), order: VecDeque::new() }
     }
 
-    /// A request comes; true: it was met within the window, so it must have no effect. Meeting it again does not
-    /// lengthen the window.
+    /// Records the arrival of a request. Returns true for a duplicate within the window, which must have no
+    /// effect. A duplicate does not extend the window.
     pub fn meet(&mut self, now: Micros, request: u64) -> bool {
-        let old = now.saturating_sub(self.window);
-        while self.order.front().is_some_and(|(at, _)| *at < old || self.met.len() > self.most) {
+        let oldest_valid = now.saturating_sub(self.window);
+        while self.order.front().is_some_and(|(at, _)| *at < oldest_valid || self.seen.len() > self.capacity)
+        {
             let Some((at, request)) = self.order.pop_front() else { break };
-            if self.met.get(&request) == Some(&at) {
-                self.met.remove(&request);
+            if self.seen.get(&request) == Some(&at) {
+                self.seen.remove(&request);
             }
         }
-        if self.met.contains_key(&request) {
+        if self.seen.contains_key(&request) {
             return true;
         }
-        self.met.insert(request, now);
+        self.seen.insert(request, now);
         self.order.push_back((now, request));
         false
     }
 
-    /// The request was given up before it ran: a repeat may run.
+    /// Forgets a request that was cancelled before it ran, so that a repeat may run.
     pub fn forget(&mut self, request: u64) {
-        self.met.remove(&request);
+        self.seen.remove(&request);
     }
 
-    /// Requests remembered.
+    /// Returns the number of remembered requests.
     pub fn len(&self) -> usize {
-        self.met.len()
+        self.seen.len()
     }
 
-    /// True: nothing is remembered.
+    /// Returns true if no request is remembered.
     pub fn is_empty(&self) -> bool {
-        self.met.is_empty()
+        self.seen.is_empty()
     }
 }
--- a/crates/stepspur-model/src/serve.rs
+++ b/crates/stepspur-model/src/serve.rs
@@ -1,57 +1,70 @@
-//! A request's way through a proxy, and a client's patience: what is tried next, and when it is given up.
+//! The steps of serving one client request in a proxy (attempts, timeouts, retries), and the rule by which a
+//! client repeats a request.
 //!
-//! Both the stand-in proxy behind sockets and the model of the fleet in virtual time follow these steps.
+//! The emulator's proxy behind sockets and the simulation in virtual time share this code.
 
 use std::net::SocketAddr;
 
 use crate::Micros;
 use crate::proxy::{Proxy, Tried};
 
-/// What a client is told.
+/// The result that a proxy returns to a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// Answered well.
+    /// Answered successfully.
     Good,
-    /// Refused early, by level or for want of a server.
+    /// Rejected before any attempt, by the admission level or because the table has no usable server.
     Refused,
-    /// Failed, and it may have run.
+    /// Failed; a server may have run it.
     Failed,
-    /// Failed, and it never ran.
+    /// Failed; no server ran it.
     NeverRan,
 }
 
-/// What a proxy does next with a request.
+/// The next step of a proxy for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
-    /// Send it to this server; a try that has not ended by then may have run, and is given up.
+    /// Send an attempt to a server. An attempt without a result by its timeout may have run.
     Send {
-        /// The server.
+        /// The server of the attempt.
         server: SocketAddr,
-        /// When the try is given up.
+        /// Time at which the attempt times out.
         until: Micros,
     },
-    /// Tell the client.
+    /// Return this result to the client.
     Tell(Answer),
 }
 
-/// A client's try on its way through a proxy.
+/// One client request that a proxy serves, with its attempts so far.
 #[derive(Clone, Debug)]
 pub struct Serving {
     class: usize,
-    aim: Micros,
-    until: Micros,
+    /// The latency objective of the class.
+    objective: Micros,
+    /// Time at which the client gives up.
+    deadline: Micros,
+    /// Time at which the current attempt was sent.
     sent: Micros,
+    /// Servers attempted so far; the last one is the current attempt.
     tried: Vec<SocketAddr>,
     may_have_run: bool,
 }
 
-/// A try that may be followed by another waits so many aims.
-const FIRST_WAIT: f64 = 1.2;
+/// Timeout of an attempt that may be retried, in multiples of the class's latency objective.
+const RETRYABLE_TIMEOUT_FACTOR: f64 = 1.2;
 
 impl Serving {
-    /// A try comes; its client gives up at `until`.
-    pub fn begin(proxy: &mut Proxy, now: Micros, class: usize, aim: Micros, until: Micros) -> (Self, Next) {
-        let mut serving = Self { class, aim, until, sent: now, tried: Vec::new(), may_have_run: false };
+    /// Starts to serve a client's request and returns the first step. `objective` is the latency objective of its
+    /// class, in microseconds; the client gives up at `deadline`.
+    pub fn begin(
+        proxy: &mut Proxy,
+        now: Micros,
+        class: usize,
+        objective: Micros,
+        deadline: Micros,
+    ) -> (Self, Next) {
+        let mut serving =
+            Self { class, objective, deadline, sent: now, tried: Vec::new(), may_have_run: false };
         let next = match proxy.admit(now, class) {
             true => serving.send(proxy, now),
             false => Next::Tell(Answer::Refused),
@@ -63,19 +76,23 @@
         let Some(server) = proxy.pick(now, &self.tried) else {
             return Next::Tell(if self.may_have_run { Answer::Failed } else { Answer::Refused });
         };
-        let followed = proxy.may_be_followed(self.class, self.tried.len() as u32 + 1);
-        let patience = if followed { (self.aim as f64 * FIRST_WAIT) as Micros } else { Micros::MAX };
+        let may_be_retried = proxy.may_be_retried(self.class, self.tried.len() as u32 + 1);
+        let timeout = if may_be_retried {
+            (self.objective as f64 * RETRYABLE_TIMEOUT_FACTOR) as Micros
+        } else {
+            Micros::MAX
+        };
         self.tried.push(server);
         self.sent = now;
-        Next::Send { server, until: now.saturating_add(patience).min(self.until) }
+        Next::Send { server, until: now.saturating_add(timeout).min(self.deadline) }
     }
 
-    /// Attempts so far.
+    /// Returns the number of attempts so far.
     pub fn attempts(&self) -> usize {
         self.tried.len()
     }
 
-    /// The attempt under way has ended.
+    /// Records the result of the current attempt and returns the next step.
     pub fn ended(&mut self, proxy: &mut Proxy, now: Micros, end: Tried) -> Next {
         let Some(server) = self.tried.last().copied() else { return Next::Tell(Answer::Refused) };
         self.may_have_run |= end == Tried::MayHaveRun;
@@ -83,7 +100,7 @@
         if end == Tried::Good {
             return Next::Tell(Answer::Good);
         }
-        if proxy.may_try_again(self.class, self.tried.len() as u32, end) && now < self.until {
+        if proxy.may_try_again(self.class, self.tried.len() as u32, end) && now < self.deadline {
             return self.send(proxy, now);
         }
         proxy.unanswered(self.class);
@@ -91,19 +108,19 @@
     }
 }
 
-/// What a repeat of a request may do, as its client sees it.
+/// Whether a client may safely repeat a request that may already have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
-    /// It does no harm.
+    /// Always safe: the request has no side effects.
     Harmless,
-    /// It does no harm within so many microseconds from the first try.
+    /// Safe within this many microseconds of the first try, while servers still deduplicate it.
     Within(Micros),
-    /// It may take effect twice.
+    /// Unsafe: the request may take effect twice.
     Harmful,
 }
 
-/// True: after this answer, so long after its first try, a client may ask again. What may not run twice is
-/// repeated only after a refusal.
+/// Returns true if a client may repeat a request after this result, `since` microseconds after its first try. A
+/// request that must not run twice is repeated only after a result that proves that it never ran.
 pub fn client_repeats(answer: Answer, repeat: Repeat, since: Micros) -> bool {
     match (answer, repeat) {
         (Answer::Good, _) | (Answer::Failed, Repeat::Harmful) => false,
--- a/crates/stepspur-model/src/server.rs
+++ b/crates/stepspur-model/src/server.rs
@@ -1,11 +1,13 @@
-//! A server: cores, slots, a waiting room, a cold start, pauses, and a limit beyond which it falls over.
+//! A model of a server: cores, slots, a bounded queue, a cold start, pauses, and a load at which it collapses.
 //!
-//! Requests in work share the cores evenly; those that find no slot wait in order; those that find no room are
-//! turned away. Work is told in microseconds of a core of speed 1. Capacity after a start rises evenly from
-//! [`Spec::cold_from`] to the full over [`Spec::cold`], or with every request that it answers.
+//! Requests in service share the cores evenly (processor sharing). Requests that find no free slot wait in FIFO
+//! order; requests that find the queue full are rejected. Work is measured in microseconds on a core of speed 1.
+//! After a start, capacity rises linearly from [`Spec::cold_from`] to its full value over [`Spec::cold`], or with
+//! the number of answered requests.
 //!
-//! The driver calls [`Server::connect`], [`Server::offer`], [`Server::cancel`] and [`Server::drain`] as things
-//! happen, and [`Server::poll`] and [`Server::closed`] when [`Server::next_at`] says so. Time never goes back.
+//! The driver calls [`Server::connect`], [`Server::offer`], [`Server::cancel`] and [`Server::drain`] when these
+//! events occur, and [`Server::poll`] and [`Server::closed`] at the time returned by [`Server::next_at`]. The time
+//! that it passes never decreases.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
@@ -17,6 +19,9 @@
 
 use crate::Micros;
 
+// The doc comments of types that derive `JsonSchema` are the descriptions in the published schema of scenario
+// files, so they change only together with that schema.
+
 /// What a cancel does to a request in hand.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
@@ -48,10 +53,10 @@
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[serde(rename_all = "snake_case")]
 pub enum Draining {
-    /// It closes idle connections and serves whatever comes until it is stopped.
+    /// It close_at idle connections and serves whatever comes until it is stopped.
     #[default]
     Serves,
-    /// It closes idle connections, accepts none, and turns away what comes on those that are left.
+    /// It close_at idle connections, accepts none, and turns away what comes on those that are left.
     Refuses,
 }
 
@@ -104,11 +109,11 @@
     pub probe_work: f64,
     /// Load reports are refreshed so often, microseconds.
     pub report_every: Micros,
-    /// A load report is shown so much later, microseconds.
+    /// A load report is published so much later, microseconds.
     pub report_late: Micros,
     /// Load reports are off by this standard deviation, as a share of the truth.
     pub report_noise: f64,
-    /// Keys met within this span, microseconds, ...
+    /// Keys hit within this span, microseconds, ...
     pub key_span: Micros,
     /// ... need this share less work; 0: none.
     pub key_gain: f64,
@@ -151,172 +156,179 @@
 }
 
 impl Spec {
-    /// Work that it does in a second when warm and not crowded, in seconds.
+    /// Returns the work done in a second when warm and at or below [`Spec::knee`], in core-seconds.
     pub fn capacity(&self) -> f64 {
         f64::from(self.cores) * self.speed
     }
 }
 
-/// A request, by a number of the caller's.
+/// Identifies a request at a server; the caller assigns the number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Job(pub u64);
 
-/// A connection, by a number of the server's.
+/// Identifies a connection; the server assigns the number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Conn(pub u64);
 
-/// What is asked of a server.
+/// A request as it is offered to a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Ask {
-    /// Its work, microseconds of a core of speed 1.
+    /// Its work, in microseconds on a core of speed 1.
     pub work: f64,
-    /// A key that the server may have met lately.
+    /// Key of the data that it reads; a recently used key reduces the work by [`Spec::key_gain`].
     pub key: Option<u64>,
-    /// The connection on which it comes, if connections are played.
+    /// The connection that carries it; `None` if the caller does not model connections.
     pub conn: Option<Conn>,
 }
 
 impl Ask {
-    /// Work alone, on no connection in particular.
+    /// Creates a request with this work and neither key nor connection.
     pub fn of(work: f64) -> Self {
         Self { work, ..Self::default() }
     }
 }
 
-/// What became of an offered request.
+/// The immediate result of offering a request to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Offer {
-    /// It is in hand; [`Server::poll`] tells its end.
+    /// Accepted; [`Server::poll`] returns its completion.
     Taken,
-    /// No room: it never ran.
+    /// Rejected because the queue is full or the server drains; it never ran.
     Full,
-    /// It failed at once.
+    /// Failed at once, by [`Spec::error_rate`] or [`Ails::fails`].
     Failed,
-    /// The server has fallen over, with all that it held.
+    /// The server has collapsed, and every request that it held is lost.
     Fallen,
 }
 
-/// The end of a request.
+/// The completion of an accepted request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Done {
-    /// The request.
+    /// The request that completed.
     pub job: Job,
-    /// True: answered; false: lost as the server fell over.
+    /// True if it was answered; false if it was lost when the server collapsed.
     pub good: bool,
 }
 
-/// A load report.
+/// A load report of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Load {
-    /// Requests in hand.
+    /// Requests in flight, in service or queued.
     pub rif: f64,
-    /// Requests waiting.
+    /// Requests in the queue.
     pub q: f64,
-    /// Share of the cores that is busy.
+    /// Share of the cores in use, from 0 to 1, smoothed over the last reports.
     pub busy: f64,
-    /// Recent service time without waiting, milliseconds.
+    /// Recent mean service time without queueing, in milliseconds.
     pub lat_ms: f64,
 }
 
-/// What goes wrong with a server now.
+/// The faults that are injected into a server at present.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Ails {
-    /// It takes requests and works on none.
+    /// Accepts requests and work_at on none.
     pub hangs: bool,
-    /// Share of requests that fail at once.
+    /// Share of requests that fail at once, from 0 to 1, in addition to [`Spec::error_rate`].
     pub fails: f64,
-    /// It works this much slower: 0.5 takes one and a half times as long.
+    /// Slowdown: 0.5 makes work take 1.5 times as long; 0 is full speed.
     pub slower: f64,
-    /// Pauses: every so often, for so long, microseconds.
+    /// Pauses as (interval, duration) in microseconds; `None` leaves those of the [`Spec`].
     pub pauses: Option<(Micros, Micros)>,
 }
 
+/// An accepted request that is queued or in service.
 #[derive(Clone, Copy, Debug)]
-struct Running {
+struct HeldJob {
+    /// When it was accepted; once it is in service, when service began.
     since: Micros,
     conn: Option<Conn>,
-    /// Holding no slot any more: cancelled.
-    gone: bool,
+    /// Cancelled while in service: its slot is already free.
+    cancelled: bool,
 }
 
-/// A connection that stands.
+/// An open connection.
 #[derive(Clone, Copy, Debug)]
-struct Open {
-    /// No request has come on it yet.
-    new: bool,
-    /// Requests in hand on it.
+struct OpenConn {
+    /// No request has used it yet.
+    unused: bool,
+    /// Requests on it that are queued or in service.
     held: usize,
-    /// Since when it has had none.
+    /// Time since which it has carried no request.
     idle: Micros,
 }
 
-/// A server in given time.
+/// A server model; the caller passes the time to each call.
 #[derive(Debug)]
 pub struct Server {
     spec: Spec,
     rng: ChaCha8Rng,
     now: Micros,
-    /// Its last start; 0: long ago.
+    /// Time of the last start; 0 for a server that is warm from the beginning.
     started: Micros,
-    /// Work that each request in work has been given since the beginning, microseconds.
-    given: f64,
-    /// Requests in work by the `given` at which they are done.
+    /// Attained service: the work that a request in service since the beginning would have received, in
+    /// microseconds.
+    attained: f64,
+    /// Requests in service, by the attained service at which they complete, in units of 1 / `TICKS_PER_US`.
     running: BinaryHeap<Reverse<(u64, Job)>>,
-    held: BTreeMap<Job, Running>,
-    in_work: usize,
+    held: BTreeMap<Job, HeldJob>,
+    in_service: usize,
+    /// The queue: requests without a slot, with their work in microseconds.
     waiting: VecDeque<(Job, f64)>,
-    ails: Ails,
+    faults: Ails,
     paused_until: Micros,
     next_pause: Micros,
-    /// Work that came within the span of the fall, while cold.
-    pushed: VecDeque<(Micros, f64)>,
-    pushed_sum: f64,
+    /// Work that arrived within `Spec::fall_span` while cold: arrival time and work, in microseconds.
+    cold_work: VecDeque<(Micros, f64)>,
+    cold_work_sum: f64,
     fallen: bool,
+    /// Time of the last use of each remembered key.
     keys: BTreeMap<u64, Micros>,
     key_order: VecDeque<(Micros, u64)>,
     done: VecDeque<Done>,
-    conns: BTreeMap<Conn, Open>,
-    /// Connections with no request, by the time since when.
+    conns: BTreeMap<Conn, OpenConn>,
+    /// Connections without a request, by the time since which they are idle.
     idle: BTreeSet<(Micros, Conn)>,
     next_conn: u64,
     closed: VecDeque<Conn>,
     drains: bool,
     answered: u64,
-    /// Load reports by the time at which they were made, the one shown first.
+    /// Load reports by the time at which they were made; the first one is the one published.
     reports: VecDeque<(Micros, Load)>,
+    /// Moving average of the service time, in microseconds.
     latency: f64,
+    /// Moving average of the share of cores in use.
     busy: f64,
 }
 
-/// Capacity that rises is reckoned anew so often, microseconds.
-const STEP: Micros = 50_000;
-/// The `given` scale of the heap: a hundredth of a microsecond.
-const FINE: f64 = 100.0;
+/// Step at which the service rate is recomputed while capacity rises after a start, in microseconds.
+const WARM_UP_STEP: Micros = 50_000;
+/// Resolution of the completion heap: ticks per microsecond of attained service.
+const TICKS_PER_US: f64 = 100.0;
 
 impl Server {
-    /// A server that is warm, or has started just now.
+    /// Creates a server that is warm, or one that starts cold at `now`.
     pub fn new(spec: Spec, seed: u64, now: Micros, warm: bool) -> Self {
         let mut server = Self {
             rng: ChaCha8Rng::seed_from_u64(seed),
             now,
             started: if warm { 0 } else { now },
-            given: 0.0,
+            attained: 0.0,
             running: BinaryHeap::new(),
             held: BTreeMap::new(),
-            in_work: 0,
+            in_service: 0,
             waiting: VecDeque::new(),
-            ails: Ails::default(),
+            faults: Ails::default(),
             paused_until: 0,
             next_pause: 0,
-            pushed: VecDeque::new(),
-            pushed_sum: 0.0,
+            cold_work: VecDeque::new(),
+            cold_work_sum: 0.0,
             fallen: false,
             keys: BTreeMap::new(),
             key_order: VecDeque::new(),
             done: VecDeque::new(),
             conns: BTreeMap::new(),
             idle: BTreeSet::new(),
-            // Not the numbers of an earlier life at the same address.
+            // Differs from the connection numbers of an earlier process at the same address.
             next_conn: now,
             closed: VecDeque::new(),
             drains: false,
@@ -326,43 +338,45 @@
             busy: 0.0,
             spec,
         };
-        server.time_pauses(now);
+        server.schedule_next_pause(now);
         server
     }
 
+    /// Returns the pauses in force as (interval, duration), in microseconds: injected ones replace those of the spec.
     fn pauses(&self) -> Option<(Micros, Micros)> {
-        let own = (self.spec.pause > 0).then_some((self.spec.pause_every, self.spec.pause));
-        self.ails.pauses.or(own)
+        let from_spec = (self.spec.pause > 0).then_some((self.spec.pause_every, self.spec.pause));
+        self.faults.pauses.or(from_spec)
     }
 
-    fn time_pauses(&mut self, now: Micros) {
+    /// Draws the start of the next pause, uniformly within one interval from now.
+    fn schedule_next_pause(&mut self, now: Micros) {
         self.next_pause = match self.pauses() {
             Some((every, _)) => now + self.rng.random_range(0..every.max(1)),
             None => 0,
         };
     }
 
-    /// Its make.
+    /// Returns the parameters of the server.
     pub fn spec(&self) -> &Spec {
         &self.spec
     }
 
-    /// Its last start; 0: long ago.
+    /// Returns the time of the last start; 0 for a server that is warm from the beginning.
     pub fn started(&self) -> Micros {
         self.started
     }
 
-    /// True: it fell over and stays down.
+    /// Returns true if the server has collapsed. It does not recover by itself.
     pub fn fallen(&self) -> bool {
         self.fallen
     }
 
-    /// Requests in hand.
+    /// Returns the number of requests queued or in service.
     pub fn held(&self) -> usize {
-        self.in_work + self.waiting.len()
+        self.in_service + self.waiting.len()
     }
 
-    /// The share of its capacity that it has.
+    /// Returns the share of full capacity that is available now, from [`Spec::cold_from`] to 1.
     pub fn warmth(&self, now: Micros) -> f64 {
         if self.started == 0 {
             return 1.0;
@@ -374,17 +388,17 @@
         (self.spec.cold_from + (1.0 - self.spec.cold_from) * age).min(1.0)
     }
 
-    /// Sets what goes wrong from now on.
-    pub fn ail(&mut self, now: Micros, ails: Ails) {
+    /// Replaces the injected faults from now on.
+    pub fn ail(&mut self, now: Micros, faults: Ails) {
         self.advance(now);
-        let other = ails.pauses != self.ails.pauses;
-        self.ails = ails;
-        if other {
-            self.time_pauses(now);
+        let rescheduled = faults.pauses != self.faults.pauses;
+        self.faults = faults;
+        if rescheduled {
+            self.schedule_next_pause(now);
         }
     }
 
-    /// A connection is dialled; none if the server has as many as it accepts, drains, or has fallen over.
+    /// Opens a connection. Returns `None` if the server is at its limit, refuses while it drains, or has collapsed.
     pub fn connect(&mut self, now: Micros) -> Option<Conn> {
         self.advance(now);
         let full = self.spec.connections > 0 && self.conns.len() >= self.spec.connections;
@@ -394,42 +408,43 @@
         }
         self.next_conn += 1;
         let conn = Conn(self.next_conn);
-        self.conns.insert(conn, Open { new: true, held: 0, idle: now });
-        // While it drains, one who dials is served once before the connection is closed.
+        self.conns.insert(conn, OpenConn { unused: true, held: 0, idle: now });
+        // A new connection to a draining server carries one request before the server close_at it.
         if !self.drains {
             self.idle.insert((now, conn));
         }
         Some(conn)
     }
 
-    /// The other side has closed a connection. Requests on it go on until they are cancelled.
+    /// Handles a connection closed by the peer. Its requests continue until they are cancelled.
     pub fn disconnect(&mut self, now: Micros, conn: Conn) {
         self.advance(now);
         self.close(conn);
     }
 
-    /// True: no request has come on it yet.
+    /// Returns true if no request has used the connection yet.
     pub fn is_new(&self, conn: Conn) -> bool {
-        self.conns.get(&conn).is_some_and(|open| open.new)
+        self.conns.get(&conn).is_some_and(|open| open.unused)
     }
 
-    /// True: the connection stands.
+    /// Returns true if the connection is open.
     pub fn is_open(&self, conn: Conn) -> bool {
         self.conns.contains_key(&conn)
     }
 
-    /// Connections that stand.
+    /// Returns the number of open connections.
     pub fn connections(&self) -> usize {
         self.conns.len()
     }
 
-    /// The next connection that the server has closed by now: idle for too long, or with nothing to do while it
-    /// drains.
+    /// Returns the next connection that the server has closed by now: idle for longer than [`Spec::idle`], or
+    /// idle while the server drains.
     pub fn closed(&mut self, now: Micros) -> Option<Conn> {
         self.advance(now);
         if self.spec.idle > 0 || self.drains {
-            let patience = if self.drains { 0 } else { self.spec.idle };
-            while let Some((since, conn)) = self.idle.first().copied().filter(|(at, _)| at + patience <= now)
+            let idle_timeout = if self.drains { 0 } else { self.spec.idle };
+            while let Some((since, conn)) =
+                self.idle.first().copied().filter(|(at, _)| at + idle_timeout <= now)
             {
                 self.idle.remove(&(since, conn));
                 self.conns.remove(&conn);
@@ -439,23 +454,25 @@
         self.closed.pop_front()
     }
 
-    /// It drains from now on: what it holds is worked off.
+    /// Starts to drain; requests queued or in service are completed.
     pub fn drain(&mut self, now: Micros) {
         self.advance(now);
         self.drains = true;
     }
 
-    /// True: it drains and holds nothing.
+    /// Returns true if the server drains and holds no request.
     pub fn drained(&self) -> bool {
         self.drains && self.held.is_empty()
     }
 
+    /// Forgets a connection.
     fn close(&mut self, conn: Conn) {
         if let Some(open) = self.conns.remove(&conn) {
             self.idle.remove(&(open.idle, conn));
         }
     }
 
+    /// Adds one request to a connection.
     fn occupy(&mut self, conn: Conn) {
         if let Some(open) = self.conns.get_mut(&conn) {
             if open.held == 0 {
@@ -465,6 +482,7 @@
         }
     }
 
+    /// Removes one request from a connection; its idle time starts with the last one.
     fn release(&mut self, conn: Option<Conn>) {
         if let Some((conn, open)) = conn.and_then(|conn| Some((conn, self.conns.get_mut(&conn)?))) {
             open.held -= 1;
@@ -475,53 +493,54 @@
         }
     }
 
-    /// A request comes.
+    /// Offers a request to the server. The outcome decides whether it runs, is queued, or ends at once.
     pub fn offer(&mut self, now: Micros, job: Job, ask: Ask) -> Offer {
         self.advance(now);
         if self.fallen {
             return Offer::Fallen;
         }
-        let gain = if ask.key.is_some_and(|key| self.knows(key)) { self.spec.key_gain } else { 0.0 };
-        let work = ask.work * (1.0 - gain) + self.opening(ask.conn);
-        if self.push(work) {
+        let gain = if ask.key.is_some_and(|key| self.touch_key(key)) { self.spec.key_gain } else { 0.0 };
+        let work = ask.work * (1.0 - gain) + self.take_handshake_work(ask.conn);
+        if self.add_cold_work(work) {
             return Offer::Fallen;
         }
-        let fails = self.spec.error_rate + self.ails.fails;
+        let fails = self.spec.error_rate + self.faults.fails;
         if fails > 0.0 && self.rng.random_bool(fails.min(1.0)) {
             return Offer::Failed;
         }
-        let full = self.in_work >= self.spec.slots.max(1) as usize;
+        let full = self.in_service >= self.spec.slots.max(1) as usize;
         let refuses = self.drains && self.spec.draining == Draining::Refuses;
         if refuses || full && self.waiting.len() >= self.spec.room as usize {
             return Offer::Full;
         }
-        self.held.insert(job, Running { since: now, conn: ask.conn, gone: false });
+        self.held.insert(job, HeldJob { since: now, conn: ask.conn, cancelled: false });
         if let Some(conn) = ask.conn {
             self.occupy(conn);
         }
         if full {
             self.waiting.push_back((job, work));
         } else {
-            self.begin(job, work);
+            self.start_service(job, work);
         }
         Offer::Taken
     }
 
-    /// What the first request on a connection costs beside its own work.
-    fn opening(&mut self, conn: Option<Conn>) -> f64 {
+    /// Returns the handshake work, in microseconds, that the first request on a connection adds to its from_spec.
+    fn take_handshake_work(&mut self, conn: Option<Conn>) -> f64 {
         let open = conn.and_then(|conn| self.conns.get_mut(&conn));
-        let new = open.is_some_and(|open| std::mem::replace(&mut open.new, false));
+        let new = open.is_some_and(|open| std::mem::replace(&mut open.unused, false));
         if new { self.spec.handshake_work } else { 0.0 }
     }
 
-    /// Whoever sent it waits no longer; true: it has gone, and nothing more comes of it.
+    /// Cancels a request because its sender no longer waits. Returns true if the request was dropped: it neither
+    /// takes effect nor completes.
     pub fn cancel(&mut self, now: Micros, job: Job) -> bool {
         self.advance(now);
         if self.spec.cancel == Cancel::None {
             return false;
         }
-        if let Some(place) = self.waiting.iter().position(|(waiting, _)| *waiting == job) {
-            self.waiting.remove(place);
+        if let Some(position) = self.waiting.iter().position(|(waiting, _)| *waiting == job) {
+            self.waiting.remove(position);
             let held = self.held.remove(&job);
             self.release(held.and_then(|held| held.conn));
             return true;
@@ -529,69 +548,74 @@
         if self.spec.cancel != Cancel::All {
             return false;
         }
-        let Some(running) = self.held.get_mut(&job).filter(|r| !r.gone) else { return false };
-        running.gone = true;
+        let Some(running) = self.held.get_mut(&job).filter(|r| !r.cancelled) else { return false };
+        running.cancelled = true;
         let conn = running.conn;
         self.release(conn);
-        self.in_work -= 1;
-        self.fill();
+        self.in_service -= 1;
+        self.fill_slots();
         true
     }
 
-    /// When [`Server::poll`] next has something to tell.
+    /// Returns when to call [`Server::poll`] and [`Server::closed`] next; `None` if nothing is due.
     pub fn next_at(&self) -> Option<Micros> {
         if !self.done.is_empty() || !self.closed.is_empty() {
             return Some(self.now);
         }
-        let patience = if self.drains { Some(0) } else { Some(self.spec.idle).filter(|idle| *idle > 0) };
-        let closes =
-            patience.and_then(|patience| Some(self.idle.first()?.0 + patience)).map(|at| at.max(self.now));
-        match (self.works_at(), closes) {
-            (Some(works), Some(closes)) => Some(works.min(closes)),
-            (works, closes) => works.or(closes),
+        let idle_timeout = if self.drains { Some(0) } else { Some(self.spec.idle).filter(|idle| *idle > 0) };
+        let close_at = idle_timeout
+            .and_then(|idle_timeout| Some(self.idle.first()?.0 + idle_timeout))
+            .map(|at| at.max(self.now));
+        match (self.next_work_at(), close_at) {
+            (Some(work_at), Some(close_at)) => Some(work_at.min(close_at)),
+            (work_at, close_at) => work_at.or(close_at),
         }
     }
 
-    /// When the work in hand next changes.
-    fn works_at(&self) -> Option<Micros> {
-        if self.ails.hangs || self.in_work == 0 {
+    /// Returns when the state of the requests in service next changes: a completion, a pause or a rate step.
+    fn next_work_at(&self) -> Option<Micros> {
+        if self.faults.hangs || self.in_service == 0 {
             return None;
         }
         if self.now < self.paused_until {
             return Some(self.paused_until);
         }
         let rate = self.rate();
-        let due = self.running.peek().map(|Reverse((at, _))| (*at as f64 / FINE - self.given).max(0.0))?;
+        let due = self
+            .running
+            .peek()
+            .map(|Reverse((at, _))| (*at as f64 / TICKS_PER_US - self.attained).max(0.0))?;
         let mut at = self.now + (due / rate).ceil().max(1.0) as Micros;
         if self.pauses().is_some() {
             at = at.min(self.next_pause.max(self.now + 1));
         }
-        // Rates are those at a step's beginning while capacity rises.
-        Some(if self.warmth(self.now) < 1.0 { at.min(self.now + STEP) } else { at })
+        // While capacity rises, the rate at the beginning of a step holds for the whole step.
+        Some(if self.warmth(self.now) < 1.0 { at.min(self.now + WARM_UP_STEP) } else { at })
     }
 
-    /// The next request that has ended by now.
+    /// Returns the next request that has completed by now.
     pub fn poll(&mut self, now: Micros) -> Option<Done> {
         self.advance(now);
         self.done.pop_front()
     }
 
-    /// A probe: it costs work, and is answered unless the server hangs or has fallen.
+    /// Handles a health probe, which costs [`Spec::probe_work`]. Returns `None`, meaning no answer, while the
+    /// server hangs, pauses or has collapsed.
     pub fn probe(&mut self, now: Micros) -> Option<Load> {
         self.advance(now);
-        if self.fallen || self.ails.hangs || now < self.paused_until {
+        if self.fallen || self.faults.hangs || now < self.paused_until {
             return None;
         }
-        self.push(self.spec.probe_work);
-        // The work of a probe is taken from all in work alike.
-        self.given -= self.spec.probe_work / (self.in_work.max(1) as f64);
+        self.add_cold_work(self.spec.probe_work);
+        // All requests in service share the cost of the probe evenly.
+        self.attained -= self.spec.probe_work / (self.in_service.max(1) as f64);
         Some(self.load(now))
     }
 
-    /// The load report that shows now: refreshed now and then, told late and with an error, as its make says.
+    /// Returns the load report published now: refreshed, delayed and noisy as the [`Spec`] says.
     pub fn load(&mut self, now: Micros) -> Load {
         if self.reports.back().is_none_or(|(at, _)| now >= at + self.spec.report_every) {
-            let busy = (self.in_work as f64 / f64::from(self.spec.cores.max(1))).min(1.0);
+            let busy = (self.in_service as f64 / f64::from(self.spec.cores.max(1))).min(1.0);
             self.busy += 0.5 * (busy - self.busy);
             let truth = [self.held() as f64, self.waiting.len() as f64, self.busy, self.latency / 1e3];
             let noise = self.spec.report_noise;
@@ -607,16 +631,17 @@
         while self.reports.get(1).is_some_and(|(at, _)| at + self.spec.report_late <= now) {
             self.reports.pop_front();
         }
-        let shown = self.reports.front().filter(|(at, _)| at + self.spec.report_late <= now);
-        shown.map_or(Load::default(), |(_, load)| *load)
+        let published = self.reports.front().filter(|(at, _)| at + self.spec.report_late <= now);
+        published.map_or(Load::default(), |(_, load)| *load)
     }
 
-    fn knows(&mut self, key: u64) -> bool {
+    /// Records the use of a key. Returns true if it was already used within [`Spec::key_span`].
+    fn touch_key(&mut self, key: u64) -> bool {
         if self.spec.key_gain <= 0.0 {
             return false;
         }
         let old = self.now.saturating_sub(self.spec.key_span);
-        let met = self.keys.insert(key, self.now).is_some_and(|at| at >= old);
+        let hit = self.keys.insert(key, self.now).is_some_and(|at| at >= old);
         self.key_order.push_back((self.now, key));
         while self.keys.len() > self.spec.keys || self.key_order.front().is_some_and(|(at, _)| *at < old) {
             let Some((at, key)) = self.key_order.pop_front() else { break };
@@ -624,23 +649,24 @@
                 self.keys.remove(&key);
             }
         }
-        met
+        hit
     }
 
-    /// Counts work that comes while cold; true if it falls over by it.
-    fn push(&mut self, work: f64) -> bool {
+    /// Counts work that arrives while the server is cold, in microseconds. Returns true if the server collapses:
+    /// it has received more than [`Spec::fall_multiple`] times its present capacity within [`Spec::fall_span`].
+    fn add_cold_work(&mut self, work: f64) -> bool {
         let warmth = self.warmth(self.now);
         if warmth >= 1.0 {
             return false;
         }
-        self.pushed.push_back((self.now, work));
-        self.pushed_sum += work;
+        self.cold_work.push_back((self.now, work));
+        self.cold_work_sum += work;
         let from = self.now.saturating_sub(self.spec.fall_span);
-        while self.pushed.front().is_some_and(|(at, _)| *at < from) {
-            self.pushed_sum -= self.pushed.pop_front().map_or(0.0, |(_, work)| work);
+        while self.cold_work.front().is_some_and(|(at, _)| *at < from) {
+            self.cold_work_sum -= self.cold_work.pop_front().map_or(0.0, |(_, work)| work);
         }
         let budget = self.spec.fall_multiple * self.spec.capacity() * warmth * self.spec.fall_span as f64;
-        if self.pushed_sum <= budget {
+        if self.cold_work_sum <= budget {
             return false;
         }
         self.fallen = true;
@@ -648,40 +674,44 @@
         self.idle.clear();
         self.waiting.clear();
         self.running.clear();
-        self.in_work = 0;
+        self.in_service = 0;
         let lost = std::mem::take(&mut self.held);
-        self.done.extend(lost.into_iter().filter(|(_, r)| !r.gone).map(|(job, _)| Done { job, good: false }));
+        self.done
+            .extend(lost.into_iter().filter(|(_, r)| !r.cancelled).map(|(job, _)| Done { job, good: false }));
         true
     }
 
-    fn begin(&mut self, job: Job, work: f64) {
-        self.in_work += 1;
+    /// Puts a request into service.
+    fn start_service(&mut self, job: Job, work: f64) {
+        self.in_service += 1;
         if let Some(running) = self.held.get_mut(&job) {
             running.since = self.now;
         }
-        self.running.push(Reverse((((self.given + work.max(1.0)) * FINE) as u64, job)));
+        self.running.push(Reverse((((self.attained + work.max(1.0)) * TICKS_PER_US) as u64, job)));
     }
 
-    fn fill(&mut self) {
-        while self.in_work < self.spec.slots.max(1) as usize {
+    /// Puts queued requests into service while slots are free.
+    fn fill_slots(&mut self) {
+        while self.in_service < self.spec.slots.max(1) as usize {
             let Some((job, work)) = self.waiting.pop_front() else { break };
-            self.begin(job, work);
+            self.start_service(job, work);
         }
     }
 
-    /// Work that each request in work is given in a microsecond.
+    /// Returns the service that each request in service receives per microsecond of time. Efficiency falls once
+    /// more requests are held than [`Spec::knee`].
     fn rate(&self) -> f64 {
-        let crowd = (self.held() as f64 / self.spec.knee.max(1.0) - 1.0).max(0.0);
-        let efficiency = 1.0 / (1.0 + self.spec.thrash * crowd);
-        let share = (f64::from(self.spec.cores) / self.in_work.max(1) as f64).min(1.0);
-        let speed = self.spec.speed / (1.0 + self.ails.slower);
+        let overload = (self.held() as f64 / self.spec.knee.max(1.0) - 1.0).max(0.0);
+        let efficiency = 1.0 / (1.0 + self.spec.thrash * overload);
+        let share = (f64::from(self.spec.cores) / self.in_service.max(1) as f64).min(1.0);
+        let speed = self.spec.speed / (1.0 + self.faults.slower);
         (speed * self.warmth(self.now) * efficiency * share).max(1e-9)
     }
 
-    /// Plays the time up to `now`.
+    /// Advances the model to `now`.
     fn advance(&mut self, now: Micros) {
         while self.now < now {
-            if self.ails.hangs || self.fallen || self.in_work == 0 && self.pauses().is_none() {
+            if self.faults.hangs || self.fallen || self.in_service == 0 && self.pauses().is_none() {
                 self.now = now;
                 return;
             }
@@ -695,32 +725,33 @@
                 self.next_pause = self.paused_until + (every as f64 * jitter) as Micros;
                 continue;
             }
-            let mut until = self.works_at().unwrap_or(now).clamp(self.now + 1, now);
+            let mut until = self.next_work_at().unwrap_or(now).clamp(self.now + 1, now);
             if self.pauses().is_some() {
                 until = until.min(self.next_pause.max(self.now + 1));
             }
             let rate = self.rate();
-            self.given += rate * (until - self.now) as f64;
+            self.attained += rate * (until - self.now) as f64;
             self.now = until;
-            self.finish();
+            self.complete_due();
         }
     }
 
-    fn finish(&mut self) {
+    /// Completes the requests whose service is done, and refills their slots.
+    fn complete_due(&mut self) {
         while let Some(Reverse((at, job))) = self.running.peek().copied() {
-            if at as f64 / FINE > self.given {
+            if at as f64 / TICKS_PER_US > self.attained {
                 break;
             }
             self.running.pop();
             let Some(running) = self.held.remove(&job) else { continue };
-            if !running.gone {
+            if !running.cancelled {
                 self.release(running.conn);
                 self.answered += 1;
-                self.in_work -= 1;
+                self.in_service -= 1;
                 self.latency += 0.2 * ((self.now - running.since) as f64 - self.latency);
                 self.done.push_back(Done { job, good: true });
             }
-            self.fill();
+            self.fill_slots();
         }
     }
 }
--- a/crates/stepspur-model/src/work.rs
+++ b/crates/stepspur-model/src/work.rs
@@ -1,4 +1,4 @@
-//! Service times by name: how the work of a class of requests is spread about its mean.
+//! Distributions of service time: how the work of a request class varies around its mean.
 
 use rand::Rng;
 use rand_distr::{Distribution, Exp, LogNormal, Pareto};
@@ -20,19 +20,19 @@
     Pareto,
 }
 
-/// A distribution of work.
+/// A distribution of the work that one request needs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Work {
-    /// Its form.
+    /// The family of the distribution.
     pub form: Form,
-    /// Its mean, microseconds of a core of speed 1; above 0.
+    /// Mean in microseconds on a core of speed 1; above 0.
     pub mean: f64,
-    /// Its coefficient of variation (standard deviation over mean); above 0 but for [`Form::Constant`].
+    /// Coefficient of variation (standard deviation over mean); above 0 except for [`Form::Constant`].
     pub cv: f64,
 }
 
 impl Work {
-    /// The second moment over the squared mean, as Pollaczek and Khinchine's formula asks for it.
+    /// Returns the second moment divided by the squared mean, a factor of the Pollaczek-Khinchine formula.
     pub fn second_moment(&self) -> f64 {
         match self.form {
             Form::Constant => 1.0,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// A draw, microseconds.
+    /// Draws the work of one request, in microseconds on a core of speed 1.
     pub fn sample(&self, rng: &mut impl Rng) -> f64 {
         let drawn = match self.form {
             Form::Constant => None,
@@ -56,7 +56,7 @@
                 Pareto::new(self.mean * (shape - 1.0) / shape, shape).ok().map(|d| d.sample(rng))
             }
         };
-        // Parameters that make no distribution leave the mean.
+        // Parameters outside the family's domain yield the mean.
         drawn.unwrap_or(self.mean)
     }
 }
--- a/crates/stepspur-model/tests/models.rs
+++ b/crates/stepspur-model/tests/models.rs
@@ -1,4 +1,4 @@
-//! The models against what theory and the protocol say of them.
+//! Tests of the server, proxy and memory models against their specification and the protocol.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,11 +9,13 @@
 use stepspur_model::server::{Ails, Ask, Cancel, Done, Draining, Job, Offer, Server, Spec, WarmBy};
 use stepspur_proto::v1;
 
+/// A server with one slot for each core, an unlimited queue and no loss of efficiency under load.
 fn plain(cores: u32) -> Spec {
     Spec { cores, slots: cores, room: 100_000, thrash: 0.0, ..Spec::default() }
 }
 
-fn drain(server: &mut Server, until: u64) -> Vec<Done> {
+/// Runs a server until the given time and returns the completions.
+fn run_until(server: &mut Server, until: u64) -> Vec<Done> {
     let mut done = Vec::new();
     while let Some(at) = server.next_at().filter(|at| *at <= until) {
         done.extend(std::iter::from_fn(|| server.poll(at)));
@@ -22,9 +24,10 @@
     done
 }
 
-/// Rushed by a whole fleet while cold it falls over and stays down; a warm one only turns away.
+/// A cold server that receives the load of a whole fleet collapses and stays down; a warm one only rejects the
+/// excess. Without this difference, a restart storm would do no harm in the model.
 #[test]
-fn a_cold_server_falls_over_and_a_warm_one_does_not() {
+fn a_cold_server_collapses_under_load_and_a_warm_one_rejects() {
     for (warm, falls) in [(false, true), (true, false)] {
         let mut server = Server::new(Spec::default(), 1, 1_000_000, warm);
         let offers: Vec<_> =
@@ -33,62 +36,64 @@
         assert!(offers.contains(&Offer::Full) || falls);
         assert_eq!(server.offer(100_000_000, Job(999), Ask::of(1.0)) == Offer::Fallen, falls);
     }
-    // Held to its present capacity it warms up.
-    let mut spared = Server::new(Spec::default(), 1, 1_000_000, false);
+    // Load within its present capacity lets a cold server warm up.
+    let mut gently_loaded = Server::new(Spec::default(), 1, 1_000_000, false);
     for k in 0..200 {
         let now = 1_000_000 + k * 100_000;
-        drain(&mut spared, now);
-        assert_eq!(spared.offer(now, Job(k), Ask::of(50_000.0)), Offer::Taken);
+        run_until(&mut gently_loaded, now);
+        assert_eq!(gently_loaded.offer(now, Job(k), Ask::of(50_000.0)), Offer::Taken);
     }
-    assert_eq!(spared.warmth(21_000_000), 1.0);
+    assert_eq!(gently_loaded.warmth(21_000_000), 1.0);
 }
 
 #[test]
-fn a_hang_a_pause_and_a_cancel_do_what_they_say() {
+fn hangs_and_pauses_delay_work_and_cancel_drops_it_by_mode() {
     let mut server = Server::new(plain(1), 1, 0, true);
     server.offer(0, Job(1), Ask::of(1000.0));
     server.ail(500, Ails { hangs: true, ..Ails::default() });
     assert_eq!((server.next_at(), server.poll(1_000_000), server.probe(1_000_000)), (None, None, None));
     server.ail(1_000_000, Ails::default());
-    assert_eq!(drain(&mut server, 1_000_500).len(), 1, "what was held goes on");
+    assert_eq!(run_until(&mut server, 1_000_500).len(), 1, "the accepted request continues after the hang");
     server.ail(2_000_000, Ails { pauses: Some((1, 300_000)), ..Ails::default() });
     server.offer(2_000_010, Job(2), Ask::of(1000.0));
-    assert!(drain(&mut server, 2_200_000).is_empty(), "it stands still");
+    assert!(run_until(&mut server, 2_200_000).is_empty(), "the server is paused");
     for (cancel, left) in [(Cancel::None, 2), (Cancel::Queued, 1), (Cancel::All, 0)] {
         let mut server = Server::new(Spec { cancel, ..plain(1) }, 1, 0, true);
         (0..2).for_each(|k| _ = server.offer(0, Job(k), Ask::of(1000.0)));
         (0..2).rev().for_each(|k| _ = server.cancel(10, Job(k)));
-        assert_eq!(drain(&mut server, 10_000).len(), left, "{cancel:?}");
+        assert_eq!(run_until(&mut server, 10_000).len(), left, "{cancel:?}");
     }
 }
 
-/// By time or by requests, a cold server comes to its full; by requests it stays cold while nothing comes.
+/// A cold server reaches full capacity by time or by answered requests; in the latter case it stays cold while
+/// idle.
 #[test]
 fn a_server_warms_up_by_time_or_by_requests() {
     let by = |warm_by| Spec { warm_by, cold: 1_000_000, cold_requests: 10, cold_from: 0.4, ..plain(1) };
-    let timed = Server::new(by(WarmBy::Time), 1, 1_000_000, false);
-    assert_eq!([1_000_000, 1_500_000, 2_000_000].map(|at| timed.warmth(at)), [0.4, 0.7, 1.0]);
-    let mut asked = Server::new(by(WarmBy::Requests), 1, 1_000_000, false);
-    assert_eq!(asked.warmth(100_000_000), 0.4);
+    let by_time = Server::new(by(WarmBy::Time), 1, 1_000_000, false);
+    assert_eq!([1_000_000, 1_500_000, 2_000_000].map(|at| by_time.warmth(at)), [0.4, 0.7, 1.0]);
+    let mut by_requests = Server::new(by(WarmBy::Requests), 1, 1_000_000, false);
+    assert_eq!(by_requests.warmth(100_000_000), 0.4);
     for k in 0..10 {
-        asked.offer(100_000_000 + k * 100_000, Job(k), Ask::of(1000.0));
-        drain(&mut asked, 100_000_000 + (k + 1) * 100_000);
+        by_requests.offer(100_000_000 + k * 100_000, Job(k), Ask::of(1000.0));
+        run_until(&mut by_requests, 100_000_000 + (k + 1) * 100_000);
     }
-    assert_eq!(asked.warmth(102_000_000), 1.0);
+    assert_eq!(by_requests.warmth(102_000_000), 1.0);
 }
 
-/// A cap, a cost of opening paid once, an idle time, and a drain that closes what has nothing to do.
+/// Connections are limited in number, cost handshake work once, are closed after the idle time, and are closed at
+/// once when they are idle on a draining server.
 #[test]
-fn connections_are_capped_cost_work_once_and_are_closed_when_idle() {
+fn connections_are_limited_cost_one_handshake_and_close_when_idle() {
     let spec = Spec { connections: 2, handshake_work: 500.0, idle: 10_000, ..plain(1) };
     let mut server = Server::new(spec.clone(), 1, 0, true);
     let (one, two) = (server.connect(0).unwrap(), server.connect(0).unwrap());
     assert!(server.connect(0).is_none());
     let ask = Ask { work: 1000.0, key: None, conn: Some(one) };
     server.offer(0, Job(1), ask);
-    assert!(drain(&mut server, 1499).is_empty() && drain(&mut server, 1501).len() == 1);
+    assert!(run_until(&mut server, 1499).is_empty() && run_until(&mut server, 1501).len() == 1);
     server.offer(2000, Job(2), ask);
-    assert_eq!(drain(&mut server, 3001).len(), 1, "opened once only");
+    assert_eq!(run_until(&mut server, 3001).len(), 1, "the handshake is paid only once");
     assert_eq!(
         (server.next_at(), server.closed(10_000), server.closed(10_000)),
         (Some(10_000), Some(two), None)
@@ -98,19 +103,22 @@
         [(Draining::Serves, true, Offer::Taken), (Draining::Refuses, false, Offer::Full)]
     {
         let mut server = Server::new(Spec { draining, ..spec.clone() }, 1, 0, true);
-        let (busy, bored) = (server.connect(0).unwrap(), server.connect(0).unwrap());
+        let (busy, idle) = (server.connect(0).unwrap(), server.connect(0).unwrap());
         server.offer(0, Job(1), Ask { conn: Some(busy), ..ask });
         server.drain(10);
-        assert_eq!((server.closed(10), server.closed(10)), (Some(bored), None));
+        assert_eq!((server.closed(10), server.closed(10)), (Some(idle), None));
         assert_eq!(server.connect(10).is_some(), connects);
         assert_eq!(server.offer(10, Job(2), Ask { conn: Some(busy), ..ask }), offer);
         assert!(!server.drained());
-        assert!(!drain(&mut server, 100_000).is_empty() && server.drained(), "what waits is worked off");
+        assert!(
+            !run_until(&mut server, 100_000).is_empty() && server.drained(),
+            "a draining server completes queued requests"
+        );
     }
 }
 
 #[test]
-fn load_reports_are_stale_late_and_noisy_as_told() {
+fn load_reports_are_stale_late_and_noisy_as_configured() {
     let late = Spec { report_every: 1000, report_late: 5000, ..plain(1) };
     let mut server = Server::new(late, 1, 0, true);
     assert_eq!(server.load(0).rif, 0.0);
@@ -118,14 +126,14 @@
     assert_eq!([500, 1500, 5500, 6600].map(|at| server.load(at).rif), [0.0, 0.0, 0.0, 3.0]);
     let mut noisy = Server::new(Spec { report_every: 1, report_noise: 0.3, ..plain(1) }, 1, 0, true);
     (0..50).for_each(|k| _ = noisy.offer(0, Job(k), Ask::of(1e9)));
-    let seen: Vec<f64> = (1..2000).map(|at| noisy.load(at).rif).collect();
-    let mean = seen.iter().sum::<f64>() / seen.len() as f64;
-    let off = (seen.iter().map(|s| (s - 50.0).powi(2)).sum::<f64>() / seen.len() as f64).sqrt();
-    assert!((mean - 50.0).abs() < 1.5 && (off - 15.0).abs() < 1.5, "{mean} {off}");
+    let reported: Vec<f64> = (1..2000).map(|at| noisy.load(at).rif).collect();
+    let mean = reported.iter().sum::<f64>() / reported.len() as f64;
+    let deviation = (reported.iter().map(|s| (s - 50.0).powi(2)).sum::<f64>() / reported.len() as f64).sqrt();
+    assert!((mean - 50.0).abs() < 1.5 && (deviation - 15.0).abs() < 1.5, "{mean} {deviation}");
 }
 
 #[test]
-fn a_group_remembers_within_its_window_and_forgets_what_never_ran() {
+fn memory_deduplicates_within_its_window_and_forgets_cancelled_requests() {
     let mut memory = Memory::new(1000, 2);
     assert_eq!(
         [(0, 7), (500, 7), (1000, 7), (1001, 7)].map(|(at, r)| memory.meet(at, r)),
@@ -134,14 +142,14 @@
     memory.forget(7);
     assert!(!memory.meet(1002, 7));
     (1..=3).for_each(|r| _ = memory.meet(1003, r));
-    assert!(memory.len() <= 3 && memory.meet(1004, 3), "the oldest go first");
+    assert!(memory.len() <= 3 && memory.meet(1004, 3), "the oldest requests are dropped first");
 }
 
 fn address(k: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 9000 + k))
 }
 
-fn a_proxy(pick: Pick, standing: u16) -> Proxy {
+fn new_proxy(pick: Pick, standing: u16) -> Proxy {
     let spec =
         proxy::Spec { pick, avoid_after: 3, avoid_for: 1000, classes: 2, usual_resend: v1::Resend::Never };
     Proxy::new(spec, 5, (0..standing).map(address), 0)
@@ -157,8 +165,8 @@
 }
 
 #[test]
-fn old_orders_are_passed_over_and_a_whole_table_takes_the_place_of_all() {
-    let mut proxy = a_proxy(Pick::Wheel, 3);
+fn old_orders_are_ignored_and_a_whole_table_replaces_all_lines() {
+    let mut proxy = new_proxy(Pick::Wheel, 3);
     assert!(proxy.fresh());
     proxy.welcome(7);
     proxy.apply(7, 5, &order(&[(9, 1.0)], true));
@@ -170,14 +178,15 @@
     proxy.apply(7, 6, &v1::Order { withdrawals: vec![out], ..Default::default() });
     assert!(!proxy.has_line() && proxy.pick(0, &[]).is_none());
     proxy.apply(7, 7, &order(&[(9, 1.0)], true));
-    assert!(proxy.has_line(), "a whole table brings its own withdrawals");
+    assert!(proxy.has_line(), "a whole table replaces the withdrawals too");
 }
 
-/// A table changes while a request is under way: what is out stays out, its end still counts, and only the newest
-/// way of trying again holds, at a server of the newest table.
+/// The table changes while a request is in flight: the removed server is not picked again, the attempt's result is
+/// still reported, and the retry follows the newest policy and the newest table. Otherwise a retry could reach a
+/// removed server.
 #[test]
-fn a_table_that_changes_during_a_request_holds_for_what_comes_next() {
-    let mut proxy = a_proxy(Pick::Wheel, 0);
+fn a_table_change_during_a_request_applies_to_its_retries() {
+    let mut proxy = new_proxy(Pick::Wheel, 0);
     proxy.welcome(1);
     let once = v1::Level { class: 0, resend: v1::Resend::Once.into(), admit: None };
     let first = v1::Table { levels: vec![once], ..order(&[(1, 1.0)], true).table.unwrap() };
@@ -194,18 +203,18 @@
     assert_eq!(
         report.met.iter().map(|m| (m.total, m.errors)).collect::<Vec<_>>(),
         [(1, 1)],
-        "met there, and told"
+        "the result at the removed server is reported"
     );
 }
 
-/// Every way of trying again by every end of a try, after one and after two tries.
+/// Every retry policy with every result of an attempt, after one and after two attempts.
 #[test]
-fn tries_again_are_only_those_ordered() {
+fn retries_follow_the_ordered_policy() {
     use Tried::*;
     use v1::Resend::*;
-    let ways = [(Never, 0b0000_0000), (Unsent, 0b0000_0001), (Once, 0b0000_0011), (Twice, 0b0000_1111)];
-    for (resend, allowed) in ways {
-        let mut proxy = a_proxy(Pick::Wheel, 1);
+    let policies = [(Never, 0b0000_0000), (Unsent, 0b0000_0001), (Once, 0b0000_0011), (Twice, 0b0000_1111)];
+    for (resend, allowed) in policies {
+        let mut proxy = new_proxy(Pick::Wheel, 1);
         proxy.welcome(1);
         let level = v1::Level { class: 1, resend: resend.into(), admit: None };
         proxy.apply(1, 1, &v1::Order { levels: vec![level], ..Default::default() });
@@ -223,38 +232,38 @@
 }
 
 #[test]
-fn levels_let_in_a_share_or_a_rate() {
-    let mut proxy = a_proxy(Pick::Wheel, 1);
+fn levels_admit_a_share_or_a_rate() {
+    let mut proxy = new_proxy(Pick::Wheel, 1);
     proxy.welcome(1);
     let level = |class, admit| v1::Level { class, resend: 0, admit: Some(admit) };
     let levels = vec![level(0, v1::level::Admit::Share(0.25)), level(1, v1::level::Admit::Rate(10.0))];
     proxy.apply(1, 1, &v1::Order { levels, ..Default::default() });
-    let let_in = |proxy: &mut Proxy, class| (0..10_000).filter(|k| proxy.admit(k * 1000, class)).count();
-    let (share, rate) = (let_in(&mut proxy, 0), let_in(&mut proxy, 1));
+    let admitted = |proxy: &mut Proxy, class| (0..10_000).filter(|k| proxy.admit(k * 1000, class)).count();
+    let (share, rate) = (admitted(&mut proxy, 0), admitted(&mut proxy, 1));
     assert!((2300..2700).contains(&share) && (95..=110).contains(&rate), "{share} {rate}");
     let report = proxy.report(10_000_000);
     assert_eq!(report.came.iter().map(|c| c.total).collect::<Vec<_>>(), [10_000, 10_000]);
 }
 
 #[test]
-fn after_a_run_of_failures_a_server_is_avoided_for_a_while() {
-    let mut proxy = a_proxy(Pick::Wheel, 2);
+fn a_server_is_avoided_for_a_while_after_consecutive_failures() {
+    let mut proxy = new_proxy(Pick::Wheel, 2);
     for _ in 0..3 {
         proxy.note(10, address(0), Tried::MayHaveRun, 5, vec![]);
     }
     assert!((0..4).all(|_| proxy.pick(11, &[]) == Some(address(1))));
-    assert_eq!(proxy.pick(11, &[address(1)]), Some(address(0)), "rather that than none");
+    assert_eq!(proxy.pick(11, &[address(1)]), Some(address(0)), "an avoided server is better than none");
     assert!((0..4).any(|_| proxy.pick(1010, &[]) == Some(address(0))));
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(48) })]
 
-    /// Picks follow the weights: the wheel to within one, the lottery within chance.
+    /// Picks follow the weights: round robin to within one request, random picks within sampling error.
     #[test]
     fn picks_follow_the_weights(weights in prop::collection::vec(1u8..20, 1..8)) {
-        for (pick, slack) in [(Pick::Wheel, 1.01), (Pick::Lottery, 60.0)] {
-            let mut proxy = a_proxy(pick, 0);
+        for (pick, tolerance) in [(Pick::Wheel, 1.01), (Pick::Lottery, 60.0)] {
+            let mut proxy = new_proxy(pick, 0);
             proxy.welcome(1);
             let lines: Vec<_> = weights.iter().enumerate().map(|(k, w)| (k as u16, f32::from(*w))).collect();
             proxy.apply(1, 1, &order(&lines, true));
@@ -263,31 +272,31 @@
             (0..1000).for_each(|_| *picked.entry(proxy.pick(0, &[]).unwrap()).or_default() += 1.0);
             for (k, weight) in lines {
                 let got = picked.get(&address(k)).copied().unwrap_or(0.0);
-                let fair = 1000.0 * f64::from(weight) / all;
-                prop_assert!((got - fair).abs() <= slack, "{pick:?}: {got} for {fair}");
+                let expected = 1000.0 * f64::from(weight) / all;
+                prop_assert!((got - expected).abs() <= tolerance, "{pick:?}: {got} picks, expected {expected}");
             }
         }
     }
 
-    /// Whatever is offered, when, with whatever ails: each request ends at most once, none is made up, and in
-    /// the end none is left over.
+    /// For arbitrary requests, times and faults, each accepted request completes exactly once, no other completion
+    /// appears, and no request is left at the end.
     #[test]
-    fn no_request_is_lost_or_made_up(
+    fn every_accepted_request_completes_exactly_once(
         offers in prop::collection::vec((1u64..200_000, 1.0f64..300_000.0, 0u8..6), 1..80),
         warm in any::<bool>(),
     ) {
         let mut server = Server::new(Spec { room: 5, ..Spec::default() }, 3, 1_000_000, warm);
         let (mut now, mut taken, mut ended) = (1_000_000, 0usize, Vec::new());
-        for (k, (wait, work, ail)) in offers.into_iter().enumerate() {
+        for (k, (wait, work, fault)) in offers.into_iter().enumerate() {
             now += wait;
-            let pauses = (ail == 1).then_some((50_000, 20_000));
-            let ask = Ask { work, key: Some(work as u64 % 7), conn: server.connect(now).filter(|_| ail == 4) };
-            server.ail(now, Ails { hangs: ail == 2, fails: if ail == 3 { 0.5 } else { 0.0 }, pauses, ..Ails::default() });
-            ended.extend(drain(&mut server, now));
+            let pauses = (fault == 1).then_some((50_000, 20_000));
+            let ask = Ask { work, key: Some(work as u64 % 7), conn: server.connect(now).filter(|_| fault == 4) };
+            server.ail(now, Ails { hangs: fault == 2, fails: if fault == 3 { 0.5 } else { 0.0 }, pauses, ..Ails::default() });
+            ended.extend(run_until(&mut server, now));
             taken += usize::from(server.offer(now, Job(k as u64), ask) == Offer::Taken);
         }
         server.ail(now, Ails::default());
-        ended.extend(drain(&mut server, now + 1_000_000_000));
+        ended.extend(run_until(&mut server, now + 1_000_000_000));
         ended.sort_by_key(|d| d.job);
         let all = ended.len();
         ended.dedup_by_key(|d| d.job);
