--- a/crates/stepspur-model/src/memory.rs
+++ b/crates/stepspur-model/src/memory.rs
@@ -1,7 +1,7 @@
 //! Request deduplication in a group of servers, so that a repeated request takes effect only once.
 //!
-//! The driver owns one [`Memory`] for each class and group (the fleet, a zone or a server), because it outlives
-//! the server processes of the group.
+//! The driver owns one [`Memory`] for each class and group (the fleet, a zone or a server), because it
+//! outlives the server processes of the group.
 
 use std::collections::{BTreeMap, VecDeque};
 
--- a/crates/stepspur-model/src/proxy.rs
+++ b/crates/stepspur-model/src/proxy.rs
@@ -1,7 +1,8 @@
 //! A model of a proxy that follows the protocol exactly: it obeys its table and decides nothing else.
 //!
-//! It picks servers by weight, avoids a server for a while after consecutive failures of its own there, admits
-//! requests by the admission level of their class, retries only as ordered, and counts results for its reports.
+//! It picks servers by weight, avoids a server for a while after consecutive failures of its own there,
+//! admits requests by the admission level of their class, retries only as ordered, and counts results for its
+//! reports.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -115,7 +116,8 @@
 }
 
 impl Proxy {
-    /// Creates a proxy with its standing table: the servers that it uses, with equal weights, until the first order.
+    /// Creates a proxy with its standing table: the servers that it uses, with equal weights, until the first
+    /// order.
     pub fn new(spec: Spec, seed: u64, standing: impl IntoIterator<Item = SocketAddr>, now: Micros) -> Self {
         let lines: BTreeSet<SocketAddr> = standing.into_iter().collect();
         let line = |server| Line {
@@ -156,8 +158,8 @@
         (self.epoch, self.sequence) = (epoch, 0);
     }
 
-    /// Applies an order and returns the mark to acknowledge, if it carries one. Orders of another epoch, or not
-    /// newer than the last one, are ignored.
+    /// Applies an order and returns the mark to acknowledge, if it carries one. Orders of another epoch, or
+    /// not newer than the last one, are ignored.
     pub fn apply(&mut self, epoch: u64, sequence: u64, order: &v1::Order) -> Option<u32> {
         if epoch != self.epoch || sequence <= self.sequence {
             return None;
@@ -186,8 +188,8 @@
         self.lines.binary_search_by_key(&server, |line| line.server)
     }
 
-    /// Applies changes of lines, levels and withdrawals. A line with a weight of 0 or less, or one that is not
-    /// finite, is removed.
+    /// Applies changes of lines, levels and withdrawals. A line with a weight of 0 or less, or one that is
+    /// not finite, is removed.
     fn apply_changes(&mut self, lines: &[v1::Line], levels: &[v1::Level], withdrawals: &[v1::Withdrawal]) {
         for line in lines {
             let Ok(server) = address_of(&line.server) else { continue };
@@ -244,8 +246,8 @@
         }
     }
 
-    /// Picks a server that is not in `tried`; `None` if no such line is left. Avoided servers are picked only if
-    /// no other is left.
+    /// Picks a server that is not in `tried`; `None` if no such line is left. Avoided servers are picked only
+    /// if no other is left.
     pub fn pick(&mut self, now: Micros, tried: &[SocketAddr]) -> Option<SocketAddr> {
         // An avoided server is better than a rejected request.
         let server = self.pick_from(tried, now).or_else(|| self.pick_from(tried, Micros::MAX))?;
@@ -306,8 +308,9 @@
         last
     }
 
-    /// Records the result of an attempt, its latency `took` in microseconds, and the server's load report (empty if
-    /// there is none). Attempts cancelled by the client say nothing about the server and are not recorded.
+    /// Records the result of an attempt, its latency `took` in microseconds, and the server's load report
+    /// (empty if there is none). Attempts cancelled by the client say nothing about the server and are not
+    /// recorded.
     pub fn note(&mut self, now: Micros, server: SocketAddr, tried: Tried, took: Micros, load: Vec<f32>) {
         if let Ok(at) = self.line_index(server) {
             self.lines[at].in_flight = self.lines[at].in_flight.saturating_sub(1);
@@ -349,8 +352,8 @@
         level.map_or(self.spec.usual_resend, |level| level.resend())
     }
 
-    /// Returns true if the retry policy of the class allows another attempt after `tries` attempts, the last of
-    /// which had this result.
+    /// Returns true if the retry policy of the class allows another attempt after `tries` attempts, the last
+    /// of which had this result.
     pub fn may_try_again(&self, class: usize, tries: u32, tried: Tried) -> bool {
         match (self.resend(class), tried) {
             (_, Tried::Good) | (v1::Resend::Never, _) => false,
@@ -360,8 +363,8 @@
         }
     }
 
-    /// Returns true if attempt number `tries` may be retried even though it may have run, so that it can be given a
-    /// short timeout.
+    /// Returns true if attempt number `tries` may be retried even though it may have run, so that it can be
+    /// given a short timeout.
     pub fn may_be_retried(&self, class: usize, tries: u32) -> bool {
         self.may_try_again(class, tries, Tried::MayHaveRun)
     }
--- a/crates/stepspur-model/src/serve.rs
+++ b/crates/stepspur-model/src/serve.rs
@@ -54,8 +54,8 @@
 const RETRYABLE_TIMEOUT_FACTOR: f64 = 1.2;
 
 impl Serving {
-    /// Starts to serve a client's request and returns the first step. `objective` is the latency objective of its
-    /// class, in microseconds; the client gives up at `deadline`.
+    /// Starts to serve a client's request and returns the first step. `objective` is the latency objective of
+    /// its class, in microseconds; the client gives up at `deadline`.
     pub fn begin(
         proxy: &mut Proxy,
         now: Micros,
@@ -119,8 +119,8 @@
     Harmful,
 }
 
-/// Returns true if a client may repeat a request after this result, `since` microseconds after its first try. A
-/// request that must not run twice is repeated only after a result that proves that it never ran.
+/// Returns true if a client may repeat a request after this result, `since` microseconds after its first try.
+/// A request that must not run twice is repeated only after a result that proves that it never ran.
 pub fn client_repeats(answer: Answer, repeat: Repeat, since: Micros) -> bool {
     match (answer, repeat) {
         (Answer::Good, _) | (Answer::Failed, Repeat::Harmful) => false,
--- a/crates/stepspur-model/src/server.rs
+++ b/crates/stepspur-model/src/server.rs
@@ -1,13 +1,14 @@
-//! A model of a server: cores, slots, a bounded queue, a cold start, pauses, and a load at which it collapses.
+//! A model of a server: cores, slots, a bounded queue, a cold start, pauses, and a load at which it
+//! collapses.
 //!
-//! Requests in service share the cores evenly (processor sharing). Requests that find no free slot wait in FIFO
-//! order; requests that find the queue full are rejected. Work is measured in microseconds on a core of speed 1.
-//! After a start, capacity rises linearly from [`Spec::cold_from`] to its full value over [`Spec::cold`], or with
-//! the number of answered requests.
+//! Requests in service share the cores evenly (processor sharing). Requests that find no free slot wait in
+//! FIFO order; requests that find the queue full are rejected. Work is measured in microseconds on a core of
+//! speed 1. After a start, capacity rises linearly from [`Spec::cold_from`] to its full value over
+//! [`Spec::cold`], or with the number of answered requests.
 //!
-//! The driver calls [`Server::connect`], [`Server::offer`], [`Server::cancel`] and [`Server::drain`] when these
-//! events occur, and [`Server::poll`] and [`Server::closed`] at the time returned by [`Server::next_at`]. The time
-//! that it passes never decreases.
+//! The driver calls [`Server::connect`], [`Server::offer`], [`Server::cancel`] and [`Server::drain`] when
+//! these events occur, and [`Server::poll`] and [`Server::closed`] at the time returned by
+//! [`Server::next_at`]. The time that it passes never decreases.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
@@ -53,10 +54,10 @@
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[serde(rename_all = "snake_case")]
 pub enum Draining {
-    /// It close_at idle connections and serves whatever comes until it is stopped.
+    /// It closes idle connections and serves whatever comes until it is stopped.
     #[default]
     Serves,
-    /// It close_at idle connections, accepts none, and turns away what comes on those that are left.
+    /// It closes idle connections, accepts none, and turns away what comes on those that are left.
     Refuses,
 }
 
@@ -109,11 +110,11 @@
     pub probe_work: f64,
     /// Load reports are refreshed so often, microseconds.
     pub report_every: Micros,
-    /// A load report is published so much later, microseconds.
+    /// A load report is shown so much later, microseconds.
     pub report_late: Micros,
     /// Load reports are off by this standard deviation, as a share of the truth.
     pub report_noise: f64,
-    /// Keys hit within this span, microseconds, ...
+    /// Keys met within this span, microseconds, ...
     pub key_span: Micros,
     /// ... need this share less work; 0: none.
     pub key_gain: f64,
@@ -226,7 +227,7 @@
 /// The faults that are injected into a server at present.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Ails {
-    /// Accepts requests and work_at on none.
+    /// Accepts requests and works on none.
     pub hangs: bool,
     /// Share of requests that fail at once, from 0 to 1, in addition to [`Spec::error_rate`].
     pub fails: f64,
@@ -342,7 +343,8 @@
         server
     }
 
-    /// Returns the pauses in force as (interval, duration), in microseconds: injected ones replace those of the spec.
+    /// Returns the pauses in force as (interval, duration), in microseconds: injected ones replace those of
+    /// the spec.
     fn pauses(&self) -> Option<(Micros, Micros)> {
         let from_spec = (self.spec.pause > 0).then_some((self.spec.pause_every, self.spec.pause));
         self.faults.pauses.or(from_spec)
@@ -398,7 +400,8 @@
         }
     }
 
-    /// Opens a connection. Returns `None` if the server is at its limit, refuses while it drains, or has collapsed.
+    /// Opens a connection. Returns `None` if the server is at its limit, refuses while it drains, or has
+    /// collapsed.
     pub fn connect(&mut self, now: Micros) -> Option<Conn> {
         self.advance(now);
         let full = self.spec.connections > 0 && self.conns.len() >= self.spec.connections;
@@ -409,7 +412,7 @@
         self.next_conn += 1;
         let conn = Conn(self.next_conn);
         self.conns.insert(conn, OpenConn { unused: true, held: 0, idle: now });
-        // A new connection to a draining server carries one request before the server close_at it.
+        // A new connection to a draining server carries one request before the server closes it.
         if !self.drains {
             self.idle.insert((now, conn));
         }
@@ -525,15 +528,15 @@
         Offer::Taken
     }
 
-    /// Returns the handshake work, in microseconds, that the first request on a connection adds to its from_spec.
+    /// Returns the handshake work, in microseconds, that the first request on a connection adds to its own.
     fn take_handshake_work(&mut self, conn: Option<Conn>) -> f64 {
         let open = conn.and_then(|conn| self.conns.get_mut(&conn));
         let new = open.is_some_and(|open| std::mem::replace(&mut open.unused, false));
         if new { self.spec.handshake_work } else { 0.0 }
     }
 
-    /// Cancels a request because its sender no longer waits. Returns true if the request was dropped: it neither
-    /// takes effect nor completes.
+    /// Cancels a request because its sender no longer waits. Returns true if the request was dropped: it
+    /// neither takes effect nor completes.
     pub fn cancel(&mut self, now: Micros, job: Job) -> bool {
         self.advance(now);
         if self.spec.cancel == Cancel::None {
@@ -652,8 +655,9 @@
         hit
     }
 
-    /// Counts work that arrives while the server is cold, in microseconds. Returns true if the server collapses:
-    /// it has received more than [`Spec::fall_multiple`] times its present capacity within [`Spec::fall_span`].
+    /// Counts work that arrives while the server is cold, in microseconds. Returns true if the server
+    /// collapses: it has received more than [`Spec::fall_multiple`] times its present capacity within
+    /// [`Spec::fall_span`].
     fn add_cold_work(&mut self, work: f64) -> bool {
         let warmth = self.warmth(self.now);
         if warmth >= 1.0 {
@@ -698,8 +702,8 @@
         }
     }
 
-    /// Returns the service that each request in service receives per microsecond of time. Efficiency falls once
-    /// more requests are held than [`Spec::knee`].
+    /// Returns the service that each request in service receives per microsecond of time. Efficiency falls
+    /// once more requests are held than [`Spec::knee`].
     fn rate(&self) -> f64 {
         let overload = (self.held() as f64 / self.spec.knee.max(1.0) - 1.0).max(0.0);
         let efficiency = 1.0 / (1.0 + self.spec.thrash * overload);
--- a/crates/stepspur-model/tests/models.rs
+++ b/crates/stepspur-model/tests/models.rs
@@ -24,8 +24,8 @@
     done
 }
 
-/// A cold server that receives the load of a whole fleet collapses and stays down; a warm one only rejects the
-/// excess. Without this difference, a restart storm would do no harm in the model.
+/// A cold server that receives the load of a whole fleet collapses and stays down; a warm one only rejects
+/// the excess. Without this difference, a restart storm would do no harm in the model.
 #[test]
 fn a_cold_server_collapses_under_load_and_a_warm_one_rejects() {
     for (warm, falls) in [(false, true), (true, false)] {
@@ -65,8 +65,8 @@
     }
 }
 
-/// A cold server reaches full capacity by time or by answered requests; in the latter case it stays cold while
-/// idle.
+/// A cold server reaches full capacity by time or by answered requests; in the latter case it stays cold
+/// while idle.
 #[test]
 fn a_server_warms_up_by_time_or_by_requests() {
     let by = |warm_by| Spec { warm_by, cold: 1_000_000, cold_requests: 10, cold_from: 0.4, ..plain(1) };
@@ -81,8 +81,8 @@
     assert_eq!(by_requests.warmth(102_000_000), 1.0);
 }
 
-/// Connections are limited in number, cost handshake work once, are closed after the idle time, and are closed at
-/// once when they are idle on a draining server.
+/// Connections are limited in number, cost handshake work once, are closed after the idle time, and are
+/// closed at once when they are idle on a draining server.
 #[test]
 fn connections_are_limited_cost_one_handshake_and_close_when_idle() {
     let spec = Spec { connections: 2, handshake_work: 500.0, idle: 10_000, ..plain(1) };
@@ -181,9 +181,9 @@
     assert!(proxy.has_line(), "a whole table replaces the withdrawals too");
 }
 
-/// The table changes while a request is in flight: the removed server is not picked again, the attempt's result is
-/// still reported, and the retry follows the newest policy and the newest table. Otherwise a retry could reach a
-/// removed server.
+/// The table changes while a request is in flight: the removed server is not picked again, the attempt's
+/// result is still reported, and the retry follows the newest policy and the newest table. Otherwise a retry
+/// could reach a removed server.
 #[test]
 fn a_table_change_during_a_request_applies_to_its_retries() {
     let mut proxy = new_proxy(Pick::Wheel, 0);
@@ -273,13 +273,13 @@
             for (k, weight) in lines {
                 let got = picked.get(&address(k)).copied().unwrap_or(0.0);
                 let expected = 1000.0 * f64::from(weight) / all;
-                prop_assert!((got - expected).abs() <= tolerance, "{pick:?}: {got} picks, expected {expected}");
+                prop_assert!((got - expected).abs() <= tolerance, "{pick:?}: {got}, expected {expected}");
             }
         }
     }
 
-    /// For arbitrary requests, times and faults, each accepted request completes exactly once, no other completion
-    /// appears, and no request is left at the end.
+    /// For arbitrary requests, times and faults, each accepted request completes exactly once, no other
+    /// completion appears, and no request is left at the end.
     #[test]
     fn every_accepted_request_completes_exactly_once(
         offers in prop::collection::vec((1u64..200_000, 1.0f64..300_000.0, 0u8..6), 1..80),
@@ -290,8 +290,12 @@
         for (k, (wait, work, fault)) in offers.into_iter().enumerate() {
             now += wait;
             let pauses = (fault == 1).then_some((50_000, 20_000));
-            let ask = Ask { work, key: Some(work as u64 % 7), conn: server.connect(now).filter(|_| fault == 4) };
-            server.ail(now, Ails { hangs: fault == 2, fails: if fault == 3 { 0.5 } else { 0.0 }, pauses, ..Ails::default() });
+            let ask =
+                Ask { work, key: Some(work as u64 % 7), conn: server.connect(now).filter(|_| fault == 4) };
+            server.ail(
+                now,
+                Ails { hangs: fault == 2, fails: if fault == 3 { 0.5 } else { 0.0 }, pauses, ..Ails::default() },
+            );
             ended.extend(run_until(&mut server, now));
             taken += usize::from(server.offer(now, Job(k as u64), ask) == Offer::Taken);
         }
--- a/crates/stepspur-model/tests/theory.rs
+++ b/crates/stepspur-model/tests/theory.rs
@@ -18,8 +18,8 @@
 struct Run {
     /// Mean time in the queue, in units of the mean work.
     wait: f64,
-    /// Time average of requests in the system, divided by arrival rate times mean time in the system. Little's law
-    /// says that it is 1.
+    /// Time average of requests in the system, divided by arrival rate times mean time in the system.
+    /// Little's law says that it is 1.
     little: f64,
 }
 
