--- a/crates/stepspur-report/src/lib.rs
+++ b/crates/stepspur-report/src/lib.rs
@@ -1,7 +1,7 @@
-//! Reports: one HTML file with no outside parts, and the same data as CSV.
+//! Reports as one self-contained HTML file, and the same data as CSV.
 //!
-//! A [`Page`] holds facts, tables and charts. Charts are SVG within the file; text in them and around them is
-//! escaped, so names from a file of settings can do no harm.
+//! A [`Page`] holds paragraphs, tables and charts. Charts are inline SVG. All text is escaped, so that names
+//! from settings files cannot inject markup.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -11,15 +11,15 @@
 use maud::{DOCTYPE, Markup, PreEscaped, html};
 use plotters::prelude::*;
 
-/// Why a report could not be made.
+/// An error while writing a report.
 #[derive(Debug, thiserror::Error)]
 pub enum ReportError {
-    /// A chart's values make no picture.
+    /// A chart could not be drawn.
     #[error("chart `{chart}`: {cause}")]
     Chart {
-        /// Its title.
+        /// Title of the chart.
         chart: String,
-        /// Why.
+        /// Error of the drawing library.
         cause: String,
     },
     /// The CSV file could not be written.
@@ -30,78 +30,79 @@
     Io(#[from] std::io::Error),
 }
 
-/// How a chart shows its lines.
+/// How a chart draws its lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Shape {
-    /// One beside the other.
+    /// As separate lines.
     #[default]
     Lines,
-    /// One on top of the other.
+    /// As areas on top of each other, the first line at the bottom.
     Stacked,
 }
 
-/// A named line: points in the order of their x.
+/// A named data series, with its points sorted by x.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Line {
-    /// Its name, for the legend and the CSV file.
+    /// Name in the legend and the CSV file.
     pub name: String,
-    /// Points; those that are no finite numbers are left out.
+    /// Points as (x, y). Points that are not finite are not drawn.
     pub points: Vec<(f64, f64)>,
-    /// For points with an interval: its low and high end by point; else empty.
+    /// Low and high end of the error bar of each point; empty for a line without error bars.
     pub intervals: Vec<(f64, f64)>,
 }
 
-/// A span of x that is marked in every chart: a fault, a phase.
+/// A range of x that is highlighted in every chart, for example a fault or a phase.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Band {
-    /// What it is.
+    /// Name in the list below the charts and in the CSV file.
     pub name: String,
-    /// From where to where.
+    /// Begin and end, in units of x.
     pub span: Range<f64>,
 }
 
-/// A chart.
+/// A chart of one or more lines.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Chart {
-    /// Its title.
+    /// Title above the chart; also its name in the CSV file.
     pub title: String,
-    /// What x is, with its unit.
+    /// Label of the x axis, with its unit.
     pub x: String,
-    /// What y is, with its unit.
+    /// Label of the y axis, with its unit.
     pub y: String,
-    /// How lines are shown.
+    /// How the lines are drawn.
     pub shape: Shape,
-    /// The lines.
+    /// The lines, in the order of their colors and of the legend.
     pub lines: Vec<Line>,
 }
 
-/// A table: a row of heads, and rows of cells.
+/// A table with a header row.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Table {
-    /// Its title.
+    /// Title above the table.
     pub title: String,
-    /// Heads.
+    /// Column headers.
     pub heads: Vec<String>,
-    /// Cells.
+    /// Rows of cells.
     pub rows: Vec<Vec<String>>,
 }
 
-/// A report.
+/// The content of a report.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Page {
-    /// Its title.
+    /// Title of the page.
     pub title: String,
-    /// Words under the title.
+    /// Paragraphs below the title.
     pub about: Vec<String>,
-    /// Tables, before the charts.
+    /// Tables, placed before the charts.
     pub tables: Vec<Table>,
-    /// Charts.
+    /// Charts, placed after the tables.
     pub charts: Vec<Chart>,
-    /// Marked in every chart.
+    /// Ranges of x that are highlighted in every chart.
     pub bands: Vec<Band>,
 }
 
-/// Lines in turn: the first four are those of outcomes, from good to bad.
+/// Colors of the lines, reused from the start after the last. The first four suit request outcomes from good
+/// to bad.
 const COLORS: [RGBColor; 8] = [
     RGBColor(46, 125, 50),
     RGBColor(240, 162, 2),
@@ -112,14 +113,16 @@
     RGBColor(22, 160, 133),
     RGBColor(93, 64, 55),
 ];
-const SIZE: (u32, u32) = (960, 300);
-const BAND_ROW: f64 = 0.07;
+/// Width and height of a chart, in pixels.
+const CHART_SIZE: (u32, u32) = (960, 300);
+/// Vertical distance of the band numbers, as a share of the chart's height.
+const BAND_LABEL_SPACING: f64 = 0.07;
 
 impl Page {
-    /// The report as one HTML file.
+    /// Renders the report as one HTML file.
     ///
     /// # Errors
-    /// [`ReportError::Chart`].
+    /// [`ReportError::Chart`] if a chart cannot be drawn.
     pub fn html(&self) -> Result<String, ReportError> {
         let charts: Vec<String> = self.charts.iter().map(|c| c.svg(&self.bands)).collect::<Result<_, _>>()?;
         let page = html! {
@@ -142,6 +145,7 @@
         Ok(page.into_string())
     }
 
+    /// Renders the numbered list of the bands.
     fn legend(&self) -> Markup {
         html! {
             h2 { "Bands" }
@@ -153,10 +157,11 @@
         }
     }
 
-    /// All points of all charts as CSV: chart, line, x, y; bands as chart `bands` with x and y their ends.
+    /// Writes all points of all charts as CSV with the columns chart, line, x and y. Bands are rows of the
+    /// chart `bands`, with their begin as x and their end as y.
     ///
     /// # Errors
-    /// [`ReportError::Csv`].
+    /// [`ReportError::Csv`] or [`ReportError::Io`] if writing fails.
     pub fn csv(&self, to: impl Write) -> Result<(), ReportError> {
         let mut out = csv::Writer::from_writer(to);
         out.write_record(["chart", "line", "x", "y"])?;
@@ -176,6 +181,7 @@
 }
 
 impl Table {
+    /// Renders the table as HTML.
     fn markup(&self) -> Markup {
         html! {
             h2 { (self.title) }
@@ -188,8 +194,8 @@
 }
 
 impl Chart {
-    /// Lines as they are drawn: finite, and summed if one stands on the other.
-    fn drawn(&self) -> Vec<Vec<(f64, f64)>> {
+    /// Returns the points to draw: only finite ones, and running sums for stacked lines.
+    fn drawn_points(&self) -> Vec<Vec<(f64, f64)>> {
         let finite = |l: &Line| -> Vec<(f64, f64)> {
             l.points.iter().copied().filter(|(x, y)| x.is_finite() && y.is_finite()).collect()
         };
@@ -205,10 +211,10 @@
         lines
     }
 
-    /// The chart as SVG.
+    /// Renders the chart as SVG.
     ///
     /// # Errors
-    /// [`ReportError::Chart`].
+    /// [`ReportError::Chart`] if a chart cannot be drawn.
     pub fn svg(&self, bands: &[Band]) -> Result<String, ReportError> {
         let mut svg = String::new();
         self.draw(&mut svg, bands)
@@ -217,28 +223,29 @@
     }
 
     fn draw(&self, svg: &mut String, bands: &[Band]) -> Result<(), Box<dyn std::error::Error>> {
-        let lines = self.drawn();
-        let ends =
+        let lines = self.drawn_points();
+        let x_ends =
             lines.iter().flatten().map(|p| p.0).chain(bands.iter().flat_map(|b| [b.span.start, b.span.end]));
-        let (from, to) = ends.fold((f64::INFINITY, f64::NEG_INFINITY), |(a, b), x| (a.min(x), b.max(x)));
+        let (from, to) = x_ends.fold((f64::INFINITY, f64::NEG_INFINITY), |(a, b), x| (a.min(x), b.max(x)));
         let (from, to) = if from < to { (from, to) } else { (0.0, 1.0) };
-        let highest = self.lines.iter().flat_map(|l| l.intervals.iter().map(|i| i.1));
-        let most = lines.iter().flatten().map(|p| p.1).chain(highest).fold(0.0f64, f64::max);
-        let most = if most > 0.0 { most * 1.1 } else { 1.0 };
-        let root = SVGBackend::with_string(svg, SIZE).into_drawing_area();
+        let interval_ends = self.lines.iter().flat_map(|l| l.intervals.iter().map(|i| i.1));
+        let y_max = lines.iter().flatten().map(|p| p.1).chain(interval_ends).fold(0.0f64, f64::max);
+        let y_max = if y_max > 0.0 { y_max * 1.1 } else { 1.0 };
+        let root = SVGBackend::with_string(svg, CHART_SIZE).into_drawing_area();
         root.fill(&WHITE)?;
         let mut chart = ChartBuilder::on(&root)
             .caption(&self.title, ("sans-serif", 16))
             .margin(8)
             .x_label_area_size(32)
             .y_label_area_size(56)
-            .build_cartesian_2d(from..to, 0.0..most)?;
+            .build_cartesian_2d(from..to, 0.0..y_max)?;
         chart.configure_mesh().x_desc(&self.x).y_desc(&self.y).light_line_style(WHITE).draw()?;
         for (k, band) in bands.iter().enumerate() {
-            let ends = [(band.span.start, 0.0), (band.span.end, most)];
-            chart.draw_series([Rectangle::new(ends, RED.mix(0.07).filled())])?;
-            // Numbered as in the list under the charts, each a row lower so that overlaps can be read.
-            let at = (band.span.start, most * (1.0 - BAND_ROW * (k % 5) as f64));
+            let corners = [(band.span.start, 0.0), (band.span.end, y_max)];
+            chart.draw_series([Rectangle::new(corners, RED.mix(0.07).filled())])?;
+            // Numbered as in the list below the charts, each one row lower, so that overlapping bands stay
+            // readable.
+            let at = (band.span.start, y_max * (1.0 - BAND_LABEL_SPACING * (k % 5) as f64));
             chart.draw_series([Text::new(
                 format!("{}", k + 1),
                 at,
@@ -246,7 +253,8 @@
             )])?;
         }
         let named: Vec<_> = lines.iter().zip(&self.lines).enumerate().collect();
-        // Stacked ones are filled from the top of the pile down, so that each shows only its own part.
+        // Stacked areas reach down to 0, so they are drawn from the top one down: each covers the lower part
+        // of the one before.
         let order: Vec<_> = match self.shape {
             Shape::Stacked => named.into_iter().rev().collect(),
             Shape::Lines => named,
--- a/crates/stepspur-report/src/tests.rs
+++ b/crates/stepspur-report/src/tests.rs
@@ -16,13 +16,14 @@
     }
 }
 
-/// Whatever names say, the file has no outside part and no markup but its own.
+/// Names that contain markup are escaped, and the file references nothing outside itself. Guards against
+/// injection from settings files.
 #[test]
-fn a_page_is_whole_and_escaped() {
+fn a_page_is_self_contained_and_escaped() {
     let html = page().html().unwrap();
     assert_eq!((html.matches("<svg").count(), html.matches("</svg>").count()), (3, 3));
-    for never in ["<script", "a <b>", "src=", "href=", "@import"] {
-        assert!(!html.contains(never), "{never}");
+    for forbidden in ["<script", "a <b>", "src=", "href=", "@import"] {
+        assert!(!html.contains(forbidden), "{forbidden}");
     }
     assert!(html.contains("&lt;script&gt;") && !html.contains("NaN"));
 }
--- a/crates/stepspur-simulator-adapter/src/bin/stepspur-wirehost.rs
+++ b/crates/stepspur-simulator-adapter/src/bin/stepspur-wirehost.rs
@@ -1,4 +1,4 @@
-//! The program's former name, for deploy files that still use it.
+//! The former name of `stepspur-simulator-adapter`, for deployment files that still use it.
 #![forbid(unsafe_code)]
 
 use std::process::ExitCode;
--- a/crates/stepspur-simulator-adapter/src/lib.rs
+++ b/crates/stepspur-simulator-adapter/src/lib.rs
@@ -1,7 +1,8 @@
-//! Hosts the decision module on the simulator wire: batches on standard input, replies on standard output.
+//! Runs the decision module under the simulator: reads batches from standard input and writes replies to
+//! standard output.
 //!
-//! One [`Policy`] per instance and nothing shared. Malformed input ends the program with one plain line on
-//! standard error and exit code 2; the end of input between batches ends it with 0.
+//! Each instance has its own [`Policy`]; instances share no state. Malformed input ends the program with one
+//! line on standard error and exit code 2; the end of input between batches ends it with exit code 0.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -14,7 +15,7 @@
 use stepspur::interface::Event;
 use stepspur_simulator_protocol::{Batch, Decoder, HEADER_LEN, Record, Reply, WireError, body_len};
 
-/// Serves standard input until it ends; the program's exit code.
+/// Serves standard input until it ends and returns the program's exit code.
 pub fn run() -> ExitCode {
     match serve(&mut BufReader::new(io::stdin().lock()), &mut io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
@@ -25,10 +26,11 @@
     }
 }
 
+/// Answers each batch with a reply until the end of input.
 fn serve(input: &mut impl Read, output: &mut impl Write) -> Result<(), Box<dyn std::error::Error>> {
     let mut decoder = Decoder::default();
     let mut policies = BTreeMap::new();
-    while let Some((header, body)) = read_frame(input)? {
+    while let Some((header, body)) = read_batch(input)? {
         let batch = decoder.decode(header, &body)?;
         output.write_all(&answer(&mut policies, batch))?;
         output.flush()?;
@@ -36,10 +38,11 @@
     Ok(())
 }
 
-type Frame = ([u8; HEADER_LEN], Vec<u8>);
+/// The header and the body of a batch.
+type RawBatch = ([u8; HEADER_LEN], Vec<u8>);
 
-/// The next frame, or none at the end of input.
-fn read_frame(input: &mut impl Read) -> Result<Option<Frame>, Box<dyn std::error::Error>> {
+/// Reads the next batch; `None` at the end of input.
+fn read_batch(input: &mut impl Read) -> Result<Option<RawBatch>, Box<dyn std::error::Error>> {
     let mut start = Vec::with_capacity(HEADER_LEN);
     input.by_ref().take(HEADER_LEN as u64).read_to_end(&mut start)?;
     if start.is_empty() {
@@ -57,24 +60,25 @@
     Ok(Some((header, body)))
 }
 
-/// Hands each instance its events, lets it decide once, and gives the reply.
+/// Applies a batch and returns the encoded reply: each instance gets all its events in one decision. An
+/// instance that panics is removed and answers with an internal error.
 fn answer(policies: &mut BTreeMap<u32, Policy>, batch: Batch) -> Vec<u8> {
-    let mut told: BTreeMap<u32, Vec<Event>> = BTreeMap::new();
+    let mut events_by_instance: BTreeMap<u32, Vec<Event>> = BTreeMap::new();
     for (instance, record) in batch.records {
         match record {
             Record::Provision { seed, settings } => {
                 policies.insert(instance, Policy::new(*settings, seed, batch.clock));
-                told.insert(instance, Vec::new());
+                events_by_instance.insert(instance, Vec::new());
             }
             Record::Halt => {
                 policies.remove(&instance);
-                told.remove(&instance);
+                events_by_instance.remove(&instance);
             }
-            Record::Event(event) => told.entry(instance).or_default().push(event),
+            Record::Event(event) => events_by_instance.entry(instance).or_default().push(event),
         }
     }
     let mut reply = Reply::default();
-    for (instance, events) in told {
+    for (instance, events) in events_by_instance {
         let Some(policy) = policies.get_mut(&instance) else { continue };
         match catch_unwind(AssertUnwindSafe(|| policy.decide(batch.clock, &events))) {
             Ok(actions) => reply.speak(instance, &actions),
--- a/crates/stepspur-simulator-adapter/src/main.rs
+++ b/crates/stepspur-simulator-adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `stepspur-simulator-adapter`.
+//! The program `stepspur-simulator-adapter`: the decision module as a child process of the simulator.
 #![forbid(unsafe_code)]
 
 use std::process::ExitCode;
--- a/crates/stepspur-simulator-adapter/tests/host.rs
+++ b/crates/stepspur-simulator-adapter/tests/host.rs
@@ -1,8 +1,9 @@
-//! The program as it is started in service: exit codes, standard error, no half-written reply.
+//! The program as a child process: exit codes, standard error, and no partial replies.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
+/// Runs the program with this input until it ends.
 fn run(input: &[u8]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_stepspur-simulator-adapter"))
         .stdin(Stdio::piped())
@@ -14,13 +15,14 @@
     child.wait_with_output().unwrap()
 }
 
+/// Returns a batch without records.
 fn empty_batch(number: u32) -> Vec<u8> {
     let mut bytes = vec![0, 0, 0, 0, 0, 0, 0, 12, 0, 0, 0, 0, 0, 0, 0, 9];
     bytes.extend(number.to_be_bytes());
     bytes
 }
 
-/// A batch with one record for instance 3.
+/// Returns a batch with one record for instance 3.
 fn batch(code: u16, fields: &[u8]) -> Vec<u8> {
     let mut records = vec![0, 16, 0, 0, 0, 4, 0, 0, 0, 3];
     records.extend(code.to_be_bytes());
@@ -34,7 +36,7 @@
 }
 
 #[test]
-fn end_of_input_between_batches_is_no_error() {
+fn end_of_input_between_batches_is_not_an_error() {
     let output = run(&[empty_batch(1), empty_batch(2)].concat());
     assert_eq!(output.status.code(), Some(0));
     assert_eq!(output.stdout, [0, 0, 0, 8, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0, 8, 0, 0, 0, 0, 0, 0, 0, 2]);
@@ -42,34 +44,34 @@
 }
 
 #[test]
-fn a_cut_frame_ends_with_one_line() {
+fn a_truncated_batch_ends_the_program_with_one_line() {
     for cut in [3, 8, 15] {
         let output = run(&[empty_batch(1), empty_batch(2)[..cut].to_vec()].concat());
         assert_eq!(output.status.code(), Some(2));
-        assert_eq!(output.stdout.len(), 12, "the first batch's reply and nothing half-written");
-        let said = String::from_utf8(output.stderr).unwrap();
+        assert_eq!(output.stdout.len(), 12, "only the complete reply to the first batch");
+        let stderr = String::from_utf8(output.stderr).unwrap();
         assert!(
-            said.starts_with("stepspur-simulator-adapter: batch cut short") && said.lines().count() == 1,
-            "{said}"
+            stderr.starts_with("stepspur-simulator-adapter: batch cut short") && stderr.lines().count() == 1,
+            "{stderr}"
         );
     }
 }
 
 #[test]
-fn an_unknown_record_and_bad_settings_end_with_one_line() {
-    for (code, fields, what) in
+fn an_unknown_record_and_invalid_settings_end_the_program_with_one_line() {
+    for (code, fields, expected) in
         [(77, vec![], "unknown code 77"), (1, [vec![0; 8], vec![0, 0, 0, 1, b'x']].concat(), "settings")]
     {
         let output = run(&batch(code, &fields));
         assert_eq!(output.status.code(), Some(2));
         assert!(output.stdout.is_empty());
-        let said = String::from_utf8(output.stderr).unwrap();
-        assert!(said.contains(what) && said.lines().count() == 1, "{said}");
+        let stderr = String::from_utf8(output.stderr).unwrap();
+        assert!(stderr.contains(expected) && stderr.lines().count() == 1, "{stderr}");
     }
 }
 
 #[test]
-fn events_for_an_instance_that_does_not_run_are_passed_over() {
+fn events_for_an_unknown_instance_are_ignored() {
     let output = run(&batch(3, &[0; 8]));
     assert_eq!(output.status.code(), Some(0));
     assert_eq!(output.stdout, [0, 0, 0, 8, 0, 0, 0, 0, 0, 0, 0, 1]);
--- a/crates/stepspur-simulator-protocol/src/frame.rs
+++ b/crates/stepspur-simulator-protocol/src/frame.rs
@@ -1,4 +1,8 @@
-//! Batches and replies: headers, records, fields.
+//! Decoding of batches and encoding of replies.
+//!
+//! All integers and floats are big-endian. A batch is a header (record count, length), the clock, the batch
+//! number and the records; each record is a code, a length and its fields. A `target_instance` record (code
+//! 16) sets the instance of the records after it.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,54 +14,55 @@
 
 use crate::{WireError, parse_settings};
 
-/// Bytes of a batch before those that its length counts.
+/// Size of a batch header in bytes: the number of records and the length of the body.
 pub const HEADER_LEN: usize = 8;
-/// Bytes of the clock and the number, which the length counts.
+/// Size in bytes of the clock and the batch number, with which every body starts.
 const FIXED_LEN: usize = 12;
 
-/// Bytes that follow a batch's first [`HEADER_LEN`].
+/// Returns the length in bytes of the body that follows a batch header.
 pub fn body_len(header: [u8; HEADER_LEN]) -> usize {
     u32::from_be_bytes([header[4], header[5], header[6], header[7]]) as usize
 }
 
-/// One record of a batch, for one instance.
+/// A record of a batch, for one instance of the decision module.
 #[derive(Debug)]
 pub enum Record {
-    /// The instance starts.
+    /// Starts the instance, or replaces it.
     Provision {
         /// Seed of its random numbers.
         seed: u64,
-        /// What it is told of the site.
+        /// Its settings.
         settings: Box<Settings>,
     },
-    /// The instance is killed.
+    /// Stops the instance.
     Halt,
-    /// The instance is told something.
+    /// An event for the instance.
     Event(Event),
 }
 
-/// The content of one batch.
+/// A decoded batch.
 #[derive(Debug)]
 pub struct Batch {
-    /// The clock.
+    /// The simulator's clock, in microseconds.
     pub clock: u64,
-    /// The number to answer with.
+    /// Number of the batch, which the reply repeats.
     pub number: u32,
-    /// Records, each with the instance that it is for.
+    /// Records in the order of the batch, each with the number of its instance.
     pub records: Vec<(u32, Record)>,
 }
 
-/// Reads batches; keeps the numbered lists between them.
+/// Decodes batches. It stores the server lists that batches define, since later batches refer to them.
 #[derive(Debug, Default)]
 pub struct Decoder {
+    /// Server lists by slot (`sheet` in the protocol).
     sheets: BTreeMap<u32, Arc<[Endpoint]>>,
 }
 
 impl Decoder {
-    /// Reads one batch, given its header and all bytes that follow.
+    /// Decodes one batch from its header and its body.
     ///
     /// # Errors
-    /// The body is cut short, or a record is unknown or malformed; see [`WireError`].
+    /// The body is incomplete, or a record is unknown or malformed; see [`WireError`].
     pub fn decode(&mut self, header: [u8; HEADER_LEN], body: &[u8]) -> Result<Batch, WireError> {
         let want = body_len(header);
         if want < FIXED_LEN {
@@ -73,8 +78,8 @@
         all.batch = number;
         let mut records = Vec::with_capacity(announced.min(1 << 16) as usize);
         let mut target = None;
-        for place in 0..announced {
-            (all.record, all.code) = (place, 0);
+        for index in 0..announced {
+            (all.record, all.code) = (index, 0);
             all.code = all.u16("code")?;
             let len = all.u32("length")? as usize;
             let mut fields = Fields { rest: all.take(len, "its length")?, ..all };
@@ -95,6 +100,7 @@
         Ok(Batch { clock, number, records })
     }
 
+    /// Decodes a record other than `target_instance`; `None` for a server list, which is stored.
     fn record(&mut self, target: Option<u32>, f: &mut Fields) -> Result<Option<(u32, Record)>, WireError> {
         if f.code == 15 {
             let slot = f.u32("slot")?;
@@ -123,6 +129,7 @@
         Ok(Some((instance, record)))
     }
 
+    /// Decodes the fields of an event record.
     fn event(&self, f: &mut Fields) -> Result<Event, WireError> {
         Ok(match f.code {
             2 => self.list(f)?,
@@ -170,11 +177,11 @@
                 Event::ClientStats { period, errors, proxy, total, class: ClassId(f.u8("category")?) }
             }
             12 => {
-                let (slice, class) = (TableId(f.u16("setId")?), ClassId(f.u8("category")?));
+                let (table, class) = (TableId(f.u16("setId")?), ClassId(f.u8("category")?));
                 let total = f.u32("total")?;
                 f.u32("errors")?;
                 f.u32("periodLenUs")?;
-                Event::ShardTraffic { shard: slice, class, total }
+                Event::ShardTraffic { shard: table, class, total }
             }
             13 => Event::ShardAssignment { shard: TableId(f.u16("setId")?), granted: f.flag()? },
             _ => Event::StoredLine {
@@ -185,8 +192,9 @@
         })
     }
 
+    /// Decodes a list event, with the server list of the slot to which it refers.
     fn list(&self, f: &mut Fields) -> Result<Event, WireError> {
-        let how = match f.u8("how")? {
+        let kind = match f.u8("how")? {
             0 => ListUpdate::Delta,
             1 => ListUpdate::Full,
             2 => ListUpdate::Cached,
@@ -195,16 +203,17 @@
         };
         f.u32("gen")?;
         let slot = f.u32("slot")?;
-        if how == ListUpdate::Failed {
-            return Ok(Event::EndpointList { update: how, entries: Arc::from([]) });
+        if kind == ListUpdate::Failed {
+            return Ok(Event::EndpointList { update: kind, entries: Arc::from([]) });
         }
         let no_sheet = WireError::NoSheet { batch: f.batch, record: f.record, slot };
         let entries = self.sheets.get(&slot).cloned().ok_or(no_sheet)?;
-        Ok(Event::EndpointList { update: how, entries })
+        Ok(Event::EndpointList { update: kind, entries })
     }
 }
 
-/// A reader over the fields of one record, or over the records of one batch.
+/// A cursor over the fields of one record, or over the records of one batch. `batch`, `record` and `code`
+/// locate errors.
 #[derive(Clone, Copy)]
 struct Fields<'a> {
     rest: &'a [u8],
@@ -288,7 +297,7 @@
 
     fn entry(&mut self) -> Result<Endpoint, WireError> {
         self.u16("type")?;
-        let (born, zone) = (self.u64("bornUs")?, self.zone()?);
+        let (started, zone) = (self.u64("bornUs")?, self.zone()?);
         let state = match self.u8("state")? {
             0 => EndpointState::Ready,
             3 => EndpointState::Draining,
@@ -297,13 +306,15 @@
         };
         let server = self.server()?;
         self.u16("block")?;
-        Ok(Endpoint { server, started_at: born, zone, state, weight: f64::from(self.f32("heft")?) })
+        Ok(Endpoint { server, started_at: started, zone, state, weight: f64::from(self.f32("heft")?) })
     }
 
+    /// Returns the error for an undefined value of a field.
     fn unknown(&self, field: &'static str, value: u32) -> WireError {
         WireError::UnknownValue { batch: self.batch, record: self.record, code: self.code, field, value }
     }
 
+    /// Checks that no bytes follow the last field.
     fn end(&self) -> Result<(), WireError> {
         match self.rest.len() {
             0 => Ok(()),
@@ -314,15 +325,16 @@
     }
 }
 
-/// A reply under way.
+/// Collects and encodes the records of a reply.
 #[derive(Debug, Default)]
 pub struct Reply {
     records: u32,
+    /// The encoded records.
     body: Vec<u8>,
 }
 
 impl Reply {
-    /// Adds what an instance orders, in its order.
+    /// Adds the actions of an instance, in their order.
     pub fn speak(&mut self, instance: u32, actions: &[Action]) {
         if actions.is_empty() {
             return;
@@ -333,13 +345,13 @@
         }
     }
 
-    /// Adds that an instance's decision code has failed.
+    /// Adds an internal error of an instance, whose decision code has panicked with this message.
     pub fn internal_error(&mut self, instance: u32, what: &str) {
         self.record(14, |b| b.extend(instance.to_be_bytes()));
         self.record(6, |b| text(b, what));
     }
 
-    /// The bytes of the reply to the batch of this number.
+    /// Returns the encoded reply to the batch with this number.
     pub fn into_bytes(self, number: u32) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(FIXED_LEN + self.body.len());
         bytes.extend((self.body.len() as u32 + 8).to_be_bytes());
@@ -361,10 +373,10 @@
                 b.extend(table.0.to_be_bytes());
                 b.extend(proxy.0.to_be_bytes());
             }),
-            Action::SetAdmission { table, class, retry_policy: resend, level } => self.record(3, |b| {
+            Action::SetAdmission { table, class, retry_policy: policy, level } => self.record(3, |b| {
                 b.extend(table.0.to_be_bytes());
                 b.extend((1u16 << class.0).to_be_bytes());
-                b.push(resend_code(*resend));
+                b.push(retry_code(*policy));
                 b.extend(level.to_be_bytes());
             }),
             Action::RequestAck { nonce: mark } => self.record(12, |b| {
@@ -386,6 +398,7 @@
         }
     }
 
+    /// Adds a record with the fields that `fill` writes, preceded by its code and length.
     fn record(&mut self, code: u16, fill: impl FnOnce(&mut Vec<u8>)) {
         self.records += 1;
         self.body.extend(code.to_be_bytes());
@@ -397,8 +410,8 @@
     }
 }
 
-fn resend_code(resend: RetryPolicy) -> u8 {
-    match resend {
+fn retry_code(policy: RetryPolicy) -> u8 {
+    match policy {
         RetryPolicy::Never => 0,
         RetryPolicy::IfNeverStarted => 1,
         RetryPolicy::Once => 2,
@@ -406,6 +419,7 @@
     }
 }
 
+/// Appends a text with its length in 16 bits, truncated at a character boundary if it is too long.
 fn text(bytes: &mut Vec<u8>, what: &str) {
     let mut end = what.len().min(usize::from(u16::MAX));
     while !what.is_char_boundary(end) {
--- a/crates/stepspur-simulator-protocol/src/settings.rs
+++ b/crates/stepspur-simulator-protocol/src/settings.rs
@@ -1,8 +1,11 @@
-//! Settings JSON to [`Settings`]. Unknown keys are passed over; a missing needed key is an error.
+//! Parsing of the settings JSON into [`Settings`]. Unknown keys are ignored; a missing required key is an
+//! error.
 
 use serde::Deserialize;
 use stepspur::interface::{AdmissionMode, DedupScope, Idempotency, RequestClass, Settings, ZoneId};
 
+/// The settings as they are in the JSON. Durations (`_us`) are in microseconds.
+// Serde prints the names of the types in this file in its error messages.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Raw {
@@ -111,40 +114,40 @@
     drain_binds_alone: bool,
 }
 
-/// Reads the settings of a `provision` record.
+/// Parses the settings of a `provision` record.
 ///
 /// # Errors
-/// The bytes are no JSON, or a setting is missing or has another type.
+/// The bytes are not valid JSON, or a setting is missing or has the wrong type.
 pub fn parse_settings(json: &[u8]) -> Result<Settings, serde_json::Error> {
     let raw: Raw = serde_json::from_slice(json)?;
-    let info = raw.family_info;
-    let own_zone = |k: usize| info.class_own_zone.get(k).copied().unwrap_or(false);
+    let family = raw.family_info;
+    let is_zone_local = |k: usize| family.class_own_zone.get(k).copied().unwrap_or(false);
     Ok(Settings {
         zone_count: raw.zones.len(),
         local_zone: ZoneId(raw.my_zone),
         conductor_count: raw.balancers,
-        classes: raw.request_classes.iter().enumerate().map(|(k, c)| class(c, own_zone(k))).collect(),
+        classes: raw.request_classes.iter().enumerate().map(|(k, c)| class(c, is_zone_local(k))).collect(),
         poll_discovery: matches!(raw.membership_mode, Mode::OnRequest),
         health_checks: raw.permissions.probing,
         load_columns: raw.feedback.columns,
-        admission_mode: match info.admit {
+        admission_mode: match family.admit {
             RawAdmit::Ratio => AdmissionMode::Ratio,
             RawAdmit::Rps => AdmissionMode::RequestsPerSecond,
             RawAdmit::Silent => AdmissionMode::Ignored,
         },
-        proxy_count: info.proxies,
-        max_pending_lines: info.pending_max,
-        lines_per_second: info.egress_per_s,
-        message_overhead_lines: info.per_message,
-        max_messages: info.pushes_allowed,
-        message_window: info.update_window_us as u64,
-        min_server_connections: info.min_conn_cap,
-        max_transit: info.push_delay_max_us as u64,
-        report_period: info.interval_us as u64,
-        shard_count: info.slices,
-        single_writer: info.single_writer,
-        orphan_write_period: info.keeps_writing_us as u64,
-        max_write_duration: info.in_flight_max_us as u64,
+        proxy_count: family.proxies,
+        max_pending_lines: family.pending_max,
+        lines_per_second: family.egress_per_s,
+        message_overhead_lines: family.per_message,
+        max_messages: family.pushes_allowed,
+        message_window: family.update_window_us as u64,
+        min_server_connections: family.min_conn_cap,
+        max_transit: family.push_delay_max_us as u64,
+        report_period: family.interval_us as u64,
+        shard_count: family.slices,
+        single_writer: family.single_writer,
+        orphan_write_period: family.keeps_writing_us as u64,
+        max_write_duration: family.in_flight_max_us as u64,
         warm_up: raw.rules.cold_us as u64,
         collapse_ratio: raw.rules.fall_multiple,
         initial_capacity_ratio: raw.rules.start_capacity,
@@ -152,7 +155,7 @@
     })
 }
 
-fn class(raw: &RawClass, own_zone: bool) -> RequestClass {
+fn class(raw: &RawClass, is_zone_local: bool) -> RequestClass {
     RequestClass {
         idempotency: match raw.effect {
             RawEffect::ReadLike => Idempotency::Safe,
@@ -168,6 +171,6 @@
         latency_objective: raw.promise_us as u64,
         deadline: raw.deadline_us as u64,
         priority_weight: raw.credit,
-        zone_local: own_zone,
+        zone_local: is_zone_local,
     }
 }
--- a/crates/stepspur-simulator-protocol/tests/codec.rs
+++ b/crates/stepspur-simulator-protocol/tests/codec.rs
@@ -1,26 +1,29 @@
-//! The wire's own examples, byte for byte, and what malformed input gets.
+//! The protocol's own examples byte for byte, and the errors for malformed input.
 
 use stepspur::interface::*;
 use stepspur_simulator_protocol::{Decoder, HEADER_LEN, Record, Reply, WireError, parse_settings};
 
+/// Parses hexadecimal digits; whitespace is ignored.
 fn hex(text: &str) -> Vec<u8> {
     let digits: String = text.split_whitespace().collect();
     (0..digits.len()).step_by(2).map(|at| u8::from_str_radix(&digits[at..at + 2], 16).unwrap()).collect()
 }
 
+/// Decodes a batch given in hexadecimal with a new decoder.
 fn decode(text: &str) -> Result<stepspur_simulator_protocol::Batch, WireError> {
     let bytes = hex(text);
     let (header, body) = bytes.split_at(HEADER_LEN);
     Decoder::default().decode(header.try_into().unwrap(), body)
 }
 
-/// A frame of these records, with the lengths that they need.
+/// Returns a batch of these records in hexadecimal, with a matching header.
 fn frame(records: &[&str]) -> String {
     let body: String = records.concat().split_whitespace().collect();
     format!("{:08x} {:08x} 0000000000805c5a 00000001 {body}", records.len(), 12 + body.len() / 2)
 }
 
-const TO_3: &str = "0010 00000004 00000003";
+/// A `target_instance` record for instance 3.
+const TARGET_3: &str = "0010 00000004 00000003";
 
 #[test]
 fn empty_batch_and_reply() {
@@ -41,18 +44,19 @@
     )
     .unwrap();
     assert_eq!(batch.number, 12);
-    let [(3, Record::Event(tally)), (3, Record::Event(alarm)), (5, Record::Event(left))] = &batch.records[..]
+    let [(3, Record::Event(stats)), (3, Record::Event(timer)), (5, Record::Event(disconnected))] =
+        &batch.records[..]
     else {
         panic!("{:?}", batch.records);
     };
-    let Event::UpstreamStats { server, zone, period, total, errors, latency, load } = tally else {
-        panic!("{tally:?}")
+    let Event::UpstreamStats { server, zone, period, total, errors, latency, load } = stats else {
+        panic!("{stats:?}")
     };
     assert_eq!(*server, ServerId([10, 18, 74, 7, 0x23, 0x2b]));
     assert_eq!((*zone, *period, *total, *errors, *latency), (ZoneId(0), 1_000_000, 14, 1, 48_250));
     assert_eq!(load, &[3.0, 14.5]);
-    assert!(matches!(alarm, Event::Timer { token: 77 }));
-    assert!(matches!(left, Event::ProxyDisconnected { proxy: ProxyId(41) }));
+    assert!(matches!(timer, Event::Timer { token: 77 }));
+    assert!(matches!(disconnected, Event::ProxyDisconnected { proxy: ProxyId(41) }));
 }
 
 #[test]
@@ -68,13 +72,13 @@
     );
     reply.speak(4, &[]);
     reply.speak(5, &[Action::Log("two servers known".into())]);
-    let want = hex("00000059 00000005 0000000c
+    let expected = hex("00000059 00000005 0000000c
          000e 00000004 00000003
          0005 0000000c 0075 0a9011f2 2354 3f400000
          0001 0000000c 0007a120 000000000000004d
          000e 00000004 00000005
          0009 00000013 0011 74776f2073657276657273206b6e6f776e");
-    assert_eq!(reply.into_bytes(12), want);
+    assert_eq!(reply.into_bytes(12), expected);
 }
 
 #[test]
@@ -99,7 +103,7 @@
         ],
     );
     reply.internal_error(3, "no");
-    let want = hex("00000072 0000000a 00000001
+    let expected = hex("00000072 0000000a 00000001
          000e 00000004 00000003
          0007 00000006 0000 0075 0029
          0003 00000009 0075 0002 01 3f800000
@@ -110,18 +114,18 @@
          000b 00000000
          000e 00000004 00000003
          0006 00000004 0002 6e6f");
-    assert_eq!(reply.into_bytes(1), want);
+    assert_eq!(reply.into_bytes(1), expected);
 }
 
 #[test]
-fn a_sheet_slot_is_read_as_it_stands_at_the_event() {
+fn a_list_event_uses_the_present_content_of_its_slot() {
     let sheet = |last: &str| {
         format!(
             "000f 00000021 00000000 00000001 0000 0000000000000000 0000 00 0a124a{last} 232b 0000 3f800000"
         )
     };
     let list = "0002 00000009 01 00000029 00000000";
-    let text = frame(&[TO_3, &sheet("07"), list, &sheet("08"), list]);
+    let text = frame(&[TARGET_3, &sheet("07"), list, &sheet("08"), list]);
     let lists: Vec<u8> = decode(&text)
         .unwrap()
         .records
@@ -137,9 +141,9 @@
 }
 
 #[test]
-fn every_other_event_is_read() {
+fn every_other_event_is_decoded() {
     let text = frame(&[
-        TO_3,
+        TARGET_3,
         "0002 00000009 03 00000029 0000000f",
         "0004 00000011 0a124a07 232b 000e 00000010 01 3f800000",
         "0005 00000008 00000001 0002 6869",
@@ -167,7 +171,7 @@
 }
 
 #[test]
-fn malformed_batches_are_named() {
+fn malformed_batches_yield_errors_with_the_location() {
     let message = |text: &str| decode(text).unwrap_err().to_string();
     assert_eq!(
         message("00000000 0000000b 0000000000805c5a 000000"),
@@ -175,15 +179,15 @@
     );
     assert_eq!(message("00000000 0000000c 0000000000805c5a"), "batch cut short: 8 bytes of 12 came");
     assert_eq!(
-        message(&frame(&[TO_3, "0003 00000009 000000000000004d"])),
+        message(&frame(&[TARGET_3, "0003 00000009 000000000000004d"])),
         "batch 1, record 1 (code 3): its length reaches past the end"
     );
     assert_eq!(
-        message(&frame(&[TO_3, "0003 00000004 0000004d"])),
+        message(&frame(&[TARGET_3, "0003 00000004 0000004d"])),
         "batch 1, record 1 (code 3): nonce reaches past the end"
     );
     assert_eq!(
-        message(&frame(&[TO_3, "0008 00000004 00290000"])),
+        message(&frame(&[TARGET_3, "0008 00000004 00290000"])),
         "batch 1, record 1 (code 8): 2 bytes after the last field"
     );
     assert_eq!(message(&frame(&["0063 00000000"])), "batch 1, record 0: unknown code 99");
@@ -192,11 +196,11 @@
         "batch 1, record 0 (code 8): no target_instance before it"
     );
     assert_eq!(
-        message(&frame(&[TO_3, "0002 00000009 01 00000029 00000005"])),
+        message(&frame(&[TARGET_3, "0002 00000009 01 00000029 00000005"])),
         "batch 1, record 1: backends_changed names sheet 5, which never came"
     );
     assert_eq!(
-        message(&frame(&[TO_3, "0002 00000009 07 00000029 00000005"])),
+        message(&frame(&[TARGET_3, "0002 00000009 07 00000029 00000005"])),
         "batch 1, record 1 (code 2): how has the unknown value 7"
     );
     assert_eq!(
@@ -223,7 +227,7 @@
 }
 
 #[test]
-fn settings_pass_over_unknown_keys() {
+fn unknown_settings_keys_are_ignored() {
     let set = parse_settings(settings_json().as_bytes()).unwrap();
     assert_eq!(
         (set.zone_count, set.local_zone, set.admission_mode, set.max_messages),
@@ -236,10 +240,15 @@
 }
 
 #[test]
-fn settings_that_lack_a_key_or_are_no_json_are_named() {
-    let lacking = settings_json().replace("\"coldUs\": 18000000,", "");
-    assert!(parse_settings(lacking.as_bytes()).unwrap_err().to_string().contains("missing field `coldUs`"));
+fn settings_with_a_missing_key_or_invalid_json_yield_errors() {
+    let without_cold_us = settings_json().replace("\"coldUs\": 18000000,", "");
+    assert!(
+        parse_settings(without_cold_us.as_bytes())
+            .unwrap_err()
+            .to_string()
+            .contains("missing field `coldUs`")
+    );
     let record = "0001 0000000e 0000000000000001 00000002 7b5d";
-    let error = decode(&frame(&[TO_3, record])).unwrap_err().to_string();
+    let error = decode(&frame(&[TARGET_3, record])).unwrap_err().to_string();
     assert!(error.starts_with("settings of instance 3: "), "{error}");
 }
