--- a/crates/stepspur-simulation/examples/day.rs
+++ b/crates/stepspur-simulation/examples/day.rs
@@ -1,4 +1,5 @@
-//! Plays scenario files in virtual time: `cargo run --release -p stepspur-simulation --example day -- rehearsals/*.toml`.
+//! Simulates scenario files in virtual time:
+//! `cargo run --release -p stepspur-simulation --example day -- rehearsals/*.toml`.
 
 use std::path::PathBuf;
 
--- a/crates/stepspur-simulation/src/experiment.rs
+++ b/crates/stepspur-simulation/src/experiment.rs
@@ -1,9 +1,8 @@
-//! Experiments: arms played on the same seeds, paired differences with intervals, results that survive an
-//! interruption.
+//! Experiments: several arms run on the same seeds, with confidence intervals of the paired differences.
 //!
-//! Arms share seeds, so the traffic, the servers' speeds and the faults' targets of a pair are the same (common
-//! random numbers) and only the arm differs. Results are appended to a file of JSON lines and written through
-//! before they count; a run whose key stands there is not played again.
+//! Arms share seeds, so the traffic, the servers' speeds and the targets of faults are the same in a pair
+//! (common random numbers) and only the arm differs. Each result is appended to a JSON lines file and synced
+//! before it counts, so an interrupted experiment resumes: a run whose key is in the file is not repeated.
 
 use std::collections::BTreeMap;
 use std::fs::{File, OpenOptions};
@@ -22,50 +21,51 @@
 use crate::baseline::Baseline;
 use crate::world::{Options, run};
 
-/// An experiment's file.
+/// The definition of an experiment, as read from its TOML file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// Its name.
+    /// Name of the experiment, for reports.
     pub name: String,
-    /// What it asks, for people.
+    /// The question that it answers, for readers.
     #[serde(default)]
     pub about: String,
-    /// The scenario, beside this file.
+    /// Path of the scenario file, relative to the experiment file.
     pub scenario: PathBuf,
-    /// Seeds from here on.
+    /// The first seed; runs use consecutive seeds from here on.
     #[serde(default = "one")]
     pub first_seed: u64,
-    /// Seeds played at least, before the intervals are looked at.
+    /// Smallest number of seeds, run before the intervals are checked for the first time.
     #[serde(default = "eight")]
     pub least: u64,
-    /// Seeds played at most.
+    /// Largest number of seeds.
     #[serde(default = "forty")]
     pub most: u64,
-    /// It stops when the interval of each difference is as narrow as this to either side; 0: never early.
+    /// The experiment stops early once the half-width of each difference's interval is at most this; 0
+    /// disables early stopping.
     #[serde(default)]
     pub narrow: f64,
-    /// The arms; the first is what the others are compared with.
+    /// The arms; the first is the reference of all comparisons.
     #[serde(rename = "arm")]
     pub arms: Vec<Arm>,
 }
 
-/// An arm.
+/// One arm of an experiment: a variant of the scenario, the conductor settings or both.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Arm {
-    /// Its name.
+    /// Name of the arm; unique in the experiment.
     pub name: String,
-    /// Settings of the conductor over the scenario's.
+    /// Conductor settings that override those of the scenario.
     #[serde(default)]
     pub conductor: toml::Table,
-    /// Conductors.
+    /// Number of conductors, from 1 to 100; default 1.
     #[serde(default = "one_conductor")]
     pub conductors: usize,
-    /// In place of conductors.
+    /// Replaces the conductors by a baseline; `None` runs conductors.
     #[serde(default)]
     pub baseline: Option<Baseline>,
-    /// Keys of the scenario in place of its own, as `servers` or `rate`.
+    /// Scenario keys that override its own, for example `servers` or `rate`.
     #[serde(default)]
     pub scenario: toml::Table,
 }
@@ -89,164 +89,172 @@
     /// A file cannot be read or written.
     #[error("{path}: {cause}")]
     Io {
-        /// Its path.
+        /// Path of the file.
         path: String,
-        /// Why.
+        /// The error of the operating system.
         cause: std::io::Error,
     },
-    /// The file is no experiment; the text names the line.
+    /// The experiment file cannot be parsed.
     #[error("{path}: {cause}")]
     Parse {
-        /// Its path.
+        /// Path of the file.
         path: String,
-        /// Why, with the line.
+        /// The parse error, with its line.
         cause: Box<toml::de::Error>,
     },
-    /// Values that make no experiment.
+    /// The experiment file has invalid values.
     #[error("{path}: {what}")]
     Fault {
-        /// Its path.
+        /// Path of the file.
         path: String,
-        /// What is wrong.
+        /// The key and what is wrong with it.
         what: String,
     },
-    /// An arm's scenario is none.
+    /// The scenario of an arm is invalid.
     #[error("arm `{arm}`: {cause}")]
     Scenario {
-        /// The arm.
+        /// Name of the arm.
         arm: String,
-        /// Why.
+        /// The error of the scenario.
         cause: ScenarioError,
     },
-    /// The file of results holds a line that is none.
-    #[error("{path}: line {line}: {cause}; take it out or begin a new file")]
+    /// A line of the results file cannot be parsed.
+    #[error("{path}: line {line}: {cause}; remove the line or use a new results file")]
     Results {
-        /// Its path.
+        /// Path of the file.
         path: String,
-        /// The line, from 1.
+        /// Number of the line, from 1.
         line: usize,
-        /// Why.
+        /// The parse error.
         cause: serde_json::Error,
     },
 }
 
-/// A run that is finished.
+/// A finished run, as one line of the results file.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 pub struct Finished {
-    /// Of the scenario, the arm and this program's version: another key is another run.
+    /// Digest of the scenario, the arm and this program's version; it identifies results that can be reused.
     pub key: String,
-    /// The arm.
+    /// Name of the arm.
     pub arm: String,
-    /// The seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// What came of it; none: it crashed, and is never averaged away.
+    /// The measured values; `None` if the run crashed. Crashed runs are reported and excluded from averages.
     pub result: Option<Measured>,
 }
 
-/// What is kept of a run.
+/// The measured values of a run.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 pub struct Measured {
-    /// Worth answered over worth asked for.
+    /// Service score, see [`crate::Outcome::service`].
     pub service: f64,
-    /// The 99th percentile of answers, milliseconds, by class.
+    /// 99th percentile of the response time in milliseconds, by class.
     pub p99_ms: Vec<f64>,
-    /// The share of requests lost, over all classes.
+    /// Share of requests refused or failed, over all classes, from 0 to 1.
     pub lost: f64,
-    /// Rules that were broken.
+    /// Number of rule violations.
     pub broken: usize,
-    /// Servers that fell over.
+    /// Number of servers that collapsed under load.
     pub fallen: usize,
-    /// Orders that proxies read: the cost of the channel.
+    /// Number of orders that proxies have read, a measure of the channel's cost.
     pub orders: u64,
 }
 
-/// An estimate with its 95% intervals.
+/// An estimated mean with two 95% confidence intervals.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Estimate {
-    /// The mean.
+    /// Sample mean.
     pub mean: f64,
-    /// By Student's t: half its width.
+    /// Half-width of the interval by Student's t distribution.
     pub t_half: f64,
-    /// By the bootstrap's percentiles.
+    /// Ends of the percentile bootstrap interval.
     pub bootstrap: [f64; 2],
 }
 
-/// How an arm fared.
+/// The aggregated results of an arm.
 #[derive(Clone, Debug, Serialize)]
 pub struct ArmResult {
-    /// The arm.
+    /// Name of the arm.
     pub name: String,
-    /// Runs that count.
+    /// Number of finished runs, without crashed ones.
     pub runs: usize,
-    /// Seeds at which it crashed.
+    /// Seeds of the crashed runs.
     pub crashed: Vec<u64>,
-    /// Service.
+    /// Service score; `None` with fewer than two runs.
     pub service: Option<Estimate>,
-    /// Service less that of the first arm on the same seeds.
+    /// Service score minus that of the first arm on the same seeds; `None` for the first arm, and with fewer
+    /// than two pairs.
     pub difference: Option<Estimate>,
-    /// Mean share of requests lost.
+    /// Mean share of requests refused or failed.
     pub lost: f64,
-    /// Mean of the worst class's 99th percentile, milliseconds.
+    /// Mean over the runs of the largest 99th percentile of any class, in milliseconds.
     pub p99_ms: f64,
-    /// Mean orders of a run.
+    /// Mean number of orders per run.
     pub orders: f64,
-    /// Runs in which a rule was broken.
+    /// Number of runs with at least one rule violation.
     pub broken: usize,
-    /// Servers that fell over, in all.
+    /// Number of collapsed servers, summed over the runs.
     pub fallen: usize,
 }
 
-/// Resamples of the bootstrap.
-const RESAMPLES: usize = 2000;
+/// Number of bootstrap resamples.
+const BOOTSTRAP_RESAMPLES: usize = 2000;
 
-/// The mean with its intervals; none of fewer than two values.
+/// Returns the mean of the values with its intervals; `None` for fewer than two values.
 pub fn estimate(values: &[f64]) -> Option<Estimate> {
-    let many = values.len();
-    if many < 2 {
+    let count = values.len();
+    if count < 2 {
         return None;
     }
-    let mean = values.iter().sum::<f64>() / many as f64;
-    let square: f64 = values.iter().map(|v| (v - mean).powi(2)).sum();
-    let error = (square / (many - 1) as f64 / many as f64).sqrt();
-    let t = StudentsT::new(0.0, 1.0, (many - 1) as f64).ok()?;
-    let mut rng = ChaCha8Rng::seed_from_u64(many as u64);
-    let mut means: Vec<f64> = (0..RESAMPLES)
-        .map(|_| (0..many).map(|_| values[rng.random_range(0..many)]).sum::<f64>() / many as f64)
+    let mean = values.iter().sum::<f64>() / count as f64;
+    let squared_deviations: f64 = values.iter().map(|v| (v - mean).powi(2)).sum();
+    let std_error = (squared_deviations / (count - 1) as f64 / count as f64).sqrt();
+    let t = StudentsT::new(0.0, 1.0, (count - 1) as f64).ok()?;
+    let mut rng = ChaCha8Rng::seed_from_u64(count as u64);
+    let mut means: Vec<f64> = (0..BOOTSTRAP_RESAMPLES)
+        .map(|_| (0..count).map(|_| values[rng.random_range(0..count)]).sum::<f64>() / count as f64)
         .collect();
     means.sort_by(f64::total_cmp);
-    let at = |share: f64| means[(share * (RESAMPLES - 1) as f64).round() as usize];
-    Some(Estimate { mean, t_half: t.inverse_cdf(0.975) * error, bootstrap: [at(0.025), at(0.975)] })
+    let at = |share: f64| means[(share * (BOOTSTRAP_RESAMPLES - 1) as f64).round() as usize];
+    Some(Estimate { mean, t_half: t.inverse_cdf(0.975) * std_error, bootstrap: [at(0.025), at(0.975)] })
 }
 
-/// An experiment made ready.
+/// An experiment that is ready to run, with the results that are already finished.
 #[derive(Debug)]
 pub struct Lab {
     experiment: Experiment,
+    /// Scenarios by arm.
     scenarios: Vec<Scenario>,
+    /// Keys of the results by arm, see [`Finished::key`].
     keys: Vec<String>,
+    /// Path of the results file.
     results: PathBuf,
     file: Mutex<File>,
+    /// Finished runs by arm and seed.
     finished: Mutex<BTreeMap<(usize, u64), Finished>>,
 }
 
+/// Returns a function that wraps an I/O error with the path of its file.
 fn io(path: &Path) -> impl FnOnce(std::io::Error) -> ExperimentError + '_ {
     move |cause| ExperimentError::Io { path: path.display().to_string(), cause }
 }
 
-fn lay_over(table: &mut toml::Table, over: &toml::Table) {
+/// Overrides the values of a table, recursively in nested tables.
+fn override_table(table: &mut toml::Table, over: &toml::Table) {
     for (key, value) in over {
         match (table.get_mut(key), value) {
-            (Some(toml::Value::Table(below)), toml::Value::Table(above)) => lay_over(below, above),
+            (Some(toml::Value::Table(base)), toml::Value::Table(over)) => override_table(base, over),
             _ => _ = table.insert(key.clone(), value.clone()),
         }
     }
 }
 
 impl Lab {
-    /// Reads an experiment, and what of it is finished already from `results`.
+    /// Reads an experiment, and its finished runs from the file `results`.
     ///
     /// # Errors
-    /// See [`ExperimentError`]. A last line that was torn by an interruption is taken out; any other is refused.
+    /// See [`ExperimentError`]. An incomplete last line, left by an interruption, is removed; any other
+    /// invalid line is an error.
     pub fn open(path: &Path, results: &Path) -> Result<Self, ExperimentError> {
         let name = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(io(path))?;
@@ -254,29 +262,29 @@
             .map_err(|cause| ExperimentError::Parse { path: name.clone(), cause: Box::new(cause) })?;
         let fault = |what: &str| Err(ExperimentError::Fault { path: name.clone(), what: what.to_owned() });
         if experiment.arms.is_empty() {
-            return fault("arm: one at least");
+            return fault("arm: at least one arm is required");
         }
         if experiment.least < 2 || experiment.least > experiment.most || experiment.most > 10_000 {
-            return fault("least: 2 at least, not above `most`; most: 10000 at most");
+            return fault("least: must be at least 2 and at most `most`; most: must be at most 10000");
         }
-        let beside = path.parent().unwrap_or(Path::new("")).join(&experiment.scenario);
-        let base = std::fs::read_to_string(&beside).map_err(io(&beside))?;
+        let scenario_path = path.parent().unwrap_or(Path::new("")).join(&experiment.scenario);
+        let base = std::fs::read_to_string(&scenario_path).map_err(io(&scenario_path))?;
         let (mut scenarios, mut keys) = (Vec::new(), Vec::new());
         for (k, arm) in experiment.arms.iter().enumerate() {
             if experiment.arms[..k].iter().any(|other| other.name == arm.name) {
-                return fault(&format!("arm `{}` stands twice", arm.name));
+                return fault(&format!("arm `{}` is defined twice", arm.name));
             }
             if !(1..=100).contains(&arm.conductors) {
-                return fault(&format!("arm `{}`: conductors: 1 to 100", arm.name));
+                return fault(&format!("arm `{}`: conductors: must be between 1 and 100", arm.name));
             }
             let failed = |cause| ExperimentError::Scenario { arm: arm.name.clone(), cause };
-            // The scenario is read as it is first, so that its own mistakes are told with their lines.
-            Scenario::parse(&beside.display().to_string(), &base).map_err(failed)?;
+            // The unchanged scenario is parsed first, so that its own errors are reported with their lines.
+            Scenario::parse(&scenario_path.display().to_string(), &base).map_err(failed)?;
             let mut table: toml::Table = toml::from_str(&base)
                 .map_err(|cause| ExperimentError::Parse { path: name.clone(), cause: Box::new(cause) })?;
-            lay_over(&mut table, &arm.scenario);
+            override_table(&mut table, &arm.scenario);
             let over = BTreeMap::from([("conductor".to_owned(), arm.conductor.clone())]);
-            lay_over(&mut table, &over.into_iter().map(|(k, v)| (k, toml::Value::Table(v))).collect());
+            override_table(&mut table, &over.into_iter().map(|(k, v)| (k, toml::Value::Table(v))).collect());
             let scenario: Scenario =
                 table.clone().try_into().map_err(|cause: toml::de::Error| ExperimentError::Fault {
                     path: name.clone(),
@@ -294,50 +302,51 @@
         Ok(Self { experiment, scenarios, keys, results: results.to_owned(), file, finished })
     }
 
-    /// The experiment.
+    /// Returns the definition of the experiment.
     pub fn experiment(&self) -> &Experiment {
         &self.experiment
     }
 
-    /// Runs that are finished.
+    /// Returns the number of finished runs.
     pub fn finished(&self) -> usize {
         lock(&self.finished).len()
     }
 
-    /// Plays until the intervals are narrow enough or all seeds are played, on so many threads; `told` hears of
-    /// each finished run.
+    /// Runs the experiment on this many threads until the intervals are narrow enough or all seeds are done.
+    /// Calls `on_finished` after each run. The number of seeds grows by a quarter from check to check.
     ///
     /// # Errors
     /// [`ExperimentError::Io`] where results cannot be written.
     pub fn play(
         &self,
         threads: usize,
-        told: &(dyn Fn(&Finished) + Sync),
+        on_finished: &(dyn Fn(&Finished) + Sync),
     ) -> Result<Vec<ArmResult>, ExperimentError> {
         let experiment = &self.experiment;
         let mut seeds = experiment.least;
         loop {
-            self.round(experiment.first_seed..experiment.first_seed + seeds, threads, told)?;
+            self.round(experiment.first_seed..experiment.first_seed + seeds, threads, on_finished)?;
             let results = self.results();
-            let wide = |r: &ArmResult| r.difference.is_none_or(|d| d.t_half > experiment.narrow);
-            let goes_on = experiment.narrow <= 0.0 || results.iter().skip(1).any(wide);
-            if !goes_on || seeds >= experiment.most {
+            let is_wide = |r: &ArmResult| r.difference.is_none_or(|d| d.t_half > experiment.narrow);
+            let must_continue = experiment.narrow <= 0.0 || results.iter().skip(1).any(is_wide);
+            if !must_continue || seeds >= experiment.most {
                 return Ok(results);
             }
             seeds = (seeds + seeds.div_ceil(4)).min(experiment.most);
         }
     }
 
+    /// Runs all arms on these seeds, without the runs that are already finished.
     fn round(
         &self,
         seeds: std::ops::Range<u64>,
         threads: usize,
-        told: &(dyn Fn(&Finished) + Sync),
+        on_finished: &(dyn Fn(&Finished) + Sync),
     ) -> Result<(), ExperimentError> {
-        // Seed by seed, so that an interruption leaves whole pairs.
+        // Ordered by seed, so that an interruption leaves complete pairs.
         let all: Vec<(usize, u64)> =
             seeds.flat_map(|s| (0..self.scenarios.len()).map(move |a| (a, s))).collect();
-        let left: Vec<_> = {
+        let remaining: Vec<_> = {
             let finished = lock(&self.finished);
             all.into_iter().filter(|run| !finished.contains_key(run)).collect()
         };
@@ -345,13 +354,14 @@
         std::thread::scope(|scope| {
             for _ in 0..threads.max(1) {
                 scope.spawn(|| {
-                    while let Some((arm, seed)) = left.get(next.fetch_add(1, Ordering::Relaxed)).copied() {
-                        let finished = self.one(arm, seed);
-                        if let Err(error) = self.keep(arm, &finished) {
+                    while let Some((arm, seed)) = remaining.get(next.fetch_add(1, Ordering::Relaxed)).copied()
+                    {
+                        let finished = self.run_one(arm, seed);
+                        if let Err(error) = self.record(arm, &finished) {
                             *lock(&failed) = Some(error);
                             return;
                         }
-                        told(&finished);
+                        on_finished(&finished);
                     }
                 });
             }
@@ -359,12 +369,17 @@
         lock(&failed).take().map_or(Ok(()), Err)
     }
 
-    fn one(&self, arm: usize, seed: u64) -> Finished {
-        let made = &self.experiment.arms[arm];
-        let options = Options { conductors: made.conductors, baseline: made.baseline, ..Options::default() };
+    /// Simulates one run; a panic counts as a crash.
+    fn run_one(&self, arm: usize, seed: u64) -> Finished {
+        let definition = &self.experiment.arms[arm];
+        let options = Options {
+            conductors: definition.conductors,
+            baseline: definition.baseline,
+            ..Options::default()
+        };
         let scenario = Scenario { seed, ..self.scenarios[arm].clone() };
         let result = catch_unwind(AssertUnwindSafe(|| {
-            let plan = scenario.plan(&made.name).ok()?;
+            let plan = scenario.plan(&definition.name).ok()?;
             let outcome = run(&plan, &options);
             let lost: u64 = outcome.classes.iter().map(|t| t.refused + t.failed).sum();
             Some(Measured {
@@ -377,10 +392,11 @@
             })
         }));
         let result = result.ok().flatten();
-        Finished { key: self.keys[arm].clone(), arm: made.name.clone(), seed, result }
+        Finished { key: self.keys[arm].clone(), arm: definition.name.clone(), seed, result }
     }
 
-    fn keep(&self, arm: usize, finished: &Finished) -> Result<(), ExperimentError> {
+    /// Appends a finished run to the results file and syncs it.
+    fn record(&self, arm: usize, finished: &Finished) -> Result<(), ExperimentError> {
         let line = serde_json::to_string(finished).unwrap_or_default() + "\n";
         let mut file = lock(&self.file);
         file.write_all(line.as_bytes()).and_then(|()| file.sync_data()).map_err(io(&self.results))?;
@@ -388,7 +404,7 @@
         Ok(())
     }
 
-    /// How the arms fared, by all that is finished.
+    /// Returns the results of the arms over all finished runs.
     pub fn results(&self) -> Vec<ArmResult> {
         let finished = lock(&self.finished);
         let of = |arm: usize| -> BTreeMap<u64, &Measured> {
@@ -425,7 +441,7 @@
     mutex.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
-/// What a run's key says of its scenario and arm.
+/// Returns the first 16 bytes of the SHA-256 hash of a text, in hexadecimal.
 fn digest(text: &str) -> String {
     let hash = sha2::Sha256::digest(text.as_bytes());
     hash.iter().take(16).map(|byte| format!("{byte:02x}")).collect()
@@ -433,6 +449,8 @@
 
 use sha2::Digest;
 
+/// Reads the results file and returns the runs whose keys belong to the present arms. Truncates an incomplete
+/// last line.
 fn read_results(path: &Path, keys: &[String]) -> Result<BTreeMap<(usize, u64), Finished>, ExperimentError> {
     let mut finished = BTreeMap::new();
     let file = match File::open(path) {
@@ -441,24 +459,25 @@
         Err(cause) => return Err(io(path)(cause)),
     };
     let mut reader = BufReader::new(file);
-    let (mut line, mut number, mut whole) = (String::new(), 0, 0u64);
+    let (mut line, mut line_number, mut complete_len) = (String::new(), 0, 0u64);
     loop {
         line.clear();
         let read = reader.read_line(&mut line).map_err(io(path))?;
         if read == 0 {
             return Ok(finished);
         }
-        number += 1;
+        line_number += 1;
         if !line.ends_with('\n') {
-            // Torn by an interruption: it did not count, and what follows must begin on a line of its own.
+            // The run of an incomplete line did not count, and the next result must begin on a line of its
+            // own.
             let file = OpenOptions::new().write(true).open(path).map_err(io(path))?;
-            file.set_len(whole).map_err(io(path))?;
+            file.set_len(complete_len).map_err(io(path))?;
             return Ok(finished);
         }
-        whole += read as u64;
+        complete_len += read as u64;
         let run: Finished = serde_json::from_str(&line).map_err(|cause| ExperimentError::Results {
             path: path.display().to_string(),
-            line: number,
+            line: line_number,
             cause,
         })?;
         if let Some(arm) = keys.iter().position(|key| *key == run.key) {
--- a/crates/stepspur-simulation/src/lib.rs
+++ b/crates/stepspur-simulation/src/lib.rs
@@ -1,9 +1,9 @@
-//! The whole fleet in virtual time.
+//! A deterministic discrete-event simulation of a whole fleet in virtual time.
 //!
-//! [`world::run`] plays a [`stepspur_emulator::plan::Plan`], as scenarios and bench days are made into, through
-//! the real [`stepspur_conductor::engine::Engine`] with the real decision module inside; servers and proxies are
-//! those of `stepspur-model`, which the rehearsal's stand-ins run behind sockets. No socket, no clock, one thread
-//! a run: the same plan gives the same outcome to the byte.
+//! [`world::run`] simulates a [`stepspur_emulator::plan::Plan`], which is built from a scenario or a trace,
+//! with the real [`stepspur_conductor::engine::Engine`] and the real decision module inside it. Servers and
+//! proxies are the models of `stepspur-model`, which the emulator runs behind sockets. A run uses no socket,
+//! no clock and one thread, so the same plan gives byte-identical results.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/stepspur-simulation/src/queue.rs
+++ b/crates/stepspur-simulation/src/queue.rs
@@ -1,4 +1,4 @@
-//! What is due, in the order of its time; at the same time, in the order in which it was put.
+//! The event queue: events in the order of their times, and FIFO at the same time.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -6,57 +6,57 @@
 use stepspur_model::Micros;
 
 #[derive(Debug)]
-struct Item<T> {
+struct Entry<T> {
     at: Micros,
-    put: u64,
-    what: T,
+    sequence: u64,
+    event: T,
 }
 
-impl<T> PartialEq for Item<T> {
+impl<T> PartialEq for Entry<T> {
     fn eq(&self, other: &Self) -> bool {
-        (self.at, self.put) == (other.at, other.put)
+        (self.at, self.sequence) == (other.at, other.sequence)
     }
 }
-impl<T> Eq for Item<T> {}
-impl<T> PartialOrd for Item<T> {
+impl<T> Eq for Entry<T> {}
+impl<T> PartialOrd for Entry<T> {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
-impl<T> Ord for Item<T> {
-    /// The earliest is the greatest, as the heap gives that first.
+impl<T> Ord for Entry<T> {
+    /// Reversed, since `BinaryHeap` returns the greatest entry first: the earliest entry is the greatest.
     fn cmp(&self, other: &Self) -> Ordering {
-        (other.at, other.put).cmp(&(self.at, self.put))
+        (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
 }
 
-/// A queue of things due.
+/// A priority queue of events by time.
 #[derive(Debug)]
 pub struct Queue<T> {
-    heap: BinaryHeap<Item<T>>,
-    put: u64,
+    heap: BinaryHeap<Entry<T>>,
+    sequence: u64,
 }
 
 impl<T> Default for Queue<T> {
     fn default() -> Self {
-        Self { heap: BinaryHeap::new(), put: 0 }
+        Self { heap: BinaryHeap::new(), sequence: 0 }
     }
 }
 
 impl<T> Queue<T> {
-    /// Puts something due at a time.
-    pub fn put(&mut self, at: Micros, what: T) {
-        self.put += 1;
-        self.heap.push(Item { at, put: self.put, what });
+    /// Adds an event that is due at `at`.
+    pub fn push(&mut self, at: Micros, event: T) {
+        self.sequence += 1;
+        self.heap.push(Entry { at, sequence: self.sequence, event });
     }
 
-    /// The next thing due, and its time.
-    pub fn take(&mut self) -> Option<(Micros, T)> {
-        self.heap.pop().map(|item| (item.at, item.what))
+    /// Removes and returns the next event with its time; `None` if the queue is empty.
+    pub fn pop(&mut self) -> Option<(Micros, T)> {
+        self.heap.pop().map(|entry| (entry.at, entry.event))
     }
 
-    /// Things put since the beginning.
+    /// Returns the number of events added since the beginning.
     pub fn count(&self) -> u64 {
-        self.put
+        self.sequence
     }
 }
--- a/crates/stepspur-simulation/src/world/attempts.rs
+++ b/crates/stepspur-simulation/src/world/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts of proxies at servers: connections, arrival, work and the answer's way back.
+//! Attempts of proxies at servers: connections, arrival at the server, and results.
 
 use std::net::SocketAddr;
 
@@ -13,151 +13,154 @@
 use super::state::Attempt;
 use super::{World, address, micros};
 
-/// Idle connections that a proxy keeps to a server.
-const IDLE_CONNECTIONS_MAX: usize = 16;
-/// A connection that does not stand after so long, in microseconds, has failed.
+/// Largest number of idle connections that a proxy holds open to one server.
+const MAX_IDLE_CONNECTIONS: usize = 16;
+/// Connect timeout of a proxy, in microseconds.
 const CONNECT_TIMEOUT: Micros = 300_000;
-/// Requests that a group of servers remembers at most.
-const REMEMBERED_MAX: usize = 1_000_000;
+/// Largest number of requests that a group of servers remembers for deduplication.
+const MAX_REMEMBERED_REQUESTS: usize = 1_000_000;
 
-/// An attempt that a server is to take in.
-struct Arriving {
+/// An attempt at the moment it arrives at its server.
+struct ArrivingAttempt {
     id: AttemptId,
     server: usize,
     /// The request, the client's try and the attempt in it.
     request: (RequestId, u32, u32),
     class: usize,
     proxy: usize,
-    /// The work of the request, and its key.
+    /// The work of the request in microseconds, and its key.
     work: f64,
     key: Option<u64>,
     conn: Option<Conn>,
-    /// The work of opening the connection, and what it costs beyond that now.
-    opening: f64,
-    opening_extra: f64,
+    /// Handshake work in microseconds, 0 on a used connection, and the extra work that a fault adds to it.
+    handshake_work: f64,
+    extra_handshake_work: f64,
 }
 
 impl World {
-    /// A proxy sends a request to a server.
+    /// Sends an attempt from a proxy to a server, on an idle connection or a new one.
     pub(super) fn start_attempt(&mut self, request_id: u64, to: SocketAddr, until: Micros) {
         let Some(request) = self.requests.get_mut(&request_id) else { return };
         request.serial += 1;
         let (id, proxy) = (AttemptId { request: request_id, serial: request.serial }, request.drawn.proxy);
         let Some(server) = self.server_at(to) else {
-            // A ghost: nobody listens there.
+            // The server list named a server that does not exist; the connection is refused.
             return self.never_ran(id, 2 * self.options.near);
         };
-        let life = self.servers[server].life;
-        let conn = self.idle_connection(proxy, server, life);
-        let way = self.way(self.proxies[proxy].zone, self.plan.servers[server].zone);
+        let incarnation = self.servers[server].incarnation;
+        let conn = self.idle_connection(proxy, server, incarnation);
+        let delay = self.delay(self.proxies[proxy].zone, self.plan.servers[server].zone);
         if let Some(request) = self.requests.get_mut(&request_id) {
-            request.attempt = Some(Attempt { server, life, conn, job: None });
+            request.attempt = Some(Attempt { server, incarnation, conn, job: None });
         }
-        self.schedule.put(until, Scheduled::GiveUp(id));
-        let slow = self.servers[server].handshakes.1;
-        match (way, conn) {
-            // Over a cut link, or to a machine that has gone, nothing comes back: dials fail, the rest hangs.
+        self.schedule.push(until, Scheduled::AttemptTimeout(id));
+        let extra_handshake_time = self.servers[server].handshake_slowdown.1;
+        match (delay, conn) {
+            // A cut link or a machine that is down returns nothing: a connect times out, and a request on an
+            // open connection stays without a response.
             (None, None) => self.never_ran(id, CONNECT_TIMEOUT),
-            (Some(_), None) if self.servers[server].silent => self.never_ran(id, CONNECT_TIMEOUT),
+            (Some(_), None) if self.servers[server].unresponsive => self.never_ran(id, CONNECT_TIMEOUT),
             (None, Some(_)) => {}
-            (Some(way), Some(_)) => self.schedule.put(self.now + way, Scheduled::AttemptArrives(id)),
-            // A dial goes there and back first; one that takes too long is none.
-            (Some(way), None) if 2 * way > CONNECT_TIMEOUT => self.never_ran(id, CONNECT_TIMEOUT),
-            (Some(way), None) => {
-                self.schedule.put(self.now + 3 * way + slow, Scheduled::AttemptArrives(id));
+            (Some(delay), Some(_)) => self.schedule.push(self.now + delay, Scheduled::AttemptArrives(id)),
+            // A new connection takes one round trip before the request; above the timeout, the connect fails.
+            (Some(delay), None) if 2 * delay > CONNECT_TIMEOUT => self.never_ran(id, CONNECT_TIMEOUT),
+            (Some(delay), None) => {
+                self.schedule
+                    .push(self.now + 3 * delay + extra_handshake_time, Scheduled::AttemptArrives(id));
             }
         }
     }
 
-    /// An attempt fails before its server has it.
+    /// Ends an attempt that never reached its server, after the given time in microseconds.
     fn never_ran(&mut self, id: AttemptId, after: Micros) {
-        self.schedule.put(self.now + after, Scheduled::AttemptEnds(id, Tried::NeverRan));
+        self.schedule.push(self.now + after, Scheduled::AttemptEnds(id, Tried::NeverRan));
     }
 
-    /// An idle connection that still stands.
-    fn idle_connection(&mut self, proxy: usize, server: usize, life: u64) -> Option<Conn> {
-        let kept = self.proxies[proxy].idle.get_mut(&server)?;
-        while let Some((of_life, conn)) = kept.pop() {
-            if of_life == life && self.servers[server].model.is_open(conn) {
+    /// Takes an idle connection to a server that is still open, the most recently used first.
+    fn idle_connection(&mut self, proxy: usize, server: usize, incarnation: u64) -> Option<Conn> {
+        let idle = self.proxies[proxy].idle.get_mut(&server)?;
+        while let Some((of_incarnation, conn)) = idle.pop() {
+            if of_incarnation == incarnation && self.servers[server].model.is_open(conn) {
                 return Some(conn);
             }
         }
         None
     }
 
-    /// An attempt reaches its server.
+    /// Handles the arrival of an attempt at its server.
     pub(super) fn attempt_arrives(&mut self, id: AttemptId) {
         let Some(server) = self.attempt_server(id) else { return };
-        let back = self.way_back(id, server);
+        let return_delay = self.return_delay(id, server);
         if !self.servers[server].up {
-            // The port is closed; a connection of an earlier life is reset with nothing sent.
-            return self.never_ran(id, back);
+            // The port is closed; a connection to an earlier process is reset before the request is sent.
+            return self.never_ran(id, return_delay);
         }
-        if self.servers[server].silent {
+        if self.servers[server].unresponsive {
             return;
         }
         if !self.connect(id, server) {
-            return self.never_ran(id, back);
+            return self.never_ran(id, return_delay);
         }
-        let Some(arriving) = self.arriving(id, server) else { return };
-        let (came, fell) = self.take_in(&arriving);
-        if fell {
+        let Some(arrival) = self.describe_arrival(id, server) else { return };
+        let (came, collapsed) = self.offer_request(&arrival);
+        if collapsed {
             self.fallen += 1;
-            self.note(Event::Fell { server: address(server) });
+            self.record_event(Event::Fell { server: address(server) });
         }
-        self.note(Event::Arrived(Arrival {
+        self.record_event(Event::Arrived(Arrival {
             server: address(server),
-            proxy: arriving.proxy,
-            request: arriving.request,
-            class: arriving.class,
-            work: arriving.work + arriving.opening + arriving.opening_extra,
+            proxy: arrival.proxy,
+            request: arrival.request,
+            class: arrival.class,
+            work: arrival.work + arrival.handshake_work + arrival.extra_handshake_work,
             came,
         }));
-        if let Some(end) = self.immediate_end(came) {
-            self.schedule.put(self.now + back, Scheduled::AttemptEnds(id, end));
+        if let Some(end) = self.immediate_result(came) {
+            self.schedule.push(self.now + return_delay, Scheduled::AttemptEnds(id, end));
         }
         self.schedule_server(server);
     }
 
-    /// The server of an attempt that is still under way.
+    /// Returns the server of an attempt, if the attempt is still in flight.
     fn attempt_server(&self, id: AttemptId) -> Option<usize> {
         let request = self.requests.get(&id.request).filter(|request| request.serial == id.serial)?;
         Some(request.attempt.as_ref()?.server)
     }
 
-    /// How long a server's word takes to the proxy of an attempt.
-    fn way_back(&self, id: AttemptId, server: usize) -> Micros {
+    /// Returns the one-way delay from a server to the proxy of an attempt, in microseconds, without link
+    /// faults.
+    fn return_delay(&self, id: AttemptId, server: usize) -> Micros {
         let proxy = self.requests[&id.request].drawn.proxy;
-        let is_near = self.proxies[proxy].zone == self.plan.servers[server].zone;
-        if is_near { self.options.near } else { self.options.far }
+        let same_zone = self.proxies[proxy].zone == self.plan.servers[server].zone;
+        if same_zone { self.options.near } else { self.options.far }
     }
 
-    /// True: the attempt has a connection that stands, a new one where it had none.
+    /// Opens a connection for an attempt that has none. Returns false if the server does not accept it.
     fn connect(&mut self, id: AttemptId, server: usize) -> bool {
         let Some(attempt) = self.requests.get_mut(&id.request).and_then(|r| r.attempt.as_mut()) else {
             return false;
         };
         let state = &mut self.servers[server];
-        if attempt.life != state.life {
-            (attempt.life, attempt.conn) = (state.life, None);
+        if attempt.incarnation != state.incarnation {
+            (attempt.incarnation, attempt.conn) = (state.incarnation, None);
         }
         if attempt.conn.is_none_or(|conn| !state.model.is_open(conn)) {
-            let accepted = self.plan.servers[server].spec.connections;
-            let most = (accepted as f64 / state.connections_divide) as usize;
-            let has_room = accepted == 0 || state.model.connections() < most;
-            attempt.conn = if has_room { state.model.connect(self.now) } else { None };
+            let planned_limit = self.plan.servers[server].spec.connections;
+            let connection_limit = (planned_limit as f64 / state.connection_limit_divisor) as usize;
+            let accepts = planned_limit == 0 || state.model.connections() < connection_limit;
+            attempt.conn = if accepts { state.model.connect(self.now) } else { None };
         }
         attempt.conn.is_some()
     }
 
-    fn arriving(&self, id: AttemptId, server: usize) -> Option<Arriving> {
+    fn describe_arrival(&self, id: AttemptId, server: usize) -> Option<ArrivingAttempt> {
         let request = self.requests.get(&id.request)?;
         let attempts = request.serving.as_ref().map_or(0, |serving| serving.attempts().saturating_sub(1));
         let conn = request.attempt.as_ref()?.conn;
         let state = &self.servers[server];
         let is_new = conn.is_some_and(|conn| state.model.is_new(conn));
-        let opening = if is_new { self.plan.servers[server].spec.handshake_work } else { 0.0 };
-        Some(Arriving {
+        let handshake_work = if is_new { self.plan.servers[server].spec.handshake_work } else { 0.0 };
+        Some(ArrivingAttempt {
             id,
             server,
             request: (RequestId(id.request), request.client_try, attempts as u32),
@@ -166,18 +169,21 @@
             work: request.drawn.work,
             key: request.drawn.key,
             conn,
-            opening,
-            opening_extra: opening * (state.handshakes.0 - 1.0),
+            handshake_work,
+            extra_handshake_work: handshake_work * (state.handshake_slowdown.0 - 1.0),
         })
     }
 
-    /// A server takes a request in, or not; true beside it: the server fell over by it.
-    fn take_in(&mut self, arriving: &Arriving) -> (Came, bool) {
-        let Arriving { id, server, class, .. } = *arriving;
+    /// Offers a request to its server, unless the request is a duplicate. Returns the outcome, and true if
+    /// the server collapsed under the request.
+    fn offer_request(&mut self, arrival: &ArrivingAttempt) -> (Came, bool) {
+        let ArrivingAttempt { id, server, class, .. } = *arrival;
         let group = self.memory_group(server, class);
         let window = micros(self.plan.classes[class].window);
         let memory = group.map(|group| {
-            self.memories.entry((class, group)).or_insert_with(|| Memory::new(window, REMEMBERED_MAX))
+            self.memories
+                .entry((class, group))
+                .or_insert_with(|| Memory::new(window, MAX_REMEMBERED_REQUESTS))
         });
         if memory.map(|memory| memory.meet(self.now, id.request)) == Some(true) {
             return (Came::Known, false);
@@ -185,10 +191,10 @@
         self.next_job += 1;
         let job = Job(self.next_job);
         let model = &mut self.servers[server].model;
-        let had_fallen = model.fallen();
-        let work = arriving.work + arriving.opening_extra;
-        let offer = model.offer(self.now, job, Ask { work, key: arriving.key, conn: arriving.conn });
-        let fell = model.fallen() && !had_fallen;
+        let was_collapsed = model.fallen();
+        let work = arrival.work + arrival.extra_handshake_work;
+        let offer = model.offer(self.now, job, Ask { work, key: arrival.key, conn: arrival.conn });
+        let collapsed = model.fallen() && !was_collapsed;
         let came = match offer {
             Offer::Taken => Came::Taken,
             Offer::Full => Came::Full,
@@ -196,29 +202,32 @@
             Offer::Fallen => Came::Fallen,
         };
         if came == Came::Taken {
-            self.keep_job(arriving, job);
+            self.track_job(arrival, job);
         } else if let Some(memory) = group.and_then(|group| self.memories.get_mut(&(class, group))) {
             memory.forget(id.request);
         }
-        (came, fell)
+        (came, collapsed)
     }
 
-    fn keep_job(&mut self, arriving: &Arriving, job: Job) {
-        let request = self.requests.get_mut(&arriving.id.request);
+    /// Remembers an accepted job, for its response and its effect.
+    fn track_job(&mut self, arrival: &ArrivingAttempt, job: Job) {
+        let request = self.requests.get_mut(&arrival.id.request);
         if let Some(attempt) = request.and_then(|request| request.attempt.as_mut()) {
             attempt.job = Some(job);
         }
-        let state = &mut self.servers[arriving.server];
-        state.jobs.insert(job, arriving.id);
-        state.running.insert(job, (arriving.request, arriving.class));
+        let state = &mut self.servers[arrival.server];
+        state.jobs.insert(job, arrival.id);
+        state.running.insert(job, (arrival.request, arrival.class));
     }
 
-    /// The group of servers that remembers keys of a class with a server; none if keys are not remembered.
+    /// Returns the group in which a server deduplicates requests of a class; `None` if the class has no
+    /// idempotency keys.
     fn memory_group(&self, server: usize, class: usize) -> Option<usize> {
         let class = &self.plan.classes[class];
         (class.effect == EffectConfig::IdempotencyKey).then(|| self.group(server, class.group))
     }
 
+    /// Returns the number of a server's group within the fleet, by the scope of the group.
     fn group(&self, server: usize, group: GroupConfig) -> usize {
         match group {
             GroupConfig::All => 0,
@@ -227,7 +236,7 @@
         }
     }
 
-    /// A server's group no longer knows a request of a class.
+    /// Removes a request from the deduplication memory of a server's group, because it did not take effect.
     pub(super) fn forget_request(&mut self, server: usize, class: usize, request: u64) {
         let group = self.group(server, self.plan.classes[class].group);
         if let Some(memory) = self.memories.get_mut(&(class, group)) {
@@ -235,8 +244,8 @@
         }
     }
 
-    /// What an attempt's proxy is told at once; none while its work is under way.
-    fn immediate_end(&self, came: Came) -> Option<Tried> {
+    /// Returns the result that a proxy gets at once; `None` if the server has accepted the request.
+    fn immediate_result(&self, came: Came) -> Option<Tried> {
         match came {
             Came::Known => Some(Tried::Good),
             Came::Full if self.plan.rules.full_may_have_run => Some(Tried::MayHaveRun),
@@ -246,17 +255,21 @@
         }
     }
 
-    /// An attempt's end reaches its proxy.
+    /// Handles the result of an attempt at its proxy. The connection is reused unless the attempt may have
+    /// run.
     pub(super) fn attempt_ended(&mut self, id: AttemptId, end: Tried) {
         let request = self.requests.get_mut(&id.request);
         let Some(request) = request.filter(|request| request.serial == id.serial) else { return };
         let proxy = &mut self.proxies[request.drawn.proxy];
-        if let Some(Attempt { server, life, conn: Some(conn), .. }) = request.attempt.take() {
+        if let Some(Attempt { server, incarnation, conn: Some(conn), .. }) = request.attempt.take() {
             let idle = proxy.idle.entry(server).or_default();
             let state = &mut self.servers[server];
-            if end != Tried::MayHaveRun && idle.len() < IDLE_CONNECTIONS_MAX && state.life == life {
-                idle.push((life, conn));
-            } else if state.life == life {
+            if end != Tried::MayHaveRun
+                && idle.len() < MAX_IDLE_CONNECTIONS
+                && state.incarnation == incarnation
+            {
+                idle.push((incarnation, conn));
+            } else if state.incarnation == incarnation {
                 state.model.disconnect(self.now, conn);
             }
         }
@@ -266,20 +279,20 @@
         self.proceed(id.request, next);
     }
 
-    /// An attempt, or the client's try, is given up.
-    pub(super) fn give_up(&mut self, id: AttemptId) {
+    /// Handles the timeout of an attempt, or of the client's try: the proxy closes the connection.
+    pub(super) fn time_out_attempt(&mut self, id: AttemptId) {
         let request = self.requests.get_mut(&id.request);
         let Some(request) = request.filter(|request| request.serial == id.serial) else { return };
-        // The connection is closed: the server learns that nobody waits.
+        // The server sees the closed connection and cancels the job.
         if let Some(attempt) = request.attempt.take()
-            && self.servers[attempt.server].life == attempt.life
+            && self.servers[attempt.server].incarnation == attempt.incarnation
         {
             self.cancel(&attempt);
         }
         self.attempt_ended(id, Tried::MayHaveRun);
     }
 
-    /// A server learns that nobody waits for an attempt.
+    /// Cancels an attempt at its server and closes its connection.
     fn cancel(&mut self, attempt: &Attempt) {
         let (server, now) = (attempt.server, self.now);
         if let Some(job) = attempt.job {
--- a/crates/stepspur-simulation/src/world/discovery.rs
+++ b/crates/stepspur-simulation/src/world/discovery.rs
@@ -1,4 +1,4 @@
-//! The list of servers: what it learns, and whom it tells.
+//! The server list, as the service discovery of the fleet: its updates and its notifications to conductors.
 
 use std::sync::Arc;
 
@@ -9,49 +9,51 @@
 use stepspur_model::Micros;
 use stepspur_proto::v1;
 
-use super::schedule::{ConductorLife, Scheduled};
+use super::schedule::{ConductorIncarnation, Scheduled};
 use super::{World, address};
-use crate::baseline::{Baseline, Ready};
+use crate::baseline::{Baseline, ReadyServer};
 
-/// A conductor that tracks the list is told of changes after so long, in microseconds.
-const CHANGE_TIME: Micros = 500;
-/// The places of servers that are listed and do not exist begin here.
-const GHOST_PLACES: usize = 0xff_0000;
+/// Delay of change notifications to conductors that watch the server list, in microseconds.
+const LIST_CHANGE_DELAY: Micros = 500;
+/// First index of ghosts: servers that are listed although they do not exist.
+const FIRST_GHOST_INDEX: usize = 0xff_0000;
 
 impl World {
-    /// The list learns a server's state and start.
-    pub(super) fn list_learns(&mut self, server: usize, state: EndpointRecordState, started: Micros) {
+    /// Records a server's state and start time in the list.
+    pub(super) fn update_list(&mut self, server: usize, state: EndpointRecordState, started: Micros) {
         self.servers[server].listed = Some((state, started));
-        self.list_changed(vec![server]);
+        self.notify_list_change(vec![server]);
     }
 
-    /// Conductors that track the list are told of changes; without one every proxy follows the list by itself.
-    pub(super) fn list_changed(&mut self, servers: Vec<usize>) {
+    /// Notifies watching conductors of changes, or recomputes the tables of the baseline.
+    pub(super) fn notify_list_change(&mut self, servers: Vec<usize>) {
         self.apply_baseline();
         for conductor in 0..self.conductors.len() {
             let state = &self.conductors[conductor];
             if state.tracking && state.engine.is_some() {
-                let to = self.life_of(conductor);
-                self.schedule.put(self.now + CHANGE_TIME, Scheduled::ListChanges(to, servers.clone()));
+                let to = self.incarnation_of(conductor);
+                self.schedule.push(self.now + LIST_CHANGE_DELAY, Scheduled::ListChanges(to, servers.clone()));
             }
         }
     }
 
-    /// The list answers a conductor with all servers.
-    pub(super) fn tell_whole_list(&mut self, to: ConductorLife) {
+    /// Sends all listed servers to a conductor.
+    pub(super) fn send_full_list(&mut self, to: ConductorIncarnation) {
         let mut records: Vec<EndpointRecord> =
             (0..self.servers.len()).filter_map(|server| self.record(server)).collect();
         records.retain(|record| record.state != EndpointRecordState::Gone);
-        self.tell_list(to, true, records);
+        self.deliver_list(to, true, records);
     }
 
-    /// The list tells a conductor of changes.
-    pub(super) fn tell_list_changes(&mut self, to: ConductorLife, servers: &[usize]) {
+    /// Sends the present state of some servers to a conductor.
+    pub(super) fn send_list_changes(&mut self, to: ConductorIncarnation, servers: &[usize]) {
         let records = servers.iter().filter_map(|server| self.record(*server)).collect();
-        self.tell_list(to, false, records);
+        self.deliver_list(to, false, records);
     }
 
-    fn tell_list(&mut self, to: ConductorLife, whole: bool, mut records: Vec<EndpointRecord>) {
+    /// Passes list entries to a conductor's engine, or a failure while the list is unavailable, which also
+    /// ends the watch.
+    fn deliver_list(&mut self, to: ConductorIncarnation, whole: bool, mut records: Vec<EndpointRecord>) {
         if !self.is_current(to) {
             return;
         }
@@ -66,12 +68,12 @@
         records.extend((0..self.ghosts).map(|ghost| self.ghost_record(ghost)));
         let entries: Vec<DiscoveredEndpoint> =
             records.iter().cloned().map(DiscoveredEndpoint::from).collect();
-        self.note(Event::Told { conductor, whole, nodes: Arc::new(records) });
-        let how = if whole { ListUpdate::Full } else { ListUpdate::Delta };
-        self.handle_input(conductor, Input::EndpointList { update: how, entries });
+        self.record_event(Event::Told { conductor, whole, nodes: Arc::new(records) });
+        let kind = if whole { ListUpdate::Full } else { ListUpdate::Delta };
+        self.handle_input(conductor, Input::EndpointList { update: kind, entries });
     }
 
-    /// What the list says of a server, if it names it.
+    /// Returns the list entry of a server; `None` if it was never listed.
     fn record(&self, server: usize) -> Option<EndpointRecord> {
         let state = &self.servers[server];
         let (listed, started) = state.listed?;
@@ -79,16 +81,16 @@
         Some(EndpointRecord {
             address: address(server),
             zone: self.plan.zones[plan.zone].0.clone(),
-            state: if state.hidden { EndpointRecordState::Gone } else { listed },
+            state: if state.unlisted { EndpointRecordState::Gone } else { listed },
             weight: plan.weight,
             started_unix_ms: started / 1000,
         })
     }
 
-    /// What the list says of a server that does not exist.
+    /// Returns the list entry of a server that does not exist.
     fn ghost_record(&self, ghost: usize) -> EndpointRecord {
         EndpointRecord {
-            address: address(GHOST_PLACES + ghost),
+            address: address(FIRST_GHOST_INDEX + ghost),
             zone: self.plan.zones[ghost % self.plan.zones.len()].0.clone(),
             state: EndpointRecordState::Ready,
             weight: 1.0,
@@ -96,18 +98,18 @@
         }
     }
 
-    /// Without a conductor every proxy follows the list by itself.
+    /// Gives every proxy the table that the baseline computes from the list. Does nothing without a baseline.
     pub(super) fn apply_baseline(&mut self) {
         let Some(baseline) = self.options.baseline else { return };
         let ready = self.listed_ready();
-        // A list that cannot be had, or is empty, changes nothing.
+        // While the list is unavailable or empty, proxies use their last tables.
         if self.list_down || ready.is_empty() {
             return;
         }
         let levels = Baseline::levels(&self.plan);
         for proxy in 0..self.proxies.len() {
             let chosen = baseline.choose(proxy, &self.plan, &ready);
-            let line = |(server, _, weight): Ready| v1::Line {
+            let line = |(server, _, weight): ReadyServer| v1::Line {
                 server: Some(address(server).into()),
                 weight: weight as f32,
             };
@@ -121,7 +123,8 @@
         }
     }
 
-    fn listed_ready(&self) -> Vec<Ready> {
+    /// Returns the servers that the list names as ready.
+    fn listed_ready(&self) -> Vec<ReadyServer> {
         let entry = |server: usize| {
             let plan = &self.plan.servers[server];
             (server, plan.zone, plan.weight)
--- a/crates/stepspur-simulation/src/world/faults.rs
+++ b/crates/stepspur-simulation/src/world/faults.rs
@@ -1,4 +1,4 @@
-//! Troubles of a plan as they begin and end.
+//! Beginning and end of the faults of a plan.
 
 use std::sync::Arc;
 
@@ -8,41 +8,42 @@
 use super::schedule::Scheduled;
 use super::{World, micros};
 
-/// A server that vanishes is missed by the list after so many times its usual delay.
-const VANISHED_DELAYS: u64 = 3;
+/// Time until the server list removes a server whose machine is down, in multiples of the list's usual delay.
+const VANISHED_LIST_DELAY_FACTOR: u64 = 3;
 
 impl World {
-    /// A trouble begins or ends.
-    pub(super) fn toggle_trouble(&mut self, number: usize, on: bool) {
+    /// Begins or ends a fault, given by its index in the plan.
+    pub(super) fn toggle_fault(&mut self, number: usize, on: bool) {
         let plan = Arc::clone(&self.plan);
-        let trouble = &plan.strikes[number].trouble;
-        match trouble {
+        let fault = &plan.strikes[number].trouble;
+        match fault {
             Trouble::Burst(_) | Trouble::Shift(..) | Trouble::Mix(..) | Trouble::HeavyTail(..) => {
-                self.toggle_traffic(trouble, on);
+                self.toggle_traffic(fault, on);
             }
             Trouble::Release(_, steps) => {
                 for (step, planned) in steps.iter().enumerate() {
                     let at = self.now + micros(planned.at);
-                    self.schedule.put(at, Scheduled::ReleaseDrains(number, step));
+                    self.schedule.push(at, Scheduled::ReleaseDrains(number, step));
                 }
             }
-            Trouble::ListDown | Trouble::WrongList(_) | Trouble::Ghosts(_) => self.toggle_list(trouble, on),
+            Trouble::ListDown | Trouble::WrongList(_) | Trouble::Ghosts(_) => self.toggle_list(fault, on),
             Trouble::CutZone(_) | Trouble::CutLink(..) | Trouble::SlowLink(..) => {
-                self.toggle_links(trouble, on);
+                self.toggle_links(fault, on);
             }
             Trouble::LoseZone(zone, with_proxies) => self.toggle_zone(*zone, *with_proxies, on),
             Trouble::SlowChannel(_) | Trouble::LateReports(_) | Trouble::CutOff(_) | Trouble::Stall(_) => {
-                self.toggle_proxies(trouble, on)
+                self.toggle_proxies(fault, on)
             }
             Trouble::KillConductor(_) | Trouble::RestartConductors(_) => {
-                self.toggle_conductors(trouble, on);
+                self.toggle_conductors(fault, on);
             }
-            _ => self.toggle_servers(trouble, on),
+            _ => self.toggle_servers(fault, on),
         }
     }
 
-    fn toggle_traffic(&mut self, trouble: &Trouble, on: bool) {
-        match trouble {
+    /// Begins or ends a change of the traffic.
+    fn toggle_traffic(&mut self, fault: &Trouble, on: bool) {
+        match fault {
             Trouble::Burst(by) => toggle(&mut self.weather.bursts, *by, on),
             Trouble::Shift(zone, share) => toggle(&mut self.weather.shifts, (*zone, *share), on),
             Trouble::Mix(class, share) => toggle(&mut self.weather.mixes, (*class, *share), on),
@@ -53,73 +54,81 @@
         }
     }
 
-    fn toggle_servers(&mut self, trouble: &Trouble, on: bool) {
+    /// Begins or ends a fault of servers.
+    fn toggle_servers(&mut self, fault: &Trouble, on: bool) {
         let share = |share: f64| if on { share } else { 0.0 };
-        let times = |times: f64| if on { times } else { 1.0 };
-        match trouble {
-            Trouble::Die(servers) => self.kill_or_start(servers, on),
+        let factor_if_on = |factor: f64| if on { factor } else { 1.0 };
+        match fault {
+            Trouble::Die(servers) => self.stop_or_start(servers, on),
             Trouble::Vanish(servers) => servers.iter().for_each(|server| self.vanish(*server, on)),
-            Trouble::Hang(servers) => self.change_ails(servers, |ails| ails.hangs = on),
-            Trouble::Fail(servers, part) => self.change_ails(servers, |ails| ails.fails = share(*part)),
+            Trouble::Hang(servers) => self.change_faults(servers, |faults| faults.hangs = on),
+            Trouble::Fail(servers, part) => self.change_faults(servers, |faults| faults.fails = share(*part)),
             Trouble::Pause(servers, every, pause) => {
-                let rhythm = on.then_some((micros(*every), micros(*pause)));
-                self.change_ails(servers, |ails| ails.pauses = rhythm);
+                let pauses = on.then_some((micros(*every), micros(*pause)));
+                self.change_faults(servers, |faults| faults.pauses = pauses);
             }
             Trouble::LoseAnswers(servers, part, by_reset) => {
-                servers.iter().for_each(|k| self.servers[*k].lose = (share(*part), *by_reset));
+                servers.iter().for_each(|k| self.servers[*k].lost_answers = (share(*part), *by_reset));
             }
-            Trouble::FalseReports(servers, lie, slower) => {
+            Trouble::FalseReports(servers, false_report, slower) => {
                 for server in servers {
                     let state = &mut self.servers[*server];
-                    state.stuck = state.model.load(self.now);
-                    state.lie = on.then_some(*lie);
+                    state.stuck_report = state.model.load(self.now);
+                    state.false_report = on.then_some(*false_report);
                 }
-                self.change_ails(servers, |ails| ails.slower = share(slower - 1.0));
+                self.change_faults(servers, |faults| faults.slower = share(slower - 1.0));
             }
-            Trouble::FewConnections(servers, divide) => {
-                servers.iter().for_each(|k| self.servers[*k].connections_divide = times(*divide));
+            Trouble::FewConnections(servers, divisor) => {
+                servers
+                    .iter()
+                    .for_each(|k| self.servers[*k].connection_limit_divisor = factor_if_on(*divisor));
             }
             Trouble::SlowHandshakes(servers, factor, delay) => {
                 let delay = if on { micros(*delay) } else { 0 };
-                servers.iter().for_each(|k| self.servers[*k].handshakes = (times(*factor), delay));
+                servers
+                    .iter()
+                    .for_each(|k| self.servers[*k].handshake_slowdown = (factor_if_on(*factor), delay));
             }
             _ => {}
         }
     }
 
-    /// A server's machine goes silent, or its process starts again.
+    /// Takes a server's machine down without a connection reset, or starts its process again. The server list
+    /// removes the server only after a longer delay.
     fn vanish(&mut self, server: usize, on: bool) {
-        self.servers[server].silent = on;
+        self.servers[server].unresponsive = on;
         if on {
-            let at = self.now + VANISHED_DELAYS * micros(self.plan.list_delay);
-            self.schedule.put(at, Scheduled::ListLearns(server, EndpointRecordState::Gone, 0));
+            let at = self.now + VANISHED_LIST_DELAY_FACTOR * micros(self.plan.list_delay);
+            self.schedule.push(at, Scheduled::ListUpdate(server, EndpointRecordState::Gone, 0));
         } else {
             self.start_server(server);
         }
     }
 
-    fn toggle_list(&mut self, trouble: &Trouble, on: bool) {
-        match trouble {
+    /// Begins or ends a fault of the server list.
+    fn toggle_list(&mut self, fault: &Trouble, on: bool) {
+        match fault {
             Trouble::Ghosts(many) => {
                 self.ghosts = if on { *many } else { 0 };
-                self.list_changed(Vec::new());
+                self.notify_list_change(Vec::new());
             }
             Trouble::ListDown => {
                 self.list_down = on;
                 if on {
-                    self.list_changed(Vec::new());
+                    self.notify_list_change(Vec::new());
                 }
             }
             Trouble::WrongList(servers) => {
-                servers.iter().for_each(|server| self.servers[*server].hidden = on);
-                self.list_changed(servers.clone());
+                servers.iter().for_each(|server| self.servers[*server].unlisted = on);
+                self.notify_list_change(servers.clone());
             }
             _ => {}
         }
     }
 
-    fn toggle_links(&mut self, trouble: &Trouble, on: bool) {
-        match trouble {
+    /// Begins or ends a fault of the links between zones.
+    fn toggle_links(&mut self, fault: &Trouble, on: bool) {
+        match fault {
             Trouble::CutZone(zone) => {
                 self.links.cut(*zone, on);
                 self.break_cut_streams();
@@ -133,14 +142,14 @@
         }
     }
 
-    /// A zone is lost, or its servers come back cold.
+    /// Stops all servers of a zone, or starts them again cold.
     fn toggle_zone(&mut self, zone: usize, with_proxies: bool, on: bool) {
-        let is_meant = |server: &usize| {
+        let is_affected = |server: &usize| {
             let plan = &self.plan.servers[*server];
             plan.zone == zone && self.servers[*server].up == on && (on || plan.up)
         };
-        let servers: Vec<usize> = (0..self.servers.len()).filter(is_meant).collect();
-        self.kill_or_start(&servers, on);
+        let servers: Vec<usize> = (0..self.servers.len()).filter(is_affected).collect();
+        self.stop_or_start(&servers, on);
         for proxy in 0..self.proxies.len() {
             if with_proxies && self.proxies[proxy].zone == zone {
                 self.cut_off(proxy, on);
@@ -148,8 +157,9 @@
         }
     }
 
-    fn toggle_proxies(&mut self, trouble: &Trouble, on: bool) {
-        match trouble {
+    /// Begins or ends a fault of proxies.
+    fn toggle_proxies(&mut self, fault: &Trouble, on: bool) {
+        match fault {
             Trouble::SlowChannel(by) => {
                 let slow = if on { *by } else { 0.0 };
                 self.proxies.iter_mut().for_each(|proxy| proxy.impairment.slow = slow);
@@ -164,17 +174,19 @@
         }
     }
 
-    fn toggle_conductors(&mut self, trouble: &Trouble, on: bool) {
+    /// Begins or ends a fault of conductors. A baseline has none.
+    fn toggle_conductors(&mut self, fault: &Trouble, on: bool) {
         if self.options.baseline.is_some() {
             return;
         }
-        match trouble {
+        match fault {
             Trouble::KillConductor(conductors) => {
                 for conductor in conductors {
                     if on { self.kill_conductor(*conductor) } else { self.start_conductor(*conductor) }
                 }
             }
-            // In virtual time a restart takes none, and all come at its begin.
+            // In virtual time a restart takes no time, and all conductors restart at the beginning of the
+            // fault.
             Trouble::RestartConductors(conductors) => {
                 for conductor in conductors.iter().filter(|_| on) {
                     self.kill_conductor(*conductor);
@@ -185,7 +197,7 @@
         }
     }
 
-    /// A step of a release begins: its old servers drain, its new ones start.
+    /// Begins a step of a release: its old servers drain, its new ones start.
     pub(super) fn begin_release_step(&mut self, number: usize, step: usize) {
         let plan = Arc::clone(&self.plan);
         let Trouble::Release(drain, steps) = &plan.strikes[number].trouble else { return };
@@ -193,10 +205,10 @@
         planned.stop.iter().for_each(|server| self.drain_server(*server));
         planned.start.iter().for_each(|server| self.start_server(*server));
         let at = self.now + micros(plan.list_delay + *drain);
-        self.schedule.put(at, Scheduled::ReleaseStops(number, step));
+        self.schedule.push(at, Scheduled::ReleaseStops(number, step));
     }
 
-    /// The old servers of a release's step stop.
+    /// Ends a step of a release: its old servers stop.
     pub(super) fn end_release_step(&mut self, number: usize, step: usize) {
         let plan = Arc::clone(&self.plan);
         let Trouble::Release(_, steps) = &plan.strikes[number].trouble else { return };
@@ -205,10 +217,11 @@
     }
 }
 
+/// Adds an item to a list, or removes its first occurrence.
 fn toggle<T: PartialEq>(list: &mut Vec<T>, item: T, on: bool) {
     if on {
         list.push(item);
-    } else if let Some(place) = list.iter().position(|i| *i == item) {
-        list.remove(place);
+    } else if let Some(index) = list.iter().position(|i| *i == item) {
+        list.remove(index);
     }
 }
--- a/crates/stepspur-simulation/src/world/mod.rs
+++ b/crates/stepspur-simulation/src/world/mod.rs
@@ -1,11 +1,14 @@
-//! The world: clients, proxies, channel, conductors, node list, servers and troubles, as events in given time.
+//! The discrete-event simulation of a fleet: clients, proxies, streams, conductors, the server list, servers
+//! and injected faults.
 //!
-//! [`run`] plays a plan: `setup` makes the world, `schedule` has what is to happen, and the other modules have what
-//! then happens: `requests` and `attempts`, `servers`, `streams`, `conductors`, `probes`, `list` and `troubles`.
+//! [`run`] simulates a plan. `setup` builds the world, `schedule` defines the events, and the other modules
+//! handle them: `requests` and `attempts`, `servers`, `streams`, `conductors`, `probes`, `discovery` and
+//! `faults`.
 
 mod attempts;
 mod conductors;
-mod list;
+mod discovery;
+mod faults;
 mod probes;
 mod requests;
 mod schedule;
@@ -13,7 +16,6 @@
 mod setup;
 mod state;
 mod streams;
-mod troubles;
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -38,25 +40,27 @@
 use crate::baseline::Baseline;
 use crate::queue::Queue;
 use schedule::Scheduled;
-use setup::BASE;
+use setup::START_TIME;
 use state::{ConductorState, ProxyState, RequestState, ServerState};
 
-/// How a plan is played, beside what it says itself.
+/// Parameters of a run in addition to its plan.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Conductors; proxies are dealt to them in turn. A conductor that is killed is the first.
+    /// Number of conductors, at least that of the plan. Proxies are assigned to them round robin.
     pub conductors: usize,
-    /// Their zones; those beyond it lie in the plan's and the zones after that, in turn.
+    /// Zones of the conductors, by index. Conductor `k` beyond the end is in zone `k` after the plan's
+    /// conductor zone.
     pub conductor_zones: Vec<usize>,
-    /// One way within a zone, microseconds.
+    /// One-way delay within a zone, in microseconds.
     pub near: Micros,
-    /// One way between zones, microseconds.
+    /// One-way delay between zones, in microseconds.
     pub far: Micros,
-    /// Reports are so late all day, microseconds.
+    /// Delay of proxy reports during the whole run, in microseconds.
     pub reports_late: Micros,
-    /// In place of conductors: tables made from the list alone.
+    /// Replaces the conductors by tables that are computed from the server list alone; `None` runs
+    /// conductors.
     pub baseline: Option<Baseline>,
-    /// True: events are kept and the five rules judged. Costs memory for each request.
+    /// Records events and checks the five rules on them. Costs memory for each request.
     pub judged: bool,
 }
 
@@ -74,57 +78,60 @@
     }
 }
 
-/// What became of a run.
+/// The results of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Outcome {
-    /// By class.
+    /// Request results by class.
     pub classes: Vec<Tally>,
-    /// Worth answered over worth asked for, of modelled servers.
+    /// Service score on modelled servers: the value of answered requests over that of all
+    /// requests.
     pub service: f64,
-    /// Mean time of answers, milliseconds, over all classes.
+    /// Mean response time in milliseconds, over all classes.
     pub mean_ms: f64,
-    /// Rules that were broken; empty if none was, or none was judged.
+    /// Violations of the rules; empty if there was none, or if [`Options::judged`] is off.
     pub breaks: Vec<Break>,
-    /// Servers that fell over.
+    /// Number of servers that collapsed under load.
     pub fallen: usize,
-    /// Requests asked, without repeats.
+    /// Number of requests, without client repeats.
     pub asked: u64,
-    /// Orders that proxies read.
+    /// Number of orders that proxies have read.
     pub orders: u64,
-    /// Events played.
+    /// Number of simulated events.
     pub events: u64,
-    /// This machine's time, seconds: in all, and in the engine. Not the same from run to run.
+    /// Wall-clock time in seconds: in total, and in the engines. It differs from run to run.
     #[serde(skip)]
     pub took_s: [f64; 2],
 }
 
-/// Servers' addresses tell their places.
-fn address(place: usize) -> SocketAddr {
-    SocketAddr::from(([10, (place >> 16) as u8, (place >> 8) as u8, place as u8], 80))
+/// Returns the address of a server, which encodes its index.
+fn address(index: usize) -> SocketAddr {
+    SocketAddr::from(([10, (index >> 16) as u8, (index >> 8) as u8, index as u8], 80))
 }
 
-fn place(server: SocketAddr) -> Option<usize> {
+/// Returns the index that an address encodes; `None` for a foreign address. Ghosts have an index, too.
+fn server_index(server: SocketAddr) -> Option<usize> {
     let SocketAddr::V4(v4) = server else { return None };
     let [ten, a, b, c] = v4.ip().octets();
     (ten == 10).then(|| usize::from(a) << 16 | usize::from(b) << 8 | usize::from(c))
 }
 
-/// Proxies dial for the first time within so long, in microseconds.
-const FIRST_DIALS: Micros = 100_000;
-/// The last requests are waited for so long, in microseconds.
-const LAST_REQUESTS: Micros = 120_000_000;
-/// A lost packet is sent again after so long at first, in microseconds, and twice as long each time.
-const RESEND_FIRST: Micros = 200_000;
-/// It is not sent again after such a wait, in microseconds.
-const RESEND_LAST: Micros = 6_400_000;
+/// Proxies open their first streams at random times within this window, in microseconds.
+const FIRST_DIAL_WINDOW: Micros = 100_000;
+/// How long a run waits for unfinished requests after its end, in microseconds.
+const LAST_REQUESTS_TIMEOUT: Micros = 120_000_000;
+/// First retransmission timeout of a lost packet, in microseconds; it doubles with each loss.
+const INITIAL_RETRANSMIT_TIMEOUT: Micros = 200_000;
+/// Retransmission timeout, in microseconds, at which no further loss is simulated and the packet arrives.
+const MAX_RETRANSMIT_TIMEOUT: Micros = 6_400_000;
 
 struct World {
     plan: Arc<Plan>,
     options: Options,
     config: Config,
     now: Micros,
-    /// The first request comes then, and the last.
+    /// Arrival time of the first request.
     begin: Micros,
+    /// No new request arrives from then on.
     end: Micros,
     schedule: Queue<Scheduled>,
     rng: ChaCha8Rng,
@@ -134,49 +141,51 @@
     traffic: Traffic,
     weather: Weather,
     links: Links,
-    /// True: the list is out of reach.
+    /// True while the server list is unavailable.
     list_down: bool,
-    /// Servers that the list names and that do not exist.
+    /// Number of servers that the server list names although they do not exist.
     ghosts: usize,
-    /// Requests that groups of servers remember, by class and group.
+    /// Deduplication memories, by class and group of servers.
     memories: HashMap<(usize, usize), Memory>,
     requests: HashMap<u64, RequestState>,
     next_request: u64,
     next_stream: u64,
     next_job: u64,
     outcomes: Outcomes,
+    /// Events for the rule check, with their times.
     events: Vec<(Micros, Event)>,
     fallen: usize,
     orders: u64,
+    /// Wall-clock time spent in the engines.
     engine_time: Duration,
-    /// The frame decoded last: a change for many proxies is decoded once.
+    /// The last decoded frame and its bytes: a frame that goes to many proxies is decoded once.
     decoded: Option<(Bytes, Arc<FromConductor>)>,
 }
 
-/// Plays a plan.
+/// Simulates a plan. The same plan and options give the same outcome, except for [`Outcome::took_s`].
 pub fn run(plan: &Plan, options: &Options) -> Outcome {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let mut world = World::new(plan, options);
-    world.play();
-    world.finish(begun)
+    world.simulate();
+    world.finish(started_at)
 }
 
 impl World {
-    fn play(&mut self) {
-        self.schedule_troubles();
+    fn simulate(&mut self) {
+        self.schedule_faults();
         if self.options.baseline.is_some() {
             self.apply_baseline();
         } else {
             (0..self.conductors.len()).for_each(|conductor| self.start_conductor(conductor));
             for proxy in 0..self.proxies.len() {
-                let at = self.now + self.rng.random_range(0..FIRST_DIALS);
-                self.schedule.put(at, Scheduled::Dial(proxy));
+                let at = self.now + self.rng.random_range(0..FIRST_DIAL_WINDOW);
+                self.schedule.push(at, Scheduled::Dial(proxy));
             }
         }
-        self.schedule.put(self.begin, Scheduled::NextRequest);
-        while let Some((at, scheduled)) = self.schedule.take() {
-            // The last requests are waited for; everything else ends with the day.
-            if at >= self.end && (self.requests.is_empty() || at > self.end + LAST_REQUESTS) {
+        self.schedule.push(self.begin, Scheduled::NextRequest);
+        while let Some((at, scheduled)) = self.schedule.pop() {
+            // After the end, the run goes on only until the last requests are finished.
+            if at >= self.end && (self.requests.is_empty() || at > self.end + LAST_REQUESTS_TIMEOUT) {
                 break;
             }
             self.now = self.now.max(at);
@@ -184,14 +193,14 @@
         }
     }
 
-    fn schedule_troubles(&mut self) {
+    fn schedule_faults(&mut self) {
         let plan = Arc::clone(&self.plan);
         for (number, strike) in plan.strikes.iter().enumerate() {
-            let at = if strike.from_the_start() { BASE } else { self.begin + micros(strike.at) };
-            self.schedule.put(at, Scheduled::Trouble(number, true));
+            let at = if strike.from_the_start() { START_TIME } else { self.begin + micros(strike.at) };
+            self.schedule.push(at, Scheduled::ToggleFault(number, true));
             if !matches!(strike.trouble, Trouble::Release(..)) {
                 let end = self.begin + micros(strike.at + strike.lasts);
-                self.schedule.put(end, Scheduled::Trouble(number, false));
+                self.schedule.push(end, Scheduled::ToggleFault(number, false));
             }
         }
     }
@@ -202,8 +211,8 @@
             Scheduled::ClientTry(request) => self.start_try(request),
             Scheduled::AttemptArrives(id) => self.attempt_arrives(id),
             Scheduled::AttemptEnds(id, end) => self.attempt_ended(id, end),
-            Scheduled::GiveUp(id) => self.give_up(id),
-            Scheduled::Server(server) => self.run_server(server),
+            Scheduled::AttemptTimeout(id) => self.time_out_attempt(id),
+            Scheduled::ServerDue(server) => self.run_server(server),
             Scheduled::Report(proxy, stream) => self.send_report(proxy, stream),
             Scheduled::Dial(proxy) => self.dial(proxy),
             Scheduled::FrameToConductor(conductor, stream, frame) => {
@@ -211,42 +220,46 @@
             }
             Scheduled::FrameToProxy(proxy, stream, frame) => self.deliver(proxy, stream, frame),
             Scheduled::FrameRead(proxy, stream, frame) => self.read_frame(proxy, stream, &frame),
-            Scheduled::Engine(of) => self.wake_engine(of),
+            Scheduled::EngineDue(of) => self.wake_engine(of),
             Scheduled::ProbeArrives(probe) => self.probe_arrives(probe),
             Scheduled::ProbeEnds(probe, outcome, load) => self.probe_ends(probe, outcome, load),
-            Scheduled::WholeList(to) => self.tell_whole_list(to),
-            Scheduled::ListChanges(to, servers) => self.tell_list_changes(to, &servers),
-            Scheduled::ListLearns(server, state, started) => self.list_learns(server, state, started),
-            Scheduled::Trouble(number, on) => self.toggle_trouble(number, on),
+            Scheduled::FullList(to) => self.send_full_list(to),
+            Scheduled::ListChanges(to, servers) => self.send_list_changes(to, &servers),
+            Scheduled::ListUpdate(server, state, started) => self.update_list(server, state, started),
+            Scheduled::ToggleFault(number, on) => self.toggle_fault(number, on),
             Scheduled::ReleaseDrains(number, step) => self.begin_release_step(number, step),
             Scheduled::ReleaseStops(number, step) => self.end_release_step(number, step),
         }
     }
 
-    /// An event for the judge.
-    fn note(&mut self, event: Event) {
+    /// Records an event for the rule check.
+    fn record_event(&mut self, event: Event) {
         if self.options.judged {
             self.events.push((self.now, event));
         }
     }
 
-    /// One way between two zones, now; none: it is cut, or lost.
-    fn way(&mut self, from: usize, to: usize) -> Option<Micros> {
+    /// Returns the present one-way delay between two zones in microseconds, including retransmissions of lost
+    /// packets; `None` if the link is cut.
+    fn delay(&mut self, from: usize, to: usize) -> Option<Micros> {
         let link = self.links.between(from, to);
         if link.cut {
             return None;
         }
-        let mut late = if from == to { self.options.near } else { self.options.far } + micros(link.delay);
-        let mut again = RESEND_FIRST;
-        while link.loss > 0.0 && again < RESEND_LAST && self.rng.random_bool(link.loss.min(1.0)) {
-            late += again;
-            again *= 2;
+        let mut delay = if from == to { self.options.near } else { self.options.far } + micros(link.delay);
+        let mut retransmit_timeout = INITIAL_RETRANSMIT_TIMEOUT;
+        while link.loss > 0.0
+            && retransmit_timeout < MAX_RETRANSMIT_TIMEOUT
+            && self.rng.random_bool(link.loss.min(1.0))
+        {
+            delay += retransmit_timeout;
+            retransmit_timeout *= 2;
         }
-        Some(late)
+        Some(delay)
     }
 
-    fn finish(self, begun: Instant) -> Outcome {
-        let breaks = if self.options.judged { self.breaks() } else { Vec::new() };
+    fn finish(self, started_at: Instant) -> Outcome {
+        let breaks = if self.options.judged { self.judge_events() } else { Vec::new() };
         let classes = self.outcomes.tallies();
         Outcome {
             service: self.outcomes.service(),
@@ -257,15 +270,16 @@
             fallen: self.fallen,
             orders: self.orders,
             events: self.schedule.count(),
-            took_s: [begun.elapsed().as_secs_f64(), self.engine_time.as_secs_f64()],
+            took_s: [started_at.elapsed().as_secs_f64(), self.engine_time.as_secs_f64()],
         }
     }
 
-    fn breaks(&self) -> Vec<Break> {
+    /// Checks the recorded events against the rules.
+    fn judge_events(&self) -> Vec<Break> {
         let zone = |server: usize| self.plan.zones[self.plan.servers[server].zone].0.clone();
         let zones = (0..self.servers.len()).map(|server| (address(server), zone(server)));
-        let figures = Figures::new(&self.plan, zones.collect());
-        judge(&figures, self.begin, &self.events)
+        let limits = Figures::new(&self.plan, zones.collect());
+        judge(&limits, self.begin, &self.events)
     }
 }
 
--- a/crates/stepspur-simulation/src/world/probes.rs
+++ b/crates/stepspur-simulation/src/world/probes.rs
@@ -1,4 +1,4 @@
-//! Probes of conductors at servers.
+//! Health probes of conductors at servers.
 
 use std::net::SocketAddr;
 
@@ -8,66 +8,69 @@
 use stepspur_model::server::Load;
 
 use super::schedule::{Probe, Scheduled};
-use super::{World, micros, place};
+use super::{World, micros, server_index};
 
-/// What a server reports that says it is busy when it is not.
-const BUSY: Load = Load { rif: 50.0, q: 40.0, busy: 1.0, lat_ms: 0.0 };
+/// The load that a server reports under [`Lie::Busy`], apart from its true latency.
+const FALSE_BUSY_LOAD: Load = Load { rif: 50.0, q: 40.0, busy: 1.0, lat_ms: 0.0 };
 
 impl World {
-    /// The place of the server at an address.
+    /// Returns the index of the server at an address; `None` for a ghost or a foreign address.
     pub(super) fn server_at(&self, address: SocketAddr) -> Option<usize> {
-        place(address).filter(|place| *place < self.servers.len())
+        server_index(address).filter(|index| *index < self.servers.len())
     }
 
-    /// A conductor sends a probe.
+    /// Sends a probe from a conductor to a server over a new connection.
     pub(super) fn send_probe(&mut self, conductor: usize, target: ProbeTarget) {
-        let probe = Probe { from: self.life_of(conductor), target, sent: self.now };
+        let probe = Probe { from: self.incarnation_of(conductor), target, sent: self.now };
         if let Some(server) = self.server_at(target.address) {
-            match self.way(self.conductors[conductor].zone, self.plan.servers[server].zone) {
-                Some(way) => self.schedule.put(self.now + 3 * way, Scheduled::ProbeArrives(probe)),
-                None => self.lose_probe(probe),
+            match self.delay(self.conductors[conductor].zone, self.plan.servers[server].zone) {
+                // One round trip opens the connection before the probe is sent.
+                Some(delay) => self.schedule.push(self.now + 3 * delay, Scheduled::ProbeArrives(probe)),
+                None => self.time_out_probe(probe),
             }
-        } else if place(target.address).is_some() {
-            // A ghost: nobody listens there.
-            let back = self.now + 2 * self.options.near;
-            self.schedule.put(back, Scheduled::ProbeEnds(probe, ProbeOutcome::Unreachable, None));
+        } else if server_index(target.address).is_some() {
+            // The server list named a server that does not exist; the connection is refused.
+            let at = self.now + 2 * self.options.near;
+            self.schedule.push(at, Scheduled::ProbeEnds(probe, ProbeOutcome::Unreachable, None));
         }
     }
 
-    fn lose_probe(&mut self, probe: Probe) {
+    /// Schedules the timeout of a probe that gets no response.
+    fn time_out_probe(&mut self, probe: Probe) {
         let at = probe.sent + micros(self.config.probes.timeout);
-        self.schedule.put(at, Scheduled::ProbeEnds(probe, ProbeOutcome::Timeout, None));
+        self.schedule.push(at, Scheduled::ProbeEnds(probe, ProbeOutcome::Timeout, None));
     }
 
-    /// A probe reaches a server.
+    /// Handles the arrival of a probe at its server.
     pub(super) fn probe_arrives(&mut self, probe: Probe) {
         let now = self.now;
         let Some(server) = self.server_at(probe.target.address) else { return };
         let state = &mut self.servers[server];
         if !state.up {
-            let back = now + self.options.near;
-            self.schedule.put(back, Scheduled::ProbeEnds(probe, ProbeOutcome::Unreachable, None));
+            let at = now + self.options.near;
+            self.schedule.push(at, Scheduled::ProbeEnds(probe, ProbeOutcome::Unreachable, None));
             return;
         }
-        let load = if state.silent { None } else { state.model.probe(now) };
+        let load = if state.unresponsive { None } else { state.model.probe(now) };
         let (from, to) = (self.plan.servers[server].zone, self.conductors[probe.from.conductor].zone);
-        match (load, self.way(from, to)) {
-            (Some(load), Some(way)) => {
-                let shown = self.shown_load(server, load);
-                self.schedule.put(now + way, Scheduled::ProbeEnds(probe, ProbeOutcome::Ok, Some(shown)));
+        match (load, self.delay(from, to)) {
+            (Some(load), Some(delay)) => {
+                let reported = self.reported_load(server, load);
+                self.schedule
+                    .push(now + delay, Scheduled::ProbeEnds(probe, ProbeOutcome::Ok, Some(reported)));
             }
-            _ => self.lose_probe(probe),
+            _ => self.time_out_probe(probe),
         }
         self.schedule_server(server);
     }
 
-    /// The load that a server shows, which may be false.
-    fn shown_load(&self, server: usize, load: Load) -> Load {
+    /// Returns the load that a server reports, which a fault may falsify.
+    fn reported_load(&self, server: usize, load: Load) -> Load {
         let state = &self.servers[server];
-        match state.lie {
+        match state.false_report {
             None => load,
-            Some(Lie::Stuck) => state.stuck,
-            Some(Lie::Busy) => Load { lat_ms: load.lat_ms, ..BUSY },
+            Some(Lie::Stuck) => state.stuck_report,
+            Some(Lie::Busy) => Load { lat_ms: load.lat_ms, ..FALSE_BUSY_LOAD },
             Some(Lie::Times(times)) => Load {
                 rif: load.rif * times,
                 q: load.q * times,
@@ -77,7 +80,7 @@
         }
     }
 
-    /// A probe's outcome reaches its conductor.
+    /// Passes the outcome of a probe to its conductor.
     pub(super) fn probe_ends(&mut self, probe: Probe, outcome: ProbeOutcome, load: Option<Load>) {
         if !self.is_current(probe.from) {
             return;
@@ -88,7 +91,7 @@
         self.handle_input(from.conductor, Input::ProbeResult { target, outcome, latency, load });
     }
 
-    /// A load report in the order of the settings' columns; none where one is unknown.
+    /// Returns a load report as the configured columns; empty if a column is unknown.
     fn load_columns(&self, load: Load) -> Vec<f32> {
         let value = |name: &String| match name.as_str() {
             "rif" => Some(load.rif as f32),
--- a/crates/stepspur-simulation/src/world/schedule.rs
+++ b/crates/stepspur-simulation/src/world/schedule.rs
@@ -1,4 +1,4 @@
-//! What is scheduled for a later moment of virtual time.
+//! The events of the simulation: what is scheduled for a later point in virtual time.
 
 use std::sync::Arc;
 
@@ -10,69 +10,72 @@
 use stepspur_model::server::Load;
 use stepspur_proto::{FromConductor, FromProxy};
 
-/// An attempt of a request. What is scheduled for an earlier one is passed over.
+/// Identifies an attempt of a request. Events scheduled for an earlier attempt of the request are ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct AttemptId {
     pub request: u64,
+    /// Rises with every attempt and every result of the request.
     pub serial: u32,
 }
 
-/// A conductor, and which of its starts.
+/// Identifies one run of a conductor's process. Events scheduled for an earlier run are ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct ConductorLife {
+pub(super) struct ConductorIncarnation {
     pub conductor: usize,
-    pub life: u64,
+    pub incarnation: u64,
 }
 
-/// A probe under way.
+/// A health probe in flight.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Probe {
-    pub from: ConductorLife,
+    pub from: ConductorIncarnation,
     pub target: ProbeTarget,
+    /// When the conductor sent it.
     pub sent: Micros,
 }
 
-/// Things scheduled.
+/// A scheduled event. Numbers are indices into the servers, proxies and conductors of the world or into the
+/// plan.
 #[derive(Debug)]
 pub(super) enum Scheduled {
-    /// The next request is drawn.
+    /// The next request is drawn from the traffic.
     NextRequest,
-    /// A client's try begins.
+    /// A client sends its request to its proxy, for the first time or again.
     ClientTry(u64),
     /// An attempt reaches its server.
     AttemptArrives(AttemptId),
-    /// An attempt's end reaches its proxy.
+    /// The result of an attempt reaches its proxy.
     AttemptEnds(AttemptId, Tried),
-    /// An attempt, or the client's try, is given up.
-    GiveUp(AttemptId),
-    /// A server has something to tell.
-    Server(usize),
-    /// A proxy reports on a stream.
+    /// An attempt reaches its timeout or the deadline of the client's try.
+    AttemptTimeout(AttemptId),
+    /// A server's model has a completion or a state change due.
+    ServerDue(usize),
+    /// A proxy sends its periodic report on a stream.
     Report(usize, StreamId),
-    /// A proxy dials.
+    /// A proxy opens a stream to its conductor.
     Dial(usize),
     /// A frame reaches a conductor.
     FrameToConductor(usize, StreamId, Box<FromProxy>),
     /// A frame reaches a proxy.
     FrameToProxy(usize, StreamId, Arc<FromConductor>),
-    /// A proxy has read a frame that came over a slow channel.
+    /// A proxy has finished reading a frame from a slow channel.
     FrameRead(usize, StreamId, Arc<FromConductor>),
-    /// A conductor has something to do.
-    Engine(ConductorLife),
+    /// A conductor's engine has a timer due.
+    EngineDue(ConductorIncarnation),
     /// A probe reaches a server.
     ProbeArrives(Probe),
     /// A probe's outcome reaches its conductor.
     ProbeEnds(Probe, ProbeOutcome, Option<Load>),
-    /// The list answers a conductor with all servers.
-    WholeList(ConductorLife),
-    /// The list tells a conductor of changes of these servers.
-    ListChanges(ConductorLife, Vec<usize>),
-    /// The list learns a server's state and start.
-    ListLearns(usize, EndpointRecordState, Micros),
-    /// A trouble begins or ends.
-    Trouble(usize, bool),
-    /// The servers of a release's step begin to drain.
+    /// The server list returns all servers to a conductor.
+    FullList(ConductorIncarnation),
+    /// The server list notifies a conductor of changes of these servers.
+    ListChanges(ConductorIncarnation, Vec<usize>),
+    /// The server list records a server's state and start time.
+    ListUpdate(usize, EndpointRecordState, Micros),
+    /// A fault of the plan begins (true) or ends (false).
+    ToggleFault(usize, bool),
+    /// A step of a release begins: its old servers drain. Fault number and step.
     ReleaseDrains(usize, usize),
-    /// The servers of a release's step stop.
+    /// A step of a release ends: its old servers stop. Fault number and step.
     ReleaseStops(usize, usize),
 }
--- a/crates/stepspur-simulation/src/world/setup.rs
+++ b/crates/stepspur-simulation/src/world/setup.rs
@@ -1,4 +1,4 @@
-//! A world at the beginning of its run.
+//! Builds the world at the beginning of a run.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -22,15 +22,15 @@
 use crate::baseline::Baseline;
 use crate::queue::Queue;
 
-/// A run's first moment, microseconds since 1970: any time long after the beginning of time.
-pub(super) const BASE: Micros = 1_000_000_000_000;
-/// Proxies join for so long, in microseconds, before the first request.
-const LEAD: Micros = 1_000_000;
-/// Standing tables name servers of the proxy's zone where it has so many.
-const NEAR_ENOUGH: usize = 3;
-/// Proxies report so often, in microseconds, until a conductor tells them.
-const REPORT_PERIOD: Micros = 1_000_000;
-/// Keeps the world's chance apart from that of others with the plan's seed.
+/// Virtual time at which a run starts, in microseconds since 1970. Any time far from 0 works.
+pub(super) const START_TIME: Micros = 1_000_000_000_000;
+/// Time between the start of the run and the first request, in which proxies connect, in microseconds.
+const JOIN_LEAD_TIME: Micros = 1_000_000;
+/// Standing tables hold only servers of the proxy's zone if the zone has at least this many.
+const MIN_LOCAL_SERVERS: usize = 3;
+/// Report period of a proxy until a conductor sets it, in microseconds.
+const DEFAULT_REPORT_PERIOD: Micros = 1_000_000;
+/// Separates the world's random numbers from those of other users of the plan's seed.
 const SEED_MASK: u64 = 0xf1ee7;
 
 impl World {
@@ -43,17 +43,17 @@
         let servers = servers(&plan, &mut rng);
         let proxies = proxies(&plan, &options, &mut rng);
         let started = |(proxy, (_, standing)): (usize, &(ProxyState, Vec<SocketAddr>))| {
-            (BASE, Event::ProxyStarted { proxy, standing: standing.clone() })
+            (START_TIME, Event::ProxyStarted { proxy, standing: standing.clone() })
         };
         let events = proxies.iter().enumerate().map(started).collect();
-        let begin = BASE + LEAD;
+        let begin = START_TIME + JOIN_LEAD_TIME;
         Self {
             conductors: conductors(&plan, &options),
             outcomes: Outcomes::new(&plan),
             traffic: Traffic::new(Arc::clone(&plan)),
             options,
             config,
-            now: BASE,
+            now: START_TIME,
             begin,
             end: begin + super::micros(plan.length),
             schedule: Queue::default(),
@@ -81,22 +81,22 @@
 
 fn servers(plan: &Plan, rng: &mut ChaCha8Rng) -> Vec<ServerState> {
     let mut state = |server: &stepspur_emulator::plan::ServerPlan| {
-        ServerState::new(Server::new(server.spec.clone(), rng.random(), BASE, true), server.up)
+        ServerState::new(Server::new(server.spec.clone(), rng.random(), START_TIME, true), server.up)
     };
     plan.servers.iter().map(&mut state).collect()
 }
 
-/// Proxies, with the servers that their standing tables name.
+/// Builds the proxies, each with the servers of its standing table.
 fn proxies(plan: &Plan, options: &Options, rng: &mut ChaCha8Rng) -> Vec<(ProxyState, Vec<SocketAddr>)> {
     let all = servers_up(plan, None);
-    let near: Vec<_> = (0..plan.zones.len()).map(|zone| servers_up(plan, Some(zone))).collect();
+    let local: Vec<_> = (0..plan.zones.len()).map(|zone| servers_up(plan, Some(zone))).collect();
     let mut proxy = |(number, proxy): (usize, &ProxyPlan)| {
-        let near = &near[proxy.zone];
-        let from = if near.len() >= NEAR_ENOUGH { near } else { &all };
+        let local = &local[proxy.zone];
+        let from = if local.len() >= MIN_LOCAL_SERVERS { local } else { &all };
         let standing: Vec<_> = from.sample(rng, plan.standing).copied().collect();
         let mut spec = Spec { classes: plan.classes.len(), ..plan.proxy.clone() };
         spec.pick = options.baseline.and_then(Baseline::pick).unwrap_or(spec.pick);
-        let model = Proxy::new(spec, rng.random(), standing.clone(), BASE);
+        let model = Proxy::new(spec, rng.random(), standing.clone(), START_TIME);
         (proxy_state(plan, options, number, proxy.zone, model), standing)
     };
     plan.proxies.iter().enumerate().map(&mut proxy).collect()
@@ -110,7 +110,7 @@
         stream: None,
         welcomed: false,
         redial_wait: plan.redial.as_micros() as Micros,
-        report_every: REPORT_PERIOD,
+        report_every: DEFAULT_REPORT_PERIOD,
         impairment: Impairment { late: options.reports_late, ..Impairment::default() },
         unread: Vec::new(),
         busy_until: 0,
@@ -119,13 +119,13 @@
     }
 }
 
-/// The servers that are up at the beginning, of one zone or of all.
+/// Returns the servers that are up at the beginning, of one zone or of all zones.
 fn servers_up(plan: &Plan, zone: Option<usize>) -> Vec<SocketAddr> {
-    let is_meant = |server: &usize| {
+    let is_selected = |server: &usize| {
         let planned = &plan.servers[*server];
         planned.up && zone.is_none_or(|zone| planned.zone == zone)
     };
-    (0..plan.servers.len()).filter(is_meant).map(address).collect()
+    (0..plan.servers.len()).filter(is_selected).map(address).collect()
 }
 
 fn conductors(plan: &Plan, options: &Options) -> Vec<ConductorState> {
@@ -133,8 +133,8 @@
         let zone = options.conductor_zones.get(number).copied();
         ConductorState {
             engine: None,
-            life: 0,
-            wake: Micros::MAX,
+            incarnation: 0,
+            wake_at: Micros::MAX,
             tracking: false,
             zone: zone.unwrap_or(plan.conductor_zone + number) % plan.zones.len(),
             streams: BTreeMap::new(),
--- a/crates/stepspur-simulation/src/world/streams.rs
+++ b/crates/stepspur-simulation/src/world/streams.rs
@@ -1,4 +1,4 @@
-//! Streams of proxies to their conductors: dials, frames both ways, reports.
+//! Streams between proxies and their conductors: connecting, frames in both directions, and reports.
 
 use std::sync::Arc;
 
@@ -12,30 +12,31 @@
 use super::state::Direction;
 use super::{World, micros};
 
-/// The shortest wait before a proxy dials again, in microseconds.
-const REDIAL_LEAST: Micros = 1000;
-/// A proxy that is not welcomed doubles its wait up to so many times the first.
-const REDIAL_TIMES_MAX: Micros = 8;
-/// Reports come no more often than this, in microseconds.
-const REPORT_PERIOD_LEAST: Micros = 10_000;
-/// A frame over a slow channel is read within so many seconds.
-const READING_MAX_S: f64 = 5.0;
+/// Shortest backoff before a proxy reconnects, in microseconds.
+const MIN_REDIAL_WAIT: Micros = 1000;
+/// Limit of a proxy's exponential backoff, in multiples of the first backoff.
+const MAX_REDIAL_FACTOR: Micros = 8;
+/// Shortest period of proxy reports, in microseconds.
+const MIN_REPORT_PERIOD: Micros = 10_000;
+/// Longest time to read one frame over a slow channel, in seconds.
+const MAX_READ_TIME_S: f64 = 5.0;
 
 impl World {
+    /// Returns true if neither a fault of the proxy nor a cut link separates it from its conductor.
     fn can_reach_conductor(&self, proxy: usize) -> bool {
         let state = &self.proxies[proxy];
         let conductor_zone = self.conductors[state.conductor].zone;
         state.impairment.cut_off == 0 && !self.links.between(state.zone, conductor_zone).cut
     }
 
-    /// One way between a proxy and its conductor, now; none: it is cut, or lost.
-    fn way_to_conductor(&mut self, proxy: usize) -> Option<Micros> {
+    /// Returns the present one-way delay between a proxy and its conductor; `None` if the link is cut.
+    fn delay_to_conductor(&mut self, proxy: usize) -> Option<Micros> {
         let state = &self.proxies[proxy];
         let (from, to) = (state.zone, self.conductors[state.conductor].zone);
-        self.way(from, to)
+        self.delay(from, to)
     }
 
-    /// A proxy dials its conductor.
+    /// Opens a proxy's stream to its conductor, or schedules another try if the conductor is unreachable.
     pub(super) fn dial(&mut self, proxy: usize) {
         if self.proxies[proxy].stream.is_some() {
             return;
@@ -44,7 +45,7 @@
         if !self.can_reach_conductor(proxy) || self.conductors[conductor].engine.is_none() {
             return self.redial(proxy, true);
         }
-        let Some(way) = self.way_to_conductor(proxy) else { return self.redial(proxy, true) };
+        let Some(delay) = self.delay_to_conductor(proxy) else { return self.redial(proxy, true) };
         self.next_stream += 1;
         let stream = StreamId(self.next_stream);
         let state = &mut self.proxies[proxy];
@@ -58,25 +59,28 @@
             ..v1::Hello::default()
         };
         self.conductors[conductor].streams.insert(stream, proxy);
-        self.send_in_order(proxy, stream, 3 * way, from_proxy::Kind::Hello(hello));
+        // One round trip opens the connection before the frame is sent.
+        self.send_in_order(proxy, stream, 3 * delay, from_proxy::Kind::Hello(hello));
     }
 
-    /// Dials again after a wait; `longer`: it was not welcomed.
+    /// Schedules a reconnect after a backoff with jitter. `longer` doubles the backoff, for a proxy that got
+    /// no `Welcome`; otherwise it starts again at the first backoff.
     fn redial(&mut self, proxy: usize, longer: bool) {
         if self.options.baseline.is_some() {
             return;
         }
-        let first = micros(self.plan.redial).max(REDIAL_LEAST);
+        let first = micros(self.plan.redial).max(MIN_REDIAL_WAIT);
         let state = &mut self.proxies[proxy];
         state.redial_wait =
-            if longer { (state.redial_wait * 2).min(first * REDIAL_TIMES_MAX) } else { first };
+            if longer { (state.redial_wait * 2).min(first * MAX_REDIAL_FACTOR) } else { first };
         let jitter = self.rng.random_range(0.5..1.5);
         let at = self.now + (state.redial_wait as f64 * jitter) as Micros;
-        self.schedule.put(at, Scheduled::Dial(proxy));
+        self.schedule.push(at, Scheduled::Dial(proxy));
     }
 
-    /// A proxy's stream is over; the conductor hears of it unless it ended it itself.
-    pub(super) fn end_stream(&mut self, proxy: usize, is_heard: bool) {
+    /// Ends a proxy's stream and schedules a reconnect. `notify_conductor` is false if the conductor itself
+    /// ended it.
+    pub(super) fn end_stream(&mut self, proxy: usize, notify_conductor: bool) {
         let state = &mut self.proxies[proxy];
         let Some(stream) = state.stream.take() else { return };
         let conductor = state.conductor;
@@ -84,43 +88,45 @@
         let was_welcomed = std::mem::take(&mut state.welcomed);
         self.conductors[conductor].streams.remove(&stream);
         if was_welcomed {
-            self.note(Event::Down { proxy });
+            self.record_event(Event::Down { proxy });
         }
-        if is_heard {
+        if notify_conductor {
             self.handle_input(conductor, Input::StreamEnded { stream });
         }
         self.redial(proxy, !was_welcomed);
     }
 
-    /// When a frame arrives that would at this time: a stream keeps the order of its frames, however late some are.
+    /// Returns the arrival time of a frame that is due at `at`: not before the frames sent earlier, since a
+    /// stream keeps their order.
     pub(super) fn arrival(&mut self, proxy: usize, direction: Direction, at: Micros) -> Micros {
         let newest = &mut self.proxies[proxy].newest_arrival[direction as usize];
         *newest = at.max(*newest);
         *newest
     }
 
-    /// A frame of a proxy leaves, and arrives after all before it.
-    fn send_in_order(&mut self, proxy: usize, stream: StreamId, way: Micros, kind: from_proxy::Kind) {
-        let at = self.arrival(proxy, Direction::ToConductor, self.now + way);
+    /// Sends a frame from a proxy, which arrives after `delay` and after all frames sent in order before it.
+    fn send_in_order(&mut self, proxy: usize, stream: StreamId, delay: Micros, kind: from_proxy::Kind) {
+        let at = self.arrival(proxy, Direction::ToConductor, self.now + delay);
         self.send_frame(proxy, stream, at, kind);
     }
 
-    /// A frame of a proxy leaves, and arrives then.
+    /// Sends a frame from a proxy, which arrives at `at`.
     fn send_frame(&mut self, proxy: usize, stream: StreamId, at: Micros, kind: from_proxy::Kind) {
         let state = &self.proxies[proxy];
         let (epoch, sequence) = state.model.newest();
         let frame = Box::new(FromProxy::new(epoch, sequence, kind));
-        self.schedule.put(at, Scheduled::FrameToConductor(state.conductor, stream, frame));
+        self.schedule.push(at, Scheduled::FrameToConductor(state.conductor, stream, frame));
     }
 
-    /// A frame reaches a conductor.
+    /// Passes a frame to a conductor, unless its stream has ended.
     pub(super) fn frame_arrives(&mut self, conductor: usize, stream: StreamId, frame: FromProxy) {
         if self.conductors[conductor].streams.contains_key(&stream) {
             self.handle_input(conductor, Input::Frame { stream, frame });
         }
     }
 
-    /// A frame reaches a proxy, which reads it at once, later, or not at all.
+    /// Handles the arrival of a frame at a proxy, which reads it at once, after a delay (slow channel), or
+    /// not until it is no longer stalled.
     pub(super) fn deliver(&mut self, proxy: usize, stream: StreamId, frame: Arc<FromConductor>) {
         let state = &mut self.proxies[proxy];
         if state.stream != Some(stream) {
@@ -133,26 +139,26 @@
         if state.impairment.slow <= 1.0 && state.busy_until <= self.now {
             return self.read_frame(proxy, stream, &frame);
         }
-        // A slow channel is read one frame after the other.
+        // Over a slow channel, frames are read one after the other, in proportion to their lines.
         let channel = &self.config.channel;
         let lines = match &frame.kind {
             Some(from_conductor::Kind::Order(order)) => order.cost() as f64 + channel.message_head,
             _ => 0.0,
         };
-        let takes_s = lines / channel.lines_per_s * (state.impairment.slow - 1.0).max(0.0);
-        let takes = (takes_s.min(READING_MAX_S) * 1e6) as Micros;
-        state.busy_until = state.busy_until.max(self.now) + takes;
-        self.schedule.put(state.busy_until, Scheduled::FrameRead(proxy, stream, frame));
+        let read_time_s = lines / channel.lines_per_s * (state.impairment.slow - 1.0).max(0.0);
+        let read_time = (read_time_s.min(MAX_READ_TIME_S) * 1e6) as Micros;
+        state.busy_until = state.busy_until.max(self.now) + read_time;
+        self.schedule.push(state.busy_until, Scheduled::FrameRead(proxy, stream, frame));
     }
 
-    /// A proxy reads a frame.
+    /// Handles a frame that a proxy has read, unless its stream has ended.
     pub(super) fn read_frame(&mut self, proxy: usize, stream: StreamId, frame: &FromConductor) {
         if self.proxies[proxy].stream != Some(stream) {
             return;
         }
         match &frame.kind {
             Some(from_conductor::Kind::Welcome(welcome)) => {
-                self.take_welcome(proxy, stream, frame.epoch, welcome);
+                self.handle_welcome(proxy, stream, frame.epoch, welcome);
             }
             Some(from_conductor::Kind::Order(order)) => self.apply_order(proxy, stream, frame, order),
             Some(from_conductor::Kind::Goodbye(_)) => self.end_stream(proxy, false),
@@ -160,54 +166,56 @@
         }
     }
 
-    fn take_welcome(&mut self, proxy: usize, stream: StreamId, epoch: u64, welcome: &v1::Welcome) {
+    /// Handles `Welcome`: the first report follows after a random part of the report period.
+    fn handle_welcome(&mut self, proxy: usize, stream: StreamId, epoch: u64, welcome: &v1::Welcome) {
         let state = &mut self.proxies[proxy];
         state.model.welcome(epoch);
         state.welcomed = true;
-        state.report_every = welcome.report_every_us.max(REPORT_PERIOD_LEAST);
+        state.report_every = welcome.report_every_us.max(MIN_REPORT_PERIOD);
         let conductor = state.conductor;
         let first = (state.report_every as f64 * self.rng.random_range(0.0..1.0)) as Micros;
-        self.schedule.put(self.now + first, Scheduled::Report(proxy, stream));
-        self.note(Event::Up { proxy, conductor });
+        self.schedule.push(self.now + first, Scheduled::Report(proxy, stream));
+        self.record_event(Event::Up { proxy, conductor });
     }
 
+    /// Applies an order and acknowledges its mark, if it carries one.
     fn apply_order(&mut self, proxy: usize, stream: StreamId, frame: &FromConductor, order: &v1::Order) {
         let lines = order.cost() as f64 + self.config.channel.message_head;
         self.orders += 1;
         let mark = self.proxies[proxy].model.apply(frame.epoch, frame.sequence, order);
         if self.options.judged {
             let order = Arc::new(order.clone());
-            self.note(Event::Order { proxy, epoch: frame.epoch, order, lines });
+            self.record_event(Event::Order { proxy, epoch: frame.epoch, order, lines });
         }
         let Some(mark) = mark else { return };
-        if let Some(way) = self.way_to_conductor(proxy) {
+        if let Some(delay) = self.delay_to_conductor(proxy) {
             let applied = from_proxy::Kind::Applied(v1::Applied { mark, took_us: 0 });
-            self.send_in_order(proxy, stream, way, applied);
+            self.send_in_order(proxy, stream, delay, applied);
         }
     }
 
-    /// A proxy reports, and will again after its period.
+    /// Sends a proxy's report and schedules the next one. A stalled proxy sends none.
     pub(super) fn send_report(&mut self, proxy: usize, stream: StreamId) {
         let state = &mut self.proxies[proxy];
         if state.stream != Some(stream) {
             return;
         }
-        self.schedule.put(self.now + state.report_every, Scheduled::Report(proxy, stream));
+        self.schedule.push(self.now + state.report_every, Scheduled::Report(proxy, stream));
         if state.impairment.stalled {
             return;
         }
         let late = state.impairment.late;
         let report = v1::Report { age_us: late, ..state.model.report(self.now) };
-        let Some(way) = self.way_to_conductor(proxy) else { return };
+        let Some(delay) = self.delay_to_conductor(proxy) else { return };
         let kind = from_proxy::Kind::Report(report);
         if late > 0 {
-            self.send_frame(proxy, stream, self.now + late + way, kind);
+            self.send_frame(proxy, stream, self.now + late + delay, kind);
         } else {
-            self.send_in_order(proxy, stream, way, kind);
+            self.send_in_order(proxy, stream, delay, kind);
         }
     }
 
-    /// A trouble cuts a proxy off from its conductor, or ends.
+    /// Begins or ends a fault that disconnects a proxy from its conductor.
     pub(super) fn cut_off(&mut self, proxy: usize, on: bool) {
         let impairment = &mut self.proxies[proxy].impairment;
         impairment.cut_off = if on { impairment.cut_off + 1 } else { impairment.cut_off.saturating_sub(1) };
@@ -216,16 +224,16 @@
         }
     }
 
-    /// A proxy reads nothing, or all that has come meanwhile.
+    /// Begins or ends a stall: a stalled proxy reads no frames, and reads all of them when the stall ends.
     pub(super) fn stall(&mut self, proxy: usize, on: bool) {
         self.proxies[proxy].impairment.stalled = on;
-        self.note(Event::Reads { proxy, on: !on });
+        self.record_event(Event::Reads { proxy, on: !on });
         for (stream, frame) in std::mem::take(&mut self.proxies[proxy].unread) {
-            self.schedule.put(self.now, Scheduled::FrameToProxy(proxy, stream, frame));
+            self.schedule.push(self.now, Scheduled::FrameToProxy(proxy, stream, frame));
         }
     }
 
-    /// Streams over links that are cut now break.
+    /// Ends the streams over links that are cut now.
     pub(super) fn break_cut_streams(&mut self) {
         for proxy in 0..self.proxies.len() {
             if self.proxies[proxy].stream.is_some() && !self.can_reach_conductor(proxy) {
--- a/crates/stepspur-simulation/tests/world.rs
+++ b/crates/stepspur-simulation/tests/world.rs
@@ -1,4 +1,5 @@
-//! The fleet in virtual time: the same to the byte, sound on every rehearsal, and able to fail.
+//! The simulation: deterministic results, no rule violations in the scenarios, violations where a guard is
+//! off, and agreement with queueing theory.
 
 use std::time::Duration;
 
@@ -22,52 +23,54 @@
     scenario.plan(name).unwrap()
 }
 
-fn played(plan: &Plan) -> Outcome {
+fn run_plan(plan: &Plan) -> Outcome {
     run(plan, &Options::default())
 }
 
-/// Everything but this machine's time.
-fn shown(outcome: &Outcome) -> String {
+/// Formats all deterministic parts of an outcome, that is, all but the wall-clock times.
+fn fingerprint(outcome: &Outcome) -> String {
     let Outcome { classes, service, breaks, fallen, asked, orders, events, .. } = outcome;
     format!("{classes:?} {service} {breaks:?} {fallen} {asked} {orders} {events}")
 }
 
 #[test]
-fn the_same_seed_is_the_same_run_on_one_thread_and_on_four() {
+fn the_same_seed_gives_the_same_run_on_one_thread_and_on_four() {
     let plan = plan("come-and-go", |s| s.length = Duration::from_secs(30));
-    let alone = shown(&played(&plan));
+    let single = fingerprint(&run_plan(&plan));
     std::thread::scope(|scope| {
-        let runs: Vec<_> = (0..4).map(|_| scope.spawn(|| shown(&played(&plan)))).collect();
-        runs.into_iter().for_each(|run| assert_eq!(run.join().unwrap(), alone));
+        let runs: Vec<_> = (0..4).map(|_| scope.spawn(|| fingerprint(&run_plan(&plan)))).collect();
+        runs.into_iter().for_each(|run| assert_eq!(run.join().unwrap(), single));
     });
     let other = Plan { seed: plan.seed + 1, ..plan };
-    assert_ne!(shown(&played(&other)), alone);
+    assert_ne!(fingerprint(&run_plan(&other)), single);
 }
 
-/// All rehearsals but the largest, in virtual time: rules kept, each request answered for.
+/// All scenarios except the largest, in virtual time: no rule is violated, and every request has exactly one
+/// result. Guards against requests that the simulation loses or counts twice.
 #[test]
-fn every_rehearsal_keeps_the_rules() {
+fn every_scenario_satisfies_the_rules() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/../../rehearsals");
     let names = std::fs::read_dir(folder).unwrap().map(|f| f.unwrap().path());
-    let mut played_days = 0;
+    let mut scenarios_run = 0;
     for path in names.filter(|p| p.extension().is_some_and(|e| e == "toml") && !p.ends_with("fleet.toml")) {
         let scenario = Scenario::read(&path).unwrap();
-        let outcome = played(&scenario.plan("day").unwrap());
+        let outcome = run_plan(&scenario.plan("day").unwrap());
         assert!(outcome.breaks.is_empty(), "{}: {:#?}", scenario.name, outcome.breaks);
-        let told: u64 = outcome.classes.iter().map(|t| t.in_time + t.late + t.refused + t.failed).sum();
+        let finished: u64 = outcome.classes.iter().map(|t| t.in_time + t.late + t.refused + t.failed).sum();
         let expected = scenario.rate * scenario.length.as_secs_f64();
-        assert_eq!(told, outcome.asked, "{}", scenario.name);
+        assert_eq!(finished, outcome.asked, "{}", scenario.name);
         assert!(outcome.asked as f64 > 0.7 * expected && outcome.orders > 0, "{}", scenario.name);
-        played_days += 1;
+        scenarios_run += 1;
     }
-    assert!(played_days >= 14);
+    assert!(scenarios_run >= 14);
 }
 
-/// With the guard on cold servers a zone that restarts is spared; where the conductor takes cold servers for warm
-/// ones, they fall over, and the judge says so.
+/// With the warm-up guard no server of a restarting zone collapses. With settings that make the conductor
+/// treat cold servers as warm they collapse, and the rule check reports it; so the check can detect a
+/// violation.
 #[test]
-fn a_sabotaged_guard_breaks_the_rule() {
-    let day = |guarded: bool| {
+fn a_disabled_warm_up_guard_violates_the_rule() {
+    let restart_plan = |guarded: bool| {
         plan("zone-restart", |s| {
             if !guarded {
                 let off = "[fleet]\ncold = \"1ms\"\nstart_capacity = 1.0\nfall_multiple = 100.0";
@@ -75,14 +78,15 @@
             }
         })
     };
-    assert_eq!(played(&day(true)).fallen, 0);
-    let rushed = played(&day(false));
-    assert!(rushed.fallen > 0 && rushed.breaks.iter().any(|b| b.rule == Rule::Fresh));
+    assert_eq!(run_plan(&restart_plan(true)).fallen, 0);
+    let unguarded = run_plan(&restart_plan(false));
+    assert!(unguarded.fallen > 0 && unguarded.breaks.iter().any(|b| b.rule == Rule::Fresh));
 }
 
-/// A fleet that grows during the run, several conductors of which one is killed: rules kept.
+/// A fleet that grows during the run, with one to three conductors of which one is killed: no rule is
+/// violated.
 #[test]
-fn several_conductors_share_a_fleet_that_grows() {
+fn several_conductors_share_a_growing_fleet() {
     for conductors in [1, 2, 3] {
         let plan = plan("come-and-go", |s| {
             s.faults.extend(scenario("release-and-growth").faults.into_iter().filter(|f| f.count.is_some()));
@@ -92,10 +96,11 @@
     }
 }
 
-/// Mitzenmacher: with two choices by requests in hand the mean time is the sum of load to the power 2^i - 2; at
-/// random it is that of M/M/1. One proxy knows all requests in hand.
+/// Compares random picks and the power of two_choices choices with theory: at random the mean time in the
+/// system is that of M/M/1; with two_choices choices it is the sum of load to the power 2^i - 2
+/// (Mitzenmacher). The only proxy knows all requests in flight.
 #[test]
-fn two_choices_are_as_much_better_than_chance_as_theory_says() {
+fn power_of_two_choices_matches_theory() {
     let load: f64 = 0.9;
     let mean = |pick: Pick| {
         let mut scenario = scenario("silent-server");
@@ -122,10 +127,10 @@
             (1..=2).map(|seed| run(&Plan { seed, ..plan.clone() }, &options).mean_ms).collect();
         times.iter().sum::<f64>() / 2.0 / 10.0
     };
-    let two: f64 = (1..8).map(|i| load.powi(2i32.pow(i) - 2)).sum();
-    for (pick, expected) in [(Pick::Lottery, 1.0 / (1.0 - load)), (Pick::Two, two)] {
+    let two_choices: f64 = (1..8).map(|i| load.powi(2i32.pow(i) - 2)).sum();
+    for (pick, expected) in [(Pick::Lottery, 1.0 / (1.0 - load)), (Pick::Two, two_choices)] {
         let mean = mean(pick);
-        println!("{pick:?}: {mean:.3} mean works, theory {expected:.3}");
-        assert!((mean / expected - 1.0).abs() < 0.06, "{pick:?}: {mean} for {expected}");
+        println!("{pick:?}: {mean:.3} times the mean work, theory {expected:.3}");
+        assert!((mean / expected - 1.0).abs() < 0.06, "{pick:?}: mean {mean}, expected {expected}");
     }
 }
