--- a/crates/stepspur-model/src/server.rs
+++ b/crates/stepspur-model/src/server.rs
@@ -157,7 +157,8 @@
 }
 
 impl Spec {
-    /// Returns the work done in a second when warm and at or below [`Spec::knee`], in core-seconds.
+    /// Returns the work done in a second when warm and at or below [`Spec::knee`], in seconds of a core of
+    /// speed 1.
     pub fn capacity(&self) -> f64 {
         f64::from(self.cores) * self.speed
     }
--- a/crates/stepspur-simulation/src/world/mod.rs
+++ b/crates/stepspur-simulation/src/world/mod.rs
@@ -46,7 +46,9 @@
 /// Parameters of a run in addition to its plan.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Number of conductors, at least that of the plan. Proxies are assigned to them round robin.
+    /// Number of conductors, at least that of the plan. Proxies are assigned to them round robin. Faults of
+    /// the plan affect only the first ones, as many as the plan itself has: a plan with one conductor kills
+    /// the first.
     pub conductors: usize,
     /// Zones of the conductors, by index. Conductor `k` beyond the end is in zone `k` after the plan's
     /// conductor zone.
