--- a/crates/stepspur-emulator/src/clients.rs
+++ b/crates/stepspur-emulator/src/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: open arrivals from a seed, with their own retries, and what became of each request.
+//! Emulated clients: open-loop arrivals drawn from a seed, client retries, and the results of requests.
 
 use std::ops::Range;
 use std::sync::{Arc, Mutex};
@@ -14,36 +14,36 @@
 use tokio_util::task::TaskTracker;
 
 use crate::plan::{ClassPlan, Plan};
-use crate::proxy::{Ask, Proxy};
+use crate::proxy::{ClientRequest, Proxy};
 use crate::trace::{RequestId, lock};
 use crate::traffic::{Drawn, Traffic, Weather};
 
-/// What became of the requests of a class.
+/// Results of the requests of a class. Serialized into reports.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Tally {
-    /// The class.
+    /// Name of the class; "all" for all classes together.
     pub class: String,
-    /// Requests, without clients' repeats.
+    /// Number of requests, not counting client retries.
     pub asked: u64,
-    /// Answered within the aim.
+    /// Answered within the latency target of the class.
     pub in_time: u64,
-    /// Answered later.
+    /// Answered after the latency target.
     pub late: u64,
-    /// Refused, after all tries.
+    /// Refused after all client retries.
     pub refused: u64,
-    /// Failed or given up.
+    /// Failed or timed out.
     pub failed: u64,
-    /// Clients' repeats.
+    /// Number of client retries.
     pub repeats: u64,
-    /// Time of answers, milliseconds: p50, p99, most.
+    /// Response times of answered requests, in milliseconds: p50, p99, maximum.
     pub answer_ms: [f64; 3],
 }
 
-/// What became of the requests of a part of the day, by class.
+/// Results by class, each with a histogram of response times in microseconds.
 #[derive(Debug)]
-struct Part(Vec<(Tally, Histogram<u64>)>);
+struct ClassResults(Vec<(Tally, Histogram<u64>)>);
 
-impl Part {
+impl ClassResults {
     fn new(plan: &Plan) -> Self {
         let empty =
             || Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds of a minute, three digits");
@@ -52,10 +52,10 @@
     }
 
     fn tallies(&self) -> Vec<Tally> {
-        self.0.iter().map(|(tally, times)| shown(tally, times)).collect()
+        self.0.iter().map(|(tally, times)| with_percentiles(tally, times)).collect()
     }
 
-    /// Of one class, or of all together.
+    /// Results of one class, or of all classes together.
     fn tally(&self, class: Option<usize>) -> Tally {
         let mut all = Tally { class: "all".into(), ..Tally::default() };
         let mut times: Option<Histogram<u64>> = None;
@@ -67,82 +67,88 @@
             all.failed += tally.failed;
             all.repeats += tally.repeats;
             match &mut times {
-                // Both have the same bounds, so one always fits into the other.
+                // Histograms with the same bounds can always be added.
                 Some(times) => _ = times.add(seen),
                 None => times = Some(seen.clone()),
             }
         }
-        times.map_or(all.clone(), |times| shown(&all, &times))
+        times.map_or(all.clone(), |times| with_percentiles(&all, &times))
     }
 }
 
-fn shown(tally: &Tally, times: &Histogram<u64>) -> Tally {
+/// Adds the percentiles of the histogram to the counts.
+fn with_percentiles(tally: &Tally, times: &Histogram<u64>) -> Tally {
     let ms = |us: u64| us as f64 / 1e3;
     let answer_ms = [times.value_at_quantile(0.5), times.value_at_quantile(0.99), times.max()].map(ms);
     Tally { answer_ms, ..tally.clone() }
 }
 
-/// All that became of requests.
+/// Results of all requests of a rehearsal.
 #[derive(Debug)]
 pub struct Outcomes {
-    whole: Part,
-    phases: Vec<(Range<Duration>, Part)>,
-    /// By the second asked: in time, late, refused, failed.
+    /// Over the whole rehearsal.
+    whole: ClassResults,
+    /// By phase of the plan: its time span and results.
+    phases: Vec<(Range<Duration>, ClassResults)>,
+    /// Counts by the second in which requests were sent: in time, late, refused, failed.
     seconds: Vec<[u64; 4]>,
+    /// Value of the answers, and of all requests.
     worth: (f64, f64),
 }
 
 impl Outcomes {
-    /// Nothing yet.
+    /// Creates empty results for the classes and phases of a plan.
     pub fn new(plan: &Plan) -> Self {
-        let phase = |(_, span): &(String, Range<Duration>)| (span.clone(), Part::new(plan));
+        let phase = |(_, span): &(String, Range<Duration>)| (span.clone(), ClassResults::new(plan));
         Self {
-            whole: Part::new(plan),
+            whole: ClassResults::new(plan),
             phases: plan.phases.iter().map(phase).collect(),
             seconds: Vec::new(),
             worth: (0.0, 0.0),
         }
     }
 
-    /// By class.
+    /// Results by class over the whole rehearsal.
     pub fn tallies(&self) -> Vec<Tally> {
         self.whole.tallies()
     }
 
-    /// Of a phase's requests, by class.
+    /// Results by class of the requests sent in a phase; empty if there is no such phase.
     pub fn of_phase(&self, phase: usize) -> Vec<Tally> {
-        self.phases.get(phase).map(|(_, part)| part.tallies()).unwrap_or_default()
+        self.phases.get(phase).map(|(_, results)| results.tallies()).unwrap_or_default()
     }
 
-    /// Of a phase's requests (else the day's), of one class (else of all).
+    /// Results of a phase, or of the whole rehearsal if `None`; of one class, or of all together if `None`.
     pub fn tally(&self, phase: Option<usize>, class: Option<usize>) -> Tally {
-        let part = phase.and_then(|phase| self.phases.get(phase)).map_or(&self.whole, |(_, part)| part);
-        part.tally(class)
+        let results =
+            phase.and_then(|phase| self.phases.get(phase)).map_or(&self.whole, |(_, results)| results);
+        results.tally(class)
     }
 
-    /// Mean time of answers, milliseconds, over all classes; 0 if there was none.
+    /// Mean response time over all classes, in milliseconds; 0 without answers.
     pub fn mean_ms(&self) -> f64 {
         let all = self.whole.0.iter().map(|(_, times)| (times.mean() * times.len() as f64, times.len()));
-        let (sum, many) = all.fold((0.0, 0), |(sum, many), (s, m)| (sum + s, many + m));
-        sum / many.max(1) as f64 / 1e3
+        let (sum, count) = all.fold((0.0, 0), |(sum, count), (s, m)| (sum + s, count + m));
+        sum / count.max(1) as f64 / 1e3
     }
 
-    /// By the second asked: in time, late, refused, failed.
+    /// Counts by the second in which requests were sent: in time, late, refused, failed.
     pub fn seconds(&self) -> &[[u64; 4]] {
         &self.seconds
     }
 
-    /// Worth answered over worth asked for.
+    /// Value of answered requests over value of all requests, from 0 to 1; 1 without requests.
     pub fn service(&self) -> f64 {
         if self.worth.1 > 0.0 { self.worth.0 / self.worth.1 } else { 1.0 }
     }
 
-    /// A request that was asked so long after the day's begin has its last answer.
+    /// Records the final result of a request. `sent_at` is its start since the first request was due, `took` the time
+    /// until its final answer, `repeats` the number of client retries.
     pub fn note(
         &mut self,
         plan: &ClassPlan,
         class: usize,
-        asked: Duration,
+        sent_at: Duration,
         took: Duration,
         answer: Answer,
         repeats: u32,
@@ -154,14 +160,15 @@
             Answer::Refused | Answer::NeverRan => 2,
             Answer::Failed => 3,
         };
-        let second = asked.as_secs() as usize;
+        let second = sent_at.as_secs() as usize;
         if self.seconds.len() <= second {
             self.seconds.resize(second + 1, [0; 4]);
         }
         self.seconds[second][kind] += 1;
-        let phases = self.phases.iter_mut().filter(|(span, _)| span.contains(&asked)).map(|(_, part)| part);
-        for part in std::iter::once(&mut self.whole).chain(phases) {
-            let (tally, times) = &mut part.0[class];
+        let phases =
+            self.phases.iter_mut().filter(|(span, _)| span.contains(&sent_at)).map(|(_, results)| results);
+        for results in std::iter::once(&mut self.whole).chain(phases) {
+            let (tally, times) = &mut results.0[class];
             tally.asked += 1;
             tally.repeats += u64::from(repeats);
             *[&mut tally.in_time, &mut tally.late, &mut tally.refused, &mut tally.failed][kind] += 1;
@@ -174,43 +181,44 @@
     }
 }
 
-/// The clients of a day.
-pub struct Crowd {
+/// All clients of a rehearsal: one arrival process over all proxies.
+pub struct ClientPool {
     plan: Arc<Plan>,
     proxies: Vec<Arc<Proxy>>,
-    /// What the day does to the traffic.
-    pub weather: Mutex<Weather>,
-    /// What became of requests.
+    /// Traffic faults in effect.
+    pub traffic_faults: Mutex<Weather>,
+    /// Results so far.
     pub outcomes: Mutex<Outcomes>,
     tasks: TaskTracker,
-    /// How late the last request was sent.
-    behind: Mutex<Duration>,
+    /// How long after its due time the last request was sent.
+    fell_behind: Mutex<Duration>,
 }
 
-/// Requests under way at once; a day that needs more is none that this machine can play.
-const UNDER_WAY: usize = 50_000;
+/// Maximum number of requests in flight; a plan that needs more is too large for the machine.
+const MAX_IN_FLIGHT: usize = 50_000;
 
-impl Crowd {
-    /// Clients of these proxies.
+impl ClientPool {
+    /// Creates clients that send through these proxies.
     pub fn new(plan: Arc<Plan>, proxies: Vec<Arc<Proxy>>) -> Arc<Self> {
         let outcomes = Mutex::new(Outcomes::new(&plan));
         Arc::new(Self {
             plan,
             proxies,
-            weather: Mutex::default(),
+            traffic_faults: Mutex::default(),
             outcomes,
             tasks: TaskTracker::new(),
-            behind: Mutex::default(),
+            fell_behind: Mutex::default(),
         })
     }
 
-    /// Sends requests for the plan's time, and waits for the last of them; false if too many were under way.
+    /// Sends requests for the length of the plan, and waits for the last answers. Returns false if it stopped early
+    /// because more than [`MAX_IN_FLIGHT`] requests were in flight.
     pub async fn run(self: Arc<Self>, begin: Instant, stop: CancellationToken) -> bool {
         let end = begin + self.plan.length;
         let mut traffic = Traffic::new(Arc::clone(&self.plan));
-        let (mut at, mut next, mut fits) = (begin, 0u64, true);
+        let (mut at, mut next, mut within_limit) = (begin, 0u64, true);
         loop {
-            let gap = traffic.gap(&lock(&self.weather), at.duration_since(begin).as_secs_f64());
+            let gap = traffic.gap(&lock(&self.traffic_faults), at.duration_since(begin).as_secs_f64());
             at += Duration::from_secs_f64(gap);
             if at >= end {
                 break;
@@ -219,34 +227,35 @@
                 () = sleep_until(at) => {}
                 () = stop.cancelled() => break,
             }
-            if self.tasks.len() >= UNDER_WAY {
-                fits = false;
+            if self.tasks.len() >= MAX_IN_FLIGHT {
+                within_limit = false;
                 break;
             }
             next += 1;
-            let Some(drawn) = traffic.draw(&lock(&self.weather)) else { continue };
+            let Some(drawn) = traffic.draw(&lock(&self.traffic_faults)) else { continue };
             let Drawn { class, key, work, .. } = drawn;
             let (id, aim, until) = (RequestId(next), self.plan.classes[class].aim, Instant::now());
-            let ask = Ask { id, client_try: 0, class, key, work, aim, until };
-            let (crowd, proxy) = (Arc::clone(&self), Arc::clone(&self.proxies[drawn.proxy]));
-            self.tasks.spawn(async move { crowd.request(proxy, ask, begin, drawn.seed).await });
+            let request = ClientRequest { id, client_try: 0, class, key, work, aim, until };
+            let (clients, proxy) = (Arc::clone(&self), Arc::clone(&self.proxies[drawn.proxy]));
+            self.tasks.spawn(async move { clients.run_request(proxy, request, begin, drawn.seed).await });
         }
-        *lock(&self.behind) = Instant::now().saturating_duration_since(at.min(end));
+        *lock(&self.fell_behind) = Instant::now().saturating_duration_since(at.min(end));
         self.tasks.close();
         self.tasks.wait().await;
-        fits
+        within_limit
     }
 
-    /// How late the last request was sent: what this machine fell behind.
-    pub fn behind(&self) -> Duration {
-        *lock(&self.behind)
+    /// How long after its due time the last request was sent: how far the machine fell behind.
+    pub fn fell_behind(&self) -> Duration {
+        *lock(&self.fell_behind)
     }
 
-    async fn request(&self, proxy: Arc<Proxy>, ask: Ask, day: Instant, seed: u64) {
-        let class = &self.plan.classes[ask.class];
+    /// Runs one request with its client retries until an answer, the deadline, or a repeat that could do harm.
+    async fn run_request(&self, proxy: Arc<Proxy>, request: ClientRequest, begin: Instant, seed: u64) {
+        let class = &self.plan.classes[request.class];
         let clients = &self.plan.clients;
-        let begun = Instant::now();
-        let end = begun + class.deadline;
+        let started = Instant::now();
+        let end = started + class.deadline;
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let (mut client_try, mut answer) = (0, Answer::Refused);
         while client_try <= clients.retries && Instant::now() < end {
@@ -254,18 +263,18 @@
                 sleep(clients.wait.mul_f64(rng.random_range(0.8..1.2))).await;
             }
             let until = (Instant::now() + class.deadline.mul_f64(clients.try_share)).min(end);
-            answer = proxy.serve(Ask { client_try, until, ..ask }).await;
+            answer = proxy.serve(ClientRequest { client_try, until, ..request }).await;
             client_try += 1;
-            if !client_repeats(answer, class.repeat(), begun.elapsed().as_micros() as u64) {
+            if !client_repeats(answer, class.repeat(), started.elapsed().as_micros() as u64) {
                 break;
             }
         }
-        let asked = begun.saturating_duration_since(day);
+        let sent_at = started.saturating_duration_since(begin);
         lock(&self.outcomes).note(
             class,
-            ask.class,
-            asked,
-            begun.elapsed(),
+            request.class,
+            sent_at,
+            started.elapsed(),
             answer,
             client_try.saturating_sub(1),
         );
--- a/crates/stepspur-emulator/src/judge.rs
+++ b/crates/stepspur-emulator/src/judge.rs
@@ -1,7 +1,8 @@
-//! The judge: the five rules, from what crossed the sockets alone.
+//! Checks the five rules against the recorded events, which hold only what crossed the sockets.
 //!
-//! It rebuilds each proxy's table from the frames that the proxy read, with code of its own, and knows of the
-//! conductor only what the node list told it. Times are the stand-ins' own.
+//! The checker rebuilds each proxy's table from the frames that the proxy read, with code of its own, so that a fault
+//! in the shared code cannot hide a violation. Of a conductor it knows only which node lists it received. All times
+//! are from the clock of the emulator.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -16,27 +17,27 @@
 use crate::plan::Plan;
 use crate::trace::{Arrival, Came, Event, RequestId};
 
-/// A rule.
+/// One of the five rules. Serialized by name into reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rule {
-    /// Every proxy keeps a route.
+    /// Rule 1: a connected proxy has a server to send to.
     Route,
-    /// Nothing takes effect twice.
+    /// Rule 2: no request takes effect twice.
     Once,
-    /// Drains are honoured.
+    /// Rule 3: draining and removed servers receive no requests after the grace time.
     Drain,
-    /// Fresh servers are spared.
+    /// Rule 4: cold servers are not overloaded.
     Fresh,
-    /// The queue stays short.
+    /// Rule 5: few order lines wait between decision and receipt, and few orders are sent per proxy and window.
     Queue,
 }
 
 impl Rule {
-    /// All five, in the brief's order.
+    /// All five rules, in order of their numbers.
     pub const ALL: [Rule; 5] = [Rule::Route, Rule::Once, Rule::Drain, Rule::Fresh, Rule::Queue];
 
-    /// Its wording.
+    /// Name of the rule in reports and on the command line.
     pub fn words(self) -> &'static str {
         match self {
             Rule::Route => "every proxy keeps a route",
@@ -48,38 +49,51 @@
     }
 }
 
-/// A rule that was broken: when it was first, and by what.
+/// The violations of one rule: how many, and the first one.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Break {
-    /// The rule.
+    /// The rule that was broken.
     pub rule: Rule,
-    /// How often.
+    /// Number of violations.
     pub times: usize,
-    /// The first time, seconds from the day's begin.
+    /// Time of the first violation, in seconds since the first request was due.
     pub at_s: f64,
-    /// The first offence in words: the request, the proxy, the server.
+    /// Description of the first violation, with its request, proxy and server where there are any.
     pub what: String,
 }
 
-/// The rules' figures as the judge takes them.
+/// The limits that the rules are checked against, and the facts about classes and servers that they need.
 #[derive(Clone, Debug)]
 pub struct Figures {
+    /// Rule 1: maximum time that a connected proxy may be without a server, in microseconds.
     unserved_max: Micros,
+    /// Rules 3 and 4: time to act on a list that a conductor received, in microseconds.
     drain_grace: Micros,
+    /// Time after its start from which a server counts as warm, in microseconds.
     cold: Micros,
+    /// Rule 4: a cold server may receive this many times its present capacity ...
     fall_multiple: f64,
+    /// ... over this time, in microseconds.
     fall_span: Micros,
+    /// Rule 2: true if a request that a full server refused may have run.
     full_may_have_run: bool,
+    /// Rule 3: true if only an explicit draining state binds, not the removal from the list.
     drain_binds_alone: bool,
+    /// Rule 5: maximum number of lines that wait for one conductor's proxies to read them.
     waiting_max: f64,
+    /// Rule 5: maximum number of orders per proxy (0: unlimited), and the window that they are counted in, in
+    /// microseconds.
     messages: (u32, Micros),
+    /// Largest share of ready servers whose absence from a full list counts as their removal.
     loss_max: f64,
+    /// By class: effect of a repeat, who deduplicates repeats, and for how long in microseconds.
     effects: Vec<(EffectConfig, GroupConfig, Micros)>,
+    /// The zone of each server.
     zones: BTreeMap<SocketAddr, String>,
 }
 
 impl Figures {
-    /// Those of a plan; `zones` tells each server's zone.
+    /// Takes the limits from a plan; `zones` maps each server to its zone.
     pub fn new(plan: &Plan, zones: BTreeMap<SocketAddr, String>) -> Self {
         let rules = &plan.rules;
         let channel = &plan.config.channel;
@@ -104,129 +118,148 @@
     span.as_micros() as Micros
 }
 
-/// Judges a day that began at `begin`.
+/// Checks events, which must be ordered by time, and returns the violations by rule. `begin` is when the first
+/// request was due.
 pub fn judge(figures: &Figures, begin: Micros, events: &[(Micros, Event)]) -> Vec<Break> {
-    let mut judge = Judge { figures, begin, ..Judge::new(figures) };
+    let mut checker = RuleChecker { figures, begin, ..RuleChecker::new(figures) };
     for (at, event) in events {
-        judge.see(*at, event);
+        checker.observe(*at, event);
     }
     if let Some((end, _)) = events.last() {
-        judge.look_for_bare(*end);
+        checker.check_routes(*end);
     }
-    judge.queue();
-    judge.breaks.into_values().collect()
+    checker.check_queues();
+    checker.violations.into_values().collect()
 }
 
-/// What the judge holds of a proxy.
+/// The state of a proxy as far as its stream shows it.
 #[derive(Debug, Default)]
-struct Seen {
-    lines: BTreeSet<SocketAddr>,
-    out: BTreeSet<SocketAddr>,
-    /// Since when its stream stands.
-    joined: Option<Micros>,
-    /// False: it stopped reading on this stream. No order reaches it, so no rule binds the conductor for it.
+struct ProxyView {
+    /// Servers in its table with a positive weight.
+    table: BTreeSet<SocketAddr>,
+    /// Servers withdrawn from it; they cannot be picked.
+    withdrawn: BTreeSet<SocketAddr>,
+    /// When its stream was welcomed; `None` while it has none.
+    joined_at: Option<Micros>,
+    /// False once it stopped reading on this stream. No order reaches it then, so the rules do not hold the conductor
+    /// responsible for it.
     reads: bool,
-    /// Since when it has had nothing to pick though it might.
-    bare: Option<Micros>,
+    /// Since when it has had no server to pick although its conductor knew a warm one.
+    unserved_since: Option<Micros>,
     /// When the newest order that it read was decided.
-    decided: Micros,
-    written: VecDeque<Micros>,
-    /// Whose stream it has, or had last.
+    last_decided: Micros,
+    /// Decision times of the orders within the window of rule 5, oldest first.
+    order_times: VecDeque<Micros>,
+    /// The conductor of its current or last stream.
     conductor: usize,
 }
 
-/// What the conductor was told of a server.
+/// A server as the node list last showed it to a conductor.
 #[derive(Clone, Debug)]
-struct Told {
+struct ListedServer {
     state: EndpointRecordState,
-    /// When it was told of that state.
-    at: Micros,
+    /// When the conductor received that state.
+    state_listed_at: Micros,
+    /// When the server started, as listed, in microseconds since the Unix epoch.
     started: Micros,
-    /// When it was told of that start.
-    start_at: Micros,
+    /// When the conductor received that start.
+    start_listed_at: Micros,
 }
 
-/// A cold server's load.
+/// A server since its cold start, with the work that it received.
 #[derive(Debug, Default)]
-struct Fresh {
+struct ColdServer {
     started: Micros,
+    /// Work per second that it does when warm, in seconds of work.
     capacity: f64,
+    /// Share of the capacity that it has at its start.
     cold_from: f64,
-    /// None: warmed by requests, so only its fall counts.
+    /// Time until it is warm, in microseconds; `None` if requests warm it, so that only its failure is checked.
     cold: Option<Micros>,
-    /// When work came, how much, and whether it came from one who should have known.
-    pushed: VecDeque<(Micros, f64, bool)>,
+    /// Work received within `fall_span`: when, how much in microseconds, and whether the conductor had the means to
+    /// hold it back.
+    recent_work: VecDeque<(Micros, f64, bool)>,
+    /// True once an overload was attributed, so that each start counts once.
     fell: bool,
 }
 
-struct Judge<'a> {
+/// State of the checks while events are replayed in order.
+struct RuleChecker<'a> {
     figures: &'a Figures,
     begin: Micros,
-    proxies: BTreeMap<usize, Seen>,
-    /// Those that are joined, read, and have nothing to pick: few, so that time passing costs little.
-    empty: BTreeSet<usize>,
-    /// What each conductor was told.
-    told: BTreeMap<usize, BTreeMap<SocketAddr, Told>>,
-    fresh: BTreeMap<SocketAddr, Fresh>,
-    /// Attempts of a client's try whose effect has taken place, of classes that must not run twice.
-    effects: BTreeMap<(RequestId, u32), (u32, SocketAddr)>,
-    /// Earlier attempts of a client's try that may have run.
-    ran: BTreeMap<(RequestId, u32), Vec<(Micros, SocketAddr)>>,
-    /// Lines in the channel: when they came in and when they were read.
-    lines: BTreeMap<usize, Vec<(Micros, f64, String)>>,
-    breaks: BTreeMap<Rule, Break>,
+    proxies: BTreeMap<usize, ProxyView>,
+    /// Proxies that are connected, read, and have no server to pick. Kept apart because every event checks them, and
+    /// they are few.
+    unserved: BTreeSet<usize>,
+    /// By conductor: the servers that it was shown.
+    listed_servers: BTreeMap<usize, BTreeMap<SocketAddr, ListedServer>>,
+    /// Servers that started cold during the rehearsal.
+    cold_servers: BTreeMap<SocketAddr, ColdServer>,
+    /// By request and client's try: the last attempt whose effect took place, of classes that must not run twice.
+    executed: BTreeMap<(RequestId, u32), (u32, SocketAddr)>,
+    /// By request and client's try: the attempts so far that may have run.
+    may_have_run: BTreeMap<(RequestId, u32), Vec<(Micros, SocketAddr)>>,
+    /// By conductor: changes of the number of waiting lines, with their time and the cause of an increase.
+    queued_lines: BTreeMap<usize, Vec<(Micros, f64, String)>>,
+    violations: BTreeMap<Rule, Break>,
 }
 
-impl<'a> Judge<'a> {
+impl<'a> RuleChecker<'a> {
     fn new(figures: &'a Figures) -> Self {
         Self {
             figures,
             begin: 0,
             proxies: BTreeMap::new(),
-            empty: BTreeSet::new(),
-            told: BTreeMap::new(),
-            fresh: BTreeMap::new(),
-            effects: BTreeMap::new(),
-            ran: BTreeMap::new(),
-            lines: BTreeMap::new(),
-            breaks: BTreeMap::new(),
+            unserved: BTreeSet::new(),
+            listed_servers: BTreeMap::new(),
+            cold_servers: BTreeMap::new(),
+            executed: BTreeMap::new(),
+            may_have_run: BTreeMap::new(),
+            queued_lines: BTreeMap::new(),
+            violations: BTreeMap::new(),
         }
     }
 
-    fn broken(&mut self, rule: Rule, at: Micros, what: String) {
+    /// Counts a violation; only the first one of each rule keeps its time and description.
+    fn record_violation(&mut self, rule: Rule, at: Micros, what: String) {
         let at_s = at.saturating_sub(self.begin) as f64 * 1e-6;
-        self.breaks.entry(rule).or_insert(Break { rule, times: 0, at_s, what }).times += 1;
+        self.violations.entry(rule).or_insert(Break { rule, times: 0, at_s, what }).times += 1;
     }
 
-    fn see(&mut self, at: Micros, event: &Event) {
-        self.look_for_bare(at);
+    fn observe(&mut self, at: Micros, event: &Event) {
+        self.check_routes(at);
         match event {
             Event::ProxyStarted { proxy, standing } => {
-                let lines = standing.iter().copied().collect();
-                self.proxies.insert(*proxy, Seen { lines, reads: true, ..Seen::default() });
+                let table = standing.iter().copied().collect();
+                self.proxies.insert(*proxy, ProxyView { table, reads: true, ..ProxyView::default() });
             }
             Event::Up { proxy, conductor } => {
-                let seen = self.proxies.entry(*proxy).or_default();
-                seen.conductor = *conductor;
-                (seen.joined, seen.bare, seen.reads) = (Some(at), None, true);
-                seen.written.clear();
+                let view = self.proxies.entry(*proxy).or_default();
+                view.conductor = *conductor;
+                (view.joined_at, view.unserved_since, view.reads) = (Some(at), None, true);
+                view.order_times.clear();
             }
             Event::Down { proxy } => {
-                let seen = self.proxies.entry(*proxy).or_default();
-                (seen.joined, seen.bare) = (None, None);
+                let view = self.proxies.entry(*proxy).or_default();
+                (view.joined_at, view.unserved_since) = (None, None);
             }
             Event::Reads { proxy, on } => self.proxies.entry(*proxy).or_default().reads &= *on,
-            Event::Order { proxy, order, lines, .. } => self.order(at, *proxy, order, *lines),
-            Event::Told { conductor, whole, nodes } => self.list(at, *conductor, *whole, nodes),
-            // A new conductor knows nothing yet.
-            Event::Conductor { conductor, .. } => _ = self.told.remove(conductor),
+            Event::Order { proxy, order, lines, .. } => self.apply_order(at, *proxy, order, *lines),
+            Event::Told { conductor, whole, nodes } => self.apply_list(at, *conductor, *whole, nodes),
+            // A restarted conductor starts without a node list.
+            Event::Conductor { conductor, .. } => _ = self.listed_servers.remove(conductor),
             Event::ServerStarted { server, capacity, cold_from, cold } => {
                 let (started, capacity, cold_from, cold) = (at, *capacity, *cold_from, *cold);
-                self.fresh.insert(*server, Fresh { started, capacity, cold_from, cold, ..Fresh::default() });
+                self.cold_servers.insert(
+                    *server,
+                    ColdServer { started, capacity, cold_from, cold, ..ColdServer::default() },
+                );
+            }
+            Event::Ran { server, request, class } => {
+                self.check_double_execution(at, *server, *request, *class)
             }
-            Event::Ran { server, request, class } => self.ran(at, *server, *request, *class),
-            Event::Fell { server } => self.fell(at, *server),
-            Event::Arrived(arrival) => self.arrival(at, arrival),
+            Event::Fell { server } => self.record_fall(at, *server),
+            Event::Arrived(arrival) => self.check_arrival(at, arrival),
         }
         if let Event::ProxyStarted { proxy, .. }
         | Event::Up { proxy, .. }
@@ -237,154 +270,178 @@
         }
     }
 
-    /// A proxy's table, stream or reading has changed.
+    /// Updates `unserved` after a change of a proxy's table, stream or reading.
     fn refresh(&mut self, proxy: usize) {
-        let Some(seen) = self.proxies.get_mut(&proxy) else { return };
-        if seen.joined.is_some() && seen.reads && seen.lines.is_subset(&seen.out) {
-            self.empty.insert(proxy);
+        let Some(view) = self.proxies.get_mut(&proxy) else { return };
+        if view.joined_at.is_some() && view.reads && view.table.is_subset(&view.withdrawn) {
+            self.unserved.insert(proxy);
         } else {
-            self.empty.remove(&proxy);
-            seen.bare = None;
+            self.unserved.remove(&proxy);
+            view.unserved_since = None;
         }
     }
 
-    fn order(&mut self, at: Micros, proxy: usize, order: &v1::Order, lines: f64) {
+    /// Updates the table of a proxy, and checks the message limit of rule 5.
+    fn apply_order(&mut self, at: Micros, proxy: usize, order: &v1::Order, lines: f64) {
         let (messages_max, window) = self.figures.messages;
-        let seen = self.proxies.entry(proxy).or_default();
+        let view = self.proxies.entry(proxy).or_default();
         if let Some(table) = &order.table {
-            seen.lines = table.lines.iter().filter_map(|l| address_of(&l.server).ok()).collect();
+            view.table = table.lines.iter().filter_map(|l| address_of(&l.server).ok()).collect();
             let out = table.withdrawals.iter().filter(|w| w.out);
-            seen.out = out.filter_map(|w| address_of(&w.server).ok()).collect();
+            view.withdrawn = out.filter_map(|w| address_of(&w.server).ok()).collect();
         }
         for line in &order.lines {
             let Ok(server) = address_of(&line.server) else { continue };
             if line.weight > 0.0 {
-                seen.lines.insert(server)
+                view.table.insert(server)
             } else {
-                seen.lines.remove(&server)
+                view.table.remove(&server)
             };
         }
         for withdrawal in &order.withdrawals {
             let Ok(server) = address_of(&withdrawal.server) else { continue };
             if withdrawal.out {
-                seen.out.insert(server)
+                view.withdrawn.insert(server)
             } else {
-                seen.out.remove(&server)
+                view.withdrawn.remove(&server)
             };
         }
-        seen.decided = order.decided_us;
-        seen.written.push_back(order.decided_us);
-        while seen.written.front().is_some_and(|w| w + window < order.decided_us) {
-            seen.written.pop_front();
+        view.last_decided = order.decided_us;
+        view.order_times.push_back(order.decided_us);
+        while view.order_times.front().is_some_and(|w| w + window < order.decided_us) {
+            view.order_times.pop_front();
         }
-        let many = seen.written.len();
-        // One that does not read holds its own frames up; they wait in its socket, not in the channel.
-        if seen.reads {
-            let channel = self.lines.entry(seen.conductor).or_default();
-            channel.push((order.decided_us, lines, format!("order for proxy {proxy}")));
-            channel.push((at, -lines, String::new()));
+        let order_count = view.order_times.len();
+        // The frames of a proxy that does not read wait in its own socket, so they do not count as queued.
+        if view.reads {
+            let queue = self.queued_lines.entry(view.conductor).or_default();
+            queue.push((order.decided_us, lines, format!("order for proxy {proxy}")));
+            queue.push((at, -lines, String::new()));
         }
-        if messages_max > 0 && many > messages_max as usize {
-            self.broken(Rule::Queue, at, format!("proxy {proxy} was written {many} messages in the window"));
+        if messages_max > 0 && order_count > messages_max as usize {
+            self.record_violation(
+                Rule::Queue,
+                at,
+                format!("proxy {proxy} was written {order_count} messages in the window"),
+            );
         }
         self.refresh(proxy);
-        self.look_for_bare(at);
+        self.check_routes(at);
     }
 
-    fn list(&mut self, at: Micros, conductor: usize, whole: bool, nodes: &[EndpointRecord]) {
-        let all = self.told.entry(conductor).or_default();
-        let named: BTreeSet<_> = nodes.iter().map(|n| n.address).collect();
+    /// Updates what a conductor knows of servers from a full list or from changes.
+    fn apply_list(&mut self, at: Micros, conductor: usize, whole: bool, nodes: &[EndpointRecord]) {
+        let known = self.listed_servers.entry(conductor).or_default();
+        let listed_now: BTreeSet<_> = nodes.iter().map(|n| n.address).collect();
         if whole && !self.figures.drain_binds_alone {
-            let ready: Vec<_> =
-                all.iter().filter(|(_, t)| t.state == EndpointRecordState::Ready).map(|(a, _)| *a).collect();
-            let lacking = ready.iter().filter(|a| !named.contains(a)).count();
-            // A list that lacks most is not news of servers but of the list: see docs/running.md.
-            if lacking as f64 <= self.figures.loss_max * ready.len() as f64 {
-                for (_, told) in all.iter_mut().filter(|(a, _)| !named.contains(a)) {
-                    if told.state != EndpointRecordState::Gone {
-                        (told.state, told.at) = (EndpointRecordState::Gone, at);
+            let ready: Vec<_> = known
+                .iter()
+                .filter(|(_, t)| t.state == EndpointRecordState::Ready)
+                .map(|(a, _)| *a)
+                .collect();
+            let missing = ready.iter().filter(|a| !listed_now.contains(a)).count();
+            // A list that lacks more than `loss_max` is taken for a fault of the list, not for removals: see
+            // docs/running.md.
+            if missing as f64 <= self.figures.loss_max * ready.len() as f64 {
+                for (_, listed) in known.iter_mut().filter(|(a, _)| !listed_now.contains(a)) {
+                    if listed.state != EndpointRecordState::Gone {
+                        (listed.state, listed.state_listed_at) = (EndpointRecordState::Gone, at);
                     }
                 }
             }
         }
         for node in nodes {
             let started = node.started_unix_ms * 1000;
-            let told =
-                all.entry(node.address).or_insert(Told { state: node.state, at, started, start_at: at });
-            if told.state != node.state {
-                (told.state, told.at) = (node.state, at);
+            let listed = known.entry(node.address).or_insert(ListedServer {
+                state: node.state,
+                state_listed_at: at,
+                started,
+                start_listed_at: at,
+            });
+            if listed.state != node.state {
+                (listed.state, listed.state_listed_at) = (node.state, at);
             }
-            if told.started != started {
-                (told.started, told.start_at) = (started, at);
+            if listed.started != started {
+                (listed.started, listed.start_listed_at) = (started, at);
             }
         }
     }
 
-    /// Rule 1: joined proxies with nothing to pick, while an open, warm server is listed ready.
-    fn look_for_bare(&mut self, at: Micros) {
-        if self.empty.is_empty() {
+    /// Rule 1: finds connected proxies without a server to pick for longer than `unserved_max`, while their conductor
+    /// knows a warm server that is ready.
+    fn check_routes(&mut self, at: Micros) {
+        if self.unserved.is_empty() {
             return;
         }
-        let warm = |t: &Told| t.state == EndpointRecordState::Ready && t.started + self.figures.cold <= at;
-        let might = |conductor: &usize| self.told.get(conductor).is_some_and(|t| t.values().any(warm));
-        let might: BTreeSet<usize> = self.told.keys().copied().filter(might).collect();
+        let warm =
+            |t: &ListedServer| t.state == EndpointRecordState::Ready && t.started + self.figures.cold <= at;
+        let has_warm_server =
+            |conductor: &usize| self.listed_servers.get(conductor).is_some_and(|t| t.values().any(warm));
+        let has_warm_server: BTreeSet<usize> =
+            self.listed_servers.keys().copied().filter(has_warm_server).collect();
         let max = self.figures.unserved_max;
-        let mut found = Vec::new();
-        for proxy in &self.empty {
-            let Some(seen) = self.proxies.get_mut(proxy) else { continue };
-            let Some(joined) = seen.joined.filter(|_| might.contains(&seen.conductor)) else {
-                seen.bare = None;
+        let mut expired = Vec::new();
+        for proxy in &self.unserved {
+            let Some(view) = self.proxies.get_mut(proxy) else { continue };
+            let Some(joined) = view.joined_at.filter(|_| has_warm_server.contains(&view.conductor)) else {
+                view.unserved_since = None;
                 continue;
             };
-            let since = *seen.bare.get_or_insert(at.max(joined));
+            let since = *view.unserved_since.get_or_insert(at.max(joined));
             if at > since + max {
-                seen.bare = Some(at);
-                found.push((*proxy, since));
+                view.unserved_since = Some(at);
+                expired.push((*proxy, since));
             }
         }
-        for (proxy, since) in found {
-            self.broken(Rule::Route, since + max, format!("proxy {proxy} has had no server to pick"));
+        for (proxy, since) in expired {
+            self.record_violation(
+                Rule::Route,
+                since + max,
+                format!("proxy {proxy} has had no server to pick"),
+            );
         }
     }
 
-    fn arrival(&mut self, at: Micros, arrival: &Arrival) {
-        self.drain(at, arrival);
-        self.once(at, arrival);
-        self.push(at, arrival);
+    fn check_arrival(&mut self, at: Micros, arrival: &Arrival) {
+        self.check_drain(at, arrival);
+        self.check_resend(at, arrival);
+        self.check_cold_load(at, arrival);
     }
 
-    /// What the conductor in charge of the sender was told of the server.
-    fn told(&self, arrival: &Arrival) -> Option<&Told> {
+    /// The server as the sending proxy's conductor was shown it.
+    fn listed(&self, arrival: &Arrival) -> Option<&ListedServer> {
         let conductor = self.proxies.get(&arrival.proxy)?.conductor;
-        self.told.get(&conductor)?.get(&arrival.server)
+        self.listed_servers.get(&conductor)?.get(&arrival.server)
     }
 
-    /// Rule 3.
-    fn drain(&mut self, at: Micros, arrival: &Arrival) {
-        let Some(told) = self.told(arrival) else { return };
-        let binds = match told.state {
+    /// Rule 3: finds requests that reach a draining or removed server after the grace time. The time starts when the
+    /// conductor received the state or, if later, when the proxy joined.
+    fn check_drain(&mut self, at: Micros, arrival: &Arrival) {
+        let Some(listed) = self.listed(arrival) else { return };
+        let binds = match listed.state {
             EndpointRecordState::Ready => false,
             EndpointRecordState::Draining => true,
             EndpointRecordState::Gone => !self.figures.drain_binds_alone,
         };
-        let reads = self.proxies.get(&arrival.proxy).filter(|p| p.reads);
-        let Some(joined) = reads.and_then(|p| p.joined) else { return };
-        let since = told.at.max(joined);
+        let reading = self.proxies.get(&arrival.proxy).filter(|p| p.reads);
+        let Some(joined) = reading.and_then(|p| p.joined_at) else { return };
+        let since = listed.state_listed_at.max(joined);
         if binds && at > since + self.figures.drain_grace {
             let late = (at - since) as f64 * 1e-6;
             let (request, server, proxy) = (arrival.request.0.0, arrival.server, arrival.proxy);
             let what = format!(
                 "request {request} from proxy {proxy} came to {server} {late:.1} s after it was told"
             );
-            self.broken(Rule::Drain, at, what);
+            self.record_violation(Rule::Drain, at, what);
         }
     }
 
-    /// Rule 2: a proxy's further attempt after one that may have run.
-    fn once(&mut self, at: Micros, arrival: &Arrival) {
+    /// Rule 2, by what may have happened: finds a further attempt of a proxy after one that may have run, unless
+    /// the class allows repeats or the servers deduplicate them.
+    fn check_resend(&mut self, at: Micros, arrival: &Arrival) {
         let (request, client_try, attempt) = arrival.request;
         let Some((effect, group, window)) = self.figures.effects.get(arrival.class).copied() else { return };
-        let earlier = self.ran.entry((request, client_try)).or_default();
+        let earlier = self.may_have_run.entry((request, client_try)).or_default();
         let first = earlier.first().copied();
         let may_have_run = match arrival.came {
             Came::Taken | Came::Failed | Came::Fallen => true,
@@ -412,75 +469,88 @@
             let what = format!(
                 "request {id}: proxy {proxy} sent attempt {attempt} to {server}, and {ran} may have run it"
             );
-            self.broken(Rule::Once, at, what);
+            self.record_violation(Rule::Once, at, what);
         }
     }
 
-    /// Rule 2 by what took place: two attempts of one try that both ran. No memory has dropped the second, so
-    /// whatever the settings say of groups and windows, the effect is there twice.
-    fn ran(&mut self, at: Micros, server: SocketAddr, request: (RequestId, u32, u32), class: usize) {
+    /// Rule 2, by what did happen: finds two attempts of one try that both ran. The servers did not deduplicate the
+    /// second, so the effect is there twice, whatever the settings say of groups and windows.
+    fn check_double_execution(
+        &mut self,
+        at: Micros,
+        server: SocketAddr,
+        request: (RequestId, u32, u32),
+        class: usize,
+    ) {
         let effect = self.figures.effects.get(class).map(|(effect, ..)| *effect);
         if effect.is_none_or(|effect| effect == EffectConfig::ReadLike) {
             return;
         }
         let (id, client_try, attempt) = request;
-        match self.effects.insert((id, client_try), (attempt, server)) {
+        match self.executed.insert((id, client_try), (attempt, server)) {
             Some((first, at_first)) if first != attempt => {
                 let id = id.0;
                 let what = format!(
                     "request {id} ran twice by one try: attempt {first} at {at_first}, attempt {attempt} at {server}"
                 );
-                self.broken(Rule::Once, at, what);
+                self.record_violation(Rule::Once, at, what);
             }
             _ => {}
         }
     }
 
-    /// Rule 4: work that comes to a cold server.
-    fn push(&mut self, at: Micros, arrival: &Arrival) {
-        let told = self.told(arrival).cloned();
-        let Some(fresh) = self.fresh.get_mut(&arrival.server) else { return };
-        if fresh.cold.is_some_and(|cold| at > fresh.started + cold) {
+    /// Rule 4: finds a cold server that receives more work within `fall_span` than `fall_multiple` times its present
+    /// capacity.
+    fn check_cold_load(&mut self, at: Micros, arrival: &Arrival) {
+        let listed = self.listed(arrival).cloned();
+        let Some(cold_server) = self.cold_servers.get_mut(&arrival.server) else { return };
+        if cold_server.cold.is_some_and(|cold| at > cold_server.started + cold) {
             return;
         }
         let grace = self.figures.drain_grace;
-        let told = told.filter(|t| t.started + 1_000_000 > fresh.started);
-        let seen = self.proxies.get(&arrival.proxy).filter(|p| p.joined.is_some());
-        let knew = told.is_some_and(|t| {
-            seen.is_some_and(|p| {
-                p.decided >= t.start_at || at >= t.start_at.max(p.joined.unwrap_or(at)) + grace
+        let listed = listed.filter(|t| t.started + 1_000_000 > cold_server.started);
+        let view = self.proxies.get(&arrival.proxy).filter(|p| p.joined_at.is_some());
+        let sender_knew = listed.is_some_and(|t| {
+            view.is_some_and(|p| {
+                p.last_decided >= t.start_listed_at
+                    || at >= t.start_listed_at.max(p.joined_at.unwrap_or(at)) + grace
             })
         });
-        fresh.pushed.push_back((at, arrival.work, knew));
+        cold_server.recent_work.push_back((at, arrival.work, sender_knew));
         let from = at.saturating_sub(self.figures.fall_span);
-        while fresh.pushed.front().is_some_and(|(pushed, ..)| *pushed < from) {
-            fresh.pushed.pop_front();
+        while cold_server.recent_work.front().is_some_and(|(arrived, ..)| *arrived < from) {
+            cold_server.recent_work.pop_front();
         }
-        let Some(cold) = fresh.cold else { return };
-        let age = (at - fresh.started) as f64 / cold.max(1) as f64;
-        let warmth = (fresh.cold_from + (1.0 - fresh.cold_from) * age).min(1.0);
-        let budget = self.figures.fall_multiple * fresh.capacity * warmth * self.figures.fall_span as f64;
-        let all: f64 = fresh.pushed.iter().map(|p| p.1).sum();
-        if all > budget && !fresh.fell {
-            fresh.fell = true;
-            self.blame(at, arrival.server);
+        let Some(cold) = cold_server.cold else { return };
+        let age = (at - cold_server.started) as f64 / cold.max(1) as f64;
+        let capacity_share = (cold_server.cold_from + (1.0 - cold_server.cold_from) * age).min(1.0);
+        let budget = self.figures.fall_multiple
+            * cold_server.capacity
+            * capacity_share
+            * self.figures.fall_span as f64;
+        let all: f64 = cold_server.recent_work.iter().map(|p| p.1).sum();
+        if all > budget && !cold_server.fell {
+            cold_server.fell = true;
+            self.attribute_overload(at, arrival.server);
         }
     }
 
-    fn fell(&mut self, at: Micros, server: SocketAddr) {
-        if self.fresh.get_mut(&server).is_some_and(|f| !std::mem::replace(&mut f.fell, true)) {
-            self.blame(at, server);
+    /// Rule 4: a server that failed had too much work, whatever the budget says.
+    fn record_fall(&mut self, at: Micros, server: SocketAddr) {
+        if self.cold_servers.get_mut(&server).is_some_and(|f| !std::mem::replace(&mut f.fell, true)) {
+            self.attribute_overload(at, server);
         }
     }
 
-    /// The conductor is to blame if two thirds of the work came from proxies that it should have held back.
-    fn blame(&mut self, at: Micros, server: SocketAddr) {
-        let Some(fresh) = self.fresh.get(&server) else { return };
-        let all: f64 = fresh.pushed.iter().map(|p| p.1).sum();
-        let knowing: f64 = fresh.pushed.iter().filter(|p| p.2).map(|p| p.1).sum();
-        if knowing * 3.0 >= all * 2.0 {
-            let age = (at - fresh.started) as f64 * 1e-6;
-            self.broken(
+    /// Counts a violation of rule 4 if two thirds of the recent work came from proxies that the conductor had the means
+    /// to hold back; otherwise the overload is not the fault of the conductor.
+    fn attribute_overload(&mut self, at: Micros, server: SocketAddr) {
+        let Some(cold_server) = self.cold_servers.get(&server) else { return };
+        let all: f64 = cold_server.recent_work.iter().map(|p| p.1).sum();
+        let from_informed: f64 = cold_server.recent_work.iter().filter(|p| p.2).map(|p| p.1).sum();
+        if from_informed * 3.0 >= all * 2.0 {
+            let age = (at - cold_server.started) as f64 * 1e-6;
+            self.record_violation(
                 Rule::Fresh,
                 at,
                 format!("{server} was sent more than it bears, {age:.1} s after its start"),
@@ -488,15 +558,16 @@
         }
     }
 
-    /// Rule 5: lines between their decision and their being read.
-    fn queue(&mut self) {
-        for lines in std::mem::take(&mut self.lines).into_values() {
-            self.channel(lines);
+    /// Rule 5: checks for each conductor the number of lines between their decision and their receipt.
+    fn check_queues(&mut self) {
+        for lines in std::mem::take(&mut self.queued_lines).into_values() {
+            self.check_queue(lines);
         }
     }
 
-    fn channel(&mut self, mut lines: Vec<(Micros, f64, String)>) {
-        // At the same time those that leave go first.
+    /// Finds the moment with the most waiting lines, and counts one violation if they exceed `waiting_max`.
+    fn check_queue(&mut self, mut lines: Vec<(Micros, f64, String)>) {
+        // Of changes at the same time, decreases come first.
         lines.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
         let (mut waiting, mut worst) = (0.0, None::<(f64, Micros, String)>);
         for (at, change, what) in lines {
@@ -507,7 +578,11 @@
         }
         if let Some((most, at, what)) = worst {
             let max = self.figures.waiting_max;
-            self.broken(Rule::Queue, at, format!("{most:.0} lines wait where {max:.0} may: {what}"));
+            self.record_violation(
+                Rule::Queue,
+                at,
+                format!("{most:.0} lines wait where {max:.0} may: {what}"),
+            );
         }
     }
 }
--- a/crates/stepspur-emulator/src/node.rs
+++ b/crates/stepspur-emulator/src/node.rs
@@ -1,4 +1,4 @@
-//! A stand-in server: the model behind an HTTP socket of its own.
+//! An emulated server: the server model behind an HTTP socket of its own.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -28,126 +28,150 @@
 use crate::relay;
 use crate::trace::{Arrival, Came, Event, RequestId, Trace, lock};
 
-/// Headers of a request on its way to a server.
+/// HTTP headers between emulated proxies and servers.
 pub mod header {
-    /// The request, the client's try and the proxy's attempt, by slashes.
+    /// Request number, the client's try and the proxy's attempt, separated by slashes.
     pub const REQUEST: &str = "x-request";
-    /// The proxy's number.
+    /// Index of the sending proxy.
     pub const PROXY: &str = "x-proxy";
-    /// The class's place.
+    /// Index of the request class.
     pub const CLASS: &str = "x-class";
-    /// The work, microseconds.
+    /// Work that the request costs, in microseconds of a core of speed 1.
     pub const WORK: &str = "x-work";
-    /// The key.
+    /// Key of the request, for affinity; absent if it has none.
     pub const KEY: &str = "x-key";
-    /// On an answer: the request never ran.
+    /// Response header: the server refused the request before it ran.
     pub const NEVER_RAN: &str = "x-never-ran";
 }
 
-/// What the day does to a server beside the model's own ails.
+/// Faults of a server: those that the model plays, and those of its socket.
 #[derive(Clone, Copy, Debug)]
-struct Lot {
+struct NodeFaults {
+    /// Faults that the model plays.
     ails: Ails,
-    /// No request is answered, no connection accepted.
+    /// True if it answers no request and no connection attempt.
     silent: bool,
-    lose_answers: f64,
-    /// Lost answers break the connection.
+    /// Share of responses that are lost, from 0 to 1.
+    lost_answer_share: f64,
+    /// True if a lost response resets the connection; otherwise the client waits in vain.
     by_reset: bool,
-    lie: Option<Lie>,
-    /// The report shown when a lie began.
-    stuck: Load,
-    connections_divide: f64,
-    handshakes_times: f64,
-    handshakes_delay: Duration,
+    /// How load reports are falsified; `None` if they are true.
+    false_report: Option<Lie>,
+    /// The load when the false reports began, which `Lie::Stuck` repeats.
+    stuck_load: Load,
+    /// The connection limit is divided by this.
+    connections_divisor: f64,
+    /// Work of a new connection, as a multiple of the usual work.
+    handshake_work_factor: f64,
+    /// Extra time that a new connection takes.
+    handshake_delay: Duration,
 }
 
-/// A request that was offered to the model.
+/// What the model did with a request, and how to answer it.
 struct Offered {
     came: Came,
+    /// If it was accepted: its job, the incarnation that runs it, and the channel for its result.
     held: Option<(Job, u64, oneshot::Receiver<bool>)>,
+    /// True if a fault drops its response ...
     lost: bool,
+    /// ... by a reset of the connection rather than in silence.
     by_reset: bool,
 }
 
-/// The connection breaks in place of an answer.
+/// Service error that makes hyper close the connection instead of sending a response.
 #[derive(Debug, thiserror::Error)]
-#[error("the answer is lost")]
-struct Reset;
+#[error("a fault drops the response and resets the connection")]
+struct ConnectionReset;
 
-/// What groups of servers remember of classes whose keys make repeats harmless.
+/// Deduplication memories of groups of servers, for classes with idempotency keys.
 #[derive(Debug)]
 pub struct Memories {
-    /// By class: who shares a memory, and for how long.
+    /// By class: who shares a memory, and how long it remembers in microseconds. `None` for classes without keys.
     groups: Vec<Option<(GroupConfig, Micros)>>,
-    met: Mutex<BTreeMap<(usize, usize), Memory>>,
+    /// By class and group: the requests that were seen.
+    by_group: Mutex<BTreeMap<(usize, usize), Memory>>,
 }
 
-/// Requests that a group remembers at most.
-const REMEMBERED: usize = 1_000_000;
+/// Maximum number of requests that a group remembers.
+const MAX_REMEMBERED_REQUESTS: usize = 1_000_000;
 
 impl Memories {
-    /// Those of a day's classes.
+    /// Creates empty memories for the classes of a plan.
     pub fn new(plan: &Plan) -> Self {
         let keyed = plan.classes.iter().map(|c| {
             (c.effect == EffectConfig::IdempotencyKey).then_some((c.group, c.window.as_micros() as Micros))
         });
-        Self { groups: keyed.collect(), met: Mutex::default() }
+        Self { groups: keyed.collect(), by_group: Mutex::default() }
     }
 
-    fn with<T>(&self, class: usize, node: &Node, act: impl FnOnce(&mut Memory) -> T) -> Option<T> {
+    /// Updates the memory that a server shares for a class; `None` if the class has no keys.
+    fn with<T>(&self, class: usize, node: &Node, update: impl FnOnce(&mut Memory) -> T) -> Option<T> {
         let (group, window) = self.groups.get(class).copied().flatten()?;
-        let place = match group {
+        let group_key = match group {
             GroupConfig::All => 0,
             GroupConfig::Zone => node.zone,
             GroupConfig::Cell => node.index,
         };
-        let mut met = lock(&self.met);
-        Some(act(met.entry((class, place)).or_insert_with(|| Memory::new(window, REMEMBERED))))
+        let mut by_group = lock(&self.by_group);
+        Some(update(
+            by_group
+                .entry((class, group_key))
+                .or_insert_with(|| Memory::new(window, MAX_REMEMBERED_REQUESTS)),
+        ))
     }
 }
 
-/// A request in hand.
+/// A request that the model has accepted and not finished.
 #[derive(Clone, Copy, Debug)]
 struct Running {
+    /// Request number, the client's try and the proxy's attempt.
     request: (RequestId, u32, u32),
     class: usize,
 }
 
+/// The changing state of a server.
 struct State {
     server: Server,
     running: HashMap<Job, Running>,
-    /// Connections that stand: cancelled when the server closes them.
-    conns: HashMap<Conn, CancellationToken>,
-    /// Rises with every start: what an earlier life held is lost.
-    life: u64,
-    next: u64,
+    /// Open connections; their tokens are cancelled when the model closes them.
+    open_connections: HashMap<Conn, CancellationToken>,
+    /// Increased with every start and stop: requests of an earlier incarnation are lost.
+    incarnation: u64,
+    /// Number of the last job given to the model.
+    last_job: u64,
+    /// By job: where its result goes.
     waiting: HashMap<Job, oneshot::Sender<bool>>,
-    lot: Lot,
+    faults: NodeFaults,
     rng: ChaCha8Rng,
 }
 
-/// A stand-in server.
+/// An emulated server, which may stop and start again on the same address.
 pub struct Node {
-    /// Its address, the same in all its lives.
+    /// Its address, which stays the same over restarts.
     pub address: SocketAddr,
-    /// Its place.
+    /// Its index in the plan.
     pub index: usize,
-    /// Its zone's place.
+    /// Index of its zone.
     pub zone: usize,
-    /// Its listed weight.
+    /// Its weight in the node list.
     pub weight: f64,
     plan: ServerPlan,
     state: Mutex<State>,
-    news: Notify,
+    /// Wakes `run_model` after a change of the model.
+    model_changed: Notify,
     up: watch::Sender<bool>,
     links: Arc<Links>,
+    /// Zone that the conductor's probes come from, which bind no source address of their own.
     conductor_zone: usize,
     memories: Arc<Memories>,
     trace: Arc<Trace>,
 }
 
 impl Node {
-    /// Takes an address; [`Node::run`] serves it.
+    /// Binds an address for a server; pass the returned socket to [`Node::run`].
+    ///
+    /// # Errors
+    /// If no port of loopback can be bound.
     pub fn new(
         day: &Plan,
         index: usize,
@@ -159,25 +183,25 @@
         let seed = day.seed ^ (index as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let socket = bind(SocketAddr::from(([127, 0, 0, 1], 0)))?;
         let address = socket.local_addr()?;
-        let lot = Lot {
+        let faults = NodeFaults {
             ails: Ails::default(),
             silent: false,
-            lose_answers: 0.0,
+            lost_answer_share: 0.0,
             by_reset: false,
-            lie: None,
-            stuck: Load::default(),
-            connections_divide: 1.0,
-            handshakes_times: 1.0,
-            handshakes_delay: Duration::ZERO,
+            false_report: None,
+            stuck_load: Load::default(),
+            connections_divisor: 1.0,
+            handshake_work_factor: 1.0,
+            handshake_delay: Duration::ZERO,
         };
         let state = State {
             server: Server::new(plan.spec.clone(), seed, trace.now(), true),
-            life: 0,
-            next: 0,
+            incarnation: 0,
+            last_job: 0,
             running: HashMap::new(),
-            conns: HashMap::new(),
+            open_connections: HashMap::new(),
             waiting: HashMap::new(),
-            lot,
+            faults,
             rng: ChaCha8Rng::seed_from_u64(seed ^ 0x5eed),
         };
         let node = Self {
@@ -187,7 +211,7 @@
             weight: plan.weight,
             plan: plan.clone(),
             state: Mutex::new(state),
-            news: Notify::new(),
+            model_changed: Notify::new(),
             up: watch::Sender::new(plan.up),
             links,
             conductor_zone: day.conductor_zone,
@@ -197,52 +221,53 @@
         Ok((Arc::new(node), socket))
     }
 
-    /// Its process dies: connections break, and what it held is lost.
+    /// Stops the process: connections break, and its requests are lost.
     pub fn stop(&self) {
         self.up.send_replace(false);
-        self.forget(&mut lock(&self.state));
+        self.drop_requests(&mut lock(&self.state));
     }
 
-    /// A life ends with all that it held: what had not run may run elsewhere.
-    fn forget(&self, state: &mut State) {
-        state.life += 1;
+    /// Drops all requests and connections of this incarnation, and forgets requests that did not finish, so that they
+    /// may run elsewhere.
+    fn drop_requests(&self, state: &mut State) {
+        state.incarnation += 1;
         state.waiting.clear();
-        state.conns.clear();
+        state.open_connections.clear();
         for (_, Running { request, class }) in state.running.drain() {
             self.memories.with(class, self, |memory| memory.forget(request.0.0));
         }
     }
 
-    /// It drains: what it holds is worked off, connections with nothing to do are closed.
+    /// Starts draining: requests in flight are finished, and idle connections are closed.
     pub fn drain(&self) {
         lock(&self.state).server.drain(self.trace.now());
-        self.news.notify_one();
+        self.model_changed.notify_one();
     }
 
-    /// Requests in hand, and cores; none while it is down.
-    pub fn held(&self) -> Option<(usize, u32)> {
+    /// Number of requests in flight, and of cores; `None` while it is down.
+    pub fn in_flight(&self) -> Option<(usize, u32)> {
         self.is_up().then(|| (lock(&self.state).server.held(), self.plan.spec.cores))
     }
 
-    /// True: it fell over and stays down until it is started again.
-    pub fn fallen(&self) -> bool {
+    /// True if it failed from overload; it answers every request with 502 until it is started again.
+    pub fn has_fallen(&self) -> bool {
         lock(&self.state).server.fallen()
     }
 
-    /// True: it has started not long ago.
-    pub fn cold(&self) -> bool {
+    /// True while it is not yet warm.
+    pub fn is_cold(&self) -> bool {
         lock(&self.state).server.warmth(self.trace.now()) < 1.0
     }
 
-    /// Its process starts, cold.
+    /// Starts the process, cold; faults that are in effect still apply.
     pub fn start(&self) {
         let now = self.trace.now();
         {
             let mut state = lock(&self.state);
-            self.forget(&mut state);
+            self.drop_requests(&mut state);
             let seed = state.rng.random();
             state.server = Server::new(self.plan.spec.clone(), seed, now, false);
-            let ails = state.lot.ails;
+            let ails = state.faults.ails;
             state.server.ail(now, ails);
         }
         let spec = &self.plan.spec;
@@ -255,63 +280,64 @@
         self.up.send_replace(true);
     }
 
-    /// True: its process runs.
+    /// True while its process runs.
     pub fn is_up(&self) -> bool {
         *self.up.borrow()
     }
 
-    /// Changes what goes wrong with it.
-    pub fn ail(&self, change: impl FnOnce(&mut Ails)) {
+    /// Changes the faults that the model plays.
+    pub fn change_faults(&self, change: impl FnOnce(&mut Ails)) {
         let mut state = lock(&self.state);
-        change(&mut state.lot.ails);
-        let ails = state.lot.ails;
+        change(&mut state.faults.ails);
+        let ails = state.faults.ails;
         state.server.ail(self.trace.now(), ails);
         drop(state);
-        self.news.notify_one();
+        self.model_changed.notify_one();
     }
 
-    /// It goes silent, or no longer.
-    pub fn silent(&self, on: bool) {
-        lock(&self.state).lot.silent = on;
+    /// Makes it unresponsive, or ends that.
+    pub fn set_silent(&self, on: bool) {
+        lock(&self.state).faults.silent = on;
     }
 
-    /// This part of its answers is lost, in silence or by a reset.
-    pub fn lose_answers(&self, part: f64, by_reset: bool) {
+    /// Drops a share of its responses, silently or by a reset; a share of 0 ends that.
+    pub fn set_lost_answers(&self, part: f64, by_reset: bool) {
         let mut state = lock(&self.state);
-        (state.lot.lose_answers, state.lot.by_reset) = (part, by_reset);
+        (state.faults.lost_answer_share, state.faults.by_reset) = (part, by_reset);
     }
 
-    /// Its load reports are false, or true again.
-    pub fn lie(&self, lie: Option<Lie>) {
+    /// Falsifies its load reports; `None` ends that.
+    pub fn set_false_reports(&self, false_report: Option<Lie>) {
         let mut state = lock(&self.state);
-        state.lot.stuck = state.server.load(self.trace.now());
-        state.lot.lie = lie;
+        state.faults.stuck_load = state.server.load(self.trace.now());
+        state.faults.false_report = false_report;
     }
 
-    /// It accepts so many times fewer connections.
-    pub fn few_connections(&self, divide: f64) {
-        lock(&self.state).lot.connections_divide = divide;
+    /// Divides its connection limit; 1 restores it.
+    pub fn set_connections_divisor(&self, divisor: f64) {
+        lock(&self.state).faults.connections_divisor = divisor;
     }
 
-    /// New connections cost it so many times the work, and take so much longer.
-    pub fn slow_handshakes(&self, times: f64, delay: Duration) {
+    /// Multiplies the work of new connections by `times` and delays them; 1 and zero restore both.
+    pub fn set_slow_handshakes(&self, times: f64, delay: Duration) {
         let mut state = lock(&self.state);
-        (state.lot.handshakes_times, state.lot.handshakes_delay) = (times, delay);
+        (state.faults.handshake_work_factor, state.faults.handshake_delay) = (times, delay);
     }
 
-    /// Serves until it is stopped for good.
+    /// Serves until `stop` is cancelled. `first` is the socket from [`Node::new`].
     pub async fn run(self: Arc<Self>, first: TcpSocket, stop: CancellationToken) {
-        let life = self.clone().live(first);
-        let work = self.work();
+        let listen = self.clone().listen_while_up(first);
+        let model = self.run_model();
         tokio::select! {
-            () = life => {}
-            () = work => {}
+            () = listen => {}
+            () = model => {}
             () = stop.cancelled() => {}
         }
     }
 
-    /// Listens while up. While down the address is kept bound but not listened on: dialling it is refused.
-    async fn live(self: Arc<Self>, first: TcpSocket) {
+    /// Listens while up. While down the address stays bound without listening, so that connections are refused and no
+    /// other process can get the port.
+    async fn listen_while_up(self: Arc<Self>, first: TcpSocket) {
         let mut socket = Some(first);
         let mut up = self.up.subscribe();
         loop {
@@ -350,69 +376,70 @@
                 Some(_) = connections.join_next() => continue,
             };
             let node = Arc::clone(self);
-            connections.spawn(async move { node.connection(socket, peer).await });
+            connections.spawn(async move { node.serve_connection(socket, peer).await });
         }
     }
 
-    /// A connection by the relay before this server: bytes come and go as its link has it.
-    async fn connection(self: Arc<Self>, mut socket: TcpStream, peer: SocketAddr) {
+    /// Serves one connection through the relay in front of this server, which applies the link of the sender's zone.
+    async fn serve_connection(self: Arc<Self>, mut socket: TcpStream, peer: SocketAddr) {
         let _ = socket.set_nodelay(true);
-        let of_proxy = relay::zone_of(peer);
-        let from = of_proxy.unwrap_or(self.conductor_zone);
+        let proxy_zone = relay::zone_of(peer);
+        let from = proxy_zone.unwrap_or(self.conductor_zone);
         let link = || self.links.between(from, self.zone);
         let (silent, lost, seed) = {
             let mut state = lock(&self.state);
             let loss = link().loss;
             let lost = loss > 0.0 && state.rng.random_bool(loss.min(1.0));
-            (state.lot.silent, lost, state.rng.random())
+            (state.faults.silent, lost, state.rng.random())
         };
         if silent {
-            // Nobody is there: the dial hangs until it is given up.
+            // The connection attempt hangs until the peer gives up.
             _ = socket.read_u8().await;
             return;
         }
-        // Probes of the conductor know no byte of opening; a cut link holds what they send.
-        if of_proxy.is_some() && (link().cut || lost) {
+        // Probes of the conductor do not expect the opening byte: on a cut link their bytes are held instead.
+        if proxy_zone.is_some() && (link().cut || lost) {
             relay::open(&mut socket, Link { cut: true, ..link() }, lost).await;
             return;
         }
         let Some((conn, closing)) = self.connect() else { return };
-        let _open = Standing { node: &self, conn };
-        if of_proxy.is_some() && !relay::open(&mut socket, link(), false).await {
+        let _open = OpenConnection { node: &self, conn };
+        if proxy_zone.is_some() && !relay::open(&mut socket, link(), false).await {
             return;
         }
-        let delay = lock(&self.state).lot.handshakes_delay;
+        let delay = lock(&self.state).faults.handshake_delay;
         tokio::time::sleep(delay).await;
         if from == self.zone {
-            return self.http(socket, conn, closing).await;
+            return self.serve_http(socket, conn, closing).await;
         }
         let (near, far) = tokio::io::duplex(64 * 1024);
         let carried = relay::carry(socket, far, link, seed);
         tokio::pin!(carried);
         tokio::select! {
             () = &mut carried => {}
-            () = self.http(near, conn, closing) => {
-                // What was answered last is still on its way.
+            () = self.serve_http(near, conn, closing) => {
+                // The last response may still be in the relay.
                 let _ = tokio::time::timeout(Duration::from_secs(5), carried).await;
             }
         }
     }
 
+    /// Registers a new connection; `None` if the connection limit is reached or the model refuses it.
     fn connect(&self) -> Option<(Conn, CancellationToken)> {
         let mut state = lock(&self.state);
-        let cap = (self.plan.spec.connections as f64 / state.lot.connections_divide) as usize;
+        let cap = (self.plan.spec.connections as f64 / state.faults.connections_divisor) as usize;
         if self.plan.spec.connections > 0 && state.server.connections() >= cap {
             return None;
         }
         let conn = state.server.connect(self.trace.now())?;
         let closing = CancellationToken::new();
-        state.conns.insert(conn, closing.clone());
+        state.open_connections.insert(conn, closing.clone());
         drop(state);
-        self.news.notify_one();
+        self.model_changed.notify_one();
         Some((conn, closing))
     }
 
-    async fn http(
+    async fn serve_http(
         self: &Arc<Self>,
         socket: impl AsyncRead + AsyncWrite + Unpin,
         conn: Conn,
@@ -420,7 +447,7 @@
     ) {
         let service = service_fn(|request: Request<Incoming>| {
             let node = Arc::clone(self);
-            async move { node.answer(request, conn).await }
+            async move { node.handle_request(request, conn).await }
         });
         let http = hyper::server::conn::http1::Builder::new();
         let mut serving = std::pin::pin!(http.serve_connection(TokioIo::new(socket), service));
@@ -431,23 +458,28 @@
         let _ = serving.await;
     }
 
-    async fn answer(&self, request: Request<Incoming>, conn: Conn) -> Result<Response<Full<Bytes>>, Reset> {
+    /// Answers a load probe or a request. Never completes for a response that a fault drops in silence.
+    async fn handle_request(
+        &self,
+        request: Request<Incoming>,
+        conn: Conn,
+    ) -> Result<Response<Full<Bytes>>, ConnectionReset> {
         if request.uri().path() == "/load" {
-            return Ok(self.probed().await);
+            return Ok(self.answer_probe().await);
         }
-        let Some(mut arrival) = read(&request, self.address) else {
+        let Some(mut arrival) = parse_arrival(&request, self.address) else {
             return Ok(plain(StatusCode::BAD_REQUEST));
         };
         let key = number(&request, header::KEY);
         let offered = {
             let mut state = lock(&self.state);
-            if state.lot.silent { None } else { Some(self.offer(&mut state, &mut arrival, conn, key)) }
+            if state.faults.silent { None } else { Some(self.offer(&mut state, &mut arrival, conn, key)) }
         };
         let Some(Offered { came, held, lost, by_reset }) = offered else {
             return std::future::pending().await;
         };
         arrival.came = came;
-        let class_answer = match came {
+        let immediate_answer = match came {
             Came::Known => Some(plain(StatusCode::OK)),
             Came::Full => Some(never_ran()),
             Came::Failed => Some(plain(StatusCode::INTERNAL_SERVER_ERROR)),
@@ -455,36 +487,37 @@
             Came::Taken => None,
         };
         self.trace.note(Event::Arrived(arrival));
-        self.news.notify_one();
-        if let Some(answer) = class_answer {
+        self.model_changed.notify_one();
+        if let Some(answer) = immediate_answer {
             return Ok(answer);
         }
-        let Some((job, life, done)) = held else { return Ok(plain(StatusCode::BAD_GATEWAY)) };
-        let guard = Held { node: self, job, life, over: false };
+        let Some((job, incarnation, done)) = held else { return Ok(plain(StatusCode::BAD_GATEWAY)) };
+        let guard = InFlight { node: self, job, incarnation, finished: false };
         let good = done.await.unwrap_or(false);
-        guard.over();
+        guard.finish();
         match (lost, by_reset) {
-            (true, true) => Err(Reset),
+            (true, true) => Err(ConnectionReset),
             (true, false) => std::future::pending().await,
             _ => Ok(plain(if good { StatusCode::OK } else { StatusCode::BAD_GATEWAY })),
         }
     }
 
+    /// Offers a request to the model, after deduplication, and updates the arrival's work.
     fn offer(&self, state: &mut State, arrival: &mut Arrival, conn: Conn, key: Option<u64>) -> Offered {
         let now = self.trace.now();
         let id = arrival.request.0.0;
         if self.memories.with(arrival.class, self, |memory| memory.meet(now, id)) == Some(true) {
             return Offered { came: Came::Known, held: None, lost: false, by_reset: false };
         }
-        state.next += 1;
-        let job = Job(state.next);
+        state.last_job += 1;
+        let job = Job(state.last_job);
         let fell = state.server.fallen();
-        // What the judge counts is what the server counts.
-        let opening = if state.server.is_new(conn) { self.plan.spec.handshake_work } else { 0.0 };
-        let dearer = opening * (state.lot.handshakes_times - 1.0);
-        let ask = Ask { work: arrival.work + dearer, key, conn: Some(conn) };
+        // The recorded work includes the handshake, so that rule 4 counts the same work as the model.
+        let handshake_work = if state.server.is_new(conn) { self.plan.spec.handshake_work } else { 0.0 };
+        let extra_work = handshake_work * (state.faults.handshake_work_factor - 1.0);
+        let ask = Ask { work: arrival.work + extra_work, key, conn: Some(conn) };
         let offer = state.server.offer(now, job, ask);
-        arrival.work += opening + dearer;
+        arrival.work += handshake_work + extra_work;
         if state.server.fallen() && !fell {
             self.trace.note(Event::Fell { server: self.address });
         }
@@ -494,7 +527,7 @@
             Offer::Failed => Came::Failed,
             Offer::Fallen => Came::Fallen,
         };
-        let lose = state.lot.lose_answers;
+        let lose = state.faults.lost_answer_share;
         let lost = lose > 0.0 && state.rng.random_bool(lose.min(1.0));
         if came != Came::Taken {
             self.memories.with(arrival.class, self, |memory| memory.forget(id));
@@ -504,19 +537,20 @@
             state.running.insert(job, running);
             let (to, done) = oneshot::channel();
             state.waiting.insert(job, to);
-            (job, state.life, done)
+            (job, state.incarnation, done)
         });
-        Offered { came, held, lost, by_reset: state.lot.by_reset }
+        Offered { came, held, lost, by_reset: state.faults.by_reset }
     }
 
-    async fn probed(&self) -> Response<Full<Bytes>> {
+    /// Answers a load probe, falsified if a fault says so; never completes while the server is unresponsive.
+    async fn answer_probe(&self) -> Response<Full<Bytes>> {
         let report = {
             let mut state = lock(&self.state);
-            let report = state.server.probe(self.trace.now()).filter(|_| !state.lot.silent);
-            let (lie, stuck) = (state.lot.lie, state.lot.stuck);
-            report.map(|load| match lie {
+            let report = state.server.probe(self.trace.now()).filter(|_| !state.faults.silent);
+            let (false_report, stuck_load) = (state.faults.false_report, state.faults.stuck_load);
+            report.map(|load| match false_report {
                 None => load,
-                Some(Lie::Stuck) => stuck,
+                Some(Lie::Stuck) => stuck_load,
                 Some(Lie::Busy) => Load { rif: 50.0, q: 40.0, busy: 1.0, ..load },
                 Some(Lie::Times(times)) => Load {
                     rif: load.rif * times,
@@ -526,14 +560,14 @@
                 },
             })
         };
-        self.news.notify_one();
+        self.model_changed.notify_one();
         let Some(load) = report else { return std::future::pending().await };
         let body = serde_json::to_string(&load).unwrap_or_default();
         Response::new(Full::new(Bytes::from(body)))
     }
 
-    /// Plays the model's time and answers what is done.
-    async fn work(&self) {
+    /// Advances the model in real time, and delivers results and closed connections.
+    async fn run_model(&self) {
         loop {
             let next = lock(&self.state).server.next_at();
             let timer = async {
@@ -544,12 +578,12 @@
             };
             tokio::select! {
                 () = timer => {}
-                () = self.news.notified() => {}
+                () = self.model_changed.notified() => {}
             }
             let now = self.trace.now();
             let mut state = lock(&self.state);
             while let Some(conn) = state.server.closed(now) {
-                if let Some(closing) = state.conns.remove(&conn) {
+                if let Some(closing) = state.open_connections.remove(&conn) {
                     closing.cancel();
                 }
             }
@@ -569,30 +603,30 @@
     }
 }
 
-/// A request in hand; dropped before its end it is a cancel.
-struct Held<'a> {
+/// Guard of a request in flight; dropping it unfinished cancels the request.
+struct InFlight<'a> {
     node: &'a Node,
     job: Job,
-    life: u64,
-    over: bool,
+    incarnation: u64,
+    finished: bool,
 }
 
-impl Held<'_> {
-    fn over(mut self) {
-        self.over = true;
+impl InFlight<'_> {
+    fn finish(mut self) {
+        self.finished = true;
     }
 }
 
-impl Drop for Held<'_> {
+impl Drop for InFlight<'_> {
     fn drop(&mut self) {
-        if self.over {
+        if self.finished {
             return;
         }
         let mut state = lock(&self.node.state);
-        if state.life == self.life {
+        if state.incarnation == self.incarnation {
             state.waiting.remove(&self.job);
-            let gone = state.server.cancel(self.node.trace.now(), self.job);
-            let running = if gone { state.running.remove(&self.job) } else { None };
+            let cancelled = state.server.cancel(self.node.trace.now(), self.job);
+            let running = if cancelled { state.running.remove(&self.job) } else { None };
             if let Some(Running { request, class }) = running {
                 self.node.memories.with(class, self.node, |memory| memory.forget(request.0.0));
             }
@@ -600,17 +634,17 @@
     }
 }
 
-/// A connection that stands; dropped, the server knows that it has ended.
-struct Standing<'a> {
+/// Guard of an open connection; dropping it disconnects it in the model.
+struct OpenConnection<'a> {
     node: &'a Node,
     conn: Conn,
 }
 
-impl Drop for Standing<'_> {
+impl Drop for OpenConnection<'_> {
     fn drop(&mut self) {
         let mut state = lock(&self.node.state);
-        // Of an earlier life it is unknown by now, unless its number was given again.
-        if state.conns.remove(&self.conn).is_some() {
+        // A connection of an earlier incarnation is no longer in the map, unless its number is in use again.
+        if state.open_connections.remove(&self.conn).is_some() {
             state.server.disconnect(self.node.trace.now(), self.conn);
         }
     }
@@ -623,7 +657,7 @@
     Ok(socket)
 }
 
-/// The port may still be held by connections that are closing.
+/// Binds an address again, with retries for 2 s: connections that are closing may still hold the port.
 async fn rebind(address: SocketAddr) -> Option<TcpSocket> {
     for _ in 0..200 {
         if let Ok(socket) = bind(address) {
@@ -634,12 +668,14 @@
     None
 }
 
+/// A response without a body.
 fn plain(status: StatusCode) -> Response<Full<Bytes>> {
     let mut answer = Response::new(Full::default());
     *answer.status_mut() = status;
     answer
 }
 
+/// The refusal of a full server, marked as safe to retry elsewhere.
 fn never_ran() -> Response<Full<Bytes>> {
     let mut answer = plain(StatusCode::SERVICE_UNAVAILABLE);
     answer.headers_mut().insert(header::NEVER_RAN, hyper::header::HeaderValue::from_static("1"));
@@ -654,7 +690,8 @@
     text(request, name)?.parse().ok()
 }
 
-fn read(request: &Request<Incoming>, server: SocketAddr) -> Option<Arrival> {
+/// Reads the headers of a request; `None` if one is missing or malformed.
+fn parse_arrival(request: &Request<Incoming>, server: SocketAddr) -> Option<Arrival> {
     let mut parts = text(request, header::REQUEST)?.split('/');
     let id = RequestId(parts.next()?.parse().ok()?);
     let (client_try, attempt) = (parts.next()?.parse().ok()?, parts.next()?.parse().ok()?);
--- a/crates/stepspur-emulator/src/proxy.rs
+++ b/crates/stepspur-emulator/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A stand-in proxy: the model behind a stream to the conductor and HTTP to the servers.
+//! An emulated proxy: the proxy model with a stream to a conductor and HTTP to the servers.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -30,72 +30,81 @@
 use crate::identity::DayKeys;
 use crate::node::header;
 use crate::plan::Plan;
-use crate::relay::{self, Dial, source};
+use crate::relay::{self, Dial, source_address};
 use crate::trace::{Event, RequestId, Trace, lock};
 
-/// A request on its way.
+/// One try of a client's request.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask {
-    /// Its number.
+pub struct ClientRequest {
+    /// Number of the request, the same for all tries.
     pub id: RequestId,
-    /// The client's try, from 0.
+    /// Number of the client's try, from 0.
     pub client_try: u32,
-    /// Its class.
+    /// Index of its class.
     pub class: usize,
-    /// Its key.
+    /// Key for affinity; `None` if the plan has no keys.
     pub key: Option<u64>,
-    /// Its work, microseconds.
+    /// Work that it costs, in microseconds of a core of speed 1.
     pub work: f64,
-    /// The aim, after which a try may be followed.
+    /// Latency target of the class; the proxy takes it into account for further attempts.
     pub aim: Duration,
-    /// The client gives up then.
+    /// When the client abandons this try.
     pub until: Instant,
 }
 
-/// What the day does to a proxy.
+/// Faults of a proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Lot {
-    /// It reaches no conductor.
+pub struct ProxyFaults {
+    /// Number of faults that cut it off from all conductors; 0 means connected.
     pub cut_off: u32,
-    /// It reads nothing.
+    /// True if it neither reads nor sends on its stream.
     pub stalled: bool,
-    /// Orders take so many times longer; 0: as usual.
+    /// Factor by which orders take longer; 0 or 1 means no delay.
     pub slow: f64,
-    /// Its reports come so much later.
+    /// Delay of its reports.
     pub late: Duration,
 }
 
-/// A stand-in proxy.
+/// An emulated proxy.
 pub struct Proxy {
-    /// Its place.
+    /// Its index in the plan.
     pub index: usize,
-    /// Its zone's place.
+    /// Index of its zone.
     pub zone: usize,
     zone_name: String,
+    /// Loopback address that it connects from, which encodes its zone for the relays.
     source: std::net::Ipv4Addr,
     model: Mutex<Model>,
     client: Client<Dial, Empty<Bytes>>,
     trace: Arc<Trace>,
-    lot: watch::Sender<Lot>,
+    faults: watch::Sender<ProxyFaults>,
     rng: Mutex<ChaCha8Rng>,
+    /// Wait before a broken stream is dialled again, before backoff and jitter.
     redial: Duration,
+    /// Lines per second of the channel, for the delay of `ProxyFaults::slow`.
     lines_per_s: f64,
+    /// Lines that the head of a message counts as.
     message_head: f64,
+    /// True if a refusal by a full server does not prove that the request never ran.
     full_may_have_run: bool,
+    /// Requests per second of this proxy if all proxies had the same rate.
     usual_rate: f64,
-    /// The day's keys, and its own side of TLS.
+    /// The keys of the rehearsal and the TLS client; `None` if streams are plain.
     identity: Option<(Arc<DayKeys>, TlsConnector)>,
 }
 
 type Stream = Framed<Either<TcpStream, TlsStream<TcpStream>>, Frames<FromConductor, FromProxy>>;
 
-/// A handshake or a first answer that takes longer is none.
-const PATIENCE: Duration = Duration::from_secs(2);
-/// Reports that may wait to be sent; more are dropped, the oldest first.
-const REPORTS: usize = 64;
+/// Timeout of the TLS handshake, and of the wait for `Welcome`.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum number of reports that wait to be sent; beyond it the oldest is dropped.
+const MAX_WAITING_REPORTS: usize = 64;
 
 impl Proxy {
-    /// A proxy at its start, with a standing table.
+    /// Creates a proxy that uses the table `standing` until it receives one from a conductor.
+    ///
+    /// # Errors
+    /// If `keys` are given and no client certificate can be made from them.
     pub fn new(
         plan: &Plan,
         index: usize,
@@ -104,7 +113,7 @@
         keys: Option<Arc<DayKeys>>,
     ) -> Result<Self, KeyError> {
         let zone = plan.proxies[index].zone;
-        let source = source(zone, index);
+        let source = source_address(zone, index);
         let client = Client::builder(TokioExecutor::new())
             .pool_idle_timeout(Duration::from_secs(15))
             .pool_max_idle_per_host(16)
@@ -128,7 +137,7 @@
             model: Mutex::new(Model::new(spec, seed, standing, trace.now())),
             client,
             trace,
-            lot: watch::Sender::new(Lot::default()),
+            faults: watch::Sender::new(ProxyFaults::default()),
             rng: Mutex::new(ChaCha8Rng::seed_from_u64(seed ^ 1)),
             redial: plan.redial,
             lines_per_s: plan.config.channel.lines_per_s,
@@ -138,51 +147,58 @@
         })
     }
 
-    /// Looks at its table and levels.
-    pub fn look<T>(&self, at: impl FnOnce(&Model) -> T) -> T {
-        at(&lock(&self.model))
+    /// Reads its table and admission levels.
+    pub fn with_model<T>(&self, read: impl FnOnce(&Model) -> T) -> T {
+        read(&lock(&self.model))
     }
 
-    /// Changes what the day does to it.
-    pub fn fate(&self, change: impl FnOnce(&mut Lot)) {
-        let was = self.lot.borrow().stalled;
-        self.lot.send_modify(change);
-        let stalled = self.lot.borrow().stalled;
+    /// Changes its faults, and records when reading stops or resumes.
+    pub fn change_faults(&self, change: impl FnOnce(&mut ProxyFaults)) {
+        let was = self.faults.borrow().stalled;
+        self.faults.send_modify(change);
+        let stalled = self.faults.borrow().stalled;
         if was != stalled {
             self.trace.note(Event::Reads { proxy: self.index, on: !stalled });
         }
     }
 
-    /// Serves a client's try: one server after the other, as ordered.
-    pub async fn serve(&self, ask: Ask) -> Answer {
-        let until = self.trace.at(ask.until);
-        let aim = ask.aim.as_micros() as u64;
+    /// Serves a client's try: sends attempts one after the other, as the model decides.
+    pub async fn serve(&self, request: ClientRequest) -> Answer {
+        let until = self.trace.at(request.until);
+        let aim = request.aim.as_micros() as u64;
         let (mut serving, mut next) =
-            Serving::begin(&mut lock(&self.model), self.trace.now(), ask.class, aim, until);
+            Serving::begin(&mut lock(&self.model), self.trace.now(), request.class, aim, until);
         loop {
             match next {
                 Next::Tell(answer) => return answer,
                 Next::Send { server, until } => {
                     let until = self.trace.instant(until);
-                    let end = self.attempt(ask, server, serving.attempts() - 1, until).await;
+                    let end = self.attempt(request, server, serving.attempts() - 1, until).await;
                     next = serving.ended(&mut lock(&self.model), self.trace.now(), end);
                 }
             }
         }
     }
 
-    async fn attempt(&self, ask: Ask, server: SocketAddr, attempt: usize, until: Instant) -> Tried {
-        let id = format!("{}/{}/{attempt}", ask.id.0, ask.client_try);
-        let mut request = Request::get(format!("http://{server}/request"))
+    /// Sends one attempt to a server. A refusal or a failed connection is known not to have run; all else may have.
+    async fn attempt(
+        &self,
+        request: ClientRequest,
+        server: SocketAddr,
+        attempt: usize,
+        until: Instant,
+    ) -> Tried {
+        let id = format!("{}/{}/{attempt}", request.id.0, request.client_try);
+        let mut http_request = Request::get(format!("http://{server}/request"))
             .header(header::REQUEST, id)
             .header(header::PROXY, self.index)
-            .header(header::CLASS, ask.class)
-            .header(header::WORK, ask.work as u64);
-        if let Some(key) = ask.key {
-            request = request.header(header::KEY, key);
+            .header(header::CLASS, request.class)
+            .header(header::WORK, request.work as u64);
+        if let Some(key) = request.key {
+            http_request = http_request.header(header::KEY, key);
         }
-        let Ok(request) = request.body(Empty::new()) else { return Tried::NeverRan };
-        match tokio::time::timeout_at(until, self.client.request(request)).await {
+        let Ok(http_request) = http_request.body(Empty::new()) else { return Tried::NeverRan };
+        match tokio::time::timeout_at(until, self.client.request(http_request)).await {
             Ok(Ok(answer)) if answer.status() == StatusCode::OK => Tried::Good,
             Ok(Ok(answer)) if answer.headers().contains_key(header::NEVER_RAN) && !self.full_may_have_run => {
                 Tried::NeverRan
@@ -192,18 +208,18 @@
         }
     }
 
-    /// Keeps a stream to one of the conductors, by the relay before each, until stopped: a stream that breaks is
-    /// dialled again at the same, then at the next.
+    /// Keeps a stream to one of the conductors until `stop` is cancelled. `conductors` are the addresses of their
+    /// relays. After a stream breaks it dials the same conductor again, and moves to the next one when that fails.
     pub async fn run(self: Arc<Self>, conductors: Vec<SocketAddr>, stop: CancellationToken) {
-        let keep = async {
+        let reconnect = async {
             let (mut wait, mut at) = (self.redial, self.index % conductors.len().max(1));
             loop {
                 let reached = match conductors.get(at) {
-                    Some(address) if self.reaches() => self.stream(at, *address).await,
+                    Some(address) if self.may_connect() => self.connect(at, *address).await,
                     _ => false,
                 };
                 at = if reached { at } else { (at + 1) % conductors.len().max(1) };
-                // It waits longer once all have been tried.
+                // The wait doubles, up to eight times, after each pass over all conductors.
                 let tried_all = at == self.index % conductors.len().max(1);
                 wait = match reached {
                     true => self.redial,
@@ -215,24 +231,26 @@
             }
         };
         tokio::select! {
-            () = keep => {}
+            () = reconnect => {}
             () = stop.cancelled() => {}
         }
     }
 
-    fn reaches(&self) -> bool {
-        self.lot.borrow().cut_off == 0
+    /// True unless a fault cuts it off from all conductors.
+    fn may_connect(&self) -> bool {
+        self.faults.borrow().cut_off == 0
     }
 
-    /// One stream from its dialling to its end; true if it was welcomed.
-    async fn stream(&self, conductor: usize, address: SocketAddr) -> bool {
+    /// Runs one stream from the connection to its end; true if the conductor welcomed it.
+    async fn connect(&self, conductor: usize, address: SocketAddr) -> bool {
         let Ok(socket) = relay::dial(self.source, address).await else { return false };
         let socket = match &self.identity {
             None => Either::Left(socket),
             Some((_, connector)) => {
-                let shaken =
-                    timeout(PATIENCE, connector.connect(ServerName::from(address.ip()), socket)).await;
-                let Ok(Ok(stream)) = shaken else { return false };
+                let handshake =
+                    timeout(HANDSHAKE_TIMEOUT, connector.connect(ServerName::from(address.ip()), socket))
+                        .await;
+                let Ok(Ok(stream)) = handshake else { return false };
                 Either::Right(stream)
             }
         };
@@ -254,64 +272,64 @@
         if stream.send(FromProxy::new(epoch, sequence, from_proxy::Kind::Hello(hello))).await.is_err() {
             return false;
         }
-        let Ok(Some(Ok(first))) = timeout(PATIENCE, stream.next()).await else { return false };
+        let Ok(Some(Ok(first))) = timeout(HANDSHAKE_TIMEOUT, stream.next()).await else { return false };
         let Some(from_conductor::Kind::Welcome(welcome)) = first.kind else { return false };
         lock(&self.model).welcome(first.epoch);
         self.trace.note(Event::Up { proxy: self.index, conductor });
-        self.follow(&mut stream, &welcome).await;
+        self.run_stream(&mut stream, &welcome).await;
         self.trace.note(Event::Down { proxy: self.index });
         true
     }
 
-    /// A token from now on; empty where none is needed.
+    /// A token valid from now on; empty without identities.
     fn credentials(&self) -> Bytes {
         let token =
             self.identity.as_ref().map(|(keys, _)| keys.token(&self.zone_name, &format!("p-{}", self.index)));
         token.unwrap_or_default().into()
     }
 
-    /// Follows orders and reports until the stream ends.
-    async fn follow(&self, stream: &mut Stream, welcome: &v1::Welcome) {
+    /// Applies orders and sends reports until the stream ends or a fault cuts it.
+    async fn run_stream(&self, stream: &mut Stream, welcome: &v1::Welcome) {
         let every = Duration::from_micros(welcome.report_every_us.max(10_000));
         let mut report_at = Instant::now() + every.mul_f64(lock(&self.rng).random_range(0.0..1.0));
-        let mut late: VecDeque<(Instant, v1::Report)> = VecDeque::new();
-        let mut lot = self.lot.subscribe();
+        let mut waiting_reports: VecDeque<(Instant, v1::Report)> = VecDeque::new();
+        let mut faults = self.faults.subscribe();
         loop {
-            let Lot { stalled, slow, late: later, .. } = *lot.borrow_and_update();
-            let send_at = late.front().map_or(report_at + every * 1000, |(at, _)| *at);
+            let ProxyFaults { stalled, slow, late: delay, .. } = *faults.borrow_and_update();
+            let send_at = waiting_reports.front().map_or(report_at + every * 1000, |(at, _)| *at);
             tokio::select! {
                 frame = stream.next(), if !stalled => {
                     let Some(Ok(frame)) = frame else { return };
-                    if !self.read(stream, frame, slow).await {
+                    if !self.handle_frame(stream, frame, slow).await {
                         return;
                     }
                 }
                 () = sleep_until(report_at), if !stalled => {
                     report_at += every;
                     let report = lock(&self.model).report(self.trace.now());
-                    late.push_back((Instant::now() + later, report));
-                    if late.len() > REPORTS {
-                        late.pop_front();
+                    waiting_reports.push_back((Instant::now() + delay, report));
+                    if waiting_reports.len() > MAX_WAITING_REPORTS {
+                        waiting_reports.pop_front();
                     }
                 }
-                () = sleep_until(send_at), if !late.is_empty() && !stalled => {
-                    let Some((at, mut report)) = late.pop_front() else { continue };
-                    report.age_us = (later + at.elapsed()).as_micros() as u64;
+                () = sleep_until(send_at), if !waiting_reports.is_empty() && !stalled => {
+                    let Some((at, mut report)) = waiting_reports.pop_front() else { continue };
+                    report.age_us = (delay + at.elapsed()).as_micros() as u64;
                     let (epoch, sequence) = lock(&self.model).newest();
                     let kind = from_proxy::Kind::Report(report);
                     if stream.send(FromProxy::new(epoch, sequence, kind)).await.is_err() {
                         return;
                     }
                 }
-                _ = lot.changed() => if !self.reaches() {
+                _ = faults.changed() => if !self.may_connect() {
                     return;
                 },
             }
         }
     }
 
-    /// Acts on a frame; false if the stream is over.
-    async fn read(&self, stream: &mut Stream, frame: FromConductor, slow: f64) -> bool {
+    /// Handles a frame; false if the stream must end. `slow` is the delay factor of orders.
+    async fn handle_frame(&self, stream: &mut Stream, frame: FromConductor, slow: f64) -> bool {
         let FromConductor { epoch, sequence, kind } = frame;
         let answer = match kind {
             Some(from_conductor::Kind::Order(order)) => {
--- a/crates/stepspur-emulator/src/registry.rs
+++ b/crates/stepspur-emulator/src/registry.rs
@@ -1,4 +1,4 @@
-//! The stand-in node list: late, out of reach, or wrong, as the day has it. `docs/node-list.md` words its API.
+//! The emulated node list, which faults can make unavailable or incomplete. `docs/node-list.md` describes its API.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -19,109 +19,117 @@
 
 use crate::trace::{Event, Trace, lock};
 
-/// Changes that are remembered; one who asks for older ones gets the whole list.
-const REMEMBERED: u64 = 1000;
+/// A long poll for changes since a version this many versions back gets the full list instead.
+const MAX_VERSIONS_BEHIND: u64 = 1000;
 
+/// The contents of the list and the faults that act on it.
 #[derive(Debug, Default)]
-struct Listed {
+struct ListState {
+    /// All servers that were ever listed; removed ones have the state `Gone`.
     nodes: BTreeMap<SocketAddr, EndpointRecord>,
-    /// The version at which each last changed.
+    /// By server: the version at which it last changed.
     changed: BTreeMap<SocketAddr, u64>,
     version: u64,
+    /// True while a fault makes the list unavailable: it answers 503.
     down: bool,
-    /// Dropped though they live.
+    /// Servers that a fault hides although they run.
     hidden: BTreeSet<SocketAddr>,
 }
 
-/// The node list.
+/// The node list, which serves all conductors of a rehearsal.
 #[derive(Debug)]
 pub struct Registry {
-    listed: Mutex<Listed>,
+    state: Mutex<ListState>,
     version: watch::Sender<u64>,
-    waiting: watch::Sender<Waiting>,
+    waiting: watch::Sender<LongPolls>,
     trace: Arc<Trace>,
 }
 
-/// The long polls that have begun to wait for a change.
+/// The long polls that have started to wait for a change.
 #[derive(Clone, Copy, Debug, Default)]
-struct Waiting {
-    /// How many, since the start.
+struct LongPolls {
+    /// Number of such polls since the start.
     polls: u64,
-    /// The version that the last one has.
+    /// The version that the last of them holds.
     version: u64,
 }
 
+/// Query of a request for the list.
 #[derive(Debug, Deserialize)]
-struct Since {
+struct ListQuery {
+    /// Version that the caller holds; `None` asks for the full list.
     since: Option<u64>,
+    /// How long to wait for a change, in milliseconds; at most a minute.
     #[serde(default)]
     wait_ms: u64,
 }
 
 impl Registry {
-    /// An empty list.
+    /// Creates an empty list that records its responses in `trace`.
     pub fn new(trace: Arc<Trace>) -> Arc<Self> {
         Arc::new(Self {
-            listed: Mutex::default(),
+            state: Mutex::default(),
             version: watch::Sender::new(0),
             waiting: watch::Sender::default(),
             trace,
         })
     }
 
-    /// How many long polls have begun to wait for a change so far.
+    /// Number of long polls that have started to wait for a change so far.
     pub fn polls(&self) -> u64 {
         self.waiting.borrow().polls
     }
 
-    /// Waits until a long poll later than this many holds the whole list and waits for the next change: its conductor
-    /// has read all changes before, and hears of the next one at once.
+    /// Waits until a long poll after the first `after` ones holds the newest version and waits for the next change. Its
+    /// conductor has then read all earlier changes, and receives the next one at once.
     pub async fn polled(&self, after: u64) {
-        let version = lock(&self.listed).version;
+        let version = lock(&self.state).version;
         let mut waiting = self.waiting.subscribe();
-        // The sender lives as long as the list.
+        // Cannot fail: `self` owns the sender.
         let _ = waiting.wait_for(|now| now.polls > after && now.version >= version).await;
     }
 
-    /// Servers are listed so from now on; told together.
+    /// Adds or updates servers as one change.
     pub fn set(&self, nodes: impl IntoIterator<Item = EndpointRecord>) {
-        self.change(|listed| {
+        self.change(|state| {
             for node in nodes {
-                listed.changed.insert(node.address, listed.version);
-                listed.nodes.insert(node.address, node);
+                state.changed.insert(node.address, state.version);
+                state.nodes.insert(node.address, node);
             }
         });
     }
 
-    /// The list is out of reach, or no longer.
+    /// Makes the list unavailable (503), or available again.
     pub fn down(&self, on: bool) {
-        self.change(|listed| listed.down = on);
+        self.change(|state| state.down = on);
     }
 
-    /// Servers are dropped though they live, or listed again.
+    /// Hides servers from the list although they run, or shows them again.
     pub fn hide(&self, servers: &[SocketAddr], on: bool) {
-        self.change(|listed| {
+        self.change(|state| {
             for server in servers {
                 if on {
-                    listed.hidden.insert(*server)
+                    state.hidden.insert(*server)
                 } else {
-                    listed.hidden.remove(server)
+                    state.hidden.remove(server)
                 };
-                listed.changed.insert(*server, listed.version);
+                state.changed.insert(*server, state.version);
             }
         });
     }
 
-    fn change(&self, change: impl FnOnce(&mut Listed)) {
-        let mut listed = lock(&self.listed);
-        listed.version += 1;
-        change(&mut listed);
-        self.version.send_replace(listed.version);
+    /// Applies a change under the next version, and wakes waiting polls.
+    fn change(&self, change: impl FnOnce(&mut ListState)) {
+        let mut state = lock(&self.state);
+        state.version += 1;
+        change(&mut state);
+        self.version.send_replace(state.version);
     }
 
-    /// Serves the list to one conductor, which is known by the listener that it calls, until it is stopped.
+    /// Serves the list to one conductor until `stop` is cancelled. Each conductor has a listener of its own, so that the
+    /// trace can tell which one received a response.
     pub async fn serve(self: Arc<Self>, conductor: usize, listener: TcpListener, stop: CancellationToken) {
-        let router = Router::new().route("/v1/nodes", get(answer)).with_state((self, conductor));
+        let router = Router::new().route("/v1/nodes", get(list_endpoints)).with_state((self, conductor));
         let serve = axum::serve(listener, router).into_future();
         tokio::select! {
             _ = serve => {}
@@ -129,45 +137,46 @@
         }
     }
 
-    fn whole(&self) -> Result<EndpointListResponse, StatusCode> {
-        let listed = lock(&self.listed);
-        if listed.down {
+    fn full_list(&self) -> Result<EndpointListResponse, StatusCode> {
+        let state = lock(&self.state);
+        if state.down {
             return Err(StatusCode::SERVICE_UNAVAILABLE);
         }
-        let shown =
-            |n: &&EndpointRecord| n.state != EndpointRecordState::Gone && !listed.hidden.contains(&n.address);
-        let nodes: Vec<_> = listed.nodes.values().filter(shown).cloned().collect();
-        Ok(EndpointListResponse { version: listed.version, nodes: Some(nodes), changes: None })
+        let visible =
+            |n: &&EndpointRecord| n.state != EndpointRecordState::Gone && !state.hidden.contains(&n.address);
+        let nodes: Vec<_> = state.nodes.values().filter(visible).cloned().collect();
+        Ok(EndpointListResponse { version: state.version, nodes: Some(nodes), changes: None })
     }
 
-    /// What has changed since a version, if anything.
-    fn since(&self, version: u64) -> Result<Option<EndpointListResponse>, StatusCode> {
-        let listed = lock(&self.listed);
-        if listed.down {
+    /// The changes since a version, or the full list if the version is unknown or too old; `None` if nothing changed.
+    fn changes_since(&self, version: u64) -> Result<Option<EndpointListResponse>, StatusCode> {
+        let state = lock(&self.state);
+        if state.down {
             return Err(StatusCode::SERVICE_UNAVAILABLE);
         }
-        if version > listed.version || listed.version - version > REMEMBERED {
-            drop(listed);
-            return self.whole().map(Some);
+        if version > state.version || state.version - version > MAX_VERSIONS_BEHIND {
+            drop(state);
+            return self.full_list().map(Some);
         }
-        let newer = listed.changed.iter().filter(|(_, at)| **at > version);
-        let shown = |address: &SocketAddr| {
-            let mut node = listed.nodes.get(address).cloned()?;
-            if listed.hidden.contains(address) {
+        let newer = state.changed.iter().filter(|(_, at)| **at > version);
+        let visible = |address: &SocketAddr| {
+            let mut node = state.nodes.get(address).cloned()?;
+            if state.hidden.contains(address) {
                 node.state = EndpointRecordState::Gone;
             }
             Some(node)
         };
-        let changes: Vec<_> = newer.filter_map(|(address, _)| shown(address)).collect();
-        let answer = EndpointListResponse { version: listed.version, nodes: None, changes: Some(changes) };
-        Ok((listed.version > version).then_some(answer))
+        let changes: Vec<_> = newer.filter_map(|(address, _)| visible(address)).collect();
+        let answer = EndpointListResponse { version: state.version, nodes: None, changes: Some(changes) };
+        Ok((state.version > version).then_some(answer))
     }
 
-    fn waits(&self, version: u64) {
-        self.waiting.send_modify(|waiting| *waiting = Waiting { polls: waiting.polls + 1, version });
+    fn record_poll(&self, version: u64) {
+        self.waiting.send_modify(|waiting| *waiting = LongPolls { polls: waiting.polls + 1, version });
     }
 
-    fn tell(&self, conductor: usize, answer: EndpointListResponse) -> Response {
+    /// Records a response in the trace and serializes it.
+    fn respond(&self, conductor: usize, answer: EndpointListResponse) -> Response {
         let whole = answer.nodes.is_some();
         let nodes = answer.nodes.as_ref().or(answer.changes.as_ref()).cloned().unwrap_or_default();
         self.trace.note(Event::Told { conductor, whole, nodes: Arc::new(nodes) });
@@ -175,22 +184,23 @@
     }
 }
 
-async fn answer(
+/// Handles `GET /v1/nodes`: the full list, or a long poll for changes since a version.
+async fn list_endpoints(
     State((registry, conductor)): State<(Arc<Registry>, usize)>,
-    Query(ask): Query<Since>,
+    Query(query): Query<ListQuery>,
 ) -> Response {
-    let Some(version) = ask.since else {
-        return match registry.whole() {
-            Ok(answer) => registry.tell(conductor, answer),
+    let Some(version) = query.since else {
+        return match registry.full_list() {
+            Ok(answer) => registry.respond(conductor, answer),
             Err(status) => status.into_response(),
         };
     };
-    let until = Instant::now() + Duration::from_millis(ask.wait_ms.min(60_000));
+    let until = Instant::now() + Duration::from_millis(query.wait_ms.min(60_000));
     let mut newest = registry.version.subscribe();
     loop {
-        match registry.since(version) {
-            Ok(Some(answer)) => return registry.tell(conductor, answer),
-            Ok(None) => registry.waits(version),
+        match registry.changes_since(version) {
+            Ok(Some(answer)) => return registry.respond(conductor, answer),
+            Ok(None) => registry.record_poll(version),
             Err(status) => return status.into_response(),
         }
         if tokio::time::timeout_at(until, newest.changed()).await.is_err() {
--- a/crates/stepspur-emulator/src/relay.rs
+++ b/crates/stepspur-emulator/src/relay.rs
@@ -1,6 +1,6 @@
 //! Relays: what stands for the network between stand-ins, in this process and on loopback.
 //!
-//! A stand-in dials from an address of its zone ([`source`]), so whoever accepts knows the link that it comes by.
+//! A stand-in dials from an address of its zone ([`source_address`]), so whoever accepts knows the link that it comes by.
 //! A relay carries bytes in order, each chunk as late as its link says; a lost chunk comes after a wait for its
 //! sending again, as TCP would have it; while a link is cut nothing passes, and what is held is dropped once the
 //! sender has gone. Dials of proxies are answered with one byte by the relay before the server: it stands for the
@@ -41,7 +41,7 @@
 const LOOK: Duration = Duration::from_millis(20);
 
 /// The address from which a proxy of a zone dials: all of 127.0.0.0/8 is loopback.
-pub fn source(zone: usize, proxy: usize) -> Ipv4Addr {
+pub fn source_address(zone: usize, proxy: usize) -> Ipv4Addr {
     Ipv4Addr::new(127, 1, (zone % 250) as u8, (proxy % 200 + 1) as u8)
 }
 
@@ -173,7 +173,7 @@
 
 /// The relay before the conductor: one address for all its lives. A link that is cut breaks its streams, and no
 /// others can be dialled.
-pub async fn before_conductor(
+pub async fn relay_to_conductor(
     listener: TcpListener,
     conductor: watch::Receiver<Option<SocketAddr>>,
     zone: usize,
--- a/crates/stepspur-emulator/src/run/conductors.rs
+++ b/crates/stepspur-emulator/src/run/conductors.rs
@@ -1,4 +1,4 @@
-//! Starts, kills and restarts the conductors of a day.
+//! Starts, kills and restarts the conductors of a rehearsal.
 
 use std::net::SocketAddr;
 
@@ -11,25 +11,25 @@
 use crate::trace::{Event, lock};
 use crate::usage::Usage;
 
-/// A place for a conductor, which may be started there many times.
+/// A conductor that may be started and stopped many times under the same settings.
 pub(super) struct ConductorSlot {
-    /// Its settings, with a node list of its own.
+    /// The conductor's settings; the node list address differs from slot to slot.
     config: Config,
-    /// The conductor that runs here now.
+    /// The running conductor; `None` while it is down.
     running: Mutex<Option<Running>>,
-    /// Where it listens now.
+    /// Address that the running conductor listens on; `None` while it is down. The relay in front reads it.
     pub address: watch::Sender<Option<SocketAddr>>,
 }
 
 impl ConductorSlot {
-    /// A place where no conductor runs yet.
+    /// Creates a slot whose conductor is not yet started.
     pub(super) fn new(config: Config) -> Self {
         Self { config, running: Mutex::default(), address: watch::Sender::new(None) }
     }
 }
 
 impl World {
-    /// Starts all conductors for the first time.
+    /// Starts all conductors for the first time; fails with the first one that does not start.
     pub(super) async fn start_conductors(&self) -> Result<(), RunError> {
         for conductor in 0..self.conductors.len() {
             self.start_conductor(conductor).await?;
@@ -39,11 +39,11 @@
 
     async fn start_conductor(&self, conductor: usize) -> Result<(), LaunchError> {
         let slot = &self.conductors[conductor];
-        let mut place = slot.running.lock().await;
+        let mut slot_running = slot.running.lock().await;
         self.trace.note(Event::Conductor { conductor, up: true });
         let running = self.launcher.start(&slot.config).await?;
         slot.address.send_replace(Some(running.address));
-        *place = Some(running);
+        *slot_running = Some(running);
         Ok(())
     }
 
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Kills a conductor outright, without a goodbye to its proxies.
+    /// Kills a conductor at once: its proxies receive no `Goodbye` and see their streams break.
     pub(super) async fn kill_conductor(&self, conductor: usize) {
         let slot = &self.conductors[conductor];
         let running = slot.running.lock().await.take();
@@ -66,7 +66,7 @@
         self.trace.note(Event::Conductor { conductor, up: false });
     }
 
-    /// Tells a conductor to end, so that it says goodbye to its proxies, and starts it again at once.
+    /// Terminates a conductor gracefully, so that it sends `Goodbye` to its proxies, and starts it again at once.
     pub(super) async fn restart_conductor(&self, conductor: usize) {
         let slot = &self.conductors[conductor];
         let running = slot.running.lock().await.take();
@@ -79,7 +79,7 @@
         self.start_conductor_again(conductor).await;
     }
 
-    /// Adds the processor time of a conductor that is about to end, if it runs as a process of its own.
+    /// Adds the CPU time of a conductor that is about to be stopped, if it runs as a process of its own.
     fn add_conductor_cpu(&self, running: &Running) {
         if let Some(usage) = running.pid().and_then(|pid| Usage::of(pid).ok()) {
             *lock(&self.conductor_cpu_s) += usage.cpu_s;
--- a/crates/stepspur-emulator/src/run/evaluation.rs
+++ b/crates/stepspur-emulator/src/run/evaluation.rs
@@ -1,4 +1,4 @@
-//! Makes the report of a day from what was recorded of it.
+//! Builds the report of a rehearsal from its recording.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -14,10 +14,10 @@
 use crate::series::{self, Series};
 use crate::trace::{Event, lock};
 
-/// Judges a day and sums it up. All its tasks and conductors must have ended.
+/// Checks the five rules and the expectations, and builds the report. All tasks and conductors must have ended.
 pub(super) fn evaluate(world: &World, recording: &Recording) -> Report {
     let plan = &world.plan;
-    let outcomes = lock(&world.crowd.outcomes);
+    let outcomes = lock(&world.clients.outcomes);
     let measured = Measured::of(plan, recording);
     Report {
         day: plan.name.clone(),
@@ -47,21 +47,23 @@
     let zones: BTreeMap<_, _> =
         world.nodes.iter().map(|node| (node.address, world.plan.zones[node.zone].0.clone())).collect();
     let figures = Figures::new(&world.plan, zones);
-    let breaks = judge(&figures, recording.begin(), &recording.events);
+    let violations = judge(&figures, recording.begin(), &recording.events);
     let verdict = |rule: Rule| {
-        let broken = breaks.iter().find(|broken| broken.rule == rule).cloned();
+        let broken = violations.iter().find(|broken| broken.rule == rule).cloned();
         Verdict { rule, kept: broken.is_none(), broken }
     };
     Rule::ALL.into_iter().map(verdict).collect()
 }
 
-/// A fault's name, and its begin and end in seconds; it ends with the day at the latest.
+/// A fault's name with its start and end in seconds since the first request was due. The end is capped at the end
+/// of the plan.
 fn fault_band(plan: &Plan, strike: &Strike) -> (String, Range<f64>) {
     let begin = strike.at.as_secs_f64();
     let end = (begin + strike.lasts.as_secs_f64()).min(plan.length.as_secs_f64().max(begin));
     (strike.name.clone(), begin..end)
 }
 
+/// Planned length over the time it took to send all requests: below 1 if the machine fell behind.
 fn pace(plan: &Plan, recording: &Recording) -> f64 {
     let length = plan.length.as_secs_f64();
     length / (length + recording.fell_behind.as_secs_f64())
@@ -75,6 +77,7 @@
     }
 }
 
+/// Says why the result is void: too many requests in flight, or timers that fired too late. `None` if it counts.
 fn void_reason(recording: &Recording) -> Option<String> {
     let lag @ TimerLag { p99, max } = recording.timer_lag;
     (!recording.requests_fit || lag.is_excessive())
--- a/crates/stepspur-emulator/src/run/expectations.rs
+++ b/crates/stepspur-emulator/src/run/expectations.rs
@@ -1,4 +1,4 @@
-//! Checks what a plan expects of a day beside the five rules.
+//! Checks the expectations of a plan, which are bounds beside the five rules.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,16 +12,16 @@
 use crate::scenario::{Bound, Expect};
 use crate::trace::Event;
 
-/// What was measured of the whole day, for expectations that are not about requests.
+/// Measurements over the whole rehearsal, for expectations that are not about requests.
 pub(super) struct Measured {
-    /// Number of times that a server fell over.
+    /// Number of times that a server failed from overload while cold.
     pub fallen: usize,
-    /// The longest time that a proxy was without a conductor.
+    /// The longest time that a proxy was without a conductor after its first connection.
     pub longest_away: Duration,
 }
 
 impl Measured {
-    /// Measures a day from its events.
+    /// Computes the measurements from the recorded events.
     pub(super) fn of(plan: &Plan, recording: &Recording) -> Self {
         let events = &recording.events;
         let end = recording.begin() + plan.length.as_micros() as Micros;
@@ -32,7 +32,8 @@
     }
 }
 
-/// The longest time up to `end` that a proxy was without a conductor after it had had one.
+/// The longest time until `end` that a proxy was without a conductor, not counting the time before its first
+/// connection.
 fn longest_away(events: &[(Micros, Event)], end: Micros) -> Duration {
     let (mut away_since, mut longest) = (BTreeMap::new(), 0);
     for (at, event) in events.iter().filter(|(at, _)| *at <= end) {
@@ -48,7 +49,7 @@
     Duration::from_micros(still_away.fold(longest, Micros::max))
 }
 
-/// Checks every bound of every expectation.
+/// Checks every bound of every expectation, in the order of the plan.
 pub(super) fn check(plan: &Plan, outcomes: &Outcomes, measured: &Measured) -> Vec<Expected> {
     let mut checked = Vec::new();
     for expect in &plan.expectations {
@@ -58,13 +59,14 @@
     checked
 }
 
-/// An expectation, and the requests that it is about.
+/// One expectation with the requests that it covers.
 struct Check<'a> {
     measured: &'a Measured,
+    /// Results of the requests of the phase and class that the expectation names.
     tally: Tally,
-    /// The class, for the text.
+    /// The class for the message; "requests" if the expectation covers all classes.
     class: &'a str,
-    /// The phase, for the text; empty for the whole day.
+    /// The phase for the message, as " in phase NAME"; empty if the expectation covers the whole rehearsal.
     phase: String,
 }
 
@@ -88,7 +90,7 @@
 
     fn value(&self, bound: Bound) -> f64 {
         match bound {
-            // If nothing was asked, everything was answered in time.
+            // Without requests the share in time counts as 1, so that the expectation is met.
             Bound::InTime if self.tally.asked == 0 => 1.0,
             Bound::InTime => self.share(self.tally.in_time),
             Bound::Late => self.share(self.tally.late),
--- a/crates/stepspur-emulator/src/run/faults.rs
+++ b/crates/stepspur-emulator/src/run/faults.rs
@@ -1,4 +1,4 @@
-//! Begins and ends the faults of a plan at their times.
+//! Starts and ends the faults of a plan on schedule.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,21 +12,21 @@
 use super::world::World;
 use crate::node::Node;
 use crate::plan::{Lie, Strike, Trouble};
-use crate::proxy::{Lot, Proxy};
+use crate::proxy::{Proxy, ProxyFaults};
 use crate::trace::lock;
 
-/// The discard port, where nothing listens: servers listed there do not exist, and connections are refused.
+/// The discard port: nothing listens there, so connections to servers listed at this port are refused.
 const DISCARD_PORT: u16 = 9;
 
 impl World {
-    /// Begins the faults that are present before any conductor has started.
+    /// Applies the faults that are in effect before any conductor starts.
     pub(super) async fn begin_initial_faults(self: &Arc<Self>) {
         for strike in self.plan.strikes.iter().filter(|strike| strike.from_the_start()) {
             self.set_fault(&strike.trouble, true).await;
         }
     }
 
-    /// Starts a task for each fault of the day; they end when the returned set is shut down.
+    /// Starts a task for each fault of the plan; the tasks end when the returned set is shut down.
     pub(super) fn schedule_faults(self: &Arc<Self>, begin: Instant) -> JoinSet<()> {
         let mut tasks = JoinSet::new();
         for strike in &self.plan.strikes {
@@ -35,7 +35,7 @@
         tasks
     }
 
-    /// Plays one fault from its begin to its end.
+    /// Runs one fault from its start to its end, and lists it among the active faults meanwhile.
     async fn run_fault(self: Arc<Self>, strike: Strike, day_begin: Instant) {
         let begin = day_begin + strike.at;
         sleep_until(begin).await;
@@ -50,7 +50,7 @@
         remove_first(&mut lock(&self.active_faults), &strike.name);
     }
 
-    /// Plays a fault that is in effect from its begin to its end.
+    /// Applies a fault at its start and reverts it at its end.
     async fn run_lasting_fault(self: &Arc<Self>, strike: &Strike, begin: Instant) {
         if !strike.from_the_start() {
             self.set_fault(&strike.trouble, true).await;
@@ -59,7 +59,7 @@
         self.set_fault(&strike.trouble, false).await;
     }
 
-    /// Restarts conductors one after the other, spread evenly over a time.
+    /// Restarts conductors one after the other, at even intervals over `lasts`.
     async fn restart_in_turn(&self, conductors: &[usize], begin: Instant, lasts: Duration) {
         let interval = lasts / (conductors.len() as u32).max(1);
         for (position, conductor) in conductors.iter().enumerate() {
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Begins (`on`) or ends a fault.
+    /// Applies (`on`) or reverts a fault.
     async fn set_fault(self: &Arc<Self>, trouble: &Trouble, on: bool) {
         match trouble {
             Trouble::Burst(_) | Trouble::Shift(..) | Trouble::Mix(..) | Trouble::HeavyTail(..) => {
@@ -94,19 +94,19 @@
                 self.set_proxy_fault(trouble, on);
             }
             Trouble::KillConductor(conductors) => self.set_killed(conductors, on).await,
-            // These two take their whole time: see `run_fault`.
+            // These two span their whole duration: see `run_fault`.
             Trouble::Release(..) | Trouble::RestartConductors(_) => {}
         }
     }
 
     fn set_traffic_fault(&self, trouble: &Trouble, on: bool) {
-        let mut weather = lock(&self.crowd.weather);
+        let mut traffic_faults = lock(&self.clients.traffic_faults);
         match trouble {
-            Trouble::Burst(factor) => toggle(&mut weather.bursts, *factor, on),
-            Trouble::Shift(zone, share) => toggle(&mut weather.shifts, (*zone, *share), on),
-            Trouble::Mix(class, share) => toggle(&mut weather.mixes, (*class, *share), on),
+            Trouble::Burst(factor) => toggle(&mut traffic_faults.bursts, *factor, on),
+            Trouble::Shift(zone, share) => toggle(&mut traffic_faults.shifts, (*zone, *share), on),
+            Trouble::Mix(class, share) => toggle(&mut traffic_faults.mixes, (*class, *share), on),
             Trouble::HeavyTail(class, share, factor) => {
-                toggle(&mut weather.tails, (*class, *share, *factor), on);
+                toggle(&mut traffic_faults.tails, (*class, *share, *factor), on);
             }
             _ => {}
         }
@@ -116,26 +116,28 @@
         let share = |share: f64| if on { share } else { 0.0 };
         let factor = |factor: f64| if on { factor } else { 1.0 };
         match trouble {
-            Trouble::Hang(servers) => self.each_node(servers, |node| node.ail(|ails| ails.hangs = on)),
+            Trouble::Hang(servers) => {
+                self.each_node(servers, |node| node.change_faults(|faults| faults.hangs = on))
+            }
             Trouble::Fail(servers, part) => {
-                self.each_node(servers, |node| node.ail(|ails| ails.fails = share(*part)));
+                self.each_node(servers, |node| node.change_faults(|faults| faults.fails = share(*part)));
             }
             Trouble::Pause(servers, every, pause) => {
                 let pauses = on.then_some((micros(*every), micros(*pause)));
-                self.each_node(servers, |node| node.ail(|ails| ails.pauses = pauses));
+                self.each_node(servers, |node| node.change_faults(|faults| faults.pauses = pauses));
             }
             Trouble::LoseAnswers(servers, part, by_reset) => {
-                self.each_node(servers, |node| node.lose_answers(share(*part), *by_reset));
+                self.each_node(servers, |node| node.set_lost_answers(share(*part), *by_reset));
             }
-            Trouble::FalseReports(servers, lie, slowdown) => {
-                self.set_false_reports(servers, on.then_some(*lie), share(slowdown - 1.0));
+            Trouble::FalseReports(servers, false_report, slowdown) => {
+                self.set_false_reports(servers, on.then_some(*false_report), share(slowdown - 1.0));
             }
             Trouble::FewConnections(servers, divisor) => {
-                self.each_node(servers, |node| node.few_connections(factor(*divisor)));
+                self.each_node(servers, |node| node.set_connections_divisor(factor(*divisor)));
             }
             Trouble::SlowHandshakes(servers, work, delay) => {
                 let delay = if on { *delay } else { Duration::ZERO };
-                self.each_node(servers, |node| node.slow_handshakes(factor(*work), delay));
+                self.each_node(servers, |node| node.set_slow_handshakes(factor(*work), delay));
             }
             _ => {}
         }
@@ -145,10 +147,10 @@
         self.nodes_at(servers).for_each(change);
     }
 
-    fn set_false_reports(&self, servers: &[usize], lie: Option<Lie>, slower: f64) {
+    fn set_false_reports(&self, servers: &[usize], false_report: Option<Lie>, slower: f64) {
         for node in self.nodes_at(servers) {
-            node.lie(lie);
-            node.ail(|ails| ails.slower = slower);
+            node.set_false_reports(false_report);
+            node.change_faults(|faults| faults.slower = slower);
         }
     }
 
@@ -156,22 +158,22 @@
         match trouble {
             Trouble::SlowChannel(factor) => {
                 let slow = if on { *factor } else { 0.0 };
-                self.each_proxy(|lot| lot.slow = slow);
+                self.each_proxy(|faults| faults.slow = slow);
             }
             Trouble::LateReports(by) => {
                 let late = if on { *by } else { Duration::ZERO };
-                self.each_proxy(|lot| lot.late = late);
+                self.each_proxy(|faults| faults.late = late);
             }
             Trouble::CutOff(proxies) => self.proxies_at(proxies).for_each(|proxy| set_cut_off(proxy, on)),
             Trouble::Stall(proxies) => {
-                self.proxies_at(proxies).for_each(|proxy| proxy.fate(|lot| lot.stalled = on));
+                self.proxies_at(proxies).for_each(|proxy| proxy.change_faults(|faults| faults.stalled = on));
             }
             _ => {}
         }
     }
 
-    fn each_proxy(&self, change: impl Fn(&mut Lot)) {
-        self.proxies.iter().for_each(|proxy| proxy.fate(&change));
+    fn each_proxy(&self, change: impl Fn(&mut ProxyFaults)) {
+        self.proxies.iter().for_each(|proxy| proxy.change_faults(&change));
     }
 
     /// The proxies at these indices; indices without a proxy are ignored.
@@ -189,7 +191,7 @@
         }
     }
 
-    /// Drops servers from the node list although they run, or lists them again.
+    /// Hides running servers from the node list, or lists them again.
     fn hide_from_list(&self, servers: &[usize], hidden: bool) {
         let addresses: Vec<_> = self.nodes_at(servers).map(|node| node.address).collect();
         self.registry.hide(&addresses, hidden);
@@ -208,7 +210,7 @@
         self.registry.set((0..count).map(record));
     }
 
-    /// Stops all servers of a zone and cuts off its proxies if so told, or starts and connects them again.
+    /// Stops all servers of a zone and, with `with_proxies`, cuts off its proxies; or reverts both.
     fn lose_zone(self: &Arc<Self>, zone: usize, with_proxies: bool, lost: bool) {
         let servers: Vec<_> = self.servers_to_toggle(zone, lost).collect();
         self.set_stopped(&servers, lost);
@@ -216,7 +218,8 @@
         proxies.for_each(|proxy| set_cut_off(proxy, lost));
     }
 
-    /// The servers of a zone that run, if it is lost; else those that it lost.
+    /// The running servers of a zone if it is lost; otherwise the servers to start again: those that are down and ran
+    /// when the rehearsal began.
     fn servers_to_toggle(&self, zone: usize, lost: bool) -> impl Iterator<Item = usize> + '_ {
         let in_state = move |node: &Arc<Node>| node.zone == zone && node.is_up() == lost;
         let up_from_start = |index: usize| self.plan.servers[index].up;
@@ -225,9 +228,12 @@
     }
 }
 
-/// Cuts a proxy off from all conductors, or no longer; cuts by several faults add up.
+/// Cuts a proxy off from all conductors, or reverts that. Overlapping faults are counted: the proxy connects again
+/// when the last one ends.
 fn set_cut_off(proxy: &Proxy, on: bool) {
-    proxy.fate(|lot| lot.cut_off = if on { lot.cut_off + 1 } else { lot.cut_off.saturating_sub(1) });
+    proxy.change_faults(|faults| {
+        faults.cut_off = if on { faults.cut_off + 1 } else { faults.cut_off.saturating_sub(1) }
+    });
 }
 
 fn toggle<T: PartialEq>(list: &mut Vec<T>, item: T, on: bool) {
--- a/crates/stepspur-emulator/src/run/mod.rs
+++ b/crates/stepspur-emulator/src/run/mod.rs
@@ -1,9 +1,9 @@
-//! Plays a plan in real time: emulated servers, proxies and clients on loopback, real conductors, faults at their
-//! times, and a report with the verdict on the five rules.
+//! Runs a plan in real time: emulated servers, proxies and clients on loopback, real conductors, faults on
+//! schedule, and a report with the verdicts on the five rules.
 //!
-//! [`play`] is the entry point. `setup` builds the `World` of a day; `faults`, `releases`, `servers` and
+//! [`play`] is the entry point. `setup` builds the `World` of a rehearsal; `faults`, `releases`, `servers` and
 //! `conductors` change it while clients send requests; `sampling` observes it; `evaluation` and `expectations` make
-//! the [`Report`] from what was recorded.
+//! the [`Report`] from the recording.
 
 mod conductors;
 mod error;
@@ -37,15 +37,17 @@
 use timer_lag::TimerLag;
 use world::World;
 
-/// Most servers and proxies, taken together, that are emulated with sockets.
+/// Maximum number of servers and proxies together that are emulated with sockets.
 const MAX_EMULATED: usize = 5000;
 /// Time between the start of the emulation and the first request, for proxies to join.
 const WARM_UP: Duration = Duration::from_millis(1000);
 
-/// Plays a day through real conductors and judges it.
+/// Runs a plan through real conductors and checks the rules and expectations.
+///
+/// `progress`, if given, receives the state of the rehearsal several times a second.
 ///
 /// # Errors
-/// See [`RunError`]. A broken rule is not an error: the report tells.
+/// See [`RunError`]. A broken rule is not an error: it is in the report.
 pub async fn play(
     plan: Plan,
     launcher: Launcher,
@@ -55,7 +57,7 @@
     let stop = CancellationToken::new();
     let _stop_on_return = stop.clone().drop_guard();
     let world = World::build(Arc::new(plan), launcher, &stop).await?;
-    // Faults present from the start are set before any proxy has joined.
+    // Initial faults are applied before any proxy can join.
     world.begin_initial_faults().await;
     world.start_conductors().await?;
     let recording = record_day(&world, progress, &stop).await;
@@ -70,28 +72,28 @@
     Ok(())
 }
 
-/// What was recorded of a day, beside what the world itself keeps.
+/// What was recorded of a rehearsal, beside the state that the `World` holds.
 struct Recording {
-    /// All events, in the order of their times.
+    /// All events, ordered by time.
     events: Vec<(Micros, Event)>,
-    /// False: requests were broken off because too many were in flight.
+    /// False if sending stopped early because too many requests were in flight.
     requests_fit: bool,
-    /// How late the last request was sent.
+    /// How long after its due time the last request was sent.
     fell_behind: Duration,
-    /// Processor time of this process while requests were sent and answered, in seconds.
+    /// CPU time of this process while requests were sent and answered, in seconds.
     cpu_s: f64,
-    /// How late this machine's timers fired.
+    /// How late the timers of this machine fired.
     timer_lag: TimerLag,
 }
 
 impl Recording {
-    /// When the first request was due, in the time of the events.
+    /// When the first request was due, on the clock of the events (microseconds since the Unix epoch).
     fn begin(&self) -> Micros {
         self.events.first().map_or(0, |(at, _)| *at) + WARM_UP.as_micros() as Micros
     }
 }
 
-/// Runs clients, faults and observers for the length of the day, then shuts everything down.
+/// Runs clients, faults and observers for the length of the plan, then shuts everything down.
 async fn record_day(
     world: &Arc<World>,
     progress: Option<watch::Sender<Progress>>,
@@ -102,9 +104,9 @@
     let mut faults = world.schedule_faults(begin);
     world.start_observers(progress, begin, stop);
     let cpu_before = own_cpu_s();
-    let requests_fit = Arc::clone(&world.crowd).run(begin, stop.clone()).await;
-    // The last requests are waited for, but that wait does not count as falling behind.
-    let fell_behind = world.crowd.behind();
+    let requests_fit = Arc::clone(&world.clients).run(begin, stop.clone()).await;
+    // `run` also waits for the last answers; that wait does not count as falling behind.
+    let fell_behind = world.clients.fell_behind();
     let cpu_s = own_cpu_s() - cpu_before;
     faults.shutdown().await;
     let events = world.trace.take();
@@ -113,7 +115,7 @@
     Recording { events, requests_fit, fell_behind, cpu_s, timer_lag }
 }
 
-/// Processor time of this process since its start, in seconds.
+/// CPU time of this process since its start, in seconds; 0 if it cannot be read.
 fn own_cpu_s() -> f64 {
     Usage::of(std::process::id()).unwrap_or_default().cpu_s
 }
--- a/crates/stepspur-emulator/src/run/releases.rs
+++ b/crates/stepspur-emulator/src/run/releases.rs
@@ -1,4 +1,4 @@
-//! Releases: servers drain and stop in steps, while others start in their place.
+//! Plays releases: servers drain and stop in steps, while others start in their place.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use crate::plan::Step;
 
 impl World {
-    /// Plays all steps of a release that begins at `begin`, and returns when the last has ended.
+    /// Plays all steps of a release that starts at `begin`, and returns when the last step has ended.
     pub(super) async fn release(self: &Arc<Self>, drain: Duration, steps: &[Step], begin: Instant) {
         let mut running = JoinSet::new();
         for step in steps.iter().cloned() {
@@ -26,7 +26,8 @@
     async fn release_step(self: &Arc<Self>, drain: Duration, step: &Step) {
         step.stop.iter().for_each(|server| self.drain_server(*server));
         step.start.iter().for_each(|server| self.start_server(*server));
-        // The list shows a server as draining for the whole of its drain time.
+        // The node list lags by `list_delay`; the wait includes it, so that the list shows a server as draining for the
+        // whole drain time.
         sleep(self.plan.list_delay + drain).await;
         step.stop.iter().for_each(|server| self.stop_server(*server));
     }
--- a/crates/stepspur-emulator/src/run/report.rs
+++ b/crates/stepspur-emulator/src/run/report.rs
@@ -1,4 +1,4 @@
-//! The report of a day and the progress told while it is played.
+//! The report of a rehearsal, and the progress published while it runs.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -9,10 +9,10 @@
 use crate::judge::{Break, Rule};
 use crate::series::{Sample, Series};
 
-/// How far a day has come.
+/// State of a running rehearsal, for display.
 #[derive(Clone, Debug, Default)]
 pub struct Progress {
-    /// Time since the day began.
+    /// Time since the first request was due.
     pub elapsed: Duration,
     /// Results of requests so far, by class.
     pub tallies: Vec<Tally>,
@@ -22,12 +22,12 @@
     pub sample: Sample,
 }
 
-/// A rule and whether it was kept.
+/// A rule and whether it held.
 #[derive(Clone, Debug, Serialize)]
 pub struct Verdict {
-    /// The rule.
+    /// Which of the five rules.
     pub rule: Rule,
-    /// True if it was never broken.
+    /// True if the rule was never broken.
     pub kept: bool,
     /// The first violation, if any.
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -37,20 +37,20 @@
 /// An expectation and whether it was met.
 #[derive(Clone, Debug, Serialize)]
 pub struct Expected {
-    /// What was expected.
+    /// The expectation in words, with its bound.
     pub words: String,
-    /// The measured value.
+    /// The measured value: a share from 0 to 1, a count, or a time in seconds, as the expectation has it.
     pub value: f64,
     /// True if the value lies within the expected bound.
     pub met: bool,
 }
 
-/// The report of a day that was played.
+/// The report of a rehearsal. Serialized as the JSON report, so names and order of fields are an interface.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// The day's name.
+    /// Name of the plan.
     pub day: String,
-    /// The paragraph of docs/on-call.md that it trains.
+    /// The paragraph of docs/on-call.md that the scenario trains; empty if none.
     #[serde(skip_serializing_if = "String::is_empty")]
     pub trains: String,
     /// Names of the zones.
@@ -61,36 +61,36 @@
     pub size: (usize, usize, f64),
     /// Results of requests by class.
     pub classes: Vec<Tally>,
-    /// Worth of answered requests over worth of all requests, of emulated servers.
+    /// Value of answered requests over value of all requests, from 0 to 1.
     pub service: f64,
-    /// The verdicts on the five rules.
+    /// Verdicts on the five rules.
     pub rules: Vec<Verdict>,
-    /// Results of requests by phase and class; a request counts in the phase in which it was asked.
+    /// Results of requests by phase and class; a request counts in the phase in which it was sent.
     pub phases: Vec<(String, Vec<Tally>)>,
-    /// The outcomes of the expectations beside the rules.
+    /// Results of the expectations beside the rules.
     pub expectations: Vec<Expected>,
-    /// Number of times that a server fell over.
+    /// Number of times that a server failed from overload while cold.
     pub fallen: usize,
-    /// The faults by name, each with its begin and end in seconds since the day began.
+    /// Faults by name, each with its start and end in seconds since the first request was due.
     pub bands: Vec<(String, Range<f64>)>,
-    /// Simulated time over real time while requests were sent: 1 unless the machine fell behind.
+    /// Planned time over real time while requests were sent: 1 unless the machine fell behind.
     pub pace: f64,
-    /// Processor time in seconds of the emulator (this process) and of conductors that run as own processes.
+    /// CPU time in seconds of the emulator (this process), and of conductors that run as processes of their own.
     pub cpu_s: [f64; 2],
-    /// The day over time.
+    /// Samples over time, for the charts.
     #[serde(skip)]
     pub series: Series,
     /// Number of orders that proxies read.
     pub orders: usize,
-    /// How late this machine's timers fired, in milliseconds: 99th percentile and maximum.
+    /// How late the timers of this machine fired, in milliseconds: 99th percentile and maximum.
     pub lag_ms: [f64; 2],
-    /// Why the result is void, if it is: this machine was too slow for the day.
+    /// Why the result is void: the machine was too slow for the plan. `None` if the result counts.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub void: Option<String>,
 }
 
 impl Report {
-    /// True if all rules were kept.
+    /// True if no rule was broken.
     pub fn kept(&self) -> bool {
         self.rules.iter().all(|r| r.kept)
     }
--- a/crates/stepspur-emulator/src/run/sampling.rs
+++ b/crates/stepspur-emulator/src/run/sampling.rs
@@ -1,4 +1,4 @@
-//! Observes servers and proxies while a day is played: samples for the report, and progress for whoever watches.
+//! Samples servers and proxies during a rehearsal, for the report and for the display of progress.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,11 +15,11 @@
 use crate::series::{STEP, Sample, ZoneSample};
 use crate::trace::lock;
 
-/// Interval between two tellings of the progress.
+/// Interval between two updates of the progress.
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(250);
 
 impl World {
-    /// Starts the tasks that sample the world and tell the progress.
+    /// Starts the tasks that take samples and publish progress.
     pub(super) fn start_observers(
         self: &Arc<Self>,
         progress: Option<watch::Sender<Progress>>,
@@ -27,12 +27,12 @@
         stop: &CancellationToken,
     ) {
         if let Some(progress) = progress {
-            self.tasks.spawn(Arc::clone(self).tell_progress(progress, begin, stop.clone()));
+            self.tasks.spawn(Arc::clone(self).publish_progress(progress, begin, stop.clone()));
         }
         self.tasks.spawn(Arc::clone(self).take_samples(begin, stop.clone()));
     }
 
-    async fn tell_progress(
+    async fn publish_progress(
         self: Arc<Self>,
         progress: watch::Sender<Progress>,
         begin: Instant,
@@ -48,7 +48,7 @@
     }
 
     fn progress(&self, begin: Instant) -> Progress {
-        let tallies = lock(&self.crowd.outcomes).tallies();
+        let tallies = lock(&self.clients.outcomes).tallies();
         let troubles = lock(&self.active_faults).clone();
         let elapsed = Instant::now().saturating_duration_since(begin);
         let sample = lock(&self.samples).last().cloned().unwrap_or_default();
@@ -76,25 +76,28 @@
         }
         sampler.divide_heat_by_cores();
         for proxy in &self.proxies {
-            proxy.look(|model| sampler.add_proxy(model));
+            proxy.with_model(|model| sampler.add_proxy(model));
         }
         let Sampler { zones, cold_weight, levels, .. } = sampler;
         Sample { at_s, zones, cold_weight, levels }
     }
 }
 
-/// A sample in the making.
+/// Accumulates one sample, first from the servers, then from the proxies.
 struct Sampler<'a> {
     world: &'a World,
     zones: Vec<ZoneSample>,
-    /// By zone: cores of the servers that run.
+    /// By zone: cores of the running servers.
     cores: Vec<f64>,
-    /// By server: whether it is cold.
+    /// By server: whether it runs and is cold.
     cold: Vec<bool>,
+    /// The share of the weight in proxies' tables that is on cold servers.
     cold_weight: f64,
+    /// By class: the mean admitted share over all proxies.
     levels: Vec<f64>,
+    /// Number of proxies, at least 1.
     proxies: f64,
-    /// A proxy's requests per second if all had the same.
+    /// Requests per second of a proxy if all proxies had the same rate.
     usual_rate: f64,
 }
 
@@ -114,15 +117,15 @@
         }
     }
 
-    /// Adds a server, if it runs; its requests in hand are added to the heat of its zone.
+    /// Adds a server if it runs; its requests in flight count towards the load (`heat`) of its zone.
     fn add_node(&mut self, node: &Node) {
-        let Some((held, cores)) = node.held() else { return };
-        let cold = node.cold();
+        let Some((in_flight, cores)) = node.in_flight() else { return };
+        let cold = node.is_cold();
         let zone = &mut self.zones[node.zone];
-        zone.heat += held as f64;
+        zone.heat += in_flight as f64;
         zone.up += 1;
         zone.cold += usize::from(cold);
-        zone.fallen += usize::from(node.fallen());
+        zone.fallen += usize::from(node.has_fallen());
         self.cores[node.zone] += f64::from(cores);
         self.cold[node.index] = cold;
     }
@@ -140,7 +143,7 @@
         }
     }
 
-    /// Adds the weights of a proxy's table to the zones of its servers.
+    /// Adds the normalized weights of a proxy's table to the zones of its servers.
     fn add_table(&mut self, model: &ProxyModel) {
         let total: f64 = model.lines().map(|(_, weight)| weight).sum();
         for (server, weight) in model.lines() {
@@ -153,7 +156,7 @@
         }
     }
 
-    /// The share of a class's requests that a proxy's level lets in.
+    /// The share of a class's requests that a proxy's admission level admits; a rate is converted with `usual_rate`.
     fn admitted_share(&self, model: &ProxyModel, class: usize) -> f64 {
         match model.level(class).and_then(|level| level.admit) {
             None => 1.0,
--- a/crates/stepspur-emulator/src/run/servers.rs
+++ b/crates/stepspur-emulator/src/run/servers.rs
@@ -1,4 +1,4 @@
-//! Starts and stops servers, and tells the node list about it after the plan's delay.
+//! Starts and stops servers, and updates the node list after the delay of the plan.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 use super::world::World;
 use crate::node::Node;
 
-/// The node list misses a silent server only after this many times its usual delay.
+/// The node list drops an unresponsive server only after this many times its usual delay.
 const SILENT_SERVER_DELAYS: u32 = 3;
 
 impl World {
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Tells the node list a server's state, as late as `delays` times the plan's delay.
+    /// Updates the state of a server in the node list after `delays` times the delay of the plan.
     fn update_list_later(
         self: &Arc<Self>,
         server: usize,
@@ -46,35 +46,35 @@
         });
     }
 
-    /// Starts a server, cold.
+    /// Starts a server cold; the node list shows it as ready after its delay.
     pub(super) fn start_server(self: &Arc<Self>, server: usize) {
         self.nodes[server].start();
         self.update_list_later(server, EndpointRecordState::Ready, self.trace.now(), 1);
     }
 
-    /// Stops a server at once.
+    /// Stops a server at once; the node list drops it after its delay.
     pub(super) fn stop_server(self: &Arc<Self>, server: usize) {
         self.nodes[server].stop();
         self.update_list_later(server, EndpointRecordState::Gone, 0, 1);
     }
 
-    /// Drains a server.
+    /// Starts draining a server; the node list shows it as draining after its delay.
     pub(super) fn drain_server(self: &Arc<Self>, server: usize) {
         self.nodes[server].drain();
         self.update_list_later(server, EndpointRecordState::Draining, 0, 1);
     }
 
-    /// Stops servers at once, or starts them again.
+    /// Stops servers at once, or starts them cold.
     pub(super) fn set_stopped(self: &Arc<Self>, servers: &[usize], stopped: bool) {
         for server in servers {
             if stopped { self.stop_server(*server) } else { self.start_server(*server) }
         }
     }
 
-    /// Makes servers silent, or restarts them.
+    /// Makes servers unresponsive (they answer nothing and reset nothing), or restarts them cold.
     pub(super) fn set_silent(self: &Arc<Self>, servers: &[usize], silent: bool) {
         for server in servers {
-            self.nodes[*server].silent(silent);
+            self.nodes[*server].set_silent(silent);
             if silent {
                 self.update_list_later(*server, EndpointRecordState::Gone, 0, SILENT_SERVER_DELAYS);
             } else {
--- a/crates/stepspur-emulator/src/run/setup.rs
+++ b/crates/stepspur-emulator/src/run/setup.rs
@@ -1,4 +1,4 @@
-//! Builds the world of a day from its plan.
+//! Builds the `World` of a rehearsal from its plan.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::{Arc, Mutex};
@@ -18,7 +18,7 @@
 use super::conductors::ConductorSlot;
 use super::error::RunError;
 use super::world::World;
-use crate::clients::Crowd;
+use crate::clients::ClientPool;
 use crate::identity::DayKeys;
 use crate::launch::Launcher;
 use crate::links::Links;
@@ -29,17 +29,17 @@
 use crate::relay;
 use crate::trace::Trace;
 
-/// Distinguishes the random choice of standing tables from other uses of the plan's seed.
+/// XORed into the seed of the plan for standing tables, so that they draw a random sequence of their own.
 const STANDING_TABLE_SEED: u64 = 0x57a4d;
 /// A standing table names servers of the proxy's own zone only if at least this many run there.
 const STANDING_TABLE_MIN_LOCAL: usize = 3;
 /// How often a conductor polls the node list.
 const LIST_POLL: Duration = Duration::from_secs(5);
-/// A conductor gives up a request to the node list after this time.
+/// Timeout of a conductor's request to the node list.
 const LIST_TIMEOUT: Duration = Duration::from_secs(1);
-/// Path of the node list.
+/// HTTP path of the node list.
 const LIST_PATH: &str = "/v1/nodes";
-/// Any free port on loopback.
+/// Loopback with port 0: the kernel assigns a free port.
 const ANY_PORT: (Ipv4Addr, u16) = (Ipv4Addr::LOCALHOST, 0);
 
 impl World {
@@ -53,9 +53,9 @@
         let nodes = setup.start_nodes()?;
         let (config, keys) = setup.conductor_config()?;
         let proxies = setup.make_proxies(&nodes, keys)?;
-        let crowd = Crowd::new(Arc::clone(&plan), proxies.clone());
-        let (conductors, fronts) = setup.place_conductors(&config).await?;
-        setup.start_proxies(&proxies, &fronts);
+        let clients = ClientPool::new(Arc::clone(&plan), proxies.clone());
+        let (conductors, relay_addresses) = setup.create_conductor_slots(&config).await?;
+        setup.start_proxies(&proxies, &relay_addresses);
         let Setup { trace, links, registry, tasks, .. } = setup;
         let world = Self {
             node_indices: nodes.iter().map(|node| (node.address, node.index)).collect(),
@@ -65,7 +65,7 @@
             registry,
             nodes,
             proxies,
-            crowd,
+            clients,
             launcher,
             conductors,
             active_faults: Mutex::default(),
@@ -77,14 +77,14 @@
         Ok(Arc::new(world))
     }
 
-    /// Lists the servers that run from the start as ready.
+    /// Lists the servers that run from the start as ready, so that conductors find them in their first response.
     fn list_initial_nodes(&self) {
         let running = self.nodes.iter().filter(|node| node.is_up());
         self.registry.set(running.map(|node| self.record(node, EndpointRecordState::Ready, 0)));
     }
 }
 
-/// What the parts of a world share while it is built.
+/// What the parts of a `World` share while it is built.
 struct Setup<'a> {
     plan: &'a Arc<Plan>,
     stop: &'a CancellationToken,
@@ -119,7 +119,7 @@
         Ok(nodes)
     }
 
-    /// The conductors' settings but for their node list, and the day's keys if it plays with identities.
+    /// The settings of the conductors without their node lists, and the keys if the plan uses TLS identities.
     fn conductor_config(&self) -> Result<(Config, Option<Arc<DayKeys>>), RunError> {
         let mut config = self.plan.config.clone();
         config.listen.address = SocketAddr::from(ANY_PORT);
@@ -151,23 +151,23 @@
         (0..self.plan.proxies.len()).map(make).collect()
     }
 
-    /// Makes a place for each conductor: its node list and the relay in front of it. Returns the places, and the
+    /// Creates the slot of each conductor, with its node list and the relay in front of it. Returns the slots and the
     /// addresses of the relays, which proxies dial.
-    async fn place_conductors(
+    async fn create_conductor_slots(
         &self,
         config: &Config,
     ) -> Result<(Vec<ConductorSlot>, Vec<SocketAddr>), RunError> {
-        let (mut slots, mut fronts) = (Vec::new(), Vec::new());
+        let (mut slots, mut relay_addresses) = (Vec::new(), Vec::new());
         for index in 0..self.plan.conductors.max(1) {
             let source = self.serve_node_list(index, config).await?;
             let slot = ConductorSlot::new(Config { source, ..config.clone() });
-            fronts.push(self.start_relay(index, &slot).await?);
+            relay_addresses.push(self.start_relay(index, &slot).await?);
             slots.push(slot);
         }
-        Ok((slots, fronts))
+        Ok((slots, relay_addresses))
     }
 
-    /// Serves the node list to one conductor.
+    /// Serves the node list to one conductor on a port of its own, and returns the matching `source` settings.
     async fn serve_node_list(&self, conductor: usize, config: &Config) -> std::io::Result<Source> {
         let listener = TcpListener::bind(ANY_PORT).await?;
         let source = Source::Http {
@@ -181,26 +181,26 @@
         Ok(source)
     }
 
-    /// Starts the relay in front of a conductor, and returns its address.
+    /// Starts the relay in front of a conductor, and returns the address that the relay listens on.
     async fn start_relay(&self, conductor: usize, slot: &ConductorSlot) -> std::io::Result<SocketAddr> {
         let listener = TcpListener::bind(ANY_PORT).await?;
         let address = listener.local_addr()?;
         let zone = (self.plan.conductor_zone + conductor) % self.plan.zones.len().max(1);
         let conductor_address = slot.address.subscribe();
         let (links, stop) = (Arc::clone(&self.links), self.stop.clone());
-        self.tasks.spawn(relay::before_conductor(listener, conductor_address, zone, links, stop));
+        self.tasks.spawn(relay::relay_to_conductor(listener, conductor_address, zone, links, stop));
         Ok(address)
     }
 
-    fn start_proxies(&self, proxies: &[Arc<Proxy>], fronts: &[SocketAddr]) {
+    fn start_proxies(&self, proxies: &[Arc<Proxy>], relay_addresses: &[SocketAddr]) {
         for proxy in proxies {
-            self.tasks.spawn(Arc::clone(proxy).run(fronts.to_vec(), self.stop.clone()));
+            self.tasks.spawn(Arc::clone(proxy).run(relay_addresses.to_vec(), self.stop.clone()));
         }
     }
 }
 
-/// The table that a proxy has before it joins: a random choice of the running servers of its zone, or of all zones
-/// if too few run there.
+/// The table that a proxy uses until it joins: a random sample of the running servers of its zone, or of all zones
+/// if fewer than [`STANDING_TABLE_MIN_LOCAL`] run in its own.
 fn standing_table(plan: &Plan, nodes: &[Arc<Node>], zone: usize, rng: &mut ChaCha8Rng) -> Vec<SocketAddr> {
     let running = nodes.iter().filter(|node| node.is_up());
     let local: Vec<_> = running.clone().filter(|node| node.zone == zone).map(|node| node.address).collect();
--- a/crates/stepspur-emulator/src/run/timer_lag.rs
+++ b/crates/stepspur-emulator/src/run/timer_lag.rs
@@ -1,4 +1,4 @@
-//! Measures how late this machine's timers fire. A machine that is too slow for a day voids its report.
+//! Measures how late the timers of this machine fire. If they are too late, the result of the rehearsal is void.
 
 use std::time::Duration;
 
@@ -7,12 +7,12 @@
 
 /// Interval between two measurements.
 const INTERVAL: Duration = Duration::from_millis(10);
-/// A day is void if the 99th percentile of the lag is above this.
+/// The result is void if the 99th percentile of the lag is above this.
 const P99_LIMIT: Duration = Duration::from_millis(100);
-/// A day is void if the largest lag is above this.
+/// The result is void if the largest lag is above this.
 const MAX_LIMIT: Duration = Duration::from_millis(1500);
 
-/// How late timers fired over a day.
+/// How late timers fired during a rehearsal.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct TimerLag {
     /// The 99th percentile.
@@ -39,7 +39,7 @@
         Self { p99, max: lags.last().copied().unwrap_or_default() }
     }
 
-    /// True if timers were too late for a result to count.
+    /// True if timers fired too late for the result to count.
     pub(super) fn is_excessive(&self) -> bool {
         self.p99 > P99_LIMIT || self.max > MAX_LIMIT
     }
--- a/crates/stepspur-emulator/src/run/world.rs
+++ b/crates/stepspur-emulator/src/run/world.rs
@@ -1,4 +1,4 @@
-//! The running emulation of a day.
+//! State of a running rehearsal.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,7 +8,7 @@
 use tokio_util::task::TaskTracker;
 
 use super::conductors::ConductorSlot;
-use crate::clients::Crowd;
+use crate::clients::ClientPool;
 use crate::launch::Launcher;
 use crate::links::Links;
 use crate::node::Node;
@@ -18,27 +18,29 @@
 use crate::series::Sample;
 use crate::trace::Trace;
 
-/// Everything that takes part in a day, and what is observed of it.
+/// Everything that takes part in a rehearsal, and what is observed of it.
 pub(super) struct World {
     pub plan: Arc<Plan>,
     pub trace: Arc<Trace>,
     pub links: Arc<Links>,
-    /// The node list.
+    /// The emulated node list, which all conductors read.
     pub registry: Arc<Registry>,
-    /// The servers.
+    /// The emulated servers, in the order of the plan.
     pub nodes: Vec<Arc<Node>>,
     /// The index of each server in `nodes`, by its address.
     pub node_indices: BTreeMap<SocketAddr, usize>,
     pub proxies: Vec<Arc<Proxy>>,
-    /// The clients.
-    pub crowd: Arc<Crowd>,
+    /// The clients, which send requests through the proxies.
+    pub clients: Arc<ClientPool>,
     pub launcher: Launcher,
     pub conductors: Vec<ConductorSlot>,
-    /// Names of the faults in effect.
+    /// Names of the faults in effect, for the display of progress.
     pub active_faults: Mutex<Vec<String>>,
+    /// Samples taken so far, one every [`STEP`](crate::series::STEP).
     pub samples: Mutex<Vec<Sample>>,
-    /// Processor time of conductors that have ended, in seconds.
+    /// CPU time in seconds of conductors that have ended; counts only those that ran as processes of their own.
     pub conductor_cpu_s: Mutex<f64>,
+    /// Tasks of servers, proxies, relays, node lists and observers.
     pub tasks: TaskTracker,
 }
 
--- a/crates/stepspur-emulator/src/traffic.rs
+++ b/crates/stepspur-emulator/src/traffic.rs
@@ -1,6 +1,6 @@
-//! What clients ask, drawn from the day's seed: when, by which proxy, of which class, with which key and work.
+//! Draws the requests of clients from the seed of the plan: time, proxy, class, key and work.
 //!
-//! Neither sockets nor a clock: the clients of the rehearsal and the model of the fleet draw the same.
+//! Uses neither sockets nor a clock, so that the emulator and the simulation of the fleet draw the same requests.
 
 use std::sync::Arc;
 
@@ -10,35 +10,35 @@
 
 use crate::plan::Plan;
 
-/// What the day does to the traffic.
+/// Traffic faults in effect.
 #[derive(Clone, Debug, Default)]
 pub struct Weather {
-    /// Factors of the rate.
+    /// Factors that the request rate is multiplied by.
     pub bursts: Vec<f64>,
-    /// Parts of all traffic that come to one zone.
+    /// Zone and share: this share of all requests comes through the zone.
     pub shifts: Vec<(usize, f64)>,
-    /// Parts of all requests that turn into one class.
+    /// Class and share: this share of all requests becomes requests of the class.
     pub mixes: Vec<(usize, f64)>,
-    /// Parts of classes whose work is so many times more.
+    /// Class, share and factor: the work of this share of the class's requests is multiplied by the factor.
     pub tails: Vec<(usize, f64, f64)>,
 }
 
-/// A request.
+/// A request as drawn, before it is sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Drawn {
-    /// The proxy by which it comes.
+    /// Index of the proxy that it is sent through.
     pub proxy: usize,
-    /// Its class.
+    /// Index of its class.
     pub class: usize,
-    /// Its key.
+    /// Key for affinity, from 1; `None` if the plan has no keys.
     pub key: Option<u64>,
-    /// Its work, microseconds.
+    /// Work that it costs, in microseconds of a core of speed 1.
     pub work: f64,
-    /// Of its client's own chance.
+    /// Seed for the client's own random choices, such as the jitter of retries.
     pub seed: u64,
 }
 
-/// Weights summed up, so that a draw is a search.
+/// Cumulative weights, so that a weighted draw is a binary search. Negative weights count as 0.
 #[derive(Debug, Default)]
 struct Weighted(Vec<f64>);
 
@@ -55,27 +55,29 @@
         )
     }
 
+    /// Draws an index by weight; `None` if all weights are 0.
     fn draw(&self, rng: &mut ChaCha8Rng) -> Option<usize> {
-        let all = self.0.last().copied().filter(|all| *all > 0.0)?;
-        let at = rng.random::<f64>() * all;
-        Some(self.0.partition_point(|sum| *sum <= at).min(self.0.len() - 1))
+        let total = self.0.last().copied().filter(|all| *all > 0.0)?;
+        let target = rng.random::<f64>() * total;
+        Some(self.0.partition_point(|sum| *sum <= target).min(self.0.len() - 1))
     }
 }
 
-/// The requests of a day.
+/// The request generator of a plan.
 #[derive(Debug)]
 pub struct Traffic {
     plan: Arc<Plan>,
     rng: ChaCha8Rng,
     zones: Weighted,
     classes: Weighted,
-    /// By zone.
+    /// By zone: its proxies with their weights and indices.
     proxies: Vec<(Weighted, Vec<usize>)>,
+    /// Distribution of keys; `None` if the plan has no keys.
     keys: Option<Zipf<f64>>,
 }
 
 impl Traffic {
-    /// Those of a plan, from its seed.
+    /// Creates the generator of a plan; the same seed draws the same requests.
     pub fn new(plan: Arc<Plan>) -> Self {
         let of_zone = |zone: usize| {
             let within: Vec<usize> =
@@ -93,34 +95,34 @@
         }
     }
 
-    /// Requests a second, so many seconds after the day's begin.
-    pub fn rate(&self, weather: &Weather, at_s: f64) -> f64 {
+    /// Requests per second, `at_s` seconds after the first request was due.
+    pub fn rate(&self, faults: &Weather, at_s: f64) -> f64 {
         let shape = &self.plan.shape;
         let factor = shape.iter().rev().find(|(from, _)| *from <= at_s).map_or(1.0, |(_, factor)| *factor);
-        self.plan.rate * factor * weather.bursts.iter().product::<f64>()
+        self.plan.rate * factor * faults.bursts.iter().product::<f64>()
     }
 
-    /// Seconds until the next request; 10 at most, so that a change of the rate is noticed.
-    pub fn gap(&mut self, weather: &Weather, at_s: f64) -> f64 {
-        let rate = self.rate(weather, at_s).max(1e-3);
+    /// Seconds until the next request, at most 10, so that a change of the rate takes effect soon.
+    pub fn gap(&mut self, faults: &Weather, at_s: f64) -> f64 {
+        let rate = self.rate(faults, at_s).max(1e-3);
         Exp::new(rate).map_or(1.0, |gap| gap.sample(&mut self.rng)).min(10.0)
     }
 
-    /// The next request; none if nobody asks.
-    pub fn draw(&mut self, weather: &Weather) -> Option<Drawn> {
+    /// Draws the next request; `None` if all classes, zones or proxies of the zone have weight 0.
+    pub fn draw(&mut self, faults: &Weather) -> Option<Drawn> {
         let rng = &mut self.rng;
         let class = self.classes.draw(rng)?;
-        let mixed = weather.mixes.iter().find(|(_, part)| rng.random_bool(part.clamp(0.0, 1.0)));
+        let mixed = faults.mixes.iter().find(|(_, part)| rng.random_bool(part.clamp(0.0, 1.0)));
         let class = mixed.map_or(class, |(mixed, _)| *mixed);
-        let shifted = weather.shifts.iter().find(|(_, part)| rng.random_bool(part.clamp(0.0, 1.0)));
+        let shifted = faults.shifts.iter().find(|(_, part)| rng.random_bool(part.clamp(0.0, 1.0)));
         let zone = match shifted {
             Some((zone, _)) => *zone,
             None => self.zones.draw(rng)?,
         };
-        let (weights, places) = self.proxies.get(zone)?;
-        let proxy = *places.get(weights.draw(rng)?)?;
+        let (weights, indices) = self.proxies.get(zone)?;
+        let proxy = *indices.get(weights.draw(rng)?)?;
         let mut work = self.plan.classes[class].distribution().sample(rng);
-        for (tail, part, times) in &weather.tails {
+        for (tail, part, times) in &faults.tails {
             if *tail == class && rng.random_bool(part.clamp(0.0, 1.0)) {
                 work *= times;
             }
--- a/crates/stepspur-emulator/tests/emulator.rs
+++ b/crates/stepspur-emulator/tests/emulator.rs
@@ -10,7 +10,7 @@
 use stepspur_emulator::links::Links;
 use stepspur_emulator::node::{Memories, Node, header};
 use stepspur_emulator::plan::Plan;
-use stepspur_emulator::relay::{Dial, carry, source};
+use stepspur_emulator::relay::{Dial, carry, source_address};
 use stepspur_emulator::scenario::Scenario;
 use stepspur_emulator::trace::{Came, Event, Trace};
 use stepspur_emulator::{Launcher, Report, play, report};
@@ -144,7 +144,7 @@
 
 async fn ask(to: SocketAddr, zone: usize, id: u64, attempt: u32, work: f64) -> std::io::Result<Vec<u8>> {
     let uri = format!("http://{to}/request").parse().unwrap();
-    let mut stream = Dial(source(zone, 0)).call(uri).await?.into_inner();
+    let mut stream = Dial(source_address(zone, 0)).call(uri).await?.into_inner();
     let head = format!(
         "GET /request HTTP/1.1\r\nhost: {to}\r\nconnection: close\r\n{}: {id}/0/{attempt}\r\n{}: 0\r\n{}: 1\r\n{}: {work}\r\n\r\n",
         header::REQUEST,
