--- a/crates/stepspur-emulator/src/faults.rs
+++ b/crates/stepspur-emulator/src/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of scenarios: told one by one or drawn from the seed, each with its time, its share and its scope.
+//! Faults of scenarios: given one by one or drawn from the seed, each with its time, its share and its scope.
 
 use std::time::Duration;
 
@@ -155,50 +155,57 @@
     pub share_at_most: Option<f64>,
 }
 
+/// Draws a duration between two bounds, in whole milliseconds.
 fn between(rng: &mut ChaCha8Rng, low: Duration, high: Duration) -> Duration {
     Duration::from_millis(rng.random_range(low.as_millis() as u64..=high.as_millis() as u64))
 }
 
 impl Draw {
-    pub(crate) fn check(&self, at: &str, need: &mut impl FnMut(bool, String)) {
-        need(!self.of.is_empty(), format!("{at}: `of` names no kind"));
-        need(self.count <= 100, format!("{at}: `count` is 100 at most"));
-        need(self.from <= self.until, format!("{at}: `from` lies after `until`"));
-        need(self.shortest <= self.longest, format!("{at}: `shortest` is above `longest`"));
+    /// Reports each invalid value through `require`; `at` names the table for the message.
+    pub(crate) fn check(&self, at: &str, require: &mut impl FnMut(bool, String)) {
+        require(!self.of.is_empty(), format!("{at}: `of` lists no kind of fault"));
+        require(self.count <= 100, format!("{at}: `count` must be at most 100"));
+        require(self.from <= self.until, format!("{at}: `from` is after `until`"));
+        require(self.shortest <= self.longest, format!("{at}: `shortest` is longer than `longest`"));
         let share = self.share_at_most.is_none_or(|s| s > 0.0 && s <= 1.0);
-        need(share, format!("{at}: `share_at_most` lies above 0, 1 at most"));
+        require(share, format!("{at}: `share_at_most` must be above 0 and at most 1"));
     }
 
-    /// The faults; the same seed draws the same, whatever else the scenario holds.
-    pub(crate) fn faults(&self, place: usize, day: &Scenario) -> Vec<Fault> {
-        let mut rng = ChaCha8Rng::seed_from_u64(day.seed ^ 0xd4a3 ^ (place as u64) << 32);
-        (0..self.count).filter_map(|_| Some(self.fault(*self.of.choose(&mut rng)?, day, &mut rng))).collect()
+    /// Draws the faults. `index` is the position of this draw in the scenario; draws at other positions and faults
+    /// given one by one do not change the result.
+    pub(crate) fn faults(&self, index: usize, scenario: &Scenario) -> Vec<Fault> {
+        let mut rng = ChaCha8Rng::seed_from_u64(scenario.seed ^ 0xd4a3 ^ (index as u64) << 32);
+        (0..self.count)
+            .filter_map(|_| Some(self.fault(*self.of.choose(&mut rng)?, scenario, &mut rng)))
+            .collect()
     }
 
-    fn fault(&self, kind: FaultKind, day: &Scenario, rng: &mut ChaCha8Rng) -> Fault {
-        let most = self.share_at_most.unwrap_or(0.25);
-        let (needed, allowed) = keys(kind);
-        let has = |key| needed.contains(&key) || allowed.contains(&key);
-        let zone = rng.random_range(0..day.zones.len());
-        let to_zone = (zone + 1 + rng.random_range(0..day.zones.len().max(2) - 1)) % day.zones.len();
-        let name = |zone: usize| Some(day.zones[zone].name.clone());
+    /// Draws one fault; keys that its kind does not take stay `None`.
+    fn fault(&self, kind: FaultKind, scenario: &Scenario, rng: &mut ChaCha8Rng) -> Fault {
+        let max_share = self.share_at_most.unwrap_or(0.25);
+        let (required, allowed) = keys_of(kind);
+        let has = |key| required.contains(&key) || allowed.contains(&key);
+        let zone = rng.random_range(0..scenario.zones.len());
+        let to_zone =
+            (zone + 1 + rng.random_range(0..scenario.zones.len().max(2) - 1)) % scenario.zones.len();
+        let name = |zone: usize| Some(scenario.zones[zone].name.clone());
         let ms = Duration::from_millis;
         Fault {
             kind,
             at: between(rng, self.from, self.until),
             lasts: between(rng, self.shortest, self.longest),
-            share: has("share").then(|| most * rng.random_range(0.3..=1.0)),
-            // Half of those that may be anywhere keep to a zone.
-            zone: name(zone).filter(|_| needed.contains(&"zone") || has("zone") && rng.random_bool(0.5)),
+            share: has("share").then(|| max_share * rng.random_range(0.3..=1.0)),
+            // Half of the faults for which a zone is optional are limited to one.
+            zone: name(zone).filter(|_| required.contains(&"zone") || has("zone") && rng.random_bool(0.5)),
             to_zone: name(to_zone).filter(|_| has("to_zone")),
             cell: None,
             of_kind: None,
             server: None,
-            class: day.classes.choose(rng).map(|c| c.name.clone()).filter(|_| has("class")),
+            class: scenario.classes.choose(rng).map(|c| c.name.clone()).filter(|_| has("class")),
             times: has("times").then(|| rng.random_range(1.5..4.0)),
             part: has("part").then(|| rng.random_range(0.1..0.6)),
             batch: has("batch").then_some(1),
-            count: has("count").then(|| rng.random_range(1..=1 + day.servers as usize / 10)),
+            count: has("count").then(|| rng.random_range(1..=1 + scenario.servers as usize / 10)),
             drain: None,
             every: has("every").then(|| between(rng, ms(500), ms(2000))),
             pause: has("pause").then(|| between(rng, ms(100), ms(800))),
@@ -209,8 +216,8 @@
 }
 
 impl Scenario {
-    /// A fault as it is played; servers that start by it are added to the day.
-    pub(crate) fn trouble(
+    /// Resolves a fault to its targets. Servers that the fault starts are appended to `servers`.
+    pub(crate) fn resolve_fault(
         &self,
         fault: &Fault,
         servers: &mut Vec<ServerPlan>,
@@ -221,7 +228,7 @@
         let part = fault.part.unwrap_or(1.0);
         let share = fault.share.unwrap_or(0.2);
         let delay = fault.delay.unwrap_or_default();
-        let struck = |servers: &[ServerPlan], rng: &mut ChaCha8Rng| {
+        let targets = |servers: &[ServerPlan], rng: &mut ChaCha8Rng| {
             if let Some(server) = fault.server {
                 return vec![server];
             }
@@ -234,7 +241,7 @@
                     && fault.cell.is_none_or(|cell| server.cell == cell)
                     && kind.is_none_or(|kind| server.kind == kind)
             };
-            some((0..servers.len()).filter(within).collect(), share, rng)
+            sample_share((0..servers.len()).filter(within).collect(), share, rng)
         };
         match fault.kind {
             FaultKind::Burst => Trouble::Burst(times),
@@ -244,7 +251,7 @@
                 Trouble::HeavyTail(class.unwrap_or(0), share, times)
             }
             FaultKind::Release => {
-                let mut stop = struck(servers, rng);
+                let mut stop = targets(servers, rng);
                 stop.shuffle(rng);
                 self.release(fault, stop, servers, rng)
             }
@@ -265,20 +272,20 @@
                 };
                 Trouble::Release(Duration::ZERO, batches.enumerate().map(step).collect())
             }
-            FaultKind::MassRestart | FaultKind::Die => Trouble::Die(struck(servers, rng)),
-            FaultKind::Vanish => Trouble::Vanish(struck(servers, rng)),
-            FaultKind::Hang => Trouble::Hang(struck(servers, rng)),
-            FaultKind::FailFast => Trouble::Fail(struck(servers, rng), part),
+            FaultKind::MassRestart | FaultKind::Die => Trouble::Die(targets(servers, rng)),
+            FaultKind::Vanish => Trouble::Vanish(targets(servers, rng)),
+            FaultKind::Hang => Trouble::Hang(targets(servers, rng)),
+            FaultKind::FailFast => Trouble::Fail(targets(servers, rng), part),
             FaultKind::Pauses => {
                 let (every, pause) = (fault.every.unwrap_or_default(), fault.pause.unwrap_or_default());
-                Trouble::Pause(struck(servers, rng), every, pause)
+                Trouble::Pause(targets(servers, rng), every, pause)
             }
-            FaultKind::AnswersLost => Trouble::LoseAnswers(struck(servers, rng), part, false),
-            FaultKind::FalseReports => Trouble::FalseReports(struck(servers, rng), Lie::Times(times), 1.0),
-            FaultKind::FewConnections => Trouble::FewConnections(struck(servers, rng), times),
-            FaultKind::SlowHandshakes => Trouble::SlowHandshakes(struck(servers, rng), times, delay),
+            FaultKind::AnswersLost => Trouble::LoseAnswers(targets(servers, rng), part, false),
+            FaultKind::FalseReports => Trouble::FalseReports(targets(servers, rng), Lie::Times(times), 1.0),
+            FaultKind::FewConnections => Trouble::FewConnections(targets(servers, rng), times),
+            FaultKind::SlowHandshakes => Trouble::SlowHandshakes(targets(servers, rng), times, delay),
             FaultKind::ListDown => Trouble::ListDown,
-            FaultKind::WrongList => Trouble::WrongList(struck(servers, rng)),
+            FaultKind::WrongList => Trouble::WrongList(targets(servers, rng)),
             FaultKind::ZoneLoss => Trouble::LoseZone(zone.unwrap_or(0), fault.proxies.unwrap_or(false)),
             FaultKind::ZoneCut => Trouble::CutZone(zone.unwrap_or(0)),
             FaultKind::LinkCut => Trouble::CutLink(zone.unwrap_or(0), self.zone(&fault.to_zone).unwrap_or(0)),
@@ -290,7 +297,7 @@
             FaultKind::ReportsLate => Trouble::LateReports(delay),
             FaultKind::CutOff | FaultKind::ProxyStalls => {
                 let within = |k: &usize| zone.is_none_or(|zone| k % self.zones.len() == zone);
-                let proxies = some((0..self.proxies as usize).filter(within).collect(), share, rng);
+                let proxies = sample_share((0..self.proxies as usize).filter(within).collect(), share, rng);
                 match fault.kind {
                     FaultKind::CutOff => Trouble::CutOff(proxies),
                     _ => Trouble::Stall(proxies),
@@ -299,7 +306,7 @@
             FaultKind::ConductorKill => {
                 let all: Vec<usize> = (0..self.conductors as usize).collect();
                 Trouble::KillConductor(match fault.share {
-                    Some(share) => some(all, share, rng),
+                    Some(share) => sample_share(all, share, rng),
                     None => all,
                 })
             }
@@ -309,7 +316,8 @@
         }
     }
 
-    /// Batches evenly over the time; each server is replaced by a cold one of its make.
+    /// Builds a release in batches, at even intervals over its duration. Each stopped server is replaced by a cold one
+    /// of the same kind, with its speed varied by up to 5%.
     fn release(
         &self,
         fault: &Fault,
@@ -338,48 +346,57 @@
 }
 
 impl FaultKind {
-    /// Its word in scenario files.
+    /// Its name in scenario files: the variant in snake case.
     pub fn word(self) -> String {
         let name = format!("{self:?}");
         let mut word = String::new();
-        for letter in name.chars() {
-            if letter.is_uppercase() && !word.is_empty() {
+        for character in name.chars() {
+            if character.is_uppercase() && !word.is_empty() {
                 word.push('_');
             }
-            word.push(letter.to_ascii_lowercase());
+            word.push(character.to_ascii_lowercase());
         }
         word
     }
 }
 
 impl Fault {
-    pub(crate) fn check(&self, at: &str, day: &Scenario, need: &mut impl FnMut(bool, String)) {
-        let has_zone = |z: &Option<String>| z.as_ref().is_none_or(|z| day.zones.iter().any(|o| o.name == *z));
-        need(has_zone(&self.zone), format!("{at}: `zone` is none of the zones"));
-        need(has_zone(&self.to_zone), format!("{at}: `to_zone` is none of the zones"));
-        need(self.zone.is_none() || self.zone != self.to_zone, format!("{at}: `to_zone` is `zone` itself"));
-        let known = self.class.as_ref().is_none_or(|c| day.classes.iter().any(|o| o.name == *c));
-        need(known, format!("{at}: `class` is none of the classes"));
-        let known = self.of_kind.as_ref().is_none_or(|k| day.kinds.iter().any(|o| o.name == *k));
-        need(known, format!("{at}: `of_kind` is none of the kinds"));
-        need(self.cell.is_none_or(|c| c < day.cells), format!("{at}: `cell` is none of the cells"));
-        let known = self.server.is_none_or(|s| s < day.servers as usize);
-        need(known, format!("{at}: `server` is none of the servers"));
+    /// Reports each invalid, missing or inapplicable key through `require`; `at` names the fault for the message.
+    pub(crate) fn check(&self, at: &str, scenario: &Scenario, require: &mut impl FnMut(bool, String)) {
+        let has_zone =
+            |z: &Option<String>| z.as_ref().is_none_or(|z| scenario.zones.iter().any(|o| o.name == *z));
+        require(has_zone(&self.zone), format!("{at}: `zone` names no zone of the scenario"));
+        require(has_zone(&self.to_zone), format!("{at}: `to_zone` names no zone of the scenario"));
+        require(
+            self.zone.is_none() || self.zone != self.to_zone,
+            format!("{at}: `to_zone` and `zone` are the same"),
+        );
+        let known = self.class.as_ref().is_none_or(|c| scenario.classes.iter().any(|o| o.name == *c));
+        require(known, format!("{at}: `class` names no class of the scenario"));
+        let known = self.of_kind.as_ref().is_none_or(|k| scenario.kinds.iter().any(|o| o.name == *k));
+        require(known, format!("{at}: `of_kind` names no kind of the scenario"));
+        require(self.cell.is_none_or(|c| c < scenario.cells), format!("{at}: `cell` is not below `cells`"));
+        let known = self.server.is_none_or(|s| s < scenario.servers as usize);
+        require(known, format!("{at}: `server` is not below `servers`"));
         for part in [self.share, self.part].into_iter().flatten() {
-            need((0.0..=1.0).contains(&part), format!("{at}: a part lies between 0 and 1"));
+            require((0.0..=1.0).contains(&part), format!("{at}: `share` and `part` must be between 0 and 1"));
         }
-        need(self.times.is_none_or(|t| t > 0.0 && t.is_finite()), format!("{at}: `times` is above 0"));
-        let (needed, allowed) = keys(self.kind);
+        require(
+            self.times.is_none_or(|t| t > 0.0 && t.is_finite()),
+            format!("{at}: `times` must be above 0"),
+        );
+        let (required, allowed) = keys_of(self.kind);
         let given = self.given();
-        for key in needed.iter().filter(|key| !given.contains(key)) {
-            // One server is no share of them.
-            need(*key == "share" && given.contains(&"server"), format!("{at}: `{key}` is missing"));
+        for key in required.iter().filter(|key| !given.contains(key)) {
+            // With `server` a share is not needed.
+            require(*key == "share" && given.contains(&"server"), format!("{at}: `{key}` is missing"));
         }
-        for key in given.iter().filter(|key| !needed.contains(key) && !allowed.contains(key)) {
-            need(false, format!("{at}: `{key}` means nothing here"));
+        for key in given.iter().filter(|key| !required.contains(key) && !allowed.contains(key)) {
+            require(false, format!("{at}: `{key}` does not apply to this kind of fault"));
         }
     }
 
+    /// Names of the optional keys that are set.
     fn given(&self) -> Vec<&'static str> {
         let all = [
             (self.share.is_some(), "share"),
@@ -403,8 +420,8 @@
     }
 }
 
-/// Keys that a kind needs, and those that it may have.
-fn keys(kind: FaultKind) -> (&'static [&'static str], &'static [&'static str]) {
+/// Keys that a kind of fault requires, and further keys that it allows.
+fn keys_of(kind: FaultKind) -> (&'static [&'static str], &'static [&'static str]) {
     const SCOPE: &[&str] = &["zone", "cell", "of_kind", "server"];
     match kind {
         FaultKind::Burst | FaultKind::ChannelSlow => (&["times"], &[]),
@@ -432,8 +449,8 @@
     }
 }
 
-/// This part of them, one at least, drawn by chance.
-fn some(of: Vec<usize>, share: f64, rng: &mut ChaCha8Rng) -> Vec<usize> {
-    let many = ((of.len() as f64 * share).round() as usize).clamp(1.min(of.len()), of.len());
-    of.sample(rng, many).copied().collect()
+/// Draws a share of the indices at random: at least one, if there is any.
+fn sample_share(indices: Vec<usize>, share: f64, rng: &mut ChaCha8Rng) -> Vec<usize> {
+    let count = ((indices.len() as f64 * share).round() as usize).clamp(1.min(indices.len()), indices.len());
+    indices.sample(rng, count).copied().collect()
 }
--- a/crates/stepspur-emulator/src/identity.rs
+++ b/crates/stepspur-emulator/src/identity.rs
@@ -1,4 +1,4 @@
-//! Identity for stand-ins: an authority and a signing key of the day's own, in a folder that goes with it.
+//! Identities of a rehearsal: a certificate authority and a signing key, in a temporary folder that is deleted with them.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -14,35 +14,37 @@
 use stepspur_identity::token::{Claims, issue};
 use tokio_rustls::rustls::ClientConfig;
 
-/// Keys of a day. Tokens live for less than a day, so that proxies must renew them in their streams.
+/// The keys of a rehearsal. Tokens expire during it, so that proxies must renew them on their streams.
 pub struct DayKeys {
+    /// Holds the manifest and certificates; deleted when dropped.
     folder: PathBuf,
     authority: Authority,
     signer: Signer,
 }
 
-/// The tenant of all proxies of a day.
+/// Tenant of all proxies of a rehearsal.
 const TENANT: &str = "rehearsal";
-/// A token's life: most days need several.
-const LIFE: u64 = 20;
+/// Lifetime of a token in seconds; most rehearsals last longer, so that they exercise renewal.
+const TOKEN_LIFETIME_S: u64 = 20;
 
+/// Seconds since the Unix epoch.
 fn now() -> u64 {
     SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_secs()
 }
 
 impl DayKeys {
-    /// Makes all keys anew.
+    /// Creates new keys in a new folder.
     ///
     /// # Errors
-    /// A folder that cannot be written.
+    /// If the folder cannot be written or a key cannot be generated.
     pub fn new() -> Result<Self, KeyError> {
         let nanos = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_nanos();
         let folder = std::env::temp_dir().join(format!("stepspur-keys-{}-{nanos}", std::process::id()));
-        let failed = |error: std::io::Error| KeyError::new(&folder, error);
-        std::fs::create_dir_all(&folder).map_err(failed)?;
+        let write_error = |error: std::io::Error| KeyError::new(&folder, error);
+        std::fs::create_dir_all(&folder).map_err(write_error)?;
         let (authority, _) = Authority::new("rehearsal")?;
-        std::fs::write(folder.join("ca.pem"), authority.pem()).map_err(failed)?;
-        let server = authority.issue(&Leaf::Server(vec![[127, 0, 0, 1].into()]), now() - 60, DAY)?;
+        std::fs::write(folder.join("ca.pem"), authority.pem()).map_err(write_error)?;
+        let server = authority.issue(&Leaf::Server(vec![[127, 0, 0, 1].into()]), now() - 60, ONE_DAY)?;
         server.save(&folder, "server")?;
         let id = KeyId::try_from("day".to_owned()).map_err(|error| KeyError::new(Path::new("day"), error))?;
         let signer = Signer::new(id);
@@ -58,7 +60,7 @@
         Ok(Self { folder, authority, signer })
     }
 
-    /// The conductor's settings.
+    /// The identity settings of a conductor, which require certificates and tokens.
     pub fn config(&self) -> Identity {
         Identity {
             folder: self.folder.clone(),
@@ -66,7 +68,7 @@
             certificates: ClientCertificates::Required,
             tokens_required: true,
             leeway: Duration::from_secs(1),
-            longest_token_life: DAY,
+            longest_token_life: ONE_DAY,
             reload_every: Duration::from_secs(1),
             handshake_timeout: Duration::from_secs(5),
             handshakes_max: 512,
@@ -77,17 +79,17 @@
         }
     }
 
-    /// A proxy's side of TLS.
+    /// The TLS client settings of a proxy, with a certificate for `name` in `zone`.
     ///
     /// # Errors
-    /// A name that makes no URI.
+    /// If `zone` or `name` cannot be part of a URI.
     pub fn client(&self, zone: &str, name: &str) -> Result<Arc<ClientConfig>, KeyError> {
         let uri = format!("stepspur://{TENANT}/proxy/{zone}/{name}");
-        let own = self.authority.issue(&Leaf::Caller(uri), now() - 60, DAY)?;
-        tls::client_config(&[self.authority.anchor()?], Some(own.for_tls()?))
+        let certificate = self.authority.issue(&Leaf::Caller(uri), now() - 60, ONE_DAY)?;
+        tls::client_config(&[self.authority.anchor()?], Some(certificate.for_tls()?))
     }
 
-    /// A proxy's token, from now on.
+    /// A token of a proxy, valid from one second ago for [`TOKEN_LIFETIME_S`].
     pub fn token(&self, zone: &str, name: &str) -> Vec<u8> {
         let claims = Claims {
             iss: "rehearsal".into(),
@@ -97,13 +99,14 @@
             zone: Some(zone.into()),
             rights: Rights::PROXY,
             nbf: now() - 1,
-            exp: now() + LIFE,
+            exp: now() + TOKEN_LIFETIME_S,
         };
         issue(&self.signer, &claims).into_bytes()
     }
 }
 
-const DAY: Duration = Duration::from_secs(86_400);
+/// Lifetime of certificates, and the longest token lifetime that conductors accept.
+const ONE_DAY: Duration = Duration::from_secs(86_400);
 
 impl Drop for DayKeys {
     fn drop(&mut self) {
--- a/crates/stepspur-emulator/src/judge.rs
+++ b/crates/stepspur-emulator/src/judge.rs
@@ -135,7 +135,7 @@
 /// The state of a proxy as far as its stream shows it.
 #[derive(Debug, Default)]
 struct ProxyView {
-    /// Servers in its table with a positive weight.
+    /// Servers in its table; an update with weight 0 removes one.
     table: BTreeSet<SocketAddr>,
     /// Servers withdrawn from it; they cannot be picked.
     withdrawn: BTreeSet<SocketAddr>,
--- a/crates/stepspur-emulator/src/launch.rs
+++ b/crates/stepspur-emulator/src/launch.rs
@@ -1,4 +1,4 @@
-//! Starting and killing a conductor: as a process of its own, or inside this one on a runtime of its own.
+//! Starts and stops conductors: as processes of their own, or inside this process, each on its own runtime.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,74 +17,75 @@
 /// The line that `stepspur run` prints once it listens.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Announcement {
-    /// Where proxies dial in.
+    /// Address that proxies connect to.
     pub listening: SocketAddr,
-    /// Where the status page answers.
+    /// Address of the status page; `None` if it is disabled.
     pub status: Option<SocketAddr>,
-    /// Its epoch.
+    /// Epoch of the conductor.
     pub epoch: u64,
 }
 
 /// How conductors are started.
 #[derive(Clone, Debug)]
 pub enum Launcher {
-    /// By this program's `run` command, killed outright by its process.
+    /// With the `run` command of this program, as a process of its own.
     Program(PathBuf),
-    /// Inside this process; killed by dropping its runtime.
+    /// Inside this process; killing it drops its runtime.
     Inside,
 }
 
 /// Why a conductor did not start.
 #[derive(Debug, thiserror::Error)]
 pub enum LaunchError {
-    /// The settings make no file.
-    #[error("the settings cannot be written: {0}")]
+    /// The settings cannot be serialized.
+    #[error("cannot serialize the conductor's settings: {0}")]
     Settings(#[from] toml::ser::Error),
-    /// The program or its files failed.
+    /// The settings file, the process or its output failed.
     #[error("cannot start the conductor: {0}")]
     Io(#[from] io::Error),
-    /// It ended, or said nothing in time.
-    #[error("the conductor did not say where it listens")]
+    /// It ended, or did not announce its address within [`START_TIMEOUT`].
+    #[error("the conductor did not announce its listening address in time")]
     Silent,
-    /// The library refused.
+    /// The conductor library returned an error.
     #[error(transparent)]
     Start(#[from] stepspur_conductor::StartError),
 }
 
-/// A conductor that runs.
+/// A running conductor.
 #[derive(Debug)]
 pub struct Running {
-    /// Where proxies dial in.
+    /// Address that proxies connect to.
     pub address: SocketAddr,
     kind: Kind,
 }
 
 #[derive(Debug)]
 enum Kind {
-    Program { child: Child, settings: Settings },
+    Program { child: Child, settings: SettingsFile },
     Inside { end: oneshot::Sender<End>, thread: std::thread::JoinHandle<()> },
 }
 
-/// How one inside this process ends.
+/// How a conductor inside this process is stopped.
 #[derive(Clone, Copy, Debug)]
 enum End {
     Killed,
-    Told,
+    Terminated,
 }
 
-/// A file of settings that goes with the process.
+/// Settings file of a process, deleted when dropped.
 #[derive(Debug)]
-struct Settings(PathBuf);
+struct SettingsFile(PathBuf);
 
-impl Drop for Settings {
+impl Drop for SettingsFile {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.0);
     }
 }
 
-const START: Duration = Duration::from_secs(20);
-/// One that was told to end has so long.
-const END: Duration = Duration::from_secs(10);
+/// Maximum time from the start of a process to its announcement.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
+/// Time that a process has to end after SIGTERM before it is killed.
+const TERMINATE_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl Launcher {
     /// Starts a conductor and waits until it listens.
@@ -99,9 +100,10 @@
     }
 }
 
+/// Starts a process with a settings file in the temporary directory, and reads its announcement.
 async fn start_program(program: &Path, config: &Config) -> Result<Running, LaunchError> {
-    let name = format!("stepspur-rehearsal-{}-{}.toml", std::process::id(), config_number());
-    let settings = Settings(std::env::temp_dir().join(name));
+    let name = format!("stepspur-rehearsal-{}-{}.toml", std::process::id(), unique_suffix());
+    let settings = SettingsFile(std::env::temp_dir().join(name));
     tokio::fs::write(&settings.0, toml::to_string(config)?).await?;
     let mut child = Command::new(program)
         .args(["run", "--log", "warn", "--config"])
@@ -113,48 +115,49 @@
         .spawn()?;
     let out = child.stdout.take().ok_or(LaunchError::Silent)?;
     let mut line = String::new();
-    let read = timeout(START, BufReader::new(out).read_line(&mut line)).await;
+    let read = timeout(START_TIMEOUT, BufReader::new(out).read_line(&mut line)).await;
     read.map_err(|_| LaunchError::Silent)??;
-    let said: Announcement = serde_json::from_str(&line).map_err(|_| LaunchError::Silent)?;
-    Ok(Running { address: said.listening, kind: Kind::Program { child, settings } })
+    let announcement: Announcement = serde_json::from_str(&line).map_err(|_| LaunchError::Silent)?;
+    Ok(Running { address: announcement.listening, kind: Kind::Program { child, settings } })
 }
 
-/// Files of one process need different names; the time tells them apart.
-fn config_number() -> u128 {
+/// Nanoseconds since the Unix epoch: distinguishes the settings files of one process.
+fn unique_suffix() -> u128 {
     std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default().as_nanos()
 }
 
+/// Starts a conductor on a thread and a runtime of its own.
 async fn start_inside(config: Config) -> Result<Running, LaunchError> {
-    let (end, ended) = oneshot::channel();
-    let (tell, told) = oneshot::channel::<Result<SocketAddr, LaunchError>>();
+    let (end, end_rx) = oneshot::channel();
+    let (started_tx, started_rx) = oneshot::channel::<Result<SocketAddr, LaunchError>>();
     let thread = std::thread::Builder::new().name("conductor".into()).spawn(move || {
         let built = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
         let runtime = match built {
             Ok(runtime) => runtime,
-            Err(error) => return drop(tell.send(Err(error.into()))),
+            Err(error) => return drop(started_tx.send(Err(error.into()))),
         };
         runtime.block_on(async move {
             let source = source::from_config(&config.source);
             match Conductor::start(config, source).await {
                 Ok(conductor) => {
-                    let _ = tell.send(Ok(conductor.address()));
-                    match ended.await {
-                        Ok(End::Told) => conductor.stop().await,
-                        // Neither stopped nor dropped in order: its tasks go with the runtime.
+                    let _ = started_tx.send(Ok(conductor.address()));
+                    match end_rx.await {
+                        Ok(End::Terminated) => conductor.stop().await,
+                        // Neither stop nor drop runs, as in a crash: its tasks end with the runtime.
                         Ok(End::Killed) | Err(_) => std::mem::forget(conductor),
                     }
                 }
-                Err(error) => drop(tell.send(Err(error.into()))),
+                Err(error) => drop(started_tx.send(Err(error.into()))),
             }
         });
         runtime.shutdown_background();
     })?;
-    let address = told.await.map_err(|_| LaunchError::Silent)??;
+    let address = started_rx.await.map_err(|_| LaunchError::Silent)??;
     Ok(Running { address, kind: Kind::Inside { end, thread } })
 }
 
 impl Running {
-    /// Its process, if it has one of its own.
+    /// Its process id; `None` if it runs inside this process or has ended.
     pub fn pid(&self) -> Option<u32> {
         match &self.kind {
             Kind::Program { child, .. } => child.id(),
@@ -162,7 +165,7 @@
         }
     }
 
-    /// Kills it outright: no goodbye, no clean end.
+    /// Kills it (SIGKILL or by dropping its runtime), without `Goodbye` to its proxies.
     pub async fn kill(self) {
         match self.kind {
             Kind::Program { mut child, settings } => {
@@ -176,19 +179,20 @@
         }
     }
 
-    /// Tells it to end (SIGTERM) and waits until it has; one that does not is killed.
+    /// Terminates it gracefully (SIGTERM) and waits for its end; a process that does not end within
+    /// [`TERMINATE_TIMEOUT`] is killed.
     pub async fn terminate(self) {
         match self.kind {
             Kind::Program { mut child, settings } => {
                 let pid = child.id().and_then(|pid| Pid::from_raw(pid as i32));
-                let told = pid.is_some_and(|pid| kill_process(pid, Signal::TERM).is_ok());
-                if !told || timeout(END, child.wait()).await.is_err() {
+                let signalled = pid.is_some_and(|pid| kill_process(pid, Signal::TERM).is_ok());
+                if !signalled || timeout(TERMINATE_TIMEOUT, child.wait()).await.is_err() {
                     let _ = child.kill().await;
                 }
                 drop(settings);
             }
             Kind::Inside { end, thread } => {
-                let _ = end.send(End::Told);
+                let _ = end.send(End::Terminated);
                 let _ = tokio::task::spawn_blocking(move || thread.join()).await;
             }
         }
--- a/crates/stepspur-emulator/src/plan.rs
+++ b/crates/stepspur-emulator/src/plan.rs
@@ -1,6 +1,7 @@
-//! A day as it is played: servers, proxies, classes, traffic and troubles, all targets told one by one.
+//! The plan of a rehearsal: servers, proxies, classes, traffic and faults, with all targets resolved to indices.
 //!
-//! Scenario files and bench days are both made into a [`Plan`]; the runner knows nothing else.
+//! Scenario files and day files of the bench are both turned into a [`Plan`], which is all that a run needs.
+//! Doc comments of types with `JsonSchema` are published as descriptions in `rehearsals/scenario.schema.json`.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -15,63 +16,63 @@
 
 use crate::scenario::Expect;
 
-/// A server.
+/// A server of a plan.
 #[derive(Clone, Debug)]
 pub struct ServerPlan {
-    /// Its zone's place.
+    /// Index of its zone.
     pub zone: usize,
-    /// Its listed weight.
+    /// Its weight in the node list.
     pub weight: f64,
-    /// Its make.
+    /// Parameters of the server model.
     pub spec: server::Spec,
-    /// Its cell's place within its zone (a rack, a partition): a scope of faults.
+    /// Index of its cell (a rack, a partition) within its zone; faults can be limited to a cell.
     pub cell: usize,
-    /// Its kind's place.
+    /// Index of its kind in the scenario.
     pub kind: usize,
-    /// True: it runs and is warm when the day begins.
+    /// True if it runs and is warm from the start; false if a fault starts it later.
     pub up: bool,
 }
 
-/// A proxy.
+/// A proxy of a plan.
 #[derive(Clone, Debug)]
 pub struct ProxyPlan {
-    /// Its zone's place.
+    /// Index of its zone.
     pub zone: usize,
-    /// Its part of its zone's traffic, against others.
+    /// Its share of the traffic of its zone, relative to the other proxies there.
     pub weight: f64,
 }
 
-/// A class of requests.
+/// A class of requests in a plan.
 #[derive(Clone, Debug)]
 pub struct ClassPlan {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// Its part of the requests, against others.
+    /// Its share of the requests, relative to the other classes.
     pub share: f64,
-    /// Mean work, microseconds of a core of speed 1.
+    /// Mean work of a request, in microseconds of a core of speed 1.
     pub work: f64,
-    /// How it is spread about the mean.
+    /// Shape of the distribution of work.
     pub form: Form,
-    /// Its coefficient of variation.
+    /// Coefficient of variation of the work.
     pub cv: f64,
-    /// An answer within this time earns the full worth.
+    /// Latency target: an answer within this time counts with the full value.
     pub aim: Duration,
-    /// How long a client waits in all.
+    /// How long a client waits, including its retries.
     pub deadline: Duration,
-    /// Worth.
+    /// Value of an answer within the latency target, for `service`.
     pub worth: f64,
-    /// Part of the worth of a late answer.
+    /// Share of the value that a late answer has, from 0 to 1.
     pub late_worth: f64,
-    /// What a repeat may do.
+    /// Effect of running a request twice.
     pub effect: EffectConfig,
-    /// For keyed classes: who drops repeats.
+    /// For classes with idempotency keys: the group of servers that deduplicates repeats.
     pub group: GroupConfig,
-    /// For keyed classes: for how long.
+    /// For classes with idempotency keys: how long repeats are deduplicated.
     pub window: Duration,
 }
 
 impl ClassPlan {
-    /// What a client's repeat may do.
+    /// Whether and for how long a client may repeat a request.
     pub fn repeat(&self) -> Repeat {
         match self.effect {
             EffectConfig::ReadLike => Repeat::Harmless,
@@ -155,102 +156,104 @@
     }
 }
 
-/// A step of a release, a restart or growth.
+/// A step of a release or of growth.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
-    /// From the trouble's begin.
+    /// Time since the start of the fault.
     pub at: Duration,
-    /// Servers that drain and then stop.
+    /// Indices of servers that drain and then stop.
     pub stop: Vec<usize>,
-    /// Servers that start cold.
+    /// Indices of servers that start cold.
     pub start: Vec<usize>,
 }
 
-/// What a false load report shows.
+/// How load reports are falsified.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Lie {
-    /// So many times the truth.
+    /// All values are multiplied by this factor.
     Times(f64),
-    /// What it was when the lie began.
+    /// The report repeats the load from the start of the fault.
     Stuck,
-    /// A server that is full.
+    /// The report shows a full server.
     Busy,
 }
 
-/// What goes wrong.
+/// A fault with its targets. Servers, proxies, zones, classes and conductors are given by index.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Trouble {
-    /// Traffic times this.
+    /// The request rate is multiplied by this factor.
     Burst(f64),
-    /// This part of all traffic moves to one zone.
+    /// Zone, share: this share of all requests comes through the zone.
     Shift(usize, f64),
-    /// This part of all requests turns into one class.
+    /// Class, share: this share of all requests becomes requests of the class.
     Mix(usize, f64),
-    /// This part of a class's requests costs so many times the work.
+    /// Class, share, factor: the work of this share of the class's requests is multiplied by the factor.
     HeavyTail(usize, f64, f64),
-    /// Servers drain for so long, then stop; others start.
+    /// Drain time, steps: servers drain for this time and stop; others start.
     Release(Duration, Vec<Step>),
-    /// Servers die and come back cold at the end.
+    /// Servers stop at once, and start cold at the end.
     Die(Vec<usize>),
-    /// Servers go silent (no reset, no answer) and come back cold at the end.
+    /// Servers become unresponsive (no reset, no answer), and restart cold at the end.
     Vanish(Vec<usize>),
-    /// Servers take requests and answer none.
+    /// Servers accept requests and answer none.
     Hang(Vec<usize>),
-    /// Servers fail this part of requests at once.
+    /// Servers, share: this share of requests fails at once.
     Fail(Vec<usize>, f64),
-    /// Servers stand still: every so often, for so long.
+    /// Servers, interval, length: the servers pause repeatedly.
     Pause(Vec<usize>, Duration, Duration),
-    /// Servers do the work of this part of requests, and the answers are lost: in silence, or by a reset.
+    /// Servers, share, by reset: the servers run this share of requests but the answers are lost, by a reset (true) or in
+    /// silence.
     LoseAnswers(Vec<usize>, f64, bool),
-    /// Servers' load reports are false, and they work so many times slower.
+    /// Servers, falsification, factor: load reports are false, and the servers are slower by this factor.
     FalseReports(Vec<usize>, Lie, f64),
-    /// Servers accept so many times fewer connections.
+    /// Servers, divisor: the connection limit is divided by this.
     FewConnections(Vec<usize>, f64),
-    /// New connections cost servers so many times the work, and take so much longer.
+    /// Servers, factor, delay: new connections cost the servers more work by this factor, and take longer by the delay.
     SlowHandshakes(Vec<usize>, f64, Duration),
-    /// The node list is out of reach.
+    /// The node list is unavailable.
     ListDown,
-    /// The node list drops servers that live.
+    /// The node list omits these running servers.
     WrongList(Vec<usize>),
-    /// The node list names so many servers that do not exist.
+    /// The node list contains this many servers that do not exist.
     Ghosts(usize),
-    /// A zone is lost: its servers come back cold at the end; true: its proxies' streams break, too.
+    /// Zone, with proxies: all servers of the zone stop, and start cold at the end; if true, its proxies lose their
+    /// conductors for that time.
     LoseZone(usize, bool),
-    /// A zone is cut off from the others.
+    /// A zone is cut off from all others.
     CutZone(usize),
     /// Nothing passes between two zones.
     CutLink(usize, usize),
-    /// Requests between two zones take so much longer, and this part is lost.
+    /// Zone, zone, delay, loss: the link between the zones has this extra one-way delay, and loses this share of chunks.
     SlowLink(usize, usize, Duration, f64),
-    /// Orders reach proxies so many times slower.
+    /// Orders take longer to reach proxies by this factor.
     SlowChannel(f64),
-    /// Reports come so much later.
+    /// Reports of proxies are delayed by this.
     LateReports(Duration),
-    /// Proxies reach no conductor.
+    /// Proxies cannot reach any conductor.
     CutOff(Vec<usize>),
-    /// Proxies read nothing from their streams.
+    /// Proxies neither read from their streams nor send reports.
     Stall(Vec<usize>),
-    /// Conductors are killed outright, all at once; at the end they are started again.
+    /// Conductors are killed together without notice, and started again at the end.
     KillConductor(Vec<usize>),
-    /// Conductors are told to end (SIGTERM) and started again, one after the other over the time.
+    /// Conductors are terminated (SIGTERM) and started again, one after the other over the duration.
     RestartConductors(Vec<usize>),
 }
 
-/// A trouble and its time.
+/// A scheduled fault.
 #[derive(Clone, Debug)]
 pub struct Strike {
-    /// Its name, for people.
+    /// Name for reports and display: its kind and start.
     pub name: String,
-    /// From the day's begin.
+    /// Start, since the first request is due.
     pub at: Duration,
-    /// How long it lasts.
+    /// Duration; targets recover at its end.
     pub lasts: Duration,
-    /// What it is.
+    /// The fault and its targets.
     pub trouble: Trouble,
 }
 
 impl Strike {
-    /// True: it strikes before the conductor starts and the first proxy joins.
+    /// True if the fault applies before any conductor starts and any proxy joins.
     pub fn from_the_start(&self) -> bool {
         self.at.is_zero()
             && !matches!(
@@ -260,53 +263,54 @@
     }
 }
 
-/// A day.
+/// Everything that a rehearsal plays, with all random choices of its setup made.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Its name.
+    /// Name of the plan, for reports.
     pub name: String,
-    /// Of all chance.
+    /// Seed of all random choices of the run.
     pub seed: u64,
-    /// Time in which requests come.
+    /// Time during which requests are sent.
     pub length: Duration,
-    /// Zones' names and their parts of the traffic.
+    /// Names of the zones, with their shares of the traffic relative to each other.
     pub zones: Vec<(String, f64)>,
-    /// Servers, those that start later among them.
+    /// All servers, including those that start later.
     pub servers: Vec<ServerPlan>,
-    /// Proxies.
+    /// All proxies.
     pub proxies: Vec<ProxyPlan>,
-    /// How proxies behave; `classes` is set from the plan's.
+    /// Parameters of the proxy model; its `classes` is overwritten with the number of classes of the plan.
     pub proxy: proxy::Spec,
-    /// Servers in a standing table at most.
+    /// Maximum number of servers in the table that a proxy has before it joins.
     pub standing: usize,
-    /// Wait before a broken stream is dialled again, doubling up to eight times.
+    /// Wait before a broken stream is dialled again; it doubles with each failed pass over all conductors, up to eight
+    /// times this value.
     pub redial: Duration,
-    /// Classes.
+    /// Classes of requests; indices of classes refer to this list.
     pub classes: Vec<ClassPlan>,
-    /// Requests a second, without clients' repeats.
+    /// Requests per second, not counting client retries.
     pub rate: f64,
-    /// Factors of the rate from a time on, in seconds.
+    /// Profile of the rate: from each time in seconds on, the rate is multiplied by the factor.
     pub shape: Vec<(f64, f64)>,
-    /// Clients.
+    /// Retries and keys of clients.
     pub clients: Clients,
-    /// The node list tells changes so late.
+    /// Delay with which the node list shows changes.
     pub list_delay: Duration,
-    /// The zone of the first conductor; the next stand in the zones that follow.
+    /// Index of the zone of the first conductor; further conductors are in the zones that follow.
     pub conductor_zone: usize,
-    /// Conductors: processes of their own that share nothing.
+    /// Number of conductors; they are independent and share no state.
     pub conductors: usize,
-    /// The rules' figures.
+    /// Limits of the five rules.
     pub rules: Rules,
-    /// The conductor's settings; addresses and source are set when it is started.
+    /// Settings of the conductors; their addresses and node list sources are set at the start.
     pub config: Config,
-    /// What goes wrong.
+    /// Faults with their times.
     pub strikes: Vec<Strike>,
-    /// Parts of the day by name.
+    /// Named time spans that expectations refer to.
     pub phases: Vec<(String, Range<Duration>)>,
-    /// What is expected beside the rules.
+    /// Expectations beside the rules.
     pub expectations: Vec<Expect>,
-    /// The paragraph of docs/on-call.md that it trains.
+    /// The paragraph of docs/on-call.md that the scenario trains; empty if none.
     pub trains: String,
-    /// True: streams are TLS with client certificates and short tokens.
+    /// True if streams use TLS with client certificates and short-lived tokens.
     pub identity: bool,
 }
--- a/crates/stepspur-emulator/src/relay.rs
+++ b/crates/stepspur-emulator/src/relay.rs
@@ -1,10 +1,10 @@
-//! Relays: what stands for the network between stand-ins, in this process and on loopback.
+//! Relays that emulate the network between zones, in this process and on loopback.
 //!
-//! A stand-in dials from an address of its zone ([`source_address`]), so whoever accepts knows the link that it comes by.
-//! A relay carries bytes in order, each chunk as late as its link says; a lost chunk comes after a wait for its
-//! sending again, as TCP would have it; while a link is cut nothing passes, and what is held is dropped once the
-//! sender has gone. Dials of proxies are answered with one byte by the relay before the server: it stands for the
-//! handshake of TCP, which this process cannot hold back, so that a dial over a cut link fails as a dial.
+//! A proxy dials from an address that encodes its zone ([`source_address`]), so that the accepting side knows the link
+//! between them. A relay forwards bytes in order. Each chunk is delayed as its link says; a lost chunk is delivered
+//! after a retransmission timeout, as with TCP. While a link is cut nothing passes, and held bytes are dropped once
+//! the sender has closed. The relay in front of a server answers each dial of a proxy with one byte. The byte replaces
+//! the TCP handshake, which this process cannot hold back, so that a dial over a cut link fails as a dial.
 
 use std::future::Future;
 use std::io;
@@ -28,24 +28,25 @@
 
 use crate::links::{Link, Links};
 
-/// No connection in this time is none.
-pub const DIAL: Duration = Duration::from_millis(300);
-/// Stands for the other side's half of TCP's handshake.
-const OPEN: u8 = 6;
-/// A lost chunk is sent again after so long, and after twice as long each further time.
-const AGAIN: Duration = Duration::from_millis(200);
-/// Bytes of a chunk, and chunks under way in a direction.
-const CHUNK: usize = 16 * 1024;
-const CHUNKS: usize = 64;
-/// A cut link is looked at so often.
-const LOOK: Duration = Duration::from_millis(20);
+/// Timeout of a dial, including the opening byte of the relay.
+pub const DIAL_TIMEOUT: Duration = Duration::from_millis(300);
+/// Sent by the relay in front of a server in place of the SYN-ACK of the TCP handshake.
+const OPEN_BYTE: u8 = 6;
+/// Delay of a lost chunk; it doubles with each further loss of the same chunk.
+const RETRANSMIT_TIMEOUT: Duration = Duration::from_millis(200);
+/// Maximum size of a chunk, which is delayed or lost as a whole.
+const CHUNK_BYTES: usize = 16 * 1024;
+/// Maximum number of chunks in flight in one direction; beyond it the relay stops reading.
+const CHUNKS_IN_FLIGHT: usize = 64;
+/// Interval at which a relay checks whether a cut link is restored.
+const CUT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The address from which a proxy of a zone dials: all of 127.0.0.0/8 is loopback.
+/// The address that a proxy dials from; its third octet is the zone (modulo 250). All of 127.0.0.0/8 is loopback.
 pub fn source_address(zone: usize, proxy: usize) -> Ipv4Addr {
     Ipv4Addr::new(127, 1, (zone % 250) as u8, (proxy % 200 + 1) as u8)
 }
 
-/// The zone of a proxy that dials from there; none: it is no proxy.
+/// The zone of the proxy that dials from `peer`; `None` if `peer` is not a proxy, such as a conductor.
 pub fn zone_of(peer: SocketAddr) -> Option<usize> {
     match peer.ip() {
         IpAddr::V4(ip) => match ip.octets() {
@@ -56,16 +57,16 @@
     }
 }
 
-/// Dials from a zone's address.
+/// Connects to `to` from the source address `from`.
 pub async fn dial(from: Ipv4Addr, to: SocketAddr) -> io::Result<TcpStream> {
     let socket = TcpSocket::new_v4()?;
     socket.bind(SocketAddr::from((from, 0)))?;
-    let stream = timeout(DIAL, socket.connect(to)).await.map_err(|_| io::ErrorKind::TimedOut)??;
+    let stream = timeout(DIAL_TIMEOUT, socket.connect(to)).await.map_err(|_| io::ErrorKind::TimedOut)??;
     stream.set_nodelay(true)?;
     Ok(stream)
 }
 
-/// Dials servers for a proxy, and waits for the relay's word that the way is open.
+/// HTTP connector of a proxy; holds its source address. Waits for the opening byte of the relay.
 #[derive(Clone, Copy, Debug)]
 pub struct Dial(pub Ipv4Addr);
 
@@ -86,26 +87,28 @@
             let opened = async {
                 let mut stream = dial(from, to).await?;
                 let open = stream.read_u8().await?;
-                if open == OPEN { Ok(stream) } else { Err(io::ErrorKind::InvalidData.into()) }
+                if open == OPEN_BYTE { Ok(stream) } else { Err(io::ErrorKind::InvalidData.into()) }
             };
-            timeout(DIAL, opened).await.map_err(|_| io::ErrorKind::TimedOut)?.map(TokioIo::new)
+            timeout(DIAL_TIMEOUT, opened).await.map_err(|_| io::ErrorKind::TimedOut)?.map(TokioIo::new)
         })
     }
 }
 
-/// Answers a proxy's dial by its link; false: the way is not open, and the dial must fail.
+/// Answers a proxy's dial after a round trip over its link. Returns false if the dial must fail: the link is cut, the
+/// first packet is `lost`, or the proxy has closed.
 pub async fn open(socket: &mut TcpStream, link: Link, lost: bool) -> bool {
     if link.cut || lost {
-        // The first packet was lost: whoever dialled gives up before it is sent again.
-        sleep(DIAL * 2).await;
+        // The dial times out before its first packet would be sent again.
+        sleep(DIAL_TIMEOUT * 2).await;
         return false;
     }
     sleep(link.delay * 2).await;
-    socket.write_all(&[OPEN]).await.is_ok()
+    socket.write_all(&[OPEN_BYTE]).await.is_ok()
 }
 
-/// Carries bytes between one who dialled (`near`) and one who answers (`far`), as the link has it from moment to
-/// moment. Ends when either side has ended, or at once when the near one has.
+/// Forwards bytes in both directions between the dialling side (`near`) and the answering side (`far`); `link` is read
+/// for every chunk. Returns when either side has closed. Chunks in flight from `far` are still delivered, those from
+/// `near` are dropped.
 pub async fn carry<N, F>(near: N, far: F, link: impl Fn() -> Link, seed: u64)
 where
     N: AsyncRead + AsyncWrite,
@@ -119,6 +122,7 @@
     }
 }
 
+/// Forwards one direction. With `ends_at_once` chunks in flight are dropped when the sender closes.
 async fn one_way(
     mut from: impl AsyncRead + Unpin,
     mut to: impl AsyncWrite + Unpin,
@@ -126,33 +130,33 @@
     seed: u64,
     ends_at_once: bool,
 ) {
-    let (put, mut take) = mpsc::channel::<(Instant, Bytes)>(CHUNKS);
+    let (queue_tx, mut queue_rx) = mpsc::channel::<(Instant, Bytes)>(CHUNKS_IN_FLIGHT);
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let read = async move {
-        let mut last = Instant::now();
+        let mut last_due = Instant::now();
         loop {
-            let mut chunk = BytesMut::with_capacity(CHUNK);
+            let mut chunk = BytesMut::with_capacity(CHUNK_BYTES);
             match from.read_buf(&mut chunk).await {
                 Ok(read) if read > 0 => {}
                 _ => return,
             }
             let Link { delay, loss, .. } = link();
-            let (mut late, mut again) = (delay, AGAIN);
-            while loss > 0.0 && again < AGAIN * 32 && rng.random_bool(loss.min(1.0)) {
-                late += again;
-                again *= 2;
+            let (mut delivery_delay, mut retransmit_after) = (delay, RETRANSMIT_TIMEOUT);
+            while loss > 0.0 && retransmit_after < RETRANSMIT_TIMEOUT * 32 && rng.random_bool(loss.min(1.0)) {
+                delivery_delay += retransmit_after;
+                retransmit_after *= 2;
             }
-            last = last.max(Instant::now() + late);
-            if put.send((last, chunk.freeze())).await.is_err() {
+            last_due = last_due.max(Instant::now() + delivery_delay);
+            if queue_tx.send((last_due, chunk.freeze())).await.is_err() {
                 return;
             }
         }
     };
     let write = async move {
-        while let Some((due, chunk)) = take.recv().await {
+        while let Some((due, chunk)) = queue_rx.recv().await {
             sleep_until(due).await;
             while link().cut {
-                sleep(LOOK).await;
+                sleep(CUT_POLL_INTERVAL).await;
             }
             if to.write_all(&chunk).await.is_err() {
                 return;
@@ -166,13 +170,13 @@
             () = write => {}
         }
     } else {
-        // What the answering side has sent before it ended still arrives.
+        // What the answering side sent before it closed is still delivered.
         tokio::join!(read, write);
     }
 }
 
-/// The relay before the conductor: one address for all its lives. A link that is cut breaks its streams, and no
-/// others can be dialled.
+/// Runs the relay in front of a conductor, whose address stays the same over restarts of the conductor. Cutting the
+/// link breaks its streams and refuses new ones.
 pub async fn relay_to_conductor(
     listener: TcpListener,
     conductor: watch::Receiver<Option<SocketAddr>>,
@@ -201,17 +205,17 @@
             if link().cut {
                 return;
             }
-            let Ok(Ok(far)) = timeout(DIAL, TcpStream::connect(address)).await else { return };
+            let Ok(Ok(far)) = timeout(DIAL_TIMEOUT, TcpStream::connect(address)).await else { return };
             let _ = (near.set_nodelay(true), far.set_nodelay(true));
             let cut = async {
                 while !link().cut {
-                    sleep(LOOK * 5).await;
+                    sleep(CUT_POLL_INTERVAL * 5).await;
                 }
             };
             tokio::select! {
                 () = carry(near, far, &link, seed) => {}
                 () = cut => {}
-                // Killed: its sockets may outlive its runtime for a moment.
+                // The conductor was stopped; its sockets may outlive its runtime for a moment.
                 _ = conductor.changed() => {}
             }
         });
--- a/crates/stepspur-emulator/src/replay.rs
+++ b/crates/stepspur-emulator/src/replay.rs
@@ -1,7 +1,9 @@
-//! Bench days: a day file as the simulator's `draw` prints it, made into a [`Plan`] at a size that fits.
+//! Day files of the bench: converts a file, as the `draw` command of the simulator prints it, to a [`Plan`] of a size
+//! that one machine can run.
 //!
-//! Every kind of trouble is mapped to what the stand-ins can do, or named in [`Replayed::left_out`]; nothing is
-//! dropped in silence. Servers and proxies are thinned evenly, and the rate with them, so the load stays as drawn.
+//! Every kind of fault is converted to one that the emulator can play, or listed in [`Replayed::left_out`]; none is
+//! dropped silently. Servers and proxies are thinned evenly, and the request rate in proportion, so that the load per
+//! server stays as drawn. Times in day files are in microseconds unless noted.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,41 +17,43 @@
 use crate::plan::{ClassPlan, Clients, Lie, Plan, ProxyPlan, Rules, ServerPlan, Step, Strike, Trouble};
 use crate::scenario::conductor_config;
 
-/// Servers, proxies and requests a second that a small machine plays with ease.
-const FITS: (f64, f64, f64) = (120.0, 120.0, 250.0);
+/// Running servers, proxies and requests per second that a small machine can run without falling behind.
+const SMALL_MACHINE: (f64, f64, f64) = (120.0, 120.0, 250.0);
 
-/// Why a file is no day.
+/// Why a day file cannot be played.
 #[derive(Debug, thiserror::Error)]
 pub enum ReplayError {
-    /// It is not JSON, or a key is missing or of the wrong form; the text names line and column.
-    #[error("not a day: {0}")]
+    /// It is not JSON, or a key is missing or of the wrong type; the message names line and column.
+    #[error("not a day file of the bench: {0}")]
     Parse(#[from] serde_json::Error),
-    /// A kind of day that this program does not play.
-    #[error("cannot be played: {0}")]
+    /// It is valid JSON but inconsistent, or uses a feature that is not supported.
+    #[error("the day file cannot be played: {0}")]
     Unfit(String),
 }
 
-/// A day made ready.
+/// A converted day file.
 #[derive(Debug)]
 pub struct Replayed {
-    /// What is played.
+    /// The plan to run.
     pub plan: Plan,
-    /// Servers, proxies and traffic, as a part of the day's.
+    /// Share of the servers, proxies and traffic of the day that the plan keeps, above 0 and at most 1.
     pub scale: f64,
-    /// The zones of the day's conductors; by sockets one is played, in the first of them.
+    /// Zone indices of the conductors of the day. The emulation with sockets runs one conductor, in the first of them.
     pub conductor_zones: Vec<usize>,
-    /// How late reports are all day; by sockets they are as quick as loopback.
+    /// Constant delay of reports. The emulation with sockets ignores it.
     pub reports_late: Duration,
-    /// Kinds of trouble and facts that are not played, each with the reason.
+    /// Faults that are not played, for display.
     pub left_out: Vec<String>,
-    /// Facts that are left out by sockets only.
+    /// Properties of the day that only the emulation with sockets leaves out, each with the reason.
     pub left_out_by_sockets: Vec<String>,
 }
 
+/// A day file. Field names are those of the file, which the simulator defines; fields without use here are not read.
 #[derive(Debug, Deserialize)]
 struct Day {
     site: String,
     kind: String,
+    /// Seed of all random choices.
     noise: u64,
     length: f64,
     zones: Vec<String>,
@@ -67,10 +71,12 @@
     tiers: Vec<Tier>,
     servers: Vec<DayServer>,
     balancers: Vec<Balancer>,
-    troubles: Vec<DayTrouble>,
+    troubles: Vec<DayFault>,
+    /// Parameters of the channel, the proxies and the conductors.
     fam: Family,
 }
 
+/// Traffic of a day; `load` is the share of the capacity of the running servers that requests use.
 #[derive(Debug, Deserialize)]
 struct Traffic {
     load: f64,
@@ -93,9 +99,11 @@
 
 #[derive(Debug, Deserialize)]
 struct Discovery {
+    /// Delay with which the node list shows changes.
     notice: f64,
 }
 
+/// A class of requests.
 #[derive(Debug, Deserialize)]
 struct DayClass {
     name: String,
@@ -114,6 +122,7 @@
     window: f64,
 }
 
+/// A tier of servers with its kinds.
 #[derive(Debug, Deserialize)]
 struct Tier {
     kinds: Vec<DayKind>,
@@ -151,14 +160,16 @@
     up: bool,
 }
 
+/// A proxy.
 #[derive(Debug, Deserialize)]
 struct Balancer {
     zone: usize,
     weight: f64,
 }
 
+/// A fault. The meaning of `size`, `extra` and `which` depends on its kind: see [`PlanBuilder::convert_fault`].
 #[derive(Debug, Deserialize)]
-struct DayTrouble {
+struct DayFault {
     kind: String,
     at: f64,
     len: f64,
@@ -170,7 +181,7 @@
     which: usize,
     #[serde(default)]
     steps: Vec<DayStep>,
-    /// The form that it takes.
+    /// Variant of the kind; `None` for the usual one.
     #[serde(default)]
     how: Option<String>,
 }
@@ -209,7 +220,7 @@
     usual_how: i32,
 }
 
-/// Reads a day; with no scale given, the largest that fits a small machine.
+/// Reads a day file. Without a scale, uses the largest one that a small machine can run.
 ///
 /// # Errors
 /// See [`ReplayError`].
@@ -217,73 +228,77 @@
     let day: Day = serde_json::from_str(text)?;
     let unfit = |what: &str| Err(ReplayError::Unfit(what.to_owned()));
     if day.fam.slices > 0 {
-        return unfit("days with slices");
+        return unfit("`fam.slices` above 0 is not supported");
     }
     let tiers_known =
         day.servers.iter().all(|s| day.tiers.get(s.tier).is_some_and(|t| s.kind < t.kinds.len()));
     let zones_known = day.servers.iter().map(|s| s.zone).chain(day.balancers.iter().map(|b| b.zone));
     if day.zones.is_empty() || day.classes.is_empty() || !tiers_known {
-        return unfit("no zones, no classes, or servers of kinds that it does not tell");
+        return unfit("no zones, no classes, or servers of undefined kinds");
     }
     if !zones_known.into_iter().all(|zone| zone < day.zones.len()) {
-        return unfit("a server or proxy in a zone that it does not name");
+        return unfit("a server or proxy is in an undefined zone");
     }
     if let Some(scale) = scale
         && !(scale > 0.0 && scale <= 1.0)
     {
-        return unfit("a scale is above 0 and 1 at most");
+        return unfit("the scale must be above 0 and at most 1");
     }
-    Made::new(&day, scale).finish()
+    PlanBuilder::new(&day, scale).finish()
 }
 
-/// A day on its way to a plan.
-struct Made<'a> {
+/// Converts a day file to a plan.
+struct PlanBuilder<'a> {
     day: &'a Day,
     scale: f64,
-    /// Places of the servers and proxies that are kept.
+    /// The servers that remain: index in the plan by index in the day.
     servers: BTreeMap<usize, usize>,
+    /// Indices in the day of the proxies that remain.
     proxies: Vec<usize>,
+    /// Requests per second of the plan.
     rate: f64,
     left_out: Vec<String>,
 }
 
-fn span(us: f64) -> Duration {
+/// Converts microseconds to a duration; negative values give zero.
+fn from_micros(us: f64) -> Duration {
     Duration::from_micros(us.max(0.0) as u64)
 }
 
-impl<'a> Made<'a> {
+impl<'a> PlanBuilder<'a> {
     fn new(day: &'a Day, scale: Option<f64>) -> Self {
-        // The servers that run at the start, filled to the day's load.
+        // The request rate that fills the servers that run at the start to the load of the day.
         let up = day.servers.iter().filter(|s| s.up);
         let capacity: f64 = up.clone().map(|s| f64::from(kind(day, s).cores) * s.speed).sum();
         let shares: f64 = day.classes.iter().map(|c| c.share).sum();
         let work: f64 = day.classes.iter().map(|c| c.share * c.work).sum::<f64>() / shares.max(1e-9);
-        let full = day.traffic.load * capacity / (work * 1e-6).max(1e-9);
-        let fit =
-            (FITS.0 / up.count() as f64).min(FITS.1 / day.balancers.len().max(1) as f64).min(FITS.2 / full);
-        let scale = scale.unwrap_or(fit).min(1.0);
-        let kept = thin(day.servers.iter().map(|s| (s.zone, s.kind, s.up)), scale);
-        let servers = kept.iter().enumerate().map(|(new, old)| (*old, new)).collect();
-        let proxies = thin(day.balancers.iter().map(|b| (b.zone, 0, true)), scale);
-        // What thinning kept of the capacity says what the rate must be.
-        let up_kept = kept.iter().map(|k| &day.servers[*k]).filter(|s| s.up);
-        let kept_capacity: f64 = up_kept.map(|s| f64::from(kind(day, s).cores) * s.speed).sum();
-        let rate = full * kept_capacity / capacity.max(1e-9);
+        let day_rate = day.traffic.load * capacity / (work * 1e-6).max(1e-9);
+        let max_scale = (SMALL_MACHINE.0 / up.count() as f64)
+            .min(SMALL_MACHINE.1 / day.balancers.len().max(1) as f64)
+            .min(SMALL_MACHINE.2 / day_rate);
+        let scale = scale.unwrap_or(max_scale).min(1.0);
+        let retained = thin_evenly(day.servers.iter().map(|s| (s.zone, s.kind, s.up)), scale);
+        let servers = retained.iter().enumerate().map(|(new, old)| (*old, new)).collect();
+        let proxies = thin_evenly(day.balancers.iter().map(|b| (b.zone, 0, true)), scale);
+        // The rate is reduced like the capacity of the running servers, which thinning changes unevenly.
+        let up_retained = retained.iter().map(|k| &day.servers[*k]).filter(|s| s.up);
+        let retained_capacity: f64 = up_retained.map(|s| f64::from(kind(day, s).cores) * s.speed).sum();
+        let rate = day_rate * retained_capacity / capacity.max(1e-9);
         Self { day, scale, servers, proxies, rate, left_out: Vec::new() }
     }
 
     fn finish(mut self) -> Result<Replayed, ReplayError> {
         let day = self.day;
-        let strikes = day.troubles.iter().flat_map(|t| self.strikes(t)).collect();
+        let strikes = day.troubles.iter().flat_map(|t| self.scheduled_faults(t)).collect();
         let mut left_out_by_sockets = Vec::new();
-        // Told by the zone of each.
+        // The file lists a zone for each conductor.
         let in_zone = |zone: &u32| (*zone as usize) % day.zones.len();
         let conductor_zones: Vec<usize> = day.fam.controllers.iter().map(in_zone).collect();
         if conductor_zones.len() > 1 {
-            let many = conductor_zones.len();
-            left_out_by_sockets.push(format!("{many} conductors: one is played, with all proxies"));
+            let count = conductor_zones.len();
+            left_out_by_sockets.push(format!("{count} conductors: one is played, with all proxies"));
         }
-        let reports_late = span(day.fam.heard_late);
+        let reports_late = from_micros(day.fam.heard_late);
         if !reports_late.is_zero() {
             left_out_by_sockets.push(format!(
                 "reports {:.1} s late all day: loopback is quicker",
@@ -291,15 +306,15 @@
             ));
         }
         let server = |old: &usize| self.server(&day.servers[*old]);
-        let by_place: BTreeMap<usize, usize> = self.servers.iter().map(|(old, new)| (*new, *old)).collect();
+        let by_index: BTreeMap<usize, usize> = self.servers.iter().map(|(old, new)| (*new, *old)).collect();
         let zones = day.zones.iter().enumerate();
         let share = |k: usize| day.traffic.zone_share.get(k).copied().unwrap_or(0.0);
         let plan = Plan {
             name: format!("{} {}", day.site, day.kind),
             seed: day.noise,
-            length: span(day.length),
+            length: from_micros(day.length),
             zones: zones.map(|(k, name)| (name.clone(), share(k))).collect(),
-            servers: by_place.values().map(server).collect(),
+            servers: by_index.values().map(server).collect(),
             proxies: self
                 .proxies
                 .iter()
@@ -320,7 +335,7 @@
                 usual_resend: v1::Resend::try_from(day.fam.usual_how).unwrap_or_default(),
             },
             standing: day.fam.standing,
-            redial: span(day.fam.redial),
+            redial: from_micros(day.fam.redial),
             classes: day.classes.iter().map(class_plan).collect(),
             rate: self.rate,
             shape: day.traffic.shape.clone(),
@@ -329,13 +344,13 @@
                 wait: if day.clients.backoff == "none" {
                     Duration::ZERO
                 } else {
-                    span(day.clients.backoff_us)
+                    from_micros(day.clients.backoff_us)
                 },
                 try_share: day.clients.try_share,
                 keys: day.traffic.keys,
                 key_zipf: day.traffic.key_zipf,
             },
-            list_delay: span(day.discovery.notice),
+            list_delay: from_micros(day.discovery.notice),
             conductors: 1,
             conductor_zone: conductor_zones.first().copied().unwrap_or(0),
             rules: self.rules(),
@@ -394,12 +409,12 @@
 
     fn rules(&self) -> Rules {
         Rules {
-            unserved_max: span(self.day.fam.bare),
-            drain_grace: span(self.day.drain_grace),
-            cold: span(self.tier().stated_cold),
+            unserved_max: from_micros(self.day.fam.bare),
+            drain_grace: from_micros(self.day.drain_grace),
+            cold: from_micros(self.tier().stated_cold),
             start_capacity: self.tier().stated_cold_from,
             fall_multiple: self.day.fall_multiple,
-            fall_span: span(self.day.fall_for),
+            fall_span: from_micros(self.day.fall_for),
             full_may_have_run: self.day.full_may_have_run,
             drain_binds_alone: self.day.only_draining_binds
                 || self.day.troubles.iter().any(|t| t.kind == "wrong_list"),
@@ -437,60 +452,63 @@
             unserved_max: rules.unserved_max,
             drain_binds_alone: rules.drain_binds_alone,
         };
-        let over = toml::toml! {
+        let overrides = toml::toml! {
             [probes]
             timeout = "600ms"
         };
-        let mut config = conductor_config(fleet, &over).map_err(ReplayError::Unfit)?;
+        let mut config = conductor_config(fleet, &overrides).map_err(ReplayError::Unfit)?;
         config.channel.lines_per_s = day.fam.rate;
         config.channel.message_head = day.fam.head;
         config.channel.waiting_max = day.fam.backlog;
         config.channel.messages_max = day.fam.messages_most;
-        config.channel.transit_max = span(day.fam.late * 4.0);
-        config.reports.every = span(day.fam.period);
+        config.channel.transit_max = from_micros(day.fam.late * 4.0);
+        config.reports.every = from_micros(day.fam.period);
         config.reports.intake_per_s = day.fam.intake;
         Ok(config)
     }
 
-    /// Places of kept servers, of those that a trouble names.
-    fn kept(&self, on: &[usize]) -> Vec<usize> {
+    /// Plan indices of those of the given servers that remain.
+    fn retained(&self, on: &[usize]) -> Vec<usize> {
         on.iter().filter_map(|old| self.servers.get(old).copied()).collect()
     }
 
-    /// A trouble as the stand-ins play it; nothing, and a word in `left_out`, if they cannot.
-    fn strikes(&mut self, trouble: &DayTrouble) -> Vec<Strike> {
-        let servers = self.kept(&trouble.on);
-        if !trouble.on.is_empty() && servers.is_empty() {
-            let what = format!("trouble `{}`: none of its servers is kept at this scale", trouble.kind);
+    /// Converts a fault and its time. If it cannot be played, returns nothing and adds it to `left_out`.
+    fn scheduled_faults(&mut self, fault: &DayFault) -> Vec<Strike> {
+        let servers = self.retained(&fault.on);
+        if !fault.on.is_empty() && servers.is_empty() {
+            let what = format!("trouble `{}`: none of its servers remains at this scale", fault.kind);
             self.left_out.push(what);
             return Vec::new();
         }
-        let how = trouble.how.as_deref().unwrap_or_default();
-        let Some(mapped) = self.map(trouble, how, servers) else {
+        let how = fault.how.as_deref().unwrap_or_default();
+        let Some(converted) = self.convert_fault(fault, how, servers) else {
             let form = if how.is_empty() { String::new() } else { format!(" ({how})") };
-            self.left_out.push(format!("trouble `{}`{form} at {:.1} s", trouble.kind, trouble.at * 1e-6));
+            self.left_out.push(format!("trouble `{}`{form} at {:.1} s", fault.kind, fault.at * 1e-6));
             return Vec::new();
         };
-        let name = format!("{} at {:.0} s", trouble.kind, trouble.at * 1e-6);
-        // A shift stays for good: its length is the time that it takes.
-        let lasts = if trouble.kind == "shift" { self.day.length } else { trouble.len };
-        let mut strikes = vec![Strike { name, at: span(trouble.at), lasts: span(lasts), trouble: mapped }];
-        if trouble.kind == "grow" {
-            let follows = Trouble::Burst(1.0 + (trouble.size - 1.0).max(0.0) * trouble.extra);
+        let name = format!("{} at {:.0} s", fault.kind, fault.at * 1e-6);
+        // A shift is permanent: `len` is only the time until it is complete.
+        let lasts = if fault.kind == "shift" { self.day.length } else { fault.len };
+        let mut strikes =
+            vec![Strike { name, at: from_micros(fault.at), lasts: from_micros(lasts), trouble: converted }];
+        if fault.kind == "grow" {
+            let growth_traffic = Trouble::Burst(1.0 + (fault.size - 1.0).max(0.0) * fault.extra);
             let name = "traffic follows growth".to_owned();
-            let at = span(trouble.at + trouble.len);
-            strikes.push(Strike { name, at, lasts: span(self.day.length), trouble: follows });
+            let at = from_micros(fault.at + fault.len);
+            strikes.push(Strike { name, at, lasts: from_micros(self.day.length), trouble: growth_traffic });
         }
         strikes
     }
 
-    fn map(&mut self, trouble: &DayTrouble, how: &str, servers: Vec<usize>) -> Option<Trouble> {
-        let (day, size, extra) = (self.day, trouble.size, trouble.extra);
+    /// Converts the kind of a fault; `None` if the emulator cannot play it. `how` is the variant, empty for the usual
+    /// one. Zones and classes in `which` wrap around.
+    fn convert_fault(&mut self, fault: &DayFault, how: &str, servers: Vec<usize>) -> Option<Trouble> {
+        let (day, size, extra) = (self.day, fault.size, fault.extra);
         let zones = day.zones.len();
-        let zone = trouble.which % zones;
+        let zone = fault.which % zones;
         let aim = day.classes.iter().map(|c| c.aim).fold(f64::INFINITY, f64::min);
         let seconds = |s: f64| Duration::from_secs_f64(s.clamp(0.0, 60.0));
-        Some(match (trouble.kind.as_str(), how) {
+        Some(match (fault.kind.as_str(), how) {
             ("burst", _) => Trouble::Burst(size),
             ("shift", "mix") => {
                 let work = |k: &usize| day.classes[*k].work;
@@ -498,14 +516,14 @@
                 Trouble::Mix(heaviest, size.clamp(0.0, 1.0))
             }
             ("shift", _) => Trouble::Shift(zone, size.clamp(0.0, 1.0)),
-            ("heavy_tail", _) => Trouble::HeavyTail(trouble.which % day.classes.len(), extra, size),
-            ("deploy", _) => Trouble::Release(seconds(extra), self.steps(trouble)),
-            ("grow", _) => Trouble::Release(Duration::ZERO, self.steps(trouble)),
+            ("heavy_tail", _) => Trouble::HeavyTail(fault.which % day.classes.len(), extra, size),
+            ("deploy", _) => Trouble::Release(seconds(extra), self.steps(fault)),
+            ("grow", _) => Trouble::Release(Duration::ZERO, self.steps(fault)),
             ("mass_restart", "silence") | ("vanish", _) => Trouble::Vanish(servers),
             ("mass_restart", _) => Trouble::Die(servers),
             ("hang", _) => Trouble::Hang(servers),
             ("fast_errors", _) => Trouble::Fail(servers, size.clamp(0.0, 1.0)),
-            ("pauses", _) => Trouble::Pause(servers, seconds(extra.max(0.01)), span(size * 1e3)),
+            ("pauses", _) => Trouble::Pause(servers, seconds(extra.max(0.01)), from_micros(size * 1e3)),
             ("answer_lost", how) => Trouble::LoseAnswers(servers, size.clamp(0.0, 1.0), how == "reset"),
             ("false_reports", how) => {
                 let lie = match how {
@@ -518,13 +536,15 @@
             }
             ("conn_squeeze", _) => {
                 let cap = size * self.proxies.len() as f64 / self.servers.len().max(1) as f64 + 1.0;
-                let least = day.tiers[0].kinds.iter().map(|k| k.cores).min()?;
+                let min_cores = day.tiers[0].kinds.iter().map(|k| k.cores).min()?;
                 Trouble::FewConnections(
                     servers,
-                    (day.tiers[0].conn_cap_per_core * f64::from(least) / cap).max(1.0),
+                    (day.tiers[0].conn_cap_per_core * f64::from(min_cores) / cap).max(1.0),
                 )
             }
-            ("handshake_slow", _) => Trouble::SlowHandshakes(servers, extra.max(1.0), span(size * 1e3)),
+            ("handshake_slow", _) => {
+                Trouble::SlowHandshakes(servers, extra.max(1.0), from_micros(size * 1e3))
+            }
             ("discovery_down", _) => Trouble::ListDown,
             ("wrong_list", "shrink") => Trouble::WrongList(servers),
             ("wrong_list", "empty") => Trouble::WrongList((0..self.servers.len()).collect()),
@@ -535,28 +555,28 @@
             }
             ("zone_loss", _) => Trouble::LoseZone(zone, size > 0.5),
             ("zone_cut", _) => Trouble::CutZone(zone),
-            // Pairs are told as first zone times zones, plus the second.
-            ("slow_link", "pair") if trouble.which / zones < zones && trouble.which / zones != zone => {
-                Trouble::SlowLink(trouble.which / zones, zone, span(size * aim), extra.clamp(0.0, 1.0))
+            // A pair of zones is encoded as `first * zones + second`.
+            ("slow_link", "pair") if fault.which / zones < zones && fault.which / zones != zone => {
+                Trouble::SlowLink(fault.which / zones, zone, from_micros(size * aim), extra.clamp(0.0, 1.0))
             }
             ("slow_link", _) if zones > 1 => {
-                Trouble::SlowLink(zone, (zone + 1) % zones, span(size * aim), extra.clamp(0.0, 1.0))
+                Trouble::SlowLink(zone, (zone + 1) % zones, from_micros(size * aim), extra.clamp(0.0, 1.0))
             }
             ("origin_slow", _) => Trouble::SlowChannel(size),
             ("report_late", _) => Trouble::LateReports(seconds(size)),
-            // The day does not tell how many: just under half is the most that was seen.
+            // The file does not say how many proxies: just under half is the most that was seen.
             ("counter_down", _) => Trouble::CutOff((0..self.proxies.len()).step_by(2).collect()),
             _ => return None,
         })
     }
 
-    fn steps(&self, trouble: &DayTrouble) -> Vec<Step> {
+    fn steps(&self, fault: &DayFault) -> Vec<Step> {
         let step = |s: &DayStep| Step {
-            at: span(s.at - trouble.at),
-            stop: self.kept(&s.stop),
-            start: self.kept(&s.start),
+            at: from_micros(s.at - fault.at),
+            stop: self.retained(&s.stop),
+            start: self.retained(&s.start),
         };
-        trouble.steps.iter().map(step).collect()
+        fault.steps.iter().map(step).collect()
     }
 }
 
@@ -564,19 +584,19 @@
     &day.tiers[server.tier].kinds[server.kind]
 }
 
-/// Every so many of each group, one at least, in their order.
-fn thin<G: Ord>(groups: impl Iterator<Item = G>, scale: f64) -> Vec<usize> {
+/// Keeps a share of each group, at least one member, at even intervals; returns the retained indices in order.
+fn thin_evenly<G: Ord>(groups: impl Iterator<Item = G>, scale: f64) -> Vec<usize> {
     let mut seen: BTreeMap<G, usize> = BTreeMap::new();
-    let mut kept = Vec::new();
-    for (place, group) in groups.enumerate() {
+    let mut retained = Vec::new();
+    for (index, group) in groups.enumerate() {
         let nth = seen.entry(group).or_default();
-        // The nth is kept when the rounded count rises with it; the first always is.
+        // The nth member is retained if it increases the rounded-up count; the first always is.
         if *nth == 0 || (scale * (*nth + 1) as f64).ceil() > (scale * *nth as f64).ceil() {
-            kept.push(place);
+            retained.push(index);
         }
         *nth += 1;
     }
-    kept
+    retained
 }
 
 fn class_plan(class: &DayClass) -> ClassPlan {
@@ -586,8 +606,8 @@
         work: class.work,
         form: Form::LogNormal,
         cv: class.cv,
-        aim: span(class.aim),
-        deadline: span(class.deadline),
+        aim: from_micros(class.aim),
+        deadline: from_micros(class.deadline),
         worth: class.worth,
         late_worth: class.late_worth,
         effect: match class.effect.as_str() {
@@ -600,6 +620,6 @@
             "cell" => GroupConfig::Cell,
             _ => GroupConfig::All,
         },
-        window: span(class.window),
+        window: from_micros(class.window),
     }
 }
--- a/crates/stepspur-emulator/src/report.rs
+++ b/crates/stepspur-emulator/src/report.rs
@@ -1,4 +1,4 @@
-//! Reports of days: tables and plots for people, and the verdict over several runs with its interval.
+//! Reports of rehearsals: a page of tables and charts for one run, and a summary with confidence intervals for several.
 
 use serde::Serialize;
 use statrs::distribution::{Beta, ContinuousCDF, StudentsT};
@@ -9,37 +9,37 @@
 use crate::run::Report;
 use crate::series::STEP;
 
-/// One of several runs, or a bound, that failed so often: the chance of it lies in the interval, at 95%.
+/// How often a rule or an expectation failed over several runs, with the 95% confidence interval of its probability.
 #[derive(Clone, Debug, Serialize)]
 pub struct Chance {
-    /// What.
+    /// The rule or expectation.
     pub what: String,
-    /// How often it failed.
+    /// Number of runs in which it failed.
     pub failed: usize,
-    /// In so many runs.
+    /// Number of runs that count.
     pub runs: usize,
-    /// Clopper and Pearson's interval of the chance.
+    /// Clopper-Pearson interval of the probability of failure, at 95%.
     pub interval: [f64; 2],
 }
 
-/// The verdict over several runs of one scenario with different seeds.
+/// Summary of several runs of one scenario with different seeds.
 #[derive(Clone, Debug, Serialize)]
 pub struct Summary {
-    /// The day.
+    /// Name of the plan.
     pub day: String,
     /// Seeds of the runs that count.
     pub seeds: Vec<u64>,
-    /// Seeds of runs that this machine was too slow for: they say nothing and are not counted.
+    /// Seeds of void runs, for which the machine was too slow; they are not counted.
     pub void: Vec<u64>,
-    /// Mean service, and the half width of its 95% interval (Student's t); none with fewer than two runs.
+    /// Mean service, and the half width of its 95% interval (Student's t); `None` with fewer than two runs.
     pub service: (f64, Option<f64>),
-    /// By rule.
+    /// Failures by rule.
     pub rules: Vec<Chance>,
-    /// By expectation.
+    /// Failures by expectation, in the order of the scenario.
     pub expectations: Vec<Chance>,
 }
 
-/// Clopper and Pearson's interval at 95% for `failed` of `runs`.
+/// Clopper-Pearson interval at 95% for the probability of failure, given `failed` of `runs`.
 pub fn interval(failed: usize, runs: usize) -> [f64; 2] {
     let (failed, runs) = (failed as f64, runs as f64);
     let at = |a: f64, b: f64, p: f64| Beta::new(a, b).map_or(f64::NAN, |beta| beta.inverse_cdf(p));
@@ -49,15 +49,15 @@
 }
 
 impl Summary {
-    /// Of runs of one scenario.
+    /// Summarizes runs of one scenario; void runs are listed and not counted.
     pub fn of(reports: &[Report]) -> Self {
         let counted: Vec<&Report> = reports.iter().filter(|r| r.void.is_none()).collect();
-        let many = counted.len();
+        let count = counted.len();
         let chance = |what: String, failed: usize| Chance {
             what,
             failed,
-            runs: many,
-            interval: interval(failed, many),
+            runs: count,
+            interval: interval(failed, count),
         };
         let rule = |rule: Rule| {
             let broken = counted.iter().filter(|r| r.rules.iter().any(|v| v.rule == rule && !v.kept)).count();
@@ -68,34 +68,34 @@
             let failed = counted.iter().filter(|r| r.expectations.get(k).is_some_and(|e| !e.met)).count();
             chance(words[k].words.clone(), failed)
         };
-        let mean = counted.iter().map(|r| r.service).sum::<f64>() / many.max(1) as f64;
-        let half = (many > 1).then(|| {
-            let square = counted.iter().map(|r| (r.service - mean).powi(2)).sum::<f64>();
-            let error = (square / (many - 1) as f64 / many as f64).sqrt();
-            StudentsT::new(0.0, 1.0, (many - 1) as f64).map_or(f64::NAN, |t| t.inverse_cdf(0.975) * error)
+        let mean = counted.iter().map(|r| r.service).sum::<f64>() / count.max(1) as f64;
+        let half_width = (count > 1).then(|| {
+            let squares = counted.iter().map(|r| (r.service - mean).powi(2)).sum::<f64>();
+            let error = (squares / (count - 1) as f64 / count as f64).sqrt();
+            StudentsT::new(0.0, 1.0, (count - 1) as f64).map_or(f64::NAN, |t| t.inverse_cdf(0.975) * error)
         });
         Self {
             day: reports.first().map(|r| r.day.clone()).unwrap_or_default(),
             seeds: counted.iter().map(|r| r.seed).collect(),
             void: reports.iter().filter(|r| r.void.is_some()).map(|r| r.seed).collect(),
-            service: (mean, half),
+            service: (mean, half_width),
             rules: Rule::ALL.into_iter().map(rule).collect(),
             expectations: (0..words.len()).map(expectation).collect(),
         }
     }
 
-    /// True: no rule was broken in any run.
+    /// True if no rule was broken in any run.
     pub fn kept(&self) -> bool {
         self.rules.iter().all(|c| c.failed == 0)
     }
 
-    /// True: every expectation was met in every run.
+    /// True if every expectation was met in every run.
     pub fn met(&self) -> bool {
         self.expectations.iter().all(|c| c.failed == 0)
     }
 }
 
-/// The report of a day as a page.
+/// Builds the page of a report, for HTML and CSV.
 pub fn page(report: &Report) -> Page {
     let (servers, proxies, rate) = report.size;
     let mut about = vec![
--- a/crates/stepspur-emulator/src/run/faults.rs
+++ b/crates/stepspur-emulator/src/run/faults.rs
@@ -69,10 +69,10 @@
     }
 
     /// Applies (`on`) or reverts a fault.
-    async fn set_fault(self: &Arc<Self>, trouble: &Trouble, on: bool) {
-        match trouble {
+    async fn set_fault(self: &Arc<Self>, fault: &Trouble, on: bool) {
+        match fault {
             Trouble::Burst(_) | Trouble::Shift(..) | Trouble::Mix(..) | Trouble::HeavyTail(..) => {
-                self.set_traffic_fault(trouble, on);
+                self.set_traffic_fault(fault, on);
             }
             Trouble::Die(servers) => self.set_stopped(servers, on),
             Trouble::Vanish(servers) => self.set_silent(servers, on),
@@ -82,7 +82,7 @@
             | Trouble::LoseAnswers(..)
             | Trouble::FalseReports(..)
             | Trouble::FewConnections(..)
-            | Trouble::SlowHandshakes(..) => self.set_server_fault(trouble, on),
+            | Trouble::SlowHandshakes(..) => self.set_server_fault(fault, on),
             Trouble::ListDown => self.registry.down(on),
             Trouble::WrongList(servers) => self.hide_from_list(servers, on),
             Trouble::Ghosts(count) => self.list_nonexistent(*count, on),
@@ -91,7 +91,7 @@
             Trouble::CutLink(a, b) => self.links.cut_link(*a, *b, on),
             Trouble::SlowLink(a, b, delay, loss) => self.links.slow(*a, *b, *delay, *loss, on),
             Trouble::SlowChannel(_) | Trouble::LateReports(_) | Trouble::CutOff(_) | Trouble::Stall(_) => {
-                self.set_proxy_fault(trouble, on);
+                self.set_proxy_fault(fault, on);
             }
             Trouble::KillConductor(conductors) => self.set_killed(conductors, on).await,
             // These two span their whole duration: see `run_fault`.
@@ -99,9 +99,9 @@
         }
     }
 
-    fn set_traffic_fault(&self, trouble: &Trouble, on: bool) {
+    fn set_traffic_fault(&self, fault: &Trouble, on: bool) {
         let mut traffic_faults = lock(&self.clients.traffic_faults);
-        match trouble {
+        match fault {
             Trouble::Burst(factor) => toggle(&mut traffic_faults.bursts, *factor, on),
             Trouble::Shift(zone, share) => toggle(&mut traffic_faults.shifts, (*zone, *share), on),
             Trouble::Mix(class, share) => toggle(&mut traffic_faults.mixes, (*class, *share), on),
@@ -112,10 +112,10 @@
         }
     }
 
-    fn set_server_fault(&self, trouble: &Trouble, on: bool) {
+    fn set_server_fault(&self, fault: &Trouble, on: bool) {
         let share = |share: f64| if on { share } else { 0.0 };
         let factor = |factor: f64| if on { factor } else { 1.0 };
-        match trouble {
+        match fault {
             Trouble::Hang(servers) => {
                 self.each_node(servers, |node| node.change_faults(|faults| faults.hangs = on))
             }
@@ -154,8 +154,8 @@
         }
     }
 
-    fn set_proxy_fault(&self, trouble: &Trouble, on: bool) {
-        match trouble {
+    fn set_proxy_fault(&self, fault: &Trouble, on: bool) {
+        match fault {
             Trouble::SlowChannel(factor) => {
                 let slow = if on { *factor } else { 0.0 };
                 self.each_proxy(|faults| faults.slow = slow);
--- a/crates/stepspur-emulator/src/scenario.rs
+++ b/crates/stepspur-emulator/src/scenario.rs
@@ -1,4 +1,6 @@
-//! Scenario files: a day in TOML that a person can read and change. `rehearsals/` holds examples.
+//! Scenario files: the description of a rehearsal in TOML. `rehearsals/` holds examples.
+//!
+//! Doc comments of types with `JsonSchema` are published as descriptions in `rehearsals/scenario.schema.json`.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -17,34 +19,34 @@
 use crate::faults::{Draw, Fault};
 use crate::plan::{ClassPlan, Clients, Plan, ProxyPlan, Rules, ServerPlan, Strike};
 
-/// The day that `stepspur rehearse` plays when none is named.
+/// The scenario that `stepspur rehearse` runs if none is given.
 pub const BAD_DAY: &str = include_str!("../../../rehearsals/bad-day.toml");
 
-/// What is wrong with a scenario.
+/// Why a scenario cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioError {
     /// The file cannot be read.
     #[error("{path}: {cause}")]
     Read {
-        /// Its path.
+        /// Path of the file.
         path: String,
-        /// Why.
+        /// Error of the file system.
         cause: std::io::Error,
     },
-    /// It is no scenario; the text names the line.
+    /// The text is not a valid scenario; the message names the line.
     #[error("{path}: {cause}")]
     Parse {
-        /// Its path.
+        /// Path of the file.
         path: String,
-        /// Why, with the line.
+        /// Error with its line.
         cause: Box<toml::de::Error>,
     },
-    /// Values that make no day, each with its key.
+    /// Values are out of bounds or inconsistent.
     #[error("{path}: {}", .faults.join("; "))]
     Faults {
-        /// Its path.
+        /// Path of the file.
         path: String,
-        /// All that is wrong.
+        /// All invalid values, each with its key.
         faults: Vec<String>,
     },
 }
@@ -62,7 +64,7 @@
     #[serde(default)]
     pub trains: String,
     /// Of all chance.
-    #[serde(default = "one")]
+    #[serde(default = "default_seed")]
     pub seed: u64,
     /// Time in which requests come.
     #[serde(with = "humantime_serde")]
@@ -78,14 +80,14 @@
     /// Servers at the begin.
     pub servers: u32,
     /// Cells (racks, partitions) in a zone; servers are dealt to them in turn.
-    #[serde(default = "one_cell")]
+    #[serde(default = "default_cells")]
     pub cells: usize,
     /// Kinds of servers.
     pub kinds: Vec<Kind>,
     /// Proxies.
     pub proxies: u32,
     /// Conductors: processes of their own that share nothing; proxies are dealt to them in turn.
-    #[serde(default = "one_conductor")]
+    #[serde(default = "default_conductors")]
     pub conductors: u32,
     /// How proxies behave.
     #[serde(default)]
@@ -96,7 +98,7 @@
     #[serde(default)]
     pub clients: Clients,
     /// The node list tells changes so late.
-    #[serde(default = "list_delay", with = "humantime_serde")]
+    #[serde(default = "default_list_delay", with = "humantime_serde")]
     #[schemars(with = "String")]
     pub list_delay: Duration,
     /// The rules' figures.
@@ -172,7 +174,7 @@
     /// Its name.
     pub name: String,
     /// Its part of the traffic, against others.
-    #[serde(default = "whole")]
+    #[serde(default = "default_weight")]
     pub share: f64,
 }
 
@@ -183,13 +185,13 @@
     /// Its name.
     pub name: String,
     /// Its part of the servers, against others.
-    #[serde(default = "whole")]
+    #[serde(default = "default_weight")]
     pub share: f64,
     /// Its listed weight.
-    #[serde(default = "whole")]
+    #[serde(default = "default_weight")]
     pub weight: f64,
     /// Connections that it accepts.
-    #[serde(default = "connections")]
+    #[serde(default = "default_connections")]
     pub connections: usize,
     /// Its make.
     #[serde(default)]
@@ -235,7 +237,7 @@
     /// Its name.
     pub name: String,
     /// Its part of the requests, against others.
-    #[serde(default = "whole")]
+    #[serde(default = "default_weight")]
     pub share: f64,
     /// Mean work on a core of speed 1.
     #[serde(with = "humantime_serde")]
@@ -245,7 +247,7 @@
     #[serde(default)]
     pub form: Form,
     /// Its coefficient of variation; an exponential form has 1 in any case.
-    #[serde(default = "half")]
+    #[serde(default = "default_cv")]
     pub cv: f64,
     /// An answer within this time earns the full worth.
     #[serde(with = "humantime_serde")]
@@ -256,7 +258,7 @@
     #[schemars(with = "String")]
     pub deadline: Duration,
     /// Worth.
-    #[serde(default = "whole")]
+    #[serde(default = "default_weight")]
     pub worth: f64,
     /// Part of the worth of a late answer.
     #[serde(default)]
@@ -287,30 +289,32 @@
     schemars::schema_for!(Scenario)
 }
 
-fn one() -> u64 {
+fn default_seed() -> u64 {
     1
 }
-fn one_conductor() -> u32 {
+fn default_conductors() -> u32 {
     1
 }
-fn one_cell() -> usize {
+fn default_cells() -> usize {
     1
 }
-fn whole() -> f64 {
+/// Default of shares, weights and worth.
+fn default_weight() -> f64 {
     1.0
 }
-fn half() -> f64 {
+fn default_cv() -> f64 {
     0.5
 }
-fn connections() -> usize {
+/// Default of the connection limit of a server.
+fn default_connections() -> usize {
     200
 }
-fn list_delay() -> Duration {
+fn default_list_delay() -> Duration {
     Duration::from_millis(800)
 }
 
 impl Expect {
-    /// The bounds that it gives: what is bounded, and by what.
+    /// The bounds that are set: the measurement and its limit (a share, a count, or seconds).
     pub fn bounds(&self) -> Vec<(Bound, f64)> {
         let p99 = self.p99_at_most.map(|p99| p99.as_secs_f64());
         let all = [
@@ -326,30 +330,30 @@
     }
 }
 
-/// What an expectation bounds.
+/// A measurement that an expectation bounds. All are upper bounds but [`Bound::InTime`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Bound {
-    /// The share answered within the aim, from below.
+    /// The share answered within the latency target; a lower bound.
     InTime,
-    /// The share answered later.
+    /// The share answered after the latency target.
     Late,
-    /// The share refused.
+    /// The share refused after all client retries.
     Refused,
-    /// The share refused, failed or given up.
+    /// The share refused, failed or timed out.
     Lost,
-    /// The 99th percentile of answers' times, seconds.
+    /// The 99th percentile of response times, in seconds.
     P99,
-    /// Servers that fell over.
+    /// Number of times that a server failed from overload while cold.
     Fallen,
-    /// The longest time that a proxy was without a conductor, seconds.
+    /// The longest time that a proxy was without a conductor after its first connection, in seconds.
     Away,
 }
 
 impl Scenario {
-    /// Reads a scenario's text; `path` is for errors.
+    /// Parses a scenario; `path` is used in errors only.
     ///
     /// # Errors
-    /// [`ScenarioError::Parse`] with the line.
+    /// [`ScenarioError::Parse`], which names the line.
     pub fn parse(path: &str, text: &str) -> Result<Self, ScenarioError> {
         let failed = |cause| ScenarioError::Parse { path: path.to_owned(), cause: Box::new(cause) };
         toml::from_str(text).map_err(failed)
@@ -366,10 +370,10 @@
         Self::parse(&name, &text)
     }
 
-    /// The day as it is played; the same seed makes the same day.
+    /// Builds the plan of the scenario; the same seed gives the same plan. `path` is used in errors only.
     ///
     /// # Errors
-    /// [`ScenarioError::Faults`] with all values that make no day.
+    /// [`ScenarioError::Faults`] with all invalid values.
     pub fn plan(&self, path: &str) -> Result<Plan, ScenarioError> {
         let faults = self.check();
         let failed = |faults| ScenarioError::Faults { path: path.to_owned(), faults };
@@ -383,7 +387,7 @@
         let mut strikes = Vec::new();
         let drawn: Vec<Fault> = self.draws.iter().enumerate().flat_map(|(k, d)| d.faults(k, self)).collect();
         for fault in self.faults.iter().chain(&drawn) {
-            let trouble = self.trouble(fault, &mut servers, &mut rng);
+            let trouble = self.resolve_fault(fault, &mut servers, &mut rng);
             let name = format!("{} at {:.1} s", fault.kind.word(), fault.at.as_secs_f64());
             strikes.push(Strike { name, at: fault.at, lasts: fault.lasts, trouble });
         }
@@ -421,81 +425,96 @@
         })
     }
 
-    /// All values that make no day.
+    /// Checks all values; returns a message for each invalid one.
     fn check(&self) -> Vec<String> {
         let mut faults = Vec::new();
-        let mut need = |holds: bool, what: String| {
+        let mut require = |holds: bool, what: String| {
             if !holds {
                 faults.push(what);
             }
         };
-        need(self.length <= Duration::from_secs(3600), "length: an hour at most".into());
-        need(self.rate > 0.0 && self.rate <= 1e5, "rate: above 0, 100000 at most".into());
-        need((1..=20_000).contains(&self.servers), "servers: 1 to 20000".into());
-        need((1..=50_000).contains(&self.proxies), "proxies: 1 to 50000".into());
-        need(!self.zones.is_empty() && self.zones.len() <= 100, "zones: 1 to 100".into());
-        need(!self.kinds.is_empty(), "kinds: one at least".into());
-        need(self.kinds.iter().any(|k| k.share > 0.0), "kinds: one with a share above 0".into());
-        need(!self.classes.is_empty(), "classes: one at least".into());
-        need(self.classes.iter().any(|c| c.share > 0.0), "classes: one with a share above 0".into());
-        need((1..=9).contains(&self.conductors), "conductors: 1 to 9".into());
-        need((1..=1000).contains(&self.cells), "cells: 1 to 1000".into());
+        require(self.length <= Duration::from_secs(3600), "length: must be at most an hour".into());
+        require(self.rate > 0.0 && self.rate <= 1e5, "rate: must be above 0 and at most 100000".into());
+        require((1..=20_000).contains(&self.servers), "servers: must be 1 to 20000".into());
+        require((1..=50_000).contains(&self.proxies), "proxies: must be 1 to 50000".into());
+        require(!self.zones.is_empty() && self.zones.len() <= 100, "zones: must be 1 to 100".into());
+        require(!self.kinds.is_empty(), "kinds: at least one is required".into());
+        require(
+            self.kinds.iter().any(|k| k.share > 0.0),
+            "kinds: at least one must have a share above 0".into(),
+        );
+        require(!self.classes.is_empty(), "classes: at least one is required".into());
+        require(
+            self.classes.iter().any(|c| c.share > 0.0),
+            "classes: at least one must have a share above 0".into(),
+        );
+        require((1..=9).contains(&self.conductors), "conductors: must be 1 to 9".into());
+        require((1..=1000).contains(&self.cells), "cells: must be 1 to 1000".into());
         for class in &self.classes {
             let name = &class.name;
-            need(class.work > Duration::ZERO, format!("class `{name}`: `work` is above 0"));
+            require(class.work > Duration::ZERO, format!("class `{name}`: `work` must be above 0"));
             let spread = class.cv > 0.0 && class.cv <= 20.0;
-            need(spread || class.form == Form::Constant, format!("class `{name}`: `cv` above 0, 20 at most"));
+            require(
+                spread || class.form == Form::Constant,
+                format!("class `{name}`: `cv` must be above 0 and at most 20"),
+            );
         }
         for (k, fault) in self.faults.iter().enumerate() {
-            fault.check(&format!("fault[{k}] ({})", fault.kind.word()), self, &mut need);
+            fault.check(&format!("fault[{k}] ({})", fault.kind.word()), self, &mut require);
         }
         for (k, draw) in self.draws.iter().enumerate() {
-            draw.check(&format!("draw[{k}]"), &mut need);
+            draw.check(&format!("draw[{k}]"), &mut require);
         }
         for phase in &self.phases {
-            need(phase.from < phase.until, format!("phase `{}`: `from` lies before `until`", phase.name));
+            require(
+                phase.from < phase.until,
+                format!("phase `{}`: `from` must be before `until`", phase.name),
+            );
         }
         for (k, expect) in self.expectations.iter().enumerate() {
             let known = expect.class.as_ref().is_none_or(|c| self.classes.iter().any(|o| o.name == *c));
-            need(known, format!("expect[{k}]: `class` is none of the classes"));
+            require(known, format!("expect[{k}]: `class` names no class of the scenario"));
             let known = expect.phase.as_ref().is_none_or(|p| self.phases.iter().any(|o| o.name == *p));
-            need(known, format!("expect[{k}]: `phase` is none of the phases"));
-            need(!expect.bounds().is_empty(), format!("expect[{k}]: a bound is missing"));
+            require(known, format!("expect[{k}]: `phase` names no phase of the scenario"));
+            require(!expect.bounds().is_empty(), format!("expect[{k}]: at least one bound is required"));
             let shares =
                 [expect.in_time_at_least, expect.late_at_most, expect.refused_at_most, expect.lost_at_most];
             let parts = shares.into_iter().flatten().all(|part| (0.0..=1.0).contains(&part));
-            need(parts, format!("expect[{k}]: a share lies between 0 and 1"));
+            require(parts, format!("expect[{k}]: shares must be between 0 and 1"));
         }
         faults
     }
 
-    pub(crate) fn server(&self, place: usize, up: bool, rng: &mut ChaCha8Rng) -> ServerPlan {
-        // Dealt by share, so that a small fleet has its kinds too.
+    /// Builds the server with this index; `up` says whether it runs from the start.
+    pub(crate) fn server(&self, index: usize, up: bool, rng: &mut ChaCha8Rng) -> ServerPlan {
+        // Kinds follow a low-discrepancy sequence (golden ratio) instead of random draws, so that a small fleet has all
+        // kinds in proportion to their shares.
         let all: f64 = self.kinds.iter().map(|k| k.share).sum();
-        let mut at = (place as f64 * 0.618_034).fract() * all;
+        let mut at = (index as f64 * 0.618_034).fract() * all;
         let found = self.kinds.iter().position(|k| {
             at -= k.share;
             at < 0.0
         });
-        let kind_place = found.unwrap_or(0);
-        let kind = &self.kinds[kind_place];
+        let kind_index = found.unwrap_or(0);
+        let kind = &self.kinds[kind_index];
         let mut spec = kind.server.clone();
         spec.speed *= rng.random_range(0.9..1.1);
         spec.fall_multiple = self.rules.fall_multiple;
         spec.fall_span = self.rules.fall_span.as_micros() as u64;
         spec.connections = kind.connections;
-        let zone = place % self.zones.len();
-        let cell = place / self.zones.len() % self.cells;
-        ServerPlan { zone, weight: kind.weight, spec, cell, kind: kind_place, up }
+        let zone = index % self.zones.len();
+        let cell = index / self.zones.len() % self.cells;
+        ServerPlan { zone, weight: kind.weight, spec, cell, kind: kind_index, up }
     }
 
+    /// Index of a zone by name; `None` without a name or with an unknown one.
     pub(crate) fn zone(&self, name: &Option<String>) -> Option<usize> {
         name.as_ref().and_then(|name| self.zones.iter().position(|z| z.name == *name))
     }
 
-    /// The conductor's settings that follow from the day, and those given.
+    /// The conductor's settings: derived from the scenario, with those of its `conductor` table on top.
     fn config(&self) -> Result<Config, String> {
-        let smallest = self.kinds.iter().map(|k| k.connections).min().unwrap_or(0);
+        let min_connections = self.kinds.iter().map(|k| k.connections).min().unwrap_or(0);
         let class = |c: &Class| ClassConfig {
             name: c.name.clone(),
             effect: c.effect,
@@ -513,7 +532,7 @@
             proxies: self.proxies,
             classes: self.classes.iter().map(class).collect(),
             admit: AdmitConfig::Share,
-            connections_min: smallest as u32,
+            connections_min: min_connections as u32,
             cold: self.rules.cold,
             start_capacity: self.rules.start_capacity,
             fall_multiple: self.rules.fall_multiple,
@@ -542,8 +561,11 @@
     }
 }
 
-/// A conductor's settings: the fleet, and tables of other settings laid over the defaults.
-pub(crate) fn conductor_config(fleet: Fleet, over: &toml::Table) -> Result<Config, String> {
+/// Builds a conductor's settings from the fleet and the defaults; values in `overrides` replace them key by key.
+///
+/// # Errors
+/// A message with the key of the first invalid setting.
+pub(crate) fn conductor_config(fleet: Fleet, overrides: &toml::Table) -> Result<Config, String> {
     let source = Source::Http {
         address: ([127, 0, 0, 1], 1).into(),
         path: "/v1/nodes".into(),
@@ -557,7 +579,7 @@
         ("listen", toml::Value::Table(toml::toml! { plain_on_loopback = true })),
     ]);
     let mut table: toml::Table = base.into_iter().map(|(k, v)| (k.to_owned(), v)).collect();
-    lay_over(&mut table, over);
+    merge_tables(&mut table, overrides);
     let config: Config =
         table.try_into().map_err(|e: toml::de::Error| format!("conductor: {}", e.message()))?;
     let faults = config.faults();
@@ -567,10 +589,13 @@
     }
 }
 
-fn lay_over(table: &mut toml::Table, over: &toml::Table) {
-    for (key, value) in over {
+/// Merges `overrides` into `table`: subtables are merged recursively, other values replaced.
+fn merge_tables(table: &mut toml::Table, overrides: &toml::Table) {
+    for (key, value) in overrides {
         match (table.get_mut(key), value) {
-            (Some(toml::Value::Table(below)), toml::Value::Table(above)) => lay_over(below, above),
+            (Some(toml::Value::Table(base)), toml::Value::Table(override_table)) => {
+                merge_tables(base, override_table)
+            }
             _ => _ = table.insert(key.clone(), value.clone()),
         }
     }
--- a/crates/stepspur-emulator/src/series.rs
+++ b/crates/stepspur-emulator/src/series.rs
@@ -1,4 +1,4 @@
-//! A day over time: what the stand-ins looked like every half second, for people and for plots.
+//! Time series of a rehearsal: samples of servers and proxies every half second, for charts and the live display.
 
 use std::time::Duration;
 
@@ -7,68 +7,68 @@
 
 use crate::trace::Event;
 
-/// Samples are so far apart.
+/// Interval between samples.
 pub const STEP: Duration = Duration::from_millis(500);
 
-/// A zone at a moment.
+/// State of a zone at one time.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct ZoneSample {
-    /// Requests in hand at its servers over their cores.
+    /// Requests in flight at its servers, per core.
     pub heat: f64,
-    /// Servers that run.
+    /// Number of running servers.
     pub up: usize,
-    /// Those of them that are cold yet.
+    /// Running servers that are not yet warm.
     pub cold: usize,
-    /// Those of them that fell over.
+    /// Running servers that failed from overload while cold.
     pub fallen: usize,
-    /// The part of the weight in proxies' tables that names its servers, over all proxies.
+    /// Share of the weight in proxies' tables that its servers have, from 0 to 1, averaged over all proxies.
     pub weight: f64,
 }
 
-/// The stand-ins at a moment.
+/// State of servers and proxies at one time.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Sample {
-    /// Seconds from the day's begin.
+    /// Seconds since the first request was due.
     pub at_s: f64,
-    /// By zone.
+    /// By zone, in the order of the plan.
     pub zones: Vec<ZoneSample>,
-    /// The part of the weight in proxies' tables that names cold servers.
+    /// Share of the weight in proxies' tables that cold servers have, from 0 to 1, averaged over all proxies.
     pub cold_weight: f64,
-    /// By class: the part of requests that levels let in, over all proxies.
+    /// By class: share of requests that the admission levels admit, from 0 to 1, averaged over all proxies.
     pub levels: Vec<f64>,
 }
 
-/// Orders in half a second.
+/// Orders within one [`STEP`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Orders {
-    /// Orders that were read.
+    /// Number of orders that proxies read.
     pub read: usize,
-    /// Lines between their decision and their being read, at most.
+    /// Maximum number of lines that were decided and not yet read.
     pub depth: f64,
 }
 
-/// A day over time.
+/// All time series of a rehearsal.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Series {
-    /// The stand-ins, every [`STEP`].
+    /// Servers and proxies, every [`STEP`].
     pub samples: Vec<Sample>,
-    /// The channel, by [`STEP`] from the day's begin.
+    /// Orders, by [`STEP`] since the first request was due.
     pub orders: Vec<Orders>,
-    /// Requests by the second in which they were asked: in time, late, refused, failed.
+    /// Requests by the second in which they were sent: in time, late, refused, failed.
     pub seconds: Vec<[u64; 4]>,
 }
 
-/// The channel over time, from what proxies read.
+/// Counts orders and waiting lines by [`STEP`], from the orders that proxies read.
 pub fn orders(events: &[(Micros, Event)], begin: Micros, length: Duration) -> Vec<Orders> {
     let step = STEP.as_micros() as Micros;
     let mut bins = vec![Orders::default(); (length.as_micros() as u64 / step + 1) as usize];
-    let place = |at: Micros| (at.saturating_sub(begin) / step) as usize;
+    let bin_index = |at: Micros| (at.saturating_sub(begin) / step) as usize;
     let mut changes = Vec::new();
     for (at, event) in events {
         if let Event::Order { order, lines, .. } = event {
             changes.push((order.decided_us, *lines));
             changes.push((*at, -lines));
-            if let Some(bin) = bins.get_mut(place(*at)).filter(|_| *at >= begin) {
+            if let Some(bin) = bins.get_mut(bin_index(*at)).filter(|_| *at >= begin) {
                 bin.read += 1;
             }
         }
@@ -77,7 +77,7 @@
     let mut depth = 0.0f64;
     for (at, change) in changes {
         depth += change;
-        if let Some(bin) = bins.get_mut(place(at)).filter(|_| at >= begin) {
+        if let Some(bin) = bins.get_mut(bin_index(at)).filter(|_| at >= begin) {
             bin.depth = bin.depth.max(depth);
         }
     }
--- a/crates/stepspur-emulator/src/trace.rs
+++ b/crates/stepspur-emulator/src/trace.rs
@@ -1,4 +1,4 @@
-//! What crossed the sockets, with its time. The judge knows nothing else.
+//! Records what crossed the sockets, with its time. The check of the rules uses nothing else.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -9,74 +9,77 @@
 use stepspur_proto::v1;
 use tokio::time::Instant;
 
-/// A request's number.
+/// Number of a request, unique within a rehearsal and the same for all tries and attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// What a server did with a request that came.
+/// What a server did with a request that reached it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Came {
-    /// Took it in: it may have run.
+    /// Accepted: it may have run.
     Taken,
-    /// Turned it away unseen.
+    /// Refused without running it, because the server was full.
     Full,
-    /// Failed it at once: it may have run.
+    /// Failed at once: it may have run.
     Failed,
-    /// The server had fallen over.
+    /// Failed because the server has failed from overload.
     Fallen,
-    /// Answered from the memory of its group, without an effect: a repeat.
+    /// Recognized as a repeat and answered from the memory of its group, without another effect.
     Known,
 }
 
-/// A request as it came to a server.
+/// A request that reached a server.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// The server.
+    /// Address of the server.
     pub server: SocketAddr,
-    /// The proxy that sent it.
+    /// Index of the proxy that sent it.
     pub proxy: usize,
-    /// The request, the client's try, and the proxy's attempt within it, from 0.
+    /// The request, the client's try from 0, and the proxy's attempt within that try from 0.
     pub request: (RequestId, u32, u32),
-    /// Its class.
+    /// Index of its class.
     pub class: usize,
-    /// Its work, microseconds.
+    /// Work that it costs, in microseconds of a core of speed 1; includes the handshake of a new connection.
     pub work: f64,
-    /// What became of it.
+    /// What the server did with it.
     pub came: Came,
 }
 
-/// One thing that crossed a socket, or that the stand-ins did themselves.
+/// Something that crossed a socket, or that the emulator did itself.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A proxy started with a standing table.
     ProxyStarted { proxy: usize, standing: Vec<SocketAddr> },
-    /// A proxy's stream was welcomed by a conductor.
+    /// A conductor welcomed a proxy's stream.
     Up { proxy: usize, conductor: usize },
     /// A proxy's stream ended.
     Down { proxy: usize },
-    /// A proxy stopped or began reading.
+    /// A proxy stopped reading its stream, or resumed.
     Reads { proxy: usize, on: bool },
-    /// A proxy read an order; what it cost in the channel.
+    /// A proxy read an order; `lines` is its cost in the channel, including the head of the message.
     Order { proxy: usize, epoch: u64, order: Arc<v1::Order>, lines: f64 },
-    /// The node list told a conductor: the whole list or changes.
+    /// The node list answered a conductor with the full list (`whole`) or with changes.
     Told { conductor: usize, whole: bool, nodes: Arc<Vec<EndpointRecord>> },
-    /// A conductor has ended, or was told to start again.
+    /// A conductor has ended, or is being started.
     Conductor { conductor: usize, up: bool },
-    /// A server started cold: its work a second when warm, in seconds.
-    /// `cold` is none where requests warm it up: then only its falling over tells.
+    /// A server started cold. `capacity` is the work that it does per second when warm, in seconds of work; `cold_from`
+    /// the share of it that it has at the start; `cold` the time until it is warm, in microseconds, or `None` if requests
+    /// warm it: then the trace shows an overload only by its failure.
     ServerStarted { server: SocketAddr, capacity: f64, cold_from: f64, cold: Option<Micros> },
-    /// A server fell over.
+    /// A server failed from overload.
     Fell { server: SocketAddr },
-    /// A request came to a server.
+    /// A request reached a server.
     Arrived(Arrival),
-    /// A server has done a request's work: its effect has taken place, whether or not anybody still waits.
+    /// A server finished the work of a request: its effect has taken place, whether or not anybody still waits for it.
     Ran { server: SocketAddr, request: (RequestId, u32, u32), class: usize },
 }
 
-/// All that crossed, so far.
+/// All events recorded so far.
 #[derive(Debug)]
 pub struct Trace {
+    /// Time of `from`, in microseconds since the Unix epoch.
     base: Micros,
+    /// When recording began, on the monotonic clock.
     from: Instant,
     events: Mutex<Vec<(Micros, Event)>>,
 }
@@ -89,28 +92,28 @@
 }
 
 impl Trace {
-    /// Microseconds since 1970.
+    /// Microseconds since the Unix epoch; monotonic within a rehearsal.
     pub fn now(&self) -> Micros {
         self.base + self.from.elapsed().as_micros() as Micros
     }
 
-    /// The time of the machine's instant.
+    /// Converts an instant to microseconds since the Unix epoch.
     pub fn at(&self, instant: Instant) -> Micros {
         self.base + instant.saturating_duration_since(self.from).as_micros() as Micros
     }
 
-    /// The machine's instant at that time.
+    /// Converts microseconds since the Unix epoch to an instant; times before the start of the trace give its start.
     pub fn instant(&self, at: Micros) -> Instant {
         self.from + Duration::from_micros(at.saturating_sub(self.base))
     }
 
-    /// Notes an event, now.
+    /// Records an event at the present time.
     pub fn note(&self, event: Event) {
         let now = self.now();
         self.events.lock().unwrap_or_else(PoisonError::into_inner).push((now, event));
     }
 
-    /// Takes all events, in the order of their times.
+    /// Removes and returns all events, ordered by time.
     pub fn take(&self) -> Vec<(Micros, Event)> {
         let mut events = std::mem::take(&mut *self.events.lock().unwrap_or_else(PoisonError::into_inner));
         events.sort_by_key(|(at, _)| *at);
@@ -118,7 +121,7 @@
     }
 }
 
-/// Locks a mutex; a holder that panicked has spoiled nothing that matters to a rehearsal.
+/// Locks a mutex and ignores poisoning: a panic while it was held does not invalidate the data of a rehearsal.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/stepspur-emulator/src/usage.rs
+++ b/crates/stepspur-emulator/src/usage.rs
@@ -1,21 +1,21 @@
-//! What a process of this machine has used, from Linux's `/proc`.
+//! CPU time and memory of a process, from `/proc` of Linux.
 
 use std::io;
 
-/// Processor time and memory of a process.
+/// CPU time and memory of a process.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Usage {
-    /// Processor time since its start, seconds.
+    /// CPU time since its start, in seconds.
     pub cpu_s: f64,
-    /// Resident memory, KiB.
+    /// Resident memory, in KiB.
     pub rss_kib: f64,
 }
 
 impl Usage {
-    /// Of a process. Ticks are hundredths of a second on every Linux that this runs on, pages 4 KiB.
+    /// Reads the usage of a process. Assumes clock ticks of 10 ms and pages of 4 KiB, as on all supported Linux systems.
     ///
     /// # Errors
-    /// If there is no such process, or no `/proc`.
+    /// If there is no such process, or `/proc` is missing or unreadable.
     pub fn of(pid: u32) -> io::Result<Self> {
         let stat = std::fs::read_to_string(format!("/proc/{pid}/stat"))?;
         let unreadable = || io::Error::from(io::ErrorKind::InvalidData);
--- a/crates/stepspur-emulator/tests/days.rs
+++ b/crates/stepspur-emulator/tests/days.rs
@@ -158,11 +158,11 @@
         ("[[fault]]\nkind = \"burst\"\nat = \"1s\"\nlasts = \"1s\"", "`times` is missing"),
         (
             "[[fault]]\nkind = \"list_down\"\nat = \"1s\"\nlasts = \"1s\"\nshare = 0.5",
-            "`share` means nothing here",
+            "`share` does not apply to this kind of fault",
         ),
         (
             "[[fault]]\nkind = \"zone_cut\"\nat = \"1s\"\nlasts = \"1s\"\nzone = \"z\"",
-            "`zone` is none of the zones",
+            "`zone` names no zone of the scenario",
         ),
         ("[conductor.channel]\nlines_per_s = -1.0", "conductor.channel.lines_per_s"),
     ];
