--- a/crates/stepspur-emulator/src/clients.rs
+++ b/crates/stepspur-emulator/src/clients.rs
@@ -212,7 +212,7 @@
     }
 
     /// Sends requests for the length of the plan, and waits for the last answers. Returns false if it stopped early
-    /// because more than [`MAX_IN_FLIGHT`] requests were in flight.
+    /// because more than `MAX_IN_FLIGHT` requests were in flight.
     pub async fn run(self: Arc<Self>, begin: Instant, stop: CancellationToken) -> bool {
         let end = begin + self.plan.length;
         let mut traffic = Traffic::new(Arc::clone(&self.plan));
--- a/crates/stepspur-emulator/src/identity.rs
+++ b/crates/stepspur-emulator/src/identity.rs
@@ -89,7 +89,7 @@
         tls::client_config(&[self.authority.anchor()?], Some(certificate.for_tls()?))
     }
 
-    /// A token of a proxy, valid from one second ago for [`TOKEN_LIFETIME_S`].
+    /// A token of a proxy, valid from one second ago for `TOKEN_LIFETIME_S` seconds.
     pub fn token(&self, zone: &str, name: &str) -> Vec<u8> {
         let claims = Claims {
             iss: "rehearsal".into(),
--- a/crates/stepspur-emulator/src/launch.rs
+++ b/crates/stepspur-emulator/src/launch.rs
@@ -43,7 +43,7 @@
     /// The settings file, the process or its output failed.
     #[error("cannot start the conductor: {0}")]
     Io(#[from] io::Error),
-    /// It ended, or did not announce its address within [`START_TIMEOUT`].
+    /// It ended, or did not announce its address within `START_TIMEOUT`.
     #[error("the conductor did not announce its listening address in time")]
     Silent,
     /// The conductor library returned an error.
@@ -180,7 +180,7 @@
     }
 
     /// Terminates it gracefully (SIGTERM) and waits for its end; a process that does not end within
-    /// [`TERMINATE_TIMEOUT`] is killed.
+    /// `TERMINATE_TIMEOUT` is killed.
     pub async fn terminate(self) {
         match self.kind {
             Kind::Program { mut child, settings } => {
--- a/crates/stepspur-emulator/src/node.rs
+++ b/crates/stepspur-emulator/src/node.rs
@@ -71,7 +71,7 @@
 struct Offered {
     came: Came,
     /// If it was accepted: its job, the incarnation that runs it, and the channel for its result.
-    held: Option<(Job, u64, oneshot::Receiver<bool>)>,
+    accepted: Option<(Job, u64, oneshot::Receiver<bool>)>,
     /// True if a fault drops its response ...
     lost: bool,
     /// ... by a reset of the connection rather than in silence.
@@ -475,7 +475,7 @@
             let mut state = lock(&self.state);
             if state.faults.silent { None } else { Some(self.offer(&mut state, &mut arrival, conn, key)) }
         };
-        let Some(Offered { came, held, lost, by_reset }) = offered else {
+        let Some(Offered { came, accepted, lost, by_reset }) = offered else {
             return std::future::pending().await;
         };
         arrival.came = came;
@@ -491,7 +491,7 @@
         if let Some(answer) = immediate_answer {
             return Ok(answer);
         }
-        let Some((job, incarnation, done)) = held else { return Ok(plain(StatusCode::BAD_GATEWAY)) };
+        let Some((job, incarnation, done)) = accepted else { return Ok(plain(StatusCode::BAD_GATEWAY)) };
         let guard = InFlight { node: self, job, incarnation, finished: false };
         let good = done.await.unwrap_or(false);
         guard.finish();
@@ -507,7 +507,7 @@
         let now = self.trace.now();
         let id = arrival.request.0.0;
         if self.memories.with(arrival.class, self, |memory| memory.meet(now, id)) == Some(true) {
-            return Offered { came: Came::Known, held: None, lost: false, by_reset: false };
+            return Offered { came: Came::Known, accepted: None, lost: false, by_reset: false };
         }
         state.last_job += 1;
         let job = Job(state.last_job);
@@ -532,14 +532,14 @@
         if came != Came::Taken {
             self.memories.with(arrival.class, self, |memory| memory.forget(id));
         }
-        let held = (came == Came::Taken).then(|| {
+        let accepted = (came == Came::Taken).then(|| {
             let running = Running { request: arrival.request, class: arrival.class };
             state.running.insert(job, running);
             let (to, done) = oneshot::channel();
             state.waiting.insert(job, to);
             (job, state.incarnation, done)
         });
-        Offered { came, held, lost, by_reset: state.faults.by_reset }
+        Offered { came, accepted, lost, by_reset: state.faults.by_reset }
     }
 
     /// Answers a load probe, falsified if a fault says so; never completes while the server is unresponsive.
--- a/crates/stepspur-emulator/src/proxy.rs
+++ b/crates/stepspur-emulator/src/proxy.rs
@@ -46,7 +46,7 @@
     pub key: Option<u64>,
     /// Work that it costs, in microseconds of a core of speed 1.
     pub work: f64,
-    /// Latency target of the class; the proxy takes it into account for further attempts.
+    /// Latency target of the class; the wait of an attempt that may be followed by another is a multiple of it.
     pub aim: Duration,
     /// When the client abandons this try.
     pub until: Instant,
@@ -219,7 +219,7 @@
                     _ => false,
                 };
                 at = if reached { at } else { (at + 1) % conductors.len().max(1) };
-                // The wait doubles, up to eight times, after each pass over all conductors.
+                // After each failed pass over all conductors the wait doubles, up to eight times `redial`.
                 let tried_all = at == self.index % conductors.len().max(1);
                 wait = match reached {
                     true => self.redial,
--- a/crates/stepspur-emulator/src/relay.rs
+++ b/crates/stepspur-emulator/src/relay.rs
@@ -32,7 +32,7 @@
 pub const DIAL_TIMEOUT: Duration = Duration::from_millis(300);
 /// Sent by the relay in front of a server in place of the SYN-ACK of the TCP handshake.
 const OPEN_BYTE: u8 = 6;
-/// Delay of a lost chunk; it doubles with each further loss of the same chunk.
+/// Delay of a lost chunk; it doubles with each further loss. A chunk is lost five times at most.
 const RETRANSMIT_TIMEOUT: Duration = Duration::from_millis(200);
 /// Maximum size of a chunk, which is delayed or lost as a whole.
 const CHUNK_BYTES: usize = 16 * 1024;
--- a/crates/stepspur-emulator/src/replay.rs
+++ b/crates/stepspur-emulator/src/replay.rs
@@ -88,6 +88,7 @@
     key_zipf: f64,
 }
 
+/// Retries of clients; `backoff` is "none" or a fixed wait of `backoff_us`.
 #[derive(Debug, Deserialize)]
 struct DayClients {
     retries: u32,
@@ -97,6 +98,7 @@
     backoff_us: f64,
 }
 
+/// The node list.
 #[derive(Debug, Deserialize)]
 struct Discovery {
     /// Delay with which the node list shows changes.
@@ -115,8 +117,10 @@
     worth: f64,
     #[serde(default)]
     late_worth: f64,
+    /// "safe", "keyed" or another value for requests that must not run twice.
     effect: String,
     #[serde(default)]
+    /// Group that deduplicates keyed requests: "zone", "cell" or another value for all servers.
     group: String,
     #[serde(default)]
     window: f64,
@@ -126,16 +130,21 @@
 #[derive(Debug, Deserialize)]
 struct Tier {
     kinds: Vec<DayKind>,
+    /// Work of a new connection, in microseconds of a core of speed 1.
     #[serde(default)]
     handshake_work: f64,
+    /// Work of a load probe, in the same unit.
     #[serde(default)]
     probe_work: f64,
     conn_cap_per_core: f64,
     report_period: f64,
+    /// Share of the capacity at the start that conductors are configured with.
     stated_cold_from: f64,
+    /// Time until a server is warm that conductors are configured with.
     stated_cold: f64,
 }
 
+/// A kind of servers; see `server::Spec` for the parameters of the same name.
 #[derive(Debug, Deserialize)]
 struct DayKind {
     cores: u32,
@@ -147,9 +156,11 @@
     cold: f64,
     #[serde(default)]
     error_rate: f64,
+    /// Which requests a cancel ends: "none", "all" or another value for queued ones.
     cancel: String,
 }
 
+/// A server; `tier`, `zone` and `kind` are indices, `kind` within the tier.
 #[derive(Debug, Deserialize)]
 struct DayServer {
     tier: usize,
@@ -157,6 +168,7 @@
     kind: usize,
     speed: f64,
     weight: f64,
+    /// True if it runs from the start.
     up: bool,
 }
 
@@ -172,13 +184,16 @@
 struct DayFault {
     kind: String,
     at: f64,
+    /// Duration.
     len: f64,
     size: f64,
     extra: f64,
+    /// Indices of the servers that it affects.
     #[serde(default)]
     on: Vec<usize>,
     #[serde(default)]
     which: usize,
+    /// Steps of a release or of growth.
     #[serde(default)]
     steps: Vec<DayStep>,
     /// Variant of the kind; `None` for the usual one.
@@ -186,6 +201,7 @@
     how: Option<String>,
 }
 
+/// A step of a release; `at` counts from the start of the day, `stop` and `start` hold indices of servers.
 #[derive(Debug, Deserialize)]
 struct DayStep {
     at: f64,
@@ -193,29 +209,48 @@
     start: Vec<usize>,
 }
 
+/// Parameters of the channel, the proxies and the conductors.
 #[derive(Debug, Deserialize)]
 struct Family {
+    /// Unit of admission levels: "rate" (requests per second) or another value for shares.
     admit: String,
     #[serde(default)]
     affinity_gain: f64,
+    /// Time span of key affinity, in seconds.
     #[serde(default)]
     affinity_s: f64,
+    /// Maximum number of lines that wait in the channel.
     backlog: f64,
+    /// Maximum time that a connected proxy may be without a server.
     bare: f64,
+    /// Zone of each conductor.
     controllers: Vec<u32>,
+    /// Time for which a proxy avoids a server after `ejects` consecutive failures.
     eject: f64,
     ejects: u32,
+    /// Lines that the head of a message counts as.
     head: f64,
+    /// Constant delay of reports.
     heard_late: f64,
+    /// Reports per second that a conductor accepts.
     intake: f64,
+    /// A quarter of the maximum transit time of an order.
     late: f64,
+    /// Maximum number of orders per proxy and window; 0 means unlimited.
     messages_most: u32,
+    /// Interval of reports.
     period: f64,
+    /// How proxies pick a server: "round", "two" or another value for a weighted random choice.
     pick: String,
+    /// Lines per second of the channel.
     rate: f64,
+    /// Wait before a broken stream is dialled again.
     redial: f64,
+    /// Not supported above 0.
     slices: u32,
+    /// Maximum number of servers in a standing table.
     standing: usize,
+    /// The usual resend policy, as the number of a `v1::Resend`.
     #[serde(default)]
     usual_how: i32,
 }
--- a/crates/stepspur-emulator/tests/days.rs
+++ b/crates/stepspur-emulator/tests/days.rs
@@ -1,4 +1,5 @@
-//! Small days through a real conductor inside this process, and files that are none.
+//! Scenario files and day files of the bench: runs of small ones through a real conductor inside this process, and the
+//! rejection of invalid ones.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -9,24 +10,26 @@
 use stepspur_emulator::scenario::{self, BAD_DAY, Scenario};
 use stepspur_emulator::{Launcher, Report, play, replay};
 
-const SMALL: &str = include_str!("data/small.toml");
+const SMALL_SCENARIO: &str = include_str!("data/small.toml");
 
 fn plan(faults: &str) -> Plan {
-    Scenario::parse("small", &format!("{SMALL}\n{faults}")).unwrap().plan("small").unwrap()
+    Scenario::parse("small", &format!("{SMALL_SCENARIO}\n{faults}")).unwrap().plan("small").unwrap()
 }
 
-async fn played(plan: Plan) -> Report {
+async fn run_plan(plan: Plan) -> Report {
     play(plan, Launcher::Inside, None).await.unwrap()
 }
 
-/// A machine that is too slow for a day says nothing of the rules; it must not fail the tests either.
-fn kept(report: &Report) -> bool {
+/// True if no rule was broken. A void run, on a machine that is too slow, proves nothing about the rules and must not
+/// fail the test.
+fn rules_hold_or_void(report: &Report) -> bool {
     report.kept() || report.void.is_some()
 }
 
-/// A release, a hang, a deaf proxy and a kill in overlap: rules kept, nearly all served.
+/// Guards against faults that are handled one by one but not together: a release, hanging servers, proxies that do not
+/// read and a killed conductor overlap. No rule may be broken, and less than a fifth of the requests may fail.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_small_bad_day_keeps_the_rules() {
+async fn overlapping_faults_break_no_rule() {
     let faults = r#"
         [[fault]]
         kind = "release"
@@ -50,30 +53,33 @@
         at = "1500ms"
         lasts = "500ms"
     "#;
-    let report = played(plan(faults)).await;
-    assert!(kept(&report), "{:#?}", report.rules);
+    let report = run_plan(plan(faults)).await;
+    assert!(rules_hold_or_void(&report), "{:#?}", report.rules);
     let (asked, failed) = report.classes.iter().fold((0, 0), |(a, f), c| (a + c.asked, f + c.failed));
     assert!(asked > 100 && (failed * 5 < asked || report.void.is_some()) && report.orders > 0, "{report:#?}");
 }
 
-/// Sabotage: the conductor is told that writes are safe to repeat, servers lose answers. The judge must see it.
+/// Guards against a check of rule 2 that cannot fail: the conductor is configured to treat writes as safe to repeat, and
+/// servers lose answers, so that proxies send writes again. The check must report it.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_conductor_that_orders_writes_again_breaks_the_rule() {
+async fn resending_writes_is_found_as_a_violation_of_rule_2() {
     let mut plan = plan("");
     plan.config.fleet.classes[1].effect = EffectConfig::ReadLike;
     let trouble = Trouble::LoseAnswers(vec![0, 1, 2, 3, 4, 5], 0.1, true);
     plan.strikes =
         vec![Strike { name: String::new(), at: Duration::ZERO, lasts: Duration::from_secs(9), trouble }];
-    let report = played(plan).await;
+    let report = run_plan(plan).await;
     let once = report.rules.iter().find(|r| r.rule == Rule::Once).unwrap();
     assert!(!once.kept && once.broken.as_ref().unwrap().what.contains("may have run it"), "{once:?}");
 }
 
+/// Guards against scenario files that no longer parse, and against paragraphs of the on-call page without a scenario
+/// that trains them, or the reverse.
 #[test]
-fn the_bad_day_and_all_rehearsals_are_sound() {
+fn all_scenario_files_are_valid_and_cover_the_on_call_page() {
     let plan = Scenario::parse("bad day", BAD_DAY).unwrap().plan("bad day").unwrap();
     assert!(plan.strikes.len() >= 6 && plan.servers.len() > 18);
-    let mut trained = BTreeSet::new();
+    let mut trained_paragraphs = BTreeSet::new();
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/../../rehearsals");
     for file in std::fs::read_dir(folder).unwrap() {
         let path = file.unwrap().path();
@@ -82,19 +88,20 @@
         }
         let scenario = Scenario::read(&path).unwrap();
         scenario.plan("file").unwrap_or_else(|e| panic!("{}: {e}", path.display()));
-        trained.insert(scenario.trains);
+        trained_paragraphs.insert(scenario.trains);
     }
-    // Each paragraph on a kind of trouble has its rehearsal; a panic of the decision code cannot be forced.
+    // Each paragraph on a kind of fault needs a scenario, except for a panic of the decision code, which no scenario can
+    // cause.
     let on_call = include_str!("../../../docs/on-call.md");
     let paragraphs =
         on_call.lines().filter_map(|line| line.strip_prefix("**")?.split_once("**").map(|p| p.0));
     for paragraph in paragraphs.filter(|p| !p.contains("internal_error")) {
-        assert!(trained.remove(paragraph), "no rehearsal trains: {paragraph}");
+        assert!(trained_paragraphs.remove(paragraph), "no scenario trains: {paragraph}");
     }
-    assert!(trained.iter().all(String::is_empty), "no such paragraph: {trained:?}");
+    assert!(trained_paragraphs.iter().all(String::is_empty), "no such paragraph: {trained_paragraphs:?}");
 }
 
-/// The published schema is that of this program.
+/// Guards against a published JSON schema that lags behind the types, including their doc comments.
 #[test]
 fn the_published_schema_is_current() {
     let published: serde_json::Value =
@@ -102,13 +109,14 @@
     assert_eq!(
         published,
         serde_json::to_value(scenario::schema()).unwrap(),
-        "write it anew: rehearse --schema"
+        "update the file with the output of `rehearse --schema`"
     );
 }
 
-/// Draws come from the seed alone: the same again, others with another seed, all within their bounds.
+/// Guards against drawn faults that are not reproducible or exceed their bounds: the same seed must draw the same
+/// faults, another seed others, and all must lie within the bounds of the draw.
 #[test]
-fn drawn_faults_follow_the_seed() {
+fn drawn_faults_depend_on_the_seed() {
     let text = include_str!("../../../rehearsals/drawn.toml");
     let strikes = |seed| {
         let mut scenario = Scenario::parse("drawn", text).unwrap();
@@ -127,31 +135,31 @@
     }
 }
 
-/// A fault's scope: server, cell, zone, kind.
+/// Guards against faults that affect targets outside their scope: a server, a zone, a cell, or a kind.
 #[test]
-fn faults_strike_within_their_scope() {
+fn faults_affect_only_targets_in_their_scope() {
     let fleet = include_str!("../../../rehearsals/zone-cut.toml");
     let cases = [
         ("server = 5", 1),
         ("share = 1.0\nzone = \"west\"", 8),
         ("share = 1.0\nzone = \"west\"\ncell = 1", 4),
     ];
-    let struck = |scope: &str| {
+    let targets = |scope: &str| {
         let text = format!("{fleet}\n[[fault]]\nkind = \"hang\"\nat = \"1s\"\nlasts = \"1s\"\n{scope}");
         let plan = Scenario::parse("F", &text).unwrap().plan("F").unwrap();
         let Trouble::Hang(servers) = plan.strikes.last().unwrap().trouble.clone() else { panic!() };
         (servers, plan)
     };
-    for (scope, many) in cases {
-        assert_eq!(struck(scope).0.len(), many, "{scope}");
+    for (scope, count) in cases {
+        assert_eq!(targets(scope).0.len(), count, "{scope}");
     }
-    let (small, plan) = struck("share = 1.0\nof_kind = \"small\"");
+    let (small, plan) = targets("share = 1.0\nof_kind = \"small\"");
     assert!(!small.is_empty() && small.iter().all(|k| plan.servers[*k].spec.cores == 2));
 }
 
-/// Each mistake is named, with its line or its key.
+/// Guards against mistakes in scenarios that are ignored or cannot be found: each error names the line or the key.
 #[test]
-fn a_scenario_with_a_mistake_is_refused_with_its_place() {
+fn an_invalid_scenario_is_rejected_with_its_line_or_key() {
     let cases = [
         ("[[fault]]\nkind = \"burst\"\nat = \"1s\"\nlasts = \"1s\"\ntimse = 2.0", "timse"),
         ("[[fault]]\nkind = \"brust\"\nat = \"1s\"\nlasts = \"1s\"", "brust"),
@@ -167,21 +175,21 @@
         ("[conductor.channel]\nlines_per_s = -1.0", "conductor.channel.lines_per_s"),
     ];
     for (text, expected) in cases {
-        let whole = format!("{SMALL}\n{text}");
-        let error = match Scenario::parse("F", &whole).and_then(|s| s.plan("F")) {
-            Ok(_) => panic!("{text} is no mistake"),
+        let text_with_mistake = format!("{SMALL_SCENARIO}\n{text}");
+        let error = match Scenario::parse("F", &text_with_mistake).and_then(|s| s.plan("F")) {
+            Ok(_) => panic!("accepted although invalid: {text}"),
             Err(error) => error.to_string(),
         };
         assert!(error.contains(expected), "{error}");
         if expected.len() == 5 {
-            let line = whole.lines().position(|l| l.contains(expected)).unwrap() + 1;
+            let line = text_with_mistake.lines().position(|l| l.contains(expected)).unwrap() + 1;
             assert!(error.contains(&format!("line {line}")), "{error}");
         }
     }
 }
 
-/// A day file as the simulator words it, written for this test.
-fn day(troubles: serde_json::Value) -> serde_json::Value {
+/// A day file in the format of the simulator, with the given faults.
+fn day_file(troubles: serde_json::Value) -> serde_json::Value {
     let server = |k: usize, up: bool| serde_json::json!({"tier": 0, "zone": k % 2, "kind": k % 2, "cell": 0, "speed": 1.0 + k as f64 / 100.0, "weight": 2.0, "up": up});
     let servers: Vec<_> = (0..40).map(|k| server(k, k < 36)).collect();
     let proxies: Vec<_> = (0..60)
@@ -208,15 +216,17 @@
     })
 }
 
+/// Guards against day files that lose their load or their faults when they are scaled down: a quarter of the day must
+/// keep its proportions, list what it cannot play, and run without a broken rule.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_bench_day_is_played_at_its_scale() {
+async fn a_day_file_runs_at_the_given_scale() {
     let troubles = serde_json::json!([
         {"kind": "deploy", "at": 2e5, "len": 2e6, "tier": 0, "size": 0.1, "extra": 0.5, "on": [], "which": 0, "steps": [
             {"at": 2e5, "stop": [0, 1], "start": [36, 37]}, {"at": 9e5, "stop": [2, 3], "start": [38, 39]}]},
         {"kind": "hang", "at": 5e5, "len": 1e6, "tier": 0, "size": 0.0, "extra": 0.0, "on": [4, 5, 6, 7, 8, 9], "which": 0, "steps": []},
         {"kind": "meteor", "at": 5e5, "len": 1e6, "tier": 0, "size": 0.0, "extra": 0.0, "on": [], "which": 0, "steps": []},
     ]);
-    let replayed = replay::read(&day(troubles).to_string(), Some(0.25)).unwrap();
+    let replayed = replay::read(&day_file(troubles).to_string(), Some(0.25)).unwrap();
     assert!(replayed.left_out.iter().any(|what| what.contains("meteor")), "{:?}", replayed.left_out);
     let plan = replayed.plan;
     assert_eq!((plan.proxies.len(), plan.strikes.len()), (16, 2));
@@ -226,29 +236,30 @@
         plan.servers.len(),
         plan.rate
     );
-    let report = played(plan).await;
-    assert!(kept(&report) && (report.service > 0.5 || report.void.is_some()), "{report:#?}");
+    let report = run_plan(plan).await;
+    assert!(rules_hold_or_void(&report) && (report.service > 0.5 || report.void.is_some()), "{report:#?}");
 }
 
-/// Every kind that a day may name has its counterpart.
+/// Guards against kinds of faults that are left out: each kind that a day file may contain is converted.
 #[test]
-fn every_known_kind_of_trouble_is_mapped() {
+fn every_known_kind_of_fault_is_converted() {
     let kinds = "vanish hang fast_errors pauses report_late burst heavy_tail zone_loss zone_cut deploy discovery_down \
         origin_slow counter_down grow mass_restart slow_link shift handshake_slow false_reports answer_lost conn_squeeze";
     for kind in kinds.split_whitespace().chain(["wrong_list"]) {
         let how = if kind == "wrong_list" { "shrink" } else { "pair" };
         let trouble = serde_json::json!([{"kind": kind, "at": 1e6, "len": 1e6, "tier": 0, "size": 0.5, "extra": 0.5,
             "on": [], "which": 1, "steps": [], "how": how}]);
-        let replayed = replay::read(&day(trouble).to_string(), None).unwrap();
+        let replayed = replay::read(&day_file(trouble).to_string(), None).unwrap();
         assert!(!replayed.left_out.iter().any(|what| what.contains(kind)), "{:?}", replayed.left_out);
         assert!(!replayed.plan.strikes.is_empty(), "{kind}");
     }
 }
 
+/// Guards against day files that are invalid or not supported and run nevertheless.
 #[test]
-fn what_is_no_day_is_refused_with_its_place() {
+fn an_invalid_day_file_is_rejected_with_its_cause() {
     let with = |change: &dyn Fn(&mut serde_json::Value)| {
-        let mut day = day(serde_json::json!([]));
+        let mut day = day_file(serde_json::json!([]));
         change(&mut day);
         replay::read(&day.to_string(), None).map(|_| ()).unwrap_err().to_string()
     };
@@ -256,5 +267,5 @@
     assert!(with(&|d| d["fam"]["slices"] = 5.into()).contains("slices"));
     assert!(with(&|d| d["servers"][0]["zone"] = 9.into()).contains("zone"));
     assert!(with(&|d| d["servers"][0]["kind"] = 9.into()).contains("kinds"));
-    assert!(replay::read(&day(serde_json::json!([])).to_string(), Some(0.0)).is_err());
+    assert!(replay::read(&day_file(serde_json::json!([])).to_string(), Some(0.0)).is_err());
 }
--- a/crates/stepspur-emulator/tests/emulator.rs
+++ b/crates/stepspur-emulator/tests/emulator.rs
@@ -1,4 +1,4 @@
-//! The hard cases of the emulator, by sockets: each failure is brought about, and the guard against it shown.
+//! Faults in the emulator with real sockets: each test causes a failure and checks the guard against it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,24 +21,26 @@
 use tokio_util::sync::CancellationToken;
 use tower_service::Service;
 
-const SMALL: &str = include_str!("data/small.toml");
+const SMALL_SCENARIO: &str = include_str!("data/small.toml");
 
 fn plan(faults: &str) -> Plan {
-    Scenario::parse("small", &format!("{SMALL}\n{faults}")).unwrap().plan("small").unwrap()
+    Scenario::parse("small", &format!("{SMALL_SCENARIO}\n{faults}")).unwrap().plan("small").unwrap()
 }
 
-async fn played(plan: Plan) -> Report {
+async fn run_plan(plan: Plan) -> Report {
     timeout(Duration::from_secs(60), play(plan, Launcher::Inside, None)).await.unwrap().unwrap()
 }
 
-/// A machine that is too slow for a day says nothing of the rules; it must not fail the tests either.
-fn sound(report: &Report) -> bool {
+/// True if no rule was broken and all expectations were met. A void run, on a machine that is too slow, proves nothing
+/// and must not fail the test.
+fn passes_or_void(report: &Report) -> bool {
     report.void.is_some() || report.kept() && report.met()
 }
 
-/// Each fault on a small day: rules kept, and what the day expects is met.
+/// Guards against faults that break a rule or lose more requests than expected: each fault runs in a small scenario,
+/// with a bound on lost requests and no server failing from overload.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_small_day_survives_each_hard_case() {
+async fn a_small_scenario_meets_its_expectations_under_each_fault() {
     let cases = [
         (
             "a node that accepts and never answers",
@@ -69,36 +71,38 @@
             0.1,
         ),
     ];
-    // Side by side: each needs little of a machine, and most of its time is waiting.
-    let mut days = tokio::task::JoinSet::new();
+    // The runs are concurrent, as each mostly waits.
+    let mut runs = tokio::task::JoinSet::new();
     for (name, fault, lost) in cases {
         let fault = format!("[[fault]]\n{fault}\n[[expect]]\nlost_at_most = {lost}\nfallen_at_most = 0");
-        days.spawn(async move { (name, played(plan(&fault)).await, fault) });
+        runs.spawn(async move { (name, run_plan(plan(&fault)).await, fault) });
     }
-    let mut again = Vec::new();
-    while let Some(day) = days.join_next().await {
-        let (name, report, fault) = day.unwrap();
+    let mut to_repeat = Vec::new();
+    while let Some(run) = runs.join_next().await {
+        let (name, report, fault) = run.unwrap();
         assert!(report.void.is_some() || report.kept(), "{name}: {:#?}", report.rules);
         assert!(report.classes.iter().all(|c| c.asked > 10) && !report.series.samples.is_empty(), "{name}");
-        again.extend((!sound(&report)).then_some((name, fault)));
+        to_repeat.extend((!passes_or_void(&report)).then_some((name, fault)));
     }
-    // Side by side on a busy machine a day may lose more than it expects, though no rule: it is played again alone.
-    for (name, fault) in again {
-        let report = played(plan(&fault)).await;
-        assert!(sound(&report), "{name}: {:#?} {:#?}", report.rules, report.expectations);
+    // Concurrent runs on a busy machine may lose more requests than expected, but may not break a rule. Such a run is
+    // repeated alone and must then pass.
+    for (name, fault) in to_repeat {
+        let report = run_plan(plan(&fault)).await;
+        assert!(passes_or_void(&report), "{name}: {:#?} {:#?}", report.rules, report.expectations);
     }
 }
 
-/// All servers of a zone restart within a second under load. With the guard none falls over; where the conductor
-/// is told that servers start warm, the fleet rushes them and they do.
+/// Guards against traffic that overloads cold servers: all servers of a zone restart within a second under load. With
+/// the guard none fails. A conductor that is configured as if servers started warm sends them full traffic, and some
+/// fail, which the check of rule 4 must report.
 #[tokio::test(flavor = "multi_thread")]
-async fn rushed_cold_servers_fall_over_without_the_guard_and_not_with_it() {
+async fn cold_servers_fail_from_overload_only_without_the_guard() {
     let text = include_str!("../../../rehearsals/zone-restart.toml");
-    let day = |guarded: bool| {
+    let plan_with = |guarded: bool| {
         let mut scenario = Scenario::parse("zone restart", text).unwrap();
         scenario.length = Duration::from_secs(12);
         scenario.faults[0].at = Duration::from_secs(2);
-        // Well on either side of the edge, so that no machine's timing decides.
+        // Far enough from the limit on both sides that the timing of the machine does not decide.
         scenario.rate = 220.0;
         scenario.kinds.iter_mut().for_each(|kind| kind.server.cold_from = 0.02);
         scenario.phases.clear();
@@ -111,21 +115,25 @@
         }
         plan
     };
-    let guarded = played(day(true)).await;
+    let guarded = run_plan(plan_with(true)).await;
     assert!(
         guarded.void.is_some() || guarded.kept() && guarded.fallen == 0,
         "{} {:#?}",
         guarded.fallen,
         guarded.rules
     );
-    let rushed = played(day(false)).await;
-    println!("fallen: {} with the guard, {} without", guarded.fallen, rushed.fallen);
-    let fresh = rushed.rules.iter().find(|v| v.rule == Rule::Fresh).unwrap();
-    assert!(rushed.void.is_some() || rushed.fallen > 0 && !fresh.kept, "{} {fresh:?}", rushed.fallen);
+    let unguarded = run_plan(plan_with(false)).await;
+    println!("fallen: {} with the guard, {} without", guarded.fallen, unguarded.fallen);
+    let fresh = unguarded.rules.iter().find(|v| v.rule == Rule::Fresh).unwrap();
+    assert!(
+        unguarded.void.is_some() || unguarded.fallen > 0 && !fresh.kept,
+        "{} {fresh:?}",
+        unguarded.fallen
+    );
 }
 
-/// A node of its own on a socket, with its trace.
-async fn node(spec: Spec) -> (Arc<Node>, Arc<Trace>, Arc<Links>, CancellationToken) {
+/// Starts a single server on a socket, and returns it with its trace, links and stop token once it accepts connections.
+async fn start_node(spec: Spec) -> (Arc<Node>, Arc<Trace>, Arc<Links>, CancellationToken) {
     let mut plan = plan("");
     plan.servers[0].spec = spec;
     let (trace, links, stop) =
@@ -142,7 +150,14 @@
     (node, trace, links, stop)
 }
 
-async fn ask(to: SocketAddr, zone: usize, id: u64, attempt: u32, work: f64) -> std::io::Result<Vec<u8>> {
+/// Sends a request to a server as proxy 0 of a zone, and returns the raw response.
+async fn send_request(
+    to: SocketAddr,
+    zone: usize,
+    id: u64,
+    attempt: u32,
+    work: f64,
+) -> std::io::Result<Vec<u8>> {
     let uri = format!("http://{to}/request").parse().unwrap();
     let mut stream = Dial(source_address(zone, 0)).call(uri).await?.into_inner();
     let head = format!(
@@ -158,14 +173,14 @@
     Ok(answer)
 }
 
-/// Given up while it runs and sent elsewhere, the first still takes effect: the trace tells both, and the judge
-/// finds them though nobody waited for the first.
+/// Guards against effects that stay hidden: a request times out while it runs and is sent again. The first attempt still
+/// takes effect, so the trace must show both, and rule 2 must be reported although nobody waited for the first.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_cancel_after_the_work_began_hides_no_effect() {
-    let (node, trace, _, stop) = node(Spec { cores: 2, ..Spec::default() }).await;
-    let given_up = timeout(Duration::from_millis(60), ask(node.address, 0, 7, 0, 200_000.0)).await;
+async fn the_effect_of_a_request_that_is_cancelled_while_it_runs_is_recorded() {
+    let (node, trace, _, stop) = start_node(Spec { cores: 2, ..Spec::default() }).await;
+    let given_up = timeout(Duration::from_millis(60), send_request(node.address, 0, 7, 0, 200_000.0)).await;
     assert!(given_up.is_err());
-    let answer = ask(node.address, 0, 7, 1, 1000.0).await.unwrap();
+    let answer = send_request(node.address, 0, 7, 1, 1000.0).await.unwrap();
     assert!(answer.starts_with(b"HTTP/1.1 200"));
     tokio::time::sleep(Duration::from_millis(300)).await;
     stop.cancel();
@@ -178,30 +193,32 @@
     assert!(breaks.iter().any(|b| b.rule == Rule::Once), "{breaks:?}");
 }
 
-/// Over a cut link a dial fails as a dial, what stands is held, and one who has gone leaves nothing behind.
+/// Guards against links that do not act as configured: a slow link must delay a request by its round trips, a dial over
+/// a cut link must fail, and bytes sent into a cut link by a sender that closes must not arrive later.
 #[tokio::test(flavor = "multi_thread")]
-async fn links_are_slow_and_cut_as_told() {
-    let (node, trace, links, stop) = node(Spec::default()).await;
-    let begun = Instant::now();
-    ask(node.address, 1, 1, 0, 1000.0).await.unwrap();
-    let quick = begun.elapsed();
+async fn links_apply_delay_and_cut() {
+    let (node, trace, links, stop) = start_node(Spec::default()).await;
+    let started = Instant::now();
+    send_request(node.address, 1, 1, 0, 1000.0).await.unwrap();
+    let quick = started.elapsed();
     links.slow(0, 1, Duration::from_millis(50), 0.0, true);
-    let begun = Instant::now();
-    ask(node.address, 1, 2, 0, 1000.0).await.unwrap();
-    assert!(begun.elapsed() >= quick.min(Duration::from_millis(50)) + Duration::from_millis(140));
-    ask(node.address, 0, 3, 0, 1000.0).await.unwrap();
+    let started = Instant::now();
+    send_request(node.address, 1, 2, 0, 1000.0).await.unwrap();
+    assert!(started.elapsed() >= quick.min(Duration::from_millis(50)) + Duration::from_millis(140));
+    send_request(node.address, 0, 3, 0, 1000.0).await.unwrap();
     links.cut_link(1, 0, true);
     assert!(
-        ask(node.address, 1, 4, 0, 1000.0).await.is_err() && ask(node.address, 0, 5, 0, 1000.0).await.is_ok()
+        send_request(node.address, 1, 4, 0, 1000.0).await.is_err()
+            && send_request(node.address, 0, 5, 0, 1000.0).await.is_ok()
     );
     links.cut_link(1, 0, false);
     stop.cancel();
-    let came = trace.take().into_iter().filter_map(|(_, e)| match e {
+    let arrived = trace.take().into_iter().filter_map(|(_, e)| match e {
         Event::Arrived(a) if a.came == Came::Taken => Some(a.request.0.0),
         _ => None,
     });
-    assert_eq!(came.collect::<Vec<_>>(), [1, 2, 3, 5]);
-    // What was sent into a cut by one who has gone since does not come when it heals.
+    assert_eq!(arrived.collect::<Vec<_>>(), [1, 2, 3, 5]);
+    // Bytes that are held by a cut link are dropped once their sender has closed, so they do not arrive later.
     let links = Links::default();
     links.cut(0, true);
     let ((mut near, a), (b, mut far)) = (tokio::io::duplex(64), tokio::io::duplex(64));
@@ -213,15 +230,15 @@
     };
     tokio::join!(carried, send);
     links.cut(0, false);
-    let mut came = Vec::new();
-    far.read_to_end(&mut came).await.unwrap();
-    assert!(came.is_empty());
+    let mut arrived = Vec::new();
+    far.read_to_end(&mut arrived).await.unwrap();
+    assert!(arrived.is_empty());
 }
 
-/// The same arrivals through a socket and in virtual time: mean times within the band that docs/rehearsal.md
-/// states (a fifth, and five milliseconds for the sockets and timers).
+/// Guards against an emulated server that differs from its model: the same arrivals through a socket and in virtual time
+/// must have mean response times within the tolerance of docs/rehearsal.md (a fifth, plus 5 ms for sockets and timers).
 #[tokio::test(flavor = "multi_thread")]
-async fn the_server_behind_a_socket_is_the_one_in_virtual_time() {
+async fn the_emulated_server_matches_the_model_in_virtual_time() {
     let spec = Spec { cores: 2, slots: 2, room: 1000, ..Spec::default() };
     let mut rng = ChaCha8Rng::seed_from_u64(4);
     let work = Work { form: Form::LogNormal, mean: 20_000.0, cv: 1.0 };
@@ -246,28 +263,29 @@
         server.offer(*at, Job(k as u64), Ask::of(*work));
     }
     collect(&mut server, u64::MAX);
-    let (node, _, _, stop) = node(spec).await;
+    let (node, _, _, stop) = start_node(spec).await;
     let (begin, address) = (Instant::now() + Duration::from_millis(50), node.address);
-    let mut asks = tokio::task::JoinSet::new();
+    let mut requests = tokio::task::JoinSet::new();
     for (k, (at, work)) in arrivals.into_iter().enumerate() {
-        asks.spawn(async move {
+        requests.spawn(async move {
             let due = begin + Duration::from_micros(at);
             tokio::time::sleep_until(due).await;
-            ask(address, 0, k as u64, 0, work).await.unwrap();
+            send_request(address, 0, k as u64, 0, work).await.unwrap();
             due.elapsed().as_micros() as f64 / 250.0
         });
     }
-    let socket_time: f64 = asks.join_all().await.into_iter().sum();
+    let socket_time: f64 = requests.join_all().await.into_iter().sum();
     stop.cancel();
     println!("mean time in virtual time {virtual_time:.0} us, by sockets {socket_time:.0} us");
     assert!(socket_time > virtual_time * 0.8, "{socket_time} {virtual_time}");
     assert!(socket_time < virtual_time * 1.2 + 5_000.0, "{socket_time} {virtual_time}");
 }
 
-/// A report of a day has all its charts, and the same data as CSV; several runs give a verdict with an interval.
+/// Guards against incomplete reports: the page must have all charts, the CSV their data, and the summary of several runs
+/// their counts and confidence intervals, without void runs.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_day_can_be_reported_and_runs_summed_up() {
-    let report = played(plan(
+async fn report_page_and_summary_are_complete() {
+    let report = run_plan(plan(
         "[[fault]]\nkind = \"burst\"\nat = \"1s\"\nlasts = \"1s\"\ntimes = 1.5\n[[phase]]\nname = \"burst\"\nfrom = \"1s\"\nuntil = \"2s\"\n\
          [[expect]]\nphase = \"burst\"\nclass = \"read\"\nin_time_at_least = 0.1\n[[expect]]\np99_at_most = \"1ms\"",
     ))
@@ -292,5 +310,5 @@
     assert_eq!((summary.seeds.len(), summary.void.len(), summary.rules[1].failed), (2, 1, 1));
     assert!(!summary.kept() && summary.service.1.is_some() && summary.expectations[1].failed == 2);
     let [low, high] = report::interval(0, 10);
-    assert!(low == 0.0 && (high - 0.3085).abs() < 1e-3, "Clopper and Pearson for none of ten: {high}");
+    assert!(low == 0.0 && (high - 0.3085).abs() < 1e-3, "Clopper-Pearson interval for 0 of 10: {high}");
 }
--- a/crates/stepspur-emulator/tests/tenants.rs
+++ b/crates/stepspur-emulator/tests/tenants.rs
@@ -1,4 +1,4 @@
-//! Memory of a conductor with many tenants. The only test of its process, as it looks at the process's memory.
+//! Memory of a conductor with many tenants. The only test in this file, as it measures the memory of its process.
 
 use std::collections::BTreeMap;
 
@@ -7,8 +7,8 @@
 use stepspur_emulator::identity::DayKeys;
 
 const EXAMPLE: &str = include_str!("../../../examples/conductor.toml");
-/// Resident bytes that one more tenant with nobody joined may cost.
-const TENANT_BYTES_MOST: u64 = 256 << 10;
+/// Maximum resident memory of a tenant without proxies, in bytes.
+const MAX_TENANT_BYTES: u64 = 256 << 10;
 
 /// Resident memory of this process, in bytes.
 fn resident() -> u64 {
@@ -27,9 +27,10 @@
     config
 }
 
-/// Each engine and each prober was given the settings of all tenants: 1,000 tenants held 2.4 GB.
+/// Guards against memory that grows with the square of the number of tenants: each engine and each prober once held the
+/// settings of all tenants, and 1,000 tenants took 2.4 GB.
 #[tokio::test]
-async fn one_more_tenant_costs_the_same_beside_many() {
+async fn memory_per_tenant_does_not_grow_with_their_number() {
     let keys = DayKeys::new().unwrap();
     let few = config(&keys, 50);
     let many = config(&keys, 400);
@@ -44,10 +45,10 @@
     for conductor in running {
         conductor.stop().await;
     }
-    let most = 400 * TENANT_BYTES_MOST;
+    let max_bytes = 400 * MAX_TENANT_BYTES;
     assert!(
-        started[1] < most,
-        "50 tenants cost {} bytes, 400 cost {}, at most {most}",
+        started[1] < max_bytes,
+        "50 tenants cost {} bytes, 400 cost {}, at most {max_bytes}",
         started[0],
         started[1]
     );
