--- a/crates/stepspur-emulator/src/clients.rs
+++ b/crates/stepspur-emulator/src/clients.rs
@@ -142,8 +142,8 @@
         if self.worth.1 > 0.0 { self.worth.0 / self.worth.1 } else { 1.0 }
     }
 
-    /// Records the final result of a request. `sent_at` is its start since the first request was due, `took` the time
-    /// until its final answer, `repeats` the number of client retries.
+    /// Records the final result of a request. `sent_at` is its start since the first request was due, `took`
+    /// the time until its final answer, `repeats` the number of client retries.
     pub fn note(
         &mut self,
         plan: &ClassPlan,
@@ -211,8 +211,8 @@
         })
     }
 
-    /// Sends requests for the length of the plan, and waits for the last answers. Returns false if it stopped early
-    /// because more than `MAX_IN_FLIGHT` requests were in flight.
+    /// Sends requests for the length of the plan, and waits for the last answers. Returns false if it stopped
+    /// early because more than `MAX_IN_FLIGHT` requests were in flight.
     pub async fn run(self: Arc<Self>, begin: Instant, stop: CancellationToken) -> bool {
         let end = begin + self.plan.length;
         let mut traffic = Traffic::new(Arc::clone(&self.plan));
@@ -250,7 +250,8 @@
         *lock(&self.fell_behind)
     }
 
-    /// Runs one request with its client retries until an answer, the deadline, or a repeat that could do harm.
+    /// Runs one request with its client retries until an answer, the deadline, or a repeat that could do
+    /// harm.
     async fn run_request(&self, proxy: Arc<Proxy>, request: ClientRequest, begin: Instant, seed: u64) {
         let class = &self.plan.classes[request.class];
         let clients = &self.plan.clients;
--- a/crates/stepspur-emulator/src/faults.rs
+++ b/crates/stepspur-emulator/src/faults.rs
@@ -171,8 +171,8 @@
         require(share, format!("{at}: `share_at_most` must be above 0 and at most 1"));
     }
 
-    /// Draws the faults. `index` is the position of this draw in the scenario; draws at other positions and faults
-    /// given one by one do not change the result.
+    /// Draws the faults. `index` is the position of this draw in the scenario; draws at other positions and
+    /// faults given one by one do not change the result.
     pub(crate) fn faults(&self, index: usize, scenario: &Scenario) -> Vec<Fault> {
         let mut rng = ChaCha8Rng::seed_from_u64(scenario.seed ^ 0xd4a3 ^ (index as u64) << 32);
         (0..self.count)
@@ -316,8 +316,8 @@
         }
     }
 
-    /// Builds a release in batches, at even intervals over its duration. Each stopped server is replaced by a cold one
-    /// of the same kind, with its speed varied by up to 5%.
+    /// Builds a release in batches, at even intervals over its duration. Each stopped server is replaced by a
+    /// cold one of the same kind, with its speed varied by up to 5%.
     fn release(
         &self,
         fault: &Fault,
@@ -361,7 +361,8 @@
 }
 
 impl Fault {
-    /// Reports each invalid, missing or inapplicable key through `require`; `at` names the fault for the message.
+    /// Reports each invalid, missing or inapplicable key through `require`; `at` names the fault for the
+    /// message.
     pub(crate) fn check(&self, at: &str, scenario: &Scenario, require: &mut impl FnMut(bool, String)) {
         let has_zone =
             |z: &Option<String>| z.as_ref().is_none_or(|z| scenario.zones.iter().any(|o| o.name == *z));
--- a/crates/stepspur-emulator/src/identity.rs
+++ b/crates/stepspur-emulator/src/identity.rs
@@ -1,4 +1,5 @@
-//! Identities of a rehearsal: a certificate authority and a signing key, in a temporary folder that is deleted with them.
+//! Identities of a rehearsal: a certificate authority and a signing key, in a temporary folder that is
+//! deleted with them.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
--- a/crates/stepspur-emulator/src/judge.rs
+++ b/crates/stepspur-emulator/src/judge.rs
@@ -1,8 +1,8 @@
 //! Checks the five rules against the recorded events, which hold only what crossed the sockets.
 //!
-//! The checker rebuilds each proxy's table from the frames that the proxy read, with code of its own, so that a fault
-//! in the shared code cannot hide a violation. Of a conductor it knows only which node lists it received. All times
-//! are from the clock of the emulator.
+//! The checker rebuilds each proxy's table from the frames that the proxy read, with code of its own, so that
+//! a fault in the shared code cannot hide a violation. Of a conductor it knows only which node lists it
+//! received. All times are from the clock of the emulator.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -29,7 +29,8 @@
     Drain,
     /// Rule 4: cold servers are not overloaded.
     Fresh,
-    /// Rule 5: few order lines wait between decision and receipt, and few orders are sent per proxy and window.
+    /// Rule 5: few order lines wait between decision and receipt, and few orders are sent per proxy and
+    /// window.
     Queue,
 }
 
@@ -118,8 +119,8 @@
     span.as_micros() as Micros
 }
 
-/// Checks events, which must be ordered by time, and returns the violations by rule. `begin` is when the first
-/// request was due.
+/// Checks events, which must be ordered by time, and returns the violations by rule. `begin` is when the
+/// first request was due.
 pub fn judge(figures: &Figures, begin: Micros, events: &[(Micros, Event)]) -> Vec<Break> {
     let mut checker = RuleChecker { figures, begin, ..RuleChecker::new(figures) };
     for (at, event) in events {
@@ -141,8 +142,8 @@
     withdrawn: BTreeSet<SocketAddr>,
     /// When its stream was welcomed; `None` while it has none.
     joined_at: Option<Micros>,
-    /// False once it stopped reading on this stream. No order reaches it then, so the rules do not hold the conductor
-    /// responsible for it.
+    /// False once it stopped reading on this stream. No order reaches it then, so the rules do not hold the
+    /// conductor responsible for it.
     reads: bool,
     /// Since when it has had no server to pick although its conductor knew a warm one.
     unserved_since: Option<Micros>,
@@ -174,10 +175,11 @@
     capacity: f64,
     /// Share of the capacity that it has at its start.
     cold_from: f64,
-    /// Time until it is warm, in microseconds; `None` if requests warm it, so that only its failure is checked.
+    /// Time until it is warm, in microseconds; `None` if requests warm it, so that only its failure is
+    /// checked.
     cold: Option<Micros>,
-    /// Work received within `fall_span`: when, how much in microseconds, and whether the conductor had the means to
-    /// hold it back.
+    /// Work received within `fall_span`: when, how much in microseconds, and whether the conductor had the
+    /// means to hold it back.
     recent_work: VecDeque<(Micros, f64, bool)>,
     /// True once an overload was attributed, so that each start counts once.
     fell: bool,
@@ -188,14 +190,15 @@
     figures: &'a Figures,
     begin: Micros,
     proxies: BTreeMap<usize, ProxyView>,
-    /// Proxies that are connected, read, and have no server to pick. Kept apart because every event checks them, and
-    /// they are few.
+    /// Proxies that are connected, read, and have no server to pick. Kept apart because every event checks
+    /// them, and they are few.
     unserved: BTreeSet<usize>,
     /// By conductor: the servers that it was shown.
     listed_servers: BTreeMap<usize, BTreeMap<SocketAddr, ListedServer>>,
     /// Servers that started cold during the rehearsal.
     cold_servers: BTreeMap<SocketAddr, ColdServer>,
-    /// By request and client's try: the last attempt whose effect took place, of classes that must not run twice.
+    /// By request and client's try: the last attempt whose effect took place, of classes that must not run
+    /// twice.
     executed: BTreeMap<(RequestId, u32), (u32, SocketAddr)>,
     /// By request and client's try: the attempts so far that may have run.
     may_have_run: BTreeMap<(RequestId, u32), Vec<(Micros, SocketAddr)>>,
@@ -367,8 +370,8 @@
         }
     }
 
-    /// Rule 1: finds connected proxies without a server to pick for longer than `unserved_max`, while their conductor
-    /// knows a warm server that is ready.
+    /// Rule 1: finds connected proxies without a server to pick for longer than `unserved_max`, while their
+    /// conductor knows a warm server that is ready.
     fn check_routes(&mut self, at: Micros) {
         if self.unserved.is_empty() {
             return;
@@ -414,8 +417,8 @@
         self.listed_servers.get(&conductor)?.get(&arrival.server)
     }
 
-    /// Rule 3: finds requests that reach a draining or removed server after the grace time. The time starts when the
-    /// conductor received the state or, if later, when the proxy joined.
+    /// Rule 3: finds requests that reach a draining or removed server after the grace time. The time starts
+    /// when the conductor received the state or, if later, when the proxy joined.
     fn check_drain(&mut self, at: Micros, arrival: &Arrival) {
         let Some(listed) = self.listed(arrival) else { return };
         let binds = match listed.state {
@@ -436,8 +439,8 @@
         }
     }
 
-    /// Rule 2, by what may have happened: finds a further attempt of a proxy after one that may have run, unless
-    /// the class allows repeats or the servers deduplicate them.
+    /// Rule 2, by what may have happened: finds a further attempt of a proxy after one that may have run,
+    /// unless the class allows repeats or the servers deduplicate them.
     fn check_resend(&mut self, at: Micros, arrival: &Arrival) {
         let (request, client_try, attempt) = arrival.request;
         let Some((effect, group, window)) = self.figures.effects.get(arrival.class).copied() else { return };
@@ -473,8 +476,8 @@
         }
     }
 
-    /// Rule 2, by what did happen: finds two attempts of one try that both ran. The servers did not deduplicate the
-    /// second, so the effect is there twice, whatever the settings say of groups and windows.
+    /// Rule 2, by what did happen: finds two attempts of one try that both ran. The servers did not
+    /// deduplicate the second, so the effect is there twice, whatever the settings say of groups and windows.
     fn check_double_execution(
         &mut self,
         at: Micros,
@@ -499,8 +502,8 @@
         }
     }
 
-    /// Rule 4: finds a cold server that receives more work within `fall_span` than `fall_multiple` times its present
-    /// capacity.
+    /// Rule 4: finds a cold server that receives more work within `fall_span` than `fall_multiple` times its
+    /// present capacity.
     fn check_cold_load(&mut self, at: Micros, arrival: &Arrival) {
         let listed = self.listed(arrival).cloned();
         let Some(cold_server) = self.cold_servers.get_mut(&arrival.server) else { return };
@@ -542,8 +545,8 @@
         }
     }
 
-    /// Counts a violation of rule 4 if two thirds of the recent work came from proxies that the conductor had the means
-    /// to hold back; otherwise the overload is not the fault of the conductor.
+    /// Counts a violation of rule 4 if two thirds of the recent work came from proxies that the conductor had
+    /// the means to hold back; otherwise the overload is not the fault of the conductor.
     fn attribute_overload(&mut self, at: Micros, server: SocketAddr) {
         let Some(cold_server) = self.cold_servers.get(&server) else { return };
         let all: f64 = cold_server.recent_work.iter().map(|p| p.1).sum();
--- a/crates/stepspur-emulator/src/lib.rs
+++ b/crates/stepspur-emulator/src/lib.rs
@@ -1,8 +1,8 @@
-//! Rehearsals: emulated servers, proxies, clients and a node list on loopback, scheduled faults, and a check of the
-//! five rules that uses only what crossed the sockets.
+//! Rehearsals: emulated servers, proxies, clients and a node list on loopback, scheduled faults, and a check
+//! of the five rules that uses only what crossed the sockets.
 //!
-//! A [`scenario::Scenario`] file or a day file of the bench ([`replay`]) becomes a [`plan::Plan`]; [`run::play`] runs
-//! it through real conductors. All measurements are of simulated servers.
+//! A [`scenario::Scenario`] file or a day file of the bench ([`replay`]) becomes a [`plan::Plan`];
+//! [`run::play`] runs it through real conductors. All measurements are of simulated servers.
 #![forbid(unsafe_code)]
 
 pub mod clients;
--- a/crates/stepspur-emulator/src/links.rs
+++ b/crates/stepspur-emulator/src/links.rs
@@ -1,4 +1,5 @@
-//! Network faults on the links between zones, including the zones of conductors. Relays ([`crate::relay`]) apply them.
+//! Network faults on the links between zones, including the zones of conductors. Relays ([`crate::relay`])
+//! apply them.
 
 use std::sync::Mutex;
 use std::time::Duration;
@@ -32,8 +33,8 @@
 pub struct Links(Mutex<State>);
 
 impl Links {
-    /// The present state of the link between two zones. Delays of overlapping faults add up; losses are independent. A
-    /// zone's link to itself has no faults.
+    /// The present state of the link between two zones. Delays of overlapping faults add up; losses are
+    /// independent. A zone's link to itself has no faults.
     pub fn between(&self, a: usize, b: usize) -> Link {
         let state = lock(&self.0);
         if a == b {
--- a/crates/stepspur-emulator/src/node.rs
+++ b/crates/stepspur-emulator/src/node.rs
@@ -86,7 +86,8 @@
 /// Deduplication memories of groups of servers, for classes with idempotency keys.
 #[derive(Debug)]
 pub struct Memories {
-    /// By class: who shares a memory, and how long it remembers in microseconds. `None` for classes without keys.
+    /// By class: who shares a memory, and how long it remembers in microseconds. `None` for classes without
+    /// keys.
     groups: Vec<Option<(GroupConfig, Micros)>>,
     /// By class and group: the requests that were seen.
     by_group: Mutex<BTreeMap<(usize, usize), Memory>>,
@@ -227,8 +228,8 @@
         self.drop_requests(&mut lock(&self.state));
     }
 
-    /// Drops all requests and connections of this incarnation, and forgets requests that did not finish, so that they
-    /// may run elsewhere.
+    /// Drops all requests and connections of this incarnation, and forgets requests that did not finish, so
+    /// that they may run elsewhere.
     fn drop_requests(&self, state: &mut State) {
         state.incarnation += 1;
         state.waiting.clear();
@@ -335,8 +336,8 @@
         }
     }
 
-    /// Listens while up. While down the address stays bound without listening, so that connections are refused and no
-    /// other process can get the port.
+    /// Listens while up. While down the address stays bound without listening, so that connections are
+    /// refused and no other process can get the port.
     async fn listen_while_up(self: Arc<Self>, first: TcpSocket) {
         let mut socket = Some(first);
         let mut up = self.up.subscribe();
@@ -380,7 +381,8 @@
         }
     }
 
-    /// Serves one connection through the relay in front of this server, which applies the link of the sender's zone.
+    /// Serves one connection through the relay in front of this server, which applies the link of the
+    /// sender's zone.
     async fn serve_connection(self: Arc<Self>, mut socket: TcpStream, peer: SocketAddr) {
         let _ = socket.set_nodelay(true);
         let proxy_zone = relay::zone_of(peer);
--- a/crates/stepspur-emulator/src/plan.rs
+++ b/crates/stepspur-emulator/src/plan.rs
@@ -1,7 +1,9 @@
-//! The plan of a rehearsal: servers, proxies, classes, traffic and faults, with all targets resolved to indices.
+//! The plan of a rehearsal: servers, proxies, classes, traffic and faults, with all targets resolved to
+//! indices.
 //!
 //! Scenario files and day files of the bench are both turned into a [`Plan`], which is all that a run needs.
-//! Doc comments of types with `JsonSchema` are published as descriptions in `rehearsals/scenario.schema.json`.
+//! Doc comments of types with `JsonSchema` are published as descriptions in
+//! `rehearsals/scenario.schema.json`.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -201,14 +203,15 @@
     Fail(Vec<usize>, f64),
     /// Servers, interval, length: the servers pause repeatedly.
     Pause(Vec<usize>, Duration, Duration),
-    /// Servers, share, by reset: the servers run this share of requests but the answers are lost, by a reset (true) or in
-    /// silence.
+    /// Servers, share, by reset: the servers run this share of requests but the answers are lost, by a reset
+    /// (true) or in silence.
     LoseAnswers(Vec<usize>, f64, bool),
     /// Servers, falsification, factor: load reports are false, and the servers are slower by this factor.
     FalseReports(Vec<usize>, Lie, f64),
     /// Servers, divisor: the connection limit is divided by this.
     FewConnections(Vec<usize>, f64),
-    /// Servers, factor, delay: new connections cost the servers more work by this factor, and take longer by the delay.
+    /// Servers, factor, delay: new connections cost the servers more work by this factor, and take longer by
+    /// the delay.
     SlowHandshakes(Vec<usize>, f64, Duration),
     /// The node list is unavailable.
     ListDown,
@@ -216,14 +219,15 @@
     WrongList(Vec<usize>),
     /// The node list contains this many servers that do not exist.
     Ghosts(usize),
-    /// Zone, with proxies: all servers of the zone stop, and start cold at the end; if true, its proxies lose their
-    /// conductors for that time.
+    /// Zone, with proxies: all servers of the zone stop, and start cold at the end; if true, its proxies lose
+    /// their conductors for that time.
     LoseZone(usize, bool),
     /// A zone is cut off from all others.
     CutZone(usize),
     /// Nothing passes between two zones.
     CutLink(usize, usize),
-    /// Zone, zone, delay, loss: the link between the zones has this extra one-way delay, and loses this share of chunks.
+    /// Zone, zone, delay, loss: the link between the zones has this extra one-way delay, and loses this share
+    /// of chunks.
     SlowLink(usize, usize, Duration, f64),
     /// Orders take longer to reach proxies by this factor.
     SlowChannel(f64),
@@ -282,8 +286,8 @@
     pub proxy: proxy::Spec,
     /// Maximum number of servers in the table that a proxy has before it joins.
     pub standing: usize,
-    /// Wait before a broken stream is dialled again; it doubles with each failed pass over all conductors, up to eight
-    /// times this value.
+    /// Wait before a broken stream is dialled again; it doubles with each failed pass over all conductors, up
+    /// to eight times this value.
     pub redial: Duration,
     /// Classes of requests; indices of classes refer to this list.
     pub classes: Vec<ClassPlan>,
--- a/crates/stepspur-emulator/src/proxy.rs
+++ b/crates/stepspur-emulator/src/proxy.rs
@@ -46,7 +46,8 @@
     pub key: Option<u64>,
     /// Work that it costs, in microseconds of a core of speed 1.
     pub work: f64,
-    /// Latency target of the class; the wait of an attempt that may be followed by another is a multiple of it.
+    /// Latency target of the class; the wait of an attempt that may be followed by another is a multiple of
+    /// it.
     pub aim: Duration,
     /// When the client abandons this try.
     pub until: Instant,
@@ -180,7 +181,8 @@
         }
     }
 
-    /// Sends one attempt to a server. A refusal or a failed connection is known not to have run; all else may have.
+    /// Sends one attempt to a server. A refusal or a failed connection is known not to have run; all else may
+    /// have.
     async fn attempt(
         &self,
         request: ClientRequest,
@@ -208,8 +210,9 @@
         }
     }
 
-    /// Keeps a stream to one of the conductors until `stop` is cancelled. `conductors` are the addresses of their
-    /// relays. After a stream breaks it dials the same conductor again, and moves to the next one when that fails.
+    /// Keeps a stream to one of the conductors until `stop` is cancelled. `conductors` are the addresses of
+    /// their relays. After a stream breaks it dials the same conductor again, and moves to the next one when
+    /// that fails.
     pub async fn run(self: Arc<Self>, conductors: Vec<SocketAddr>, stop: CancellationToken) {
         let reconnect = async {
             let (mut wait, mut at) = (self.redial, self.index % conductors.len().max(1));
--- a/crates/stepspur-emulator/src/registry.rs
+++ b/crates/stepspur-emulator/src/registry.rs
@@ -1,4 +1,5 @@
-//! The emulated node list, which faults can make unavailable or incomplete. `docs/node-list.md` describes its API.
+//! The emulated node list, which faults can make unavailable or incomplete. `docs/node-list.md` describes its
+//! API.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -80,8 +81,8 @@
         self.waiting.borrow().polls
     }
 
-    /// Waits until a long poll after the first `after` ones holds the newest version and waits for the next change. Its
-    /// conductor has then read all earlier changes, and receives the next one at once.
+    /// Waits until a long poll after the first `after` ones holds the newest version and waits for the next
+    /// change. Its conductor has then read all earlier changes, and receives the next one at once.
     pub async fn polled(&self, after: u64) {
         let version = lock(&self.state).version;
         let mut waiting = self.waiting.subscribe();
@@ -126,8 +127,8 @@
         self.version.send_replace(state.version);
     }
 
-    /// Serves the list to one conductor until `stop` is cancelled. Each conductor has a listener of its own, so that the
-    /// trace can tell which one received a response.
+    /// Serves the list to one conductor until `stop` is cancelled. Each conductor has a listener of its own,
+    /// so that the trace can tell which one received a response.
     pub async fn serve(self: Arc<Self>, conductor: usize, listener: TcpListener, stop: CancellationToken) {
         let router = Router::new().route("/v1/nodes", get(list_endpoints)).with_state((self, conductor));
         let serve = axum::serve(listener, router).into_future();
@@ -148,7 +149,8 @@
         Ok(EndpointListResponse { version: state.version, nodes: Some(nodes), changes: None })
     }
 
-    /// The changes since a version, or the full list if the version is unknown or too old; `None` if nothing changed.
+    /// The changes since a version, or the full list if the version is unknown or too old; `None` if nothing
+    /// changed.
     fn changes_since(&self, version: u64) -> Result<Option<EndpointListResponse>, StatusCode> {
         let state = lock(&self.state);
         if state.down {
--- a/crates/stepspur-emulator/src/relay.rs
+++ b/crates/stepspur-emulator/src/relay.rs
@@ -1,10 +1,11 @@
 //! Relays that emulate the network between zones, in this process and on loopback.
 //!
-//! A proxy dials from an address that encodes its zone ([`source_address`]), so that the accepting side knows the link
-//! between them. A relay forwards bytes in order. Each chunk is delayed as its link says; a lost chunk is delivered
-//! after a retransmission timeout, as with TCP. While a link is cut nothing passes, and held bytes are dropped once
-//! the sender has closed. The relay in front of a server answers each dial of a proxy with one byte. The byte replaces
-//! the TCP handshake, which this process cannot hold back, so that a dial over a cut link fails as a dial.
+//! A proxy dials from an address that encodes its zone ([`source_address`]), so that the accepting side knows
+//! the link between them. A relay forwards bytes in order. Each chunk is delayed as its link says; a lost
+//! chunk is delivered after a retransmission timeout, as with TCP. While a link is cut nothing passes, and
+//! held bytes are dropped once the sender has closed. The relay in front of a server answers each dial of a
+//! proxy with one byte. The byte replaces the TCP handshake, which this process cannot hold back, so that a
+//! dial over a cut link fails as a dial.
 
 use std::future::Future;
 use std::io;
@@ -41,7 +42,8 @@
 /// Interval at which a relay checks whether a cut link is restored.
 const CUT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The address that a proxy dials from; its third octet is the zone (modulo 250). All of 127.0.0.0/8 is loopback.
+/// The address that a proxy dials from; its third octet is the zone (modulo 250). All of 127.0.0.0/8 is
+/// loopback.
 pub fn source_address(zone: usize, proxy: usize) -> Ipv4Addr {
     Ipv4Addr::new(127, 1, (zone % 250) as u8, (proxy % 200 + 1) as u8)
 }
@@ -94,8 +96,8 @@
     }
 }
 
-/// Answers a proxy's dial after a round trip over its link. Returns false if the dial must fail: the link is cut, the
-/// first packet is `lost`, or the proxy has closed.
+/// Answers a proxy's dial after a round trip over its link. Returns false if the dial must fail: the link is
+/// cut, the first packet is `lost`, or the proxy has closed.
 pub async fn open(socket: &mut TcpStream, link: Link, lost: bool) -> bool {
     if link.cut || lost {
         // The dial times out before its first packet would be sent again.
@@ -106,9 +108,9 @@
     socket.write_all(&[OPEN_BYTE]).await.is_ok()
 }
 
-/// Forwards bytes in both directions between the dialling side (`near`) and the answering side (`far`); `link` is read
-/// for every chunk. Returns when either side has closed. Chunks in flight from `far` are still delivered, those from
-/// `near` are dropped.
+/// Forwards bytes in both directions between the dialling side (`near`) and the answering side (`far`);
+/// `link` is read for every chunk. Returns when either side has closed. Chunks in flight from `far` are still
+/// delivered, those from `near` are dropped.
 pub async fn carry<N, F>(near: N, far: F, link: impl Fn() -> Link, seed: u64)
 where
     N: AsyncRead + AsyncWrite,
@@ -175,8 +177,8 @@
     }
 }
 
-/// Runs the relay in front of a conductor, whose address stays the same over restarts of the conductor. Cutting the
-/// link breaks its streams and refuses new ones.
+/// Runs the relay in front of a conductor, whose address stays the same over restarts of the conductor.
+/// Cutting the link breaks its streams and refuses new ones.
 pub async fn relay_to_conductor(
     listener: TcpListener,
     conductor: watch::Receiver<Option<SocketAddr>>,
--- a/crates/stepspur-emulator/src/replay.rs
+++ b/crates/stepspur-emulator/src/replay.rs
@@ -1,9 +1,9 @@
-//! Day files of the bench: converts a file, as the `draw` command of the simulator prints it, to a [`Plan`] of a size
-//! that one machine can run.
+//! Day files of the bench: converts a file, as the `draw` command of the simulator prints it, to a [`Plan`]
+//! of a size that one machine can run.
 //!
-//! Every kind of fault is converted to one that the emulator can play, or listed in [`Replayed::left_out`]; none is
-//! dropped silently. Servers and proxies are thinned evenly, and the request rate in proportion, so that the load per
-//! server stays as drawn. Times in day files are in microseconds unless noted.
+//! Every kind of fault is converted to one that the emulator can play, or listed in [`Replayed::left_out`];
+//! none is dropped silently. Servers and proxies are thinned evenly, and the request rate in proportion, so
+//! that the load per server stays as drawn. Times in day files are in microseconds unless noted.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -38,7 +38,8 @@
     pub plan: Plan,
     /// Share of the servers, proxies and traffic of the day that the plan keeps, above 0 and at most 1.
     pub scale: f64,
-    /// Zone indices of the conductors of the day. The emulation with sockets runs one conductor, in the first of them.
+    /// Zone indices of the conductors of the day. The emulation with sockets runs one conductor, in the first
+    /// of them.
     pub conductor_zones: Vec<usize>,
     /// Constant delay of reports. The emulation with sockets ignores it.
     pub reports_late: Duration,
@@ -48,7 +49,8 @@
     pub left_out_by_sockets: Vec<String>,
 }
 
-/// A day file. Field names are those of the file, which the simulator defines; fields without use here are not read.
+/// A day file. Field names are those of the file, which the simulator defines; fields without use here are
+/// not read.
 #[derive(Debug, Deserialize)]
 struct Day {
     site: String,
@@ -179,7 +181,8 @@
     weight: f64,
 }
 
-/// A fault. The meaning of `size`, `extra` and `which` depends on its kind: see [`PlanBuilder::convert_fault`].
+/// A fault. The meaning of `size`, `extra` and `which` depends on its kind: see
+/// [`PlanBuilder::convert_fault`].
 #[derive(Debug, Deserialize)]
 struct DayFault {
     kind: String,
@@ -535,8 +538,8 @@
         strikes
     }
 
-    /// Converts the kind of a fault; `None` if the emulator cannot play it. `how` is the variant, empty for the usual
-    /// one. Zones and classes in `which` wrap around.
+    /// Converts the kind of a fault; `None` if the emulator cannot play it. `how` is the variant, empty for
+    /// the usual one. Zones and classes in `which` wrap around.
     fn convert_fault(&mut self, fault: &DayFault, how: &str, servers: Vec<usize>) -> Option<Trouble> {
         let (day, size, extra) = (self.day, fault.size, fault.extra);
         let zones = day.zones.len();
@@ -619,7 +622,8 @@
     &day.tiers[server.tier].kinds[server.kind]
 }
 
-/// Keeps a share of each group, at least one member, at even intervals; returns the retained indices in order.
+/// Keeps a share of each group, at least one member, at even intervals; returns the retained indices in
+/// order.
 fn thin_evenly<G: Ord>(groups: impl Iterator<Item = G>, scale: f64) -> Vec<usize> {
     let mut seen: BTreeMap<G, usize> = BTreeMap::new();
     let mut retained = Vec::new();
--- a/crates/stepspur-emulator/src/report.rs
+++ b/crates/stepspur-emulator/src/report.rs
@@ -1,4 +1,5 @@
-//! Reports of rehearsals: a page of tables and charts for one run, and a summary with confidence intervals for several.
+//! Reports of rehearsals: a page of tables and charts for one run, and a summary with confidence intervals
+//! for several.
 
 use serde::Serialize;
 use statrs::distribution::{Beta, ContinuousCDF, StudentsT};
@@ -9,7 +10,8 @@
 use crate::run::Report;
 use crate::series::STEP;
 
-/// How often a rule or an expectation failed over several runs, with the 95% confidence interval of its probability.
+/// How often a rule or an expectation failed over several runs, with the 95% confidence interval of its
+/// probability.
 #[derive(Clone, Debug, Serialize)]
 pub struct Chance {
     /// The rule or expectation.
--- a/crates/stepspur-emulator/src/run/conductors.rs
+++ b/crates/stepspur-emulator/src/run/conductors.rs
@@ -66,7 +66,8 @@
         self.trace.note(Event::Conductor { conductor, up: false });
     }
 
-    /// Terminates a conductor gracefully, so that it sends `Goodbye` to its proxies, and starts it again at once.
+    /// Terminates a conductor gracefully, so that it sends `Goodbye` to its proxies, and starts it again at
+    /// once.
     pub(super) async fn restart_conductor(&self, conductor: usize) {
         let slot = &self.conductors[conductor];
         let running = slot.running.lock().await.take();
--- a/crates/stepspur-emulator/src/run/error.rs
+++ b/crates/stepspur-emulator/src/run/error.rs
@@ -16,7 +16,8 @@
     /// The key folder of the rehearsal cannot be created.
     #[error("cannot create the keys of the rehearsal: {0}")]
     Keys(#[from] KeyError),
-    /// The plan has more servers and proxies (in this order) than can be emulated with sockets on one machine.
+    /// The plan has more servers and proxies (in this order) than can be emulated with sockets on one
+    /// machine.
     #[error(
         "{0} servers and {1} proxies are too many for sockets on one machine: run the plan in virtual time"
     )]
--- a/crates/stepspur-emulator/src/run/evaluation.rs
+++ b/crates/stepspur-emulator/src/run/evaluation.rs
@@ -14,7 +14,8 @@
 use crate::series::{self, Series};
 use crate::trace::{Event, lock};
 
-/// Checks the five rules and the expectations, and builds the report. All tasks and conductors must have ended.
+/// Checks the five rules and the expectations, and builds the report. All tasks and conductors must have
+/// ended.
 pub(super) fn evaluate(world: &World, recording: &Recording) -> Report {
     let plan = &world.plan;
     let outcomes = lock(&world.clients.outcomes);
@@ -55,8 +56,8 @@
     Rule::ALL.into_iter().map(verdict).collect()
 }
 
-/// A fault's name with its start and end in seconds since the first request was due. The end is capped at the end
-/// of the plan.
+/// A fault's name with its start and end in seconds since the first request was due. The end is capped at the
+/// end of the plan.
 fn fault_band(plan: &Plan, strike: &Strike) -> (String, Range<f64>) {
     let begin = strike.at.as_secs_f64();
     let end = (begin + strike.lasts.as_secs_f64()).min(plan.length.as_secs_f64().max(begin));
@@ -77,7 +78,8 @@
     }
 }
 
-/// Says why the result is void: too many requests in flight, or timers that fired too late. `None` if it counts.
+/// Says why the result is void: too many requests in flight, or timers that fired too late. `None` if it
+/// counts.
 fn void_reason(recording: &Recording) -> Option<String> {
     let lag @ TimerLag { p99, max } = recording.timer_lag;
     (!recording.requests_fit || lag.is_excessive())
--- a/crates/stepspur-emulator/src/run/faults.rs
+++ b/crates/stepspur-emulator/src/run/faults.rs
@@ -218,8 +218,8 @@
         proxies.for_each(|proxy| set_cut_off(proxy, lost));
     }
 
-    /// The running servers of a zone if it is lost; otherwise the servers to start again: those that are down and ran
-    /// when the rehearsal began.
+    /// The running servers of a zone if it is lost; otherwise the servers to start again: those that are down
+    /// and ran when the rehearsal began.
     fn servers_to_toggle(&self, zone: usize, lost: bool) -> impl Iterator<Item = usize> + '_ {
         let in_state = move |node: &Arc<Node>| node.zone == zone && node.is_up() == lost;
         let up_from_start = |index: usize| self.plan.servers[index].up;
@@ -228,8 +228,8 @@
     }
 }
 
-/// Cuts a proxy off from all conductors, or reverts that. Overlapping faults are counted: the proxy connects again
-/// when the last one ends.
+/// Cuts a proxy off from all conductors, or reverts that. Overlapping faults are counted: the proxy connects
+/// again when the last one ends.
 fn set_cut_off(proxy: &Proxy, on: bool) {
     proxy.change_faults(|faults| {
         faults.cut_off = if on { faults.cut_off + 1 } else { faults.cut_off.saturating_sub(1) }
--- a/crates/stepspur-emulator/src/run/mod.rs
+++ b/crates/stepspur-emulator/src/run/mod.rs
@@ -1,9 +1,9 @@
 //! Runs a plan in real time: emulated servers, proxies and clients on loopback, real conductors, faults on
 //! schedule, and a report with the verdicts on the five rules.
 //!
-//! [`play`] is the entry point. `setup` builds the `World` of a rehearsal; `faults`, `releases`, `servers` and
-//! `conductors` change it while clients send requests; `sampling` observes it; `evaluation` and `expectations` make
-//! the [`Report`] from the recording.
+//! [`play`] is the entry point. `setup` builds the `World` of a rehearsal; `faults`, `releases`, `servers`
+//! and `conductors` change it while clients send requests; `sampling` observes it; `evaluation` and
+//! `expectations` make the [`Report`] from the recording.
 
 mod conductors;
 mod error;
--- a/crates/stepspur-emulator/src/run/releases.rs
+++ b/crates/stepspur-emulator/src/run/releases.rs
@@ -26,8 +26,8 @@
     async fn release_step(self: &Arc<Self>, drain: Duration, step: &Step) {
         step.stop.iter().for_each(|server| self.drain_server(*server));
         step.start.iter().for_each(|server| self.start_server(*server));
-        // The node list lags by `list_delay`; the wait includes it, so that the list shows a server as draining for the
-        // whole drain time.
+        // The node list lags by `list_delay`; the wait includes it, so that the list shows a server as
+        // draining for the whole drain time.
         sleep(self.plan.list_delay + drain).await;
         step.stop.iter().for_each(|server| self.stop_server(*server));
     }
--- a/crates/stepspur-emulator/src/run/report.rs
+++ b/crates/stepspur-emulator/src/run/report.rs
@@ -75,7 +75,8 @@
     pub bands: Vec<(String, Range<f64>)>,
     /// Planned time over real time while requests were sent: 1 unless the machine fell behind.
     pub pace: f64,
-    /// CPU time in seconds of the emulator (this process), and of conductors that run as processes of their own.
+    /// CPU time in seconds of the emulator (this process), and of conductors that run as processes of their
+    /// own.
     pub cpu_s: [f64; 2],
     /// Samples over time, for the charts.
     #[serde(skip)]
--- a/crates/stepspur-emulator/src/run/sampling.rs
+++ b/crates/stepspur-emulator/src/run/sampling.rs
@@ -156,7 +156,8 @@
         }
     }
 
-    /// The share of a class's requests that a proxy's admission level admits; a rate is converted with `usual_rate`.
+    /// The share of a class's requests that a proxy's admission level admits; a rate is converted with
+    /// `usual_rate`.
     fn admitted_share(&self, model: &ProxyModel, class: usize) -> f64 {
         match model.level(class).and_then(|level| level.admit) {
             None => 1.0,
--- a/crates/stepspur-emulator/src/run/setup.rs
+++ b/crates/stepspur-emulator/src/run/setup.rs
@@ -77,7 +77,8 @@
         Ok(Arc::new(world))
     }
 
-    /// Lists the servers that run from the start as ready, so that conductors find them in their first response.
+    /// Lists the servers that run from the start as ready, so that conductors find them in their first
+    /// response.
     fn list_initial_nodes(&self) {
         let running = self.nodes.iter().filter(|node| node.is_up());
         self.registry.set(running.map(|node| self.record(node, EndpointRecordState::Ready, 0)));
@@ -151,8 +152,8 @@
         (0..self.plan.proxies.len()).map(make).collect()
     }
 
-    /// Creates the slot of each conductor, with its node list and the relay in front of it. Returns the slots and the
-    /// addresses of the relays, which proxies dial.
+    /// Creates the slot of each conductor, with its node list and the relay in front of it. Returns the slots
+    /// and the addresses of the relays, which proxies dial.
     async fn create_conductor_slots(
         &self,
         config: &Config,
@@ -167,7 +168,8 @@
         Ok((slots, relay_addresses))
     }
 
-    /// Serves the node list to one conductor on a port of its own, and returns the matching `source` settings.
+    /// Serves the node list to one conductor on a port of its own, and returns the matching `source`
+    /// settings.
     async fn serve_node_list(&self, conductor: usize, config: &Config) -> std::io::Result<Source> {
         let listener = TcpListener::bind(ANY_PORT).await?;
         let source = Source::Http {
@@ -199,8 +201,8 @@
     }
 }
 
-/// The table that a proxy uses until it joins: a random sample of the running servers of its zone, or of all zones
-/// if fewer than [`STANDING_TABLE_MIN_LOCAL`] run in its own.
+/// The table that a proxy uses until it joins: a random sample of the running servers of its zone, or of all
+/// zones if fewer than [`STANDING_TABLE_MIN_LOCAL`] run in its own.
 fn standing_table(plan: &Plan, nodes: &[Arc<Node>], zone: usize, rng: &mut ChaCha8Rng) -> Vec<SocketAddr> {
     let running = nodes.iter().filter(|node| node.is_up());
     let local: Vec<_> = running.clone().filter(|node| node.zone == zone).map(|node| node.address).collect();
--- a/crates/stepspur-emulator/src/run/timer_lag.rs
+++ b/crates/stepspur-emulator/src/run/timer_lag.rs
@@ -1,4 +1,5 @@
-//! Measures how late the timers of this machine fire. If they are too late, the result of the rehearsal is void.
+//! Measures how late the timers of this machine fire. If they are too late, the result of the rehearsal is
+//! void.
 
 use std::time::Duration;
 
--- a/crates/stepspur-emulator/src/run/world.rs
+++ b/crates/stepspur-emulator/src/run/world.rs
@@ -38,7 +38,8 @@
     pub active_faults: Mutex<Vec<String>>,
     /// Samples taken so far, one every [`STEP`](crate::series::STEP).
     pub samples: Mutex<Vec<Sample>>,
-    /// CPU time in seconds of conductors that have ended; counts only those that ran as processes of their own.
+    /// CPU time in seconds of conductors that have ended; counts only those that ran as processes of their
+    /// own.
     pub conductor_cpu_s: Mutex<f64>,
     /// Tasks of servers, proxies, relays, node lists and observers.
     pub tasks: TaskTracker,
--- a/crates/stepspur-emulator/src/scenario.rs
+++ b/crates/stepspur-emulator/src/scenario.rs
@@ -1,6 +1,7 @@
 //! Scenario files: the description of a rehearsal in TOML. `rehearsals/` holds examples.
 //!
-//! Doc comments of types with `JsonSchema` are published as descriptions in `rehearsals/scenario.schema.json`.
+//! Doc comments of types with `JsonSchema` are published as descriptions in
+//! `rehearsals/scenario.schema.json`.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -487,8 +488,8 @@
 
     /// Builds the server with this index; `up` says whether it runs from the start.
     pub(crate) fn server(&self, index: usize, up: bool, rng: &mut ChaCha8Rng) -> ServerPlan {
-        // Kinds follow a low-discrepancy sequence (golden ratio) instead of random draws, so that a small fleet has all
-        // kinds in proportion to their shares.
+        // Kinds follow a low-discrepancy sequence (golden ratio) instead of random draws, so that a small
+        // fleet has all kinds in proportion to their shares.
         let all: f64 = self.kinds.iter().map(|k| k.share).sum();
         let mut at = (index as f64 * 0.618_034).fract() * all;
         let found = self.kinds.iter().position(|k| {
@@ -561,7 +562,8 @@
     }
 }
 
-/// Builds a conductor's settings from the fleet and the defaults; values in `overrides` replace them key by key.
+/// Builds a conductor's settings from the fleet and the defaults; values in `overrides` replace them key by
+/// key.
 ///
 /// # Errors
 /// A message with the key of the first invalid setting.
--- a/crates/stepspur-emulator/src/series.rs
+++ b/crates/stepspur-emulator/src/series.rs
@@ -1,4 +1,5 @@
-//! Time series of a rehearsal: samples of servers and proxies every half second, for charts and the live display.
+//! Time series of a rehearsal: samples of servers and proxies every half second, for charts and the live
+//! display.
 
 use std::time::Duration;
 
--- a/crates/stepspur-emulator/src/trace.rs
+++ b/crates/stepspur-emulator/src/trace.rs
@@ -62,15 +62,16 @@
     Told { conductor: usize, whole: bool, nodes: Arc<Vec<EndpointRecord>> },
     /// A conductor has ended, or is being started.
     Conductor { conductor: usize, up: bool },
-    /// A server started cold. `capacity` is the work that it does per second when warm, in seconds of work; `cold_from`
-    /// the share of it that it has at the start; `cold` the time until it is warm, in microseconds, or `None` if requests
-    /// warm it: then the trace shows an overload only by its failure.
+    /// A server started cold. `capacity` is the work that it does per second when warm, in seconds of work;
+    /// `cold_from` the share of it that it has at the start; `cold` the time until it is warm, in
+    /// microseconds, or `None` if requests warm it: then the trace shows an overload only by its failure.
     ServerStarted { server: SocketAddr, capacity: f64, cold_from: f64, cold: Option<Micros> },
     /// A server failed from overload.
     Fell { server: SocketAddr },
     /// A request reached a server.
     Arrived(Arrival),
-    /// A server finished the work of a request: its effect has taken place, whether or not anybody still waits for it.
+    /// A server finished the work of a request: its effect has taken place, whether or not anybody still
+    /// waits for it.
     Ran { server: SocketAddr, request: (RequestId, u32, u32), class: usize },
 }
 
@@ -102,7 +103,8 @@
         self.base + instant.saturating_duration_since(self.from).as_micros() as Micros
     }
 
-    /// Converts microseconds since the Unix epoch to an instant; times before the start of the trace give its start.
+    /// Converts microseconds since the Unix epoch to an instant; times before the start of the trace give its
+    /// start.
     pub fn instant(&self, at: Micros) -> Instant {
         self.from + Duration::from_micros(at.saturating_sub(self.base))
     }
@@ -121,7 +123,8 @@
     }
 }
 
-/// Locks a mutex and ignores poisoning: a panic while it was held does not invalidate the data of a rehearsal.
+/// Locks a mutex and ignores poisoning: a panic while it was held does not invalidate the data of a
+/// rehearsal.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/stepspur-emulator/src/traffic.rs
+++ b/crates/stepspur-emulator/src/traffic.rs
@@ -1,6 +1,7 @@
 //! Draws the requests of clients from the seed of the plan: time, proxy, class, key and work.
 //!
-//! Uses neither sockets nor a clock, so that the emulator and the simulation of the fleet draw the same requests.
+//! Uses neither sockets nor a clock, so that the emulator and the simulation of the fleet draw the same
+//! requests.
 
 use std::sync::Arc;
 
--- a/crates/stepspur-emulator/src/usage.rs
+++ b/crates/stepspur-emulator/src/usage.rs
@@ -12,7 +12,8 @@
 }
 
 impl Usage {
-    /// Reads the usage of a process. Assumes clock ticks of 10 ms and pages of 4 KiB, as on all supported Linux systems.
+    /// Reads the usage of a process. Assumes clock ticks of 10 ms and pages of 4 KiB, as on all supported
+    /// Linux systems.
     ///
     /// # Errors
     /// If there is no such process, or `/proc` is missing or unreadable.
--- a/crates/stepspur-emulator/tests/days.rs
+++ b/crates/stepspur-emulator/tests/days.rs
@@ -1,5 +1,5 @@
-//! Scenario files and day files of the bench: runs of small ones through a real conductor inside this process, and the
-//! rejection of invalid ones.
+//! Scenario files and day files of the bench: runs of small ones through a real conductor inside this
+//! process, and the rejection of invalid ones.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -20,14 +20,15 @@
     play(plan, Launcher::Inside, None).await.unwrap()
 }
 
-/// True if no rule was broken. A void run, on a machine that is too slow, proves nothing about the rules and must not
-/// fail the test.
+/// True if no rule was broken. A void run, on a machine that is too slow, proves nothing about the rules and
+/// must not fail the test.
 fn rules_hold_or_void(report: &Report) -> bool {
     report.kept() || report.void.is_some()
 }
 
-/// Guards against faults that are handled one by one but not together: a release, hanging servers, proxies that do not
-/// read and a killed conductor overlap. No rule may be broken, and less than a fifth of the requests may fail.
+/// Guards against faults that are handled one by one but not together: a release, hanging servers, proxies
+/// that do not read and a killed conductor overlap. No rule may be broken, and less than a fifth of the
+/// requests may fail.
 #[tokio::test(flavor = "multi_thread")]
 async fn overlapping_faults_break_no_rule() {
     let faults = r#"
@@ -59,8 +60,8 @@
     assert!(asked > 100 && (failed * 5 < asked || report.void.is_some()) && report.orders > 0, "{report:#?}");
 }
 
-/// Guards against a check of rule 2 that cannot fail: the conductor is configured to treat writes as safe to repeat, and
-/// servers lose answers, so that proxies send writes again. The check must report it.
+/// Guards against a check of rule 2 that cannot fail: the conductor is configured to treat writes as safe to
+/// repeat, and servers lose answers, so that proxies send writes again. The check must report it.
 #[tokio::test(flavor = "multi_thread")]
 async fn resending_writes_is_found_as_a_violation_of_rule_2() {
     let mut plan = plan("");
@@ -73,8 +74,8 @@
     assert!(!once.kept && once.broken.as_ref().unwrap().what.contains("may have run it"), "{once:?}");
 }
 
-/// Guards against scenario files that no longer parse, and against paragraphs of the on-call page without a scenario
-/// that trains them, or the reverse.
+/// Guards against scenario files that no longer parse, and against paragraphs of the on-call page without a
+/// scenario that trains them, or the reverse.
 #[test]
 fn all_scenario_files_are_valid_and_cover_the_on_call_page() {
     let plan = Scenario::parse("bad day", BAD_DAY).unwrap().plan("bad day").unwrap();
@@ -90,8 +91,8 @@
         scenario.plan("file").unwrap_or_else(|e| panic!("{}: {e}", path.display()));
         trained_paragraphs.insert(scenario.trains);
     }
-    // Each paragraph on a kind of fault needs a scenario, except for a panic of the decision code, which no scenario can
-    // cause.
+    // Each paragraph on a kind of fault needs a scenario, except for a panic of the decision code, which no
+    // scenario can cause.
     let on_call = include_str!("../../../docs/on-call.md");
     let paragraphs =
         on_call.lines().filter_map(|line| line.strip_prefix("**")?.split_once("**").map(|p| p.0));
@@ -113,8 +114,8 @@
     );
 }
 
-/// Guards against drawn faults that are not reproducible or exceed their bounds: the same seed must draw the same
-/// faults, another seed others, and all must lie within the bounds of the draw.
+/// Guards against drawn faults that are not reproducible or exceed their bounds: the same seed must draw the
+/// same faults, another seed others, and all must lie within the bounds of the draw.
 #[test]
 fn drawn_faults_depend_on_the_seed() {
     let text = include_str!("../../../rehearsals/drawn.toml");
@@ -157,7 +158,8 @@
     assert!(!small.is_empty() && small.iter().all(|k| plan.servers[*k].spec.cores == 2));
 }
 
-/// Guards against mistakes in scenarios that are ignored or cannot be found: each error names the line or the key.
+/// Guards against mistakes in scenarios that are ignored or cannot be found: each error names the line or the
+/// key.
 #[test]
 fn an_invalid_scenario_is_rejected_with_its_line_or_key() {
     let cases = [
@@ -216,8 +218,8 @@
     })
 }
 
-/// Guards against day files that lose their load or their faults when they are scaled down: a quarter of the day must
-/// keep its proportions, list what it cannot play, and run without a broken rule.
+/// Guards against day files that lose their load or their faults when they are scaled down: a quarter of the
+/// day must keep its proportions, list what it cannot play, and run without a broken rule.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_day_file_runs_at_the_given_scale() {
     let troubles = serde_json::json!([
--- a/crates/stepspur-emulator/tests/emulator.rs
+++ b/crates/stepspur-emulator/tests/emulator.rs
@@ -31,14 +31,14 @@
     timeout(Duration::from_secs(60), play(plan, Launcher::Inside, None)).await.unwrap().unwrap()
 }
 
-/// True if no rule was broken and all expectations were met. A void run, on a machine that is too slow, proves nothing
-/// and must not fail the test.
+/// True if no rule was broken and all expectations were met. A void run, on a machine that is too slow,
+/// proves nothing and must not fail the test.
 fn passes_or_void(report: &Report) -> bool {
     report.void.is_some() || report.kept() && report.met()
 }
 
-/// Guards against faults that break a rule or lose more requests than expected: each fault runs in a small scenario,
-/// with a bound on lost requests and no server failing from overload.
+/// Guards against faults that break a rule or lose more requests than expected: each fault runs in a small
+/// scenario, with a bound on lost requests and no server failing from overload.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_small_scenario_meets_its_expectations_under_each_fault() {
     let cases = [
@@ -84,17 +84,17 @@
         assert!(report.classes.iter().all(|c| c.asked > 10) && !report.series.samples.is_empty(), "{name}");
         to_repeat.extend((!passes_or_void(&report)).then_some((name, fault)));
     }
-    // Concurrent runs on a busy machine may lose more requests than expected, but may not break a rule. Such a run is
-    // repeated alone and must then pass.
+    // Concurrent runs on a busy machine may lose more requests than expected, but may not break a rule. Such
+    // a run is repeated alone and must then pass.
     for (name, fault) in to_repeat {
         let report = run_plan(plan(&fault)).await;
         assert!(passes_or_void(&report), "{name}: {:#?} {:#?}", report.rules, report.expectations);
     }
 }
 
-/// Guards against traffic that overloads cold servers: all servers of a zone restart within a second under load. With
-/// the guard none fails. A conductor that is configured as if servers started warm sends them full traffic, and some
-/// fail, which the check of rule 4 must report.
+/// Guards against traffic that overloads cold servers: all servers of a zone restart within a second under
+/// load. With the guard none fails. A conductor that is configured as if servers started warm sends them full
+/// traffic, and some fail, which the check of rule 4 must report.
 #[tokio::test(flavor = "multi_thread")]
 async fn cold_servers_fail_from_overload_only_without_the_guard() {
     let text = include_str!("../../../rehearsals/zone-restart.toml");
@@ -132,7 +132,8 @@
     );
 }
 
-/// Starts a single server on a socket, and returns it with its trace, links and stop token once it accepts connections.
+/// Starts a single server on a socket, and returns it with its trace, links and stop token once it accepts
+/// connections.
 async fn start_node(spec: Spec) -> (Arc<Node>, Arc<Trace>, Arc<Links>, CancellationToken) {
     let mut plan = plan("");
     plan.servers[0].spec = spec;
@@ -173,8 +174,9 @@
     Ok(answer)
 }
 
-/// Guards against effects that stay hidden: a request times out while it runs and is sent again. The first attempt still
-/// takes effect, so the trace must show both, and rule 2 must be reported although nobody waited for the first.
+/// Guards against effects that stay hidden: a request times out while it runs and is sent again. The first
+/// attempt still takes effect, so the trace must show both, and rule 2 must be reported although nobody
+/// waited for the first.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_effect_of_a_request_that_is_cancelled_while_it_runs_is_recorded() {
     let (node, trace, _, stop) = start_node(Spec { cores: 2, ..Spec::default() }).await;
@@ -193,8 +195,9 @@
     assert!(breaks.iter().any(|b| b.rule == Rule::Once), "{breaks:?}");
 }
 
-/// Guards against links that do not act as configured: a slow link must delay a request by its round trips, a dial over
-/// a cut link must fail, and bytes sent into a cut link by a sender that closes must not arrive later.
+/// Guards against links that do not act as configured: a slow link must delay a request by its round trips, a
+/// dial over a cut link must fail, and bytes sent into a cut link by a sender that closes must not arrive
+/// later.
 #[tokio::test(flavor = "multi_thread")]
 async fn links_apply_delay_and_cut() {
     let (node, trace, links, stop) = start_node(Spec::default()).await;
@@ -218,7 +221,8 @@
         _ => None,
     });
     assert_eq!(arrived.collect::<Vec<_>>(), [1, 2, 3, 5]);
-    // Bytes that are held by a cut link are dropped once their sender has closed, so they do not arrive later.
+    // Bytes that are held by a cut link are dropped once their sender has closed, so they do not arrive
+    // later.
     let links = Links::default();
     links.cut(0, true);
     let ((mut near, a), (b, mut far)) = (tokio::io::duplex(64), tokio::io::duplex(64));
@@ -235,8 +239,9 @@
     assert!(arrived.is_empty());
 }
 
-/// Guards against an emulated server that differs from its model: the same arrivals through a socket and in virtual time
-/// must have mean response times within the tolerance of docs/rehearsal.md (a fifth, plus 5 ms for sockets and timers).
+/// Guards against an emulated server that differs from its model: the same arrivals through a socket and in
+/// virtual time must have mean response times within the tolerance of docs/rehearsal.md (a fifth, plus 5 ms
+/// for sockets and timers).
 #[tokio::test(flavor = "multi_thread")]
 async fn the_emulated_server_matches_the_model_in_virtual_time() {
     let spec = Spec { cores: 2, slots: 2, room: 1000, ..Spec::default() };
@@ -281,8 +286,8 @@
     assert!(socket_time < virtual_time * 1.2 + 5_000.0, "{socket_time} {virtual_time}");
 }
 
-/// Guards against incomplete reports: the page must have all charts, the CSV their data, and the summary of several runs
-/// their counts and confidence intervals, without void runs.
+/// Guards against incomplete reports: the page must have all charts, the CSV their data, and the summary of
+/// several runs their counts and confidence intervals, without void runs.
 #[tokio::test(flavor = "multi_thread")]
 async fn report_page_and_summary_are_complete() {
     let report = run_plan(plan(
--- a/crates/stepspur-emulator/tests/judge.rs
+++ b/crates/stepspur-emulator/tests/judge.rs
@@ -1,5 +1,5 @@
-//! Checks of the five rules on hand-written traces. Guards against checks that cannot fail or are off by a limit: for each
-//! rule one trace lies just within the limit and another just beyond it.
+//! Checks of the five rules on hand-written traces. Guards against checks that cannot fail or are off by a
+//! limit: for each rule one trace lies just within the limit and another just beyond it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -47,7 +47,8 @@
     Event::Arrived(Arrival { server: server(k), proxy, request, class, work, came })
 }
 
-/// Initial events, in milliseconds: two warm servers are listed, and proxy 0 joins with a standing table of both.
+/// Initial events, in milliseconds: two warm servers are listed, and proxy 0 joins with a standing table of
+/// both.
 fn initial_events() -> Vec<(u64, Event)> {
     let nodes = [node(1, EndpointRecordState::Ready, 0), node(2, EndpointRecordState::Ready, 0)];
     vec![
@@ -58,7 +59,8 @@
     ]
 }
 
-/// The rules that a trace violates: the initial events followed by `events`, with times in milliseconds since `BEGIN`.
+/// The rules that a trace violates: the initial events followed by `events`, with times in milliseconds since
+/// `BEGIN`.
 fn violated_rules(change: impl FnOnce(&mut Plan), events: Vec<(u64, Event)>) -> Vec<Rule> {
     let mut plan = plan();
     change(&mut plan);
@@ -85,7 +87,8 @@
         violated_rules(unchanged, vec![(100, all_out), (2000, Event::Up { proxy: 9, conductor: 0 })]),
         [Rule::Route]
     );
-    // The rule does not apply while the stream is broken, while no server is ready, or while all ready servers are cold.
+    // The rule does not apply while the stream is broken, while no server is ready, or while all ready
+    // servers are cold.
     let left = vec![
         (100, order(0, 90, &[(1, 0.0), (2, 0.0)])),
         (200, Event::Down { proxy: 0 }),
@@ -142,8 +145,8 @@
     }
 }
 
-/// Guards against trust in the settings: even where group and window allow a repeat, two effects of one try are a
-/// violation.
+/// Guards against trust in the settings: even where group and window allow a repeat, two effects of one try
+/// are a violation.
 #[test]
 fn rule_2_two_effects_of_one_try_are_found_despite_deduplication_settings() {
     let keyed = |p: &mut Plan| {
@@ -184,7 +187,8 @@
     let alone = |p: &mut Plan| p.rules.drain_binds_alone = true;
     assert_eq!(violated_rules(alone, after(EndpointRecordState::Gone, 5000)), []);
     assert_eq!(violated_rules(alone, after(EndpointRecordState::Draining, 5000)), [Rule::Drain]);
-    // No violation if the server is ready again, or the proxy joined after the list, is not joined, or does not read.
+    // No violation if the server is ready again, or the proxy joined after the list, is not joined, or does
+    // not read.
     let with = |at, event| {
         let mut events = after(EndpointRecordState::Draining, 3000);
         events.insert(1, (at, event));
@@ -197,7 +201,8 @@
     assert_eq!(violated_rules(unchanged, with(2500, Event::Up { proxy: 0, conductor: 0 })), []);
     assert_eq!(violated_rules(unchanged, with(200, Event::Down { proxy: 0 })), []);
     assert_eq!(violated_rules(unchanged, with(200, Event::Reads { proxy: 0, on: false })), []);
-    // A full list without one of two servers removes it; a list without both is taken for a fault of the list.
+    // A full list without one of two servers removes it; a list without both is taken for a fault of the
+    // list.
     let lacks = |nodes: &[EndpointRecord]| {
         vec![(100, list_sent(true, nodes)), (3000, arrived(0, 1, (7, 0, 0), 0, 1.0, Came::Taken))]
     };
--- a/crates/stepspur-emulator/tests/registry.rs
+++ b/crates/stepspur-emulator/tests/registry.rs
@@ -1,5 +1,5 @@
-//! Guards against measurements that start before a conductor has read the node list: `Registry::polled` must return only
-//! once a long poll holds the newest version and waits for the next change.
+//! Guards against measurements that start before a conductor has read the node list: `Registry::polled` must
+//! return only once a long poll holds the newest version and waits for the next change.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/stepspur-emulator/tests/tenants.rs
+++ b/crates/stepspur-emulator/tests/tenants.rs
@@ -1,4 +1,5 @@
-//! Memory of a conductor with many tenants. The only test in this file, as it measures the memory of its process.
+//! Memory of a conductor with many tenants. The only test in this file, as it measures the memory of its
+//! process.
 
 use std::collections::BTreeMap;
 
@@ -27,8 +28,8 @@
     config
 }
 
-/// Guards against memory that grows with the square of the number of tenants: each engine and each prober once held the
-/// settings of all tenants, and 1,000 tenants took 2.4 GB.
+/// Guards against memory that grows with the square of the number of tenants: each engine and each prober
+/// once held the settings of all tenants, and 1,000 tenants took 2.4 GB.
 #[tokio::test]
 async fn memory_per_tenant_does_not_grow_with_their_number() {
     let keys = DayKeys::new().unwrap();
