--- a/crates/stepspur-emulator/src/registry.rs
+++ b/crates/stepspur-emulator/src/registry.rs
@@ -20,7 +20,7 @@
 
 use crate::trace::{Event, Trace, lock};
 
-/// A long poll for changes since a version this many versions back gets the full list instead.
+/// A long poll for changes since a version that is further back than this gets the full list instead.
 const MAX_VERSIONS_BEHIND: u64 = 1000;
 
 /// The contents of the list and the faults that act on it.
