--- a/crates/stepspur-scale/src/fleet/changes/tests.rs
+++ b/crates/stepspur-scale/src/fleet/changes/tests.rs
@@ -1,4 +1,4 @@
-//! Schedules as they are drawn.
+//! Tests of the drawn schedule of changes.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,21 +17,21 @@
 }
 
 #[test]
-fn every_change_is_sound_and_changes_something() {
+fn every_drawn_change_is_valid_and_changes_its_key() {
     let plan = plan();
     let mut schedule = Schedule::new(Arc::clone(&plan), 5);
-    let mut stands: BTreeMap<Key, Option<Setting>> = BTreeMap::new();
+    let mut in_effect: BTreeMap<Key, Option<Setting>> = BTreeMap::new();
     let mut changes = schedule.preload();
     changes.extend((0..2_000).map(|_| schedule.draw()));
     for change in changes {
         change.check().unwrap();
-        let before = stands.insert(change.key(), change.setting).flatten();
+        let before = in_effect.insert(change.key(), change.setting).flatten();
         assert_ne!(before, change.setting, "{change:?}");
     }
 }
 
 #[test]
-fn a_real_conductor_has_one_document_for_each_class_and_knows_its_servers() {
+fn a_real_conductor_has_one_document_per_class_and_holds_only_its_own_servers() {
     let plan = plan();
     let mut schedule = Schedule::new(Arc::clone(&plan), 5);
     let mut changes = schedule.preload();
@@ -49,21 +49,21 @@
 }
 
 #[test]
-fn a_server_of_a_conductor_is_held_once() {
+fn a_conductor_has_at_most_one_held_server() {
     let plan = plan();
     let mut schedule = Schedule::new(Arc::clone(&plan), 5);
     let first = schedule.hold_for(3);
     let Target::Server(server) = first.target else { panic!("{first:?}") };
     assert!(plan.services[plan.conductors[3].services[0]].servers.contains(&server));
     assert!(plan.conductors[3].interest.covers(&first.scope) && first.setting.is_some());
-    // It stays held: whatever comes next is a level.
+    // The server is still held, so the next change is a level.
     let second = schedule.hold_for(3);
     assert!(matches!(second.setting, Some(Setting::LevelPpm(_))), "{second:?}");
     assert!(plan.conductors[3].interest.covers(&second.scope));
 }
 
 #[test]
-fn proposals_name_no_key_twice_and_keep_the_order() {
+fn proposals_contain_no_key_twice_and_keep_the_order() {
     let plan = plan();
     let mut schedule = Schedule::new(Arc::clone(&plan), 5);
     let changes: Vec<_> = (0..500).map(|_| schedule.draw()).collect();
--- a/crates/stepspur-scale/src/fleet/faults.rs
+++ b/crates/stepspur-scale/src/fleet/faults.rs
@@ -1,4 +1,5 @@
-//! Faults, drawn from the seed: each a phase with changes going on, after which everybody must be level.
+//! Faults, drawn from the seed. Each is a phase in which changes continue and after which all conductors must
+//! catch up.
 
 #[cfg(test)]
 mod tests;
@@ -11,46 +12,47 @@
 use rand::RngExt;
 use tokio::time::sleep;
 
-use super::cluster::by_process;
-use super::history::{Cut, Down, SubscriberId, now};
-use super::judge::ORDERED_WITHIN;
-use super::real::Held;
-use super::run::{Draw, LEVEL_TIMEOUT, Run};
+use super::checker::ORDER_DEADLINE_US;
+use super::cluster::process_indices;
+use super::history::{Downtime, RegionCut, SubscriberId, now};
+use super::real::DocumentStatus;
+use super::run::{CATCH_UP_TIMEOUT, Draw, Run};
 use crate::hollow_conductors::message::Command;
 
-/// Changes a second while a fault lasts.
+/// Changes a second during a fault.
 const PACE_PER_S: f64 = 1.0;
-/// A control member that was killed is started again after so many changes.
+/// Changes made before a killed control member is started again.
 const CHANGES_WHILE_DOWN: usize = 8;
-/// Changes before and after.
+/// Changes made before a fault, and again after it.
 const CHANGES_AROUND: usize = 3;
-/// A region is cut off, and all control members are down, for so long.
-pub(super) const OUTAGE: Duration = Duration::from_secs(30);
-/// The leader is killed so long after a change was proposed: while it is being agreed on.
-const MID_CHANGE: Duration = Duration::from_millis(2);
-/// One conductor in so many is restarted, of the hollow ones and of the real ones.
+/// Default time for which a region is cut off, and for which all control members are down.
+pub(super) const DEFAULT_OUTAGE: Duration = Duration::from_secs(30);
+/// Delay between a proposal and the kill of the leader, short enough for the proposal to be still
+/// uncommitted.
+const LEADER_KILL_DELAY: Duration = Duration::from_millis(2);
+/// One conductor in this many is restarted, of the hollow ones and of the real ones.
 const RESTARTED_ONE_IN: usize = 10;
 
-/// A fault that a run can have.
+/// A fault that a run can inject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub(super) enum FaultKind {
-    /// A control member that does not lead is killed, and comes back.
+    /// A follower is killed and started again.
     Member,
-    /// The leader is killed while a change is being agreed on, and comes back.
+    /// The leader is killed while a proposal is being committed, and started again.
     Leader,
     /// The links of a region are cut and healed.
     Region,
-    /// All control members are killed, and come back.
+    /// All control members are killed and started again.
     Control,
-    /// A tenth of the conductors is restarted at once.
+    /// A tenth of the conductors is restarted concurrently.
     Restart,
 }
 
 impl Run {
-    /// Faults, one after the other in the order in which they are named.
+    /// Injects faults one after the other, in the order in which they are given.
     ///
     /// # Errors
-    /// A process that does not start again, or changes that are not agreed.
+    /// A process that does not start again, or changes that are not committed.
     pub(super) async fn faults(&mut self, kinds: &[FaultKind], outage: Duration) -> anyhow::Result<()> {
         for kind in kinds {
             match kind {
@@ -64,165 +66,168 @@
         Ok(())
     }
 
-    /// A control member that does not lead is killed, and comes back.
+    /// Kills a control member that does not lead, and starts it again after [`CHANGES_WHILE_DOWN`] changes.
     async fn control_member_killed(&mut self) -> anyhow::Result<()> {
-        let mut begun = self.begin("a control member killed");
+        let mut running = self.begin("a control member killed");
         self.changes(CHANGES_AROUND, PACE_PER_S).await?;
         let leader = self.cluster.leader().await?;
         let others: Vec<usize> =
-            (0..self.cluster.plan.control.len()).filter(|place| *place != leader).collect();
-        let place = others[self.rng.random_range(0..others.len())];
-        let killed = now();
-        self.cluster.kill_control(place).await;
-        let member = &self.cluster.plan.control[place];
-        begun.notes.push(format!("member {} killed, votes: {}", member.id, member.votes));
+            (0..self.cluster.plan.control.len()).filter(|index| *index != leader).collect();
+        let index = others[self.rng.random_range(0..others.len())];
+        let killed_at = now();
+        self.cluster.kill_control(index).await;
+        let member = &self.cluster.plan.control[index];
+        running.notes.push(format!("member {} killed, votes: {}", member.id, member.votes));
         self.changes(CHANGES_WHILE_DOWN, PACE_PER_S).await?;
         self.cluster.start_controls().await?;
         self.changes(CHANGES_AROUND, PACE_PER_S).await?;
-        self.end(begun, Some(killed)).await
+        self.end(running, Some(killed_at)).await
     }
 
-    /// The leader is killed while a change is being agreed on, and comes back.
+    /// Kills the leader while a proposal is being committed, and starts it again.
     async fn leader_killed_in_mid_change(&mut self) -> anyhow::Result<()> {
-        let mut begun = self.begin("the leader killed in mid-change");
+        let mut running = self.begin("the leader killed in mid-change");
         self.changes(CHANGES_AROUND, PACE_PER_S).await?;
         let leader = self.cluster.leader().await?;
         let change = self.schedule.draw();
-        let asking = self.ask(0)?;
-        let killed = now();
-        let kill = self.cluster.control_kill_later(leader, MID_CHANGE);
+        let rollout_poller = self.start_rollout_poller(0)?;
+        let killed_at = now();
+        let kill = self.cluster.kill_control_after(leader, LEADER_KILL_DELAY);
         let version = self.propose(vec![change]).await?;
-        asking.about(version);
-        kill.await.context("the kill")?;
-        asking.stop().await;
-        let agreed_after = (now() - killed) / 1_000;
-        begun.notes.push(format!(
-            "member {} led and was killed {MID_CHANGE:?} after a proposal, which was agreed after {agreed_after} ms",
+        rollout_poller.poll(version);
+        kill.await.context("the task that kills the leader failed")?;
+        rollout_poller.stop().await;
+        let committed_after_ms = (now() - killed_at) / 1_000;
+        running.notes.push(format!(
+            "member {} led and was killed {LEADER_KILL_DELAY:?} after a proposal, which was agreed after {committed_after_ms} ms",
             self.cluster.plan.control[leader].id
         ));
         self.cluster.leader().await?;
         self.changes(CHANGES_WHILE_DOWN, PACE_PER_S).await?;
         self.cluster.start_controls().await?;
         self.changes(CHANGES_AROUND, PACE_PER_S).await?;
-        self.end(begun, Some(killed)).await
+        self.end(running, Some(killed_at)).await
     }
 
-    /// The links of a region's conductors, hollow and real, let nothing pass; the others go on, and so does it.
+    /// Cuts the links of a region's conductors, hollow and real; the other conductors receive changes
+    /// meanwhile.
     async fn region_cut_off(&mut self, outage: Duration) -> anyhow::Result<()> {
         let plan = Arc::clone(&self.cluster.plan);
         let Some(region) = plan.region_to_cut().map(str::to_owned) else {
             println!("a region cut off: not run, there are no hollow conductors");
             return Ok(());
         };
-        let mut begun = self.begin("a region cut off");
+        let mut running = self.begin("a region cut off");
         let hollow = plan.hollow().iter().filter(|c| c.interest.region == region).count();
         let real = plan.real_of(&region);
-        begun.notes.push(format!(
+        running.notes.push(format!(
             "{region} with {hollow} hollow and {} real conductors cut off for {outage:?}",
             real.len()
         ));
         self.hold_at(&real).await?;
         self.changes(CHANGES_AROUND, PACE_PER_S).await?;
-        self.cluster.real_act_by(self.head, LEVEL_TIMEOUT).await?;
-        sleep(Duration::from_micros(ORDERED_WITHIN)).await;
+        self.cluster.wait_until_real_act_by(self.head, CATCH_UP_TIMEOUT).await?;
+        sleep(Duration::from_micros(ORDER_DEADLINE_US)).await;
         let from = now();
         self.cluster.cut_links(&region, true).await?;
         let end = tokio::time::Instant::now() + outage;
         let changes = (outage.as_secs_f64() * PACE_PER_S) as usize;
-        self.draws(&draws_while_cut(changes.max(2) - 1, &real), PACE_PER_S).await?;
+        self.make_changes(&draws_while_cut(changes.max(2) - 1, &real), PACE_PER_S).await?;
         tokio::time::sleep_until(end).await;
         let healed = now();
         self.cluster.cut_links(&region, false).await?;
-        self.cluster.recorder.cut(Cut { region, from, healed });
-        self.end(begun, Some(healed)).await
+        self.cluster.recorder.cut(RegionCut { region, from, healed });
+        self.end(running, Some(healed)).await
     }
 
-    /// All control members are killed; conductors go on by what they hold, and are level once control is back.
+    /// Kills all control members. Conductors act by the documents they hold and catch up once control is
+    /// back.
     async fn all_control_down(&mut self, outage: Duration) -> anyhow::Result<()> {
-        let mut begun = self.begin("all control members down");
+        let mut running = self.begin("all control members down");
         self.changes(CHANGES_AROUND, PACE_PER_S).await?;
-        for place in 0..self.cluster.plan.control.len() {
-            self.cluster.kill_control(place).await;
+        for index in 0..self.cluster.plan.control.len() {
+            self.cluster.kill_control(index).await;
         }
         self.cluster.sampler.leads(None);
         sleep(outage).await;
-        let held = self.cluster.held().await?;
-        begun.notes.push(format!(
+        let held = self.cluster.count_with_documents().await?;
+        running.notes.push(format!(
             "{held} of {} hollow conductors hold documents while control is down",
             self.subscribers.len()
         ));
         let back = now();
         self.cluster.start_controls().await?;
         self.cluster.leader().await?;
-        begun.notes.push(format!("a leader {} ms after the start of control", (now() - back) / 1_000));
+        running.notes.push(format!("a leader {} ms after the start of control", (now() - back) / 1_000));
         self.changes(CHANGES_AROUND, PACE_PER_S).await?;
-        self.end(begun, Some(back)).await
+        self.end(running, Some(back)).await
     }
 
-    /// One conductor in ten is restarted at once, from what it has kept: hollow ones from their memory, real ones from
-    /// their files.
+    /// Restarts one conductor in ten concurrently: hollow ones from memory, real ones from their state files.
     async fn conductors_restarted(&mut self) -> anyhow::Result<()> {
-        let mut begun = self.begin("a tenth of the conductors restarted");
-        let hollow = self.tenth(self.subscribers.clone());
-        let real = self.tenth(self.cluster.real.iter().map(|conductor| conductor.id).collect());
-        begun.notes.push(format!("{} hollow and {} real conductors restarted", hollow.len(), real.len()));
+        let mut running = self.begin("a tenth of the conductors restarted");
+        let hollow = self.draw_tenth(self.subscribers.clone());
+        let real = self.draw_tenth(self.cluster.real.iter().map(|conductor| conductor.id).collect());
+        running.notes.push(format!("{} hollow and {} real conductors restarted", hollow.len(), real.len()));
         self.hold_at(&real.iter().map(|id| id.0 as usize).collect::<Vec<_>>()).await?;
         self.changes(CHANGES_AROUND, PACE_PER_S).await?;
         let mut parts: BTreeMap<usize, Vec<SubscriberId>> = BTreeMap::new();
-        let places = by_process(&self.cluster);
+        let process_of = process_indices(&self.cluster);
         for id in hollow {
-            parts.entry(places[&id]).or_default().push(id);
+            parts.entry(process_of[&id]).or_default().push(id);
         }
         let restarted = now();
         let restarting = self.cluster.restart_real(&real);
-        for (place, conductors) in parts {
-            self.cluster.hollow[place].tell(&Command::Restart { conductors }).await?;
+        for (index, conductors) in parts {
+            self.cluster.hollow[index].send_command(&Command::Restart { conductors }).await?;
         }
-        // Changes that are agreed while they are away: the real ones must catch up.
+        // These changes are committed while the real conductors are down, so that they have to catch up.
         self.change(Draw::Any).await?;
         for id in &real {
-            self.change(Draw::For(id.0 as usize)).await?;
+            self.change(Draw::ServiceOf(id.0 as usize)).await?;
         }
         self.cluster.restarted(restarting).await?;
         let back = now();
         for subscriber in real {
-            self.cluster.recorder.down(Down { subscriber, from: restarted, back });
-            begun.notes.push(self.kept(subscriber).await?);
+            self.cluster.recorder.down(Downtime { subscriber, from: restarted, back });
+            running.notes.push(self.restart_note(subscriber).await?);
         }
         self.changes(CHANGES_AROUND, PACE_PER_S).await?;
-        self.end(begun, Some(restarted)).await
+        self.end(running, Some(restarted)).await
     }
 
-    /// Has a server held at each of these conductors, so that there is something to let go of wrongly.
+    /// Holds a server of each of these conductors, so that a conductor that wrongly releases it can be
+    /// detected.
     async fn hold_at(&mut self, conductors: &[usize]) -> anyhow::Result<()> {
         for conductor in conductors {
-            self.change(Draw::Hold(*conductor)).await?;
+            self.change(Draw::HoldServerOf(*conductor)).await?;
         }
         Ok(())
     }
 
-    /// One in ten of these, as the seed draws them.
-    fn tenth(&mut self, mut left: Vec<SubscriberId>) -> Vec<SubscriberId> {
-        let count = left.len().div_ceil(RESTARTED_ONE_IN);
-        (0..count).map(|_| left.swap_remove(self.rng.random_range(0..left.len()))).collect()
+    /// Draws one in ten of these subscribers, by the seed.
+    fn draw_tenth(&mut self, mut candidates: Vec<SubscriberId>) -> Vec<SubscriberId> {
+        let count = candidates.len().div_ceil(RESTARTED_ONE_IN);
+        (0..count).map(|_| candidates.swap_remove(self.rng.random_range(0..candidates.len()))).collect()
     }
 
-    /// What a real conductor holds that has just been started again, in words.
-    async fn kept(&self, subscriber: SubscriberId) -> anyhow::Result<String> {
+    /// Describes for the phase's notes what a real conductor holds right after its restart.
+    async fn restart_note(&self, subscriber: SubscriberId) -> anyhow::Result<String> {
         let conductor = self.cluster.real.iter().find(|conductor| conductor.id == subscriber);
-        let Held { documents, bytes_read } = conductor.context("it is back")?.held().await?;
+        let DocumentStatus { documents, bytes_read } =
+            conductor.context("the restarted conductor does not run")?.document_status().await?;
         Ok(format!(
             "{subscriber:?} holds {documents} documents once it serves again, {bytes_read} bytes read from control"
         ))
     }
 }
 
-/// Changes while links are cut: one for each real conductor that is cut off, in the middle, so that it misses something;
-/// the rest is for anybody.
+/// Changes made while links are cut: one for each real conductor that is cut off, in the middle, so that it
+/// misses a change; the others are for any scope.
 fn draws_while_cut(count: usize, real: &[usize]) -> Vec<Draw> {
     let count = count.max(real.len());
     let any = count - real.len();
     let before = std::iter::repeat_n(Draw::Any, any.div_ceil(2));
     let after = std::iter::repeat_n(Draw::Any, any / 2);
-    before.chain(real.iter().map(|place| Draw::For(*place))).chain(after).collect()
+    before.chain(real.iter().map(|index| Draw::ServiceOf(*index))).chain(after).collect()
 }
--- a/crates/stepspur-scale/src/fleet/history.rs
+++ b/crates/stepspur-scale/src/fleet/history.rs
@@ -1,5 +1,5 @@
-//! What a scale run recorded: changes that were agreed, documents that were applied, answers of the operators'
-//! endpoint, and what subscribers held at the end of each phase. All times are of the machine's clock.
+//! What a scale run recorded: committed changes, applied documents, answers of the operators' endpoint, and
+//! what subscribers held at the end of each phase. All times are of the machine's clock.
 
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -11,24 +11,25 @@
 
 use super::orders::ProxyOrders;
 
-/// Microseconds since 1970, by the machine's clock. All processes of a run share the machine.
+/// Microseconds since the Unix epoch, by the system clock. All processes of a run share the machine.
 pub(crate) type Micros = u64;
 
-/// The machine's clock.
+/// Current time of the system clock; 0 if it is before the Unix epoch.
 pub(crate) fn now() -> Micros {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(since.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// The place of a subscriber in the plan.
+/// Identifies a subscriber by its index in the plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub(crate) struct SubscriberId(pub u32);
 
-/// Documents in force at a subscriber, by key, each with the version that changed it last. Lifted ones are left out.
+/// Documents in force at a subscriber, by key, each with the version that last changed it. Removed documents
+/// are left out.
 pub(crate) type Documents = BTreeMap<Key, (Setting, Version)>;
 
-/// Takes a document into what is in force.
+/// Applies a document to those in force; one without a setting removes its key.
 pub(crate) fn put(documents: &mut Documents, document: &Document) {
     match document.setting {
         Some(setting) => documents.insert(document.key.clone(), (setting, document.version)),
@@ -36,157 +37,157 @@
     };
 }
 
-/// A digest of documents, the same in all processes of a run.
+/// Hash of a set of documents, the same in all processes of a run.
 pub(crate) fn digest(documents: &Documents) -> u64 {
     let mut hasher = DefaultHasher::new();
     documents.hash(&mut hasher);
     hasher.finish()
 }
 
-/// A digest of a key, the same in all processes of a run.
+/// Hash of a document's key, the same in all processes of a run.
 pub(crate) fn key_digest(key: &Key) -> u64 {
     let mut hasher = DefaultHasher::new();
     key.hash(&mut hasher);
     hasher.finish()
 }
 
-/// Changes that the council agreed on.
+/// Changes of one proposal that the consensus group committed.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Agreed {
-    /// Their version.
+    /// Version at which they were committed.
     pub version: Version,
-    /// The changes.
+    /// Changes of the proposal, each with a key of its own.
     pub changes: Vec<Change>,
-    /// When they were proposed.
+    /// Time of the first attempt to propose them.
     pub proposed: Micros,
-    /// When the operators' endpoint answered that they are agreed.
+    /// Time at which the operators' endpoint confirmed that they are committed.
     pub answered: Micros,
 }
 
-/// A subscriber's engine took a document.
+/// A subscriber's engine applied a document.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(crate) struct Applied {
-    /// When.
+    /// Time of the event.
     pub at: Micros,
-    /// Whose engine.
+    /// Subscriber whose engine applied it.
     pub subscriber: SubscriberId,
     /// [`key_digest`] of the document's key.
     pub key: u64,
-    /// The version that changed the document last.
+    /// Version that last changed the document.
     pub version: Version,
 }
 
-/// A subscriber says that it acts by a version.
+/// A subscriber acknowledged a version: it claims to act by it.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(crate) struct Acknowledged {
-    /// When.
+    /// Time of the event.
     pub at: Micros,
-    /// Who.
+    /// Subscriber that the event belongs to.
     pub subscriber: SubscriberId,
-    /// The version.
+    /// Acknowledged version.
     pub version: Version,
 }
 
-/// A subscriber was started again from what it had kept: its engine begins empty.
+/// A subscriber was restarted from its stored state: its engine starts empty.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(crate) struct Restarted {
-    /// When.
+    /// Time of the event.
     pub at: Micros,
-    /// Who.
+    /// Subscriber that the event belongs to.
     pub subscriber: SubscriberId,
 }
 
-/// The operators' endpoint answered where a version is in force.
+/// The operators' endpoint answered a request for the rollout status of a version.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(crate) struct Answered {
-    /// When the answer was read.
+pub(crate) struct StatusAnswer {
+    /// Time at which the answer was read.
     pub at: Micros,
-    /// The version that was asked for.
+    /// Version that the request named.
     pub version: Version,
-    /// True: it said that the version is in force everywhere.
+    /// True if the answer reported the version as in force everywhere.
     pub everywhere: bool,
 }
 
-/// The links of a region were cut.
+/// The links between control and the conductors of a region were cut.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(crate) struct Cut {
-    /// The region.
+pub(crate) struct RegionCut {
+    /// Region whose links were cut.
     pub region: String,
-    /// When.
+    /// Time of the cut.
     pub from: Micros,
-    /// When they were healed; the end of time if never.
+    /// Time at which the links were healed; `Micros::MAX` if never.
     pub healed: Micros,
 }
 
-/// What a subscriber held when a phase ended.
+/// What a subscriber held at the end of a phase.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Holding {
-    /// The phase.
+    /// Name of the phase.
     pub phase: String,
-    /// When.
+    /// Time of the event.
     pub at: Micros,
-    /// Who.
+    /// Subscriber that the event belongs to.
     pub subscriber: SubscriberId,
-    /// True: it was attached to a control member.
+    /// True if it was connected to a control member.
     pub connected: bool,
     /// [`digest`] of the documents in force at its engine.
     pub digest: u64,
-    /// How many they are.
+    /// Number of these documents.
     pub documents: usize,
 }
 
-/// A real conductor was ended and started again from what it had kept.
+/// A real conductor was stopped and started again from its stored state.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub(crate) struct Down {
-    /// Which.
+pub(crate) struct Downtime {
+    /// Conductor that was restarted.
     pub subscriber: SubscriberId,
-    /// When it was told to end.
+    /// Time at which it was asked to stop.
     pub from: Micros,
-    /// When it listened again.
+    /// Time at which it listened again.
     pub back: Micros,
 }
 
-impl Down {
-    /// True: it is this conductor, and it was away at this time.
+impl Downtime {
+    /// True if this conductor was down at `at`.
     pub(crate) fn is_away(&self, subscriber: SubscriberId, at: Micros) -> bool {
         self.subscriber == subscriber && (self.from..=self.back).contains(&at)
     }
 }
 
-/// Who takes part.
+/// A conductor whose behaviour the checker verifies.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Participant {
-    /// Its place in the plan.
+    /// Index of the conductor in the plan.
     pub subscriber: SubscriberId,
-    /// What concerns it.
+    /// Scopes of the documents that it subscribes to.
     pub interest: Interest,
-    /// From when on every answer must count it: it was registered by then.
+    /// Time from which every status answer must count it, because it was registered by then.
     pub since: Micros,
 }
 
-/// All that a run recorded. Events of one subscriber stand in the order in which it told them.
+/// All events of a run. Events of one subscriber are in the order in which it reported them.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(crate) struct History {
-    /// Subscribers whose every application is recorded.
+    /// Hollow conductors, for which every applied document is recorded.
     pub participants: Vec<Participant>,
-    /// Changes that were agreed.
+    /// Committed proposals, in the order in which they were confirmed.
     pub agreed: Vec<Agreed>,
-    /// Documents that engines took.
+    /// Documents that engines applied.
     pub applied: Vec<Applied>,
-    /// Versions that subscribers said they act by.
+    /// Versions that subscribers acknowledged.
     pub acknowledged: Vec<Acknowledged>,
-    /// Subscribers that were started again.
+    /// Restarts of hollow conductors.
     pub restarted: Vec<Restarted>,
-    /// Answers of the operators' endpoint.
-    pub answers: Vec<Answered>,
-    /// Regions that were cut off.
-    pub cuts: Vec<Cut>,
-    /// Real conductors: what is known of them is what their proxies were ordered.
+    /// Answers of the operators' endpoint to status requests.
+    pub answers: Vec<StatusAnswer>,
+    /// Regions whose links were cut.
+    pub cuts: Vec<RegionCut>,
+    /// Real conductors, which are observed only by the orders that their proxies received.
     pub real: Vec<Participant>,
-    /// What the proxies of real conductors were ordered.
+    /// Orders that the proxies of real conductors received.
     pub proxies: Vec<ProxyOrders>,
-    /// Real conductors that were started again.
-    pub down: Vec<Down>,
-    /// What subscribers held at the end of phases.
+    /// Restarts of real conductors.
+    pub down: Vec<Downtime>,
+    /// What hollow conductors held at the end of each phase.
     pub holdings: Vec<Holding>,
 }
--- a/crates/stepspur-scale/src/fleet/latency.rs
+++ b/crates/stepspur-scale/src/fleet/latency.rs
@@ -1,4 +1,4 @@
-//! From the proposal of a change to its being in force at the last conductor, from what was recorded.
+//! Propagation times of changes, from the proposal to the last conductor, computed from the recorded history.
 
 #[cfg(test)]
 mod tests;
@@ -8,23 +8,23 @@
 use serde::{Deserialize, Serialize};
 use stepspur_distribution::version::Version;
 
-use super::history::{Agreed, Cut, History, Micros, Participant, SubscriberId, key_digest};
+use super::history::{Agreed, History, Micros, Participant, RegionCut, SubscriberId, key_digest};
 
-/// Spans in milliseconds: how many, the median, the 99th in a hundred and the most.
+/// Distribution of a set of times, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Spread {
-    /// How many.
+    /// Number of measured times.
     pub count: usize,
-    /// The median.
+    /// Median, by nearest rank.
     pub p50_ms: f64,
-    /// 99 in 100 are no longer.
+    /// 99th percentile, by nearest rank.
     pub p99_ms: f64,
-    /// The longest.
+    /// Maximum.
     pub most_ms: f64,
 }
 
 impl Spread {
-    /// Of these spans.
+    /// Computes the distribution of times given in microseconds.
     pub(crate) fn of(mut spans: Vec<Micros>) -> Self {
         spans.sort_unstable();
         let at = |share: f64| {
@@ -35,33 +35,33 @@
     }
 }
 
-/// How changes travelled.
+/// How long the changes of a phase took to propagate.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Travel {
-    /// From the proposal to the answer that it is agreed.
+    /// From the proposal to the confirmation that it is committed.
     pub agreed: Spread,
-    /// From the proposal to the last hollow conductor that it concerns.
+    /// From the proposal until it is in force at the last hollow conductor that it concerns.
     pub in_force: Spread,
-    /// From the proposal to the last proxy of the last real conductor that it concerns.
+    /// From the proposal to the order at the last proxy of the last real conductor that it concerns.
     pub at_proxies: Spread,
-    /// From the proposal to the operators' answer that it is in force everywhere.
+    /// From the proposal to the first status answer that reports it as in force everywhere.
     pub known: Spread,
-    /// Changes that never came into force at some connected hollow conductor.
+    /// Number of changes that never came into force at some connected hollow conductor.
     pub missing: usize,
-    /// Changes for real conductors that some proxy was never ordered.
+    /// Number of changes that some proxy of a real conductor never received an order for.
     pub missing_at_proxies: usize,
-    /// Changes that were in force later than an aim of 5 s.
+    /// Number of changes that took longer than [`IN_FORCE_TARGET_US`].
     pub late: usize,
 }
 
-/// The aim for a change that is in force everywhere.
-pub(crate) const AIM: Micros = 5_000_000;
+/// Target for the time from a proposal until it is in force everywhere, in microseconds.
+pub(crate) const IN_FORCE_TARGET_US: Micros = 5_000_000;
 
-/// When engines took which version of which key.
-pub(crate) struct Applications(BTreeMap<(SubscriberId, u64), Vec<(Version, Micros)>>);
+/// Versions that each subscriber's engine applied for each key, with the time of each.
+pub(crate) struct AppliedVersions(BTreeMap<(SubscriberId, u64), Vec<(Version, Micros)>>);
 
-impl Applications {
-    /// Of a history.
+impl AppliedVersions {
+    /// Indexes the applied documents of a history.
     pub(crate) fn of(history: &History) -> Self {
         let mut applied: BTreeMap<_, Vec<_>> = BTreeMap::new();
         for one in &history.applied {
@@ -70,20 +70,21 @@
         Self(applied)
     }
 
-    /// When a subscriber took a version of a key, or a later one.
+    /// Returns the time at which a subscriber first applied this version of a key or a later one.
     fn first(&self, subscriber: SubscriberId, key: u64, version: Version) -> Option<Micros> {
         let applied = self.0.get(&(subscriber, key))?;
         applied.iter().filter(|(taken, _)| *taken >= version).map(|(_, at)| *at).min()
     }
 }
 
-/// When a change was in force at the last connected hollow conductor that it concerns: none, if it concerns none; an
-/// error, if it never was at one of them. Those of a region that was cut off meanwhile are left out.
+/// Returns the time at which the last connected hollow conductor that a proposal concerns had it in force;
+/// `None` if it concerns none. Conductors of a region that was cut off meanwhile are left out. The error is a
+/// subscriber at which it never was.
 pub(crate) fn in_force(
     agreed: &Agreed,
     participants: &[Participant],
-    cuts: &[Cut],
-    applications: &Applications,
+    cuts: &[RegionCut],
+    applications: &AppliedVersions,
 ) -> Result<Option<Micros>, SubscriberId> {
     let mut last = None;
     for participant in participants {
@@ -99,38 +100,41 @@
     Ok(last)
 }
 
-/// True: the links of the region were cut while the change was on its way.
-pub(crate) fn cut_off(region: &str, cut: &Cut, proposed: Micros) -> bool {
-    region == cut.region && proposed + AIM >= cut.from && proposed <= cut.healed
+/// True if the links of the region were cut while the change may have been in flight.
+pub(crate) fn cut_off(region: &str, cut: &RegionCut, proposed: Micros) -> bool {
+    region == cut.region && proposed + IN_FORCE_TARGET_US >= cut.from && proposed <= cut.healed
 }
 
-/// When the last document that was agreed by then was taken by an engine, if that was later: then everybody was level.
-pub(crate) fn level(history: &History, since: Micros) -> Option<Micros> {
+/// Returns the time after `since` at which an engine applied the last document committed by `since`; `None`
+/// if no engine was behind.
+pub(crate) fn caught_up_at(history: &History, since: Micros) -> Option<Micros> {
     let agreed = history.agreed.iter().filter(|agreed| agreed.answered <= since);
     let newest = agreed.map(|agreed| agreed.version).max()?;
     let late = history.applied.iter().filter(|applied| applied.at > since && applied.version <= newest);
     late.map(|applied| applied.at).max()
 }
 
-/// How the changes with these places in the history travelled; `at_proxies` tells when real conductors' proxies had a
-/// change.
+/// Computes the propagation times of the committed proposals at these indices of the history. `at_proxies`
+/// returns the time at which the proxies of real conductors had received a proposal's orders, or the
+/// conductor whose proxies never did.
 pub(crate) fn travel(
     history: &History,
-    applications: &Applications,
-    places: std::ops::Range<usize>,
+    applications: &AppliedVersions,
+    indices: std::ops::Range<usize>,
     mut at_proxies: impl FnMut(&Agreed) -> Result<Option<Micros>, SubscriberId>,
 ) -> Travel {
-    let (mut agreed, mut forced, mut proxies, mut known) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
+    let (mut agreed, mut in_force_times, mut at_proxies_times, mut known) =
+        (Vec::new(), Vec::new(), Vec::new(), Vec::new());
     let mut travel = Travel::default();
-    for change in &history.agreed[places] {
+    for change in &history.agreed[indices] {
         agreed.push(change.answered.saturating_sub(change.proposed));
         match in_force(change, &history.participants, &history.cuts, applications) {
-            Ok(Some(at)) => forced.push(at.saturating_sub(change.proposed)),
+            Ok(Some(at)) => in_force_times.push(at.saturating_sub(change.proposed)),
             Ok(None) => {}
             Err(_) => travel.missing += 1,
         }
         match at_proxies(change) {
-            Ok(Some(at)) => proxies.push(at.saturating_sub(change.proposed)),
+            Ok(Some(at)) => at_proxies_times.push(at.saturating_sub(change.proposed)),
             Ok(None) => {}
             Err(_) => travel.missing_at_proxies += 1,
         }
@@ -138,11 +142,11 @@
             history.answers.iter().filter(|answer| answer.everywhere && answer.version == change.version);
         known.extend(answers.map(|answer| answer.at.saturating_sub(change.proposed)).min());
     }
-    travel.late = forced.iter().filter(|span| **span > AIM).count();
+    travel.late = in_force_times.iter().filter(|span| **span > IN_FORCE_TARGET_US).count();
     Travel {
         agreed: Spread::of(agreed),
-        in_force: Spread::of(forced),
-        at_proxies: Spread::of(proxies),
+        in_force: Spread::of(in_force_times),
+        at_proxies: Spread::of(at_proxies_times),
         known: Spread::of(known),
         ..travel
     }
--- a/crates/stepspur-scale/src/fleet/measure.rs
+++ b/crates/stepspur-scale/src/fleet/measure.rs
@@ -1,4 +1,4 @@
-//! Processor time, memory and bytes of the processes of a run, looked at each second.
+//! Samples processor time, memory and traffic of the processes of a run once a second.
 
 #[cfg(test)]
 mod tests;
@@ -12,44 +12,44 @@
 use tokio::time::{Instant, MissedTickBehavior, interval};
 use tokio_util::sync::CancellationToken;
 
-use super::members::{MemberSecond, MemberUsage, Standing, usage_by_member};
+use super::members::{MemberRole, MemberSample, MemberUsage, usage_by_member};
 use super::peers::{Addresses, Member, MemberProcesses};
 use super::settings::ControlFleet;
-use super::sockets::{Look, Traffic};
+use super::sockets::{Snapshot, Traffic};
 use crate::usage::{Usage, usage};
 
-/// Looks at the processes come this often.
-const EVERY: Duration = Duration::from_secs(1);
+/// Interval between two samples.
+const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a process is.
+/// The part that a process plays in a run. Its variant name appears in reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Role {
-    /// The control member that leads the council.
+    /// The control member that leads the consensus group.
     Leader,
-    /// Another control member.
+    /// A control member that does not lead.
     Control,
-    /// A real conductor.
+    /// A process of the real program.
     RealConductor,
-    /// A hollow conductor: its share of its process.
+    /// A hollow conductor: its share of the process that runs it.
     HollowConductor,
     /// A process of hollow servers.
     Servers,
-    /// The rig itself.
+    /// The measuring process itself.
     Rig,
 }
 
-/// A process that is looked at.
+/// A process that is sampled.
 #[derive(Clone, Copy, Debug)]
-struct Watched {
+struct WatchedProcess {
     role: Role,
-    /// Of so many things that its figures are shared among.
+    /// Number of members (such as hollow conductors) among which the process's figures are divided.
     members: usize,
 }
 
-/// What one process used in one span.
+/// Resource usage of one process between two samples. `resident` is in bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-struct Span {
+struct UsageSpan {
     seconds: f64,
     cpu_s: f64,
     resident: u64,
@@ -57,122 +57,123 @@
     to_control: Traffic,
 }
 
-/// One look at all processes: spans since the one before.
-type Second = BTreeMap<u32, (Watched, Span)>;
+/// Usage between two samples, by process id.
+type UsageSample = BTreeMap<u32, (WatchedProcess, UsageSpan)>;
 
-/// The same of control members, with whom they exchanged what.
-type MembersSecond = BTreeMap<Standing, MemberSecond>;
+/// The same for control members, with their traffic by kind of peer.
+type MemberSamples = BTreeMap<MemberRole, MemberSample>;
 
-/// What the members of a role used: each figure for one of them.
+/// Resource usage of one member of a role.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct RoleUsage {
-    /// Members of the role that were looked at.
+    /// Number of sampled members of the role.
     pub members: usize,
-    /// Processor time, in hundredths of a core, on the mean.
+    /// Mean processor time, in hundredths of a core.
     pub cpu_percent: f64,
     /// The same in the worst second of the worst process.
     pub cpu_percent_worst: f64,
-    /// Resident memory at most, in MB.
+    /// Peak resident memory, in MB.
     pub resident_mb: f64,
-    /// Bytes a second both ways without headers, on the mean; of subscribers those with control alone.
+    /// Mean payload bytes a second in both directions; for conductors only those exchanged with control.
     pub bytes_per_s: f64,
     /// The same with IP and TCP headers.
     pub bytes_per_s_with_headers: f64,
-    /// With headers, in the worst second of the worst process.
+    /// Bytes a second with headers, in the worst second of the worst process.
     pub bytes_per_s_worst: f64,
-    /// Messages a second both ways.
+    /// Mean number of segments with data a second, in both directions.
     pub messages_per_s: f64,
 }
 
-/// What was used over a span.
+/// Resource usage of a phase.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Used {
-    /// By each role.
+    /// Mean usage of a member, by role.
     pub roles: BTreeMap<Role, RoleUsage>,
-    /// By each control member.
+    /// Usage of each control member.
     pub members: Vec<MemberUsage>,
 }
 
 #[derive(Debug, Default)]
-struct State {
-    watched: BTreeMap<u32, Watched>,
+struct SamplerState {
+    watched: BTreeMap<u32, WatchedProcess>,
     leader: Option<u32>,
     control_peers: BTreeSet<String>,
     addresses: Addresses,
     members: MemberProcesses,
-    seconds: Vec<Second>,
-    member_seconds: Vec<MembersSecond>,
-    memory_most: u64,
-    /// The longest that a look at the sockets took.
-    look_most: Duration,
+    seconds: Vec<UsageSample>,
+    member_seconds: Vec<MemberSamples>,
+    peak_memory: u64,
+    /// Longest time that a sample of the sockets took.
+    longest_sample: Duration,
 }
 
-/// Looks at the processes of a run until it is dropped or stopped.
+/// Samples the processes of a run in a task until it is stopped.
 #[derive(Debug)]
 pub(crate) struct Sampler {
-    state: Arc<Mutex<State>>,
+    state: Arc<Mutex<SamplerState>>,
     stop: CancellationToken,
     task: JoinHandle<()>,
 }
 
-fn lock(state: &Mutex<State>) -> MutexGuard<'_, State> {
+fn lock(state: &Mutex<SamplerState>) -> MutexGuard<'_, SamplerState> {
     state.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl Sampler {
-    /// Starts to look at a fleet with these control members.
+    /// Starts sampling; connections to these control members count as traffic with control.
     pub(crate) fn start(control: &ControlFleet) -> Self {
-        let control_peers = control.places().iter().map(|place| place.address.to_string()).collect();
-        let state = State { control_peers, addresses: Addresses::of(control), ..State::default() };
+        let control_peers = control.places().iter().map(|member| member.address.to_string()).collect();
+        let state =
+            SamplerState { control_peers, addresses: Addresses::of(control), ..SamplerState::default() };
         let (state, stop) = (Arc::new(Mutex::new(state)), CancellationToken::new());
         let task = tokio::spawn(run(Arc::clone(&state), stop.clone()));
         Self { state, stop, task }
     }
 
-    /// Control members are reached at these addresses as well.
+    /// Adds addresses at which control members are reached as well, such as those of relays.
     pub(crate) fn control_at(&self, addresses: impl IntoIterator<Item = String>) {
         lock(&self.state).control_peers.extend(addresses);
     }
 
-    /// Looks at a process from now on.
+    /// Samples a process from now on and divides its figures by `members`.
     pub(crate) fn watch(&self, pid: u32, role: Role, members: usize) {
-        lock(&self.state).watched.insert(pid, Watched { role, members });
+        lock(&self.state).watched.insert(pid, WatchedProcess { role, members });
     }
 
-    /// Looks at a control member from now on.
+    /// Samples a control member from now on.
     pub(crate) fn watch_member(&self, pid: u32, member: Member) {
         self.watch(pid, Role::Control, 1);
         lock(&self.state).members.insert(pid, member);
     }
 
-    /// Looks at a process no more.
+    /// Stops sampling a process.
     pub(crate) fn forget(&self, pid: u32) {
         let mut state = lock(&self.state);
         state.watched.remove(&pid);
         state.members.remove(&pid);
     }
 
-    /// Who leads the council from now on.
+    /// Sets the process of the current leader, `None` while there is none.
     pub(crate) fn leads(&self, pid: Option<u32>) {
         lock(&self.state).leader = pid;
     }
 
-    /// Processes that are looked at.
+    /// Number of sampled processes.
     pub(crate) fn processes(&self) -> usize {
         lock(&self.state).watched.len()
     }
 
-    /// Resident memory of all processes together at most so far, in bytes.
-    pub(crate) fn memory_most(&self) -> u64 {
-        lock(&self.state).memory_most
+    /// Peak of the sum of all processes' resident memory, in bytes.
+    pub(crate) fn peak_memory(&self) -> u64 {
+        lock(&self.state).peak_memory
     }
 
-    /// The longest that a look at the sockets has taken.
-    pub(crate) fn look_most(&self) -> Duration {
-        lock(&self.state).look_most
+    /// Longest time that a sample of the sockets took.
+    pub(crate) fn longest_sample(&self) -> Duration {
+        lock(&self.state).longest_sample
     }
 
-    /// What was used since the last call.
+    /// Returns the usage since the last call.
     pub(crate) fn take(&self) -> Used {
         let mut state = lock(&self.state);
         let (seconds, members) =
@@ -181,87 +182,98 @@
         Used { roles: usage_by_role(&seconds), members: usage_by_member(&members) }
     }
 
-    /// Ends it.
+    /// Cancels the task and waits until it has ended.
     pub(crate) async fn stop(self) {
         self.stop.cancel();
         let _ = self.task.await;
     }
 }
 
-/// The counts of all processes at one look.
+/// Counters of all processes at one sample.
 #[derive(Default)]
-struct Counts {
+struct ProcessCounters {
     at: Option<Instant>,
     usage: BTreeMap<u32, Usage>,
-    look: Look,
+    snapshot: Snapshot,
 }
 
-async fn run(state: Arc<Mutex<State>>, stop: CancellationToken) {
-    let mut ticks = interval(EVERY);
+async fn run(state: Arc<Mutex<SamplerState>>, stop: CancellationToken) {
+    let mut ticks = interval(SAMPLE_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut before = Counts::default();
+    let mut before = ProcessCounters::default();
     loop {
         tokio::select! {
             () = stop.cancelled() => return,
             _ = ticks.tick() => {}
         }
         let pids: Vec<u32> = lock(&state).watched.keys().copied().collect();
-        let Ok(counts) = tokio::task::spawn_blocking(move || count(&pids)).await else { continue };
+        let Ok(counters) = tokio::task::spawn_blocking(move || read_counters(&pids)).await else { continue };
         let mut state = lock(&state);
-        state.memory_most = state.memory_most.max(counts.usage.values().map(|usage| usage.resident).sum());
-        if let (Some(then), Some(at)) = (before.at, counts.at) {
-            state.look_most = state.look_most.max(at.elapsed());
-            let second = spans(&state, &before, &counts, at.duration_since(then).as_secs_f64());
-            let members = member_spans(&state, &second, &before.look, &counts.look);
+        state.peak_memory = state.peak_memory.max(counters.usage.values().map(|usage| usage.resident).sum());
+        if let (Some(then), Some(at)) = (before.at, counters.at) {
+            state.longest_sample = state.longest_sample.max(at.elapsed());
+            let sample = usage_between(&state, &before, &counters, at.duration_since(then).as_secs_f64());
+            let members = member_usage_between(&state, &sample, &before.snapshot, &counters.snapshot);
             state.member_seconds.push(members);
-            state.seconds.push(second);
+            state.seconds.push(sample);
         }
         drop(state);
-        before = counts;
+        before = counters;
     }
 }
 
-fn count(pids: &[u32]) -> Counts {
+fn read_counters(pids: &[u32]) -> ProcessCounters {
     let at = Some(Instant::now());
     let usage = pids.iter().filter_map(|pid| Some((*pid, usage(*pid).ok()?))).collect();
-    Counts { at, usage, look: Look::now().unwrap_or_default() }
+    ProcessCounters { at, usage, snapshot: Snapshot::now().unwrap_or_default() }
 }
 
-fn spans(state: &State, before: &Counts, now: &Counts, seconds: f64) -> Second {
-    let traffic = now.look.since(&before.look, |_| true);
-    let to_control = now.look.since(&before.look, |peer| state.control_peers.contains(peer));
-    let mut second = Second::new();
+fn usage_between(
+    state: &SamplerState,
+    before: &ProcessCounters,
+    now: &ProcessCounters,
+    seconds: f64,
+) -> UsageSample {
+    let traffic = now.snapshot.since(&before.snapshot, |_| true);
+    let to_control = now.snapshot.since(&before.snapshot, |peer| state.control_peers.contains(peer));
+    let mut sample = UsageSample::new();
     for (pid, usage) in &now.usage {
         let (Some(watched), Some(then)) = (state.watched.get(pid), before.usage.get(pid)) else { continue };
         let mut watched = *watched;
         if state.leader == Some(*pid) {
             watched.role = Role::Leader;
         }
-        let span = Span {
+        let span = UsageSpan {
             seconds,
             cpu_s: usage.cpu.saturating_sub(then.cpu).as_secs_f64(),
             resident: usage.resident,
             traffic: traffic.get(pid).copied().unwrap_or_default(),
             to_control: to_control.get(pid).copied().unwrap_or_default(),
         };
-        second.insert(*pid, (watched, span));
+        sample.insert(*pid, (watched, span));
     }
-    second
+    sample
 }
 
-/// The part of a second that is control members', with whom they exchanged what.
-fn member_spans(state: &State, second: &Second, before: &Look, now: &Look) -> MembersSecond {
-    let mut passed = state.addresses.passed(now, before, &state.members);
-    let member = |(pid, (watched, span)): (&u32, &(Watched, Span))| {
-        let standing = Standing { leads: watched.role == Role::Leader, member: *state.members.get(pid)? };
-        let passed = passed.remove(pid).unwrap_or_default();
-        Some((standing, MemberSecond { seconds: span.seconds, cpu_s: span.cpu_s, passed }))
+/// Selects the control members' part of a sample and adds their traffic by kind of peer.
+fn member_usage_between(
+    state: &SamplerState,
+    sample: &UsageSample,
+    before: &Snapshot,
+    now: &Snapshot,
+) -> MemberSamples {
+    let mut traffic_by_peer = state.addresses.traffic_by_peer(now, before, &state.members);
+    let member = |(pid, (watched, span)): (&u32, &(WatchedProcess, UsageSpan))| {
+        let member_role =
+            MemberRole { leads: watched.role == Role::Leader, member: *state.members.get(pid)? };
+        let traffic_by_peer = traffic_by_peer.remove(pid).unwrap_or_default();
+        Some((member_role, MemberSample { seconds: span.seconds, cpu_s: span.cpu_s, traffic_by_peer }))
     };
-    second.iter().filter_map(member).collect()
+    sample.iter().filter_map(member).collect()
 }
 
-/// Sums seconds up by role. Figures of a process are shared by its members.
-fn usage_by_role(seconds: &[Second]) -> BTreeMap<Role, RoleUsage> {
+/// Sums samples by role. Figures of a process are divided by its members.
+fn usage_by_role(seconds: &[UsageSample]) -> BTreeMap<Role, RoleUsage> {
     let mut sums: BTreeMap<Role, Sum> = BTreeMap::new();
     for (pid, (watched, span)) in seconds.iter().flatten() {
         sums.entry(watched.role).or_default().take(*pid, *watched, *span);
@@ -272,7 +284,7 @@
 #[derive(Default)]
 struct Sum {
     pids: BTreeMap<u32, usize>,
-    /// Seconds times members.
+    /// Sampled seconds times members.
     member_seconds: f64,
     cpu_s: f64,
     traffic: Traffic,
@@ -280,7 +292,7 @@
 }
 
 impl Sum {
-    fn take(&mut self, pid: u32, watched: Watched, span: Span) {
+    fn take(&mut self, pid: u32, watched: WatchedProcess, span: UsageSpan) {
         let members = watched.members.max(1);
         let share = 1.0 / (members as f64 * span.seconds.max(f64::EPSILON));
         let traffic = match watched.role {
@@ -298,13 +310,13 @@
     }
 
     fn usage(self) -> RoleUsage {
-        let each_second = |sum: f64| if self.member_seconds > 0.0 { sum / self.member_seconds } else { 0.0 };
+        let per_second = |sum: f64| if self.member_seconds > 0.0 { sum / self.member_seconds } else { 0.0 };
         RoleUsage {
             members: self.pids.values().sum(),
-            cpu_percent: each_second(self.cpu_s * 100.0),
-            bytes_per_s: each_second(self.traffic.bytes() as f64),
-            bytes_per_s_with_headers: each_second(self.traffic.with_headers() as f64),
-            messages_per_s: each_second(self.traffic.messages as f64),
+            cpu_percent: per_second(self.cpu_s * 100.0),
+            bytes_per_s: per_second(self.traffic.bytes() as f64),
+            bytes_per_s_with_headers: per_second(self.traffic.with_headers() as f64),
+            messages_per_s: per_second(self.traffic.messages as f64),
             ..self.worst
         }
     }
--- a/crates/stepspur-scale/src/fleet/measure/tests.rs
+++ b/crates/stepspur-scale/src/fleet/measure/tests.rs
@@ -1,23 +1,23 @@
-//! Sums of looks at processes.
+//! Tests of the sums of process samples.
 
 use std::collections::BTreeMap;
 
-use super::{Role, Second, Span, Watched, usage_by_role};
+use super::{Role, UsageSample, UsageSpan, WatchedProcess, usage_by_role};
 use crate::fleet::sockets::Traffic;
 use crate::traffic::HEADER_BYTES;
 
-fn span(cpu_s: f64, bytes: u64) -> Span {
+fn span(cpu_s: f64, bytes: u64) -> UsageSpan {
     let traffic = Traffic { read: bytes, written: 0, messages: 1, segments: 2 };
-    Span { seconds: 1.0, cpu_s, resident: 60_000_000, traffic, to_control: Traffic::default() }
+    UsageSpan { seconds: 1.0, cpu_s, resident: 60_000_000, traffic, to_control: Traffic::default() }
 }
 
 #[test]
-fn means_and_worst_seconds_are_of_one_member() {
-    let control = Watched { role: Role::Control, members: 1 };
-    let hollow = Watched { role: Role::HollowConductor, members: 60 };
+fn means_and_worst_seconds_are_per_member() {
+    let control = WatchedProcess { role: Role::Control, members: 1 };
+    let hollow = WatchedProcess { role: Role::HollowConductor, members: 60 };
     let mut of_hollow = span(0.6, 6_000);
     of_hollow.to_control = of_hollow.traffic;
-    let seconds: Vec<Second> = vec![
+    let seconds: Vec<UsageSample> = vec![
         BTreeMap::from([
             (1, (control, span(0.1, 1_000))),
             (2, (control, span(0.3, 0))),
@@ -38,8 +38,8 @@
 }
 
 #[test]
-fn of_subscribers_only_what_passes_with_control_counts() {
-    let real = Watched { role: Role::RealConductor, members: 1 };
-    let seconds: Vec<Second> = vec![BTreeMap::from([(1, (real, span(0.01, 9_000)))])];
+fn only_traffic_with_control_counts_for_conductors() {
+    let real = WatchedProcess { role: Role::RealConductor, members: 1 };
+    let seconds: Vec<UsageSample> = vec![BTreeMap::from([(1, (real, span(0.01, 9_000)))])];
     assert_eq!(usage_by_role(&seconds)[&Role::RealConductor].bytes_per_s, 0.0);
 }
--- a/crates/stepspur-scale/src/fleet/members.rs
+++ b/crates/stepspur-scale/src/fleet/members.rs
@@ -1,5 +1,5 @@
-//! What each control member used over a phase, and with whom: so that the leader's growth can be divided among those
-//! who cause it.
+//! Resource usage of each control member and its traffic by kind of peer, so that the growth of the leader's
+//! load can be attributed to its causes.
 
 #[cfg(test)]
 mod tests;
@@ -8,128 +8,129 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::peers::{Member, Passed, PeerKind};
+use super::peers::{Member, PeerKind, PeerTraffic};
 use super::sockets::Traffic;
 
-/// What one control member used and exchanged in one second.
+/// Usage and traffic of one control member between two samples.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub(crate) struct MemberSecond {
-    /// How long it was.
+pub(crate) struct MemberSample {
+    /// Time between the samples.
     pub seconds: f64,
-    /// Processor time.
+    /// Processor time, in seconds.
     pub cpu_s: f64,
-    /// By kinds of peers.
-    pub passed: BTreeMap<PeerKind, Passed>,
+    /// Traffic by kind of peer.
+    pub traffic_by_peer: BTreeMap<PeerKind, PeerTraffic>,
 }
 
-/// A control member as it stood: one that comes to lead counts as another.
+/// A control member with its role during a sample; the seconds in which it leads are counted separately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Standing {
-    /// True: it led.
+pub(crate) struct MemberRole {
+    /// True if it led.
     pub leads: bool,
-    /// Which.
+    /// The member.
     pub member: Member,
 }
 
-/// What passed each second between a control member and one kind of peers, both ways.
+/// Mean traffic a second, in both directions, between a control member and one kind of peer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct PeerUsage {
-    /// Connections, on the mean.
+    /// Mean number of connections.
     pub connections: f64,
-    /// Bytes without headers.
+    /// Payload bytes a second.
     pub bytes_per_s: f64,
-    /// Bytes with IP and TCP headers.
+    /// Bytes a second with IP and TCP headers.
     pub bytes_per_s_with_headers: f64,
-    /// Segments, acknowledgements among them.
+    /// Segments a second, pure acknowledgements included.
     pub segments_per_s: f64,
-    /// Segments with data.
+    /// Segments with data a second.
     pub messages_per_s: f64,
 }
 
-/// What one control member used over a phase.
+/// Usage of one control member over a phase.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct MemberUsage {
-    /// Its number in the council.
+    /// Id of the member in the consensus group.
     pub member: u64,
-    /// True: it votes.
+    /// True if it votes.
     pub votes: bool,
-    /// True: these are the seconds in which it led.
+    /// True if the figures cover the seconds in which it led, false for the others.
     pub leads: bool,
-    /// Seconds that were looked at.
+    /// Sampled time, in seconds.
     pub seconds: f64,
-    /// Processor time, in hundredths of a core.
+    /// Mean processor time, in hundredths of a core.
     pub cpu_percent: f64,
-    /// By kinds of peers.
+    /// Mean traffic by kind of peer.
     pub peers: BTreeMap<PeerKind, PeerUsage>,
 }
 
-/// Sums of one control member.
+/// Sums over the samples of one control member.
 #[derive(Default)]
 struct Sum {
     seconds: f64,
     cpu_s: f64,
     /// Traffic, and connections times seconds.
-    passed: BTreeMap<PeerKind, (Traffic, f64)>,
+    traffic_by_peer: BTreeMap<PeerKind, (Traffic, f64)>,
 }
 
-/// Sums seconds up, leaders first.
-pub(crate) fn usage_by_member(seconds: &[BTreeMap<Standing, MemberSecond>]) -> Vec<MemberUsage> {
-    let mut sums: BTreeMap<Standing, Sum> = BTreeMap::new();
-    for (standing, second) in seconds.iter().flatten() {
-        sums.entry(*standing).or_default().take(second);
+/// Sums samples by member; leaders come first, then members by id.
+pub(crate) fn usage_by_member(seconds: &[BTreeMap<MemberRole, MemberSample>]) -> Vec<MemberUsage> {
+    let mut sums: BTreeMap<MemberRole, Sum> = BTreeMap::new();
+    for (member_role, sample) in seconds.iter().flatten() {
+        sums.entry(*member_role).or_default().take(sample);
     }
-    let mut usage: Vec<MemberUsage> = sums.into_iter().map(|(standing, sum)| sum.usage(standing)).collect();
+    let mut usage: Vec<MemberUsage> =
+        sums.into_iter().map(|(member_role, sum)| sum.usage(member_role)).collect();
     usage.sort_by_key(|usage| (!usage.leads, usage.member));
     usage
 }
 
 impl Sum {
-    fn take(&mut self, second: &MemberSecond) {
-        self.seconds += second.seconds;
-        self.cpu_s += second.cpu_s;
-        for (kind, passed) in &second.passed {
-            let (traffic, connections) = self.passed.entry(*kind).or_default();
-            traffic.add(passed.traffic);
-            *connections += passed.connections as f64 * second.seconds;
+    fn take(&mut self, sample: &MemberSample) {
+        self.seconds += sample.seconds;
+        self.cpu_s += sample.cpu_s;
+        for (kind, peer) in &sample.traffic_by_peer {
+            let (traffic, connections) = self.traffic_by_peer.entry(*kind).or_default();
+            traffic.add(peer.traffic);
+            *connections += peer.connections as f64 * sample.seconds;
         }
     }
 
-    fn usage(self, Standing { leads, member }: Standing) -> MemberUsage {
-        let each_second = |sum: f64| if self.seconds > 0.0 { sum / self.seconds } else { 0.0 };
+    fn usage(self, MemberRole { leads, member }: MemberRole) -> MemberUsage {
+        let per_second = |sum: f64| if self.seconds > 0.0 { sum / self.seconds } else { 0.0 };
         let peer = |(traffic, connections): (Traffic, f64)| PeerUsage {
-            connections: each_second(connections),
-            bytes_per_s: each_second(traffic.bytes() as f64),
-            bytes_per_s_with_headers: each_second(traffic.with_headers() as f64),
-            segments_per_s: each_second(traffic.segments as f64),
-            messages_per_s: each_second(traffic.messages as f64),
+            connections: per_second(connections),
+            bytes_per_s: per_second(traffic.bytes() as f64),
+            bytes_per_s_with_headers: per_second(traffic.with_headers() as f64),
+            segments_per_s: per_second(traffic.segments as f64),
+            messages_per_s: per_second(traffic.messages as f64),
         };
         MemberUsage {
             member: member.id,
             votes: member.votes,
             leads,
             seconds: self.seconds,
-            cpu_percent: each_second(self.cpu_s * 100.0),
-            peers: self.passed.iter().map(|(kind, sum)| (*kind, peer(*sum))).collect(),
+            cpu_percent: per_second(self.cpu_s * 100.0),
+            peers: self.traffic_by_peer.iter().map(|(kind, sum)| (*kind, peer(*sum))).collect(),
         }
     }
 }
 
-/// What stands in one line of a report: the leader, or the mean of other control members.
+/// Control members that share one line of a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Group {
-    /// Whoever led longest.
+    /// The member that led longest.
     Leader,
-    /// Voters that did not lead.
+    /// Voters while they do not lead.
     Voters,
-    /// Members that only follow.
+    /// Members that do not vote.
     Followers,
 }
 
 impl Group {
-    /// All groups.
+    /// All groups, in the order of the report.
     pub(crate) const ALL: [Self; 3] = [Self::Leader, Self::Voters, Self::Followers];
 
-    /// What it is called.
+    /// Name in reports.
     pub(crate) fn label(self) -> &'static str {
         match self {
             Self::Leader => "leader",
@@ -138,7 +139,7 @@
         }
     }
 
-    /// Its members among these.
+    /// Selects the group's members.
     fn of(self, members: &[MemberUsage]) -> Vec<&MemberUsage> {
         match self {
             Self::Leader => {
@@ -150,12 +151,15 @@
         }
     }
 
-    /// What one of its members exchanged with a kind of peers, on the mean; none: nothing.
+    /// Returns the mean traffic of a member with one kind of peer; `None` if no member had any. Members
+    /// without such traffic count as zero.
     pub(crate) fn mean(self, members: &[MemberUsage], kind: PeerKind) -> Option<PeerUsage> {
-        let own = self.of(members);
-        let all: Vec<PeerUsage> = own.iter().filter_map(|usage| usage.peers.get(&kind).copied()).collect();
-        let mean = |figure: fn(&PeerUsage) -> f64| all.iter().map(figure).sum::<f64>() / own.len() as f64;
-        (!all.is_empty()).then(|| PeerUsage {
+        let group = self.of(members);
+        let with_traffic: Vec<PeerUsage> =
+            group.iter().filter_map(|usage| usage.peers.get(&kind).copied()).collect();
+        let mean =
+            |figure: fn(&PeerUsage) -> f64| with_traffic.iter().map(figure).sum::<f64>() / group.len() as f64;
+        (!with_traffic.is_empty()).then(|| PeerUsage {
             connections: mean(|usage| usage.connections),
             bytes_per_s: mean(|usage| usage.bytes_per_s),
             bytes_per_s_with_headers: mean(|usage| usage.bytes_per_s_with_headers),
--- a/crates/stepspur-scale/src/fleet/mod.rs
+++ b/crates/stepspur-scale/src/fleet/mod.rs
@@ -1,13 +1,13 @@
-//! `stepspur-scale fleet`: the scale run. Control members and some conductors are processes of the real program, the
-//! others hollow; changes are proposed at the operators' endpoint, and a judge holds what was recorded against what was
-//! agreed. docs/scale-run.md tells how it is run and read.
+//! `stepspur-scale fleet`: the scale run. Control members and some conductors are processes of the real
+//! program, the other conductors are hollow. Changes are proposed at the operators' endpoint, and a checker
+//! verifies the recorded history against the committed changes. docs/scale-run.md describes how to run it and
+//! how to read its results.
 
-mod asking;
 mod changes;
+mod checker;
 pub(crate) mod cluster;
 mod faults;
 pub(crate) mod history;
-mod judge;
 pub(crate) mod latency;
 mod measure;
 pub(crate) mod members;
@@ -21,6 +21,7 @@
 mod record;
 mod relay;
 pub(crate) mod report;
+mod rollout_poller;
 mod run;
 pub(crate) mod servers;
 pub(crate) mod settings;
@@ -41,52 +42,54 @@
 use report::{BURST, Fleet, Growth, MEAN, Machine, Report, growth};
 use run::Run;
 
-/// A run that takes longer is ended.
+/// Maximum duration of a run.
 const RUN_TIMEOUT: Duration = Duration::from_secs(45 * 60);
-/// Half of the machine's memory is the most that a run may use.
-const MEMORY_SHARE: u64 = 2;
-/// Conductors that are swapped, and changes while they are compared.
-const SWAPPED: usize = 20;
+/// A run may use at most the machine's memory divided by this.
+const MEMORY_DIVISOR: u64 = 2;
+/// Number of conductors replaced with `--swap`, and of changes made in each half of the comparison.
+const SWAPPED_CONDUCTORS: usize = 20;
 const SWAP_CHANGES: usize = 40;
 
-/// A scale run.
+/// Arguments of a scale run.
 #[derive(Clone, Debug, clap::Args)]
 pub(crate) struct FleetArgs {
-    /// Conductors, real and hollow.
+    /// Number of conductors, real and hollow.
     #[arg(long, default_value_t = 150)]
     conductors: usize,
-    /// Hollow servers; left out: as many as the users have for so many conductors.
+    /// Number of hollow servers; by default the users' number, scaled to the conductors.
     #[arg(long)]
     servers: Option<usize>,
-    /// Control members, of which five vote.
+    /// Number of control members, of which five vote.
     #[arg(long, default_value_t = 15)]
     controls: usize,
-    /// Conductors that are processes of the real program.
+    /// Number of conductors that are processes of the real program.
     #[arg(long, default_value_t = 24)]
     real: usize,
-    /// Changes at the mean pace.
+    /// Number of changes at the mean pace.
     #[arg(long, default_value_t = 200)]
     changes: usize,
     /// Changes a second at the mean pace.
     #[arg(long, default_value_t = 1.0)]
     pace: f64,
-    /// Seconds of the burst.
+    /// Duration of the burst, in seconds.
     #[arg(long, default_value_t = 60)]
     burst_s: usize,
     /// Changes a second in the burst.
     #[arg(long, default_value_t = 10.0)]
     burst_pace: f64,
-    /// A subscriber that nothing concerns is told so often what it is covered to, milliseconds.
+    /// Interval, in milliseconds, at which a subscriber without relevant changes is told the version up to
+    /// which it is current.
     #[arg(long, default_value_t = 5_000)]
     keep_alive_ms: u64,
-    /// Operators ask so often where a version is in force, milliseconds: it is work for the leader, too.
-    #[arg(long, default_value_t = millis(asking::ASK_EVERY))]
+    /// Interval between two rollout status requests of an operator, in milliseconds; each request costs the
+    /// leader work, too.
+    #[arg(long, default_value_t = millis(rollout_poller::DEFAULT_POLL_INTERVAL))]
     ask_every_ms: u64,
-    /// Where draws start.
+    /// Seed of all random draws.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Kill a control member and the leader, cut a region off, take all control away, restart a tenth of the conductors;
-    /// or some of these alone.
+    /// Inject faults: kill a control member and the leader, cut a region off, kill all control members,
+    /// restart a tenth of the conductors; or only those named.
     #[arg(
         long,
         value_enum,
@@ -96,22 +99,22 @@
         default_missing_values = ["member", "leader", "region", "control", "restart"]
     )]
     faults: Vec<FaultKind>,
-    /// Seconds for which a region is cut off, and for which all control is away.
-    #[arg(long, default_value_t = faults::OUTAGE.as_secs())]
+    /// Time for which a region is cut off, and for which all control members are down, in seconds.
+    #[arg(long, default_value_t = faults::DEFAULT_OUTAGE.as_secs())]
     outage_s: u64,
-    /// Swap 20 real conductors for hollow ones at the end, and compare their bytes and messages.
+    /// Replace 20 real conductors by hollow ones at the end, and compare their bytes and messages.
     #[arg(long)]
     swap: bool,
-    /// Run these sizes one after the other in place of one, and tell how figures grow.
+    /// Run with these numbers of conductors one after the other instead of one, and print how figures grow.
     #[arg(long, value_delimiter = ',')]
     sweep: Vec<usize>,
     /// Write the result as JSON to this file.
     #[arg(long)]
     json: Option<PathBuf>,
-    /// The program; left out: `stepspur` beside this executable.
+    /// Path of the program; by default `stepspur` beside this executable.
     #[arg(long)]
     program: Option<PathBuf>,
-    /// Keep the run's folder with settings and logs here.
+    /// Keep the run's files, with settings and logs, in this folder.
     #[arg(long)]
     keep: Option<PathBuf>,
 }
@@ -120,23 +123,24 @@
     span.as_millis() as u64
 }
 
-/// The result of one run or a sweep.
+/// Results of one run, or of the runs of a sweep.
 #[derive(Debug, Serialize, Deserialize)]
 struct Outcome {
     runs: Vec<Report>,
     growth: Vec<Growth>,
 }
 
-/// Runs it. An aim that is missed is told; what the judge finds is an error.
+/// Performs the runs and prints their reports. A missed target is only reported; a fault found by the checker
+/// is an error.
 ///
 /// # Errors
-/// A run that fails, or one that the judge objects to.
+/// A run that fails, or one in which the checker found faults.
 pub(crate) async fn run(args: FleetArgs) -> anyhow::Result<()> {
     let sizes = if args.sweep.is_empty() { vec![args.conductors] } else { args.sweep.clone() };
     let mut runs = Vec::new();
     for conductors in sizes {
         let args = FleetArgs { conductors, ..args.clone() };
-        let report = bounded(&args).await?;
+        let report = run_with_timeout(&args).await?;
         println!("{report}");
         runs.push(report);
         let outcome = Outcome { growth: growth(&runs), runs: runs.clone() };
@@ -150,13 +154,13 @@
             println!("{what}: {points:?}, exponent {exponent:.3}");
         }
     }
-    let objected = runs.iter().filter(|run| !run.verdict.clean()).count();
-    anyhow::ensure!(objected == 0, "the judge objects to {objected} of {} runs", runs.len());
+    let faulty = runs.iter().filter(|run| !run.verdict.clean()).count();
+    anyhow::ensure!(faulty == 0, "the judge found faults in {faulty} of {} runs", runs.len());
     Ok(())
 }
 
-/// A run with an end: by its time, or by a signal. Whatever was started ends with it.
-async fn bounded(args: &FleetArgs) -> anyhow::Result<Report> {
+/// Performs a run that ends at [`RUN_TIMEOUT`] or at a signal. All started processes end with it.
+async fn run_with_timeout(args: &FleetArgs) -> anyhow::Result<Report> {
     let (mut interrupt, mut terminate) = (signal(SignalKind::interrupt())?, signal(SignalKind::terminate())?);
     let folder = tempfile::Builder::new().prefix("stepspur-simulation-").tempdir()?;
     let path = match &args.keep {
@@ -167,13 +171,13 @@
         None => folder.path().to_owned(),
     };
     tokio::select! {
-        report = timeout(RUN_TIMEOUT, one(args, &path)) => report.context("the run took too long")?,
+        report = timeout(RUN_TIMEOUT, run_once(args, &path)) => report.context("the run exceeded its maximum duration")?,
         _ = interrupt.recv() => anyhow::bail!("interrupted"),
-        _ = terminate.recv() => anyhow::bail!("told to end"),
+        _ = terminate.recv() => anyhow::bail!("terminated by a signal"),
     }
 }
 
-async fn one(args: &FleetArgs, folder: &Path) -> anyhow::Result<Report> {
+async fn run_once(args: &FleetArgs, folder: &Path) -> anyhow::Result<Report> {
     let machine = machine()?;
     let sizes = Sizes {
         conductors: args.conductors,
@@ -195,13 +199,13 @@
     let start = run.full_start().await?;
     println!("full start: {start:?}");
     let processes = run.cluster.processes();
-    let probed = run.cluster.probed().await?;
+    let probed = run.cluster.probe_totals().await?;
     let probing = std::time::Instant::now();
     let mean = run.begin(MEAN);
     run.changes(args.changes, args.pace).await?;
     run.end(mean, None).await?;
     let probing = probing.elapsed().as_secs_f64() * run.cluster.real.len().max(1) as f64;
-    let probed_after = run.cluster.probed().await?;
+    let probed_after = run.cluster.probe_totals().await?;
     if args.burst_s > 0 {
         let burst = run.begin(BURST);
         let changes = (args.burst_s as f64 * args.burst_pace) as usize;
@@ -209,11 +213,11 @@
         run.end(burst, None).await?;
     }
     run.faults(&args.faults, Duration::from_secs(args.outage_s)).await?;
-    let swap = if args.swap { Some(run.swap(SWAPPED, SWAP_CHANGES).await?) } else { None };
-    let memory = run.cluster.sampler.memory_most();
+    let swap = if args.swap { Some(run.swap(SWAPPED_CONDUCTORS, SWAP_CHANGES).await?) } else { None };
+    let memory = run.cluster.sampler.peak_memory();
     anyhow::ensure!(
-        memory / 1_000_000 * MEMORY_SHARE <= machine.memory_mb,
-        "the run used {} MB, more than half of the machine's",
+        memory / 1_000_000 * MEMORY_DIVISOR <= machine.memory_mb,
+        "the run used {} MB, more than half of the machine's memory",
         memory / 1_000_000
     );
     let plan = &run.cluster.plan;
@@ -241,22 +245,25 @@
         probes_per_s: (probed_after.0 - probed.0) as f64 / probing,
         probe_bytes_per_s: (probed_after.1 - probed.1) as f64 / probing,
         memory_mb: memory as f64 / 1e6,
-        look_most_ms: run.cluster.sampler.look_most().as_secs_f64() * 1e3,
-        verdict: run.cluster.recorder.look(judge::judge),
+        look_most_ms: run.cluster.sampler.longest_sample().as_secs_f64() * 1e3,
+        verdict: run.cluster.recorder.with_history(checker::check_history),
     };
     run.cluster.stop().await;
     Ok(report)
 }
 
-/// What the run stands on.
+/// Reads cores, memory and load average of the machine.
 pub(crate) fn machine() -> anyhow::Result<Machine> {
     let memory = std::fs::read_to_string("/proc/meminfo")?;
-    let total = memory.lines().find_map(|line| line.strip_prefix("MemTotal:")).context("no MemTotal")?;
+    let total = memory
+        .lines()
+        .find_map(|line| line.strip_prefix("MemTotal:"))
+        .context("no MemTotal in /proc/meminfo")?;
     let kib: u64 = total.trim().trim_end_matches("kB").trim().parse()?;
     let load = std::fs::read_to_string("/proc/loadavg")?;
     Ok(Machine {
         cores: std::thread::available_parallelism()?.get(),
         memory_mb: kib * 1024 / 1_000_000,
-        load_before: load.split_whitespace().next().context("no load average")?.parse()?,
+        load_before: load.split_whitespace().next().context("no load average in /proc/loadavg")?.parse()?,
     })
 }
--- a/crates/stepspur-scale/src/fleet/operators.rs
+++ b/crates/stepspur-scale/src/fleet/operators.rs
@@ -1,4 +1,5 @@
-//! The operators' endpoint as an operator uses it: HTTPS, a token, and calls at whichever control member answers.
+//! Client of the operators' endpoint, as an operator uses it: HTTPS, a bearer token, and calls to whichever
+//! control member answers.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -26,20 +27,22 @@
 use tokio_rustls::rustls::ClientConfig;
 use tokio_rustls::rustls::pki_types::ServerName;
 
-/// The tenant of control members' own engines.
+/// Tenant of the control members' own engines.
 pub(crate) const TENANT: &str = "operators";
+/// Issuer and audience of all tokens of a run.
 const AUDIENCE: &str = "scale";
-const LIFE: Duration = Duration::from_secs(86_400);
-/// A call that takes longer has failed.
+/// Validity of the server certificates; tokens are valid for half of it.
+const CREDENTIAL_LIFETIME: Duration = Duration::from_secs(86_400);
+/// Timeout of one call, including the connection setup.
 const CALL_TIMEOUT: Duration = Duration::from_secs(7);
-/// Bytes of an answer at most.
-const ANSWER_BYTES_MOST: usize = 4 << 20;
+/// Maximum size of a response body, in bytes.
+const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
 fn unix_seconds() -> u64 {
     SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_secs()
 }
 
-/// The keys of a run, in a folder of its own.
+/// The keys and certificates of a run, in a folder of their own.
 pub(crate) struct Keys {
     folder: PathBuf,
     authority: Authority,
@@ -47,7 +50,7 @@
 }
 
 impl Keys {
-    /// Makes keys for control members at these addresses.
+    /// Creates keys and certificates for control members at these addresses.
     ///
     /// # Errors
     /// A folder that cannot be written.
@@ -56,7 +59,9 @@
         let (authority, _) = Authority::new(AUDIENCE)?;
         std::fs::write(folder.join("ca.pem"), authority.pem())?;
         let addresses = control.iter().map(SocketAddr::ip).collect();
-        authority.issue(&Leaf::Server(addresses), unix_seconds() - 60, LIFE)?.save(folder, "server")?;
+        authority
+            .issue(&Leaf::Server(addresses), unix_seconds() - 60, CREDENTIAL_LIFETIME)?
+            .save(folder, "server")?;
         let id = KeyId::try_from("scale".to_owned()).map_err(anyhow::Error::msg)?;
         let signer = Signer::new(id);
         let mut manifest = Manifest {
@@ -71,7 +76,7 @@
         Ok(Self { folder: folder.to_owned(), authority, signer })
     }
 
-    /// Where they are.
+    /// Folder that contains them.
     pub(crate) fn folder(&self) -> &Path {
         &self.folder
     }
@@ -86,65 +91,67 @@
             zone: None,
             rights,
             nbf: unix_seconds() - 1,
-            exp: unix_seconds() + LIFE.as_secs() / 2,
+            exp: unix_seconds() + CREDENTIAL_LIFETIME.as_secs() / 2,
         };
         issue(&self.signer, &claims)
     }
 
-    /// An operator who calls these endpoints.
+    /// Creates an operator client for these endpoints.
     ///
     /// # Errors
-    /// Keys that make no client.
+    /// Keys from which no TLS client can be built.
     pub(crate) fn operator(&self, endpoints: Vec<SocketAddr>) -> anyhow::Result<Operator> {
         let client = tls::client_config(&[self.authority.anchor()?], None)?;
         Ok(Operator { client, token: self.token(), endpoints, current: 0, connections: BTreeMap::new() })
     }
 }
 
-/// What the operators' endpoint says of a version.
+/// Rollout status of a version, as the operators' endpoint reports it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Standing {
-    /// True: in force everywhere.
+pub(crate) struct RolloutStatus {
+    /// True if the version is in force everywhere.
     pub everywhere: bool,
-    /// Registered subscribers that the version concerns.
+    /// Number of registered subscribers that the version concerns.
     pub expected: usize,
 }
 
-/// Ids of operations that one operator proposes, so that each takes effect once however often it is proposed.
+/// Generates the operation ids of one operator. An id makes a proposal idempotent: it takes effect once,
+/// however often it is proposed.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Operations {
-    life: u64,
+    instance: u64,
     number: u64,
 }
 
-/// No member of the council has this number.
-const OPERATOR: u64 = u64::MAX;
+/// Member number in the operation ids; no member of the consensus group has it.
+const OPERATOR_MEMBER_ID: u64 = u64::MAX;
 
 impl Operations {
-    /// Those of a new operator.
-    pub(crate) fn new(life: u64) -> Self {
-        Self { life, number: 0 }
+    /// Starts the ids of a new operator; `instance` must differ between operators.
+    pub(crate) fn new(instance: u64) -> Self {
+        Self { instance, number: 0 }
     }
 
-    /// The id of the next one, first proposed after this version.
+    /// Returns the id of the next operation; `after` is the newest version known when it is first proposed.
     pub(crate) fn next_id(&mut self, after: Version) -> String {
         self.number += 1;
-        format!("m-{OPERATOR:x}-{:x}-{}@{}", self.life, self.number, after.index)
+        format!("m-{OPERATOR_MEMBER_ID:x}-{:x}-{}@{}", self.instance, self.number, after.index)
     }
 }
 
-/// What became of a proposal.
+/// Outcome of a proposal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Proposed {
-    /// Agreed as this version.
+    /// Committed at this version.
     Agreed(Version),
-    /// Its outcome is not known: to be proposed again by the same operation.
+    /// The outcome is unknown for this reason; the proposal must be repeated with the same operation id.
     Unknown(String),
-    /// Refused for good.
+    /// Rejected for this reason; repeating it cannot succeed.
     Refused(String),
 }
 
-/// An operator. One call at a time, over connections that are kept, one to each endpoint; one that fails is made anew.
+/// A client that makes one call at a time over one keep-alive connection to each endpoint. A connection that
+/// fails is opened again by the next call.
 pub(crate) struct Operator {
     client: Arc<ClientConfig>,
     token: String,
@@ -154,12 +161,12 @@
 }
 
 impl Operator {
-    /// Goes to the next endpoint.
+    /// Selects the next endpoint for further calls.
     pub(crate) fn move_on(&mut self) {
         self.current = (self.current + 1) % self.endpoints.len().max(1);
     }
 
-    /// The endpoint that is called.
+    /// The endpoint that is currently called.
     pub(crate) fn endpoint(&self) -> SocketAddr {
         self.endpoints[self.current]
     }
@@ -168,40 +175,40 @@
     pub(crate) async fn propose(&mut self, operation: &str, changes: &[Change]) -> Proposed {
         let body = json!({ "operation": operation, "changes": changes });
         match self.call(Method::POST, "/v1/config", body.to_string()).await {
-            Ok((status, answer)) => read_proposed(status, &answer),
+            Ok((status, answer)) => parse_proposal_response(status, &answer),
             Err(error) => Proposed::Unknown(format!("{error:#}")),
         }
     }
 
-    /// Asks where a version is in force.
+    /// Requests the rollout status of a version.
     ///
     /// # Errors
-    /// No answer, or one that tells nothing of it.
-    pub(crate) async fn standing(&mut self, version: Version) -> anyhow::Result<Standing> {
+    /// No response, an error status, or a body that is no rollout status.
+    pub(crate) async fn rollout_status(&mut self, version: Version) -> anyhow::Result<RolloutStatus> {
         let path = format!("/v1/config/versions/{version}");
         let (status, body) = self.call(Method::GET, &path, String::new()).await?;
         if !status.is_success() {
-            bail!("{status} {body}");
+            bail!("unexpected response: {status} {body}");
         }
-        read_standing(&body).with_context(|| format!("an answer that says nothing: {body}"))
+        parse_rollout_status(&body).with_context(|| format!("response without a rollout status: {body}"))
     }
 
-    /// How the council stands, as the current endpoint knows it.
+    /// Requests the status of the consensus group, as the current endpoint sees it.
     ///
     /// # Errors
-    /// No answer.
-    pub(crate) async fn council(&mut self) -> anyhow::Result<Value> {
+    /// No response, or an error status.
+    pub(crate) async fn council_status(&mut self) -> anyhow::Result<Value> {
         let (status, body) = self.call(Method::GET, "/v1/council", String::new()).await?;
         if !status.is_success() {
-            bail!("{status} {body}");
+            bail!("unexpected response: {status} {body}");
         }
         Ok(body)
     }
 
-    /// Makes a call. A connection that fails is not kept.
+    /// Makes a call, and drops the connection if it fails.
     ///
     /// # Errors
-    /// No connection, no whole answer in time, an answer that is no JSON.
+    /// No connection, or no complete response in time.
     async fn call(
         &mut self,
         method: Method,
@@ -209,7 +216,8 @@
         body: String,
     ) -> anyhow::Result<(StatusCode, Value)> {
         let answered = timeout(CALL_TIMEOUT, self.exchange(method, path, body)).await;
-        let answered = answered.context("no answer in time").and_then(|answered| answered);
+        let answered =
+            answered.context("the operators' endpoint did not answer in time").and_then(|answered| answered);
         if answered.is_err() {
             self.connections.remove(&self.current);
         }
@@ -226,7 +234,8 @@
             let connection = self.connect().await?;
             self.connections.insert(self.current, connection);
         }
-        let connection = self.connections.get_mut(&self.current).context("no connection")?;
+        let connection =
+            self.connections.get_mut(&self.current).context("no connection to the operators' endpoint")?;
         connection.ready().await?;
         let request = Request::builder()
             .method(method)
@@ -237,8 +246,8 @@
             .body(Full::new(Bytes::from(body)))?;
         let response = connection.send_request(request).await?;
         let status = response.status();
-        let body = Limited::new(response.into_body(), ANSWER_BYTES_MOST).collect().await;
-        let body = body.map_err(|error| anyhow::anyhow!("the answer broke off: {error}"))?.to_bytes();
+        let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES).collect().await;
+        let body = body.map_err(|error| anyhow::anyhow!("incomplete response body: {error}"))?.to_bytes();
         let text = || String::from_utf8_lossy(&body).into_owned();
         Ok((status, serde_json::from_slice(&body).unwrap_or_else(|_| json!({ "result": text() }))))
     }
@@ -250,27 +259,28 @@
         let name = ServerName::from(address.ip());
         let stream = TlsConnector::from(Arc::clone(&self.client)).connect(name, socket).await?;
         let (sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
-        // It ends with its sender.
+        // The connection task ends when its sender is dropped.
         tokio::spawn(connection);
         Ok(sender)
     }
 }
 
-/// Reads the answer to a proposal.
-fn read_proposed(status: StatusCode, body: &Value) -> Proposed {
+/// Interprets the response to a proposal.
+fn parse_proposal_response(status: StatusCode, body: &Value) -> Proposed {
     let reason = || format!("{status} {body}");
     if status.is_success() {
         let version = body["version"].as_str().and_then(|version| version.parse().ok());
         return version.map_or_else(|| Proposed::Unknown(reason()), Proposed::Agreed);
     }
-    // The audit log may be full though the change is agreed: only faults of the request are final.
+    // Only client errors are final: a server error, such as a full audit log, can be returned although the
+    // change is committed.
     if status.is_client_error() { Proposed::Refused(reason()) } else { Proposed::Unknown(reason()) }
 }
 
-/// Reads the answer to where a version is in force.
-fn read_standing(body: &Value) -> Option<Standing> {
+/// Parses a rollout status; `None` if the body does not contain one.
+fn parse_rollout_status(body: &Value) -> Option<RolloutStatus> {
     let expected = usize::try_from(body["expected"].as_u64()?).ok()?;
-    Some(Standing { everywhere: body["everywhere"].as_bool()?, expected })
+    Some(RolloutStatus { everywhere: body["everywhere"].as_bool()?, expected })
 }
 
 #[cfg(test)]
--- a/crates/stepspur-scale/src/fleet/operators/tests.rs
+++ b/crates/stepspur-scale/src/fleet/operators/tests.rs
@@ -1,28 +1,31 @@
-//! Answers of the operators' endpoint as they are read.
+//! Tests of the parsing of the operators' endpoint's responses.
 
 use hyper::StatusCode;
 use serde_json::json;
 use stepspur_distribution::version::Version;
 
-use super::{Operations, Proposed, Standing, read_proposed, read_standing};
+use super::{Operations, Proposed, RolloutStatus, parse_proposal_response, parse_rollout_status};
 
 #[test]
-fn what_is_agreed_unknown_and_refused_is_told_apart() {
+fn proposal_responses_are_committed_unknown_or_rejected() {
     let agreed = json!({ "result": "agreed", "version": "3.41" });
-    assert_eq!(read_proposed(StatusCode::OK, &agreed), Proposed::Agreed(Version { term: 3, index: 41 }));
+    assert_eq!(
+        parse_proposal_response(StatusCode::OK, &agreed),
+        Proposed::Agreed(Version { term: 3, index: 41 })
+    );
     for status in [StatusCode::SERVICE_UNAVAILABLE, StatusCode::INSUFFICIENT_STORAGE] {
-        assert!(matches!(read_proposed(status, &json!({ "result": "" })), Proposed::Unknown(_)));
+        assert!(matches!(parse_proposal_response(status, &json!({ "result": "" })), Proposed::Unknown(_)));
     }
     for status in [StatusCode::BAD_REQUEST, StatusCode::CONFLICT, StatusCode::UNPROCESSABLE_ENTITY] {
-        assert!(matches!(read_proposed(status, &json!({ "result": "" })), Proposed::Refused(_)));
+        assert!(matches!(parse_proposal_response(status, &json!({ "result": "" })), Proposed::Refused(_)));
     }
-    // Neither agreed nor refused: a version that cannot be read.
-    let torn = read_proposed(StatusCode::OK, &json!({ "version": "3" }));
-    assert!(matches!(torn, Proposed::Unknown(_)));
+    // A version that cannot be parsed says neither that the change is committed nor that it is rejected.
+    let unreadable = parse_proposal_response(StatusCode::OK, &json!({ "version": "3" }));
+    assert!(matches!(unreadable, Proposed::Unknown(_)));
 }
 
 #[test]
-fn operations_have_ids_of_their_own_as_the_program_writes_them() {
+fn operation_ids_are_unique_and_in_the_format_of_the_program() {
     let mut operations = Operations::new(0xab);
     let after = Version { term: 3, index: 41 };
     assert_eq!(operations.next_id(after), "m-ffffffffffffffff-ab-1@41");
@@ -30,10 +33,16 @@
 }
 
 #[test]
-fn an_answer_that_does_not_say_everywhere_says_nothing() {
+fn a_response_without_everywhere_is_no_rollout_status() {
     let answer = |everywhere| json!({ "expected": 3, "everywhere": everywhere });
-    assert_eq!(read_standing(&answer(json!(true))), Some(Standing { everywhere: true, expected: 3 }));
-    assert_eq!(read_standing(&answer(json!(false))), Some(Standing { everywhere: false, expected: 3 }));
-    assert_eq!(read_standing(&json!({ "result": "not known" })), None);
-    assert_eq!(read_standing(&answer(json!("yes"))), None);
+    assert_eq!(
+        parse_rollout_status(&answer(json!(true))),
+        Some(RolloutStatus { everywhere: true, expected: 3 })
+    );
+    assert_eq!(
+        parse_rollout_status(&answer(json!(false))),
+        Some(RolloutStatus { everywhere: false, expected: 3 })
+    );
+    assert_eq!(parse_rollout_status(&json!({ "result": "not known" })), None);
+    assert_eq!(parse_rollout_status(&answer(json!("yes"))), None);
 }
--- a/crates/stepspur-scale/src/fleet/orders.rs
+++ b/crates/stepspur-scale/src/fleet/orders.rs
@@ -1,4 +1,4 @@
-//! What the proxies of real conductors were ordered, and whether it does what a change says.
+//! Orders that the proxies of real conductors received, and whether they apply a change.
 
 #[cfg(test)]
 mod tests;
@@ -10,31 +10,32 @@
 
 use super::history::{Micros, SubscriberId};
 
-/// Shares come as 32-bit floats.
+/// Tolerance when levels are compared, in millionths: the wire carries shares as 32-bit floats.
 const SHARE_ROUNDING_PPM: f64 = 1.0;
 
-/// What a proxy was ordered, as far as documents can order it.
+/// An order that a proxy received, as far as documents can cause it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Ordered {
-    /// Its stream ended: what it was ordered is void, as it joins anew without a table.
-    Nothing,
-    /// A share of a class is let in, in millionths.
+    /// The proxy's stream ended. Earlier orders no longer count, as the proxy reconnects with an empty table.
+    #[serde(rename = "nothing")]
+    StreamEnded,
+    /// Admits a share of the requests of a class.
     Level {
-        /// The class.
+        /// Class that the share applies to.
         class: String,
-        /// The share.
+        /// Admitted share, in millionths.
         ppm: f64,
     },
-    /// No requests may go to a server any more.
+    /// Stops requests to a server.
     Held(SocketAddr),
-    /// Requests may go to it again.
+    /// Allows requests to a server.
     Released(SocketAddr),
 }
 
 impl Ordered {
-    /// True: the order does what the change says.
-    pub(crate) fn does(&self, change: &Change) -> bool {
+    /// True if the order applies the change.
+    pub(crate) fn applies(&self, change: &Change) -> bool {
         match (self, &change.target) {
             (Self::Level { class, ppm }, Target::Class(wanted)) => {
                 let level = match change.setting {
@@ -50,8 +51,8 @@
         }
     }
 
-    /// True: it is about the same class or server.
-    pub(crate) fn is_about(&self, target: &Target) -> bool {
+    /// True if the order is about the same class or server.
+    pub(crate) fn targets(&self, target: &Target) -> bool {
         match (self, target) {
             (Self::Level { class, .. }, Target::Class(wanted)) => class == wanted,
             (Self::Held(server) | Self::Released(server), Target::Server(wanted)) => server == wanted,
@@ -60,43 +61,43 @@
     }
 }
 
-/// An order, and when it was read at the proxy's socket.
+/// An order, with the time at which it was read from the proxy's socket.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Order {
-    /// When.
+    /// Time at which it was read.
     pub at: Micros,
-    /// What.
+    /// The order.
     pub ordered: Ordered,
 }
 
-/// What one proxy was ordered, in the order of time.
+/// The orders of one proxy, oldest first.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct ProxyOrders {
-    /// The real conductor that it has joined.
+    /// Real conductor that the proxy is connected to.
     pub conductor: SubscriberId,
-    /// Its orders.
+    /// The orders, oldest first.
     pub orders: Vec<Order>,
 }
 
-/// True: what the proxies of one conductor had been ordered by then does what a change says. A level must stand at each
-/// of them. A server that is held must be usable at none; one that is let go must be usable at one of them, as a server
-/// stands in the tables of some only.
+/// True if the orders of one conductor's proxies up to `at` apply a change. A level must be in effect at
+/// every proxy. A held server must be usable at none. A released server must be usable at one of them at
+/// least, because only some proxies have a given server in their tables.
 pub(super) fn in_force(proxies: &[&[Order]], change: &Change, at: Micros) -> bool {
     let newest = |orders: &&[Order]| {
-        let valid = valid(orders, at).iter().rev();
-        valid.map(|order| &order.ordered).find(|ordered| ordered.is_about(&change.target)).cloned()
+        let valid_orders = valid_orders(orders, at).iter().rev();
+        valid_orders.map(|order| &order.ordered).find(|ordered| ordered.targets(&change.target)).cloned()
     };
     let mut newest = proxies.iter().map(newest);
     match (&change.target, change.setting) {
-        (Target::Class(_), _) => newest.all(|ordered| ordered.is_some_and(|ordered| ordered.does(change))),
+        (Target::Class(_), _) => newest.all(|ordered| ordered.is_some_and(|ordered| ordered.applies(change))),
         (Target::Server(_), Some(_)) => newest.all(|ordered| !matches!(ordered, Some(Ordered::Released(_)))),
         (Target::Server(_), None) => newest.any(|ordered| matches!(ordered, Some(Ordered::Released(_)))),
     }
 }
 
-/// The orders of a proxy that counted at this time: those over its newest stream.
-fn valid(orders: &[Order], at: Micros) -> &[Order] {
-    let told = &orders[..orders.partition_point(|order| order.at <= at)];
-    let void = told.iter().rposition(|order| order.ordered == Ordered::Nothing);
-    &told[void.map_or(0, |place| place + 1)..]
+/// Returns the orders of a proxy that were valid at `at`: those received over its current stream.
+fn valid_orders(orders: &[Order], at: Micros) -> &[Order] {
+    let received = &orders[..orders.partition_point(|order| order.at <= at)];
+    let stream_end = received.iter().rposition(|order| order.ordered == Ordered::StreamEnded);
+    &received[stream_end.map_or(0, |index| index + 1)..]
 }
--- a/crates/stepspur-scale/src/fleet/peers.rs
+++ b/crates/stepspur-scale/src/fleet/peers.rs
@@ -1,5 +1,5 @@
-//! Whom control members exchange bytes with, by the addresses of their connections: other members of the council, those
-//! that vote and those that follow; subscribers; operators.
+//! Classifies the connections of control members by their addresses: voting and non-voting members of the
+//! consensus group, summaries, subscribers and operators.
 
 #[cfg(test)]
 mod tests;
@@ -9,28 +9,28 @@
 use serde::{Deserialize, Serialize};
 
 use super::settings::ControlFleet;
-use super::sockets::{End, Look, Traffic};
+use super::sockets::{ConnectionEnd, Snapshot, Traffic};
 
-/// What is at the other end of a control member's connection.
+/// The kind of peer at the other end of a control member's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum PeerKind {
-    /// Another member of the council that votes.
+    /// Another voting member of the consensus group.
     CouncilVoters,
-    /// A member of the council that follows.
+    /// A non-voting member of the consensus group.
     CouncilFollowers,
-    /// Control members' summaries for the leader, at the address at which it serves subscribers.
+    /// Summaries that control members send to the leader, at the address at which it serves subscribers.
     Summaries,
-    /// Subscribers.
+    /// Conductors that subscribe to documents.
     Subscribers,
-    /// Callers of the operators' endpoint.
+    /// Clients of the operators' endpoint.
     Operators,
-    /// None of these.
+    /// Any other peer, such as a client of the status page.
     Other,
 }
 
 impl PeerKind {
-    /// All kinds.
+    /// All kinds, in the order of the report.
     pub(crate) const ALL: [Self; 6] = [
         Self::CouncilVoters,
         Self::CouncilFollowers,
@@ -40,7 +40,7 @@
         Self::Other,
     ];
 
-    /// What it is called.
+    /// Name in reports.
     pub(crate) fn label(self) -> &'static str {
         match self {
             Self::CouncilVoters => "council voters",
@@ -53,22 +53,22 @@
     }
 }
 
-/// A control member, as its sockets are told apart.
+/// Identifies a control member and says whether it votes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) struct Member {
-    /// Its number in the council.
+    /// Id of the member in the consensus group.
     pub id: u64,
-    /// True: it votes.
+    /// True if it votes.
     pub votes: bool,
 }
 
 impl Member {
-    fn council(self) -> PeerKind {
+    fn peer_kind(self) -> PeerKind {
         if self.votes { PeerKind::CouncilVoters } else { PeerKind::CouncilFollowers }
     }
 }
 
-/// What is served at an address of a control member.
+/// The service behind a listening address of a control member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Service {
     Council,
@@ -76,24 +76,24 @@
     Operators,
 }
 
-/// The addresses of all control members.
+/// The listening addresses of all control members, each with its member and service.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Addresses(BTreeMap<String, (Member, Service)>);
 
-/// The processes of control members that run.
+/// Control members that run, by process id.
 pub(crate) type MemberProcesses = BTreeMap<u32, Member>;
 
-/// What passed between a control member and one kind of peers.
+/// Traffic between a control member and one kind of peer.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(crate) struct Passed {
-    /// Connections.
+pub(crate) struct PeerTraffic {
+    /// Number of connections.
     pub connections: usize,
-    /// Bytes and segments.
+    /// Bytes and segments on them.
     pub traffic: Traffic,
 }
 
 impl Addresses {
-    /// Those of these control members.
+    /// Collects the listening addresses of these control members.
     pub(crate) fn of(control: &ControlFleet) -> Self {
         let mut addresses = BTreeMap::new();
         for (member, at) in &control.members {
@@ -109,21 +109,22 @@
         Self(addresses)
     }
 
-    /// What passed at each control member since an earlier look, by kinds of peers.
-    pub(crate) fn passed(
+    /// Returns the traffic of each control member since an earlier snapshot, by process id and kind of peer.
+    pub(crate) fn traffic_by_peer(
         &self,
-        now: &Look,
-        before: &Look,
+        now: &Snapshot,
+        before: &Snapshot,
         members: &MemberProcesses,
-    ) -> BTreeMap<u32, BTreeMap<PeerKind, Passed>> {
-        // By the two addresses of an end, its own first.
-        let own: BTreeMap<(&str, &str), Member> = now
+    ) -> BTreeMap<u32, BTreeMap<PeerKind, PeerTraffic>> {
+        // Maps the address pair of each connection end, local address first, to the control member that owns
+        // the end.
+        let owner_of: BTreeMap<(&str, &str), Member> = now
             .ends()
             .filter_map(|end| Some(((end.local.as_str(), end.peer.as_str()), *members.get(&end.pid)?)))
             .collect();
-        let mut sums: BTreeMap<u32, BTreeMap<PeerKind, Passed>> = BTreeMap::new();
-        for (end, traffic) in now.passed(before).filter(|(end, _)| members.contains_key(&end.pid)) {
-            let other = own.get(&(end.peer.as_str(), end.local.as_str())).copied();
+        let mut sums: BTreeMap<u32, BTreeMap<PeerKind, PeerTraffic>> = BTreeMap::new();
+        for (end, traffic) in now.traffic_since(before).filter(|(end, _)| members.contains_key(&end.pid)) {
+            let other = owner_of.get(&(end.peer.as_str(), end.local.as_str())).copied();
             let sum = sums.entry(end.pid).or_default().entry(self.kind(end, other)).or_default();
             sum.connections += 1;
             sum.traffic.add(traffic);
@@ -131,17 +132,18 @@
         sums
     }
 
-    /// Who is at the other end of a control member's connection; `other` is the control member whose process that is.
-    fn kind(&self, end: &End, other: Option<Member>) -> PeerKind {
+    /// Classifies the peer of a control member's connection. `other` is the control member whose process owns
+    /// the other end, if one does.
+    fn kind(&self, end: &ConnectionEnd, other: Option<Member>) -> PeerKind {
         let service = |address: &str| self.0.get(address).copied();
         match (service(&end.local), service(&end.peer), other) {
-            // Served here, by the address of the listener.
+            // Accepted connections are classified by the listening address.
             (Some((_, Service::Operators)), ..) => PeerKind::Operators,
             (Some((_, Service::Subscribers)), _, Some(_)) => PeerKind::Summaries,
             (Some((_, Service::Subscribers)), _, None) => PeerKind::Subscribers,
-            (Some((_, Service::Council)), _, Some(member)) => member.council(),
-            // Dialled from here, by the address that was dialled.
-            (None, Some((member, Service::Council)), _) => member.council(),
+            (Some((_, Service::Council)), _, Some(member)) => member.peer_kind(),
+            // Outgoing connections are classified by the address that was dialled.
+            (None, Some((member, Service::Council)), _) => member.peer_kind(),
             (None, Some((_, Service::Subscribers)), _) => PeerKind::Summaries,
             (None, Some((_, Service::Operators)), _) => PeerKind::Operators,
             _ => PeerKind::Other,
--- a/crates/stepspur-scale/src/fleet/peers/tests.rs
+++ b/crates/stepspur-scale/src/fleet/peers/tests.rs
@@ -1,4 +1,4 @@
-//! Connections of control members told apart by their addresses.
+//! Tests of the classification of control members' connections by their addresses.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -6,10 +6,10 @@
 
 use super::super::plan::ControlMember;
 use super::super::settings::{ControlAddresses, ControlFleet};
-use super::super::sockets::{Look, Traffic};
-use super::{Addresses, Member, MemberProcesses, Passed, PeerKind};
+use super::super::sockets::{Snapshot, Traffic};
+use super::{Addresses, Member, MemberProcesses, PeerKind, PeerTraffic};
 
-/// Processes of three control members, of the rig and of hollow conductors.
+/// Process ids of three control members, of this process and of hollow conductors.
 const LEADER: u32 = 11;
 const VOTER: u32 = 12;
 const FOLLOWER: u32 = 13;
@@ -43,7 +43,7 @@
     BTreeMap::from([(LEADER, member(1)), (VOTER, member(2)), (FOLLOWER, member(3))])
 }
 
-/// Both ends of a connection as `ss` tells them: the dialling one has written `bytes`.
+/// Both ends of a connection as `ss` prints them; the dialling end has written `bytes`.
 fn connection(from: (u32, &str), to: (u32, SocketAddr), bytes: u64) -> String {
     let ((dialler, near), (server, far)) = (from, to);
     format!(
@@ -52,33 +52,33 @@
     )
 }
 
-fn kinds(passed: &BTreeMap<u32, BTreeMap<PeerKind, Passed>>, pid: u32) -> Vec<(PeerKind, usize, u64)> {
-    let told = passed.get(&pid).into_iter().flatten();
-    told.map(|(kind, passed)| (*kind, passed.connections, passed.traffic.bytes())).collect()
+fn kinds(by_peer: &BTreeMap<u32, BTreeMap<PeerKind, PeerTraffic>>, pid: u32) -> Vec<(PeerKind, usize, u64)> {
+    let by_kind = by_peer.get(&pid).into_iter().flatten();
+    by_kind.map(|(kind, by_peer)| (*kind, by_peer.connections, by_peer.traffic.bytes())).collect()
 }
 
 #[test]
-fn connections_are_told_apart_by_the_listener_and_by_who_dials() {
-    let look = Look::parse(
+fn connections_are_classified_by_the_listener_and_the_dialling_process() {
+    let snapshot = Snapshot::parse(
         &[
-            // The council: each writes over connections that it has dialled.
+            // The consensus group: each member writes over the connections that it has dialled.
             connection((LEADER, "127.0.0.1:5001"), (VOTER, at(2, COUNCIL)), 100),
             connection((VOTER, "127.0.0.1:5002"), (LEADER, at(1, COUNCIL)), 10),
             connection((LEADER, "127.0.0.1:5003"), (FOLLOWER, at(3, COUNCIL)), 200),
             connection((FOLLOWER, "127.0.0.1:5004"), (LEADER, at(1, COUNCIL)), 20),
-            // Summaries come where subscribers are served.
+            // Summaries are sent to the address that serves subscribers.
             connection((FOLLOWER, "127.0.0.1:5005"), (LEADER, at(1, SUBSCRIBERS)), 3),
-            // A relayed subscriber comes from the rig, as operators do.
+            // A relayed subscriber connects from this process, as operators do.
             connection((HOLLOW, "127.0.0.1:5006"), (LEADER, at(1, SUBSCRIBERS)), 4),
             connection((RIG, "127.0.0.1:5007"), (LEADER, at(1, SUBSCRIBERS)), 5),
             connection((RIG, "127.0.0.1:5008"), (LEADER, at(1, OPERATORS)), 6),
-            // A status page.
+            // A client of the status page.
             connection((RIG, "127.0.0.1:5009"), (LEADER, at(1, 9_999)), 7),
         ]
         .concat(),
     );
-    let passed = addresses().passed(&look, &Look::default(), &processes());
-    assert_eq!(passed.keys().copied().collect::<Vec<_>>(), [LEADER, VOTER, FOLLOWER]);
+    let by_peer = addresses().traffic_by_peer(&snapshot, &Snapshot::default(), &processes());
+    assert_eq!(by_peer.keys().copied().collect::<Vec<_>>(), [LEADER, VOTER, FOLLOWER]);
     use PeerKind::{CouncilFollowers, CouncilVoters, Operators, Other, Subscribers, Summaries};
     let expected = [
         (CouncilVoters, 2, 110),
@@ -88,30 +88,31 @@
         (Operators, 1, 6),
         (Other, 1, 7),
     ];
-    assert_eq!(kinds(&passed, LEADER), expected);
-    assert_eq!(kinds(&passed, VOTER), [(CouncilVoters, 2, 110)]);
-    assert_eq!(kinds(&passed, FOLLOWER), [(CouncilVoters, 2, 220), (Summaries, 1, 3)]);
-    assert_eq!(passed[&LEADER][&Summaries].traffic.segments, 5);
+    assert_eq!(kinds(&by_peer, LEADER), expected);
+    assert_eq!(kinds(&by_peer, VOTER), [(CouncilVoters, 2, 110)]);
+    assert_eq!(kinds(&by_peer, FOLLOWER), [(CouncilVoters, 2, 220), (Summaries, 1, 3)]);
+    assert_eq!(by_peer[&LEADER][&Summaries].traffic.segments, 5);
 }
 
 #[test]
-fn only_what_passed_since_the_last_look_counts() {
+fn only_traffic_since_the_last_snapshot_counts() {
     let dialled = |bytes| connection((HOLLOW, "127.0.0.1:5006"), (LEADER, at(1, SUBSCRIBERS)), bytes);
-    let (first, second) = (Look::parse(&dialled(40)), Look::parse(&dialled(100)));
-    let passed = addresses().passed(&second, &first, &processes());
+    let (first, second) = (Snapshot::parse(&dialled(40)), Snapshot::parse(&dialled(100)));
+    let by_peer = addresses().traffic_by_peer(&second, &first, &processes());
     let expected =
-        Passed { connections: 1, traffic: Traffic { read: 60, written: 0, messages: 0, segments: 0 } };
-    assert_eq!(passed[&LEADER], BTreeMap::from([(PeerKind::Subscribers, expected)]));
-    assert_eq!(passed.len(), 1, "hollow conductors are no control members");
+        PeerTraffic { connections: 1, traffic: Traffic { read: 60, written: 0, messages: 0, segments: 0 } };
+    assert_eq!(by_peer[&LEADER], BTreeMap::from([(PeerKind::Subscribers, expected)]));
+    assert_eq!(by_peer.len(), 1, "hollow conductors are no control members");
 }
 
 #[test]
-fn a_connection_whose_other_end_is_gone_is_told_by_its_own_address() {
+fn a_connection_whose_other_end_is_closed_is_classified_by_its_own_address() {
     let both = connection((FOLLOWER, "127.0.0.1:5004"), (LEADER, at(1, COUNCIL)), 20);
     let own =
         |pid: u32| both.lines().filter(|line| line.contains(&format!("pid={pid},"))).collect::<String>();
-    let passed = |text: &str| addresses().passed(&Look::parse(text), &Look::default(), &processes());
-    assert_eq!(kinds(&passed(&own(FOLLOWER)), FOLLOWER), [(PeerKind::CouncilVoters, 1, 20)]);
-    // Nobody knows who has dialled.
-    assert_eq!(kinds(&passed(&own(LEADER)), LEADER), [(PeerKind::Other, 1, 20)]);
+    let by_peer =
+        |text: &str| addresses().traffic_by_peer(&Snapshot::parse(text), &Snapshot::default(), &processes());
+    assert_eq!(kinds(&by_peer(&own(FOLLOWER)), FOLLOWER), [(PeerKind::CouncilVoters, 1, 20)]);
+    // The owner of the dialling end is unknown.
+    assert_eq!(kinds(&by_peer(&own(LEADER)), LEADER), [(PeerKind::Other, 1, 20)]);
 }
--- a/crates/stepspur-scale/src/fleet/plan.rs
+++ b/crates/stepspur-scale/src/fleet/plan.rs
@@ -1,5 +1,5 @@
-//! What a run starts, drawn from its seed: regions, services with their routes, tenants and servers, and the conductors
-//! with what concerns each. Sizes are the users', scaled with the number of conductors.
+//! The fleet of a run, drawn from its seed: regions, services with their routes, tenants and servers, and the
+//! conductors with their interests. Sizes are those of the users' fleet, scaled to the number of conductors.
 
 #[cfg(test)]
 mod tests;
@@ -14,96 +14,98 @@
 use super::history::SubscriberId;
 use crate::capacity::target::USERS;
 
-/// Conductors of the users' fleet; the other figures belong to so many.
+/// Conductors in the users' fleet; the other `FULL_` sizes belong to this number.
 pub(crate) const FULL_CONDUCTORS: usize = USERS.conductors as usize;
 const FULL_SERVERS: usize = USERS.servers as usize;
 const FULL_SERVICES: usize = USERS.services as usize;
 const FULL_TENANTS: usize = USERS.tenants as usize;
 const REGIONS: usize = USERS.regions as usize;
-/// Routes of a service: 11,000 over 930 services are 11.8 on the mean. A conductor knows 16 classes at most.
-const ROUTES_LEAST: usize = 8;
-pub(crate) const ROUTES_MOST: usize = 16;
-/// Tenants of one service at most: conductors of two services stay below what a subscriber may name.
-const TENANTS_OF_SERVICE_MOST: usize = 2_000;
-/// Conductors in so many stand before a second service.
+/// Bounds of the number of routes of a service. 11,000 routes over 930 services are 11.8 on average. A
+/// conductor supports at most 16 classes.
+const MIN_ROUTES_PER_SERVICE: usize = 8;
+pub(crate) const MAX_ROUTES_PER_SERVICE: usize = 16;
+/// Maximum number of tenants of a service. Conductors of two services then stay below the number of tenants
+/// that a subscriber may name.
+const MAX_TENANTS_PER_SERVICE: usize = 2_000;
+/// One conductor in this many serves a second service.
 const SECOND_SERVICE_ONE_IN: u32 = 10;
-/// How unevenly conductors and tenants lie over services.
+/// Exponent of the Zipf distribution of conductors and tenants over services.
 const ZIPF_EXPONENT: f64 = 0.8;
-/// Members of the council that vote.
+/// Number of control members that vote.
 pub(crate) const VOTERS: usize = 5;
 
-/// How large a run is.
+/// Sizes of a run.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Sizes {
-    /// Conductors, real and hollow.
+    /// Number of conductors, real and hollow.
     pub conductors: usize,
-    /// Of them, those that are processes of the real program.
+    /// Number of conductors that are processes of the real program.
     pub real: usize,
-    /// Hollow servers; none: as many as the users have for so many conductors.
+    /// Number of hollow servers; `None` scales the users' number to the conductors.
     pub servers: Option<usize>,
-    /// Control members.
+    /// Number of control members.
     pub controls: usize,
 }
 
-/// A service.
+/// A service with its routes, tenants and servers.
 #[derive(Clone, Debug)]
 pub(crate) struct Service {
-    /// Its name.
+    /// Name of the service.
     pub name: String,
-    /// Its routes, `route-0` and so on: classes of a conductor.
+    /// Number of its routes. They are named `route-0` and so on, and are request classes of a conductor.
     pub routes: usize,
-    /// Its tenants.
+    /// Names of its tenants.
     pub tenants: Vec<String>,
-    /// Its servers.
+    /// Addresses of its servers.
     pub servers: Vec<SocketAddr>,
 }
 
 /// A conductor, real or hollow.
 #[derive(Clone, Debug)]
 pub(crate) struct Conductor {
-    /// Its place.
+    /// Index of the conductor in the plan.
     pub id: SubscriberId,
-    /// Its name in the register.
+    /// Name under which it registers as a subscriber.
     pub name: String,
-    /// What concerns it.
+    /// Scopes of the documents that it subscribes to.
     pub interest: Interest,
-    /// Places of its services.
+    /// Indices of its services in the plan.
     pub services: Vec<usize>,
 }
 
-/// A control member.
+/// A control member of the plan.
 #[derive(Clone, Debug)]
 pub(crate) struct ControlMember {
-    /// Its number in the council, from 1.
+    /// Id in the consensus group, from 1.
     pub id: u64,
-    /// Where it stands.
+    /// Region that it runs in.
     pub region: String,
-    /// True: it votes.
+    /// True if it votes.
     pub votes: bool,
 }
 
-/// A fleet.
+/// The fleet of a run.
 #[derive(Clone, Debug)]
 pub(crate) struct Plan {
     /// Names of the regions.
     pub regions: Vec<String>,
-    /// Services.
+    /// All services.
     pub services: Vec<Service>,
-    /// Conductors; the real ones come first.
+    /// All conductors; the real ones come first.
     pub conductors: Vec<Conductor>,
-    /// How many of them are real.
+    /// Number of real conductors.
     pub real: usize,
-    /// Control members.
+    /// Control members, by id.
     pub control: Vec<ControlMember>,
 }
 
-/// The name of a route as a request class.
-pub(crate) fn route(place: usize) -> String {
-    format!("route-{place}")
+/// Returns the name of a route, which is also that of its request class.
+pub(crate) fn route(index: usize) -> String {
+    format!("route-{index}")
 }
 
 impl Sizes {
-    /// Hollow servers of such a run.
+    /// Returns the number of hollow servers to start.
     pub(crate) fn server_count(&self) -> usize {
         self.servers.unwrap_or_else(|| scaled(FULL_SERVERS, self.conductors))
     }
@@ -114,7 +116,7 @@
 }
 
 impl Plan {
-    /// Draws a fleet before these servers.
+    /// Draws a fleet that uses these servers.
     pub(crate) fn draw(seed: u64, sizes: Sizes, servers: &[SocketAddr]) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let scaled = |full| scaled(full, sizes.conductors);
@@ -131,23 +133,23 @@
         Self { control: control.collect(), regions, services, conductors, real }
     }
 
-    /// Real conductors.
+    /// Returns the real conductors.
     pub(crate) fn real(&self) -> &[Conductor] {
         &self.conductors[..self.real]
     }
 
-    /// Hollow conductors.
+    /// Returns the hollow conductors.
     pub(crate) fn hollow(&self) -> &[Conductor] {
         &self.conductors[self.real..]
     }
 
-    /// Servers in all.
+    /// Returns the number of servers of all services.
     pub(crate) fn servers(&self) -> usize {
         self.services.iter().map(|service| service.servers.len()).sum()
     }
 
-    /// The region whose links a run cuts: the one with the most hollow conductors of those with a real one beside them,
-    /// or of all, if none has both.
+    /// Chooses the region whose links a run cuts: the one with the most hollow conductors among those that
+    /// also have a real one, or among all regions if none has both. `None` if there are no hollow conductors.
     pub(crate) fn region_to_cut(&self) -> Option<&str> {
         let count = |conductors: &[Conductor], region: &String| {
             conductors.iter().filter(|conductor| conductor.interest.region == *region).count()
@@ -157,10 +159,10 @@
         Some(cut.as_str())
     }
 
-    /// Places of the real conductors of a region.
+    /// Returns the indices of the real conductors of a region.
     pub(crate) fn real_of(&self, region: &str) -> Vec<usize> {
         let own = self.real().iter().enumerate().filter(|(_, conductor)| conductor.interest.region == region);
-        own.map(|(place, _)| place).collect()
+        own.map(|(index, _)| index).collect()
     }
 }
 
@@ -169,46 +171,47 @@
         (0..count).map(|_| 0.2 + Distribution::<f64>::sample(&Exp1, rng)).collect();
     let tenant_weights: Vec<f64> = (0..count).map(|k| ((k + 1) as f64).powf(-ZIPF_EXPONENT)).collect();
     let server_counts = shares(servers.len(), &server_weights, usize::MAX);
-    let tenant_counts = shares(tenants, &tenant_weights, TENANTS_OF_SERVICE_MOST);
+    let tenant_counts = shares(tenants, &tenant_weights, MAX_TENANTS_PER_SERVICE);
     let mut next_server = 0;
     let mut services = Vec::with_capacity(count);
-    for place in 0..count {
-        let own = next_server..next_server + server_counts[place];
+    for index in 0..count {
+        let own = next_server..next_server + server_counts[index];
         next_server = own.end;
         services.push(Service {
-            name: format!("service-{place}"),
-            routes: rng.random_range(ROUTES_LEAST..=ROUTES_MOST),
-            tenants: (0..tenant_counts[place]).map(|k| format!("tenant-{place}-{k}")).collect(),
+            name: format!("service-{index}"),
+            routes: rng.random_range(MIN_ROUTES_PER_SERVICE..=MAX_ROUTES_PER_SERVICE),
+            tenants: (0..tenant_counts[index]).map(|k| format!("tenant-{index}-{k}")).collect(),
             servers: servers[own].to_vec(),
         });
     }
     services
 }
 
-/// Shares out a total by weights, up to `most` each; what is left by rounding and by the bound goes to the first that
-/// have room.
-fn shares(total: usize, weights: &[f64], most: usize) -> Vec<usize> {
+/// Splits a total by weights into shares of at most `max_share`. The remainder from rounding and from the
+/// bound is given one by one to the shares below the bound, from the first on.
+fn shares(total: usize, weights: &[f64], max_share: usize) -> Vec<usize> {
     let sum: f64 = weights.iter().sum();
     let mut shares: Vec<usize> =
-        weights.iter().map(|weight| ((total as f64 * weight / sum) as usize).min(most)).collect();
-    let mut left = total - shares.iter().sum::<usize>().min(total);
-    while left > 0 {
-        let mut given = false;
-        for share in shares.iter_mut().filter(|share| **share < most) {
-            if left == 0 {
+        weights.iter().map(|weight| ((total as f64 * weight / sum) as usize).min(max_share)).collect();
+    let mut remainder = total - shares.iter().sum::<usize>().min(total);
+    while remainder > 0 {
+        let mut progressed = false;
+        for share in shares.iter_mut().filter(|share| **share < max_share) {
+            if remainder == 0 {
                 break;
             }
-            (*share, left, given) = (*share + 1, left - 1, true);
+            (*share, remainder, progressed) = (*share + 1, remainder - 1, true);
         }
-        if !given {
+        if !progressed {
             break;
         }
     }
     shares
 }
 
-/// Each service has a conductor first; the others stand before services as unevenly as traffic is. Real conductors
-/// stand in the first half of the regions and name no tenants: an engine of the real program is one tenant's.
+/// Gives each service one conductor first; the others are distributed over services by the Zipf distribution.
+/// Real conductors are placed in the first half of the regions and name no tenants, because an engine of the
+/// real program serves one tenant.
 fn draw_conductors(
     rng: &mut ChaCha8Rng,
     count: usize,
@@ -218,28 +221,28 @@
 ) -> Vec<Conductor> {
     let zipf = Zipf::new(services.len() as f64, ZIPF_EXPONENT).ok();
     let mut conductors = Vec::with_capacity(count);
-    for place in 0..count {
-        let mut own = vec![place % services.len()];
-        if place >= services.len() {
+    for index in 0..count {
+        let mut own = vec![index % services.len()];
+        if index >= services.len() {
             let drawn = zipf.map_or(1.0, |zipf| zipf.sample(rng)) as usize;
             own = vec![drawn.saturating_sub(1).min(services.len() - 1)];
         }
         let second = rng.random_range(0..services.len());
-        if place >= real && !own.contains(&second) && rng.random_range(0..SECOND_SERVICE_ONE_IN) == 0 {
+        if index >= real && !own.contains(&second) && rng.random_range(0..SECOND_SERVICE_ONE_IN) == 0 {
             own.push(second);
         }
-        let region = match place < real {
-            true => &regions[place % regions.len().div_ceil(2)],
+        let region = match index < real {
+            true => &regions[index % regions.len().div_ceil(2)],
             false => &regions[rng.random_range(0..regions.len())],
         };
-        let tenants = |k: &usize| if place < real { Vec::new() } else { services[*k].tenants.clone() };
+        let tenants = |k: &usize| if index < real { Vec::new() } else { services[*k].tenants.clone() };
         let named = |k: &usize| ServiceInterest { service: services[*k].name.clone(), tenants: tenants(k) };
         let mut interest = Interest { region: region.clone(), services: own.iter().map(named).collect() };
         interest.services.iter_mut().for_each(|service| service.tenants.sort());
         interest.services.sort();
         conductors.push(Conductor {
-            id: SubscriberId(u32::try_from(place).unwrap_or(u32::MAX)),
-            name: format!("conductor-{place}"),
+            id: SubscriberId(u32::try_from(index).unwrap_or(u32::MAX)),
+            name: format!("conductor-{index}"),
             interest,
             services: own,
         });
--- a/crates/stepspur-scale/src/fleet/plan/tests.rs
+++ b/crates/stepspur-scale/src/fleet/plan/tests.rs
@@ -1,9 +1,9 @@
-//! Fleets as they are drawn.
+//! Tests of the drawn fleets.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-use super::{Conductor, FULL_CONDUCTORS, Plan, ROUTES_MOST, Sizes, VOTERS};
+use super::{Conductor, FULL_CONDUCTORS, MAX_ROUTES_PER_SERVICE, Plan, Sizes, VOTERS};
 
 const FULL: Sizes = Sizes { conductors: FULL_CONDUCTORS, real: 24, servers: None, controls: 15 };
 
@@ -23,41 +23,45 @@
     assert_eq!(tenants, 99_000);
     let routes: usize = plan.services.iter().map(|service| service.routes).sum();
     assert!((10_000..=12_500).contains(&routes), "{routes}");
-    assert!(plan.services.iter().all(|service| service.routes <= ROUTES_MOST && !service.servers.is_empty()));
+    assert!(
+        plan.services
+            .iter()
+            .all(|service| service.routes <= MAX_ROUTES_PER_SERVICE && !service.servers.is_empty())
+    );
     assert_eq!(plan.control.iter().filter(|member| member.votes).count(), VOTERS);
     let servers: BTreeSet<_> = plan.services.iter().flat_map(|service| &service.servers).collect();
     assert_eq!(servers.len(), 19_000, "each server has one service");
 }
 
 #[test]
-fn every_interest_is_sound_and_every_service_has_a_conductor() {
+fn every_interest_is_valid_and_every_service_has_a_conductor() {
     let plan = draw(7, FULL);
-    let mut seen = BTreeSet::new();
+    let mut served = BTreeSet::new();
     for conductor in &plan.conductors {
         let sorted = conductor.interest.clone().sorted().unwrap();
         assert_eq!(sorted, conductor.interest, "an interest is drawn sorted");
-        seen.extend(conductor.services.iter().copied());
+        served.extend(conductor.services.iter().copied());
     }
-    assert_eq!(seen.len(), plan.services.len());
+    assert_eq!(served.len(), plan.services.len());
     let cut = plan.region_to_cut().expect("a region");
     let own = |conductors: &[Conductor]| {
         conductors.iter().filter(|conductor| conductor.interest.region == cut).count()
     };
     assert!(own(plan.real()) >= 2 && own(plan.hollow()) > 50, "real conductors beside many hollow ones");
     assert_eq!(plan.real_of(cut).len(), own(plan.real()));
-    assert!(plan.real_of(cut).iter().all(|place| plan.conductors[*place].interest.region == cut));
-    assert!(own(plan.real()) < plan.real, "others go on");
+    assert!(plan.real_of(cut).iter().all(|index| plan.conductors[*index].interest.region == cut));
+    assert!(own(plan.real()) < plan.real, "some real conductors are not cut off");
 }
 
 #[test]
-fn the_same_seed_draws_the_same_fleet_and_another_one_another() {
+fn the_seed_determines_the_fleet() {
     let drawn = |seed| format!("{:?}", draw(seed, Sizes { conductors: 150, ..FULL }));
     assert_eq!(drawn(3), drawn(3));
     assert_ne!(drawn(3), drawn(4));
 }
 
 #[test]
-fn a_small_fleet_is_a_fleet_still() {
+fn a_small_fleet_has_services_regions_and_a_region_to_cut() {
     let plan = draw(1, Sizes { conductors: 22, real: 2, servers: None, controls: 3 });
     assert_eq!((plan.real().len(), plan.hollow().len(), plan.control.len()), (2, 20, 3));
     assert!(plan.services.len() >= 4 && plan.regions.len() >= 2);
--- a/crates/stepspur-scale/src/fleet/proxies.rs
+++ b/crates/stepspur-scale/src/fleet/proxies.rs
@@ -1,5 +1,5 @@
-//! Proxies of the real conductors: each joins by the project's protocol and notes at which time its socket was ordered
-//! what.
+//! Proxies of the real conductors. Each connects by the project's protocol and records the orders it
+//! receives, with the time at which each was read from its socket.
 
 #[cfg(test)]
 mod tests;
@@ -26,45 +26,45 @@
 use super::orders::{Order, Ordered, ProxyOrders};
 use super::settings::{PROXIES, ZONES};
 
-/// A proxy whose stream ended dials again after this.
-const REDIAL: Duration = Duration::from_millis(200);
-/// A conductor says something within this, or the stream is dead.
-const SILENCE_MOST: Duration = Duration::from_secs(30);
-/// A proxy says something this often, until its conductor has said how often it must.
-const PING_EVERY: Duration = Duration::from_secs(5);
-/// No conductor is pinged more often, in microseconds.
-const KEEP_ALIVE_LEAST_US: u64 = 100_000;
+/// Delay before a proxy dials again after its stream ended.
+const RECONNECT_DELAY: Duration = Duration::from_millis(200);
+/// A stream is closed if the conductor sends nothing for this long.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Interval of a proxy's pings until its conductor announces the keep-alive time.
+const DEFAULT_PING_INTERVAL: Duration = Duration::from_secs(5);
+/// Minimum interval of pings, in microseconds.
+const MIN_PING_INTERVAL_US: u64 = 100_000;
 
-/// What one proxy was ordered so far.
-type Log = Arc<Mutex<Vec<Order>>>;
+/// Orders that one proxy has received so far.
+type OrderLog = Arc<Mutex<Vec<Order>>>;
 
-fn lock(log: &Log) -> MutexGuard<'_, Vec<Order>> {
+fn lock(log: &OrderLog) -> MutexGuard<'_, Vec<Order>> {
     log.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The proxies of all real conductors.
+/// The proxies of all real conductors, one task for each.
 #[derive(Debug)]
 pub(crate) struct Proxies {
-    conductors: BTreeMap<SubscriberId, OfConductor>,
+    conductors: BTreeMap<SubscriberId, ConductorProxies>,
     stop: CancellationToken,
     tasks: TaskTracker,
 }
 
 /// The proxies of one real conductor.
 #[derive(Debug)]
-struct OfConductor {
-    logs: Vec<Log>,
-    /// Where it listens, while it runs.
+struct ConductorProxies {
+    logs: Vec<OrderLog>,
+    /// Address at which the conductor listens; `None` while it is down.
     address: watch::Sender<Option<SocketAddr>>,
 }
 
 impl Proxies {
-    /// None yet.
+    /// Creates an empty set of proxies.
     pub(crate) fn new() -> Self {
         Self { conductors: BTreeMap::new(), stop: CancellationToken::new(), tasks: TaskTracker::new() }
     }
 
-    /// Has proxies join a real conductor. Those of one that was started again go to its new address.
+    /// Connects proxies to a real conductor. The proxies of a restarted conductor dial its new address.
     pub(crate) fn join(&mut self, conductor: SubscriberId, address: SocketAddr) {
         if let Some(known) = self.conductors.get(&conductor) {
             known.address.send_replace(Some(address));
@@ -72,37 +72,38 @@
         }
         let mut logs = Vec::new();
         let known = watch::Sender::new(Some(address));
-        for place in 0..PROXIES {
-            let log = Log::default();
+        for index in 0..PROXIES {
+            let log = OrderLog::default();
             logs.push(Arc::clone(&log));
-            let name = format!("proxy-{}-{place}", conductor.0);
-            let keep = keep(known.subscribe(), name, ZONES[place % ZONES.len()], log);
+            let name = format!("proxy-{}-{index}", conductor.0);
+            let maintain_stream = maintain_stream(known.subscribe(), name, ZONES[index % ZONES.len()], log);
             let stop = self.stop.clone();
             self.tasks.spawn(async move {
                 tokio::select! {
                     () = stop.cancelled() => {}
-                    () = keep => {}
+                    () = maintain_stream => {}
                 }
             });
         }
-        self.conductors.insert(conductor, OfConductor { logs, address: known });
+        self.conductors.insert(conductor, ConductorProxies { logs, address: known });
     }
 
-    /// A conductor is about to end: its address is not dialled any more, as it may be another's soon.
+    /// Stops dialling a conductor that is about to stop, as another process may be given its address.
     pub(crate) fn forget_address(&self, conductor: SubscriberId) {
         if let Some(known) = self.conductors.get(&conductor) {
             known.address.send_replace(None);
         }
     }
 
-    /// When the last proxy of a conductor was ordered what a change says, after this time; none: not all of those that
-    /// must be. A level must reach each proxy; a server stands in the tables of some.
+    /// Returns the time after `after` at which the last proxy of a conductor received the order that applies
+    /// a change; `None` if a proxy that must receive it did not. A level must reach every proxy; a server is
+    /// in the tables of some only.
     pub(crate) fn ordered(&self, conductor: SubscriberId, change: &Change, after: Micros) -> Option<Micros> {
         let logs = &self.conductors.get(&conductor)?.logs;
-        let first = |log: &Log| {
+        let first = |log: &OrderLog| {
             let log = lock(log);
             let start = log.partition_point(|order| order.at < after);
-            log[start..].iter().find(|order| order.ordered.does(change)).map(|order| order.at)
+            log[start..].iter().find(|order| order.ordered.applies(change)).map(|order| order.at)
         };
         let times: Vec<Option<Micros>> = logs.iter().map(first).collect();
         let all = matches!(change.target, Target::Class(_));
@@ -112,16 +113,16 @@
         times.into_iter().flatten().max()
     }
 
-    /// All orders so far.
+    /// Returns all orders received so far, by proxy.
     pub(crate) fn orders(&self) -> Vec<ProxyOrders> {
-        let of = |(&conductor, proxies): (&SubscriberId, &OfConductor)| {
-            let orders = |log: &Log| ProxyOrders { conductor, orders: lock(log).clone() };
+        let orders_of = |(&conductor, proxies): (&SubscriberId, &ConductorProxies)| {
+            let orders = |log: &OrderLog| ProxyOrders { conductor, orders: lock(log).clone() };
             proxies.logs.iter().map(orders).collect::<Vec<_>>()
         };
-        self.conductors.iter().flat_map(of).collect()
+        self.conductors.iter().flat_map(orders_of).collect()
     }
 
-    /// Ends them all.
+    /// Cancels all proxies and waits until their tasks have ended.
     pub(crate) async fn stop(self) {
         self.stop.cancel();
         self.tasks.close();
@@ -129,29 +130,34 @@
     }
 }
 
-/// Keeps a stream to a conductor wherever it listens, for as long as it is polled.
-async fn keep(mut address: watch::Receiver<Option<SocketAddr>>, name: String, zone: &'static str, log: Log) {
+/// Keeps a stream open to a conductor's current address, for as long as it is polled.
+async fn maintain_stream(
+    mut address: watch::Receiver<Option<SocketAddr>>,
+    name: String,
+    zone: &'static str,
+    log: OrderLog,
+) {
     loop {
         let Ok(known) = address.wait_for(Option::is_some).await.map(|known| *known) else { return };
         let Some(at) = known else { continue };
-        if let Err(error) = stream(at, &name, zone, &log).await {
+        if let Err(error) = run_stream(at, &name, zone, &log).await {
             tracing::debug!(event = "proxy_stream_ended", name, %error);
         }
-        note_end(&log);
-        sleep(REDIAL).await;
+        record_stream_end(&log);
+        sleep(RECONNECT_DELAY).await;
     }
 }
 
-/// Notes that the stream has ended; of attempts that end before an order nothing is noted.
-fn note_end(log: &Log) {
+/// Records that the stream has ended, unless no order was received since the last end.
+fn record_stream_end(log: &OrderLog) {
     let at = now();
     let mut log = lock(log);
-    if log.last().is_some_and(|order| order.ordered != Ordered::Nothing) {
-        log.push(Order { at, ordered: Ordered::Nothing });
+    if log.last().is_some_and(|order| order.ordered != Ordered::StreamEnded) {
+        log.push(Order { at, ordered: Ordered::StreamEnded });
     }
 }
 
-async fn stream(address: SocketAddr, name: &str, zone: &str, log: &Log) -> anyhow::Result<()> {
+async fn run_stream(address: SocketAddr, name: &str, zone: &str, log: &OrderLog) -> anyhow::Result<()> {
     let socket = TcpStream::connect(address).await?;
     socket.set_nodelay(true)?;
     let mut frames = Framed::new(socket, Frames::<FromConductor, FromProxy>::new(LARGEST_FRAME));
@@ -164,8 +170,8 @@
     };
     frames.send(FromProxy::new(0, 0, from_proxy::Kind::Hello(hello))).await?;
     let mut table = Table::default();
-    // Until the conductor has said how often.
-    let mut pings = interval(PING_EVERY);
+    // Default interval, used until the conductor's welcome.
+    let mut pings = interval(DEFAULT_PING_INTERVAL);
     pings.reset();
     loop {
         let read = tokio::select! {
@@ -173,21 +179,21 @@
                 frames.send(FromProxy::new(0, 0, from_proxy::Kind::Ping(v1::Ping { token: 0 }))).await?;
                 continue;
             }
-            read = timeout(SILENCE_MOST, frames.next()) => read?,
+            read = timeout(IDLE_TIMEOUT, frames.next()) => read?,
         };
-        let Some(frame) = read else { bail!("closed") };
+        let Some(frame) = read else { bail!("the conductor closed the stream") };
         let FromConductor { epoch, sequence, kind } = frame?;
         let answer = match kind {
             Some(from_conductor::Kind::Welcome(welcome)) => {
-                // A side that is silent for thrice as long is taken for dead.
-                pings = interval(Duration::from_micros(welcome.keepalive_us.max(KEEP_ALIVE_LEAST_US)));
+                // A side that sends nothing for three times the keep-alive time is considered dead.
+                pings = interval(Duration::from_micros(welcome.keepalive_us.max(MIN_PING_INTERVAL_US)));
                 pings.reset();
                 table.classes = welcome.classes;
                 continue;
             }
             Some(from_conductor::Kind::Order(order)) => {
                 let mark = order.mark;
-                note(log, table.take(order));
+                record_orders(log, table.take(order));
                 let Some(mark) = mark else { continue };
                 from_proxy::Kind::Applied(v1::Applied { mark, took_us: 0 })
             }
@@ -201,13 +207,13 @@
     }
 }
 
-/// Notes what was ordered just now.
-fn note(log: &Log, ordered: Vec<Ordered>) {
+/// Records orders with the current time.
+fn record_orders(log: &OrderLog, ordered: Vec<Ordered>) {
     let at = now();
     lock(log).extend(ordered.into_iter().map(|ordered| Order { at, ordered }));
 }
 
-/// What a proxy holds.
+/// Classes, weights and withdrawn servers of a proxy.
 #[derive(Debug, Default)]
 struct Table {
     classes: Vec<String>,
@@ -222,16 +228,16 @@
         usable.map(|(server, _)| *server).collect()
     }
 
-    /// Takes an order in, and tells what it changed.
+    /// Applies an order and returns its effects.
     fn take(&mut self, order: v1::Order) -> Vec<Ordered> {
         let before = self.usable();
         let (mut lines, mut levels, mut withdrawals) = (order.lines, order.levels, order.withdrawals);
-        if let Some(whole) = order.table {
+        if let Some(full_table) = order.table {
             self.weights.clear();
             self.withdrawn.clear();
-            lines.splice(0..0, whole.lines);
-            levels.splice(0..0, whole.levels);
-            withdrawals.splice(0..0, whole.withdrawals);
+            lines.splice(0..0, full_table.lines);
+            levels.splice(0..0, full_table.levels);
+            withdrawals.splice(0..0, full_table.withdrawals);
         }
         for line in lines {
             let Ok(server) = address_of(&line.server) else { continue };
--- a/crates/stepspur-scale/src/fleet/proxies/tests.rs
+++ b/crates/stepspur-scale/src/fleet/proxies/tests.rs
@@ -1,4 +1,4 @@
-//! Orders as a proxy reads them.
+//! Tests of how a proxy reads orders and keeps its stream alive.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,9 +9,9 @@
 use tokio::time::timeout;
 use tokio_util::codec::Framed;
 
-use super::{Log, Ordered, Table, stream};
+use super::{OrderLog, Ordered, Table, run_stream};
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn server(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 16, 0, 1], port))
@@ -26,10 +26,10 @@
 }
 
 #[test]
-fn what_changes_for_requests_is_told_and_nothing_else() {
+fn only_changes_that_affect_requests_are_recorded() {
     let mut table = Table { classes: vec!["read".into(), "write".into()], ..Table::default() };
-    let whole = v1::Table { lines: vec![line(1, 1.0), line(2, 0.0)], ..Default::default() };
-    let first = table.take(v1::Order { table: Some(whole), ..Default::default() });
+    let full_table = v1::Table { lines: vec![line(1, 1.0), line(2, 0.0)], ..Default::default() };
+    let first = table.take(v1::Order { table: Some(full_table), ..Default::default() });
     assert_eq!(first, [Ordered::Released(server(1))]);
     let drained = table.take(v1::Order { lines: vec![line(1, 0.0), line(2, 0.5)], ..Default::default() });
     assert_eq!(drained, [Ordered::Held(server(1)), Ordered::Released(server(2))]);
@@ -42,22 +42,23 @@
     assert_eq!(capped, [Ordered::Level { class: "write".into(), ppm: 250_000.0 }]);
 }
 
-/// In the first run at full size conductors cut all proxies off every 15 s: they had said nothing.
+/// Guards against idle timeouts: in the first run at full size, conductors closed the streams of all proxies
+/// every 15 s, because the proxies sent nothing.
 #[tokio::test]
-async fn a_proxy_with_nothing_to_say_pings_as_often_as_its_conductor_asks() {
+async fn an_idle_proxy_pings_at_the_interval_of_its_conductor() {
     let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
     let address = listener.local_addr().unwrap();
-    let proxy = tokio::spawn(async move { stream(address, "p", "a", &Log::default()).await });
-    let (socket, _) = timeout(PATIENCE, listener.accept()).await.unwrap().unwrap();
+    let proxy = tokio::spawn(async move { run_stream(address, "p", "a", &OrderLog::default()).await });
+    let (socket, _) = timeout(TEST_TIMEOUT, listener.accept()).await.unwrap().unwrap();
     let mut frames = Framed::new(socket, Frames::<FromProxy, FromConductor>::new(LARGEST_FRAME));
-    let hello = timeout(PATIENCE, frames.next()).await.expect("in time").unwrap().unwrap().kind;
+    let hello = timeout(TEST_TIMEOUT, frames.next()).await.expect("in time").unwrap().unwrap().kind;
     assert!(matches!(hello, Some(from_proxy::Kind::Hello(_))));
     let welcome = v1::Welcome { keepalive_us: 100_000, ..Default::default() };
     frames.send(FromConductor::new(1, 0, from_conductor::Kind::Welcome(welcome))).await.unwrap();
     for _ in 0..2 {
-        let said = timeout(PATIENCE, frames.next()).await.expect("in time").unwrap().unwrap().kind;
-        assert!(matches!(said, Some(from_proxy::Kind::Ping(_))), "{said:?}");
+        let received = timeout(TEST_TIMEOUT, frames.next()).await.expect("in time").unwrap().unwrap().kind;
+        assert!(matches!(received, Some(from_proxy::Kind::Ping(_))), "{received:?}");
     }
     drop(frames);
-    assert!(timeout(PATIENCE, proxy).await.expect("it ends").unwrap().is_err());
+    assert!(timeout(TEST_TIMEOUT, proxy).await.expect("it ends").unwrap().is_err());
 }
--- a/crates/stepspur-scale/src/fleet/record.rs
+++ b/crates/stepspur-scale/src/fleet/record.rs
@@ -1,4 +1,4 @@
-//! The recorder of a run: takes events of hollow conductors into the history, and knows how far each subscriber is.
+//! Records the events of a run in its history and tracks the version in force at each subscriber.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -7,22 +7,22 @@
 use tokio::sync::watch;
 
 use super::history::{
-    Acknowledged, Agreed, Answered, Applied, Cut, Down, History, Holding, Micros, Participant, Restarted,
-    SubscriberId,
+    Acknowledged, Agreed, Applied, Downtime, History, Holding, Micros, Participant, RegionCut, Restarted,
+    StatusAnswer, SubscriberId,
 };
 use super::orders::ProxyOrders;
 use crate::hollow_conductors::message::{Bytes, Event};
 
-/// Records a run.
+/// Recorder shared by the tasks of a run.
 #[derive(Debug)]
 pub(crate) struct Recorder {
-    state: Mutex<State>,
-    /// Counts acknowledgements, so that a wait looks again.
-    news: watch::Sender<u64>,
+    state: Mutex<RecorderState>,
+    /// Number of acknowledgements so far; a change wakes tasks that wait for subscribers to catch up.
+    acknowledgements: watch::Sender<u64>,
 }
 
 #[derive(Debug, Default)]
-struct State {
+struct RecorderState {
     history: History,
     phase: String,
     in_force: BTreeMap<SubscriberId, (Version, Micros)>,
@@ -32,16 +32,16 @@
 
 impl Default for Recorder {
     fn default() -> Self {
-        Self { state: Mutex::default(), news: watch::Sender::new(0) }
+        Self { state: Mutex::default(), acknowledgements: watch::Sender::new(0) }
     }
 }
 
 impl Recorder {
-    fn state(&self) -> MutexGuard<'_, State> {
+    fn state(&self) -> MutexGuard<'_, RecorderState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes an event of a hollow conductor.
+    /// Records an event of a hollow conductor.
     pub(crate) fn take(&self, event: Event) {
         let mut state = self.state();
         match event {
@@ -52,7 +52,7 @@
                 state.history.acknowledged.push(Acknowledged { at, subscriber: id, version });
                 state.in_force.insert(id, (version, at));
                 drop(state);
-                self.news.send_modify(|count| *count += 1);
+                self.acknowledgements.send_modify(|count| *count += 1);
             }
             Event::Restarted { id, at } => {
                 state.history.restarted.push(Restarted { at, subscriber: id });
@@ -75,70 +75,71 @@
         }
     }
 
-    /// Holdings from now on belong to this phase.
+    /// Sets the phase that further holdings belong to.
     pub(crate) fn begin_phase(&self, phase: &str) {
         self.state().phase = phase.to_owned();
     }
 
-    /// Subscribers that take part; answers count them from then on.
+    /// Adds hollow conductors to be checked from their registration on.
     pub(crate) fn participate(&self, participants: Vec<Participant>) {
         self.state().history.participants.extend(participants);
     }
 
-    /// Real conductors that take part.
+    /// Adds real conductors to be checked.
     pub(crate) fn participate_real(&self, participants: Vec<Participant>) {
         self.state().history.real.extend(participants);
     }
 
-    /// Takes all that proxies were ordered so far, in place of what was taken before.
+    /// Replaces the recorded proxy orders by all orders received so far.
     pub(crate) fn take_orders(&self, orders: Vec<ProxyOrders>) {
         self.state().history.proxies = orders;
     }
 
-    /// Notes that a real conductor was ended and started again.
-    pub(crate) fn down(&self, down: Down) {
+    /// Records that a real conductor was stopped and restarted.
+    pub(crate) fn down(&self, down: Downtime) {
         self.state().history.down.push(down);
     }
 
-    /// Notes changes that were agreed.
+    /// Records a committed proposal.
     pub(crate) fn agreed(&self, agreed: Agreed) {
         self.state().history.agreed.push(agreed);
     }
 
-    /// Notes an answer of the operators' endpoint.
-    pub(crate) fn answered(&self, answered: Answered) {
+    /// Records an answer of the operators' endpoint.
+    pub(crate) fn answered(&self, answered: StatusAnswer) {
         self.state().history.answers.push(answered);
     }
 
-    /// Notes that a region was cut off, and healed.
-    pub(crate) fn cut(&self, cut: Cut) {
+    /// Records that the links of a region were cut and healed.
+    pub(crate) fn cut(&self, cut: RegionCut) {
         self.state().history.cuts.push(cut);
     }
 
-    /// Changes whenever a subscriber acknowledges something.
-    pub(crate) fn news(&self) -> watch::Receiver<u64> {
-        self.news.subscribe()
+    /// Returns a receiver that changes whenever a subscriber acknowledges a version.
+    pub(crate) fn acknowledgements(&self) -> watch::Receiver<u64> {
+        self.acknowledgements.subscribe()
     }
 
-    /// How many of these subscribers act by a version or a later one, and when the last of them said so first.
+    /// Counts the subscribers in `among` that act by a version or a later one, and returns the time of the
+    /// last acknowledgement among them.
     pub(crate) fn acting_by(&self, version: Version, among: &[SubscriberId]) -> (usize, Micros) {
         let state = self.state();
         let acting = among.iter().filter_map(|id| state.in_force.get(id)).filter(|(v, _)| *v >= version);
         acting.fold((0, 0), |(count, last), (_, at)| (count + 1, last.max(*at)))
     }
 
-    /// Bytes of each subscriber at the last report.
+    /// Returns the byte counts of each subscriber at its last report.
     pub(crate) fn bytes(&self) -> BTreeMap<SubscriberId, Bytes> {
         self.state().bytes.clone()
     }
 
-    /// How many subscribers were attached at the last report.
+    /// Counts the subscribers that were connected at their last report.
     pub(crate) fn connected(&self) -> usize {
         self.state().connected.values().filter(|connected| **connected).count()
     }
 
-    /// Looks at what was recorded.
-    pub(crate) fn look<T>(&self, at: impl FnOnce(&History) -> T) -> T {
+    /// Runs a closure on the recorded history.
+    pub(crate) fn with_history<T>(&self, at: impl FnOnce(&History) -> T) -> T {
         at(&self.state().history)
     }
 }
--- a/crates/stepspur-scale/src/fleet/relay.rs
+++ b/crates/stepspur-scale/src/fleet/relay.rs
@@ -1,9 +1,10 @@
-//! A relay between one real conductor and control. The conductor is told the relay's addresses in place of the control
-//! members', so that every link of it goes through here and can be cut: then no byte passes in either direction, a new
-//! connection hangs, and neither side is told that the other one has closed.
+//! A relay between one real conductor and control. The conductor is configured with the relay's addresses
+//! instead of the control members', so that all its links pass through the relay and can be cut. While they
+//! are cut, no byte passes in either direction, a new connection hangs, and neither side learns that the
+//! other has closed.
 //!
-//! Control members name each other's addresses to subscribers (`ConfigWelcome`, `ConfigRedirect`). The relay writes its
-//! own in their places, or the conductor would go round it after its first welcome.
+//! Control members send each other's addresses to subscribers (`ConfigWelcome`, `ConfigRedirect`). The relay
+//! replaces them by its own, because the conductor would otherwise bypass it after its first welcome.
 
 #[cfg(test)]
 mod tests;
@@ -27,16 +28,17 @@
 use crate::gate::{Gate, Gated};
 use crate::hollow_conductors::message::ControlPlace;
 
-/// Connections of the conductor to one control member at once. Further ones hang until one has ended.
-const CONNECTIONS_MOST: usize = 16;
-/// A control member is dialled within this, or the conductor's connection is closed.
+/// Maximum number of concurrent connections of the conductor to one control member. Further ones hang until
+/// one has ended.
+const MAX_CONNECTIONS_PER_MEMBER: usize = 16;
+/// Timeout for dialling a control member, after which the conductor's connection is closed.
 const DIAL_TIMEOUT: Duration = Duration::from_secs(2);
-/// After an accept that failed, for want of descriptors for example.
-const ACCEPT_AGAIN_AFTER: Duration = Duration::from_millis(100);
+/// Delay after an accept that failed, for example for lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-type Near = Gated<TcpStream>;
+type GatedStream = Gated<TcpStream>;
 
-/// The relay of one conductor: a listener in place of each control member.
+/// The relay of one conductor, with one listener for each control member.
 #[derive(Debug)]
 pub(super) struct Relay {
     control: Vec<ControlPlace>,
@@ -44,45 +46,46 @@
     tasks: TaskTracker,
 }
 
-/// What the tasks of a relay share.
+/// State shared by the tasks of a relay.
 #[derive(Clone)]
 struct Shared {
     gate: Arc<Gate>,
-    names: Arc<Names>,
+    addresses: Arc<AddressMap>,
     stop: CancellationToken,
     tasks: TaskTracker,
 }
 
 impl Relay {
-    /// Listens in place of each control member, behind a gate.
+    /// Binds a listener for each control member; all connections pass through `gate`.
     ///
     /// # Errors
-    /// An address that cannot be listened on.
+    /// An address on which no listener can be bound.
     pub(super) async fn start(control: &[ControlPlace], gate: Arc<Gate>) -> io::Result<Self> {
         let mut listeners = Vec::new();
-        let mut names = Names::default();
-        let mut told = Vec::new();
+        let mut addresses = AddressMap::default();
+        let mut advertised = Vec::new();
         for member in control {
             let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
             let address = listener.local_addr()?;
-            names.0.insert(member.address, address);
-            told.push(ControlPlace { address, ..member.clone() });
+            addresses.0.insert(member.address, address);
+            advertised.push(ControlPlace { address, ..member.clone() });
             listeners.push((listener, member.address));
         }
         let (stop, tasks) = (CancellationToken::new(), TaskTracker::new());
-        let shared = Shared { gate, names: Arc::new(names), stop: stop.clone(), tasks: tasks.clone() };
+        let shared =
+            Shared { gate, addresses: Arc::new(addresses), stop: stop.clone(), tasks: tasks.clone() };
         for (listener, member) in listeners {
             tasks.spawn(accept(listener, member, shared.clone()));
         }
-        Ok(Self { control: told, stop, tasks })
+        Ok(Self { control: advertised, stop, tasks })
     }
 
-    /// The control members as the conductor is told of them.
+    /// Returns the control members with the relay's addresses, as the conductor is configured with them.
     pub(super) fn control(&self) -> &[ControlPlace] {
         &self.control
     }
 
-    /// Ends all connections and waits for their tasks.
+    /// Closes all connections and waits for their tasks.
     pub(super) async fn stop(self) {
         self.stop.cancel();
         self.tasks.close();
@@ -90,28 +93,28 @@
     }
 }
 
-/// Takes the conductor's connections to one control member until stopped.
+/// Accepts the conductor's connections to one control member until stopped.
 async fn accept(listener: TcpListener, member: SocketAddr, shared: Shared) {
-    let room = Arc::new(Semaphore::new(CONNECTIONS_MOST));
+    let slots = Arc::new(Semaphore::new(MAX_CONNECTIONS_PER_MEMBER));
     loop {
         let accepted = tokio::select! {
             () = shared.stop.cancelled() => return,
-            accepted = next(&listener, &room) => accepted,
+            accepted = accept_next(&listener, &slots) => accepted,
         };
-        let (conductor, place) = match accepted {
+        let (conductor, slot) = match accepted {
             Ok(accepted) => accepted,
             Err(error) => {
                 tracing::warn!(event = "relay_accept_failed", %member, %error);
-                sleep(ACCEPT_AGAIN_AFTER).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
         let connection = shared.clone();
         shared.tasks.spawn(async move {
-            let _place = place;
+            let _slot = slot;
             let ended = tokio::select! {
                 () = connection.stop.cancelled() => return,
-                ended = pass(conductor, member, &connection) => ended,
+                ended = forward(conductor, member, &connection) => ended,
             };
             if let Err(error) = ended {
                 tracing::debug!(event = "relay_connection_ended", %member, %error);
@@ -120,20 +123,21 @@
     }
 }
 
-async fn next(
+async fn accept_next(
     listener: &TcpListener,
-    room: &Arc<Semaphore>,
+    slots: &Arc<Semaphore>,
 ) -> io::Result<(TcpStream, tokio::sync::OwnedSemaphorePermit)> {
-    let place = Arc::clone(room).acquire_owned().await.map_err(io::Error::other)?;
+    let slot = Arc::clone(slots).acquire_owned().await.map_err(io::Error::other)?;
     let (conductor, _) = listener.accept().await?;
-    Ok((conductor, place))
+    Ok((conductor, slot))
 }
 
-/// Passes bytes both ways until both sides have ended, or one fails.
-async fn pass(conductor: TcpStream, member: SocketAddr, shared: &Shared) -> Result<(), FrameError> {
+/// Forwards bytes in both directions until both sides have closed, or one fails.
+async fn forward(conductor: TcpStream, member: SocketAddr, shared: &Shared) -> Result<(), FrameError> {
     shared.gate.opened().await;
-    if is_given_up(&conductor) {
-        // Control never heard of a connection that was dialled and given up while the links were cut.
+    if is_closed_by_conductor(&conductor) {
+        // The conductor dialled and closed this connection while the links were cut, so it must not reach
+        // control.
         return Ok(());
     }
     let dialled = timeout(DIAL_TIMEOUT, TcpStream::connect(member)).await;
@@ -143,53 +147,57 @@
     let (from_conductor, to_conductor) = tokio::io::split(Gated::new(conductor, Arc::clone(&shared.gate)));
     let (from_control, to_control) = tokio::io::split(Gated::new(control, Arc::clone(&shared.gate)));
     tokio::try_join!(
-        pass_to_control(from_conductor, to_control),
-        pass_to_conductor(from_control, to_conductor, &shared.names),
+        forward_to_control(from_conductor, to_control),
+        forward_to_conductor(from_control, to_conductor, &shared.addresses),
     )?;
     Ok(())
 }
 
-/// True: the conductor has closed the connection.
-fn is_given_up(conductor: &TcpStream) -> bool {
+/// True if the conductor has closed the connection.
+fn is_closed_by_conductor(conductor: &TcpStream) -> bool {
     let ready = conductor.ready(Interest::READABLE).now_or_never();
     ready.is_some_and(|ready| ready.is_ok_and(|ready| ready.is_read_closed()))
 }
 
-async fn pass_to_control(mut from: ReadHalf<Near>, mut to: WriteHalf<Near>) -> Result<(), FrameError> {
+async fn forward_to_control(
+    mut from: ReadHalf<GatedStream>,
+    mut to: WriteHalf<GatedStream>,
+) -> Result<(), FrameError> {
     tokio::io::copy(&mut from, &mut to).await?;
     Ok(to.shutdown().await?)
 }
 
-async fn pass_to_conductor(
-    from: ReadHalf<Near>,
-    to: WriteHalf<Near>,
-    names: &Names,
+async fn forward_to_conductor(
+    from: ReadHalf<GatedStream>,
+    to: WriteHalf<GatedStream>,
+    addresses: &AddressMap,
 ) -> Result<(), FrameError> {
     let mut frames = FramedRead::new(from, Frames::<FromControl, FromControl>::new(LARGEST_FRAME));
     let mut to = FramedWrite::new(to, Frames::<FromControl, FromControl>::new(LARGEST_FRAME));
     while let Some(frame) = frames.next().await {
-        to.send(names.replaced(frame?)).await?;
+        to.send(addresses.rewritten(frame?)).await?;
     }
     Ok(to.into_inner().shutdown().await?)
 }
 
-/// The relay's addresses by those of the control members.
+/// Maps the control members' addresses to the relay's.
 #[derive(Debug, Default)]
-struct Names(BTreeMap<SocketAddr, SocketAddr>);
+struct AddressMap(BTreeMap<SocketAddr, SocketAddr>);
 
-impl Names {
-    /// A frame that names the relay's addresses in place of the control members'.
-    fn replaced(&self, mut frame: FromControl) -> FromControl {
+impl AddressMap {
+    /// Replaces the control members' addresses in a frame by the relay's.
+    fn rewritten(&self, mut frame: FromControl) -> FromControl {
         match &mut frame.kind {
-            Some(from_control::Kind::Welcome(welcome)) => self.replace(&mut welcome.members),
-            Some(from_control::Kind::Redirect(redirect)) => self.replace(&mut redirect.members),
+            Some(from_control::Kind::Welcome(welcome)) => self.rewrite(&mut welcome.members),
+            Some(from_control::Kind::Redirect(redirect)) => self.rewrite(&mut redirect.members),
             _ => {}
         }
         frame
     }
 
-    /// A member that the relay does not stand for is left out: the conductor must not reach it by another way.
-    fn replace(&self, members: &mut Vec<v1::ControlAddress>) {
+    /// Members without a listener of the relay are removed, because the conductor must not reach them
+    /// directly.
+    fn rewrite(&self, members: &mut Vec<v1::ControlAddress>) {
         members.retain_mut(|member| {
             let address = member.address.parse().ok().and_then(|address| self.0.get(&address));
             if let Some(address) = address {
--- a/crates/stepspur-scale/src/fleet/report.rs
+++ b/crates/stepspur-scale/src/fleet/report.rs
@@ -1,4 +1,4 @@
-//! What a run found: a table for people, JSON for the pages.
+//! Results of a run, as text for people and as JSON for the generated pages.
 
 #[cfg(test)]
 mod tests;
@@ -8,7 +8,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::judge::Verdict;
+use super::checker::Verdict;
 use super::latency::{Spread, Travel};
 use super::measure::{Role, RoleUsage};
 use super::members::{Group, MemberUsage, PeerUsage};
@@ -16,119 +16,123 @@
 use crate::capacity::target::USERS;
 use crate::fit::exponent;
 
-/// What the users allow a subscriber for control, in bytes a second.
+/// Target for the control traffic of a subscriber, in bytes a second.
 pub(crate) const SUBSCRIBER_BYTES_PER_S: f64 = USERS.bytes_per_s;
-/// In hundredths of a core.
+/// Target for the processor time of a subscriber, in hundredths of a core.
 pub(crate) const SUBSCRIBER_CPU_PERCENT: f64 = USERS.cpu_percent;
-/// In MB.
+/// Target for the memory of a subscriber, in MB.
 pub(crate) const SUBSCRIBER_MB: f64 = USERS.memory_mib * BYTES_OF_MIB / 1e6;
 const BYTES_OF_MIB: f64 = (1 << 20) as f64;
-/// A change is in force everywhere within this, in every case.
+/// Target for the time until a change is in force everywhere, in every phase, in milliseconds.
 pub(crate) const IN_FORCE_MS: f64 = 5_000.0;
-/// The same at the mean pace.
+/// Target for the same time in the phase at the mean pace, in milliseconds.
 pub(crate) const IN_FORCE_AT_MEAN_PACE_MS: f64 = 1_000.0;
-/// A full start of 2,400 conductors is in force within this.
+/// Target for the time until a full start of 2,400 conductors is in force, in milliseconds.
 pub(crate) const FULL_START_MS: f64 = 30_000.0;
-/// The phase at the mean pace, and that of the burst.
+/// Name of the phase with changes at the mean pace.
 pub(crate) const MEAN: &str = "mean";
-/// See [`MEAN`].
+/// Name of the phase with changes at the burst pace.
 pub(crate) const BURST: &str = "burst";
 
-/// The machine of a run.
+/// The machine that a run used.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Machine {
-    /// Processor cores.
+    /// Number of processor cores.
     pub cores: usize,
-    /// Memory, in MB.
+    /// Installed memory, in MB.
     pub memory_mb: u64,
-    /// The load average of the minute before the run: what others did beside it.
+    /// One-minute load average before the run: the load caused by other processes.
     pub load_before: f64,
 }
 
-/// How large the run was.
+/// Sizes of a run's fleet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Fleet {
-    /// Conductors, real and hollow.
+    /// Number of conductors, real and hollow.
     pub conductors: usize,
-    /// Of them, processes of the real program.
+    /// Number of conductors that are processes of the real program.
     pub real: usize,
-    /// Control members.
+    /// Number of control members.
     pub controls: usize,
-    /// Hollow servers.
+    /// Number of hollow servers.
     pub servers: usize,
-    /// Services.
+    /// Number of services.
     pub services: usize,
-    /// Routes of all services.
+    /// Number of routes of all services.
     pub routes: usize,
-    /// Tenants' scopes.
+    /// Number of tenants, summed over services.
     pub tenants: usize,
-    /// Regions.
+    /// Number of regions.
     pub regions: usize,
-    /// Documents before the start.
+    /// Number of documents before the conductors start.
     pub documents: usize,
-    /// Processes, the rig among them.
+    /// Number of processes, including the measuring one.
     pub processes: usize,
 }
 
-/// The start of all conductors at once.
+/// Results of starting all conductors concurrently.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct FullStart {
-    /// Until the last hollow conductor acted by all documents.
+    /// Time until the last hollow conductor acted by all documents.
     pub hollow_ms: f64,
-    /// Until the last real conductor did; its process was started at the same time.
+    /// Time until the last real conductor did; its process was started at the same time.
     pub real_ms: f64,
-    /// Until the operators' endpoint counted all and said so of all; none: not in time.
+    /// Time until the operators' endpoint reported the documents as in force at all conductors; `None` if it
+    /// did not in time.
     pub known_ms: Option<f64>,
-    /// Bytes that hollow conductors read, without headers.
+    /// Payload bytes that all hollow conductors read.
     pub bytes_read: u64,
-    /// Of the one that read most.
+    /// Payload bytes that the hollow conductor with the most bytes read.
     pub bytes_read_most: u64,
 }
 
-/// A phase of a run.
+/// Results of a phase of a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Phase {
-    /// Its name.
+    /// Name of the phase.
     pub name: String,
-    /// How long it took.
+    /// Duration.
     pub seconds: f64,
-    /// Proposals that were agreed.
+    /// Number of committed proposals.
     pub changes: usize,
-    /// Proposals whose outcome was asked for again.
+    /// Number of proposal attempts repeated because the outcome was unknown.
     pub retries: usize,
-    /// How they travelled.
+    /// Propagation times of the changes.
     pub travel: Travel,
-    /// What each role used.
+    /// Resource usage by role.
     pub usage: BTreeMap<Role, RoleUsage>,
-    /// What each control member used, and with whom, leaders first.
+    /// Resource usage of each control member by kind of peer, leaders first.
     pub members: Vec<MemberUsage>,
-    /// Hollow conductors that were attached at its end.
+    /// Number of hollow conductors connected at its end.
     pub connected: usize,
-    /// After a fault or its end: until all hollow conductors had what was agreed by then; 0: they had it already.
+    /// Time after a fault or its end until all hollow conductors had the changes committed before; 0 if they
+    /// had them already, `None` if the phase has no fault.
     pub level_ms: Option<f64>,
-    /// The same until the proxies of all real conductors were ordered it; none: no fault, or some never were.
+    /// Time until the proxies of all real conductors had received their orders; `None` if the phase has no
+    /// fault or some never did.
     pub level_real_ms: Option<f64>,
-    /// What happened, in words.
+    /// Descriptions of what happened.
     pub notes: Vec<String>,
 }
 
-/// The same span with real conductors, and with hollow ones in their places.
+/// Control traffic under the same load with real conductors, and with hollow ones in their place.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Swap {
-    /// Conductors that were swapped.
+    /// Number of replaced conductors.
     pub conductors: usize,
-    /// Bytes a second with control of one real one, without headers.
+    /// Payload bytes a second between one real conductor and control.
     pub real_bytes_per_s: f64,
-    /// Of a hollow one.
+    /// Payload bytes a second between one hollow conductor and control.
     pub hollow_bytes_per_s: f64,
-    /// Messages a second of a real one.
+    /// Segments with data a second of one real conductor.
     pub real_messages_per_s: f64,
-    /// Of a hollow one.
+    /// Segments with data a second of one hollow conductor.
     pub hollow_messages_per_s: f64,
 }
 
 impl Swap {
-    /// How far the hollow ones are off, as a share: bytes, messages.
+    /// Returns the relative error of the hollow conductors' bytes and messages; infinite if the real ones had
+    /// none.
     pub(crate) fn off_by(&self) -> (f64, f64) {
         let off =
             |hollow: f64, real: f64| if real > 0.0 { (hollow / real - 1.0).abs() } else { f64::INFINITY };
@@ -139,58 +143,62 @@
     }
 }
 
-/// An aim and what was measured.
+/// A target and the measured figure.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Aim {
-    /// What.
+pub(crate) struct TargetResult {
+    /// Name of the figure, with its unit.
     pub what: String,
-    /// At most so much.
+    /// Bound that the figure must stay below.
     pub at_most: f64,
-    /// So much it was.
+    /// Measured figure.
     pub figure: f64,
-    /// True: it is kept.
+    /// True if the figure is below the bound and no change is missing.
     pub met: bool,
 }
 
-/// A run.
+/// Complete results of a run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Report {
-    /// Where draws started.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// The machine.
+    /// Machine that the run used.
     pub machine: Machine,
-    /// How large it was.
+    /// Sizes of the fleet.
     pub fleet: Fleet,
-    /// Operators asked so often where a version is in force, in milliseconds.
+    /// Interval between two rollout status requests, in milliseconds.
     pub ask_every_ms: u64,
     /// Changes a second in the phase `mean`.
     pub mean_pace_per_s: f64,
     /// Changes a second in the phase `burst`.
     pub burst_pace_per_s: f64,
-    /// The start.
+    /// Results of the full start.
     pub start: FullStart,
-    /// The phases.
+    /// Results of the phases, in order.
     pub phases: Vec<Phase>,
-    /// Real against hollow conductors, if it was asked for.
+    /// Comparison of real and hollow conductors, if it was requested.
     pub swap: Option<Swap>,
-    /// Probes that servers answered each second for each real conductor, and their payload in bytes.
+    /// Probes that servers answered a second, for each real conductor.
     pub probes_per_s: f64,
-    /// See [`Report::probes_per_s`].
+    /// Payload of these probes in bytes a second, for each real conductor.
     pub probe_bytes_per_s: f64,
-    /// Resident memory of all processes together at most, in MB.
+    /// Peak resident memory of all processes together, in MB.
     pub memory_mb: f64,
-    /// The longest that a look at the sockets took, in milliseconds.
+    /// Longest time that a sample of the sockets took, in milliseconds.
     pub look_most_ms: f64,
-    /// What the judge says.
+    /// Result of the checks of the recorded history.
     pub verdict: Verdict,
 }
 
 impl Report {
-    /// The aims with what was measured, in the order of the users' list.
-    pub(crate) fn aims(&self) -> Vec<Aim> {
-        let aim =
-            |what: String, at_most: f64, figure: f64| Aim { what, at_most, figure, met: figure < at_most };
-        let mut aims = Vec::new();
+    /// Returns the targets with the measured figures, in the order of the users' list.
+    pub(crate) fn target_results(&self) -> Vec<TargetResult> {
+        let target_result = |what: String, at_most: f64, figure: f64| TargetResult {
+            what,
+            at_most,
+            figure,
+            met: figure < at_most,
+        };
+        let mut target_results = Vec::new();
         for phase in &self.phases {
             let at_most = if phase.name == MEAN { IN_FORCE_AT_MEAN_PACE_MS } else { IN_FORCE_MS };
             let Travel { in_force, at_proxies, missing, missing_at_proxies, .. } = phase.travel;
@@ -201,12 +209,13 @@
                 if spread.count + missing == 0 {
                     continue;
                 }
-                let mut aim = aim(format!("{}: {what}, ms", phase.name), at_most, spread.most_ms);
+                let mut target_result =
+                    target_result(format!("{}: {what}, ms", phase.name), at_most, spread.most_ms);
                 if missing > 0 {
-                    aim.met = false;
-                    aim.what = format!("{} ({missing} changes never)", aim.what);
+                    target_result.met = false;
+                    target_result.what = format!("{} ({missing} changes never)", target_result.what);
                 }
-                aims.push(aim);
+                target_results.push(target_result);
             }
         }
         let of = |role: Role, figure: fn(&RoleUsage) -> f64| {
@@ -214,47 +223,48 @@
             figures.fold(0.0, f64::max)
         };
         let real = Role::RealConductor;
-        aims.push(aim(
+        target_results.push(target_result(
             "a subscriber's bytes a second with headers, probes apart, on the mean of its worst phase".into(),
             SUBSCRIBER_BYTES_PER_S,
             of(real, |usage| usage.bytes_per_s_with_headers),
         ));
-        aims.push(aim(
+        target_results.push(target_result(
             "a real conductor's processor time, percent of a core, on the mean of its worst phase".into(),
             SUBSCRIBER_CPU_PERCENT,
             of(real, |usage| usage.cpu_percent),
         ));
-        aims.push(aim(
+        target_results.push(target_result(
             "a real conductor's memory, MB".into(),
             SUBSCRIBER_MB,
             of(real, |usage| usage.resident_mb),
         ));
-        aims.push(aim(
+        target_results.push(target_result(
             "a full start in force at the last hollow conductor, ms".into(),
             FULL_START_MS,
             self.start.hollow_ms,
         ));
-        aims.push(aim(
+        target_results.push(target_result(
             "a full start in force at the last real conductor, ms".into(),
             FULL_START_MS,
             self.start.real_ms,
         ));
-        aims
+        target_results
     }
 }
 
-/// How a figure grows with conductors over the runs of a sweep.
+/// Growth of a figure with the number of conductors over the runs of a sweep.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Growth {
-    /// The figure.
+    /// Name of the figure.
     pub what: String,
-    /// Conductors and the figure, run by run.
+    /// Number of conductors and the figure, for each run.
     pub points: Vec<(f64, f64)>,
-    /// The exponent.
+    /// Exponent of the fitted power law; `None` if it cannot be fitted.
     pub exponent: Option<f64>,
 }
 
-/// How figures of the phase at the mean pace grow with conductors; of the leader also by whom it exchanges bytes with.
+/// Returns the growth of the figures of the phase at the mean pace; the leader's traffic is also split by
+/// kind of peer.
 pub(crate) fn growth(reports: &[Report]) -> Vec<Growth> {
     let of = |what: String, figure: &dyn Fn(&Phase) -> Option<f64>| {
         let point = |report: &Report| {
@@ -290,7 +300,7 @@
     growth
 }
 
-fn spread(f: &mut fmt::Formatter<'_>, what: &str, spread: &Spread) -> fmt::Result {
+fn write_spread(f: &mut fmt::Formatter<'_>, what: &str, spread: &Spread) -> fmt::Result {
     let Spread { count, p50_ms, p99_ms, most_ms } = spread;
     if *count == 0 {
         return Ok(());
@@ -305,10 +315,10 @@
             f,
             "{name}: {seconds:.0} s, {changes} changes, {retries} asked again, {connected} attached at its end"
         )?;
-        spread(f, "proposed to agreed", &travel.agreed)?;
-        spread(f, "proposed to in force at the last", &travel.in_force)?;
-        spread(f, "proposed to the last proxy's socket", &travel.at_proxies)?;
-        spread(f, "proposed to known everywhere", &travel.known)?;
+        write_spread(f, "proposed to agreed", &travel.agreed)?;
+        write_spread(f, "proposed to in force at the last", &travel.in_force)?;
+        write_spread(f, "proposed to the last proxy's socket", &travel.at_proxies)?;
+        write_spread(f, "proposed to known everywhere", &travel.known)?;
         let Travel { missing, missing_at_proxies, late, .. } = travel;
         writeln!(
             f,
@@ -344,12 +354,12 @@
                 usage.messages_per_s,
             )?;
         }
-        peers(f, &self.members)
+        write_peer_table(f, &self.members)
     }
 }
 
-/// With whom control members exchange what.
-fn peers(f: &mut fmt::Formatter<'_>, members: &[MemberUsage]) -> fmt::Result {
+/// Writes the table of control members' traffic by kind of peer.
+fn write_peer_table(f: &mut fmt::Formatter<'_>, members: &[MemberUsage]) -> fmt::Result {
     if members.is_empty() {
         return Ok(());
     }
@@ -427,7 +437,7 @@
                 messages * 100.0
             )?;
         }
-        for Aim { what, at_most, figure, met } in self.aims() {
+        for TargetResult { what, at_most, figure, met } in self.target_results() {
             writeln!(
                 f,
                 "{} {what}: {figure:.1}, aim under {at_most:.1}",
--- a/crates/stepspur-scale/src/fleet/report/tests.rs
+++ b/crates/stepspur-scale/src/fleet/report/tests.rs
@@ -1,8 +1,8 @@
-//! Aims, exponents and what a report says.
+//! Tests of targets, exponents and the text of a report.
 
 use std::collections::BTreeMap;
 
-use super::super::judge::Verdict;
+use super::super::checker::Verdict;
 use super::super::latency::{Spread, Travel};
 use super::super::measure::{Role, RoleUsage};
 use super::super::members::{MemberUsage, PeerUsage};
@@ -37,9 +37,10 @@
 }
 
 #[test]
-fn an_aim_is_met_below_its_figure_and_missed_at_it() {
-    let aims = report(2_400, 1_000.0, 1.0).aims();
-    let met = |what: &str| aims.iter().find(|aim| aim.what.contains(what)).map(|aim| aim.met);
+fn a_target_is_met_below_its_bound_and_missed_at_it() {
+    let target_results = report(2_400, 1_000.0, 1.0).target_results();
+    let met =
+        |what: &str| target_results.iter().find(|result| result.what.contains(what)).map(|result| result.met);
     assert_eq!(met("mean: in force at the last"), Some(false));
     assert_eq!(met("last hollow conductor"), Some(true));
     assert_eq!(met("last real conductor"), Some(false));
@@ -48,7 +49,7 @@
 }
 
 #[test]
-fn growth_tells_the_exponent_of_each_figure_and_of_the_leader_by_its_peers() {
+fn growth_has_the_exponent_of_each_figure_and_of_the_leader_by_kind_of_peer() {
     let mut runs = [report(150, 1.0, 2.0), report(300, 1.0, 4.0)];
     for (run, bytes) in runs.iter_mut().zip([100.0, 400.0]) {
         let usage =
@@ -57,23 +58,26 @@
         let leader = MemberUsage { member: 1, votes: true, leads: true, peers, ..MemberUsage::default() };
         run.phases[0].members = vec![leader];
     }
-    let grown = growth(&runs);
+    let growths = growth(&runs);
     let exponent = |what: &str| {
-        let found = grown.iter().find(|grown| grown.what == what);
-        found.unwrap_or_else(|| panic!("no {what}: {grown:?}")).exponent.unwrap()
+        let found = growths.iter().find(|growths| growths.what == what);
+        found.unwrap_or_else(|| panic!("no {what}: {growths:?}")).exponent.unwrap()
     };
     assert!((exponent("leader: percent of a core") - 1.0).abs() < 1e-9);
     assert!((exponent("leader: bytes a second with subscribers") - 2.0).abs() < 1e-9);
     assert!(exponent("leader: segments a second with subscribers").abs() < 1e-9);
-    assert!(grown.iter().all(|grown| !grown.what.contains("operators")), "of nothing nothing is told");
+    assert!(
+        growths.iter().all(|growths| !growths.what.contains("operators")),
+        "a kind of peer without traffic has no growth"
+    );
     let text = runs[0].to_string();
-    let told =
+    let matches_row =
         |line: &str| line.split_whitespace().eq(["leader", "subscribers", "0.0", "0", "100", "5.0", "0.0"]);
-    assert!(text.lines().any(told), "{text}");
+    assert!(text.lines().any(matches_row), "{text}");
 }
 
 #[test]
-fn a_report_is_read_back_as_it_was_written() {
+fn a_report_survives_a_json_round_trip() {
     let mut report = report(150, 12.5, 1.0);
     report.swap = Some(Swap {
         conductors: 20,
