--- a/crates/stepspur-scale/src/fleet/run.rs
+++ b/crates/stepspur-scale/src/fleet/run.rs
@@ -1,4 +1,4 @@
-//! The phases of a run: a full start, changes at the mean pace, the burst, and what each needs of the fleet.
+//! The phases of a run: the full start, changes at a pace, and the measurements at the end of each phase.
 
 use std::ops::Range;
 use std::sync::Arc;
@@ -11,81 +11,82 @@
 use stepspur_distribution::version::Version;
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep, timeout};
 
-use super::asking::Asking;
 use super::changes::{Schedule, proposals};
+use super::checker::{PrematureRelease, premature_releases, real_caught_up_at};
 use super::cluster::Cluster;
 use super::history::{Agreed, History, Micros, Participant, SubscriberId, now};
-use super::judge::{LetGo, let_go_after_restart, real_level};
-use super::latency::{Applications, Travel, cut_off, level, travel};
+use super::latency::{AppliedVersions, Travel, caught_up_at, cut_off, travel};
 use super::operators::{Operations, Operator, Proposed};
 use super::plan::Conductor;
 use super::report::{FullStart, Phase};
+use super::rollout_poller::RolloutPoller;
 
-/// Changes of one proposal of the documents that stand before the start.
+/// Maximum number of changes in a proposal of the documents created before the start.
 const PRELOAD_CHANGES: usize = 64;
-/// A proposal is agreed within this, over all its repeats.
-const AGREE_TIMEOUT: Duration = Duration::from_secs(60);
-/// After a call that failed, the next control member is called.
-const RETRY_AFTER: Duration = Duration::from_millis(50);
-/// All conductors are level within this, or the phase says that they are not.
-pub(super) const LEVEL_TIMEOUT: Duration = Duration::from_secs(60);
-/// A full start takes so long at most before the run gives up.
+/// Time within which a proposal must be committed, including all retries.
+const COMMIT_TIMEOUT: Duration = Duration::from_secs(60);
+/// Delay before the next control member is called after a call that failed.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Time that conductors have to catch up at the end of a phase; the phase notes those that do not.
+pub(super) const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(60);
+/// Time after which a full start fails the run.
 const START_TIMEOUT: Duration = Duration::from_secs(180);
-/// At the end of changes the last version is asked for so long at most.
-const LAST_ASKED_FOR: Duration = Duration::from_secs(5);
-/// Changes that proxies were never ordered and that are named, at most.
-const NAMED_MOST: usize = 5;
-/// What is under way at the end of a phase arrives within this: memory and answers lag behind the last change.
-const SETTLE: Duration = Duration::from_millis(300);
+/// Time for which the last version is polled after the changes of a phase.
+const LAST_VERSION_POLL_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum number of changes listed whose orders some proxy never received.
+const MAX_NAMED_CHANGES: usize = 5;
+/// Delay before the reports at the end of a phase, because measurements and answers lag behind the last
+/// change.
+const SETTLE_DELAY: Duration = Duration::from_millis(300);
 
-/// A run under way.
+/// State of a run.
 pub(super) struct Run {
-    /// The fleet.
+    /// Processes of the run.
     pub cluster: Cluster,
-    /// What changes.
+    /// Draws the changes.
     pub schedule: Schedule,
-    /// Draws faults.
+    /// Random numbers for the choice of faults.
     pub rng: ChaCha8Rng,
     operator: Operator,
     operations: Operations,
-    /// Hollow conductors.
+    /// Ids of the hollow conductors.
     pub subscribers: Vec<SubscriberId>,
-    /// The last version that was agreed.
+    /// Newest committed version.
     pub head: Version,
-    /// Operators ask this often where a version is in force.
-    ask_every: Duration,
+    /// Interval between two rollout status requests.
+    poll_interval: Duration,
     retries: usize,
     phases: Vec<Phase>,
 }
 
-/// What a change is drawn for.
+/// The scope that a change is drawn for.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Draw {
-    /// Whatever comes next.
+    /// Any scope, as the schedule draws it.
     Any,
-    /// The service of the conductor with this place in the plan.
-    For(usize),
-    /// The same, so that a server of it is held.
-    Hold(usize),
+    /// The first service of the conductor with this index in the plan.
+    ServiceOf(usize),
+    /// The same service, with one of its servers held.
+    HoldServerOf(usize),
 }
 
-/// A phase that began, and where the history stood then.
-pub(super) struct Begun {
+/// A phase that runs, with the state of the counters at its start.
+pub(super) struct RunningPhase {
     name: String,
     at: Instant,
     since: Micros,
     changes: usize,
     retries: usize,
-    /// What happened in it.
+    /// Descriptions of what happened in the phase.
     pub notes: Vec<String>,
 }
 
 impl Run {
-    /// A run on a fleet whose control members serve.
+    /// Creates a run on a fleet whose control members are ready.
     ///
     /// # Errors
-    /// Keys that make no client.
-    pub(super) fn new(cluster: Cluster, seed: u64, ask_every: Duration) -> anyhow::Result<Self> {
+    /// Keys from which no TLS client can be built.
+    pub(super) fn new(cluster: Cluster, seed: u64, poll_interval: Duration) -> anyhow::Result<Self> {
         let operator = cluster.operator()?;
         let schedule = Schedule::new(Arc::clone(&cluster.plan), seed);
         let subscribers = cluster.plan.hollow().iter().map(|conductor| conductor.id).collect();
@@ -98,24 +99,25 @@
             operations: Operations::new(now()),
             subscribers,
             head: Version::NONE,
-            ask_every,
+            poll_interval,
             retries: 0,
             phases: Vec::new(),
         })
     }
 
-    /// The phases so far.
+    /// Returns the results of the phases so far.
     pub(super) fn phases(&self) -> &[Phase] {
         &self.phases
     }
 
-    /// Proposes changes until they are agreed, at whichever control member answers.
+    /// Proposes changes, with one operation id, at one control member after the other until they are
+    /// committed.
     ///
     /// # Errors
-    /// Changes that are refused, or not agreed in time.
+    /// Changes that are rejected, or not committed within [`COMMIT_TIMEOUT`].
     pub(super) async fn propose(&mut self, changes: Vec<Change>) -> anyhow::Result<Version> {
         let proposed = now();
-        let end = Instant::now() + AGREE_TIMEOUT;
+        let end = Instant::now() + COMMIT_TIMEOUT;
         let operation = self.operations.next_id(self.head);
         loop {
             match self.operator.propose(&operation, &changes).await {
@@ -124,24 +126,27 @@
                     self.head = self.head.max(version);
                     return Ok(version);
                 }
-                Proposed::Refused(reason) => bail!("refused: {reason}"),
+                Proposed::Refused(reason) => bail!("the proposal was rejected: {reason}"),
                 Proposed::Unknown(reason) => {
-                    ensure!(Instant::now() < end, "not agreed in time: {reason}");
+                    ensure!(
+                        Instant::now() < end,
+                        "the proposal was not committed within {COMMIT_TIMEOUT:?}: {reason}"
+                    );
                     self.retries += 1;
                     self.operator.move_on();
-                    sleep(RETRY_AFTER).await;
+                    sleep(RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    /// Has the documents agreed on that stand before the conductors start; how many they are.
+    /// Commits the documents that exist before the conductors start, and returns their number.
     ///
     /// # Errors
-    /// As [`Run::propose`].
+    /// As for [`Run::propose`].
     pub(super) async fn preload(&mut self) -> anyhow::Result<usize> {
         let mut changes = self.schedule.preload();
-        // The last version concerns everybody: where it is in force tells of all.
+        // The last version concerns every conductor, so its rollout status covers all of them.
         changes.push(self.schedule.for_all());
         let count = changes.len();
         for proposal in proposals(changes, PRELOAD_CHANGES) {
@@ -150,29 +155,30 @@
         Ok(count)
     }
 
-    /// Starts all conductors at once and waits until the last acts by all documents.
+    /// Starts all conductors concurrently and waits until the last acts by all documents.
     ///
     /// # Errors
     /// Conductors that do not start, or do not act by all documents in time.
     pub(super) async fn full_start(&mut self) -> anyhow::Result<FullStart> {
         self.cluster.prepare_hollow().await?;
-        let begun = self.begin("start");
+        let running = self.begin("start");
         let (head, at) = (self.head, now());
-        let asking = self.ask(self.cluster.plan.conductors.len())?;
+        let rollout_poller = self.start_rollout_poller(self.cluster.plan.conductors.len())?;
         self.cluster.begin().await?;
-        // Both are waited for at once: the real ones must not be looked at only after the hollow ones.
-        let level = self.level(head, START_TIMEOUT);
+        // Hollow and real conductors are waited for concurrently, so that the time of the real ones does not
+        // include the wait for the hollow ones.
+        let caught_up = self.wait_until_caught_up(head, START_TIMEOUT);
         let real = async {
-            self.cluster.real_act_by(head, START_TIMEOUT).await?;
+            self.cluster.wait_until_real_act_by(head, START_TIMEOUT).await?;
             anyhow::Ok(now())
         };
-        let known = asking.until_everywhere(head, START_TIMEOUT);
-        let (hollow, real, known) = tokio::join!(level, real, known);
-        asking.stop().await;
+        let known = rollout_poller.wait_until_everywhere(head, START_TIMEOUT);
+        let (hollow, real, known) = tokio::join!(caught_up, real, known);
+        rollout_poller.stop().await;
         let (count, last) = hollow;
         ensure!(
             count == self.subscribers.len(),
-            "{count} of {} conductors act by {head}",
+            "only {count} of {} hollow conductors act by {head} within {START_TIMEOUT:?}",
             self.subscribers.len()
         );
         let real = real?;
@@ -186,7 +192,7 @@
         let plan = &self.cluster.plan;
         self.cluster.recorder.participate(plan.hollow().iter().map(participant).collect());
         self.cluster.recorder.participate_real(plan.real().iter().map(participant).collect());
-        self.end(begun, None).await?;
+        self.end(running, None).await?;
         let since = |then: Micros| then.saturating_sub(at) as f64 / 1e3;
         Ok(FullStart {
             hollow_ms: since(last),
@@ -197,116 +203,126 @@
         })
     }
 
-    /// Waits until all hollow conductors act by a version; how many do, and when the last said so first.
-    async fn level(&self, version: Version, within: Duration) -> (usize, Micros) {
-        let mut news = self.cluster.recorder.news();
+    /// Waits until all hollow conductors act by a version. Returns how many do, and the time of the last
+    /// acknowledgement.
+    async fn wait_until_caught_up(&self, version: Version, within: Duration) -> (usize, Micros) {
+        let mut acknowledgements = self.cluster.recorder.acknowledgements();
         let all = async {
             loop {
-                news.borrow_and_update();
+                acknowledgements.borrow_and_update();
                 let (count, last) = self.cluster.recorder.acting_by(version, &self.subscribers);
                 if count == self.subscribers.len() {
                     return (count, last);
                 }
-                if news.changed().await.is_err() {
+                if acknowledgements.changed().await.is_err() {
                     return (count, last);
                 }
-                // Acknowledgements come in thousands: not each is worth a look at all.
+                // Thousands of acknowledgements can arrive at once; the delay avoids a scan of all
+                // subscribers for each.
                 sleep(Duration::from_millis(10)).await;
             }
         };
         match timeout(within, all).await {
-            Ok(level) => level,
+            Ok(caught_up) => caught_up,
             Err(_) => self.cluster.recorder.acting_by(version, &self.subscribers),
         }
     }
 
-    /// Begins a phase.
-    pub(super) fn begin(&self, name: &str) -> Begun {
+    /// Begins a phase and resets the usage counters.
+    pub(super) fn begin(&self, name: &str) -> RunningPhase {
         self.cluster.recorder.begin_phase(name);
-        let changes = self.cluster.recorder.look(|history| history.agreed.len());
-        // What was used before belongs to no phase.
+        let changes = self.cluster.recorder.with_history(|history| history.agreed.len());
+        // Usage before the phase belongs to no phase.
         self.cluster.sampler.take();
         let (name, at, since) = (name.to_owned(), Instant::now(), now());
-        Begun { name, at, since, changes, retries: self.retries, notes: Vec::new() }
+        RunningPhase { name, at, since, changes, retries: self.retries, notes: Vec::new() }
     }
 
-    /// Ends a phase: all conductors become level, and tell what they hold. After a fault `since` is its end.
+    /// Ends a phase: waits until all conductors have caught up, records what they hold, and computes the
+    /// results. After a fault, `since` is the time from which the catch-up is measured.
     ///
     /// # Errors
     /// A process that does not answer.
-    pub(super) async fn end(&mut self, mut begun: Begun, since: Option<Micros>) -> anyhow::Result<()> {
-        let seconds = begun.at.elapsed().as_secs_f64();
+    pub(super) async fn end(
+        &mut self,
+        mut running: RunningPhase,
+        since: Option<Micros>,
+    ) -> anyhow::Result<()> {
+        let seconds = running.at.elapsed().as_secs_f64();
         let used = self.cluster.sampler.take();
-        let real = self.cluster.real_act_by(self.head, LEVEL_TIMEOUT);
-        let ((level, _), real) = tokio::join!(self.level(self.head, LEVEL_TIMEOUT), real);
-        if level < self.subscribers.len() {
-            let behind = self.subscribers.len() - level;
-            begun.notes.push(format!("{behind} hollow conductors do not act by {} in time", self.head));
+        let real = self.cluster.wait_until_real_act_by(self.head, CATCH_UP_TIMEOUT);
+        let ((caught_up, _), real) =
+            tokio::join!(self.wait_until_caught_up(self.head, CATCH_UP_TIMEOUT), real);
+        if caught_up < self.subscribers.len() {
+            let behind = self.subscribers.len() - caught_up;
+            running.notes.push(format!("{behind} hollow conductors do not act by {} in time", self.head));
         }
         if let Err(error) = real {
-            begun.notes.push(format!("a real conductor is late: {error:#}"));
+            running.notes.push(format!("a real conductor is late: {error:#}"));
         }
-        sleep(SETTLE).await;
+        sleep(SETTLE_DELAY).await;
         self.cluster.report().await?;
         self.cluster.recorder.take_orders(self.cluster.proxies.orders());
-        let changes = self.cluster.recorder.look(|history| history.agreed.len()) - begun.changes;
-        let places = begun.changes..begun.changes + changes;
-        let (travel, notes) = self.travel(places);
-        begun.notes.extend(notes);
-        begun.notes.extend(self.let_go(begun.since));
+        let changes = self.cluster.recorder.with_history(|history| history.agreed.len()) - running.changes;
+        let indices = running.changes..running.changes + changes;
+        let (travel, notes) = self.travel(indices);
+        running.notes.extend(notes);
+        running.notes.extend(self.premature_release_notes(running.since));
         let phase = Phase {
             travel,
-            name: begun.name,
+            name: running.name,
             seconds,
             changes,
-            retries: self.retries - begun.retries,
+            retries: self.retries - running.retries,
             usage: used.roles,
             members: used.members,
             connected: self.cluster.recorder.connected(),
-            level_ms: since.map(|since| self.level_after(since)),
-            level_real_ms: since.and_then(|since| self.real_level_after(since)),
-            notes: begun.notes,
+            level_ms: since.map(|since| self.catch_up_ms(since)),
+            level_real_ms: since.and_then(|since| self.real_catch_up_ms(since)),
+            notes: running.notes,
         };
         print!("{phase}");
         self.phases.push(phase);
         Ok(())
     }
 
-    /// In words, held servers that were let go after a restart since then.
-    fn let_go(&self, since: Micros) -> Vec<String> {
-        let let_go = |history: &History| {
+    /// Describes held servers that were released after a restart since `since`.
+    fn premature_release_notes(&self, since: Micros) -> Vec<String> {
+        let find = |history: &History| {
             let restarted = |id| history.down.iter().any(|down| down.subscriber == id && down.from >= since);
-            let mut told = let_go_after_restart(history);
-            told.retain(|one| restarted(one.subscriber));
-            told
+            let mut releases = premature_releases(history);
+            releases.retain(|one| restarted(one.subscriber));
+            releases
         };
-        let told = |LetGo { subscriber, version, held_again }| {
+        let describe = |PrematureRelease { subscriber, version, held_again }| {
             let span = held_again.map(|span| span / 1_000);
             format!("{subscriber:?} let a server go after its restart that {version} holds, for {span:?} ms")
         };
-        self.cluster.recorder.look(let_go).into_iter().map(told).collect()
+        self.cluster.recorder.with_history(find).into_iter().map(describe).collect()
     }
 
-    /// Milliseconds until all hollow conductors had what was agreed by then; 0: they had it already.
-    fn level_after(&self, since: Micros) -> f64 {
-        let level = self.cluster.recorder.look(|history| level(history, since));
-        level.map_or(0.0, |at| (at - since) as f64 / 1e3)
+    /// Returns the milliseconds until all hollow conductors had the changes committed by `since`; 0 if they
+    /// had them already.
+    fn catch_up_ms(&self, since: Micros) -> f64 {
+        let caught_up = self.cluster.recorder.with_history(|history| caught_up_at(history, since));
+        caught_up.map_or(0.0, |at| (at - since) as f64 / 1e3)
     }
 
-    /// The same for the proxies of all real conductors; none: some were never ordered all of it.
-    fn real_level_after(&self, since: Micros) -> Option<f64> {
-        let level = self.cluster.recorder.look(|history| real_level(history, since));
-        level.map(|at| (at - since) as f64 / 1e3)
+    /// Returns the same for the proxies of all real conductors; `None` if some never received all orders.
+    fn real_catch_up_ms(&self, since: Micros) -> Option<f64> {
+        let caught_up = self.cluster.recorder.with_history(|history| real_caught_up_at(history, since));
+        caught_up.map(|at| (at - since) as f64 / 1e3)
     }
 
-    /// How changes travelled; in words, some of those that proxies were never ordered, and the slowest to a proxy.
-    fn travel(&self, places: Range<usize>) -> (Travel, Vec<String>) {
-        self.cluster.recorder.look(|history| {
-            let (mut never, mut slowest) = (Vec::new(), None);
+    /// Computes the propagation times of the committed proposals at these indices. Also describes some
+    /// changes whose orders a proxy never received, and the slowest change to reach a proxy.
+    fn travel(&self, indices: Range<usize>) -> (Travel, Vec<String>) {
+        self.cluster.recorder.with_history(|history| {
+            let (mut notes, mut slowest) = (Vec::new(), None);
             let at_proxies = |agreed: &Agreed| {
                 let at = self.at_proxies(history, agreed);
                 match at {
-                    Err(id) => never.push(format!("never at the proxies of {id:?}: {:?}", agreed.changes)),
+                    Err(id) => notes.push(format!("never at the proxies of {id:?}: {:?}", agreed.changes)),
                     Ok(Some((at, id))) => {
                         slowest = slowest.max(Some((at.saturating_sub(agreed.proposed), agreed.version, id)));
                     }
@@ -314,20 +330,21 @@
                 }
                 at.map(|at| at.map(|(at, _)| at))
             };
-            let travelled = travel(history, &Applications::of(history), places, at_proxies);
-            never.truncate(NAMED_MOST);
+            let travelled = travel(history, &AppliedVersions::of(history), indices, at_proxies);
+            notes.truncate(MAX_NAMED_CHANGES);
             if let Some((span, version, id)) = slowest {
                 let agreed = history.agreed.iter().find(|agreed| agreed.version == version);
                 let changes = agreed.map(|agreed| &agreed.changes);
                 let ms = span as f64 / 1e3;
-                never.push(format!("slowest at a proxy, {ms:.0} ms: {id:?}, {version}, {changes:?}"));
+                notes.push(format!("slowest at a proxy, {ms:.0} ms: {id:?}, {version}, {changes:?}"));
             }
-            (travelled, never)
+            (travelled, notes)
         })
     }
 
-    /// When the last proxy of the last real conductor that the changes concern was ordered them, and which conductor that
-    /// is. Those that were cut off or started again meanwhile are left out.
+    /// Returns the time at which the last proxy of all real conductors that a proposal concerns received its
+    /// orders, and that conductor; `None` if it concerns none. Conductors that were cut off or restarted
+    /// meanwhile are left out. The error is a conductor whose proxies never received them.
     fn at_proxies(
         &self,
         history: &History,
@@ -349,53 +366,53 @@
         Ok(last)
     }
 
-    /// Makes changes one by one at a pace; an endpoint is asked all the while where the last one is in force.
+    /// Makes changes one after the other at a pace and polls the rollout status of the newest meanwhile.
     ///
     /// # Errors
-    /// As [`Run::propose`].
+    /// As for [`Run::propose`].
     pub(super) async fn changes(&mut self, count: usize, per_s: f64) -> anyhow::Result<()> {
-        self.draws(&vec![Draw::Any; count], per_s).await
+        self.make_changes(&vec![Draw::Any; count], per_s).await
     }
 
-    /// The same, each drawn for what is wanted.
+    /// Makes one change for each of these scopes, at a pace.
     ///
     /// # Errors
-    /// As [`Run::propose`].
-    pub(super) async fn draws(&mut self, draws: &[Draw], per_s: f64) -> anyhow::Result<()> {
+    /// As for [`Run::propose`].
+    pub(super) async fn make_changes(&mut self, draws: &[Draw], per_s: f64) -> anyhow::Result<()> {
         let mut ticks = interval(Duration::from_secs_f64(1.0 / per_s));
-        // One that was late is followed at once by those that were due meanwhile: the pace is kept.
+        // After a late change, the overdue ones follow at once, so that the mean pace is met.
         ticks.set_missed_tick_behavior(MissedTickBehavior::Burst);
-        let asking = self.ask(0)?;
+        let rollout_poller = self.start_rollout_poller(0)?;
         for draw in draws {
             ticks.tick().await;
             let version = self.change(*draw).await?;
-            asking.about(version);
+            rollout_poller.poll(version);
         }
-        asking.until_everywhere(self.head, LAST_ASKED_FOR).await;
-        asking.stop().await;
+        rollout_poller.wait_until_everywhere(self.head, LAST_VERSION_POLL_TIMEOUT).await;
+        rollout_poller.stop().await;
         Ok(())
     }
 
-    /// Makes one change.
+    /// Draws one change and proposes it.
     ///
     /// # Errors
-    /// As [`Run::propose`].
+    /// As for [`Run::propose`].
     pub(super) async fn change(&mut self, draw: Draw) -> anyhow::Result<Version> {
         let change = match draw {
             Draw::Any => self.schedule.draw(),
-            Draw::For(conductor) => self.schedule.draw_for(conductor),
-            Draw::Hold(conductor) => self.schedule.hold_for(conductor),
+            Draw::ServiceOf(conductor) => self.schedule.draw_for(conductor),
+            Draw::HoldServerOf(conductor) => self.schedule.hold_for(conductor),
         };
         self.propose(vec![change]).await
     }
 
-    /// Asks where versions are in force, until stopped; an answer that counts fewer subscribers than `least` settles
-    /// nothing.
+    /// Starts polling rollout statuses. An answer that counts fewer subscribers than `min_expected` does not
+    /// mark a version as in force everywhere.
     ///
     /// # Errors
-    /// Keys that make no client.
-    pub(super) fn ask(&self, least: usize) -> anyhow::Result<Asking> {
+    /// Keys from which no TLS client can be built.
+    pub(super) fn start_rollout_poller(&self, min_expected: usize) -> anyhow::Result<RolloutPoller> {
         let recorder = Arc::clone(&self.cluster.recorder);
-        Ok(Asking::start(self.cluster.operator()?, recorder, self.ask_every, least))
+        Ok(RolloutPoller::start(self.cluster.operator()?, recorder, self.poll_interval, min_expected))
     }
 }
--- a/crates/stepspur-scale/src/fleet/servers.rs
+++ b/crates/stepspur-scale/src/fleet/servers.rs
@@ -1,13 +1,14 @@
-//! A process of hollow servers: says where they listen, and for each line on its standard input what probes have cost.
+//! A process of hollow servers. It prints the servers' addresses, and for each line on its standard input the
+//! number of probes answered so far and their payload in bytes.
 
 use tokio::io::{AsyncBufReadExt, BufReader};
 
 use crate::hollow::servers::HollowServers;
 
-/// Runs servers until the standard input ends.
+/// Runs `count` servers until the standard input is closed.
 ///
 /// # Errors
-/// The system's, if it gives no addresses.
+/// An address that cannot be bound.
 pub(crate) async fn run(count: usize) -> anyhow::Result<()> {
     let servers = HollowServers::start(count).await?;
     println!("{}", serde_json::to_string(servers.addresses())?);
--- a/crates/stepspur-scale/src/fleet/settings.rs
+++ b/crates/stepspur-scale/src/fleet/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files of the real program, as the run writes them.
+//! Settings files that a run writes for the real program.
 
 use std::fmt::Write as _;
 use std::net::SocketAddr;
@@ -8,80 +8,80 @@
 use stepspur_consensus_node::{ConsensusConfig, MemberAddress};
 
 use super::operators::TENANT;
-use super::plan::{Conductor, ControlMember, Plan, ROUTES_MOST, route};
+use super::plan::{Conductor, ControlMember, MAX_ROUTES_PER_SERVICE, Plan, route};
 use crate::hollow_conductors::message::ControlPlace;
 
-/// Zones of a real conductor's servers.
+/// Zones of a real conductor's servers and proxies.
 pub(crate) const ZONES: [&str; 3] = ["a", "b", "c"];
-/// Classes of a real conductor: as many as an engine takes, so that it knows every route.
-const CLASSES: usize = ROUTES_MOST;
-/// Proxies of a real conductor.
+/// Number of classes of a real conductor: the maximum of an engine, so that it knows every route.
+const CLASSES: usize = MAX_ROUTES_PER_SERVICE;
+/// Number of proxies of a real conductor.
 pub(crate) const PROXIES: usize = 3;
-/// The council's times, as the program's defaults are.
-const ELECTION: Duration = Duration::from_secs(1);
-const HEARTBEAT: Duration = Duration::from_millis(200);
-const RENEW: Duration = Duration::from_millis(400);
-const DISK_STALL: Duration = Duration::from_secs(2);
-const DRIFT_PPM: u32 = 1_000;
+/// Timing of the consensus group, equal to the program's defaults.
+const ELECTION_TIMEOUT: Duration = Duration::from_secs(1);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
+const LEASE_RENEWAL_INTERVAL: Duration = Duration::from_millis(400);
+const DISK_STALL_TIMEOUT: Duration = Duration::from_secs(2);
+const MAX_CLOCK_DRIFT_PPM: u32 = 1_000;
 
-/// Where the parts of one control member listen.
+/// Listening addresses of one control member, one for each service.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ControlAddresses {
-    /// Other members of the council.
+    /// Address for other members of the consensus group.
     pub council: SocketAddr,
-    /// Subscribers.
+    /// Address for subscribers.
     pub subscribers: SocketAddr,
-    /// Operators.
+    /// Address for operators.
     pub operators: SocketAddr,
 }
 
-/// All control members with their addresses, in the order of their numbers.
+/// All control members with their addresses, ordered by id.
 #[derive(Clone, Debug)]
 pub(crate) struct ControlFleet {
-    /// The members.
+    /// Each member with its addresses.
     pub members: Vec<(ControlMember, ControlAddresses)>,
-    /// A subscriber that nothing concerns is told so often what it is covered to.
+    /// Interval at which a subscriber without relevant changes is told the version up to which it is current.
     pub keep_alive: Duration,
 }
 
 impl ControlFleet {
-    /// What subscribers are told.
+    /// Returns the control members' addresses as subscribers are configured with them.
     pub(crate) fn places(&self) -> Vec<ControlPlace> {
-        let place = |(member, addresses): &(ControlMember, ControlAddresses)| ControlPlace {
+        let member_address = |(member, addresses): &(ControlMember, ControlAddresses)| ControlPlace {
             id: member.id,
             address: addresses.subscribers,
             region: member.region.clone(),
         };
-        self.members.iter().map(place).collect()
+        self.members.iter().map(member_address).collect()
     }
 
-    /// Operators' endpoints.
+    /// Returns the addresses of the operators' endpoints.
     pub(crate) fn operators(&self) -> Vec<SocketAddr> {
         self.members.iter().map(|(_, addresses)| addresses.operators).collect()
     }
 
-    /// The council as its first voters found it.
+    /// Returns the configuration with which a voter bootstraps the consensus group.
     pub(crate) fn founding(&self, id: u64, state: &Path) -> ConsensusConfig {
         let voters = self.members.iter().filter(|(member, _)| member.votes);
-        let place = |(member, addresses): &(ControlMember, ControlAddresses)| MemberAddress {
+        let member_address = |(member, addresses): &(ControlMember, ControlAddresses)| MemberAddress {
             id: member.id,
             address: addresses.council,
         };
         ConsensusConfig {
             id,
             state: state.to_owned(),
-            conductors: voters.map(place).collect(),
-            election: ELECTION,
-            heartbeat: HEARTBEAT,
-            renew: RENEW,
-            disk_stall: DISK_STALL,
-            drift_ppm: DRIFT_PPM,
+            conductors: voters.map(member_address).collect(),
+            election: ELECTION_TIMEOUT,
+            heartbeat: HEARTBEAT_INTERVAL,
+            renew: LEASE_RENEWAL_INTERVAL,
+            disk_stall: DISK_STALL_TIMEOUT,
+            drift_ppm: MAX_CLOCK_DRIFT_PPM,
         }
     }
 
-    /// The settings of a control member, whose files lie in `folder`; keys lie in `keys`.
-    pub(crate) fn settings(&self, place: usize, folder: &Path, keys: &Path, nodes: &Path) -> String {
-        let (member, addresses) = &self.members[place];
+    /// Returns the settings of a control member. Its files are in `folder`, the keys in `keys`.
+    pub(crate) fn settings(&self, index: usize, folder: &Path, keys: &Path, nodes: &Path) -> String {
+        let (member, addresses) = &self.members[index];
         let ip = addresses.council.ip();
         let (state, audit) = (folder.join("council.redb"), folder.join("audit.jsonl"));
         let mut text = format!(
@@ -105,18 +105,18 @@
             );
         }
         let _ = writeln!(text, "[distribution.control]\nkeep_alive = \"{}ms\"", self.keep_alive.as_millis());
-        for place in self.places() {
+        for member in self.places() {
             let _ = write!(
                 text,
                 "[[distribution.control.members]]\nid = {}\naddress = \"{}\"\nregion = {:?}\n",
-                place.id, place.address, place.region
+                member.id, member.address, member.region
             );
         }
         text
     }
 }
 
-/// The settings of a real conductor, whose files lie in `folder`.
+/// Returns the settings of a real conductor whose files are in `folder`.
 pub(crate) fn conductor(conductor: &Conductor, control: &[ControlPlace], folder: &Path) -> String {
     let (nodes, state) = (folder.join("nodes.toml"), folder.join("configuration.redb"));
     let classes: String = (0..CLASSES).map(class).collect();
@@ -128,7 +128,7 @@
          [distribution.subscriber]\nname = {:?}\nregion = {:?}\nstate = {state:?}\n",
         conductor.name, conductor.interest.region,
     );
-    let addresses: Vec<String> = control.iter().map(|place| place.address.to_string()).collect();
+    let addresses: Vec<String> = control.iter().map(|index| index.address.to_string()).collect();
     let _ = writeln!(text, "control = {addresses:?}");
     for interest in &conductor.interest.services {
         let _ = write!(
@@ -140,20 +140,20 @@
     text
 }
 
-/// The list of servers of a real conductor.
+/// Returns the server list of a real conductor.
 pub(crate) fn nodes(plan: &Plan, conductor: &Conductor) -> String {
     let servers: Vec<&SocketAddr> =
-        conductor.services.iter().flat_map(|place| &plan.services[*place].servers).collect();
+        conductor.services.iter().flat_map(|index| &plan.services[*index].servers).collect();
     let mut text = format!("servers = {}\n", servers.len());
-    for (place, server) in servers.into_iter().enumerate() {
-        let zone = ZONES[place % ZONES.len()];
+    for (index, server) in servers.into_iter().enumerate() {
+        let zone = ZONES[index % ZONES.len()];
         let _ = write!(text, "[[node]]\naddress = \"{server}\"\nzone = \"{zone}\"\n");
     }
     text
 }
 
-fn class(place: usize) -> String {
-    let name = route(place);
+fn class(index: usize) -> String {
+    let name = route(index);
     format!(
         "[[fleet.classes]]\nname = \"{name}\"\neffect = \"read_like\"\naim = \"1200ms\"\ndeadline = \"4s\"\n"
     )
--- a/crates/stepspur-scale/src/fleet/sockets.rs
+++ b/crates/stepspur-scale/src/fleet/sockets.rs
@@ -1,5 +1,5 @@
-//! Bytes and messages of processes, as the kernel counts them at the sockets (`ss`). A connection that ends between two
-//! looks loses what it carried after the first.
+//! Bytes and segments of processes, as the kernel counts them at the sockets (`ss`). What a connection
+//! carries between the last snapshot and its end is not counted.
 
 #[cfg(test)]
 mod tests;
@@ -12,31 +12,32 @@
 
 use crate::traffic::HEADER_BYTES;
 
-/// What passed at sockets, both ways.
+/// Traffic in both directions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Traffic {
-    /// Bytes that were read.
+    /// Bytes read.
     pub read: u64,
-    /// Bytes that were written.
+    /// Bytes written.
     pub written: u64,
-    /// Segments with data that came or went: messages, as each write is one where they are small.
+    /// Segments with data, sent or received. They approximate messages, because each small write is one
+    /// segment.
     pub messages: u64,
-    /// All segments, acknowledgements among them.
+    /// All segments, pure acknowledgements included.
     pub segments: u64,
 }
 
 impl Traffic {
-    /// Bytes both ways, without headers.
+    /// Returns the payload bytes in both directions.
     pub(crate) fn bytes(&self) -> u64 {
         self.read + self.written
     }
 
-    /// Bytes both ways, with headers.
+    /// Returns the bytes in both directions with IP and TCP headers.
     pub(crate) fn with_headers(&self) -> u64 {
         self.bytes() + self.segments * HEADER_BYTES
     }
 
-    /// Adds what passed elsewhere.
+    /// Adds other traffic to this.
     pub(crate) fn add(&mut self, other: Traffic) {
         self.read += other.read;
         self.written += other.written;
@@ -54,63 +55,67 @@
     }
 }
 
-/// A connection's end at a process.
+/// One end of a connection.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct End {
-    /// The process.
+pub(crate) struct ConnectionEnd {
+    /// Process id of the socket's owner.
     pub pid: u32,
-    /// Its address.
+    /// Local address and port.
     pub local: String,
-    /// The address of the other end.
+    /// Remote address and port.
     pub peer: String,
 }
 
-/// The counts of all connections at one time.
+/// The counters of all connections at one time.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Look(BTreeMap<End, Traffic>);
+pub(crate) struct Snapshot(BTreeMap<ConnectionEnd, Traffic>);
 
-impl Look {
-    /// Looks at all established connections of the machine.
+impl Snapshot {
+    /// Reads the counters of all established connections of the machine.
     ///
     /// # Errors
-    /// If `ss` is missing or fails.
+    /// `ss` is not installed or fails.
     pub(crate) fn now() -> io::Result<Self> {
         let out = Command::new("ss").args(["-tinpHO", "state", "established"]).output()?;
         if !out.status.success() {
-            return Err(io::Error::other("ss failed"));
+            return Err(io::Error::other("`ss` exited with an error"));
         }
         Ok(Self::parse(&String::from_utf8_lossy(&out.stdout)))
     }
 
-    /// Reads the output of `ss -tinpHO state established`, one connection a line.
+    /// Parses the output of `ss -tinpHO state established`, one connection a line; other lines are skipped.
     pub(crate) fn parse(text: &str) -> Self {
-        Self(text.lines().filter_map(connection).collect())
+        Self(text.lines().filter_map(parse_connection).collect())
     }
 
-    /// What passed at each end since an earlier look. A connection that is new counts whole.
-    pub(crate) fn passed<'a>(&'a self, before: &'a Look) -> impl Iterator<Item = (&'a End, Traffic)> {
+    /// Returns the traffic of each connection end since an earlier snapshot. A new connection counts in full.
+    pub(crate) fn traffic_since<'a>(
+        &'a self,
+        before: &'a Snapshot,
+    ) -> impl Iterator<Item = (&'a ConnectionEnd, Traffic)> {
         self.0.iter().map(|(end, traffic)| {
             let then = before.0.get(end).copied().unwrap_or_default();
             (end, traffic.since(then))
         })
     }
 
-    /// What passed at each process since an earlier look, over connections whose peer is wanted.
-    pub(crate) fn since(&self, before: &Look, wanted: impl Fn(&str) -> bool) -> BTreeMap<u32, Traffic> {
+    /// Sums the traffic of each process since an earlier snapshot, over connections whose peer address is
+    /// `wanted`.
+    pub(crate) fn since(&self, before: &Snapshot, wanted: impl Fn(&str) -> bool) -> BTreeMap<u32, Traffic> {
         let mut sums: BTreeMap<u32, Traffic> = BTreeMap::new();
-        for (end, traffic) in self.passed(before).filter(|(end, _)| wanted(&end.peer)) {
+        for (end, traffic) in self.traffic_since(before).filter(|(end, _)| wanted(&end.peer)) {
             sums.entry(end.pid).or_default().add(traffic);
         }
         sums
     }
 
-    /// All ends.
-    pub(crate) fn ends(&self) -> impl Iterator<Item = &End> {
+    /// Returns all connection ends.
+    pub(crate) fn ends(&self) -> impl Iterator<Item = &ConnectionEnd> {
         self.0.keys()
     }
 }
 
-fn connection(line: &str) -> Option<(End, Traffic)> {
+fn parse_connection(line: &str) -> Option<(ConnectionEnd, Traffic)> {
     let mut words = line.split_whitespace().skip(2);
     let (local, peer) = (words.next()?.to_owned(), words.next()?.to_owned());
     let pid = line.split_once("pid=")?.1.split(',').next()?.parse().ok()?;
@@ -124,5 +129,5 @@
         messages: count("data_segs_out:") + count("data_segs_in:"),
         segments: count("segs_out:") + count("segs_in:"),
     };
-    Some((End { pid, local, peer }, traffic))
+    Some((ConnectionEnd { pid, local, peer }, traffic))
 }
--- a/crates/stepspur-scale/src/fleet/sockets/tests.rs
+++ b/crates/stepspur-scale/src/fleet/sockets/tests.rs
@@ -1,6 +1,6 @@
-//! The kernel's counts as they are read.
+//! Tests of the parsing of the kernel's socket counters.
 
-use super::{Look, Traffic};
+use super::{Snapshot, Traffic};
 use crate::traffic::HEADER_BYTES;
 
 const FIRST: &str = r#"0 0 127.0.0.1:8443 127.0.0.1:50100 users:(("stepspur",pid=41,fd=18)) bbr rto:204 bytes_sent:335 bytes_acked:335 bytes_received:993 segs_out:12 segs_in:14 data_segs_out:1 data_segs_in:11 send 4bps
@@ -10,17 +10,17 @@
 0 0 127.0.0.1:8443 127.0.0.1:50102 users:(("stepspur",pid=41,fd=19)) cubic bytes_sent:5 bytes_received:7 segs_out:3 segs_in:3 data_segs_out:1 data_segs_in:1"#;
 
 #[test]
-fn traffic_is_summed_by_process_and_new_connections_count_whole() {
-    let (first, second) = (Look::parse(FIRST), Look::parse(SECOND));
-    let passed = second.since(&first, |_| true);
+fn traffic_is_summed_by_process_and_new_connections_count_in_full() {
+    let (first, second) = (Snapshot::parse(FIRST), Snapshot::parse(SECOND));
+    let traffic = second.since(&first, |_| true);
     let expected = Traffic { read: 107, written: 105, messages: 5, segments: 11 };
-    assert_eq!(passed.into_iter().collect::<Vec<_>>(), [(41, expected)]);
+    assert_eq!(traffic.into_iter().collect::<Vec<_>>(), [(41, expected)]);
     assert_eq!(expected.bytes(), 212);
     assert_eq!(expected.with_headers(), 212 + 11 * HEADER_BYTES);
     let to_one = second.since(&first, |peer| peer == "127.0.0.1:50102");
     assert_eq!(to_one[&41].bytes(), 12);
-    // From nothing, all of it, at both ends.
-    let whole = first.since(&Look::default(), |_| true);
+    // Compared with an empty snapshot, all bytes count, at both ends.
+    let whole = first.since(&Snapshot::default(), |_| true);
     assert_eq!(whole[&41].bytes(), whole[&42].bytes());
     assert_eq!(whole[&42].messages, 12);
 }
--- a/crates/stepspur-scale/src/fleet/swap.rs
+++ b/crates/stepspur-scale/src/fleet/swap.rs
@@ -1,4 +1,4 @@
-//! Real conductors swapped for hollow ones: what the same number of changes costs both on the wire.
+//! Compares the control traffic of real and hollow conductors under the same number of changes.
 
 use std::time::Duration;
 
@@ -9,19 +9,19 @@
 use super::report::Swap;
 use super::run::Run;
 
-/// Changes a second while the two are compared.
+/// Changes a second during the comparison.
 const PACE_PER_S: f64 = 1.0;
-/// Hollow conductors have attached after this, and their first acknowledgements are over.
+/// Time for hollow conductors to connect and send their first acknowledgements.
 const ATTACHED_AFTER: Duration = Duration::from_secs(5);
 
 impl Run {
-    /// Swaps real conductors for hollow ones, and compares what a span with the same number of changes for each of them
-    /// costs. Other real conductors are not looked at from then on.
+    /// Replaces real conductors by hollow ones and compares the traffic of a phase with the same number of
+    /// changes before and after. The other real conductors are no longer sampled from then on.
     ///
     /// # Errors
-    /// A process that does not start.
+    /// A process that does not start, or changes that are not committed.
     pub(super) async fn swap(&mut self, count: usize, changes: usize) -> anyhow::Result<Swap> {
-        let ids = self.cluster.to_swap(count);
+        let ids = self.cluster.choose_for_swap(count);
         let others = self.cluster.real.iter().filter(|conductor| !ids.contains(&conductor.id));
         others.for_each(|conductor| self.cluster.sampler.forget(conductor.pid()));
         let before = self.begin("swap: real");
@@ -44,7 +44,7 @@
         })
     }
 
-    /// Changes for the services of these conductors in turn.
+    /// Makes changes for the services of these conductors in rotation.
     async fn changes_for(&mut self, ids: &[SubscriberId], count: usize) -> anyhow::Result<()> {
         let mut ticks = interval(Duration::from_secs_f64(1.0 / PACE_PER_S));
         for id in ids.iter().cycle().take(count) {
