--- a/crates/stepspur-scale/src/fleet/changes.rs
+++ b/crates/stepspur-scale/src/fleet/changes.rs
@@ -26,7 +26,7 @@
 /// One tenant in this many has a document before the conductors start.
 const TENANTS_PRELOADED_ONE_IN: usize = 10;
 /// Bounds of the drawn admission levels, in millionths. The whole (1,000,000) is never drawn, so that a
-/// removed level can be told from a new one.
+/// removed level can be distinguished from a new one.
 const MIN_LEVEL_PPM: u32 = 100_000;
 const MAX_LEVEL_PPM: u32 = 900_000;
 /// Minimum number of servers of a service for one of them to be held.
--- a/crates/stepspur-scale/src/fleet/checker.rs
+++ b/crates/stepspur-scale/src/fleet/checker.rs
@@ -188,7 +188,7 @@
     let timelines = Timelines::of(history, &changes);
     let real = RealConductors::of(history, &changes);
     let mut not_level = not_caught_up_after_healing(history, &timelines);
-    not_level.extend(real.not_level_after_healing(history));
+    not_level.extend(real.not_caught_up_after_healing(history));
     let kinds = [
         same_documents(history, &timelines),
         versions_back(history),
@@ -339,7 +339,9 @@
 struct RelevantChange<'a> {
     version: Version,
     proposed: Micros,
+    /// Time at which it was confirmed to be committed.
     answered: Micros,
+    /// [`key_digest`] of its key.
     key: u64,
     change: &'a Change,
 }
@@ -347,11 +349,13 @@
 /// The changes that apply to one subscriber, and the times at which its engine applied them.
 struct Timeline<'a> {
     region: &'a str,
+    /// Time from which every status answer must count the subscriber.
     since: Micros,
     /// Changes that apply to it, oldest first.
     relevant_changes: Vec<RelevantChange<'a>>,
     /// Versions that the engine applied, by key digest, in order of time.
     applied: BTreeMap<u64, Vec<(Micros, Version)>>,
+    /// Times of its restarts.
     restarted: Vec<Micros>,
 }
 
@@ -381,7 +385,8 @@
         missing.map(|relevant| relevant.version).min()
     }
 
-    /// True if the engine started at `begun` acted at `at` by the change or by a newer one of the same key.
+    /// True if the engine started at `engine_start` acted at `at` by the change or by a newer one of the same
+    /// key.
     fn in_force(&self, relevant: &RelevantChange<'_>, engine_start: Micros, at: Micros) -> bool {
         let applied = self.applied.get(&relevant.key).map_or(&[][..], Vec::as_slice);
         let newest = applied
@@ -407,6 +412,7 @@
     }
 }
 
+/// The timelines of all hollow conductors.
 struct Timelines<'a>(BTreeMap<SubscriberId, Timeline<'a>>);
 
 impl<'a> Timelines<'a> {
--- a/crates/stepspur-scale/src/fleet/checker/real.rs
+++ b/crates/stepspur-scale/src/fleet/checker/real.rs
@@ -63,7 +63,7 @@
         self.0.iter().filter(move |conductor| conductor.participant.interest.region == region)
     }
 
-    fn of_down(&self, down: &Downtime) -> Option<&RealConductor<'a>> {
+    fn find_restarted(&self, down: &Downtime) -> Option<&RealConductor<'a>> {
         self.0.iter().find(|conductor| conductor.participant.subscriber == down.subscriber)
     }
 
@@ -75,7 +75,7 @@
             own.map(|one| one.settled(cut.from.saturating_sub(ORDER_DEADLINE_US)) + one.settled(cut.healed))
                 .sum()
         };
-        let down = |down: &Downtime| self.of_down(down).map_or(0, |one| one.settled(down.back));
+        let down = |down: &Downtime| self.find_restarted(down).map_or(0, |one| one.settled(down.back));
         history.cuts.iter().map(cut).sum::<usize>() + history.down.iter().map(down).sum::<usize>()
     }
 
@@ -103,7 +103,7 @@
 
     /// Checks that the proxies of a conductor that was cut off receive, within [`HEALING_DEADLINE_US`], the
     /// orders for all changes committed before the healing.
-    pub(super) fn not_level_after_healing(&self, history: &History) -> Vec<Fault> {
+    pub(super) fn not_caught_up_after_healing(&self, history: &History) -> Vec<Fault> {
         let mut faults = Vec::new();
         for RegionCut { region, healed, .. } in &history.cuts {
             let Some(end) = healed.checked_add(HEALING_DEADLINE_US) else { continue };
@@ -125,7 +125,8 @@
     pub(super) fn not_level_after_restart(&self, history: &History) -> Vec<Fault> {
         let fault = |down: &Downtime| {
             let end = down.back + RESTART_DEADLINE_US;
-            let missing = self.of_down(down)?.missing(Window { settled: down.back, proposed: end }, end)?;
+            let missing =
+                self.find_restarted(down)?.missing(Window { settled: down.back, proposed: end }, end)?;
             Some(Fault::NotLevelAfterRestart { subscriber: down.subscriber, missing })
         };
         history.down.iter().filter_map(fault).collect()
@@ -134,7 +135,7 @@
     /// Checks that a restarted conductor holds the servers that its state file holds from its first order on.
     pub(super) fn held_servers_let_go(&self, history: &History) -> Vec<Fault> {
         let of = |down: &Downtime| {
-            let conductor = self.of_down(down)?;
+            let conductor = self.find_restarted(down)?;
             let subscriber = down.subscriber;
             let premature_release = conductor.documents.values().filter_map(|changes| {
                 let (version, at) = conductor.release_despite_state_file(changes, *down)?;
@@ -149,7 +150,7 @@
     /// proxies were ordered to hold the server again; `None` if they never were.
     pub(super) fn premature_releases(&self, history: &History) -> Vec<PrematureRelease> {
         let of = |down: &Downtime| {
-            let conductor = self.of_down(down)?;
+            let conductor = self.find_restarted(down)?;
             let held = conductor
                 .documents
                 .values()
--- a/crates/stepspur-scale/src/fleet/cluster.rs
+++ b/crates/stepspur-scale/src/fleet/cluster.rs
@@ -165,7 +165,7 @@
     /// Kills a control member, given by its index, and waits until it has ended.
     pub(crate) async fn kill_control(&mut self, index: usize) {
         if let Some(process) = self.controls[index].process.take() {
-            self.sampler.forget(process.pid);
+            self.sampler.unwatch(process.pid);
             process.kill().await;
         }
     }
@@ -174,7 +174,7 @@
     pub(crate) fn kill_control_after(&mut self, index: usize, after: Duration) -> JoinHandle<()> {
         let process = self.controls[index].process.take();
         if let Some(process) = &process {
-            self.sampler.forget(process.pid);
+            self.sampler.unwatch(process.pid);
         }
         tokio::spawn(async move {
             sleep(after).await;
@@ -205,7 +205,7 @@
             let index = leader.and_then(|id| self.control.members.iter().position(|(m, _)| m.id == id));
             let running = index.and_then(|index| Some((index, self.controls[index].process.as_ref()?.pid)));
             if let Some((index, pid)) = running {
-                self.sampler.leads(Some(pid));
+                self.sampler.set_leader(Some(pid));
                 return Ok(index);
             }
             ensure!(Instant::now() < end, "the consensus group has no leader after {LEADER_TIMEOUT:?}");
@@ -245,7 +245,7 @@
         for index in self.plan.real_of(region) {
             let relay = Relay::start(&control_members, Arc::clone(&self.relay_gate)).await?;
             let addresses = relay.control().iter().map(|member| member.address.to_string());
-            self.sampler.control_at(addresses);
+            self.sampler.add_control_addresses(addresses);
             self.relays.insert(self.plan.conductors[index].id, relay);
         }
         Ok(())
@@ -295,7 +295,7 @@
     /// Samples a real conductor that has started, and connects its proxies.
     fn register_real(&mut self, conductor: RealConductor) {
         self.sampler.watch(conductor.pid(), Role::RealConductor, 1);
-        self.proxies.join(conductor.id, conductor.listening);
+        self.proxies.connect(conductor.id, conductor.listening);
         self.real.push(conductor);
         self.real.sort_by_key(|conductor| conductor.id);
     }
@@ -305,7 +305,7 @@
         let released: Vec<RealConductor> =
             self.real.extract_if(.., |conductor| ids.contains(&conductor.id)).collect();
         for conductor in &released {
-            self.sampler.forget(conductor.pid());
+            self.sampler.unwatch(conductor.pid());
             self.proxies.forget_address(conductor.id);
         }
         released
--- a/crates/stepspur-scale/src/fleet/faults.rs
+++ b/crates/stepspur-scale/src/fleet/faults.rs
@@ -53,21 +53,25 @@
     ///
     /// # Errors
     /// A process that does not start again, or changes that are not committed.
-    pub(super) async fn faults(&mut self, kinds: &[FaultKind], outage: Duration) -> anyhow::Result<()> {
+    pub(super) async fn inject_faults(
+        &mut self,
+        kinds: &[FaultKind],
+        outage: Duration,
+    ) -> anyhow::Result<()> {
         for kind in kinds {
             match kind {
-                FaultKind::Member => self.control_member_killed().await?,
-                FaultKind::Leader => self.leader_killed_in_mid_change().await?,
-                FaultKind::Region => self.region_cut_off(outage).await?,
-                FaultKind::Control => self.all_control_down(outage).await?,
-                FaultKind::Restart => self.conductors_restarted().await?,
+                FaultKind::Member => self.kill_follower().await?,
+                FaultKind::Leader => self.kill_leader_during_commit().await?,
+                FaultKind::Region => self.cut_off_region(outage).await?,
+                FaultKind::Control => self.kill_all_control_members(outage).await?,
+                FaultKind::Restart => self.restart_conductors().await?,
             }
         }
         Ok(())
     }
 
     /// Kills a control member that does not lead, and starts it again after [`CHANGES_WHILE_DOWN`] changes.
-    async fn control_member_killed(&mut self) -> anyhow::Result<()> {
+    async fn kill_follower(&mut self) -> anyhow::Result<()> {
         let mut running = self.begin("a control member killed");
         self.changes(CHANGES_AROUND, PACE_PER_S).await?;
         let leader = self.cluster.leader().await?;
@@ -84,8 +88,9 @@
         self.end(running, Some(killed_at)).await
     }
 
-    /// Kills the leader while a proposal is being committed, and starts it again.
-    async fn leader_killed_in_mid_change(&mut self) -> anyhow::Result<()> {
+    /// Kills the leader [`LEADER_KILL_DELAY`] after a proposal, while it is being committed, and starts it
+    /// again.
+    async fn kill_leader_during_commit(&mut self) -> anyhow::Result<()> {
         let mut running = self.begin("the leader killed in mid-change");
         self.changes(CHANGES_AROUND, PACE_PER_S).await?;
         let leader = self.cluster.leader().await?;
@@ -111,7 +116,7 @@
 
     /// Cuts the links of a region's conductors, hollow and real; the other conductors receive changes
     /// meanwhile.
-    async fn region_cut_off(&mut self, outage: Duration) -> anyhow::Result<()> {
+    async fn cut_off_region(&mut self, outage: Duration) -> anyhow::Result<()> {
         let plan = Arc::clone(&self.cluster.plan);
         let Some(region) = plan.region_to_cut().map(str::to_owned) else {
             println!("a region cut off: not run, there are no hollow conductors");
@@ -124,7 +129,7 @@
             "{region} with {hollow} hollow and {} real conductors cut off for {outage:?}",
             real.len()
         ));
-        self.hold_at(&real).await?;
+        self.hold_servers_of(&real).await?;
         self.changes(CHANGES_AROUND, PACE_PER_S).await?;
         self.cluster.wait_until_real_act_by(self.head, CATCH_UP_TIMEOUT).await?;
         sleep(Duration::from_micros(ORDER_DEADLINE_US)).await;
@@ -142,13 +147,13 @@
 
     /// Kills all control members. Conductors act by the documents they hold and catch up once control is
     /// back.
-    async fn all_control_down(&mut self, outage: Duration) -> anyhow::Result<()> {
+    async fn kill_all_control_members(&mut self, outage: Duration) -> anyhow::Result<()> {
         let mut running = self.begin("all control members down");
         self.changes(CHANGES_AROUND, PACE_PER_S).await?;
         for index in 0..self.cluster.plan.control.len() {
             self.cluster.kill_control(index).await;
         }
-        self.cluster.sampler.leads(None);
+        self.cluster.sampler.set_leader(None);
         sleep(outage).await;
         let held = self.cluster.count_with_documents().await?;
         running.notes.push(format!(
@@ -164,12 +169,12 @@
     }
 
     /// Restarts one conductor in ten concurrently: hollow ones from memory, real ones from their state files.
-    async fn conductors_restarted(&mut self) -> anyhow::Result<()> {
+    async fn restart_conductors(&mut self) -> anyhow::Result<()> {
         let mut running = self.begin("a tenth of the conductors restarted");
         let hollow = self.draw_tenth(self.subscribers.clone());
         let real = self.draw_tenth(self.cluster.real.iter().map(|conductor| conductor.id).collect());
         running.notes.push(format!("{} hollow and {} real conductors restarted", hollow.len(), real.len()));
-        self.hold_at(&real.iter().map(|id| id.0 as usize).collect::<Vec<_>>()).await?;
+        self.hold_servers_of(&real.iter().map(|id| id.0 as usize).collect::<Vec<_>>()).await?;
         self.changes(CHANGES_AROUND, PACE_PER_S).await?;
         let mut parts: BTreeMap<usize, Vec<SubscriberId>> = BTreeMap::new();
         let process_of = process_indices(&self.cluster);
@@ -198,7 +203,7 @@
 
     /// Holds a server of each of these conductors, so that a conductor that wrongly releases it can be
     /// detected.
-    async fn hold_at(&mut self, conductors: &[usize]) -> anyhow::Result<()> {
+    async fn hold_servers_of(&mut self, conductors: &[usize]) -> anyhow::Result<()> {
         for conductor in conductors {
             self.change(Draw::HoldServerOf(*conductor)).await?;
         }
--- a/crates/stepspur-scale/src/fleet/history.rs
+++ b/crates/stepspur-scale/src/fleet/history.rs
@@ -141,7 +141,7 @@
 pub(crate) struct Downtime {
     /// Conductor that was restarted.
     pub subscriber: SubscriberId,
-    /// Time at which it was asked to stop.
+    /// Time just before it was sent SIGTERM.
     pub from: Micros,
     /// Time at which it listened again.
     pub back: Micros,
--- a/crates/stepspur-scale/src/fleet/latency.rs
+++ b/crates/stepspur-scale/src/fleet/latency.rs
@@ -35,9 +35,9 @@
     }
 }
 
-/// How long the changes of a phase took to propagate.
+/// Propagation times of the changes of a phase.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Travel {
+pub(crate) struct PropagationTimes {
     /// From the proposal to the confirmation that it is committed.
     pub agreed: Spread,
     /// From the proposal until it is in force at the last hollow conductor that it concerns.
@@ -73,7 +73,7 @@
     /// Returns the time at which a subscriber first applied this version of a key or a later one.
     fn first(&self, subscriber: SubscriberId, key: u64, version: Version) -> Option<Micros> {
         let applied = self.0.get(&(subscriber, key))?;
-        applied.iter().filter(|(taken, _)| *taken >= version).map(|(_, at)| *at).min()
+        applied.iter().filter(|(applied, _)| *applied >= version).map(|(_, at)| *at).min()
     }
 }
 
@@ -84,7 +84,7 @@
     agreed: &Agreed,
     participants: &[Participant],
     cuts: &[RegionCut],
-    applications: &AppliedVersions,
+    applied_versions: &AppliedVersions,
 ) -> Result<Option<Micros>, SubscriberId> {
     let mut last = None;
     for participant in participants {
@@ -93,8 +93,8 @@
         }
         for change in agreed.changes.iter().filter(|change| participant.interest.covers(&change.scope)) {
             let key = key_digest(&change.key());
-            let taken = applications.first(participant.subscriber, key, agreed.version);
-            last = last.max(Some(taken.ok_or(participant.subscriber)?));
+            let applied_at = applied_versions.first(participant.subscriber, key, agreed.version);
+            last = last.max(Some(applied_at.ok_or(participant.subscriber)?));
         }
     }
     Ok(last)
@@ -117,37 +117,37 @@
 /// Computes the propagation times of the committed proposals at these indices of the history. `at_proxies`
 /// returns the time at which the proxies of real conductors had received a proposal's orders, or the
 /// conductor whose proxies never did.
-pub(crate) fn travel(
+pub(crate) fn propagation_times(
     history: &History,
-    applications: &AppliedVersions,
+    applied_versions: &AppliedVersions,
     indices: std::ops::Range<usize>,
     mut at_proxies: impl FnMut(&Agreed) -> Result<Option<Micros>, SubscriberId>,
-) -> Travel {
+) -> PropagationTimes {
     let (mut agreed, mut in_force_times, mut at_proxies_times, mut known) =
         (Vec::new(), Vec::new(), Vec::new(), Vec::new());
-    let mut travel = Travel::default();
+    let mut propagation_times = PropagationTimes::default();
     for change in &history.agreed[indices] {
         agreed.push(change.answered.saturating_sub(change.proposed));
-        match in_force(change, &history.participants, &history.cuts, applications) {
+        match in_force(change, &history.participants, &history.cuts, applied_versions) {
             Ok(Some(at)) => in_force_times.push(at.saturating_sub(change.proposed)),
             Ok(None) => {}
-            Err(_) => travel.missing += 1,
+            Err(_) => propagation_times.missing += 1,
         }
         match at_proxies(change) {
             Ok(Some(at)) => at_proxies_times.push(at.saturating_sub(change.proposed)),
             Ok(None) => {}
-            Err(_) => travel.missing_at_proxies += 1,
+            Err(_) => propagation_times.missing_at_proxies += 1,
         }
         let answers =
             history.answers.iter().filter(|answer| answer.everywhere && answer.version == change.version);
         known.extend(answers.map(|answer| answer.at.saturating_sub(change.proposed)).min());
     }
-    travel.late = in_force_times.iter().filter(|span| **span > IN_FORCE_TARGET_US).count();
-    Travel {
+    propagation_times.late = in_force_times.iter().filter(|span| **span > IN_FORCE_TARGET_US).count();
+    PropagationTimes {
         agreed: Spread::of(agreed),
         in_force: Spread::of(in_force_times),
         at_proxies: Spread::of(at_proxies_times),
         known: Spread::of(known),
-        ..travel
+        ..propagation_times
     }
 }
--- a/crates/stepspur-scale/src/fleet/latency/tests.rs
+++ b/crates/stepspur-scale/src/fleet/latency/tests.rs
@@ -6,7 +6,7 @@
 use super::super::history::{
     Agreed, Applied, History, Participant, RegionCut, StatusAnswer, SubscriberId, key_digest,
 };
-use super::{AppliedVersions, Spread, caught_up_at, in_force, travel};
+use super::{AppliedVersions, Spread, caught_up_at, in_force, propagation_times};
 
 #[test]
 fn spreads_are_nearest_ranks_of_the_measured_times() {
@@ -61,10 +61,11 @@
 #[test]
 fn a_change_is_in_force_once_the_last_subscriber_applied_it_or_a_later_version() {
     let history = history();
-    let travel = travel(&history, &AppliedVersions::of(&history), 0..1, |_| Ok(Some(1_040_000)));
-    assert_eq!((travel.agreed.most_ms, travel.in_force.most_ms), (10.0, 50.0));
-    assert_eq!((travel.at_proxies.most_ms, travel.known.most_ms), (40.0, 60.0));
-    assert_eq!((travel.missing, travel.late), (0, 0));
+    let propagation =
+        propagation_times(&history, &AppliedVersions::of(&history), 0..1, |_| Ok(Some(1_040_000)));
+    assert_eq!((propagation.agreed.most_ms, propagation.in_force.most_ms), (10.0, 50.0));
+    assert_eq!((propagation.at_proxies.most_ms, propagation.known.most_ms), (40.0, 60.0));
+    assert_eq!((propagation.missing, propagation.late), (0, 0));
 }
 
 #[test]
--- a/crates/stepspur-scale/src/fleet/measure.rs
+++ b/crates/stepspur-scale/src/fleet/measure.rs
@@ -21,7 +21,7 @@
 /// Interval between two samples.
 const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The part that a process plays in a run. Its variant name appears in reports.
+/// The part that a process plays in a run. Reports contain the variant's name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Role {
@@ -47,13 +47,15 @@
     members: usize,
 }
 
-/// Resource usage of one process between two samples. `resident` is in bytes.
+/// Resource usage of one process between two samples.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct UsageSpan {
     seconds: f64,
     cpu_s: f64,
+    /// Resident memory at the end, in bytes.
     resident: u64,
     traffic: Traffic,
+    /// Part of `traffic` that was exchanged with control members.
     to_control: Traffic,
 }
 
@@ -72,7 +74,7 @@
     pub cpu_percent: f64,
     /// The same in the worst second of the worst process.
     pub cpu_percent_worst: f64,
-    /// Peak resident memory, in MB.
+    /// Peak resident memory of one member, in MB.
     pub resident_mb: f64,
     /// Mean payload bytes a second in both directions; for conductors only those exchanged with control.
     pub bytes_per_s: f64,
@@ -93,6 +95,7 @@
     pub members: Vec<MemberUsage>,
 }
 
+/// State shared by the sampler and its task.
 #[derive(Debug, Default)]
 struct SamplerState {
     watched: BTreeMap<u32, WatchedProcess>,
@@ -100,8 +103,9 @@
     control_peers: BTreeSet<String>,
     addresses: Addresses,
     members: MemberProcesses,
-    seconds: Vec<UsageSample>,
-    member_seconds: Vec<MemberSamples>,
+    /// Samples since the last [`Sampler::take_usage`].
+    samples: Vec<UsageSample>,
+    member_samples: Vec<MemberSamples>,
     peak_memory: u64,
     /// Longest time that a sample of the sockets took.
     longest_sample: Duration,
@@ -131,7 +135,7 @@
     }
 
     /// Adds addresses at which control members are reached as well, such as those of relays.
-    pub(crate) fn control_at(&self, addresses: impl IntoIterator<Item = String>) {
+    pub(crate) fn add_control_addresses(&self, addresses: impl IntoIterator<Item = String>) {
         lock(&self.state).control_peers.extend(addresses);
     }
 
@@ -147,14 +151,14 @@
     }
 
     /// Stops sampling a process.
-    pub(crate) fn forget(&self, pid: u32) {
+    pub(crate) fn unwatch(&self, pid: u32) {
         let mut state = lock(&self.state);
         state.watched.remove(&pid);
         state.members.remove(&pid);
     }
 
     /// Sets the process of the current leader, `None` while there is none.
-    pub(crate) fn leads(&self, pid: Option<u32>) {
+    pub(crate) fn set_leader(&self, pid: Option<u32>) {
         lock(&self.state).leader = pid;
     }
 
@@ -174,10 +178,10 @@
     }
 
     /// Returns the usage since the last call.
-    pub(crate) fn take(&self) -> Used {
+    pub(crate) fn take_usage(&self) -> Used {
         let mut state = lock(&self.state);
         let (seconds, members) =
-            (std::mem::take(&mut state.seconds), std::mem::take(&mut state.member_seconds));
+            (std::mem::take(&mut state.samples), std::mem::take(&mut state.member_samples));
         drop(state);
         Used { roles: usage_by_role(&seconds), members: usage_by_member(&members) }
     }
@@ -214,8 +218,8 @@
             state.longest_sample = state.longest_sample.max(at.elapsed());
             let sample = usage_between(&state, &before, &counters, at.duration_since(then).as_secs_f64());
             let members = member_usage_between(&state, &sample, &before.snapshot, &counters.snapshot);
-            state.member_seconds.push(members);
-            state.seconds.push(sample);
+            state.member_samples.push(members);
+            state.samples.push(sample);
         }
         drop(state);
         before = counters;
@@ -228,6 +232,7 @@
     ProcessCounters { at, usage, snapshot: Snapshot::now().unwrap_or_default() }
 }
 
+/// Returns the usage of each process that is in both samples; `seconds` is the time between them.
 fn usage_between(
     state: &SamplerState,
     before: &ProcessCounters,
@@ -281,6 +286,7 @@
     sums.into_iter().map(|(role, sum)| (role, sum.usage())).collect()
 }
 
+/// Sums over the samples of one role.
 #[derive(Default)]
 struct Sum {
     pids: BTreeMap<u32, usize>,
--- a/crates/stepspur-scale/src/fleet/mod.rs
+++ b/crates/stepspur-scale/src/fleet/mod.rs
@@ -46,8 +46,9 @@
 const RUN_TIMEOUT: Duration = Duration::from_secs(45 * 60);
 /// A run may use at most the machine's memory divided by this.
 const MEMORY_DIVISOR: u64 = 2;
-/// Number of conductors replaced with `--swap`, and of changes made in each half of the comparison.
+/// Number of conductors replaced with `--swap`.
 const SWAPPED_CONDUCTORS: usize = 20;
+/// Number of changes made in each half of the `--swap` comparison.
 const SWAP_CHANGES: usize = 40;
 
 /// Arguments of a scale run.
@@ -77,7 +78,7 @@
     /// Changes a second in the burst.
     #[arg(long, default_value_t = 10.0)]
     burst_pace: f64,
-    /// Interval, in milliseconds, at which a subscriber without relevant changes is told the version up to
+    /// Interval, in milliseconds, at which a subscriber without relevant changes receives the version up to
     /// which it is current.
     #[arg(long, default_value_t = 5_000)]
     keep_alive_ms: u64,
@@ -212,7 +213,7 @@
         run.changes(changes, args.burst_pace).await?;
         run.end(burst, None).await?;
     }
-    run.faults(&args.faults, Duration::from_secs(args.outage_s)).await?;
+    run.inject_faults(&args.faults, Duration::from_secs(args.outage_s)).await?;
     let swap = if args.swap { Some(run.swap(SWAPPED_CONDUCTORS, SWAP_CHANGES).await?) } else { None };
     let memory = run.cluster.sampler.peak_memory();
     anyhow::ensure!(
--- a/crates/stepspur-scale/src/fleet/operators.rs
+++ b/crates/stepspur-scale/src/fleet/operators.rs
@@ -119,7 +119,9 @@
 /// however often it is proposed.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Operations {
+    /// Distinguishes operators; part of each id.
     instance: u64,
+    /// Number of ids given out.
     number: u64,
 }
 
@@ -156,7 +158,9 @@
     client: Arc<ClientConfig>,
     token: String,
     endpoints: Vec<SocketAddr>,
+    /// Index of the endpoint that is currently called.
     current: usize,
+    /// Open connections by index of their endpoint.
     connections: BTreeMap<usize, SendRequest<Full<Bytes>>>,
 }
 
--- a/crates/stepspur-scale/src/fleet/processes.rs
+++ b/crates/stepspur-scale/src/fleet/processes.rs
@@ -110,7 +110,7 @@
         Ok(Self { process, addresses, input, output })
     }
 
-    /// Probes that were answered so far, and their payload in bytes.
+    /// Returns the number of probes answered so far, and their payload in bytes.
     ///
     /// # Errors
     /// A process that does not answer.
--- a/crates/stepspur-scale/src/fleet/proxies.rs
+++ b/crates/stepspur-scale/src/fleet/proxies.rs
@@ -65,7 +65,7 @@
     }
 
     /// Connects proxies to a real conductor. The proxies of a restarted conductor dial its new address.
-    pub(crate) fn join(&mut self, conductor: SubscriberId, address: SocketAddr) {
+    pub(crate) fn connect(&mut self, conductor: SubscriberId, address: SocketAddr) {
         if let Some(known) = self.conductors.get(&conductor) {
             known.address.send_replace(Some(address));
             return;
--- a/crates/stepspur-scale/src/fleet/real.rs
+++ b/crates/stepspur-scale/src/fleet/real.rs
@@ -23,7 +23,7 @@
 /// Maximum size of a status response, in bytes.
 const MAX_STATUS_BYTES: usize = 1 << 20;
 
-/// What is needed to start a real conductor. A restart uses the same settings and stored state.
+/// Program, settings and log of a real conductor. A restart uses the same settings and stored state.
 #[derive(Clone, Debug)]
 pub(crate) struct RealConductorFiles {
     id: SubscriberId,
--- a/crates/stepspur-scale/src/fleet/record.rs
+++ b/crates/stepspur-scale/src/fleet/record.rs
@@ -24,9 +24,13 @@
 #[derive(Debug, Default)]
 struct RecorderState {
     history: History,
+    /// Name of the current phase.
     phase: String,
+    /// Last acknowledged version of each subscriber since its restart, with the time of the acknowledgement.
     in_force: BTreeMap<SubscriberId, (Version, Micros)>,
+    /// Byte counts of each subscriber at its last report.
     bytes: BTreeMap<SubscriberId, Bytes>,
+    /// Whether each subscriber was connected at its last report.
     connected: BTreeMap<SubscriberId, bool>,
 }
 
--- a/crates/stepspur-scale/src/fleet/relay.rs
+++ b/crates/stepspur-scale/src/fleet/relay.rs
@@ -195,8 +195,8 @@
         frame
     }
 
-    /// Members without a listener of the relay are removed, because the conductor must not reach them
-    /// directly.
+    /// Replaces the addresses of members, and removes members without a listener of the relay, because the
+    /// conductor must not reach them directly.
     fn rewrite(&self, members: &mut Vec<v1::ControlAddress>) {
         members.retain_mut(|member| {
             let address = member.address.parse().ok().and_then(|address| self.0.get(&address));
--- a/crates/stepspur-scale/src/fleet/report.rs
+++ b/crates/stepspur-scale/src/fleet/report.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::checker::Verdict;
-use super::latency::{Spread, Travel};
+use super::latency::{PropagationTimes, Spread};
 use super::measure::{Role, RoleUsage};
 use super::members::{Group, MemberUsage, PeerUsage};
 use super::peers::PeerKind;
@@ -98,7 +98,7 @@
     /// Number of proposal attempts repeated because the outcome was unknown.
     pub retries: usize,
     /// Propagation times of the changes.
-    pub travel: Travel,
+    pub travel: PropagationTimes,
     /// Resource usage by role.
     pub usage: BTreeMap<Role, RoleUsage>,
     /// Resource usage of each control member by kind of peer, leaders first.
@@ -201,7 +201,7 @@
         let mut target_results = Vec::new();
         for phase in &self.phases {
             let at_most = if phase.name == MEAN { IN_FORCE_AT_MEAN_PACE_MS } else { IN_FORCE_MS };
-            let Travel { in_force, at_proxies, missing, missing_at_proxies, .. } = phase.travel;
+            let PropagationTimes { in_force, at_proxies, missing, missing_at_proxies, .. } = phase.travel;
             for (what, spread, missing) in [
                 ("in force at the last", in_force, missing),
                 ("ordered at the last proxy", at_proxies, missing_at_proxies),
@@ -319,7 +319,7 @@
         write_spread(f, "proposed to in force at the last", &travel.in_force)?;
         write_spread(f, "proposed to the last proxy's socket", &travel.at_proxies)?;
         write_spread(f, "proposed to known everywhere", &travel.known)?;
-        let Travel { missing, missing_at_proxies, late, .. } = travel;
+        let PropagationTimes { missing, missing_at_proxies, late, .. } = travel;
         writeln!(
             f,
             "  later than 5 s {late}, never at some conductor {missing}, never at some proxy {missing_at_proxies}"
--- a/crates/stepspur-scale/src/fleet/report/tests.rs
+++ b/crates/stepspur-scale/src/fleet/report/tests.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use super::super::checker::Verdict;
-use super::super::latency::{Spread, Travel};
+use super::super::latency::{PropagationTimes, Spread};
 use super::super::measure::{Role, RoleUsage};
 use super::super::members::{MemberUsage, PeerUsage};
 use super::super::peers::PeerKind;
@@ -14,7 +14,7 @@
     let leader = RoleUsage { members: 1, cpu_percent: leader_cpu, ..RoleUsage::default() };
     let phase = Phase {
         name: MEAN.into(),
-        travel: Travel { in_force, ..Travel::default() },
+        travel: PropagationTimes { in_force, ..PropagationTimes::default() },
         usage: BTreeMap::from([(Role::Leader, leader)]),
         ..Phase::default()
     };
--- a/crates/stepspur-scale/src/fleet/run.rs
+++ b/crates/stepspur-scale/src/fleet/run.rs
@@ -15,7 +15,7 @@
 use super::checker::{PrematureRelease, premature_releases, real_caught_up_at};
 use super::cluster::Cluster;
 use super::history::{Agreed, History, Micros, Participant, SubscriberId, now};
-use super::latency::{AppliedVersions, Travel, caught_up_at, cut_off, travel};
+use super::latency::{AppliedVersions, PropagationTimes, caught_up_at, cut_off, propagation_times};
 use super::operators::{Operations, Operator, Proposed};
 use super::plan::Conductor;
 use super::report::{FullStart, Phase};
@@ -55,6 +55,7 @@
     pub head: Version,
     /// Interval between two rollout status requests.
     poll_interval: Duration,
+    /// Number of repeated proposal attempts so far.
     retries: usize,
     phases: Vec<Phase>,
 }
@@ -75,7 +76,9 @@
     name: String,
     at: Instant,
     since: Micros,
+    /// Number of committed proposals at its start.
     changes: usize,
+    /// Number of repeated proposal attempts at its start.
     retries: usize,
     /// Descriptions of what happened in the phase.
     pub notes: Vec<String>,
@@ -233,7 +236,7 @@
         self.cluster.recorder.begin_phase(name);
         let changes = self.cluster.recorder.with_history(|history| history.agreed.len());
         // Usage before the phase belongs to no phase.
-        self.cluster.sampler.take();
+        self.cluster.sampler.take_usage();
         let (name, at, since) = (name.to_owned(), Instant::now(), now());
         RunningPhase { name, at, since, changes, retries: self.retries, notes: Vec::new() }
     }
@@ -249,7 +252,7 @@
         since: Option<Micros>,
     ) -> anyhow::Result<()> {
         let seconds = running.at.elapsed().as_secs_f64();
-        let used = self.cluster.sampler.take();
+        let used = self.cluster.sampler.take_usage();
         let real = self.cluster.wait_until_real_act_by(self.head, CATCH_UP_TIMEOUT);
         let ((caught_up, _), real) =
             tokio::join!(self.wait_until_caught_up(self.head, CATCH_UP_TIMEOUT), real);
@@ -265,7 +268,7 @@
         self.cluster.recorder.take_orders(self.cluster.proxies.orders());
         let changes = self.cluster.recorder.with_history(|history| history.agreed.len()) - running.changes;
         let indices = running.changes..running.changes + changes;
-        let (travel, notes) = self.travel(indices);
+        let (travel, notes) = self.propagation(indices);
         running.notes.extend(notes);
         running.notes.extend(self.premature_release_notes(running.since));
         let phase = Phase {
@@ -316,7 +319,7 @@
 
     /// Computes the propagation times of the committed proposals at these indices. Also describes some
     /// changes whose orders a proxy never received, and the slowest change to reach a proxy.
-    fn travel(&self, indices: Range<usize>) -> (Travel, Vec<String>) {
+    fn propagation(&self, indices: Range<usize>) -> (PropagationTimes, Vec<String>) {
         self.cluster.recorder.with_history(|history| {
             let (mut notes, mut slowest) = (Vec::new(), None);
             let at_proxies = |agreed: &Agreed| {
@@ -330,7 +333,7 @@
                 }
                 at.map(|at| at.map(|(at, _)| at))
             };
-            let travelled = travel(history, &AppliedVersions::of(history), indices, at_proxies);
+            let times = propagation_times(history, &AppliedVersions::of(history), indices, at_proxies);
             notes.truncate(MAX_NAMED_CHANGES);
             if let Some((span, version, id)) = slowest {
                 let agreed = history.agreed.iter().find(|agreed| agreed.version == version);
@@ -338,7 +341,7 @@
                 let ms = span as f64 / 1e3;
                 notes.push(format!("slowest at a proxy, {ms:.0} ms: {id:?}, {version}, {changes:?}"));
             }
-            (travelled, notes)
+            (times, notes)
         })
     }
 
--- a/crates/stepspur-scale/src/fleet/settings.rs
+++ b/crates/stepspur-scale/src/fleet/settings.rs
@@ -40,7 +40,8 @@
 pub(crate) struct ControlFleet {
     /// Each member with its addresses.
     pub members: Vec<(ControlMember, ControlAddresses)>,
-    /// Interval at which a subscriber without relevant changes is told the version up to which it is current.
+    /// Interval at which a subscriber without relevant changes receives the version up to which it is
+    /// current.
     pub keep_alive: Duration,
 }
 
--- a/crates/stepspur-scale/src/fleet/swap.rs
+++ b/crates/stepspur-scale/src/fleet/swap.rs
@@ -23,7 +23,7 @@
     pub(super) async fn swap(&mut self, count: usize, changes: usize) -> anyhow::Result<Swap> {
         let ids = self.cluster.choose_for_swap(count);
         let others = self.cluster.real.iter().filter(|conductor| !ids.contains(&conductor.id));
-        others.for_each(|conductor| self.cluster.sampler.forget(conductor.pid()));
+        others.for_each(|conductor| self.cluster.sampler.unwatch(conductor.pid()));
         let before = self.begin("swap: real");
         self.changes_for(&ids, changes).await?;
         self.end(before, None).await?;
