--- a/crates/stepspur-scale/src/fleet/cluster.rs
+++ b/crates/stepspur-scale/src/fleet/cluster.rs
@@ -126,15 +126,18 @@
         let nodes = self.folder.join("control-nodes.toml");
         std::fs::write(&nodes, "servers = 1\n[[node]]\naddress = \"127.0.0.1:9\"\nzone = \"a\"\n")?;
         for (index, (member, _)) in self.control.members.iter().enumerate() {
-            let own = self.folder.join(format!("control-{}", member.id));
-            std::fs::create_dir_all(&own)?;
-            let settings = own.join("conductor.toml");
-            std::fs::write(&settings, self.control.settings(index, &own, self.keys.folder(), &nodes))?;
+            let member_folder = self.folder.join(format!("control-{}", member.id));
+            std::fs::create_dir_all(&member_folder)?;
+            let settings = member_folder.join("conductor.toml");
+            std::fs::write(
+                &settings,
+                self.control.settings(index, &member_folder, self.keys.folder(), &nodes),
+            )?;
             if member.votes {
-                let council = self.control.founding(member.id, &own.join("council.redb"));
-                tokio::task::spawn_blocking(move || council.bootstrap()).await??;
+                let consensus = self.control.founding(member.id, &member_folder.join("council.redb"));
+                tokio::task::spawn_blocking(move || consensus.bootstrap()).await??;
             }
-            let log = own.join("log");
+            let log = member_folder.join("log");
             self.controls.push(ControlProcess { settings, log, process: None });
         }
         Ok(())
@@ -143,7 +146,7 @@
     /// Starts all control members that do not run, concurrently.
     ///
     /// # Errors
-    /// A control member or conductor that does not start.
+    /// A control member that does not start.
     pub(crate) async fn start_controls(&mut self) -> anyhow::Result<()> {
         let program = self.program.clone();
         let stopped: Vec<usize> =
@@ -266,7 +269,7 @@
     /// Starts all conductors concurrently, real and hollow.
     ///
     /// # Errors
-    /// A control member or conductor that does not start.
+    /// A conductor that does not start.
     pub(crate) async fn begin(&mut self) -> anyhow::Result<()> {
         let control_members = self.control.places();
         let mut real = Vec::new();
@@ -327,7 +330,7 @@
     /// Waits until the restarted real conductors run, and registers them again.
     ///
     /// # Errors
-    /// A control member or conductor that does not start.
+    /// A conductor that does not start.
     pub(crate) async fn restarted(&mut self, restarting: Restarting) -> anyhow::Result<()> {
         for conductor in restarting.await?? {
             self.register_real(conductor);
@@ -450,9 +453,9 @@
     let each = SERVERS_PER_PROCESS.min(SERVERS_MOST);
     let mut started = Vec::new();
     while started.len() * each < count {
-        let own = each.min(count - started.len() * each);
+        let server_count = each.min(count - started.len() * each);
         let log = folder.join(format!("servers-{}.log", started.len()));
-        started.push(ServerProcess::start(own, &log).await?);
+        started.push(ServerProcess::start(server_count, &log).await?);
     }
     Ok(started)
 }
--- a/crates/stepspur-scale/src/fleet/faults.rs
+++ b/crates/stepspur-scale/src/fleet/faults.rs
@@ -104,7 +104,8 @@
         rollout_poller.stop().await;
         let committed_after_ms = (now() - killed_at) / 1_000;
         running.notes.push(format!(
-            "member {} led and was killed {LEADER_KILL_DELAY:?} after a proposal, which was agreed after {committed_after_ms} ms",
+            "member {} led and was killed {LEADER_KILL_DELAY:?} after a proposal, which was agreed after \
+             {committed_after_ms} ms",
             self.cluster.plan.control[leader].id
         ));
         self.cluster.leader().await?;
--- a/crates/stepspur-scale/src/fleet/mod.rs
+++ b/crates/stepspur-scale/src/fleet/mod.rs
@@ -172,7 +172,7 @@
         None => folder.path().to_owned(),
     };
     tokio::select! {
-        report = timeout(RUN_TIMEOUT, run_once(args, &path)) => report.context("the run exceeded its maximum duration")?,
+        report = timeout(RUN_TIMEOUT, run_once(args, &path)) => report.context("the run timed out")?,
         _ = interrupt.recv() => anyhow::bail!("interrupted"),
         _ = terminate.recv() => anyhow::bail!("terminated by a signal"),
     }
--- a/crates/stepspur-scale/src/fleet/plan.rs
+++ b/crates/stepspur-scale/src/fleet/plan.rs
@@ -161,8 +161,9 @@
 
     /// Returns the indices of the real conductors of a region.
     pub(crate) fn real_of(&self, region: &str) -> Vec<usize> {
-        let own = self.real().iter().enumerate().filter(|(_, conductor)| conductor.interest.region == region);
-        own.map(|(index, _)| index).collect()
+        let in_region =
+            self.real().iter().enumerate().filter(|(_, conductor)| conductor.interest.region == region);
+        in_region.map(|(index, _)| index).collect()
     }
 }
 
@@ -175,13 +176,13 @@
     let mut next_server = 0;
     let mut services = Vec::with_capacity(count);
     for index in 0..count {
-        let own = next_server..next_server + server_counts[index];
-        next_server = own.end;
+        let server_range = next_server..next_server + server_counts[index];
+        next_server = server_range.end;
         services.push(Service {
             name: format!("service-{index}"),
             routes: rng.random_range(MIN_ROUTES_PER_SERVICE..=MAX_ROUTES_PER_SERVICE),
             tenants: (0..tenant_counts[index]).map(|k| format!("tenant-{index}-{k}")).collect(),
-            servers: servers[own].to_vec(),
+            servers: servers[server_range].to_vec(),
         });
     }
     services
@@ -222,14 +223,17 @@
     let zipf = Zipf::new(services.len() as f64, ZIPF_EXPONENT).ok();
     let mut conductors = Vec::with_capacity(count);
     for index in 0..count {
-        let mut own = vec![index % services.len()];
+        let mut service_indices = vec![index % services.len()];
         if index >= services.len() {
             let drawn = zipf.map_or(1.0, |zipf| zipf.sample(rng)) as usize;
-            own = vec![drawn.saturating_sub(1).min(services.len() - 1)];
+            service_indices = vec![drawn.saturating_sub(1).min(services.len() - 1)];
         }
         let second = rng.random_range(0..services.len());
-        if index >= real && !own.contains(&second) && rng.random_range(0..SECOND_SERVICE_ONE_IN) == 0 {
-            own.push(second);
+        if index >= real
+            && !service_indices.contains(&second)
+            && rng.random_range(0..SECOND_SERVICE_ONE_IN) == 0
+        {
+            service_indices.push(second);
         }
         let region = match index < real {
             true => &regions[index % regions.len().div_ceil(2)],
@@ -237,14 +241,15 @@
         };
         let tenants = |k: &usize| if index < real { Vec::new() } else { services[*k].tenants.clone() };
         let named = |k: &usize| ServiceInterest { service: services[*k].name.clone(), tenants: tenants(k) };
-        let mut interest = Interest { region: region.clone(), services: own.iter().map(named).collect() };
+        let mut interest =
+            Interest { region: region.clone(), services: service_indices.iter().map(named).collect() };
         interest.services.iter_mut().for_each(|service| service.tenants.sort());
         interest.services.sort();
         conductors.push(Conductor {
             id: SubscriberId(u32::try_from(index).unwrap_or(u32::MAX)),
             name: format!("conductor-{index}"),
             interest,
-            services: own,
+            services: service_indices,
         });
     }
     conductors
--- a/crates/stepspur-scale/src/fleet/processes.rs
+++ b/crates/stepspur-scale/src/fleet/processes.rs
@@ -234,7 +234,7 @@
             message::Event::Failed { id, reason } => Notice::Failed(format!("{id:?}: {reason}")),
             message::Event::Reported { token } => Notice::Reported(token),
             event => {
-                recorder.take(event);
+                recorder.record(event);
                 continue;
             }
         };
--- a/crates/stepspur-scale/src/fleet/proxies.rs
+++ b/crates/stepspur-scale/src/fleet/proxies.rs
@@ -193,7 +193,7 @@
             }
             Some(from_conductor::Kind::Order(order)) => {
                 let mark = order.mark;
-                record_orders(log, table.take(order));
+                record_orders(log, table.apply(order));
                 let Some(mark) = mark else { continue };
                 from_proxy::Kind::Applied(v1::Applied { mark, took_us: 0 })
             }
@@ -229,7 +229,7 @@
     }
 
     /// Applies an order and returns its effects.
-    fn take(&mut self, order: v1::Order) -> Vec<Ordered> {
+    fn apply(&mut self, order: v1::Order) -> Vec<Ordered> {
         let before = self.usable();
         let (mut lines, mut levels, mut withdrawals) = (order.lines, order.levels, order.withdrawals);
         if let Some(full_table) = order.table {
--- a/crates/stepspur-scale/src/fleet/proxies/tests.rs
+++ b/crates/stepspur-scale/src/fleet/proxies/tests.rs
@@ -29,16 +29,16 @@
 fn only_changes_that_affect_requests_are_recorded() {
     let mut table = Table { classes: vec!["read".into(), "write".into()], ..Table::default() };
     let full_table = v1::Table { lines: vec![line(1, 1.0), line(2, 0.0)], ..Default::default() };
-    let first = table.take(v1::Order { table: Some(full_table), ..Default::default() });
+    let first = table.apply(v1::Order { table: Some(full_table), ..Default::default() });
     assert_eq!(first, [Ordered::Released(server(1))]);
-    let drained = table.take(v1::Order { lines: vec![line(1, 0.0), line(2, 0.5)], ..Default::default() });
+    let drained = table.apply(v1::Order { lines: vec![line(1, 0.0), line(2, 0.5)], ..Default::default() });
     assert_eq!(drained, [Ordered::Held(server(1)), Ordered::Released(server(2))]);
-    let withdrawn = table.take(v1::Order { withdrawals: vec![withdrawal(2, true)], ..Default::default() });
+    let withdrawn = table.apply(v1::Order { withdrawals: vec![withdrawal(2, true)], ..Default::default() });
     assert_eq!(withdrawn, [Ordered::Held(server(2))]);
-    assert!(table.take(v1::Order { lines: vec![line(2, 0.7)], ..Default::default() }).is_empty());
+    assert!(table.apply(v1::Order { lines: vec![line(2, 0.7)], ..Default::default() }).is_empty());
     let admit = Some(v1::level::Admit::Share(0.25));
     let level = v1::Level { class: 1, resend: 0, admit };
-    let capped = table.take(v1::Order { levels: vec![level], ..Default::default() });
+    let capped = table.apply(v1::Order { levels: vec![level], ..Default::default() });
     assert_eq!(capped, [Ordered::Level { class: "write".into(), ppm: 250_000.0 }]);
 }
 
--- a/crates/stepspur-scale/src/fleet/record.rs
+++ b/crates/stepspur-scale/src/fleet/record.rs
@@ -46,7 +46,7 @@
     }
 
     /// Records an event of a hollow conductor.
-    pub(crate) fn take(&self, event: Event) {
+    pub(crate) fn record(&self, event: Event) {
         let mut state = self.state();
         match event {
             Event::Applied { id, version, key, at } => {
@@ -95,7 +95,7 @@
     }
 
     /// Replaces the recorded proxy orders by all orders received so far.
-    pub(crate) fn take_orders(&self, orders: Vec<ProxyOrders>) {
+    pub(crate) fn set_orders(&self, orders: Vec<ProxyOrders>) {
         self.state().history.proxies = orders;
     }
 
--- a/crates/stepspur-scale/src/fleet/run.rs
+++ b/crates/stepspur-scale/src/fleet/run.rs
@@ -265,7 +265,7 @@
         }
         sleep(SETTLE_DELAY).await;
         self.cluster.report().await?;
-        self.cluster.recorder.take_orders(self.cluster.proxies.orders());
+        self.cluster.recorder.set_orders(self.cluster.proxies.orders());
         let changes = self.cluster.recorder.with_history(|history| history.agreed.len()) - running.changes;
         let indices = running.changes..running.changes + changes;
         let (travel, notes) = self.propagation(indices);
--- a/crates/stepspur-scale/src/fleet/swap.rs
+++ b/crates/stepspur-scale/src/fleet/swap.rs
@@ -12,7 +12,7 @@
 /// Changes a second during the comparison.
 const PACE_PER_S: f64 = 1.0;
 /// Time for hollow conductors to connect and send their first acknowledgements.
-const ATTACHED_AFTER: Duration = Duration::from_secs(5);
+const ATTACH_DELAY: Duration = Duration::from_secs(5);
 
 impl Run {
     /// Replaces real conductors by hollow ones and compares the traffic of a phase with the same number of
@@ -29,7 +29,7 @@
         self.end(before, None).await?;
         let real = self.last_usage(Role::RealConductor);
         let pid = self.cluster.swap(&ids).await?;
-        sleep(ATTACHED_AFTER).await;
+        sleep(ATTACH_DELAY).await;
         self.cluster.sampler.watch(pid, Role::RealConductor, ids.len());
         let after = self.begin("swap: hollow");
         self.changes_for(&ids, changes).await?;
