--- a/crates/stepspur-scale/src/capacity/cell.rs
+++ b/crates/stepspur-scale/src/capacity/cell.rs
@@ -1,48 +1,48 @@
-//! A figure on the page: its value, interval and where it comes from.
+//! A figure on the page: its value, its confidence interval and how it was obtained.
 
 use crate::fit::Estimate;
-use crate::slopes::shown;
+use crate::slopes::format_estimate;
 
-/// Where a figure comes from.
+/// How a figure was obtained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Basis {
-    /// It was measured at this size.
+    /// Measured at exactly this size.
     Measured,
-    /// It was worked out by a formula from what was measured.
+    /// Calculated from measured values.
     Derived,
-    /// Nothing says it.
+    /// No measurement gives it.
     NotKnown,
 }
 
-/// A figure.
+/// One figure of a table.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Cell {
-    /// Its value; none where it is not known.
+    /// Mean and interval; `None` where the figure is not known.
     pub value: Option<Estimate>,
-    /// Where it comes from.
+    /// How it was obtained.
     pub basis: Basis,
 }
 
 impl Cell {
-    /// Nothing says it.
+    /// The figure that no measurement gives.
     pub(super) const NOT_KNOWN: Cell = Cell { value: None, basis: Basis::NotKnown };
 
-    /// Measured at this size.
+    /// A figure that was measured at exactly this size.
     pub(super) fn measured(value: Estimate) -> Self {
         Self { value: Some(value), basis: Basis::Measured }
     }
 
-    /// Worked out.
+    /// A figure calculated from measured values.
     pub(super) fn derived(value: Estimate) -> Self {
         Self { value: Some(value), basis: Basis::Derived }
     }
 
-    /// Worked out of counts that have no spread.
+    /// A figure calculated from exact counts, without an interval.
     pub(super) fn counted(value: f64) -> Self {
         Self::derived(Estimate::exact(value))
     }
 
-    /// So many times as much.
+    /// The figure multiplied by `factor`.
     pub(super) fn times(self, factor: f64) -> Self {
         match self.value {
             Some(value) => Self::derived(value.times(factor)),
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The sum; not known where a part is not.
+    /// The sum of both figures; not known if either is not known.
     pub(super) fn plus(self, other: Self) -> Self {
         match (self.value, other.value) {
             (Some(one), Some(two)) => Self::derived(one.plus(two)),
@@ -58,16 +58,16 @@
         }
     }
 
-    /// The mean, if it is known.
+    /// The mean; `None` if the figure is not known.
     pub(super) fn mean(self) -> Option<f64> {
         self.value.map(|value| value.mean)
     }
 
-    /// As it stands on the page: `m` measured, `d` derived.
+    /// The figure as the page shows it: marked `m` if measured, `d` if derived.
     pub(super) fn text(self) -> String {
         match (self.value, self.basis) {
-            (Some(value), Basis::Measured) => format!("{} m", shown(value)),
-            (Some(value), _) => format!("{} d", shown(value)),
+            (Some(value), Basis::Measured) => format!("{} m", format_estimate(value)),
+            (Some(value), _) => format!("{} d", format_estimate(value)),
             (None, _) => "not known".to_owned(),
         }
     }
--- a/crates/stepspur-scale/src/capacity/figures.rs
+++ b/crates/stepspur-scale/src/capacity/figures.rs
@@ -1,15 +1,16 @@
-//! What the slopes say at a size.
+//! Looks up and extrapolates the measured slopes.
 
 use super::cell::Cell;
 use crate::fit::{Estimate, interpolate, measured, predict};
 use crate::slopes::result::{Metric, Name, Slopes};
 
-/// Measured slopes to work from.
+/// Measured slopes, the source of every figure on the page.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Figures<'a>(pub &'a Slopes);
 
 impl Figures<'_> {
-    /// At a size: what was measured there; else what the neighbouring sizes say; beyond all sizes what the line says.
+    /// The metric at size `x`: the measured value, else interpolated between the neighbouring sizes, else
+    /// extrapolated by the fitted line.
     pub(super) fn at(&self, name: Name, metric: Metric, x: f64) -> Cell {
         let Some(slope) = self.0.get(name) else { return Cell::NOT_KNOWN };
         let points = slope.points(metric);
@@ -19,7 +20,8 @@
         interpolate(&points, x).or_else(|| predict(&points, x)).map_or(Cell::NOT_KNOWN, Cell::derived)
     }
 
-    /// What one size costs above another, repeat by repeat.
+    /// The difference of the metric between the sizes `x` and `other`, taken for each repeat, so that an
+    /// offset that all sizes of a repeat share cancels out.
     pub(super) fn above(&self, name: Name, metric: Metric, x: f64, other: f64) -> Cell {
         if x == other {
             return Cell::counted(0.0);
@@ -36,13 +38,13 @@
         Estimate::of(&differences).map_or(Cell::NOT_KNOWN, Cell::derived)
     }
 
-    /// What one more costs, by the line.
+    /// The cost of one more unit of size, by the fitted line.
     pub(super) fn more(&self, name: Name, metric: Metric) -> Cell {
         let fit = self.0.get(name).and_then(|slope| slope.fits.get(&metric));
         fit.map_or(Cell::NOT_KNOWN, |fit| Cell::derived(fit.slope))
     }
 
-    /// The largest size of a slope that was measured.
+    /// The largest measured size of a slope; `None` if the slope was not measured.
     pub(super) fn largest(&self, name: Name) -> Option<f64> {
         self.0.get(name)?.sizes().last().copied()
     }
--- a/crates/stepspur-scale/src/capacity/mod.rs
+++ b/crates/stepspur-scale/src/capacity/mod.rs
@@ -1,12 +1,13 @@
-//! `stepspur-scale capacity`: the tables of docs/CAPACITY.md, worked out from measured slopes.
+//! `stepspur-scale capacity`: fills the tables of docs/CAPACITY.md from measured slopes and the scale run's
+//! result.
 
 mod cell;
-mod days;
+mod failures;
 mod figures;
 mod fleet;
-mod letter;
-mod missing;
+mod gaps;
 mod page;
+mod predictions;
 mod roles;
 pub(crate) mod target;
 #[cfg(test)]
@@ -20,57 +21,62 @@
 use crate::slopes::result::Slopes;
 use figures::Figures;
 
-/// What is read and written.
+/// Input files and the page to update.
 #[derive(Debug, clap::Args)]
 pub(crate) struct CapacityArgs {
-    /// The slopes, as `slopes --json` wrote them.
+    /// Slopes, as written by `slopes --json`.
     #[arg(long)]
     slopes: PathBuf,
-    /// The scale run, as `fleet --json` wrote it.
+    /// Result of the scale run, as written by `fleet --json`.
     #[arg(long)]
     fleet: Option<PathBuf>,
-    /// The page: what stands between its markers is written anew.
+    /// Page to update: the text between its markers is replaced.
     #[arg(long)]
     page: PathBuf,
 }
 
-/// Writes the page's tables.
+/// Replaces the page's generated tables in place.
 ///
 /// # Errors
-/// If a file cannot be read, or the page lacks a marker.
+/// If a file cannot be read, parsed or written, or the page lacks a marker.
 pub(crate) fn run(args: CapacityArgs) -> anyhow::Result<()> {
     let slopes = slopes::read(&args.slopes)?;
     let fleet = args.fleet.as_deref().map(fleet::read).transpose()?;
     let page = std::fs::read_to_string(&args.page).with_context(|| args.page.display().to_string())?;
-    let written = write(&page, &slopes, fleet.as_ref())?;
+    let written = with_tables(&page, &slopes, fleet.as_ref())?;
     std::fs::write(&args.page, written).with_context(|| args.page.display().to_string())
 }
 
-/// The page with all tables anew.
+/// Returns `page` with every generated table replaced.
 ///
 /// # Errors
-/// If it lacks a marker.
-pub(crate) fn write(page: &str, slopes: &Slopes, fleet: Option<&fleet::Fleet>) -> anyhow::Result<String> {
+/// If the page lacks a marker.
+pub(crate) fn with_tables(
+    page: &str,
+    slopes: &Slopes,
+    fleet: Option<&fleet::Fleet>,
+) -> anyhow::Result<String> {
     let figures = Figures(slopes);
     let parts = [
         ("slopes", page::slopes(slopes)),
-        ("told", page::told(figures)),
+        ("told", page::predictions(figures)),
         ("conductor", page::conductor(figures)),
         ("others", page::others(figures)),
         ("added", page::added(figures)),
-        ("days", page::bad_days(figures)),
+        ("days", page::failures(figures)),
         ("assumptions", page::assumptions(figures)),
         ("fleet", fleet::table(fleet)),
-        ("missing", page::missing(figures)),
+        ("missing", page::gaps(figures)),
     ];
-    parts.iter().try_fold(page.to_owned(), |page, (name, text)| between(&page, name, text))
+    parts.iter().try_fold(page.to_owned(), |page, (name, text)| replace_between_markers(&page, name, text))
 }
 
-/// Puts a text between the two markers of a name.
-fn between(page: &str, name: &str, text: &str) -> anyhow::Result<String> {
+/// Replaces the text between the begin and end markers called `name`.
+fn replace_between_markers(page: &str, name: &str, text: &str) -> anyhow::Result<String> {
     let (begin, end) = (format!("<!-- {name}: begin -->"), format!("<!-- {name}: end -->"));
-    let (before, rest) = page.split_once(&begin).with_context(|| format!("the page lacks `{begin}`"))?;
+    let (before, rest) =
+        page.split_once(&begin).with_context(|| format!("the page has no marker `{begin}`"))?;
     let (_, after) =
-        rest.split_once(&end).with_context(|| format!("the page lacks `{end}` after its begin"))?;
+        rest.split_once(&end).with_context(|| format!("the page has no marker `{end}` after `{begin}`"))?;
     Ok(format!("{before}{begin}\n{}\n{end}{after}", text.trim_end()))
 }
--- a/crates/stepspur-scale/src/capacity/page.rs
+++ b/crates/stepspur-scale/src/capacity/page.rs
@@ -1,25 +1,25 @@
-//! The page's tables, as Markdown.
+//! The page's tables as Markdown.
 
 use std::fmt::Write;
 
 use super::cell::Cell;
-use super::days;
+use super::failures;
 use super::figures::Figures;
-use super::letter;
-use super::missing::{self, Standing};
+use super::gaps::{self, GapKind};
+use super::predictions;
 use super::roles::{self, Row};
-use super::target::{Assumptions, Listed, USERS};
+use super::target::{Assumptions, ListScope, USERS};
 use crate::fit;
 use crate::slopes::result::{Metric, Name, Slopes};
-use crate::slopes::{rounded, shown};
+use crate::slopes::{format_estimate, format_rounded};
 
-/// A table's head and its rows.
+/// Markdown of one table, its header and rows.
 struct Table(String);
 
 impl Table {
-    fn new(heads: &[&str]) -> Self {
-        let line = heads.iter().map(|_| " --- |").collect::<String>();
-        Self(format!("| {} |\n|{line}\n", heads.join(" | ")))
+    fn new(headers: &[&str]) -> Self {
+        let line = headers.iter().map(|_| " --- |").collect::<String>();
+        Self(format!("| {} |\n|{line}\n", headers.join(" | ")))
     }
 
     fn row<T: AsRef<str>>(&mut self, cells: &[T]) {
@@ -28,40 +28,38 @@
     }
 }
 
-/// Each slope: means at its sizes, what one more costs, the exponent.
+/// The slopes: for each metric the means at the measured sizes, the fitted line and the exponent of growth.
 pub(super) fn slopes(slopes: &Slopes) -> String {
     let mut text = String::new();
     for slope in &slopes.slopes {
         let loads = slope.runs.iter().map(|run| run.load_average);
-        let (least, most) =
-            loads.fold((f64::MAX, 0f64), |(least, most), load| (least.min(load), most.max(load)));
+        let (min_load, max_load) =
+            loads.fold((f64::MAX, 0f64), |(min, max), load| (min.min(load), max.max(load)));
         let repeats = slope.runs.iter().map(|run| run.repeat + 1).max().unwrap_or(0);
         let _ = writeln!(
             text,
-            "**{}**, {repeats} repeats, load of the machine {least:.1} to {most:.1} of {} cores\n",
+            "**{}**, {repeats} repeats, load of the machine {min_load:.1} to {max_load:.1} of {} cores\n",
             slope.name.counts(),
             slopes.cores
         );
         let sizes = slope.sizes();
-        let sizes_shown: Vec<String> = sizes.iter().map(|size| format!("{size}")).collect();
-        let mut heads = vec!["what"];
-        heads.extend(sizes_shown.iter().map(String::as_str));
-        heads.extend(["a", "b, one more", "exponent"]);
-        let mut table = Table::new(&heads);
+        let size_labels: Vec<String> = sizes.iter().map(|size| format!("{size}")).collect();
+        let mut headers = vec!["what"];
+        headers.extend(size_labels.iter().map(String::as_str));
+        headers.extend(["a", "b, one more", "exponent"]);
+        let mut table = Table::new(&headers);
         for metric in slope.metrics() {
             let points = slope.points(metric);
             let mark = if metric.by_wall_clock() { " (wall clock)" } else { "" };
             let mut cells = vec![format!("{}{mark}", metric.label())];
-            cells.extend(
-                sizes
-                    .iter()
-                    .map(|size| fit::measured(&points, *size).map_or(String::new(), |at| rounded(at.mean))),
-            );
+            cells.extend(sizes.iter().map(|size| {
+                fit::measured(&points, *size).map_or(String::new(), |at| format_rounded(at.mean))
+            }));
             let fitted = slope.fits.get(&metric);
-            cells.push(fitted.map_or(String::new(), |fit| shown(fit.intercept)));
-            cells.push(fitted.map_or(String::new(), |fit| shown(fit.slope)));
+            cells.push(fitted.map_or(String::new(), |fit| format_estimate(fit.intercept)));
+            cells.push(fitted.map_or(String::new(), |fit| format_estimate(fit.slope)));
             let exponent = fitted.and_then(|fit| fit.exponent);
-            cells.push(exponent.map_or("none".into(), shown));
+            cells.push(exponent.map_or("none".into(), format_estimate));
             table.row(&cells);
         }
         text += &table.0;
@@ -73,38 +71,38 @@
     text
 }
 
-/// Figures told before, beside those of the slopes.
-pub(super) fn told(figures: Figures) -> String {
+/// Figures stated before the measurement, beside those of the slopes.
+pub(super) fn predictions(figures: Figures) -> String {
     let mut table = Table::new(&["figure", "told before", "slopes", "verdict"]);
-    for one in letter::told(figures) {
-        let (least, most) = one.told;
-        let told = if least == most { format!("{least}") } else { format!("{least} to {most}") };
-        table.row(&[one.what, &told, &one.found.text(), one.verdict()]);
+    for prediction in predictions::predictions(figures) {
+        let (min, max) = prediction.stated;
+        let stated = if min == max { format!("{min}") } else { format!("{min} to {max}") };
+        table.row(&[prediction.what, &stated, &prediction.measured.text(), prediction.verdict()]);
     }
     table.0
 }
 
-/// A conductor by what it does, in three cases.
+/// The cost of a conductor by activity, for each case of the servers that it lists.
 pub(super) fn conductor(figures: Figures) -> String {
     let mut text = String::new();
-    for listed in Listed::ALL {
-        let with = Assumptions::taken(listed.servers());
+    for listed in ListScope::ALL {
+        let with = Assumptions::with_servers(listed.servers());
         let _ = writeln!(text, "**It lists {}**\n", listed.label());
         let rows = roles::conductor(figures, &with);
-        let mut table = Table::new(&ROLE_HEADS[..CONDUCTOR_HEADS]);
-        rows.iter().for_each(|row| table.row(&role_cells(row)[..CONDUCTOR_HEADS]));
+        let mut table = Table::new(&ROLE_HEADERS[..CONDUCTOR_COLUMNS]);
+        rows.iter().for_each(|row| table.row(&role_cells(row)[..CONDUCTOR_COLUMNS]));
         text += &table.0;
         text += &sums(&rows);
         text.push('\n');
     }
     let mut formulas = Table::new(&["part", "formula"]);
-    for row in roles::conductor(figures, &Assumptions::taken(Listed::Zone.servers())) {
+    for row in roles::conductor(figures, &Assumptions::with_servers(ListScope::Zone.servers())) {
         formulas.row(&[row.what, row.formula]);
     }
     text + &formulas.0
 }
 
-const ROLE_HEADS: [&str; 10] = [
+const ROLE_HEADERS: [&str; 10] = [
     "part",
     "entries",
     "state, bytes",
@@ -116,8 +114,9 @@
     "allowed",
     "formula",
 ];
-/// Of them, those of a conductor: its allowances stand below the sums, its formulas in a table of their own.
-const CONDUCTOR_HEADS: usize = 8;
+/// Leading columns that the conductor's tables use: limits are listed below the sums, formulas in a table of
+/// their own.
+const CONDUCTOR_COLUMNS: usize = 8;
 
 fn role_cells(row: &Row) -> [String; 10] {
     [
@@ -154,16 +153,16 @@
     table
 }
 
-/// All other roles, for conductors that list a zone.
+/// The cost of every other role, for conductors that list a zone.
 pub(super) fn others(figures: Figures) -> String {
-    let mut table = Table::new(&ROLE_HEADS);
-    for row in roles::others(figures, &Assumptions::taken(Listed::Zone.servers())) {
+    let mut table = Table::new(&ROLE_HEADERS);
+    for row in roles::others(figures, &Assumptions::with_servers(ListScope::Zone.servers())) {
         table.row(&role_cells(&row));
     }
     table.0
 }
 
-/// What is added to a request.
+/// Latency that choosing a server adds to a request, by the size of the table.
 pub(super) fn added(figures: Figures) -> String {
     let mut table = Table::new(&[
         "lines of the table",
@@ -187,45 +186,49 @@
     table.0
 }
 
-/// The bad days, for a conductor that lists a zone.
-pub(super) fn bad_days(figures: Figures) -> String {
+/// Load caused by failures, for a conductor that lists a zone.
+pub(super) fn failures(figures: Figures) -> String {
     let mut table = Table::new(&["day", "asks", "figure", "allowed", "formula", "carried by"]);
-    for row in days::days(figures, &Assumptions::taken(Listed::Zone.servers())) {
+    for row in failures::failure_loads(figures, &Assumptions::with_servers(ListScope::Zone.servers())) {
         let figure = format!("{} {}", row.figure.text(), row.unit);
-        table.row(&[row.day, row.what, &figure, row.allowed, row.formula, row.mechanism]);
+        table.row(&[row.failure, row.what, &figure, row.allowed, row.formula, row.mechanism]);
     }
     table.0
 }
 
-/// What the users left open, and what doubling each does to a conductor that lists a zone.
+/// Quantities that the users left open, and the effect of doubling each on a conductor that lists a zone.
 pub(super) fn assumptions(figures: Figures) -> String {
-    let taken = Assumptions::taken(Listed::Zone.servers());
+    let assumed = Assumptions::with_servers(ListScope::Zone.servers());
     let doubled: [(&str, String, Assumptions); 6] = [
         (
             "proxies a conductor",
-            rounded(taken.proxies),
-            Assumptions { proxies: taken.proxies * 2.0, ..taken },
+            format_rounded(assumed.proxies),
+            Assumptions { proxies: assumed.proxies * 2.0, ..assumed },
         ),
         (
             "requests/s before a conductor (skew between conductors)",
-            rounded(taken.requests_per_s),
-            Assumptions { requests_per_s: taken.requests_per_s * 2.0, ..taken },
+            format_rounded(assumed.requests_per_s),
+            Assumptions { requests_per_s: assumed.requests_per_s * 2.0, ..assumed },
         ),
         (
             "servers that a conductor lists (sizes of services)",
-            rounded(taken.servers),
-            Assumptions { servers: taken.servers * 2.0, ..taken },
+            format_rounded(assumed.servers),
+            Assumptions { servers: assumed.servers * 2.0, ..assumed },
         ),
         (
             "changes a second in the burst, for a minute",
-            rounded(taken.burst_per_s),
-            Assumptions { burst_per_s: taken.burst_per_s * 2.0, ..taken },
+            format_rounded(assumed.burst_per_s),
+            Assumptions { burst_per_s: assumed.burst_per_s * 2.0, ..assumed },
+        ),
+        (
+            "machines of a rack",
+            format_rounded(assumed.rack),
+            Assumptions { rack: assumed.rack * 2.0, ..assumed },
         ),
-        ("machines of a rack", rounded(taken.rack), Assumptions { rack: taken.rack * 2.0, ..taken }),
         (
             "exponent of the tenants' shares (Zipf)",
-            rounded(taken.zipf),
-            Assumptions { zipf: taken.zipf * 2.0, ..taken },
+            format_rounded(assumed.zipf),
+            Assumptions { zipf: assumed.zipf * 2.0, ..assumed },
         ),
     ];
     let mut table = Table::new(&[
@@ -245,45 +248,52 @@
             roles::sum_known(&rows, &|_| true, |row| row.memory).text(),
         ]
     };
-    let [bytes, cpu, memory] = cells(&taken);
+    let [bytes, cpu, memory] = cells(&assumed);
     table.row(&["**as taken**", "", &bytes, &cpu, &memory, ""]);
     for (what, value, with) in doubled {
         let [bytes, cpu, memory] = cells(&with);
-        table.row(&[what, &value, &bytes, &cpu, &memory, &beyond(figures, &taken, &with)]);
+        table.row(&[what, &value, &bytes, &cpu, &memory, &side_effect(figures, &assumed, &with)]);
     }
     table.0
 }
 
-/// A conductor's processor time of a lost rack.
-fn rack(figures: Figures, with: &Assumptions) -> String {
-    let days = days::days(figures, with);
-    days.iter().find(|row| row.day == days::RACK).map_or(String::new(), |row| row.figure.text())
+/// A conductor's CPU time when a rack fails, as text.
+fn rack_failure_cpu(figures: Figures, with: &Assumptions) -> String {
+    let loads = failures::failure_loads(figures, with);
+    loads
+        .iter()
+        .find(|row| row.failure == failures::RACK_FAILURE)
+        .map_or(String::new(), |row| row.figure.text())
 }
 
-/// What doubling changes outside a conductor's ordinary day.
-fn beyond(figures: Figures, taken: &Assumptions, with: &Assumptions) -> String {
-    if with.burst_per_s != taken.burst_per_s {
+/// The effect of a doubled assumption that a conductor's ordinary costs do not show.
+fn side_effect(figures: Figures, assumed: &Assumptions, with: &Assumptions) -> String {
+    if with.burst_per_s != assumed.burst_per_s {
         let leader =
             |with: &Assumptions| figures.at(Name::Entries, Metric::LeaderCpuPercent, with.burst_per_s).text();
-        return format!("leader {} % of a core in the burst in place of {}", leader(with), leader(taken));
+        return format!("leader {} % of a core in the burst in place of {}", leader(with), leader(assumed));
     }
-    if with.rack != taken.rack {
-        let cost = |with: &Assumptions| rack(figures, with);
-        return format!("a lost rack costs a conductor {} ms of CPU in place of {}", cost(with), cost(taken));
+    if with.rack != assumed.rack {
+        let cost = |with: &Assumptions| rack_failure_cpu(figures, with);
+        return format!(
+            "a lost rack costs a conductor {} ms of CPU in place of {}",
+            cost(with),
+            cost(assumed)
+        );
     }
-    if with.zipf != taken.zipf {
-        let part = |with: &Assumptions| rounded(with.largest_tenant() * 100.0);
+    if with.zipf != assumed.zipf {
+        let part = |with: &Assumptions| format_rounded(with.largest_tenant() * 100.0);
         return format!(
             "the largest tenant has {} % of the requests in place of {}; nothing is kept by tenant yet",
             part(with),
-            part(taken)
+            part(assumed)
         );
     }
     String::new()
 }
 
-/// What is missing, in order.
-pub(super) fn missing(figures: Figures) -> String {
+/// Targets that are not met, the most severe first.
+pub(super) fn gaps(figures: Figures) -> String {
     let mut table = Table::new(&[
         "",
         "target line",
@@ -292,18 +302,18 @@
         "mechanism that it needs",
         "what that costs",
     ]);
-    for (place, one) in missing::missing(figures).into_iter().enumerate() {
-        let standing = match one.standing {
-            Standing::NotCarried => "nothing carries it".to_owned(),
-            Standing::Over(times) => format!("{} times its allowance", rounded(times)),
+    for (index, gap) in gaps::gaps(figures).into_iter().enumerate() {
+        let kind = match gap.kind {
+            GapKind::Unsupported => "nothing carries it".to_owned(),
+            GapKind::OverLimit(times) => format!("{} times its allowance", format_rounded(times)),
         };
         table.row(&[
-            (place + 1).to_string(),
-            one.line,
-            standing,
-            one.found,
-            one.mechanism.to_owned(),
-            one.cost,
+            (index + 1).to_string(),
+            gap.target,
+            kind,
+            gap.found,
+            gap.mechanism.to_owned(),
+            gap.cost,
         ]);
     }
     table.0
--- a/crates/stepspur-scale/src/capacity/roles.rs
+++ b/crates/stepspur-scale/src/capacity/roles.rs
@@ -1,4 +1,4 @@
-//! What each role holds and spends on an ordinary day.
+//! State and cost of each role on a day without mass failures.
 
 use stepspur_conductor::source::{EndpointRecord, EndpointRecordState};
 
@@ -9,55 +9,58 @@
 use crate::slopes::result::{Metric, Name};
 use crate::traffic::HEADER_BYTES;
 
-/// Servers behind the slope of proxies.
-pub(super) const SERVERS_OF_PROXIES_SLOPE: f64 = 240.0;
-/// The least requests a second behind the slope of reports.
-const LEAST_REQUESTS_MEASURED: f64 = 100.0;
-/// The decision module's probes: a part of the requests, each server once in a second at most and in eight at least.
-pub(super) const PROBED_PART: f64 = 0.15;
-pub(super) const PROBE_LONGEST_S: f64 = 8.0;
-/// A long poll of the list ends after this, as set by default.
-pub(super) const LIST_POLL_S: f64 = 10.0;
-/// A side of a stream that sent nothing for so long pings, as set by default.
-pub(super) const KEEP_ALIVE_S: f64 = 5.0;
-/// Changes of the list that a restart makes: draining, ready again.
-const ENTRIES_OF_RESTART: f64 = 2.0;
-/// Bytes of a command behind the slope of entries.
+/// Servers that the conductor lists while the slope of proxies is measured.
+pub(super) const PROXIES_SLOPE_SERVERS: f64 = 240.0;
+/// Smallest request rate at which the slope of reports is measured, requests per second.
+const MIN_MEASURED_REQUESTS_PER_S: f64 = 100.0;
+/// Probes of the decision module as a share of the requests; each server is probed at most once a second.
+pub(super) const PROBE_TO_REQUEST_RATIO: f64 = 0.15;
+/// Longest time between two probes of a server, in seconds.
+pub(super) const MAX_PROBE_INTERVAL_S: f64 = 8.0;
+/// Default timeout of a long poll of the server list, in seconds.
+pub(super) const LIST_POLL_TIMEOUT_S: f64 = 10.0;
+/// Default idle time after which a side of a stream sends a ping, in seconds.
+pub(super) const KEEP_ALIVE_INTERVAL_S: f64 = 5.0;
+/// List changes caused by one restart: draining, then ready.
+const LIST_CHANGES_PER_RESTART: f64 = 2.0;
+/// Size of a command in the measurement of the slope of entries, in bytes.
 const COMMAND_BYTES: f64 = 130.0;
-/// Members of a council that the slope was measured up to.
-pub(super) const COUNCIL_MEASURED: f64 = 23.0;
+/// Largest consensus group at which the slope of members is measured.
+pub(super) const MAX_MEASURED_MEMBERS: f64 = 23.0;
 
-/// A row of a table of roles.
+/// State and cost of one role or activity.
 #[derive(Clone, Debug)]
 pub(super) struct Row {
-    /// The role, or what it does.
+    /// The role or activity.
     pub what: &'static str,
-    /// What it holds, in entries.
+    /// Entries that it holds.
     pub entries: Cell,
-    /// The same in bytes, as it is worded on the wire or on disk.
+    /// Size of these entries in bytes, as encoded on the wire or on disk.
     pub state_bytes: Cell,
-    /// Messages a second, both ways; of a council TCP segments, acknowledgements among them.
+    /// Messages per second in both directions; for consensus members TCP segments, including
+    /// acknowledgements.
     pub messages: Cell,
-    /// Bytes a second, both ways, with headers.
+    /// Bytes per second in both directions, including IP and TCP headers.
     pub bytes: Cell,
-    /// Percent of a core.
+    /// CPU, in percent of a core.
     pub cpu: Cell,
-    /// MiB.
+    /// Resident memory in MiB.
     pub memory: Cell,
-    /// What carries it.
+    /// Mechanism that does the work.
     pub mechanism: &'static str,
-    /// What the users allow.
+    /// Limit that the users set, or `none named`.
     pub allowed: &'static str,
-    /// How it was worked out.
+    /// Formula behind the figures.
     pub formula: &'static str,
 }
 
-/// Probes a second of a conductor: 0.15 of its requests, between its servers once in 8 s and once a second.
+/// A conductor's probes per second: 0.15 of its requests, but each server at least every 8 s and at most once
+/// a second.
 pub(super) fn probes_per_s(servers: f64, requests_per_s: f64) -> f64 {
-    (PROBED_PART * requests_per_s).clamp(servers / PROBE_LONGEST_S, servers)
+    (PROBE_TO_REQUEST_RATIO * requests_per_s).clamp(servers / MAX_PROBE_INTERVAL_S, servers)
 }
 
-/// Bytes of a server in the HTTP list.
+/// Size in bytes of one server's entry in the HTTP list, with its separator.
 pub(super) fn entry_bytes() -> f64 {
     let record = EndpointRecord {
         address: (address_of(12_345), 8_080).into(),
@@ -69,28 +72,30 @@
     serde_json::to_string(&record).map_or(f64::NAN, |text| (text.len() + 1) as f64)
 }
 
-/// Changes of the list a second that concern a conductor, on an ordinary day.
+/// List changes per second that concern a conductor of `servers` servers, from ordinary restarts and
+/// failures.
 pub(super) fn list_changes_per_s(servers: f64) -> f64 {
-    let of_fleet = USERS.restarts_per_day * ENTRIES_OF_RESTART + USERS.failures_per_day;
-    of_fleet / DAY_S * servers / USERS.servers
+    let fleet_changes_per_day = USERS.restarts_per_day * LIST_CHANGES_PER_RESTART + USERS.failures_per_day;
+    fleet_changes_per_day / DAY_S * servers / USERS.servers
 }
 
-/// A conductor by what it does.
+/// The cost of a conductor, one row for each activity.
 pub(super) fn conductor(figures: Figures, with: &Assumptions) -> Vec<Row> {
     let Assumptions { proxies, servers, requests_per_s, .. } = *with;
-    let joined = |metric| figures.at(Name::Proxies, metric, proxies);
-    let more_servers = |metric| figures.above(Name::Servers, metric, servers, SERVERS_OF_PROXIES_SLOPE);
-    let further = requests_per_s.max(LEAST_REQUESTS_MEASURED);
-    let told = |metric| figures.above(Name::Reports, metric, further, LEAST_REQUESTS_MEASURED);
+    let proxies_cost = |metric| figures.at(Name::Proxies, metric, proxies);
+    let listed_servers_cost = |metric| figures.above(Name::Servers, metric, servers, PROXIES_SLOPE_SERVERS);
+    let reported_requests = requests_per_s.max(MIN_MEASURED_REQUESTS_PER_S);
+    let reported =
+        |metric| figures.above(Name::Reports, metric, reported_requests, MIN_MEASURED_REQUESTS_PER_S);
     let probes = probes_per_s(servers, requests_per_s);
-    let call = |metric| figures.more(Name::Probes, metric);
-    let per_call = |metric| call(metric).times(servers_per_probe(figures));
-    let calls = 1.0 / LIST_POLL_S + list_changes_per_s(servers);
+    let per_server = |metric| figures.more(Name::Probes, metric);
+    let per_call = |metric| per_server(metric).times(servers_per_probe(figures));
+    let calls = 1.0 / LIST_POLL_TIMEOUT_S + list_changes_per_s(servers);
     let entries = Cell::counted(list_changes_per_s(servers) * entry_bytes());
-    let following = |metric| figures.at(Name::Members, metric, COUNCIL_MEASURED);
-    let following_segments = segments_per_s(
+    let follower_cost = |metric| figures.at(Name::Members, metric, MAX_MEASURED_MEMBERS);
+    let follower_segments = segments_per_s(
         figures,
-        COUNCIL_MEASURED,
+        MAX_MEASURED_MEMBERS,
         Metric::FollowerWireBytesPerS,
         Metric::FollowerPayloadBytesPerS,
     );
@@ -99,10 +104,10 @@
             what: "itself, streams, tables, a report a second",
             entries: Cell::counted(proxies),
             state_bytes: Cell::NOT_KNOWN,
-            messages: Cell::counted(proxies * (1.0 + 2.0 / KEEP_ALIVE_S)),
-            bytes: joined(Metric::WireBytesPerS),
-            cpu: joined(Metric::CpuPercent),
-            memory: joined(Metric::ResidentMib),
+            messages: Cell::counted(proxies * (1.0 + 2.0 / KEEP_ALIVE_INTERVAL_S)),
+            bytes: proxies_cost(Metric::WireBytesPerS),
+            cpu: proxies_cost(Metric::CpuPercent),
+            memory: proxies_cost(Metric::ResidentMib),
             mechanism: "`stepspur run`, streams of frames",
             allowed: "see the sums",
             formula: "the slope of proxies at P, 240 servers; messages P (1 + 2/5)",
@@ -112,9 +117,9 @@
             entries: Cell::counted(requests_per_s),
             state_bytes: Cell::NOT_KNOWN,
             messages: Cell::counted(0.0),
-            bytes: told(Metric::WireBytesPerS),
-            cpu: told(Metric::CpuPercent),
-            memory: told(Metric::ResidentMib),
+            bytes: reported(Metric::WireBytesPerS),
+            cpu: reported(Metric::CpuPercent),
+            memory: reported(Metric::ResidentMib),
             mechanism: "reports, summed by server and zone",
             allowed: "see the sums",
             formula: "the slope of reports at R above that at 100, the least measured; a line a request",
@@ -125,8 +130,8 @@
             state_bytes: Cell::NOT_KNOWN,
             messages: Cell::counted(0.0),
             bytes: Cell::counted(0.0),
-            cpu: more_servers(Metric::CpuPercent),
-            memory: more_servers(Metric::ResidentMib),
+            cpu: listed_servers_cost(Metric::CpuPercent),
+            memory: listed_servers_cost(Metric::ResidentMib),
             mechanism: "the engine's tables",
             allowed: "see the sums",
             formula: "the slope of servers at S above that at 240, 300 proxies",
@@ -169,11 +174,11 @@
         },
         Row {
             what: "council of 23, following only",
-            entries: Cell::counted(COUNCIL_MEASURED),
+            entries: Cell::counted(MAX_MEASURED_MEMBERS),
             state_bytes: Cell::NOT_KNOWN,
-            messages: following_segments,
-            bytes: following(Metric::FollowerWireBytesPerS),
-            cpu: following(Metric::FollowerCpuPercent),
+            messages: follower_segments,
+            bytes: follower_cost(Metric::FollowerWireBytesPerS),
+            cpu: follower_cost(Metric::FollowerCpuPercent),
             memory: Cell::counted(0.0),
             mechanism: "a member that fetches; 1,000 members at most",
             allowed: "see the sums",
@@ -182,45 +187,46 @@
     ]
 }
 
-/// The slope of probes counts servers; each was probed so often a second.
+/// Servers for each probe per second in the slope of probes: converts its cost per server into a cost per
+/// probe.
 fn servers_per_probe(figures: Figures) -> f64 {
-    let probed = figures.more(Name::Probes, Metric::ProbesPerS).mean();
-    probed.filter(|each| *each > 0.0).map_or(f64::NAN, |each| 1.0 / each)
+    let probed_per_s = figures.more(Name::Probes, Metric::ProbesPerS).mean();
+    probed_per_s.filter(|each| *each > 0.0).map_or(f64::NAN, |each| 1.0 / each)
 }
 
-/// TCP segments a second of a council's member: what headers make more than payload.
+/// TCP segments per second of a consensus member, from the header bytes: traffic with headers less payload.
 fn segments_per_s(figures: Figures, members: f64, wire: Metric, payload: Metric) -> Cell {
     let at = |metric| figures.at(Name::Members, metric, members);
     at(wire).plus(at(payload).times(-1.0)).times(1.0 / HEADER_BYTES as f64)
 }
 
-/// Rows of [`conductor`] that are control, probes apart.
+/// Rows of [`conductor`] that count as control traffic, without probes.
 pub(super) const CONTROL: [&str; 3] =
     ["the list of servers", "configuration", "council of 23, following only"];
-/// The row of probes.
+/// Row of [`conductor`] for probes.
 pub(super) const PROBES: &str = "probes";
 
-/// The sum of some rows.
+/// The sum of a column over the selected rows; not known if one of them is not known.
 pub(super) fn sum(rows: &[Row], of: impl Fn(&Row) -> bool, cell: impl Fn(&Row) -> Cell) -> Cell {
     rows.iter().filter(|row| of(row)).map(cell).fold(Cell::counted(0.0), Cell::plus)
 }
 
-/// The sum of some rows as far as they are known; not known where none is.
+/// The sum of a column over the selected rows with known values; not known if there are none.
 pub(super) fn sum_known(rows: &[Row], of: &dyn Fn(&Row) -> bool, cell: fn(&Row) -> Cell) -> Cell {
     let known = |row: &Row| of(row) && cell(row).mean().is_some();
     if rows.iter().any(known) { sum(rows, known, cell) } else { Cell::NOT_KNOWN }
 }
 
-/// All other roles.
+/// The cost of every role other than a conductor, one row each.
 pub(super) fn others(figures: Figures, with: &Assumptions) -> Vec<Row> {
-    let leader = |metric| figures.at(Name::Members, metric, USERS.machines);
+    let member_cost = |metric| figures.at(Name::Members, metric, USERS.machines);
     let segments = |members, wire, payload| segments_per_s(figures, members, wire, payload);
-    let in_burst = |metric| figures.at(Name::Entries, metric, with.burst_per_s);
+    let burst_cost = |metric| figures.at(Name::Entries, metric, with.burst_per_s);
     let probers = USERS.conductors * with.servers / USERS.servers;
-    let probed = probers * probes_per_s(with.servers, with.requests_per_s) / with.servers;
+    let probed_per_s = probers * probes_per_s(with.servers, with.requests_per_s) / with.servers;
     let per_probe = |metric| figures.more(Name::Probes, metric).times(servers_per_probe(figures));
-    let calls = USERS.conductors * (1.0 / LIST_POLL_S + list_changes_per_s(with.servers));
-    let told = USERS.conductors * list_changes_per_s(with.servers) * entry_bytes();
+    let calls = USERS.conductors * (1.0 / LIST_POLL_TIMEOUT_S + list_changes_per_s(with.servers));
+    let list_bytes = USERS.conductors * list_changes_per_s(with.servers) * entry_bytes();
     let choose = figures.at(Name::Choose, Metric::ChooseUs, 40.0);
     let rate = USERS.requests_per_conductor() / with.proxies;
     vec![
@@ -229,9 +235,9 @@
             entries: Cell::NOT_KNOWN,
             state_bytes: Cell::NOT_KNOWN,
             messages: Cell::NOT_KNOWN,
-            bytes: leader(Metric::VoterWireBytesPerS),
-            cpu: leader(Metric::VoterCpuPercent),
-            memory: leader(Metric::LeaderResidentMib),
+            bytes: member_cost(Metric::VoterWireBytesPerS),
+            cpu: member_cost(Metric::VoterCpuPercent),
+            memory: member_cost(Metric::LeaderResidentMib),
             mechanism: "`[council]`",
             allowed: "one of 15 machines",
             formula: "the slope of members at 15; idle",
@@ -241,9 +247,9 @@
             entries: Cell::NOT_KNOWN,
             state_bytes: Cell::NOT_KNOWN,
             messages: segments(USERS.machines, Metric::LeaderWireBytesPerS, Metric::LeaderPayloadBytesPerS),
-            bytes: leader(Metric::LeaderWireBytesPerS),
-            cpu: leader(Metric::LeaderCpuPercent),
-            memory: leader(Metric::LeaderResidentMib),
+            bytes: member_cost(Metric::LeaderWireBytesPerS),
+            cpu: member_cost(Metric::LeaderCpuPercent),
+            memory: member_cost(Metric::LeaderResidentMib),
             mechanism: "`[council]`",
             allowed: "one of 15 machines",
             formula: "the slope of members at 15",
@@ -253,9 +259,9 @@
             entries: Cell::counted(with.burst_per_s * with.burst_s),
             state_bytes: Cell::counted(with.burst_per_s * with.burst_s * COMMAND_BYTES),
             messages: Cell::NOT_KNOWN,
-            bytes: in_burst(Metric::LeaderWireBytesPerS),
-            cpu: in_burst(Metric::LeaderCpuPercent),
-            memory: in_burst(Metric::LeaderResidentMib),
+            bytes: burst_cost(Metric::LeaderWireBytesPerS),
+            cpu: burst_cost(Metric::LeaderCpuPercent),
+            memory: burst_cost(Metric::LeaderResidentMib),
             mechanism: "`[council]`; no configuration is in its log",
             allowed: "one of 15 machines",
             formula: "the slope of entries at 10 a second, 130 bytes each, 3 voters and 2 that follow",
@@ -281,9 +287,9 @@
                 Metric::FollowerWireBytesPerS,
                 Metric::FollowerPayloadBytesPerS,
             ),
-            bytes: leader(Metric::FollowerWireBytesPerS),
-            cpu: leader(Metric::FollowerCpuPercent),
-            memory: leader(Metric::FollowerResidentMib),
+            bytes: member_cost(Metric::FollowerWireBytesPerS),
+            cpu: member_cost(Metric::FollowerCpuPercent),
+            memory: member_cost(Metric::FollowerResidentMib),
             mechanism: "a member that fetches; it serves nobody",
             allowed: "one of 15 machines",
             formula: "the slope of members at 15; nothing to serve",
@@ -293,7 +299,7 @@
             entries: Cell::counted(USERS.servers),
             state_bytes: Cell::counted(USERS.servers * entry_bytes()),
             messages: Cell::counted(2.0 * calls),
-            bytes: per_probe(Metric::WireBytesPerS).times(calls).plus(Cell::counted(told)),
+            bytes: per_probe(Metric::WireBytesPerS).times(calls).plus(Cell::counted(list_bytes)),
             cpu: Cell::NOT_KNOWN,
             memory: Cell::NOT_KNOWN,
             mechanism: "the users' own; one call a conductor and 10 s, and one a change",
@@ -316,8 +322,8 @@
             what: "server, as far as probes load it",
             entries: Cell::counted(probers),
             state_bytes: Cell::NOT_KNOWN,
-            messages: Cell::counted(2.0 * probed),
-            bytes: per_probe(Metric::WireBytesPerS).times(probed),
+            messages: Cell::counted(2.0 * probed_per_s),
+            bytes: per_probe(Metric::WireBytesPerS).times(probed_per_s),
             cpu: Cell::NOT_KNOWN,
             memory: Cell::NOT_KNOWN,
             mechanism: "none that shares: every conductor that lists it probes it",
@@ -328,7 +334,7 @@
             what: "proxy, to choose",
             entries: Cell::counted(with.servers),
             state_bytes: Cell::NOT_KNOWN,
-            messages: Cell::counted(1.0 + 2.0 / KEEP_ALIVE_S),
+            messages: Cell::counted(1.0 + 2.0 / KEEP_ALIVE_INTERVAL_S),
             bytes: figures.more(Name::Proxies, Metric::WireBytesPerS),
             cpu: choose.times(rate / 1e6 * 100.0),
             memory: Cell::NOT_KNOWN,
--- a/crates/stepspur-scale/src/capacity/target.rs
+++ b/crates/stepspur-scale/src/capacity/target.rs
@@ -1,41 +1,41 @@
-//! The size that the users name, and what they left open.
+//! Fleet size and limits that the users set, and assumptions where they set none.
 
-/// The users' size and allowances.
+/// Fleet size and resource limits.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Target {
-    /// Conductors.
+    /// Conductors of the fleet.
     pub conductors: f64,
-    /// Nodes, each a server.
+    /// Nodes, each running one server.
     pub servers: f64,
-    /// Services.
+    /// Services of the fleet.
     pub services: f64,
-    /// Regions.
+    /// Regions of the fleet.
     pub regions: f64,
-    /// Zones over all regions.
+    /// Zones of all regions together.
     pub zones: f64,
-    /// Requests a second at the peak.
+    /// Peak requests per second over the fleet.
     pub requests_per_s: f64,
-    /// Tenants.
+    /// Tenants of the fleet.
     pub tenants: f64,
-    /// Milliseconds added to a request, for 99 in 100.
+    /// Limit for the 99th percentile of the latency added to a request, in milliseconds.
     pub added_ms: f64,
-    /// Changes of configuration a day.
+    /// Configuration changes per day.
     pub changes_per_day: f64,
-    /// A conductor's processor time for control, percent of a core.
+    /// Limit for a conductor's CPU spent on control, in percent of a core.
     pub cpu_percent: f64,
-    /// A conductor's memory, MiB (256 MB).
+    /// Limit for a conductor's memory, in MiB; the users set 256 MB.
     pub memory_mib: f64,
-    /// A conductor's traffic for control, bytes a second.
+    /// Limit for a conductor's control traffic, in bytes per second.
     pub bytes_per_s: f64,
-    /// Machines set aside for control.
+    /// Machines reserved for control members.
     pub machines: f64,
-    /// Machines that fail on an ordinary day.
+    /// Machine failures per day.
     pub failures_per_day: f64,
-    /// Machines that are restarted or replaced on an ordinary day.
+    /// Machines restarted or replaced per day.
     pub restarts_per_day: f64,
 }
 
-/// As the users wrote it.
+/// The target set by the users.
 pub(crate) const USERS: Target = Target {
     conductors: 2_400.0,
     servers: 19_000.0,
@@ -54,48 +54,48 @@
     restarts_per_day: 1_100.0,
 };
 
-/// Seconds of a day.
+/// Seconds per day.
 pub(crate) const DAY_S: f64 = 86_400.0;
 
 impl Target {
-    /// Requests a second before one conductor, the mean.
+    /// Mean requests per second for one conductor.
     pub(crate) fn requests_per_conductor(&self) -> f64 {
         self.requests_per_s / self.conductors
     }
 
-    /// Servers of a zone, the mean.
+    /// Mean number of servers in a zone.
     pub(crate) fn servers_per_zone(&self) -> f64 {
         self.servers / self.zones
     }
 
-    /// Changes of configuration a second, the day's mean.
+    /// Configuration changes per second, the mean over a day.
     pub(crate) fn changes_per_s(&self) -> f64 {
         self.changes_per_day / DAY_S
     }
 }
 
-/// What the users left open, as taken here.
+/// Values assumed where the users set none.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Assumptions {
-    /// Proxies that have joined one conductor.
+    /// Proxies joined to one conductor.
     pub proxies: f64,
-    /// Requests a second before one conductor.
+    /// Requests per second for one conductor.
     pub requests_per_s: f64,
-    /// Servers that a conductor lists.
+    /// Servers in a conductor's list.
     pub servers: f64,
-    /// Changes a second in a burst.
+    /// Configuration changes per second in a burst.
     pub burst_per_s: f64,
-    /// Seconds that a burst lasts.
+    /// Length of a burst, in seconds.
     pub burst_s: f64,
-    /// Machines of a rack.
+    /// Machines in a rack.
     pub rack: f64,
-    /// Exponent of the tenants' shares of the requests (Zipf).
+    /// Zipf exponent of the distribution of requests over tenants.
     pub zipf: f64,
 }
 
 impl Assumptions {
-    /// As taken on the page, for a conductor that lists so many servers.
-    pub(crate) fn taken(servers: f64) -> Self {
+    /// The page's assumptions, for a conductor that lists `servers` servers.
+    pub(crate) fn with_servers(servers: f64) -> Self {
         Self {
             proxies: 50.0,
             requests_per_s: USERS.requests_per_conductor(),
@@ -107,43 +107,43 @@
         }
     }
 
-    /// The largest tenant's share of the requests.
+    /// Share of all requests that belongs to the largest tenant, from 0 to 1.
     pub(crate) fn largest_tenant(&self) -> f64 {
         let tenants = USERS.tenants as u32;
         1.0 / (1..=tenants).map(|rank| f64::from(rank).powf(-self.zipf)).sum::<f64>()
     }
 }
 
-/// What a conductor lists: nobody has said, so three cases.
+/// Extent of a conductor's server list. The users did not specify it, so the page covers three cases.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Listed {
-    /// A service's servers.
+pub(crate) enum ListScope {
+    /// The servers of a service of mean size.
     Service,
-    /// A zone's servers.
+    /// The servers of a zone.
     Zone,
-    /// All servers.
+    /// All servers of the fleet.
     Fleet,
 }
 
-impl Listed {
-    /// All cases, rising.
-    pub(crate) const ALL: [Listed; 3] = [Listed::Service, Listed::Zone, Listed::Fleet];
+impl ListScope {
+    /// All cases, from the shortest list to the longest.
+    pub(crate) const ALL: [ListScope; 3] = [ListScope::Service, ListScope::Zone, ListScope::Fleet];
 
-    /// Its servers, as measured sizes where there is one beside the mean.
+    /// Number of listed servers: a measured size close to the mean where there is one.
     pub(crate) fn servers(self) -> f64 {
         match self {
-            Listed::Service => 20.0,
-            Listed::Zone => 240.0,
-            Listed::Fleet => USERS.servers,
+            ListScope::Service => 20.0,
+            ListScope::Zone => 240.0,
+            ListScope::Fleet => USERS.servers,
         }
     }
 
-    /// What it is called.
+    /// The case's label on the page.
     pub(crate) fn label(self) -> &'static str {
         match self {
-            Listed::Service => "a mean service, 20 servers",
-            Listed::Zone => "a zone, 240 servers",
-            Listed::Fleet => "the fleet, 19,000 servers",
+            ListScope::Service => "a mean service, 20 servers",
+            ListScope::Zone => "a zone, 240 servers",
+            ListScope::Fleet => "the fleet, 19,000 servers",
         }
     }
 }
--- a/crates/stepspur-scale/src/capacity/tests.rs
+++ b/crates/stepspur-scale/src/capacity/tests.rs
@@ -2,7 +2,7 @@
 
 use super::cell::{Basis, Cell};
 use super::figures::Figures;
-use super::missing::{Missing, Standing, ordered};
+use super::gaps::{Gap, GapKind, ordered};
 use super::roles::{self, list_changes_per_s, probes_per_s};
 use super::target::{Assumptions, USERS};
 use super::*;
@@ -11,10 +11,10 @@
 
 const SLOPES: &str = include_str!("../../../../docs/capacity/slopes.json");
 const PAGE: &str = include_str!("../../../../docs/CAPACITY.md");
-/// The scale run's file stands beside the slopes once it was run.
+/// Result of the scale run. The file exists only after a scale run was recorded.
 const FLEET: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/capacity/fleet.json");
 
-/// A slope whose metrics are lines `a + b·x`, three repeats alike.
+/// A slope whose metrics are lines `a + b·x`, with three equal repeats.
 fn slope(name: Name, sizes: &[f64], lines: &[(Metric, f64, f64)]) -> Slope {
     let run = |repeat, x: f64| Run {
         x,
@@ -26,8 +26,8 @@
     Slope::new(name, runs, Vec::new())
 }
 
-/// Slopes with figures that can be reckoned in the head.
-fn small() -> Slopes {
+/// Slopes with figures that are easy to calculate by hand.
+fn simple_slopes() -> Slopes {
     use Metric::*;
     let slopes = vec![
         slope(
@@ -77,24 +77,28 @@
     rows.iter().find(|row| row.what == what).unwrap_or_else(|| panic!("no row {what}"))
 }
 
-fn near(cell: Cell, wanted: f64) {
+fn assert_near(cell: Cell, expected: f64) {
     let mean = cell.mean().unwrap_or(f64::NAN);
-    assert!((mean - wanted).abs() < 1e-6 * wanted.abs().max(1.0), "{mean} in place of {wanted}");
+    assert!((mean - expected).abs() < 1e-6 * expected.abs().max(1.0), "{mean}, expected {expected}");
 }
 
 #[test]
-fn the_committed_page_is_what_its_slopes_give() {
+fn committed_page_matches_its_slopes() {
     let slopes: Slopes = serde_json::from_str(SLOPES).unwrap();
     let fleet = std::path::Path::new(FLEET);
     let fleet = fleet.exists().then(|| fleet::read(fleet).unwrap());
-    let written = write(PAGE, &slopes, fleet.as_ref()).unwrap();
+    let written = with_tables(PAGE, &slopes, fleet.as_ref()).unwrap();
     let other = written.lines().zip(PAGE.lines()).find(|(one, other)| one != other);
-    assert_eq!(other, None, "the page is not what its slopes give: write it anew as it says");
-    assert_eq!(written.len(), PAGE.len(), "the page is not what its slopes give: write it anew as it says");
+    assert_eq!(other, None, "the page does not match its slopes: regenerate it as the page describes");
+    assert_eq!(
+        written.len(),
+        PAGE.len(),
+        "the page does not match its slopes: regenerate it as the page describes"
+    );
 }
 
 #[test]
-fn the_committed_fits_are_those_of_the_committed_runs() {
+fn committed_fits_match_the_committed_runs() {
     let slopes: Slopes = serde_json::from_str(SLOPES).unwrap();
     for slope in slopes.slopes {
         let again = Slope::new(slope.name, slope.runs.clone(), slope.notes.clone());
@@ -108,82 +112,82 @@
 }
 
 #[test]
-fn a_conductor_is_the_sum_of_its_slopes() {
-    let slopes = small();
-    let with = Assumptions { proxies: 50.0, requests_per_s: 250.0, ..Assumptions::taken(240.0) };
+fn conductor_cost_is_the_sum_of_its_slopes() {
+    let slopes = simple_slopes();
+    let with = Assumptions { proxies: 50.0, requests_per_s: 250.0, ..Assumptions::with_servers(240.0) };
     let rows = roles::conductor(Figures(&slopes), &with);
-    near(row(&rows, "itself, streams, tables, a report a second").cpu, 1.24 + 0.5);
-    near(row(&rows, "itself, streams, tables, a report a second").memory, 8.48 + 1.0);
-    near(row(&rows, "itself, streams, tables, a report a second").bytes, 100.0 + 50.0 * 150.0);
-    near(row(&rows, "itself, streams, tables, a report a second").messages, 50.0 * 1.4);
-    near(row(&rows, "reports: further requests told").bytes, 150.0 * 30.0);
-    near(row(&rows, "servers listed, above 240 (or below)").memory, 0.0);
-    // 0.15 of 250 requests a second.
-    near(row(&rows, "probes").bytes, 37.5 * 600.0);
-    near(row(&rows, "probes").cpu, 37.5 * 0.02);
-    near(row(&rows, "council of 23, following only").bytes, 2_000.0);
-    near(row(&rows, "council of 23, following only").messages, 30.0);
-    near(row(&rows, "the list of servers").state_bytes, 240.0 * roles::entry_bytes());
+    assert_near(row(&rows, "itself, streams, tables, a report a second").cpu, 1.24 + 0.5);
+    assert_near(row(&rows, "itself, streams, tables, a report a second").memory, 8.48 + 1.0);
+    assert_near(row(&rows, "itself, streams, tables, a report a second").bytes, 100.0 + 50.0 * 150.0);
+    assert_near(row(&rows, "itself, streams, tables, a report a second").messages, 50.0 * 1.4);
+    assert_near(row(&rows, "reports: further requests told").bytes, 150.0 * 30.0);
+    assert_near(row(&rows, "servers listed, above 240 (or below)").memory, 0.0);
+    // Probes: 0.15 of 250 requests per second.
+    assert_near(row(&rows, "probes").bytes, 37.5 * 600.0);
+    assert_near(row(&rows, "probes").cpu, 37.5 * 0.02);
+    assert_near(row(&rows, "council of 23, following only").bytes, 2_000.0);
+    assert_near(row(&rows, "council of 23, following only").messages, 30.0);
+    assert_near(row(&rows, "the list of servers").state_bytes, 240.0 * roles::entry_bytes());
     let control = |row: &roles::Row| roles::CONTROL.contains(&row.what);
     let calls = 0.1 + list_changes_per_s(240.0);
     let list = calls * 600.0 + list_changes_per_s(240.0) * roles::entry_bytes();
-    near(roles::sum(&rows, control, |row| row.bytes), list + 2_000.0);
+    assert_near(roles::sum(&rows, control, |row| row.bytes), list + 2_000.0);
     let rows = roles::conductor(Figures(&slopes), &Assumptions { servers: 2_400.0, ..with });
-    near(row(&rows, "servers listed, above 240 (or below)").memory, 2_160.0 * 0.002);
+    assert_near(row(&rows, "servers listed, above 240 (or below)").memory, 2_160.0 * 0.002);
     let rows = roles::conductor(Figures(&slopes), &Assumptions { servers: 20.0, ..with });
-    near(row(&rows, "servers listed, above 240 (or below)").cpu, -0.22);
+    assert_near(row(&rows, "servers listed, above 240 (or below)").cpu, -0.22);
 }
 
 #[test]
-fn probes_follow_requests_between_their_bounds() {
+fn probe_rate_is_a_share_of_requests_within_bounds() {
     assert_eq!(probes_per_s(20.0, 296.0), 20.0);
     assert!((probes_per_s(240.0, 296.0) - 44.4).abs() < 1e-9);
     assert_eq!(probes_per_s(19_000.0, 296.0), 2_375.0);
 }
 
 #[test]
-fn the_day_at_the_users_size() {
-    // 1,100 restarts of two entries and 110 failures, over all servers.
+fn ordinary_load_at_the_target_size() {
+    // 1,100 restarts with two list changes each, and 110 failures with one.
     assert!((list_changes_per_s(USERS.servers) * 86_400.0 - 2_310.0).abs() < 1e-6);
     assert!((USERS.requests_per_conductor() - 295.833_333).abs() < 1e-3);
     assert!((1.0 / USERS.changes_per_s() - 28.8).abs() < 1e-9);
-    assert!((Assumptions::taken(240.0).largest_tenant() - 0.0827).abs() < 1e-3);
+    assert!((Assumptions::with_servers(240.0).largest_tenant() - 0.0827).abs() < 1e-3);
 }
 
 #[test]
-fn a_lost_rack_costs_a_third_of_a_drain_for_each_server() {
-    let slopes = small();
-    let days = days::days(Figures(&slopes), &Assumptions::taken(240.0));
-    near(days[1].figure, 1.0);
-    near(days[2].figure, 24.0);
-    let days = days::days(Figures(&slopes), &Assumptions::taken(1_240.0));
-    near(days[1].figure, (3.0 + 1_000.0 * 0.003) / 3.0);
+fn rack_failure_costs_a_third_of_a_drain_for_each_server() {
+    let slopes = simple_slopes();
+    let loads = failures::failure_loads(Figures(&slopes), &Assumptions::with_servers(240.0));
+    assert_near(loads[1].figure, 1.0);
+    assert_near(loads[2].figure, 24.0);
+    let loads = failures::failure_loads(Figures(&slopes), &Assumptions::with_servers(1_240.0));
+    assert_near(loads[1].figure, (3.0 + 1_000.0 * 0.003) / 3.0);
 }
 
 #[test]
-fn what_is_not_carried_comes_before_what_is_over_and_that_by_how_far() {
-    let one = |line: &str, standing| Missing {
-        line: line.into(),
-        standing,
+fn unsupported_targets_sort_before_exceeded_limits() {
+    let gap = |target: &str, kind| Gap {
+        target: target.into(),
+        kind,
         found: String::new(),
         mechanism: "",
         cost: String::new(),
     };
     let all = vec![
-        one("a", Standing::Over(2.0)),
-        one("b", Standing::Over(0.9)),
-        one("c", Standing::NotCarried),
-        one("d", Standing::Over(30.0)),
-        one("e", Standing::NotCarried),
-        one("f", Standing::Over(f64::NAN)),
+        gap("a", GapKind::OverLimit(2.0)),
+        gap("b", GapKind::OverLimit(0.9)),
+        gap("c", GapKind::Unsupported),
+        gap("d", GapKind::OverLimit(30.0)),
+        gap("e", GapKind::Unsupported),
+        gap("f", GapKind::OverLimit(f64::NAN)),
     ];
-    let lines: Vec<String> = ordered(all).into_iter().map(|one| one.line).collect();
-    assert_eq!(lines, ["c", "e", "d", "a"]);
+    let targets: Vec<String> = ordered(all).into_iter().map(|gap| gap.target).collect();
+    assert_eq!(targets, ["c", "e", "d", "a"]);
 }
 
 #[test]
-fn a_figure_says_where_it_comes_from() {
-    let slopes = small();
+fn figures_show_how_they_were_obtained() {
+    let slopes = simple_slopes();
     let figures = Figures(&slopes);
     assert_eq!(figures.at(Name::Servers, Metric::CpuPercent, 240.0).basis, Basis::Measured);
     assert_eq!(figures.at(Name::Servers, Metric::CpuPercent, 241.0).basis, Basis::Derived);
@@ -196,33 +200,36 @@
 }
 
 #[test]
-fn a_told_figure_is_confirmed_within_a_tenth_and_its_interval() {
-    let told = |mean, half| letter::Told {
+fn stated_figure_is_confirmed_within_a_tenth_and_the_interval() {
+    let prediction = |mean, half| predictions::Prediction {
         what: "",
-        told: (10.0, 20.0),
-        found: Cell::measured(Estimate { mean, half_width: Some(half) }),
+        stated: (10.0, 20.0),
+        measured: Cell::measured(Estimate { mean, half_width: Some(half) }),
         by_wall_clock: false,
     };
     let verdicts: Vec<_> = [(9.1, 0.0), (8.0, 0.5), (8.0, 1.5), (21.9, 0.0), (23.0, 0.5)]
-        .map(|(mean, half)| told(mean, half).verdict())
+        .map(|(mean, half)| prediction(mean, half).verdict())
         .into_iter()
         .collect();
     assert_eq!(verdicts, ["confirmed", "corrected", "confirmed", "confirmed", "corrected"]);
 }
 
 #[test]
-fn only_what_stands_between_markers_changes() {
+fn only_text_between_markers_changes() {
     let page = "a\n<!-- x: begin -->\nold\n<!-- x: end -->\nb\n";
-    assert_eq!(between(page, "x", "new\n").unwrap(), "a\n<!-- x: begin -->\nnew\n<!-- x: end -->\nb\n");
-    let missing = between(page, "y", "new").unwrap_err().to_string();
-    assert!(missing.contains("<!-- y: begin -->"), "{missing}");
-    let unended = between("<!-- x: begin -->", "x", "new").unwrap_err().to_string();
-    assert!(unended.contains("<!-- x: end -->"), "{unended}");
+    assert_eq!(
+        replace_between_markers(page, "x", "new\n").unwrap(),
+        "a\n<!-- x: begin -->\nnew\n<!-- x: end -->\nb\n"
+    );
+    let no_begin = replace_between_markers(page, "y", "new").unwrap_err().to_string();
+    assert!(no_begin.contains("<!-- y: begin -->"), "{no_begin}");
+    let no_end = replace_between_markers("<!-- x: begin -->", "x", "new").unwrap_err().to_string();
+    assert!(no_end.contains("<!-- x: end -->"), "{no_end}");
 }
 
 #[test]
-fn slopes_come_back_from_their_json() {
-    let slopes = small();
+fn slopes_round_trip_through_json() {
+    let slopes = simple_slopes();
     let text = serde_json::to_string(&slopes).unwrap();
     let again: Slopes = serde_json::from_str(&text).unwrap();
     let metrics = |slopes: &Slopes| -> BTreeMap<Name, Vec<Metric>> {
@@ -233,7 +240,7 @@
 }
 
 #[test]
-fn a_scale_run_is_told_with_its_phases_and_growth() {
+fn scale_run_table_shows_phases_and_growth() {
     let spread = r#"{"count": 3, "p50_ms": 1.0, "p99_ms": 2.0, "most_ms": 30.0}"#;
     let text = format!(
         r#"{{"runs": [{{"seed": 1, "fleet": {{"conductors": 150, "real": 24, "controls": 15, "servers": 19000}},
@@ -247,19 +254,19 @@
     );
     let fleet: fleet::Fleet = serde_json::from_str(&text).unwrap();
     let table = fleet::table(Some(&fleet));
-    for wanted in [
+    for expected in [
         "**150 conductors**, 24 of them real, 15 control members, 19000 servers",
         "| mean | 200 | 1.00, 2.00, 30.0 | 1.00, 2.00, 30.0 | 4 |  |",
         "| mean | real conductor | 1.50 | 20.0 | 812 |",
         "leader: bytes a second: exponent 0.0310.",
     ] {
-        assert!(table.contains(wanted), "{wanted}: {table}");
+        assert!(table.contains(expected), "{expected}: {table}");
     }
     assert!(!table.contains("none: exponent"));
 }
 
 #[test]
-fn a_scale_run_is_told_with_the_leaders_peers_and_the_swap() {
+fn scale_run_table_shows_peers_of_the_leader_and_the_swap() {
     let spread = r#"{"count": 3, "p50_ms": 1.0, "p99_ms": 2.0, "most_ms": 30.0}"#;
     let peer = r#"{"connections": 12.0, "bytes_per_s": 1.0, "bytes_per_s_with_headers": 340.0,
         "segments_per_s": 6.5, "messages_per_s": 3.0}"#;
@@ -282,31 +289,35 @@
     );
     let fleet: fleet::Fleet = serde_json::from_str(&text).unwrap();
     let table = fleet::table(Some(&fleet));
-    for wanted in [
+    for expected in [
         "| mean | 32 | 1.00, 2.00, 30.0 | 1.00, 2.00, 30.0 | 0 |  |  |",
         "| a region cut off | 32 | 1.00, 2.00, 30.0 | 1.00, 2.00, 30.0 | 0 | 1250 | 1250 |",
         "| mean | leader | subscribers | 12.0 | 340 | 6.50 |",
         "20 real conductors swapped for hollow ones: 8.00 and 8.40 bytes a second without headers (5.00 % off), \
          0.500 and 0.460 messages a second (8.00 % off).",
     ] {
-        assert!(table.contains(wanted), "{wanted}: {table}");
+        assert!(table.contains(expected), "{expected}: {table}");
     }
-    assert!(!table.contains("| a region cut off | leader |"), "under faults the leader changes: {table}");
+    assert!(
+        !table.contains("| a region cut off | leader |"),
+        "phases with faults list no leader, as it may change: {table}"
+    );
 }
 
-/// What the page reckons with is set by the program: its settings' defaults, and constants of the decision module.
+/// Fails when the page's formulas use other values than the program: the defaults of its settings and the
+/// constants of the decision module.
 #[test]
-fn spans_of_the_reckoning_are_those_of_the_program() {
+fn intervals_in_formulas_match_the_program() {
     let listen = stepspur_conductor::config::Listen::default();
-    assert_eq!(roles::KEEP_ALIVE_S, listen.keepalive.as_secs_f64());
+    assert_eq!(roles::KEEP_ALIVE_INTERVAL_S, listen.keepalive.as_secs_f64());
     let source: stepspur_conductor::config::Source =
         toml::from_str("kind = \"http\"\naddress = \"127.0.0.1:1\"\n").unwrap();
     let stepspur_conductor::config::Source::Http { poll, .. } = source else { panic!("{source:?}") };
-    assert_eq!(roles::LIST_POLL_S, poll.as_secs_f64());
+    assert_eq!(roles::LIST_POLL_TIMEOUT_S, poll.as_secs_f64());
     let health_check = include_str!("../../../../src/policy/health_check.rs");
-    let (part, longest) = (roles::PROBED_PART, roles::PROBE_LONGEST_S);
+    let (part, max_interval) = (roles::PROBE_TO_REQUEST_RATIO, roles::MAX_PROBE_INTERVAL_S);
     let ratio = format!("const MAX_PROBE_TO_GOODPUT_RATIO: f64 = {part};");
     assert!(health_check.contains(&ratio), "{part}");
-    let interval = format!("const MAX_PROBE_INTERVAL: Micros = {longest}_000_000;");
-    assert!(health_check.contains(&interval), "{longest}");
+    let interval = format!("const MAX_PROBE_INTERVAL: Micros = {max_interval}_000_000;");
+    assert!(health_check.contains(&interval), "{max_interval}");
 }
--- a/crates/stepspur-scale/src/drains/arm.rs
+++ b/crates/stepspur-scale/src/drains/arm.rs
@@ -20,7 +20,8 @@
     }
 }
 
-/// The arms of a pair of rounds: which comes first changes from pair to pair, so that neither always follows the other.
+/// The arms of a pair of rounds: which comes first changes from pair to pair, so that neither always follows
+/// the other.
 pub(super) fn order(pair: u32) -> [Arm; 2] {
     if pair.is_multiple_of(2) { [Arm::On, Arm::Off] } else { [Arm::Off, Arm::On] }
 }
--- a/crates/stepspur-scale/src/drains/mod.rs
+++ b/crates/stepspur-scale/src/drains/mod.rs
@@ -1,9 +1,10 @@
-//! `stepspur-scale drains`: how long a drain takes to reach the last of many proxies, with the distribution of
-//! configuration on against off. docs/measurements.md tells how it is run and read.
+//! `stepspur-scale drains`: how long a drain takes to reach the last of many proxies, with the distribution
+//! of configuration on against off. docs/measurements.md tells how it is run and read.
 //!
-//! Rounds come in pairs, one of each arm, in changing order. In a round a conductor is started, all proxies join, and
-//! servers are drained one after the other. In the arm "on" the conductor subscribes to control members; these run and
-//! agree on configuration in both arms, so that the arms differ by the subscriber alone.
+//! Rounds come in pairs, one of each arm, in changing order. In a round a conductor is started, all proxies
+//! join, and servers are drained one after the other. In the arm "on" the conductor subscribes to control
+//! members; these run and agree on configuration in both arms, so that the arms differ by the subscriber
+//! alone.
 
 mod arm;
 mod changes;
--- a/crates/stepspur-scale/src/drains/round.rs
+++ b/crates/stepspur-scale/src/drains/round.rs
@@ -27,8 +27,8 @@
 const PATIENCE: Duration = Duration::from_secs(60);
 /// Drains at the start of a round that are not counted.
 const WARM_UP: u32 = 3;
-/// Before each drain a pause is drawn up to this, so that drains meet reports, changes and the engine's own times
-/// at any place.
+/// Before each drain a pause is drawn up to this, so that drains meet reports, changes and the engine's own
+/// times at any place.
 const LONGEST_PAUSE: Duration = Duration::from_millis(100);
 /// Requests a second that each proxy tells.
 const REQUESTS_PER_PROXY: usize = 1;
@@ -119,7 +119,8 @@
 }
 
 impl Round {
-    /// Starts a conductor of this arm and joins its proxies. Draws depend on the pair, and are the same in both arms.
+    /// Starts a conductor of this arm and joins its proxies. Draws depend on the pair, and are the same in
+    /// both arms.
     ///
     /// # Errors
     /// A process that does not start, or proxies that do not join in time.
@@ -191,17 +192,18 @@
         self.drain().await
     }
 
-    /// Drains one server of each zone at once. It ends when the conductor waits for the next change of its list.
+    /// Drains one server of each zone at once. It ends when the conductor waits for the next change of its
+    /// list.
     async fn drain(&mut self) -> anyhow::Result<Drain> {
         let picked = self.picked();
         self.turn += 1;
         self.draining.extend(&picked);
         let pid = self.running.pid().context("the conductor has ended")?;
-        let (polls, cpu, from) = (self.bench.registry.polls(), usage::thread_time(pid)?, Instant::now());
+        let (polls, cpu, from) = (self.bench.registry.polls(), usage::thread_cpu_time(pid)?, Instant::now());
         self.bench.set_states(picked.clone(), EndpointRecordState::Draining);
         let each =
             self.read_by_all(&picked, false, from).await.context("a drain did not reach all proxies")?;
-        let cpu = usage::thread_time(pid)?.saturating_sub(cpu);
+        let cpu = usage::thread_cpu_time(pid)?.saturating_sub(cpu);
         self.polled(polls).await?;
         Ok(Drain { each, cpu })
     }
@@ -240,8 +242,8 @@
         dropping(&mut self.table_changes, polled).await.context("the list is not read any more")
     }
 
-    /// Waits until each proxy has read of all these servers of its zone that they are used, or are not any more: the
-    /// times to each.
+    /// Waits until each proxy has read of all these servers of its zone that they are used, or are not any
+    /// more: the times to each.
     async fn read_by_all(
         &mut self,
         servers: &[usize],
--- a/crates/stepspur-scale/src/gate.rs
+++ b/crates/stepspur-scale/src/gate.rs
@@ -1,5 +1,5 @@
-//! Links that can be cut: while a gate is cut nothing passes through its streams, not even the news that a connection
-//! was closed.
+//! Streams with a simulated network partition: while a gate is cut, nothing passes through its streams, not
+//! even the end of a connection.
 
 use std::future::poll_fn;
 use std::io;
@@ -10,16 +10,16 @@
 
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// The links of one region: open, or cut.
+/// Switch for the links of one region, open or cut.
 #[derive(Debug, Default)]
 pub(crate) struct Gate {
     cut: AtomicBool,
-    /// Tasks that wait for the healing: each link has two at most.
+    /// Tasks waiting for the links to open: at most two for each link, its reader and its writer.
     waiting: Mutex<Vec<Waker>>,
 }
 
 impl Gate {
-    /// Cuts or heals the links.
+    /// Cuts the links, or opens them and wakes the waiting tasks.
     pub(crate) fn set(&self, cut: bool) {
         self.cut.store(cut, Ordering::SeqCst);
         if !cut {
@@ -28,7 +28,7 @@
         }
     }
 
-    /// True: the links are cut.
+    /// Whether the links are cut.
     pub(crate) fn is_cut(&self) -> bool {
         self.cut.load(Ordering::SeqCst)
     }
@@ -48,12 +48,12 @@
             waiting.push(context.waker().clone());
         }
         drop(waiting);
-        // Healed in between: nobody else would wake this task.
+        // Checks again: if `set` opened the links before this waker was added, it would never be woken.
         if self.is_cut() { Poll::Pending } else { Poll::Ready(()) }
     }
 }
 
-/// A stream through which nothing passes while its gate is cut.
+/// A stream that blocks while its gate is cut.
 #[derive(Debug)]
 pub(crate) struct Gated<S> {
     stream: S,
@@ -61,7 +61,7 @@
 }
 
 impl<S> Gated<S> {
-    /// Puts a stream behind a gate.
+    /// Wraps a stream so that `gate` controls it.
     pub(crate) fn new(stream: S, gate: Arc<Gate>) -> Self {
         Self { stream, gate }
     }
--- a/crates/stepspur-scale/src/hollow_conductors/message.rs
+++ b/crates/stepspur-scale/src/hollow_conductors/message.rs
@@ -1,5 +1,5 @@
-//! What the rig and a process of hollow conductors tell each other: one JSON object a line, commands on its standard
-//! input, events on its standard output.
+//! What the rig and a process of hollow conductors tell each other: one JSON object a line, commands on its
+//! standard input, events on its standard output.
 
 use std::net::SocketAddr;
 
@@ -64,7 +64,8 @@
     },
 }
 
-/// An event at a process of hollow conductors. Those of one conductor come in the order in which they happened.
+/// An event at a process of hollow conductors. Those of one conductor come in the order in which they
+/// happened.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub(crate) enum Event {
--- a/crates/stepspur-scale/src/hollow_conductors/mod.rs
+++ b/crates/stepspur-scale/src/hollow_conductors/mod.rs
@@ -1,5 +1,5 @@
-//! Hollow conductors: the program's own subscribers, without proxies, servers and decisions, many as tasks of one
-//! process. Their engine notes what it is given and when. The rig drives the process by [`message`]s.
+//! Hollow conductors: the program's own subscribers, without proxies, servers and decisions, many as tasks of
+//! one process. Their engine notes what it is given and when. The rig drives the process by [`message`]s.
 
 pub(crate) mod message;
 mod net;
--- a/crates/stepspur-scale/src/main.rs
+++ b/crates/stepspur-scale/src/main.rs
@@ -1,4 +1,5 @@
-//! Slopes and the scale run: real processes of stepspur beside hollow ones, on loopback.
+//! Measures cost and behaviour of stepspur at scale, with real processes and lightweight stand-ins ("hollow"
+//! ones) on loopback.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -16,7 +17,7 @@
 
 use clap::{Parser, Subcommand};
 
-/// Measures what stepspur costs as the fleet grows. Everything runs on loopback, for a bounded time.
+/// Measures the cost of stepspur as the fleet grows. Everything runs on loopback, for a bounded time.
 #[derive(Debug, Parser)]
 #[command(name = "stepspur-scale", version)]
 struct Arguments {
@@ -26,25 +27,25 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// What one more server, proxy, report, probe, tenant, council member or entry costs.
+    /// Measures the cost of one more server, proxy, report, probe, tenant, council member or entry.
     Slopes(slopes::SlopesArgs),
     /// Writes the tables of docs/CAPACITY.md from measured slopes.
     Capacity(capacity::CapacityArgs),
-    /// The distribution of configuration at full size, under change and faults, judged.
+    /// Runs the distribution of configuration at full size, under changes and faults, and checks the result.
     Fleet(fleet::FleetArgs),
-    /// Drains with the distribution of configuration on against off.
+    /// Compares drains with the distribution of configuration on and off.
     Drains(drains::DrainsArgs),
-    /// Hollow conductors, driven over standard input; started by `fleet`.
+    /// Runs hollow conductors, controlled over standard input; started by `fleet`.
     #[command(hide = true)]
     Hollow,
-    /// Hollow servers; started by `fleet`.
+    /// Runs hollow servers; started by `fleet`.
     #[command(hide = true)]
     HollowServers {
-        /// As many.
+        /// Number of servers.
         #[arg(long)]
         count: usize,
     },
-    /// A council's member without a conductor; started by `slopes`.
+    /// Runs a council member without a conductor; started by `slopes`.
     #[command(hide = true)]
     Member(slopes::member::MemberArgs),
 }
--- a/crates/stepspur-scale/src/program.rs
+++ b/crates/stepspur-scale/src/program.rs
@@ -1,14 +1,14 @@
-//! The real program, as cargo has built it beside this one.
+//! Finds the `stepspur` program that cargo built beside this executable.
 
 use std::path::PathBuf;
 
-/// The program `stepspur` that stands beside this executable.
+/// Path of the program `stepspur` in the directory of this executable.
 ///
 /// # Errors
-/// If it has not been built.
+/// If no such file exists, because the program was not built.
 pub(crate) fn stepspur() -> anyhow::Result<PathBuf> {
-    let own = std::env::current_exe()?;
-    let path = own.with_file_name("stepspur");
+    let executable = std::env::current_exe()?;
+    let path = executable.with_file_name("stepspur");
     anyhow::ensure!(
         path.is_file(),
         "there is no program {}: build it first, `cargo build --release -p stepspur-cli`",
--- a/crates/stepspur-scale/src/slopes/conductor.rs
+++ b/crates/stepspur-scale/src/slopes/conductor.rs
@@ -144,7 +144,8 @@
         EndpointRecord { address: self.addresses[number], zone, state, weight: 1.0, started_unix_ms: 0 }
     }
 
-    /// Joins all proxies and waits until they have their tables; changes of these are told where that is wanted.
+    /// Joins all proxies and waits until they have their tables; changes of these are told where that is
+    /// wanted.
     ///
     /// # Errors
     /// Proxies that do not join in time.
@@ -172,7 +173,7 @@
         let running = self.launcher.start(&self.config).await?;
         let mut proxies = self.join(running.address, None).await?;
         values.insert(Metric::StartS, from.elapsed().as_secs_f64());
-        values.insert(Metric::StartCpuS, usage::thread_time(pid(&running)?)?.as_secs_f64());
+        values.insert(Metric::StartCpuS, usage::thread_cpu_time(pid(&running)?)?.as_secs_f64());
         sleep(SETTLE).await;
         self.watch(pid(&running)?, &proxies, &mut values).await?;
         if self.setup.events && self.setup.proxies > 0 {
@@ -183,7 +184,7 @@
             let running = self.launcher.start(&self.config).await?;
             let proxies = self.join(running.address, None).await?;
             values.insert(Metric::RejoinS, from.elapsed().as_secs_f64());
-            values.insert(Metric::RejoinCpuS, usage::thread_time(pid(&running)?)?.as_secs_f64());
+            values.insert(Metric::RejoinCpuS, usage::thread_cpu_time(pid(&running)?)?.as_secs_f64());
             proxies.stop().await;
             running.kill().await;
         } else {
@@ -198,16 +199,16 @@
         let probed = || self.hollow.as_ref().map_or((0, 0), |h| (h.probed().probes(), h.probed().bytes()));
         let connections = traffic::connections(pid).ok();
         let (loopback, reports, probes) = (traffic::loopback()?, proxies.reports(), probed());
-        let (cpu, wakes, from) = (usage::thread_time(pid)?, usage::wakes(pid)?, Instant::now());
+        let (cpu, wakeups, from) = (usage::thread_cpu_time(pid)?, usage::wakeups(pid)?, Instant::now());
         sleep(self.setup.window).await;
         let span = from.elapsed().as_secs_f64();
-        let cpu = (usage::thread_time(pid)?.saturating_sub(cpu)).as_secs_f64();
-        let woken = usage::wakes(pid)?.saturating_sub(wakes);
+        let cpu = (usage::thread_cpu_time(pid)?.saturating_sub(cpu)).as_secs_f64();
+        let woken = usage::wakeups(pid)?.saturating_sub(wakeups);
         values.insert(Metric::CpuPercent, cpu / span * 100.0);
         values.insert(Metric::WakesPerS, woken as f64 / span);
         values.insert(Metric::ResidentMib, usage::usage(pid)?.resident as f64 / f64::from(1 << 20));
         if let (Some(before), Ok(after)) = (connections, traffic::connections(pid)) {
-            let passed = traffic::between(&before, &after);
+            let passed = traffic::traffic_between(&before, &after);
             if !self.setup.probing {
                 values.insert(Metric::PayloadBytesPerS, passed.payload() as f64 / span);
                 values.insert(Metric::WireBytesPerS, passed.with_headers() as f64 / span);
@@ -233,11 +234,11 @@
         for round in 0..DRAINS {
             let picked: Vec<usize> = (0..zones).map(|zone| round * zones + zone).collect();
             let told = proxies.removals();
-            let (cpu, from) = (usage::thread_time(pid)?, Instant::now());
+            let (cpu, from) = (usage::thread_cpu_time(pid)?, Instant::now());
             self.set_states(picked.clone(), EndpointRecordState::Draining);
             proxies.removed(told + self.setup.proxies as u64, PATIENCE).await?;
             took += from.elapsed();
-            spent += usage::thread_time(pid)?.saturating_sub(cpu);
+            spent += usage::thread_cpu_time(pid)?.saturating_sub(cpu);
             self.set_states(picked, EndpointRecordState::Ready);
             sleep(BETWEEN_DRAINS).await;
         }
@@ -258,8 +259,9 @@
     }
 }
 
-/// IP and TCP headers of a probe's connection, in bytes, as reckoned: ten segments (three to open, two with data,
-/// each acknowledged apart or with the next, two ends with their acknowledgements), eight bytes more on the first two.
+/// IP and TCP headers of a probe's connection, in bytes, as reckoned: ten segments (three to open, two with
+/// data, each acknowledged apart or with the next, two ends with their acknowledgements), eight bytes more on
+/// the first two.
 pub(crate) const PROBE_HEADERS: u64 = 10 * traffic::HEADER_BYTES + 16;
 
 fn pid(running: &Running) -> anyhow::Result<u32> {
--- a/crates/stepspur-scale/src/slopes/council.rs
+++ b/crates/stepspur-scale/src/slopes/council.rs
@@ -41,7 +41,7 @@
 /// Counts of one member at one time.
 struct Look {
     cpu: Duration,
-    wakes: u64,
+    wakeups: u64,
     connections: Connections,
 }
 
@@ -49,20 +49,21 @@
 struct Spent {
     cpu_percent: f64,
     resident_mib: f64,
-    wakes: f64,
+    wakeups: f64,
     payload: f64,
     wire: f64,
 }
 
-/// An address of 127/8 that no other process is likely to use: a port that was free may be taken by whoever dials
-/// from 127.0.0.1 before a member listens on it.
+/// An address of 127/8 that no other process is likely to use: a port that was free may be taken by whoever
+/// dials from 127.0.0.1 before a member listens on it.
 fn free_address(number: u64) -> std::io::Result<SocketAddr> {
     let [.., high, low] = std::process::id().to_be_bytes();
     let host = Ipv4Addr::new(127, 64 + (high & 63), low, number as u8);
     TcpListener::bind((host, 0))?.local_addr()
 }
 
-/// Settings of the council for each of so many members, the first three of them voters; their states are founded.
+/// Settings of the council for each of so many members, the first three of them voters; their states are
+/// founded.
 pub(super) fn councils(members: usize, folder: &Path) -> anyhow::Result<Vec<ConsensusConfig>> {
     let place = |id: u64| Ok(stepspur_consensus_node::MemberAddress { id, address: free_address(id)? });
     let places: Vec<_> = (1..=members as u64).map(place).collect::<std::io::Result<_>>()?;
@@ -166,7 +167,7 @@
     mean(&followers, Metric::FollowerResidentMib, |one| one.resident_mib, values);
     mean(&followers, Metric::FollowerPayloadBytesPerS, |one| one.payload, values);
     mean(&followers, Metric::FollowerWireBytesPerS, |one| one.wire, values);
-    mean(&followers, Metric::FollowerWakesPerS, |one| one.wakes, values);
+    mean(&followers, Metric::FollowerWakesPerS, |one| one.wakeups, values);
     Ok(())
 }
 
@@ -179,16 +180,16 @@
 
 fn look(pid: u32) -> anyhow::Result<Look> {
     let connections = traffic::connections(pid).context("`ss` is needed to count the council's bytes")?;
-    Ok(Look { cpu: usage::thread_time(pid)?, wakes: usage::wakes(pid)?, connections })
+    Ok(Look { cpu: usage::thread_cpu_time(pid)?, wakeups: usage::wakeups(pid)?, connections })
 }
 
 fn spent(pid: u32, before: &Look, span: f64) -> anyhow::Result<Spent> {
     let now = look(pid)?;
-    let passed = traffic::between(&before.connections, &now.connections);
+    let passed = traffic::traffic_between(&before.connections, &now.connections);
     Ok(Spent {
         cpu_percent: now.cpu.saturating_sub(before.cpu).as_secs_f64() / span * 100.0,
         resident_mib: usage::usage(pid)?.resident as f64 / f64::from(1 << 20),
-        wakes: now.wakes.saturating_sub(before.wakes) as f64 / span,
+        wakeups: now.wakeups.saturating_sub(before.wakeups) as f64 / span,
         payload: passed.payload() as f64 / span,
         wire: passed.with_headers() as f64 / span,
     })
--- a/crates/stepspur-scale/src/slopes/member.rs
+++ b/crates/stepspur-scale/src/slopes/member.rs
@@ -14,7 +14,8 @@
 const LIFE: Duration = Duration::from_secs(120);
 /// Between two lines of output.
 const TELL_EVERY: Duration = Duration::from_millis(100);
-/// The longest name of a duty: dropping one that is not there is an entry like any other, and changes nothing.
+/// The longest name of a duty: dropping one that is not there is an entry like any other, and changes
+/// nothing.
 const DUTY_BYTES: usize = 128;
 
 /// A member's settings and duty.
--- a/crates/stepspur-scale/src/slopes/mod.rs
+++ b/crates/stepspur-scale/src/slopes/mod.rs
@@ -1,7 +1,7 @@
 //! `stepspur-scale slopes`: what one more of each thing costs the real program.
 //!
-//! Each slope has four sizes or more, each measured three times; a round takes all sizes once, so that what changes
-//! on the machine meanwhile does not fall on one size alone.
+//! Each slope has four sizes or more, each measured three times; a round takes all sizes once, so that what
+//! changes on the machine meanwhile does not fall on one size alone.
 
 mod choose;
 pub(crate) mod conductor;
@@ -21,7 +21,7 @@
 use crate::{program, usage};
 use conductor::Setup;
 use result::{Name, Run, Slope, Slopes, Values};
-pub(crate) use table::{rounded, shown};
+pub(crate) use table::{format_estimate, format_rounded};
 
 /// What is measured.
 #[derive(Debug, clap::Args)]
@@ -32,7 +32,8 @@
     /// Where random draws start.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Write the result as JSON to this file; with `--only`, slopes of the file that are not measured stay in it.
+    /// Write the result as JSON to this file; with `--only`, slopes of the file that are not measured stay in
+    /// it.
     #[arg(long)]
     json: Option<PathBuf>,
     /// Only these slopes; may be given several times.
--- a/crates/stepspur-scale/src/slopes/table.rs
+++ b/crates/stepspur-scale/src/slopes/table.rs
@@ -11,11 +11,12 @@
     println!("{:34}{head}{:>26}{:>18}", "", "more for one more", "exponent");
     for metric in slope.metrics() {
         let points = slope.points(metric);
-        let mean = |size: &f64| fit::measured(&points, *size).map_or(String::new(), |at| rounded(at.mean));
+        let mean =
+            |size: &f64| fit::measured(&points, *size).map_or(String::new(), |at| format_rounded(at.mean));
         let means: String = sizes.iter().map(|size| format!("{:>14}", mean(size))).collect();
         let fit = slope.fits.get(&metric);
-        let more = fit.map_or(String::new(), |fit| shown(fit.slope));
-        let exponent = fit.and_then(|fit| fit.exponent).map_or(String::new(), shown);
+        let more = fit.map_or(String::new(), |fit| format_estimate(fit.slope));
+        let exponent = fit.and_then(|fit| fit.exponent).map_or(String::new(), format_estimate);
         println!("{:34}{means}{more:>26}{exponent:>18}", metric.label());
     }
     let loads = slope.runs.iter().map(|run| run.load_average);
@@ -25,15 +26,15 @@
 }
 
 /// A value with its half interval.
-pub(crate) fn shown(estimate: Estimate) -> String {
+pub(crate) fn format_estimate(estimate: Estimate) -> String {
     match estimate.half_width {
-        None | Some(0.0) => rounded(estimate.mean),
-        Some(half) => format!("{} ± {}", rounded(estimate.mean), rounded(half)),
+        None | Some(0.0) => format_rounded(estimate.mean),
+        Some(half) => format!("{} ± {}", format_rounded(estimate.mean), format_rounded(half)),
     }
 }
 
 /// Three digits that count.
-pub(crate) fn rounded(value: f64) -> String {
+pub(crate) fn format_rounded(value: f64) -> String {
     if value == 0.0 || !value.is_finite() {
         return format!("{value}");
     }
--- a/crates/stepspur-scale/src/slopes/tenants.rs
+++ b/crates/stepspur-scale/src/slopes/tenants.rs
@@ -49,15 +49,15 @@
     let pid = running.pid().context("the conductor has ended")?;
     let mut values = Values::from([
         (Metric::StartS, from.elapsed().as_secs_f64()),
-        (Metric::StartCpuS, usage::thread_time(pid)?.as_secs_f64()),
+        (Metric::StartCpuS, usage::thread_cpu_time(pid)?.as_secs_f64()),
     ]);
     sleep(SETTLE).await;
-    let (cpu, wakes, from) = (usage::thread_time(pid)?, usage::wakes(pid)?, Instant::now());
+    let (cpu, wakeups, from) = (usage::thread_cpu_time(pid)?, usage::wakeups(pid)?, Instant::now());
     sleep(window).await;
     let span = from.elapsed().as_secs_f64();
-    let spent = usage::thread_time(pid)?.saturating_sub(cpu).as_secs_f64();
+    let spent = usage::thread_cpu_time(pid)?.saturating_sub(cpu).as_secs_f64();
     values.insert(Metric::CpuPercent, spent / span * 100.0);
-    values.insert(Metric::WakesPerS, usage::wakes(pid)?.saturating_sub(wakes) as f64 / span);
+    values.insert(Metric::WakesPerS, usage::wakeups(pid)?.saturating_sub(wakeups) as f64 / span);
     values.insert(Metric::ResidentMib, usage::usage(pid)?.resident as f64 / f64::from(1 << 20));
     running.kill().await;
     Ok(values)
--- a/crates/stepspur-scale/src/traffic/tests.rs
+++ b/crates/stepspur-scale/src/traffic/tests.rs
@@ -7,7 +7,7 @@
 ";
 
 #[test]
-fn connections_of_one_process_are_counted() {
+fn only_connections_of_the_process_are_counted() {
     let connections = parse_connections(CONNECTIONS, 17);
     assert_eq!(connections.len(), 2);
     let first = connections["127.0.0.1:7400 127.0.0.1:40000"];
@@ -17,15 +17,15 @@
 }
 
 #[test]
-fn what_passed_is_the_difference_and_new_connections_count_whole() {
+fn traffic_is_the_difference_and_new_connections_count_in_full() {
     let before = parse_connections(CONNECTIONS, 17);
     let text = CONNECTIONS.replace("bytes_sent:100", "bytes_sent:130").replace("40002", "40003");
-    let passed = between(&before, &parse_connections(&text, 17));
+    let passed = traffic_between(&before, &parse_connections(&text, 17));
     assert_eq!(passed, Traffic { sent: 30, received: 0, segments: 2 });
 }
 
 #[test]
-fn the_loopbacks_line_is_found() {
+fn loopback_counters_are_parsed() {
     let text = "Inter-|   Receive\n face |bytes    packets\n    lo: 3348883   39264    0 0\n  eth0: 1 2 3\n";
     assert_eq!(parse_loopback(text), Some(Loopback { bytes: 3_348_883, packets: 39_264 }));
     assert_eq!(parse_loopback("  eth0: 1 2 3\n"), None);
--- a/crates/stepspur-scale/src/usage.rs
+++ b/crates/stepspur-scale/src/usage.rs
@@ -1,33 +1,33 @@
-//! What a process has used, as the kernel counts it.
+//! CPU, memory and descriptors of a process, read from `/proc`.
 
 use std::io;
 use std::time::Duration;
 
-/// Clock ticks a second in `/proc/PID/stat`; the kernel's interface fixes it on every platform that we build for.
+/// Clock ticks per second in `/proc/PID/stat`; fixed by the kernel's interface on every supported platform.
 const TICKS_PER_SECOND: u64 = 100;
 
-/// Counts of one process since its start.
+/// Resource usage of a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Usage {
-    /// Processor time, in user and kernel mode.
+    /// CPU time since its start, in user and kernel mode; resolution 10 ms.
     pub cpu: Duration,
-    /// Resident memory, in bytes.
+    /// Resident memory now, in bytes.
     pub resident: u64,
-    /// Open descriptors.
+    /// File descriptors open now.
     pub descriptors: usize,
 }
 
-/// Reads the counts of a process.
+/// Reads the resource usage of a process.
 ///
 /// # Errors
-/// The kernel's, if there is no such process; [`io::ErrorKind::InvalidData`] if its files have another form.
+/// If there is no such process; [`io::ErrorKind::InvalidData`] if the format of its files is not as expected.
 pub(crate) fn usage(pid: u32) -> io::Result<Usage> {
     let invalid = || io::Error::from(io::ErrorKind::InvalidData);
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat"))?;
-    // The name in parentheses may hold spaces: fields are counted from its end.
+    // The process name in parentheses may contain spaces, so fields are counted from the closing parenthesis.
     let fields: Vec<&str> = stat.rsplit_once(')').ok_or_else(invalid)?.1.split_whitespace().collect();
     let ticks =
-        |place: usize| fields.get(place).and_then(|field| field.parse::<u64>().ok()).ok_or_else(invalid);
+        |index: usize| fields.get(index).and_then(|field| field.parse::<u64>().ok()).ok_or_else(invalid);
     let ticks = ticks(11)? + ticks(12)?;
     let status = std::fs::read_to_string(format!("/proc/{pid}/status"))?;
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).ok_or_else(invalid)?;
@@ -40,40 +40,41 @@
     })
 }
 
-/// Processor time of all living threads of a process, in nanoseconds' steps: finer than [`Usage::cpu`].
+/// CPU time of all live threads of a process, in nanoseconds and so finer than [`Usage::cpu`]. Threads that
+/// have ended do not count.
 ///
 /// # Errors
-/// The kernel's, if there is no such process or it keeps no such statistics.
-pub(crate) fn thread_time(pid: u32) -> io::Result<Duration> {
-    let nanos = sum_of_threads(pid, "schedstat", |text| text.split_whitespace().next()?.parse().ok())?;
+/// If there is no such process or the kernel has no scheduler statistics.
+pub(crate) fn thread_cpu_time(pid: u32) -> io::Result<Duration> {
+    let nanos = sum_over_threads(pid, "schedstat", |text| text.split_whitespace().next()?.parse().ok())?;
     Ok(Duration::from_nanos(nanos))
 }
 
-/// How often the living threads of a process have gone to sleep, and so have been woken.
+/// Voluntary context switches of all live threads of a process: how often they blocked and were woken.
 ///
 /// # Errors
-/// As [`thread_time`].
-pub(crate) fn wakes(pid: u32) -> io::Result<u64> {
-    sum_of_threads(pid, "status", |text| {
+/// As [`thread_cpu_time`].
+pub(crate) fn wakeups(pid: u32) -> io::Result<u64> {
+    sum_over_threads(pid, "status", |text| {
         let count = text.lines().find_map(|line| line.strip_prefix("voluntary_ctxt_switches:"))?;
         count.trim().parse().ok()
     })
 }
 
-fn sum_of_threads(pid: u32, file: &str, read: impl Fn(&str) -> Option<u64>) -> io::Result<u64> {
+fn sum_over_threads(pid: u32, file: &str, read: impl Fn(&str) -> Option<u64>) -> io::Result<u64> {
     let mut sum = 0;
     for thread in std::fs::read_dir(format!("/proc/{pid}/task"))? {
-        // A thread may end between the listing and the reading.
+        // A thread may end after the directory was listed.
         let Ok(text) = std::fs::read_to_string(thread?.path().join(file)) else { continue };
         sum += read(&text).ok_or_else(|| io::Error::from(io::ErrorKind::InvalidData))?;
     }
     Ok(sum)
 }
 
-/// The machine's load average of the last minute: runnable threads.
+/// Reads the machine's load average of the last minute, in runnable threads.
 ///
 /// # Errors
-/// The kernel's; [`io::ErrorKind::InvalidData`] if its file has another form.
+/// If the file cannot be read; [`io::ErrorKind::InvalidData`] if its format is not as expected.
 pub(crate) fn load_average() -> io::Result<f64> {
     let text = std::fs::read_to_string("/proc/loadavg")?;
     let first = text.split_whitespace().next().and_then(|load| load.parse().ok());
--- a/crates/stepspur-scale/tests/drains.rs
+++ b/crates/stepspur-scale/tests/drains.rs
@@ -1,4 +1,5 @@
-//! `stepspur-scale drains` with few proxies: both arms are measured, and changes come to the proxies of one alone.
+//! `stepspur-scale drains` with few proxies: both arms are measured, and changes come to the proxies of one
+//! alone.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output, Stdio};
@@ -12,7 +13,8 @@
 /// The run must end by itself long before.
 const PATIENCE: Duration = Duration::from_secs(120);
 
-/// The program beside the rig. It belongs to another package: cargo has built it with the workspace, or does so now.
+/// The program beside the rig. It belongs to another package: cargo has built it with the workspace, or does
+/// so now.
 fn program() -> PathBuf {
     let program = Path::new(RIG).with_file_name("stepspur");
     if !program.is_file() {
--- a/crates/stepspur-scale/tests/fleet.rs
+++ b/crates/stepspur-scale/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! A small scale run of real processes: three control members, two real conductors, twenty hollow ones, judged. A region
-//! with one of the real conductors is cut off, and one is restarted.
+//! A small scale run of real processes: three control members, two real conductors, twenty hollow ones,
+//! judged. A region with one of the real conductors is cut off, and one is restarted.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -12,7 +12,8 @@
 /// The run must end by itself long before.
 const PATIENCE: Duration = Duration::from_secs(120);
 
-/// The program beside the rig. It belongs to another package: cargo has built it with the workspace, or does so now.
+/// The program beside the rig. It belongs to another package: cargo has built it with the workspace, or does
+/// so now.
 fn program() -> PathBuf {
     let program = Path::new(RIG).with_file_name("stepspur");
     if !program.is_file() {
