--- a/crates/stepspur-scale/src/drains/arm.rs
+++ b/crates/stepspur-scale/src/drains/arm.rs
@@ -1,13 +1,13 @@
-//! The two arms that are compared, and the order of their rounds.
+//! The two arms of the comparison and the order of their rounds.
 
 use std::fmt;
 
-/// What a conductor does for the distribution of configuration.
+/// Whether the measured conductor takes part in the distribution of configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Arm {
-    /// It subscribes to control members.
+    /// It subscribes to the control members.
     On,
-    /// Its settings are the same without `[distribution]`.
+    /// It has the same settings, but without `[distribution]`.
     Off,
 }
 
@@ -20,8 +20,7 @@
     }
 }
 
-/// The arms of a pair of rounds: which comes first changes from pair to pair, so that neither always follows
-/// the other.
+/// Order of the arms in a pair of rounds. It alternates, so that effects of the order cancel out.
 pub(super) fn order(pair: u32) -> [Arm; 2] {
     if pair.is_multiple_of(2) { [Arm::On, Arm::Off] } else { [Arm::Off, Arm::On] }
 }
--- a/crates/stepspur-scale/src/drains/changes.rs
+++ b/crates/stepspur-scale/src/drains/changes.rs
@@ -1,4 +1,4 @@
-//! Changes of configuration that all concern the conductor under measurement, agreed on at an even pace.
+//! Proposes configuration changes for the measured conductor at a constant rate.
 
 #[cfg(test)]
 mod tests;
@@ -18,58 +18,62 @@
 use crate::fleet::history::now;
 use crate::fleet::operators::{Operations, Operator, Proposed};
 
-/// Of so many changes one holds a server or lifts the hold; the others give a class another level.
-const CHANGES_A_HOLD: u64 = 4;
-/// Levels that classes get in turn, in millionths: high, so that hardly anything is refused.
+/// One in this many changes sets or clears the draining of a server; the others set the admission level of a
+/// class.
+const CHANGES_PER_HOLD: u64 = 4;
+/// Admission levels that are assigned in rotation, in millionths. They are high, so that few requests are
+/// rejected.
 const LEVELS_PPM: [u32; 7] = [900_000, 910_000, 920_000, 930_000, 940_000, 950_000, 960_000];
-/// A proposal is agreed within this, over all its repeats.
-const AGREE_TIMEOUT: Duration = Duration::from_secs(60);
-/// After a call that failed, the next control member is called.
-const RETRY_AFTER: Duration = Duration::from_millis(50);
+/// Time limit for one change to be committed, over all retries.
+const COMMIT_TIMEOUT: Duration = Duration::from_secs(60);
+/// Pause after a failed call, before the next control member is called.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Which changes come, one after the other; each changes something.
+/// Generates a sequence of changes, each of which has an effect.
 #[derive(Debug)]
 pub(super) struct Schedule {
     classes: Vec<String>,
-    held: SocketAddr,
-    made: u64,
+    held_server: SocketAddr,
+    generated: u64,
 }
 
 impl Schedule {
-    /// Changes of these classes, and of a server that nothing else drains.
-    pub(super) fn new(classes: Vec<String>, held: SocketAddr) -> Self {
-        Self { classes, held, made: 0 }
+    /// Changes the levels of `classes` and the draining of `held`, a server that the measured drains do not
+    /// use.
+    pub(super) fn new(classes: Vec<String>, held_server: SocketAddr) -> Self {
+        Self { classes, held_server, generated: 0 }
     }
 
-    /// The next change.
-    pub(super) fn draw(&mut self) -> Change {
-        let number = self.made;
-        self.made += 1;
+    /// Generates the next change.
+    pub(super) fn next_change(&mut self) -> Change {
+        let number = self.generated;
+        self.generated += 1;
         let scope = Scope { service: Some(SERVICE.to_owned()), ..Scope::default() };
-        let (turn, of_turn) = (number / CHANGES_A_HOLD, number % CHANGES_A_HOLD);
-        if of_turn == CHANGES_A_HOLD - 1 {
+        let (turn, index_in_turn) = (number / CHANGES_PER_HOLD, number % CHANGES_PER_HOLD);
+        if index_in_turn == CHANGES_PER_HOLD - 1 {
             let setting = turn.is_multiple_of(2).then_some(Setting::Draining);
-            return Change { scope, target: Target::Server(self.held), setting };
+            return Change { scope, target: Target::Server(self.held_server), setting };
         }
-        let level = turn * (CHANGES_A_HOLD - 1) + of_turn;
-        let class = &self.classes[level as usize % self.classes.len()];
-        // Seven levels over three classes: no class gets the same one twice in a row.
-        let ppm = LEVELS_PPM[level as usize % LEVELS_PPM.len()];
+        let level_index = turn * (CHANGES_PER_HOLD - 1) + index_in_turn;
+        let class = &self.classes[level_index as usize % self.classes.len()];
+        // The numbers of levels (7) and classes (3) have no common divisor, so a class never gets the same
+        // level twice in a row.
+        let ppm = LEVELS_PPM[level_index as usize % LEVELS_PPM.len()];
         Change { scope, target: Target::Class(class.clone()), setting: Some(Setting::LevelPpm(ppm)) }
     }
 }
 
-/// A task that has changes agreed on until it is stopped.
+/// Background task that proposes changes until it is stopped.
 pub(super) struct Changes {
-    agreed: watch::Receiver<u64>,
+    committed: watch::Receiver<u64>,
     stop: CancellationToken,
     task: JoinHandle<anyhow::Result<()>>,
 }
 
 impl Changes {
-    /// Proposes so many changes a second.
+    /// Starts proposing `per_s` changes per second.
     pub(super) fn start(operator: Operator, schedule: Schedule, per_s: f64) -> Self {
-        let (tell, agreed) = watch::channel(0);
+        let (committed_sender, committed) = watch::channel(0);
         let stop = CancellationToken::new();
         let stopped = stop.clone();
         let proposer = Proposer {
@@ -77,7 +81,7 @@
             operations: Operations::new(now()),
             schedule,
             head: Version::NONE,
-            agreed: tell,
+            committed: committed_sender,
         };
         let task = tokio::spawn(async move {
             tokio::select! {
@@ -85,29 +89,30 @@
                 failed = proposer.run(Duration::from_secs_f64(1.0 / per_s)) => failed,
             }
         });
-        Self { agreed, stop, task }
+        Self { committed, stop, task }
     }
 
-    /// How many were agreed so far.
-    pub(super) fn agreed(&self) -> u64 {
-        *self.agreed.borrow()
+    /// Number of changes committed so far.
+    pub(super) fn committed(&self) -> u64 {
+        *self.committed.borrow()
     }
 
-    /// Waits until one more is agreed.
+    /// Waits until one more change is committed.
     ///
     /// # Errors
-    /// None is agreed any more; [`Changes::stop`] tells why.
+    /// If none is committed in time or the task has failed; [`Changes::stop`] returns the cause.
     pub(super) async fn next(&mut self) -> anyhow::Result<()> {
-        let before = self.agreed();
-        let next = timeout(AGREE_TIMEOUT, self.agreed.wait_for(|agreed| *agreed > before)).await;
-        next.context("no change is agreed")?.context("changes have ended")?;
+        let before = self.committed();
+        let next = timeout(COMMIT_TIMEOUT, self.committed.wait_for(|committed| *committed > before)).await;
+        next.context("no configuration change was committed in time")?
+            .context("the task that proposes changes has ended")?;
         Ok(())
     }
 
-    /// Ends them.
+    /// Stops the task.
     ///
     /// # Errors
-    /// Why they ended before.
+    /// The error with which the task failed earlier.
     pub(super) async fn stop(self) -> anyhow::Result<()> {
         self.stop.cancel();
         self.task.await?
@@ -118,27 +123,27 @@
     operator: Operator,
     operations: Operations,
     schedule: Schedule,
-    /// The last version that was agreed.
+    /// Version of the last committed change.
     head: Version,
-    agreed: watch::Sender<u64>,
+    committed: watch::Sender<u64>,
 }
 
 impl Proposer {
-    /// Proposes for ever; it ends by a fault.
+    /// Proposes one change in each interval; returns only with an error.
     async fn run(mut self, every: Duration) -> anyhow::Result<()> {
         let mut ticks = interval(every);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
-            let change = self.schedule.draw();
-            self.agree(change).await?;
-            self.agreed.send_modify(|agreed| *agreed += 1);
+            let change = self.schedule.next_change();
+            self.commit(change).await?;
+            self.committed.send_modify(|committed| *committed += 1);
         }
     }
 
-    /// Proposes a change until it is agreed, at whichever control member answers.
-    async fn agree(&mut self, change: Change) -> anyhow::Result<()> {
-        let end = Instant::now() + AGREE_TIMEOUT;
+    /// Proposes a change until it is committed, at one control member after the other.
+    async fn commit(&mut self, change: Change) -> anyhow::Result<()> {
+        let deadline = Instant::now() + COMMIT_TIMEOUT;
         let operation = self.operations.next_id(self.head);
         let changes = [change];
         loop {
@@ -147,11 +152,11 @@
                     self.head = self.head.max(version);
                     return Ok(());
                 }
-                Proposed::Refused(reason) => bail!("refused: {reason}"),
+                Proposed::Refused(reason) => bail!("the change was rejected: {reason}"),
                 Proposed::Unknown(reason) => {
-                    ensure!(Instant::now() < end, "not agreed in time: {reason}");
+                    ensure!(Instant::now() < deadline, "the change was not committed in time: {reason}");
                     self.operator.move_on();
-                    sleep(RETRY_AFTER).await;
+                    sleep(RETRY_DELAY).await;
                 }
             }
         }
--- a/crates/stepspur-scale/src/drains/changes/tests.rs
+++ b/crates/stepspur-scale/src/drains/changes/tests.rs
@@ -5,14 +5,14 @@
 use super::Schedule;
 
 #[test]
-fn each_change_is_sound_and_changes_something() {
+fn each_change_is_valid_and_has_an_effect() {
     let classes = ["read", "write", "save"].map(str::to_owned).to_vec();
     let held = "127.16.0.9:80".parse().unwrap();
     let mut schedule = Schedule::new(classes, held);
-    let mut stand: BTreeMap<Key, Option<Setting>> = BTreeMap::new();
+    let mut current: BTreeMap<Key, Option<Setting>> = BTreeMap::new();
     let (mut levels, mut holds) = (0, 0);
     for number in 0..200 {
-        let change = schedule.draw();
+        let change = schedule.next_change();
         change.check().unwrap();
         assert_eq!(change.scope.service.as_deref(), Some("service-0"));
         match &change.target {
@@ -22,9 +22,9 @@
                 holds += 1;
             }
         }
-        let before = stand.insert(change.key(), change.setting).flatten();
+        let before = current.insert(change.key(), change.setting).flatten();
         assert_ne!(before, change.setting, "change {number}");
     }
     assert_eq!((levels, holds), (150, 50));
-    assert_eq!(stand.len(), 4, "three classes and a server");
+    assert_eq!(current.len(), 4, "three classes and a server");
 }
--- a/crates/stepspur-scale/src/drains/control.rs
+++ b/crates/stepspur-scale/src/drains/control.rs
@@ -1,4 +1,4 @@
-//! Control members as processes of the real program, and what a subscriber of theirs is told in its settings.
+//! Starts control members as processes of the real program, and builds the settings of their subscriber.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -13,17 +13,18 @@
 use crate::fleet::processes::{Process, run_program};
 use crate::fleet::settings::ControlFleet;
 
-/// The service whose configuration changes.
+/// Service whose configuration changes.
 pub(super) const SERVICE: &str = "service-0";
-/// Where everything stands.
+/// Region of the control members and the subscriber.
 const REGION: &str = "region-0";
-/// A subscriber that nothing concerns is told so often what it is covered to: the program's default.
-const KEEP_ALIVE: Duration = Duration::from_secs(5);
-/// The program's defaults for a subscriber's dialling and writing.
+/// Interval at which control members send an idle subscriber the version it is covered to: the program's
+/// default.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(5);
+/// A subscriber's timeouts for connecting and writing: the program's defaults.
 const DIAL_TIMEOUT: Duration = Duration::from_secs(2);
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Control members that run. Dropping them kills their processes.
+/// Running control members. Dropping them kills their processes.
 pub(super) struct ControlMembers {
     fleet: ControlFleet,
     keys: Keys,
@@ -31,21 +32,21 @@
 }
 
 impl ControlMembers {
-    /// Founds a council of so many voters and starts them, in folders of their own in `folder`.
+    /// Bootstraps a consensus group of `count` voters and starts them, each in its own folder in `folder`.
     ///
     /// # Errors
-    /// A process that does not start.
+    /// If a process does not start.
     pub(super) async fn start(program: &Path, folder: &Path, count: u32) -> anyhow::Result<Self> {
         let mut members = Vec::new();
         for id in 1..=u64::from(count) {
             let member = ControlMember { id, region: REGION.to_owned(), votes: true };
             members.push((member, reserve(id)?));
         }
-        let fleet = ControlFleet { members, keep_alive: KEEP_ALIVE };
+        let fleet = ControlFleet { members, keep_alive: KEEP_ALIVE_INTERVAL };
         let keys = Keys::new(&folder.join("keys"), &fleet.operators())?;
         let mut settings = Vec::new();
-        for place in 0..fleet.members.len() {
-            settings.push(found(&fleet, place, &keys, folder).await?);
+        for index in 0..fleet.members.len() {
+            settings.push(bootstrap_member(&fleet, index, &keys, folder).await?);
         }
         let logs: Vec<PathBuf> = settings.iter().map(|path| path.with_extension("log")).collect();
         let started = settings.iter().zip(&logs).map(|(path, log)| run_program(program, path, log));
@@ -54,15 +55,16 @@
         Ok(Self { fleet, keys, processes })
     }
 
-    /// An operator who calls all of them.
+    /// An operator client that can call all control members.
     ///
     /// # Errors
-    /// Keys that make no client.
+    /// If no client can be built from the keys.
     pub(super) fn operator(&self) -> anyhow::Result<Operator> {
         self.keys.operator(self.fleet.operators())
     }
 
-    /// The settings of a conductor that subscribes to them and keeps its documents in this file.
+    /// The `[distribution]` settings of a conductor that subscribes to these members and stores its documents
+    /// in the file `state`.
     pub(super) fn subscription(&self, state: PathBuf) -> Distribution {
         let control: Vec<SocketAddr> = self.fleet.places().iter().map(|place| place.address).collect();
         let service = ServiceConfig { service: SERVICE.to_owned(), tenants: Vec::new() };
@@ -78,21 +80,27 @@
         Distribution { control: None, subscriber: Some(subscriber) }
     }
 
-    /// Ends them in order.
+    /// Terminates all members and waits for their exit.
     pub(super) async fn stop(self) {
         join_all(self.processes.into_iter().map(Process::terminate)).await;
     }
 }
 
-/// Writes the settings of a control member and makes its council's state: where the settings are.
-async fn found(fleet: &ControlFleet, place: usize, keys: &Keys, folder: &Path) -> anyhow::Result<PathBuf> {
-    let id = fleet.members[place].0.id;
-    let own = folder.join(format!("control-{id}"));
-    std::fs::create_dir_all(&own)?;
-    let (settings, nodes) = (own.join("conductor.toml"), own.join("nodes.toml"));
+/// Writes the settings and the initial consensus state of a control member, and returns the path of the
+/// settings.
+async fn bootstrap_member(
+    fleet: &ControlFleet,
+    index: usize,
+    keys: &Keys,
+    folder: &Path,
+) -> anyhow::Result<PathBuf> {
+    let id = fleet.members[index].0.id;
+    let member_folder = folder.join(format!("control-{id}"));
+    std::fs::create_dir_all(&member_folder)?;
+    let (settings, nodes) = (member_folder.join("conductor.toml"), member_folder.join("nodes.toml"));
     std::fs::write(&nodes, "servers = 1\n[[node]]\naddress = \"127.0.0.1:9\"\nzone = \"a\"\n")?;
-    std::fs::write(&settings, fleet.settings(place, &own, keys.folder(), &nodes))?;
-    let council = fleet.founding(id, &own.join("council.redb"));
+    std::fs::write(&settings, fleet.settings(index, &member_folder, keys.folder(), &nodes))?;
+    let council = fleet.founding(id, &member_folder.join("council.redb"));
     tokio::task::spawn_blocking(move || council.bootstrap()).await??;
     Ok(settings)
 }
--- a/crates/stepspur-scale/src/drains/mod.rs
+++ b/crates/stepspur-scale/src/drains/mod.rs
@@ -1,10 +1,11 @@
-//! `stepspur-scale drains`: how long a drain takes to reach the last of many proxies, with the distribution
-//! of configuration on against off. docs/measurements.md tells how it is run and read.
+//! `stepspur-scale drains`: measures how long a drain takes to reach the last of many proxies, with the
+//! distribution of configuration on and off. docs/measurements.md describes how to run it and read the
+//! result.
 //!
-//! Rounds come in pairs, one of each arm, in changing order. In a round a conductor is started, all proxies
-//! join, and servers are drained one after the other. In the arm "on" the conductor subscribes to control
-//! members; these run and agree on configuration in both arms, so that the arms differ by the subscriber
-//! alone.
+//! Rounds come in pairs, one for each arm, in alternating order. A round starts a conductor, joins all
+//! proxies and drains servers one after the other. In the arm "on" the conductor subscribes to control
+//! members. These run and commit configuration changes in both arms, so that the arms differ in the
+//! subscriber only.
 
 mod arm;
 mod changes;
@@ -25,53 +26,53 @@
 use report::{Report, Setting};
 use round::{Round, RoundSettings};
 
-/// A run that takes longer is ended.
+/// Time limit for the whole run.
 const RUN_TIMEOUT: Duration = Duration::from_secs(15 * 60);
 
-/// Drains with the distribution on against off.
+/// Compares drains with the distribution of configuration on and off.
 #[derive(Clone, Debug, clap::Args)]
 pub(crate) struct DrainsArgs {
-    /// Servers that the list names.
+    /// Servers in the list.
     #[arg(long, default_value_t = 379)]
     servers: usize,
-    /// Proxies of the conductor.
+    /// Proxies that join the conductor.
     #[arg(long, default_value_t = 1_249)]
     proxies: usize,
-    /// Rounds of each arm.
+    /// Rounds for each arm.
     #[arg(long, default_value_t = 8, value_parser = clap::value_parser!(u32).range(1..=100))]
     rounds: u32,
-    /// Drains of a round.
+    /// Measured drains in each round.
     #[arg(long, default_value_t = 60, value_parser = clap::value_parser!(u32).range(1..=10_000))]
     drains: u32,
     /// Control members, all of which vote.
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u32).range(1..=5))]
     controls: u32,
-    /// Changes of configuration a second.
+    /// Configuration changes per second.
     #[arg(long, default_value_t = 1.0)]
     pace: f64,
-    /// Where draws start.
+    /// Seed of the random numbers.
     #[arg(long, default_value_t = 1)]
     seed: u64,
     /// Write the result as JSON to this file.
     #[arg(long)]
     json: Option<PathBuf>,
-    /// The program; left out: `stepspur` beside this executable.
+    /// Path of the program; by default `stepspur` beside this executable.
     #[arg(long)]
     program: Option<PathBuf>,
 }
 
-/// Runs it. An aim that is missed is told, and no error.
+/// Runs the comparison and writes the report. A ratio above the target is reported, but is not an error.
 ///
 /// # Errors
-/// A run that fails or takes too long.
+/// If the run fails, is interrupted or takes too long.
 pub(crate) async fn run(args: DrainsArgs) -> anyhow::Result<()> {
     let (mut interrupt, mut terminate) = (signal(SignalKind::interrupt())?, signal(SignalKind::terminate())?);
     let folder = tempfile::Builder::new().prefix("stepspur-drains-").tempdir()?;
-    // Whatever was started ends with the measuring that is dropped.
+    // Dropping the measurement ends every process that it started.
     let report = tokio::select! {
-        report = timeout(RUN_TIMEOUT, measure(&args, folder.path())) => report.context("it took too long")??,
+        report = timeout(RUN_TIMEOUT, measure(&args, folder.path())) => report.context("the run exceeded its time limit")??,
         _ = interrupt.recv() => anyhow::bail!("interrupted"),
-        _ = terminate.recv() => anyhow::bail!("told to end"),
+        _ = terminate.recv() => anyhow::bail!("terminated"),
     };
     println!("{report}");
     if let Some(path) = &args.json {
--- a/crates/stepspur-scale/src/drains/report.rs
+++ b/crates/stepspur-scale/src/drains/report.rs
@@ -1,4 +1,4 @@
-//! What the arms took, and their ratio.
+//! Results of both arms and their ratios.
 
 #[cfg(test)]
 mod tests;
@@ -12,63 +12,64 @@
 use crate::fleet::latency::Spread;
 use crate::fleet::report::Machine;
 
-/// Medians of drains to the last proxy, on over off, are at most this.
-pub(super) const RATIO_AIM: f64 = 1.05;
+/// Largest accepted ratio, on over off, of the median time of a drain to the last proxy.
+pub(super) const MAX_RATIO: f64 = 1.05;
 
-/// What was run.
+/// Parameters of the run.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(super) struct Setting {
-    /// Servers that the list names.
+    /// Servers in the list.
     pub servers: usize,
     /// Proxies of the conductor.
     pub proxies: usize,
     /// Rounds of each arm.
     pub rounds: u32,
-    /// Drains of a round.
+    /// Measured drains in each round.
     pub drains: u32,
     /// Control members.
     pub controls: u32,
-    /// Changes of configuration a second.
+    /// Configuration changes per second.
     pub changes_per_s: f64,
-    /// Where draws started.
+    /// Seed of the random numbers.
     pub seed: u64,
 }
 
-/// What the rounds of one arm took.
+/// Results of one arm over all its rounds.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub(super) struct ArmReport {
-    /// From the list's change to the last proxy's reading, over all rounds.
+    /// Time from the change of the list until the last proxy read the order, over all drains.
     pub last: Spread,
-    /// The mean of the same.
+    /// Mean of the same time, in milliseconds.
     pub last_mean_ms: f64,
-    /// To each proxy's reading, over all rounds.
+    /// Time until each proxy read the order, over all drains and proxies.
     pub each: Spread,
-    /// Medians of drains to the last proxy, round by round.
+    /// Median of the time to the last proxy, for each round, in milliseconds.
     pub round_medians_ms: Vec<f64>,
-    /// Processor time of the conductor from the list's change to the last proxy's reading, a drain.
+    /// Mean CPU time of the conductor for one drain, until the last proxy read the order, in milliseconds.
     pub cpu_ms: f64,
-    /// Changes that were agreed during the drains.
+    /// Configuration changes committed during the drains.
     pub changes_agreed: u64,
-    /// Orders of levels that each proxy read during the drains, over all rounds.
+    /// Orders with admission levels that a proxy read during the drains: mean over the proxies, sum over the
+    /// rounds.
     pub levels_ordered: f64,
 }
 
-/// How the arms compare: on over off.
+/// Ratios of the arms' results, on over off.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub(super) struct Ratios {
-    /// Of the medians of all drains to the last proxy.
+    /// Ratio of the medians of the time to the last proxy.
     pub last_p50: f64,
-    /// Of their 99th in a hundred.
+    /// Ratio of the 99th percentiles of the same time.
     pub last_p99: f64,
-    /// Of their means.
+    /// Ratio of the means of the same time.
     pub last_mean: f64,
-    /// Of the processor time.
+    /// Ratio of the CPU times.
     pub cpu: f64,
-    /// Of the medians of each pair of rounds.
+    /// Ratio of the medians, for each pair of rounds.
     pub pairs: Vec<f64>,
 }
 
-/// The whole result.
+/// The complete result.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct Report {
     machine: Machine,
@@ -111,7 +112,7 @@
 }
 
 impl Report {
-    /// Of all rounds, those of each arm in the order of their pairs.
+    /// Builds the report. The rounds of each arm must be in the order of their pairs.
     pub(super) fn new(machine: Machine, setting: Setting, rounds: &[Measured]) -> Self {
         let (on, off) = (ArmReport::new(Arm::On, rounds), ArmReport::new(Arm::Off, rounds));
         let ratios = Ratios::new(&on, &off);
@@ -152,7 +153,7 @@
             "ratios, on over off: p99 {:.3}, mean {:.3}, CPU {:.3}; medians of pairs {:.3?}",
             ratios.last_p99, ratios.last_mean, ratios.cpu, ratios.pairs
         )?;
-        let missed = if ratios.last_p50 <= RATIO_AIM { "kept" } else { "missed" };
-        write!(f, "ratio of the medians to the last {:.3}, aim {RATIO_AIM}: {missed}", ratios.last_p50)
+        let verdict = if ratios.last_p50 <= MAX_RATIO { "kept" } else { "missed" };
+        write!(f, "ratio of the medians to the last {:.3}, aim {MAX_RATIO}: {verdict}", ratios.last_p50)
     }
 }
--- a/crates/stepspur-scale/src/drains/report/tests.rs
+++ b/crates/stepspur-scale/src/drains/report/tests.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn arms_are_summed_up_over_their_rounds_and_compared() {
+fn arms_are_summed_over_their_rounds_and_compared() {
     let rounds = [
         round(Arm::On, [10_000, 12_000, 14_000], 60),
         round(Arm::Off, [8_000, 10_000, 12_000], 45),
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn the_aim_itself_is_kept() {
+fn ratio_equal_to_the_limit_is_accepted() {
     let rounds = [round(Arm::On, [10_500; 3], 1), round(Arm::Off, [10_000; 3], 1)];
     let report = report(&rounds);
     assert!(
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn pairs_begin_with_either_arm_in_turn() {
+fn pairs_alternate_the_first_arm() {
     assert_eq!(order(0), [Arm::On, Arm::Off]);
     assert_eq!(order(1), [Arm::Off, Arm::On]);
     assert_eq!(order(2), order(0));
--- a/crates/stepspur-scale/src/drains/round.rs
+++ b/crates/stepspur-scale/src/drains/round.rs
@@ -1,4 +1,4 @@
-//! One round: a conductor of one arm, all its proxies, and drains one after the other.
+//! One round: starts a conductor of one arm, joins its proxies and drains servers one after the other.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -23,32 +23,32 @@
 use crate::slopes::conductor::{self, Bench, Setup};
 use crate::usage;
 
-/// Whatever a round waits for comes within this.
-const PATIENCE: Duration = Duration::from_secs(60);
-/// Drains at the start of a round that are not counted.
-const WARM_UP: u32 = 3;
-/// Before each drain a pause is drawn up to this, so that drains meet reports, changes and the engine's own
-/// times at any place.
-const LONGEST_PAUSE: Duration = Duration::from_millis(100);
-/// Requests a second that each proxy tells.
+/// Time limit for every wait of a round.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
+/// Drains at the start of a round that do not count.
+const WARM_UP_DRAINS: u32 = 3;
+/// Longest random pause before a drain, so that drains fall at any point relative to reports, configuration
+/// changes and the engine's periodic work.
+const MAX_PAUSE: Duration = Duration::from_millis(100);
+/// Requests per second that each proxy reports.
 const REQUESTS_PER_PROXY: usize = 1;
-/// Of so many servers of a zone one may drain at a time: then all are listed as ready again.
-const SERVERS_A_DRAINING_ONE: usize = 5;
-/// Changes of tables that may wait, of each proxy.
-const TABLE_CHANGES_OF_PROXY: usize = 4;
+/// At most one in this many servers of a zone drains at a time; at the limit, all are set to ready again.
+const SERVERS_PER_DRAINING_SERVER: usize = 5;
+/// Capacity of the channel of table changes, for each proxy.
+const TABLE_CHANGE_CAPACITY_PER_PROXY: usize = 4;
 
-/// What all rounds have in common.
+/// Parameters that all rounds share.
 #[derive(Clone, Debug)]
 pub(super) struct RoundSettings {
-    /// The real program.
+    /// Path of the real program.
     pub program: PathBuf,
-    /// Servers that the list names.
+    /// Servers in the list.
     pub servers: usize,
-    /// Proxies of the conductor.
+    /// Proxies that join the conductor.
     pub proxies: usize,
-    /// Drains that are counted.
+    /// Drains that count.
     pub drains: u32,
-    /// Where draws start.
+    /// Seed of the random numbers.
     pub seed: u64,
 }
 
@@ -65,12 +65,13 @@
         }
     }
 
-    /// Changes for the conductor of all rounds: of its classes, and of its last server, which no drain takes.
+    /// Schedule of configuration changes for the conductors of all rounds: of their classes, and of the last
+    /// server, which no measured drain uses.
     ///
     /// # Errors
-    /// Too few servers.
+    /// If there are too few servers.
     pub(super) fn schedule(&self) -> anyhow::Result<Schedule> {
-        let fleet = conductor::settings()?.fleet;
+        let fleet = conductor::base_config()?.fleet;
         let zones = fleet.zones.len();
         ensure!(self.servers >= 3 * zones, "{zones} zones need {} servers", 3 * zones);
         let classes = fleet.classes.into_iter().map(|class| class.name).collect();
@@ -78,7 +79,7 @@
     }
 }
 
-/// A round under way. Dropping it kills its conductor.
+/// A running round. Dropping it kills its conductor.
 pub(super) struct Round {
     arm: Arm,
     drains: u32,
@@ -89,41 +90,42 @@
     hollow: HollowProxies,
     table_changes: mpsc::Receiver<TableChange>,
     random: ChaCha8Rng,
-    /// Drains so far, of which the first are not counted.
-    turn: usize,
-    /// Servers that are draining.
+    /// Drains so far, including those that do not count.
+    drains_started: usize,
+    /// Numbers of the servers that are listed as draining.
     draining: Vec<usize>,
 }
 
-/// What a round measured.
+/// Results of a round.
 #[derive(Clone, Debug)]
 pub(super) struct Measured {
-    /// Its arm.
+    /// Arm of the round.
     pub arm: Arm,
-    /// From the list's change to the last proxy's reading, of each drain.
+    /// For each drain, time from the change of the list until the last proxy read the order, in microseconds.
     pub last: Vec<Micros>,
-    /// To each proxy's reading, of all drains.
+    /// For all drains, time until each proxy read the order, in microseconds.
     pub each: Vec<Micros>,
-    /// Processor time of the conductor from the list's change to the last proxy's reading, of all drains.
+    /// CPU time of the conductor from the change of the list until the last proxy read the order, summed over
+    /// the drains.
     pub cpu: Duration,
-    /// Changes that were agreed meanwhile.
+    /// Configuration changes committed during the drains.
     pub changes_agreed: u64,
-    /// Orders of levels that each proxy read meanwhile, in the mean.
+    /// Orders with admission levels that a proxy read during the drains, mean over the proxies.
     pub levels_ordered: f64,
 }
 
-/// What one drain took.
-struct Drain {
+/// Results of one drain.
+struct DrainResult {
     each: Vec<Micros>,
     cpu: Duration,
 }
 
 impl Round {
-    /// Starts a conductor of this arm and joins its proxies. Draws depend on the pair, and are the same in
-    /// both arms.
+    /// Starts a conductor of this arm and joins its proxies. Random numbers depend on the pair and are the
+    /// same in both arms.
     ///
     /// # Errors
-    /// A process that does not start, or proxies that do not join in time.
+    /// If a process does not start, or proxies do not join in time.
     pub(super) async fn start(
         settings: &RoundSettings,
         arm: Arm,
@@ -136,8 +138,9 @@
             bench.config.distribution = Some(controls.subscription(folder.join("measured.redb")));
         }
         let running = bench.launcher.start(&bench.config).await?;
-        let (tell, table_changes) = mpsc::channel(settings.proxies.max(1) * TABLE_CHANGES_OF_PROXY);
-        let hollow = bench.join(running.address, Some(tell)).await?;
+        let (table_change_sender, table_changes) =
+            mpsc::channel(settings.proxies.max(1) * TABLE_CHANGE_CAPACITY_PER_PROXY);
+        let hollow = bench.join(running.address, Some(table_change_sender)).await?;
         Ok(Self {
             arm,
             drains: settings.drains,
@@ -148,26 +151,27 @@
             hollow,
             table_changes,
             random: ChaCha8Rng::seed_from_u64(settings.seed ^ (u64::from(pair) << 32)),
-            turn: 0,
+            drains_started: 0,
             draining: Vec::new(),
         })
     }
 
-    /// Drains servers while changes are agreed on, and ends the round.
+    /// Drains servers while configuration changes are committed, then ends the round.
     ///
     /// # Errors
-    /// A drain that does not reach all proxies, changes that are not agreed or do not come where they should.
+    /// If a drain does not reach all proxies, or changes are not committed or, in the arm "on", do not reach all proxies.
     pub(super) async fn measure(mut self, changes: &mut Changes) -> anyhow::Result<Measured> {
-        dropping(&mut self.table_changes, changes.next()).await?;
+        discarding_changes(&mut self.table_changes, changes.next()).await?;
         if self.arm == Arm::On {
             let all = self.hollow.levels() + self.proxies as u64;
-            let levelled = dropping(&mut self.table_changes, self.hollow.levelled(all, PATIENCE));
-            levelled.await.context("changes do not come to the proxies")?;
+            let levels_read =
+                discarding_changes(&mut self.table_changes, self.hollow.wait_for_levels(all, WAIT_TIMEOUT));
+            levels_read.await.context("configuration changes did not reach all proxies")?;
         }
-        for _ in 0..WARM_UP {
+        for _ in 0..WARM_UP_DRAINS {
             self.next_drain().await?;
         }
-        let (agreed, levels) = (changes.agreed(), self.hollow.levels());
+        let (agreed, levels) = (changes.committed(), self.hollow.levels());
         let (mut last, mut each, mut cpu) = (Vec::new(), Vec::new(), Duration::ZERO);
         for _ in 0..self.drains {
             let drain = self.next_drain().await?;
@@ -176,98 +180,104 @@
             cpu += drain.cpu;
         }
         let levels_ordered = (self.hollow.levels() - levels) as f64 / self.proxies.max(1) as f64;
-        let changes_agreed = changes.agreed() - agreed;
+        let changes_agreed = changes.committed() - agreed;
         let arm = self.arm;
         self.stop().await;
         Ok(Measured { arm, last, each, cpu, changes_agreed, levels_ordered })
     }
 
-    /// Waits for a while that is drawn, and drains.
-    async fn next_drain(&mut self) -> anyhow::Result<Drain> {
-        if self.draining.len() >= self.draining_most() {
-            self.take_back().await?;
+    /// Waits for a random pause, then drains.
+    async fn next_drain(&mut self) -> anyhow::Result<DrainResult> {
+        if self.draining.len() >= self.max_draining() {
+            self.return_to_ready().await?;
         }
-        let pause = LONGEST_PAUSE.mul_f64(self.random.random::<f64>());
-        dropping(&mut self.table_changes, sleep(pause)).await;
+        let pause = MAX_PAUSE.mul_f64(self.random.random::<f64>());
+        discarding_changes(&mut self.table_changes, sleep(pause)).await;
         self.drain().await
     }
 
-    /// Drains one server of each zone at once. It ends when the conductor waits for the next change of its
-    /// list.
-    async fn drain(&mut self) -> anyhow::Result<Drain> {
-        let picked = self.picked();
-        self.turn += 1;
-        self.draining.extend(&picked);
+    /// Drains one server of each zone at the same time. Returns when the conductor polls the list for the
+    /// next change.
+    async fn drain(&mut self) -> anyhow::Result<DrainResult> {
+        let drained = self.next_servers();
+        self.drains_started += 1;
+        self.draining.extend(&drained);
         let pid = self.running.pid().context("the conductor has ended")?;
         let (polls, cpu, from) = (self.bench.registry.polls(), usage::thread_cpu_time(pid)?, Instant::now());
-        self.bench.set_states(picked.clone(), EndpointRecordState::Draining);
+        self.bench.set_states(drained.clone(), EndpointRecordState::Draining);
         let each =
-            self.read_by_all(&picked, false, from).await.context("a drain did not reach all proxies")?;
+            self.wait_until_read(&drained, false, from).await.context("a drain did not reach all proxies")?;
         let cpu = usage::thread_cpu_time(pid)?.saturating_sub(cpu);
-        self.polled(polls).await?;
-        Ok(Drain { each, cpu })
+        self.wait_for_poll(polls).await?;
+        Ok(DrainResult { each, cpu })
     }
 
-    /// Lists the servers that drain as ready, and waits until they are back in all tables.
-    async fn take_back(&mut self) -> anyhow::Result<()> {
+    /// Sets all draining servers to ready, and waits until they are in all tables again.
+    async fn return_to_ready(&mut self) -> anyhow::Result<()> {
         let draining = std::mem::take(&mut self.draining);
         let (polls, from) = (self.bench.registry.polls(), Instant::now());
         self.bench.set_states(draining.clone(), EndpointRecordState::Ready);
-        self.read_by_all(&draining, true, from).await.context("servers did not come back to all proxies")?;
-        self.polled(polls).await
+        self.wait_until_read(&draining, true, from)
+            .await
+            .context("servers set to ready did not return to the tables of all proxies")?;
+        self.wait_for_poll(polls).await
     }
 
-    /// One server of each zone, taken in turn from all but the last of each.
-    fn picked(&self) -> Vec<usize> {
+    /// The next server of each zone, in rotation over all but the last of each zone.
+    fn next_servers(&self) -> Vec<usize> {
         let zones = self.zones();
-        let first = self.turn % self.turns() * zones;
+        let first = self.drains_started % self.rotation_length() * zones;
         (first..first + zones).collect()
     }
 
-    fn turns(&self) -> usize {
+    /// Servers of each zone that the rotation uses.
+    fn rotation_length(&self) -> usize {
         (self.servers / self.zones() - 1).max(1)
     }
 
-    fn draining_most(&self) -> usize {
-        (self.turns() / SERVERS_A_DRAINING_ONE).max(1) * self.zones()
+    /// Most servers that may drain at a time, over all zones.
+    fn max_draining(&self) -> usize {
+        (self.rotation_length() / SERVERS_PER_DRAINING_SERVER).max(1) * self.zones()
     }
 
     fn zones(&self) -> usize {
         self.bench.config.fleet.zones.len()
     }
 
-    /// Waits until the conductor waits for the next change of its list by a later poll than these.
-    async fn polled(&mut self, polls: u64) -> anyhow::Result<()> {
-        let polled = timeout(PATIENCE, self.bench.registry.polled(polls));
-        dropping(&mut self.table_changes, polled).await.context("the list is not read any more")
+    /// Waits until the conductor has polled its list more often than `polls` times.
+    async fn wait_for_poll(&mut self, polls: u64) -> anyhow::Result<()> {
+        let polled = timeout(WAIT_TIMEOUT, self.bench.registry.polled(polls));
+        discarding_changes(&mut self.table_changes, polled)
+            .await
+            .context("the conductor no longer polls the server list")
     }
 
-    /// Waits until each proxy has read of all these servers of its zone that they are used, or are not any
-    /// more: the times to each.
-    async fn read_by_all(
+    /// Waits until each proxy has read, for each of these servers in its own zone, that the server is used
+    /// (or, with `used` false, no longer used). Returns the times from `from` to each reading.
+    async fn wait_until_read(
         &mut self,
         servers: &[usize],
         used: bool,
         from: Instant,
     ) -> anyhow::Result<Vec<Micros>> {
-        let mut awaited = self.awaited(servers);
-        let mut times = Vec::with_capacity(awaited.len());
+        let mut expected = self.expected(servers);
+        let mut times = Vec::with_capacity(expected.len());
         let all = async {
-            while !awaited.is_empty() {
+            while !expected.is_empty() {
                 let change = self.table_changes.recv().await.context("all streams have ended")?;
-                if change.used == used && awaited.remove(&(change.proxy, change.server)) {
+                if change.used == used && expected.remove(&(change.proxy, change.server)) {
                     let span = change.at.saturating_duration_since(from);
                     times.push(span.as_micros() as Micros);
                 }
             }
             anyhow::Ok(())
         };
-        timeout(PATIENCE, all).await.with_context(|| format!("within {PATIENCE:?}"))??;
+        timeout(WAIT_TIMEOUT, all).await.with_context(|| format!("within {WAIT_TIMEOUT:?}"))??;
         Ok(times)
     }
 
-    /// Each proxy with each of these servers that is of its zone.
-    fn awaited(&self, servers: &[usize]) -> BTreeSet<(usize, SocketAddr)> {
+    /// Pairs of each proxy with each of these servers in its own zone.
+    fn expected(&self, servers: &[usize]) -> BTreeSet<(usize, SocketAddr)> {
         let zones = self.zones();
         let of_zone = |proxy: usize| servers.iter().filter(move |server| *server % zones == proxy % zones);
         let of_proxy = |proxy: usize| of_zone(proxy).map(move |server| (proxy, self.bench.address(*server)));
@@ -281,12 +291,15 @@
     }
 }
 
-/// Waits for something while changes of tables are dropped, so that none holds a proxy up.
-async fn dropping<T>(table_changes: &mut mpsc::Receiver<TableChange>, awaited: impl Future<Output = T>) -> T {
-    tokio::pin!(awaited);
+/// Waits for `expected` while discarding table changes, so that a full channel does not block the proxies.
+async fn discarding_changes<T>(
+    table_changes: &mut mpsc::Receiver<TableChange>,
+    expected: impl Future<Output = T>,
+) -> T {
+    tokio::pin!(expected);
     loop {
         tokio::select! {
-            done = &mut awaited => return done,
+            done = &mut expected => return done,
             Some(_) = table_changes.recv() => {}
         }
     }
--- a/crates/stepspur-scale/src/hollow/mod.rs
+++ b/crates/stepspur-scale/src/hollow/mod.rs
@@ -1,4 +1,4 @@
-//! Hollow servers and proxies: they cost the conductor what real ones do, and do nothing else.
+//! Hollow servers and proxies: stand-ins that put the load of real ones on a conductor and do nothing else.
 
 pub(crate) mod proxies;
 pub(crate) mod servers;
--- a/crates/stepspur-scale/src/hollow/proxies.rs
+++ b/crates/stepspur-scale/src/hollow/proxies.rs
@@ -1,4 +1,5 @@
-//! Hollow proxies: each joins a conductor by the project's protocol, answers marks and pings, and reports.
+//! Hollow proxies: each joins a conductor over the proxy protocol, acknowledges orders, answers pings and
+//! sends reports.
 
 use std::io;
 use std::net::SocketAddr;
@@ -22,50 +23,50 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-/// What proxies do.
+/// Settings of a set of hollow proxies.
 #[derive(Clone, Debug)]
 pub(crate) struct ProxySettings {
-    /// As many join.
+    /// Number of proxies.
     pub count: usize,
-    /// Names of the zones, taken in turn.
+    /// Zone names, assigned to the proxies round-robin.
     pub zones: Vec<String>,
-    /// Servers that reports name.
+    /// Servers that appear in reports.
     pub servers: Arc<Vec<SocketAddr>>,
-    /// Requests a second of each proxy; each met another server as long as there are enough.
+    /// Reported requests per second of each proxy, spread over as many servers as possible.
     pub requests_per_s: usize,
-    /// Where draws of servers start.
+    /// Seed of the random choices of servers and of the first report's time.
     pub seed: u64,
-    /// Where each change of a table is told; a receiver that lags holds the proxies up.
+    /// Receives each change of a table, if set; the proxies wait while the channel is full.
     pub table_changes: Option<mpsc::Sender<TableChange>>,
 }
 
-/// An order gave a server another weight in a proxy's table.
+/// A change of a server's weight in a proxy's table.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TableChange {
-    /// The number of the proxy.
+    /// Number of the proxy, from 0.
     pub proxy: usize,
-    /// The server.
+    /// Address of the server.
     pub server: SocketAddr,
-    /// True: requests may go to it; false: it has no weight any more.
+    /// Whether the server has a weight above 0 and so may receive requests.
     pub used: bool,
-    /// When the proxy read the order.
+    /// Time at which the proxy read the order.
     pub at: Instant,
 }
 
-/// What the proxies have seen, counted together.
+/// Counters over all proxies.
 #[derive(Debug, Default)]
-struct Seen {
+struct Counters {
     bound: AtomicU64,
     removals: AtomicU64,
     levels: AtomicU64,
     reports: AtomicU64,
 }
 
-/// Proxies that have dialled in; dropping them ends them, [`HollowProxies::stop`] waits.
+/// Connected hollow proxies. [`HollowProxies::stop`] stops them and waits for their tasks.
 #[derive(Debug)]
 pub(crate) struct HollowProxies {
     count: u64,
-    seen: Arc<Seen>,
+    counters: Arc<Counters>,
     changed: watch::Receiver<()>,
     stop: CancellationToken,
     tasks: TaskTracker,
@@ -74,15 +75,15 @@
 type Stream = Framed<TcpStream, Frames<FromConductor, FromProxy>>;
 
 impl HollowProxies {
-    /// Dials the conductor with all proxies; they join on their own.
+    /// Connects all proxies to the conductor; they then join in the background.
     ///
     /// # Errors
-    /// If a connection does not come about.
+    /// If a connection fails.
     pub(crate) async fn start(conductor: SocketAddr, settings: &ProxySettings) -> io::Result<Self> {
         let (stop, tasks) = (CancellationToken::new(), TaskTracker::new());
-        let seen = Arc::new(Seen::default());
-        let (tell, changed) = watch::channel(());
-        let tell = Arc::new(tell);
+        let counters = Arc::new(Counters::default());
+        let (notify, changed) = watch::channel(());
+        let notify = Arc::new(notify);
         for number in 0..settings.count {
             let socket = TcpStream::connect(conductor).await?;
             socket.set_nodelay(true)?;
@@ -90,66 +91,66 @@
                 number,
                 settings: settings.clone(),
                 random: ChaCha8Rng::seed_from_u64(settings.seed ^ number as u64),
-                seen: Arc::clone(&seen),
-                tell: Arc::clone(&tell),
+                counters: Arc::clone(&counters),
+                notify: Arc::clone(&notify),
             };
             let stop = stop.clone();
             tasks.spawn(async move {
                 tokio::select! {
                     () = stop.cancelled() => {}
-                    _ = proxy.follow(Framed::new(socket, Frames::new(LARGEST_FRAME))) => {}
+                    _ = proxy.run(Framed::new(socket, Frames::new(LARGEST_FRAME))) => {}
                 }
             });
         }
-        Ok(Self { count: settings.count as u64, seen, changed, stop, tasks })
+        Ok(Self { count: settings.count as u64, counters, changed, stop, tasks })
     }
 
-    /// Waits until all hold a table.
+    /// Waits until all proxies have a table.
     ///
     /// # Errors
-    /// If that takes longer.
-    pub(crate) async fn bound(&mut self, within: Duration) -> anyhow::Result<()> {
-        let (seen, count) = (Arc::clone(&self.seen), self.count);
-        self.wait(within, || seen.bound.load(Ordering::Relaxed) >= count)
+    /// If that takes longer than `within`.
+    pub(crate) async fn wait_until_bound(&mut self, within: Duration) -> anyhow::Result<()> {
+        let (counters, count) = (Arc::clone(&self.counters), self.count);
+        self.wait(within, || counters.bound.load(Ordering::Relaxed) >= count)
             .await
-            .context("not all proxies are bound")
+            .context("not all proxies received a table")
     }
 
-    /// Orders that took a server from a table, so far and in all.
+    /// Total number of orders that set a server's weight to 0.
     pub(crate) fn removals(&self) -> u64 {
-        self.seen.removals.load(Ordering::Relaxed)
+        self.counters.removals.load(Ordering::Relaxed)
     }
 
-    /// Orders that set levels of classes, so far and in all; tables apart.
+    /// Total number of orders that set admission levels.
     pub(crate) fn levels(&self) -> u64 {
-        self.seen.levels.load(Ordering::Relaxed)
+        self.counters.levels.load(Ordering::Relaxed)
     }
 
-    /// Waits until so many orders in all have set levels.
+    /// Waits until [`HollowProxies::levels`] reaches `orders`.
     ///
     /// # Errors
-    /// If that takes longer.
-    pub(crate) async fn levelled(&mut self, orders: u64, within: Duration) -> anyhow::Result<()> {
-        let seen = Arc::clone(&self.seen);
-        self.wait(within, || seen.levels.load(Ordering::Relaxed) >= orders)
+    /// If that takes longer than `within`.
+    pub(crate) async fn wait_for_levels(&mut self, orders: u64, within: Duration) -> anyhow::Result<()> {
+        let counters = Arc::clone(&self.counters);
+        self.wait(within, || counters.levels.load(Ordering::Relaxed) >= orders)
             .await
-            .context("levels were not ordered")
+            .context("not all proxies received their admission levels")
     }
 
-    /// Reports that all of them have sent.
+    /// Total number of reports sent.
     pub(crate) fn reports(&self) -> u64 {
-        self.seen.reports.load(Ordering::Relaxed)
+        self.counters.reports.load(Ordering::Relaxed)
     }
 
-    /// Waits until so many orders in all have taken a server from a table.
+    /// Waits until [`HollowProxies::removals`] reaches `orders`.
     ///
     /// # Errors
-    /// If that takes longer.
-    pub(crate) async fn removed(&mut self, orders: u64, within: Duration) -> anyhow::Result<()> {
-        let seen = Arc::clone(&self.seen);
-        self.wait(within, || seen.removals.load(Ordering::Relaxed) >= orders)
+    /// If that takes longer than `within`.
+    pub(crate) async fn wait_for_removals(&mut self, orders: u64, within: Duration) -> anyhow::Result<()> {
+        let counters = Arc::clone(&self.counters);
+        self.wait(within, || counters.removals.load(Ordering::Relaxed) >= orders)
             .await
-            .context("orders did not come")
+            .context("not all proxies received the removals")
     }
 
     async fn wait(&mut self, within: Duration, done: impl Fn() -> bool) -> anyhow::Result<()> {
@@ -162,7 +163,7 @@
         timeout(within, all).await.with_context(|| format!("within {within:?}"))?
     }
 
-    /// Ends them all and waits for their tasks.
+    /// Stops all proxies and waits for their tasks.
     pub(crate) async fn stop(self) {
         self.stop.cancel();
         self.tasks.close();
@@ -174,29 +175,31 @@
     number: usize,
     settings: ProxySettings,
     random: ChaCha8Rng,
-    seen: Arc<Seen>,
-    tell: Arc<watch::Sender<()>>,
+    counters: Arc<Counters>,
+    notify: Arc<watch::Sender<()>>,
 }
 
 impl Proxy {
-    async fn follow(mut self, mut stream: Stream) -> Result<(), FrameError> {
+    /// Joins the conductor, then sends reports and handles messages until the stream ends.
+    async fn run(mut self, mut stream: Stream) -> Result<(), FrameError> {
         stream.send(FromProxy::new(0, 0, from_proxy::Kind::Hello(self.hello()))).await?;
         let Some(welcome) = stream.next().await.transpose()? else { return Ok(()) };
-        let Some(from_conductor::Kind::Welcome(told)) = welcome.kind else { return Ok(()) };
-        let every = Duration::from_micros(told.report_every_us).max(Duration::from_millis(10));
-        // Spread over the period, as proxies that started at different times are.
+        let Some(from_conductor::Kind::Welcome(settings)) = welcome.kind else { return Ok(()) };
+        let every = Duration::from_micros(settings.report_every_us).max(Duration::from_millis(10));
+        // The first report is at a random point of the period, as for proxies that started at different
+        // times.
         let first = Instant::now() + every.mul_f64(self.random.random::<f64>());
-        let mut turns = interval_at(first, every);
+        let mut report_ticks = interval_at(first, every);
         let (mut epoch, mut sequence) = (welcome.epoch, 0);
         loop {
             let kind = tokio::select! {
-                _ = turns.tick() => Some(from_proxy::Kind::Report(self.report(every))),
+                _ = report_ticks.tick() => Some(from_proxy::Kind::Report(self.report(every))),
                 read = stream.next() => {
                     let Some(read) = read.transpose()? else { return Ok(()) };
-                    self.tell_table_changes(&read, Instant::now()).await;
+                    self.send_table_changes(&read, Instant::now()).await;
                     epoch = read.epoch;
                     sequence = sequence.max(read.sequence);
-                    self.take(read)
+                    self.handle(read)
                 }
             };
             if let Some(kind) = kind {
@@ -217,9 +220,9 @@
         }
     }
 
-    /// Tells what an order changes in the table, where somebody wants to know.
-    async fn tell_table_changes(&self, read: &FromConductor, at: Instant) {
-        let (Some(told), Some(from_conductor::Kind::Order(order))) =
+    /// Sends each table change of an order to the `table_changes` channel, if there is one.
+    async fn send_table_changes(&self, read: &FromConductor, at: Instant) {
+        let (Some(table_changes), Some(from_conductor::Kind::Order(order))) =
             (&self.settings.table_changes, &read.kind)
         else {
             return;
@@ -227,25 +230,25 @@
         for line in &order.lines {
             let Ok(server) = address_of(&line.server) else { continue };
             let change = TableChange { proxy: self.number, server, used: line.weight > 0.0, at };
-            // Nobody listens any more: the measuring is over.
-            let _ = told.send(change).await;
+            // The receiver is dropped at the end of the measurement.
+            let _ = table_changes.send(change).await;
         }
     }
 
-    /// Counts what came; the answer, if one is due.
-    fn take(&self, read: FromConductor) -> Option<from_proxy::Kind> {
+    /// Counts a message and returns the reply, if it needs one.
+    fn handle(&self, read: FromConductor) -> Option<from_proxy::Kind> {
         match read.kind {
             Some(from_conductor::Kind::Order(order)) => {
                 if order.table.is_some() {
-                    self.seen.bound.fetch_add(1, Ordering::Relaxed);
+                    self.counters.bound.fetch_add(1, Ordering::Relaxed);
                 }
                 if order.lines.iter().any(|line| line.weight == 0.0) {
-                    self.seen.removals.fetch_add(1, Ordering::Relaxed);
+                    self.counters.removals.fetch_add(1, Ordering::Relaxed);
                 }
                 if !order.levels.is_empty() {
-                    self.seen.levels.fetch_add(1, Ordering::Relaxed);
+                    self.counters.levels.fetch_add(1, Ordering::Relaxed);
                 }
-                self.tell.send_replace(());
+                self.notify.send_replace(());
                 order.mark.map(|mark| from_proxy::Kind::Applied(v1::Applied { mark, took_us: 0 }))
             }
             Some(from_conductor::Kind::Ping(ping)) => {
@@ -255,25 +258,26 @@
         }
     }
 
-    /// A period's requests, each well answered by another server, from one that is drawn.
+    /// Builds the report of one period: all requests succeeded, spread over consecutive servers from a random
+    /// one on.
     fn report(&mut self, every: Duration) -> v1::Report {
-        self.seen.reports.fetch_add(1, Ordering::Relaxed);
+        self.counters.reports.fetch_add(1, Ordering::Relaxed);
         let servers = &self.settings.servers;
         let requests = (self.settings.requests_per_s as f64 * every.as_secs_f64()).round() as usize;
         let lines = requests.min(servers.len());
         let first = self.random.random_range(0..servers.len().max(1));
-        let met = (0..lines).map(|line| {
-            let more = usize::from(line < requests % lines);
+        let servers_used = (0..lines).map(|line| {
+            let extra = usize::from(line < requests % lines);
             v1::Met {
                 server: Some(servers[(first + line) % servers.len()].into()),
-                total: (requests / lines + more) as u32,
+                total: (requests / lines + extra) as u32,
                 errors: 0,
                 latency_us: 20_000,
                 load: vec![0.0, 20.0],
             }
         });
         let period_us = every.as_micros() as u64;
-        let came = v1::Came { class: 0, total: requests as u32, errors: 0 };
-        v1::Report { period_us, age_us: 0, met: met.collect(), came: vec![came] }
+        let class_total = v1::Came { class: 0, total: requests as u32, errors: 0 };
+        v1::Report { period_us, age_us: 0, met: servers_used.collect(), came: vec![class_total] }
     }
 }
--- a/crates/stepspur-scale/src/hollow/tests.rs
+++ b/crates/stepspur-scale/src/hollow/tests.rs
@@ -13,19 +13,19 @@
 use super::proxies::{HollowProxies, ProxySettings};
 use super::servers::{HollowServers, SERVERS_MOST, address_of};
 
-/// Every wait ends after this: it is no measure of speed.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Limit for every wait, far above the expected time.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 #[tokio::test]
-async fn hollow_proxies_join_a_real_conductor_and_see_a_drain() {
+async fn hollow_proxies_join_a_conductor_and_receive_a_drain() {
     let registry = Registry::new(Arc::new(Trace::default()));
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (address, stop) = (listener.local_addr().unwrap(), CancellationToken::new());
     let serving = tokio::spawn(Arc::clone(&registry).serve(0, listener, stop.clone()));
-    let mut config = crate::slopes::conductor::settings().unwrap();
+    let mut config = crate::slopes::conductor::base_config().unwrap();
     let doubt = config.source.mass_removal_guard().clone();
     config.source =
-        Source::Http { address, path: "/v1/nodes".into(), poll: PATIENCE, timeout: PATIENCE, doubt };
+        Source::Http { address, path: "/v1/nodes".into(), poll: WAIT_TIMEOUT, timeout: WAIT_TIMEOUT, doubt };
     let zones = config.fleet.zones.clone();
     let addresses: Arc<Vec<_>> = Arc::new((0..12).map(|number| (address_of(number), 80).into()).collect());
     let node = |number: usize, state| EndpointRecord {
@@ -46,10 +46,10 @@
         table_changes: None,
     };
     let mut proxies = HollowProxies::start(conductor.address, &settings).await.unwrap();
-    proxies.bound(PATIENCE).await.unwrap();
+    proxies.wait_until_bound(WAIT_TIMEOUT).await.unwrap();
     assert_eq!(proxies.removals(), 0);
     registry.set((0..zones.len()).map(|number| node(number, EndpointRecordState::Draining)));
-    proxies.removed(6, PATIENCE).await.unwrap();
+    proxies.wait_for_removals(6, WAIT_TIMEOUT).await.unwrap();
     proxies.stop().await;
     conductor.terminate().await;
     stop.cancel();
@@ -60,7 +60,7 @@
 async fn hollow_servers_answer_probes_and_count_them() {
     let servers = HollowServers::start(3).await.unwrap();
     for address in servers.addresses() {
-        let (status, body) = http::get(*address, "/load", PATIENCE, 1_024).await.unwrap();
+        let (status, body) = http::get(*address, "/load", WAIT_TIMEOUT, 1_024).await.unwrap();
         assert!(status.is_success());
         let load: serde_json::Value = serde_json::from_slice(&body).unwrap();
         assert!(load["q"].is_number() && load["lat_ms"].is_number(), "{load}");
@@ -72,13 +72,13 @@
 }
 
 #[tokio::test]
-async fn more_hollow_servers_than_a_process_holds_are_refused() {
+async fn too_many_hollow_servers_are_rejected() {
     let refused = HollowServers::start(SERVERS_MOST + 1).await.unwrap_err();
     assert_eq!(refused.kind(), std::io::ErrorKind::InvalidInput);
 }
 
 #[test]
-fn hollow_addresses_differ_and_are_loopback() {
+fn hollow_addresses_are_distinct_loopback_addresses() {
     let mut addresses: Vec<_> = (0..19_000).map(address_of).collect();
     assert!(addresses.iter().all(|address| address.is_loopback()));
     addresses.sort();
--- a/crates/stepspur-scale/src/hollow_conductors/message.rs
+++ b/crates/stepspur-scale/src/hollow_conductors/message.rs
@@ -1,5 +1,5 @@
-//! What the rig and a process of hollow conductors tell each other: one JSON object a line, commands on its
-//! standard input, events on its standard output.
+//! Protocol between the harness and a process of hollow conductors: one JSON object per line, commands on the
+//! process's standard input, events on its standard output.
 
 use std::net::SocketAddr;
 
@@ -9,133 +9,133 @@
 
 use crate::fleet::history::{Micros, SubscriberId};
 
-/// A control member that subscribers are told of.
+/// Address of a control member that subscribers may connect to.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct ControlPlace {
-    /// Its number in the council.
+    /// Its id in the council.
     pub id: u64,
-    /// Where it lets subscribers in.
+    /// Address at which it accepts subscribers.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Region in which it runs.
     pub region: String,
 }
 
-/// A hollow conductor.
+/// Identity of a hollow conductor.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct HollowConductor {
-    /// Its place in the plan.
+    /// Its id in the plan of the run.
     pub id: SubscriberId,
-    /// Its name in the register.
+    /// Name under which it is registered as a subscriber.
     pub name: String,
-    /// What concerns it.
+    /// Scopes to which it subscribes.
     pub interest: Interest,
 }
 
-/// A command of the rig.
+/// A command of the harness.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub(crate) enum Command {
-    /// Starts these conductors at once.
+    /// Starts these conductors.
     Start {
-        /// Control members that each knows from the start.
+        /// Control members that each conductor may connect to.
         control: Vec<ControlPlace>,
-        /// The conductors.
+        /// Conductors to start.
         conductors: Vec<HollowConductor>,
     },
-    /// Lets nothing pass between conductors of a region and control.
+    /// Cuts the links between the conductors of a region and the control members.
     Cut {
-        /// The region.
+        /// Region of the conductors.
         region: String,
     },
-    /// Lets everything pass again.
+    /// Restores these links.
     Heal {
-        /// The region.
+        /// Region of the conductors.
         region: String,
     },
-    /// Stops these conductors and starts them again from what they have kept.
+    /// Stops these conductors and starts them again with their stored documents.
     Restart {
-        /// Which.
+        /// Conductors to restart.
         conductors: Vec<SubscriberId>,
     },
-    /// Asks for an [`Event::Holding`] of each conductor, then [`Event::Reported`].
+    /// Requests one [`Event::Holding`] for each conductor, followed by [`Event::Reported`].
     Report {
-        /// Comes back with the end of the report.
+        /// Returned in [`Event::Reported`].
         token: u64,
     },
 }
 
-/// An event at a process of hollow conductors. Those of one conductor come in the order in which they
-/// happened.
+/// An event of a process of hollow conductors. The events of one conductor are sent in the order of their
+/// occurrence.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub(crate) enum Event {
-    /// The process takes commands.
+    /// The process is ready for commands.
     Ready,
-    /// A conductor's engine took a document.
+    /// A conductor's engine applied a document.
     Applied {
-        /// Whose.
+        /// Conductor.
         id: SubscriberId,
-        /// The document's version.
+        /// Version of the document.
         version: Version,
-        /// The digest of its key.
+        /// Digest of the document's key.
         key: u64,
-        /// When.
+        /// Time of the event.
         at: Micros,
     },
-    /// A conductor says that it acts by a version.
+    /// A conductor has applied all documents up to a version.
     Acknowledged {
-        /// Which.
+        /// Conductor.
         id: SubscriberId,
-        /// The version.
+        /// Applied version.
         version: Version,
-        /// When.
+        /// Time of the event.
         at: Micros,
     },
-    /// A conductor was stopped, and starts again with an empty engine.
+    /// A conductor was stopped and starts again with an empty engine.
     Restarted {
-        /// Which.
+        /// Conductor.
         id: SubscriberId,
-        /// When.
+        /// Time of the event.
         at: Micros,
     },
     /// A conductor could not be started.
     Failed {
-        /// Which.
+        /// Conductor.
         id: SubscriberId,
-        /// Why.
+        /// Text of the error.
         reason: String,
     },
-    /// What a conductor holds.
+    /// State of a conductor, on request.
     Holding {
-        /// Which.
+        /// Conductor.
         id: SubscriberId,
-        /// When.
+        /// Time of the event.
         at: Micros,
-        /// True: it is attached to a control member.
+        /// Whether it is attached to a control member.
         connected: bool,
-        /// The digest of the documents in force.
+        /// Digest of the documents in force.
         digest: u64,
-        /// How many they are.
+        /// Number of documents in force.
         documents: usize,
-        /// Bytes that it has read and written since the process started.
+        /// Traffic since the process started, over all restarts of the conductor.
         bytes: Bytes,
     },
-    /// A report is whole.
+    /// A report is complete.
     Reported {
-        /// As it was asked for.
+        /// Token of the [`Command::Report`].
         token: u64,
     },
 }
 
-/// Bytes at a conductor's sockets, without headers.
+/// Traffic counters at a conductor's sockets, without headers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Bytes {
-    /// Read.
+    /// Bytes read.
     pub read: u64,
-    /// Written.
+    /// Bytes written.
     pub written: u64,
-    /// Reads that gave something.
+    /// Reads that returned at least one byte.
     pub reads: u64,
-    /// Writes that took something.
+    /// Writes that accepted at least one byte.
     pub writes: u64,
 }
--- a/crates/stepspur-scale/src/hollow_conductors/mod.rs
+++ b/crates/stepspur-scale/src/hollow_conductors/mod.rs
@@ -1,5 +1,6 @@
-//! Hollow conductors: the program's own subscribers, without proxies, servers and decisions, many as tasks of
-//! one process. Their engine notes what it is given and when. The rig drives the process by [`message`]s.
+//! Hollow conductors: the program's own configuration subscribers, without proxies, servers and decisions.
+//! Many run as tasks of one process. Their stand-in engine records each document it receives and the time.
+//! The harness controls the process by [`message`]s.
 
 pub(crate) mod message;
 mod net;
@@ -24,22 +25,22 @@
 
 use crate::fleet::history::{Documents, SubscriberId, digest, key_digest, now, put};
 use message::{Command, Event, HollowConductor};
-use net::{Counters, GatedNet, Gates};
+use net::{Counters, GatedTransport, Gates};
 
-/// Events that may wait for the rig: with more, engines wait.
-const EVENTS_WAITING_MOST: usize = 4_096;
-/// As in the settings of a real conductor.
+/// Capacity of the queue of events to the harness; engines block while it is full.
+const EVENT_QUEUE_CAPACITY: usize = 4_096;
+/// Default timeouts of a real conductor for connecting and writing.
 const DIAL_TIMEOUT: Duration = Duration::from_secs(2);
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// A subscriber that has not stopped by then is left behind.
+/// Longest wait for a subscriber to stop; it is then abandoned.
 const STOP_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Runs a process of hollow conductors until its standard input ends.
+/// Runs hollow conductors until standard input is closed.
 ///
 /// # Errors
-/// Commands that cannot be read, or a standard output that is gone.
+/// If a command cannot be parsed or standard output is closed.
 pub(crate) async fn run() -> anyhow::Result<()> {
-    // One thread: many such processes share the machine, and each has little to do.
+    // A single thread, because many such processes share the machine and each has little work.
     tokio::task::spawn_blocking(|| {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         runtime.block_on(serve())
@@ -48,36 +49,36 @@
 }
 
 async fn serve() -> anyhow::Result<()> {
-    let (events, waiting) = mpsc::channel(EVENTS_WAITING_MOST);
-    let writer = tokio::spawn(write(waiting));
+    let (events, queue) = mpsc::channel(EVENT_QUEUE_CAPACITY);
+    let writer = tokio::spawn(write_events(queue));
     let mut process = Process::new(events);
-    process.tell(Event::Ready).await?;
+    process.send(Event::Ready).await?;
     let mut lines = BufReader::new(tokio::io::stdin()).lines();
     while let Some(line) = lines.next_line().await? {
-        let command = serde_json::from_str(&line).context("a command that cannot be read")?;
-        process.take(command).await?;
+        let command = serde_json::from_str(&line).context("cannot parse a command")?;
+        process.handle(command).await?;
     }
     process.stop().await;
     writer.await?
 }
 
-/// Writes events as they come, many at a time when many wait.
-async fn write(mut waiting: mpsc::Receiver<Event>) -> anyhow::Result<()> {
+/// Writes events to standard output, and flushes once for all that are queued.
+async fn write_events(mut queue: mpsc::Receiver<Event>) -> anyhow::Result<()> {
     let mut out = BufWriter::new(tokio::io::stdout());
-    while let Some(event) = waiting.recv().await {
+    while let Some(event) = queue.recv().await {
         let mut next = Some(event);
         while let Some(event) = next {
             let mut line = serde_json::to_vec(&event)?;
             line.push(b'\n');
             out.write_all(&line).await?;
-            next = waiting.try_recv().ok();
+            next = queue.try_recv().ok();
         }
         out.flush().await?;
     }
     Ok(())
 }
 
-/// The conductors of this process.
+/// State of this process: its conductors, and the control members they use.
 struct Process {
     control: Vec<SocketAddr>,
     conductors: BTreeMap<SubscriberId, Running>,
@@ -85,12 +86,12 @@
     events: mpsc::Sender<Event>,
 }
 
-/// A hollow conductor that runs.
+/// A running hollow conductor.
 struct Running {
     conductor: HollowConductor,
     subscriber: Subscriber,
     store: MemoryStore,
-    engine: Arc<Engine>,
+    engine: Arc<RecordingEngine>,
     counters: Arc<Counters>,
     status: watch::Receiver<SubscriberStatus>,
     stop: CancellationToken,
@@ -102,21 +103,21 @@
         Self { control: Vec::new(), conductors: BTreeMap::new(), gates: Gates::default(), events }
     }
 
-    async fn tell(&self, event: Event) -> anyhow::Result<()> {
-        self.events.send(event).await.context("nobody takes events")
+    async fn send(&self, event: Event) -> anyhow::Result<()> {
+        self.events.send(event).await.context("the queue of events is closed")
     }
 
-    async fn take(&mut self, command: Command) -> anyhow::Result<()> {
+    async fn handle(&mut self, command: Command) -> anyhow::Result<()> {
         match command {
             Command::Start { control, conductors } => {
-                self.control = control.into_iter().map(|place| place.address).collect();
+                self.control = control.into_iter().map(|member| member.address).collect();
                 for conductor in conductors {
                     let counters = Arc::new(Counters::default());
                     self.start(conductor, MemoryStore::default(), counters).await?;
                 }
             }
-            Command::Cut { region } => self.gates.of(&region).set(true),
-            Command::Heal { region } => self.gates.of(&region).set(false),
+            Command::Cut { region } => self.gates.for_region(&region).set(true),
+            Command::Heal { region } => self.gates.for_region(&region).set(false),
             Command::Restart { conductors } => self.restart(conductors).await?,
             Command::Report { token } => self.report(token).await?,
         }
@@ -130,9 +131,11 @@
         counters: Arc<Counters>,
     ) -> anyhow::Result<()> {
         let id = conductor.id;
-        let engine = Arc::new(Engine::new(id, self.events.clone()));
-        let net =
-            GatedNet { gate: self.gates.of(&conductor.interest.region), counters: Arc::clone(&counters) };
+        let engine = Arc::new(RecordingEngine::new(id, self.events.clone()));
+        let net = GatedTransport {
+            gate: self.gates.for_region(&conductor.interest.region),
+            counters: Arc::clone(&counters),
+        };
         let settings = SubscriberSettings {
             name: conductor.name.clone(),
             interest: conductor.interest.clone(),
@@ -145,25 +148,25 @@
         let subscriber =
             match Subscriber::start(settings, Box::new(store.clone()), apply, Arc::new(net)).await {
                 Ok(subscriber) => subscriber,
-                Err(error) => return self.tell(Event::Failed { id, reason: error.to_string() }).await,
+                Err(error) => return self.send(Event::Failed { id, reason: error.to_string() }).await,
             };
         let (status, stop, tasks) = (subscriber.status(), CancellationToken::new(), TaskTracker::new());
-        tasks.spawn(acknowledgements(id, subscriber.status(), self.events.clone(), stop.clone()));
+        tasks.spawn(send_acknowledgements(id, subscriber.status(), self.events.clone(), stop.clone()));
         tasks.close();
         let running = Running { conductor, subscriber, store, engine, counters, status, stop, tasks };
         self.conductors.insert(id, running);
         Ok(())
     }
 
-    /// Ends them all, then starts them all: they come back at once.
+    /// Stops all these conductors before it starts them again, so that they reconnect at the same time.
     async fn restart(&mut self, ids: Vec<SubscriberId>) -> anyhow::Result<()> {
-        let mut ended = Vec::new();
+        let mut stopped = Vec::new();
         for id in ids {
             let Some(running) = self.conductors.remove(&id) else { continue };
-            ended.push(running.stop().await);
-            self.tell(Event::Restarted { id, at: now() }).await?;
+            stopped.push(running.stop().await);
+            self.send(Event::Restarted { id, at: now() }).await?;
         }
-        for (conductor, store, counters) in ended {
+        for (conductor, store, counters) in stopped {
             self.start(conductor, store, counters).await?;
         }
         Ok(())
@@ -172,11 +175,11 @@
     async fn report(&self, token: u64) -> anyhow::Result<()> {
         for (&id, running) in &self.conductors {
             let connected = running.status.borrow().control.is_some();
-            let (digest, documents) = running.engine.look();
+            let (digest, documents) = running.engine.digest_and_count();
             let bytes = running.counters.bytes();
-            self.tell(Event::Holding { id, at: now(), connected, digest, documents, bytes }).await?;
+            self.send(Event::Holding { id, at: now(), connected, digest, documents, bytes }).await?;
         }
-        self.tell(Event::Reported { token }).await
+        self.send(Event::Reported { token }).await
     }
 
     async fn stop(self) {
@@ -189,7 +192,7 @@
 impl Running {
     async fn stop(self) -> (HollowConductor, MemoryStore, Arc<Counters>) {
         if tokio::time::timeout(STOP_TIMEOUT, self.subscriber.stop()).await.is_err() {
-            eprintln!("{} has not stopped", self.conductor.name);
+            eprintln!("{} has not stopped in time", self.conductor.name);
         }
         self.stop.cancel();
         self.tasks.wait().await;
@@ -197,19 +200,19 @@
     }
 }
 
-/// Tells each version that a conductor says it acts by.
-async fn acknowledgements(
+/// Sends an [`Event::Acknowledged`] for each version that a conductor has applied.
+async fn send_acknowledgements(
     id: SubscriberId,
     mut status: watch::Receiver<SubscriberStatus>,
     events: mpsc::Sender<Event>,
     stop: CancellationToken,
 ) {
-    let mut told = Version::NONE;
+    let mut acknowledged = Version::NONE;
     loop {
         let version = status.borrow_and_update().applied_version;
         let at = now();
-        if version != told && version != Version::NONE {
-            told = version;
+        if version != acknowledged && version != Version::NONE {
+            acknowledged = version;
             if events.send(Event::Acknowledged { id, version, at }).await.is_err() {
                 return;
             }
@@ -221,34 +224,34 @@
     }
 }
 
-/// What stands in for the engine: it takes every document at once, and tells when.
-struct Engine {
+/// Stand-in for a conductor's engine: applies each document immediately and sends an [`Event::Applied`].
+struct RecordingEngine {
     id: SubscriberId,
     documents: Mutex<Documents>,
     events: mpsc::Sender<Event>,
 }
 
-impl Engine {
+impl RecordingEngine {
     fn new(id: SubscriberId, events: mpsc::Sender<Event>) -> Self {
         Self { id, documents: Mutex::new(Documents::new()), events }
     }
 
-    /// The digest of what is in force, and how many documents that are.
-    fn look(&self) -> (u64, usize) {
+    /// Digest and number of the documents in force.
+    fn digest_and_count(&self) -> (u64, usize) {
         let documents = self.documents.lock().unwrap_or_else(PoisonError::into_inner);
         (digest(&documents), documents.len())
     }
 
-    async fn take(&self, document: &Document) -> Result<(), String> {
+    async fn apply_document(&self, document: &Document) -> Result<(), String> {
         put(&mut self.documents.lock().unwrap_or_else(PoisonError::into_inner), document);
         let (id, key, version) = (self.id, key_digest(&document.key), document.version);
-        let told = self.events.send(Event::Applied { id, version, key, at: now() }).await;
-        told.map_err(|_| "the rig is gone".to_owned())
+        let sent = self.events.send(Event::Applied { id, version, key, at: now() }).await;
+        sent.map_err(|_| "the rig is gone".to_owned())
     }
 }
 
-impl DocumentApplier for Engine {
+impl DocumentApplier for RecordingEngine {
     fn apply<'a>(&'a self, document: &'a Document) -> BoxFuture<'a, Result<(), DocumentNotApplied>> {
-        Box::pin(async move { Ok(self.take(document).await?) })
+        Box::pin(async move { Ok(self.apply_document(document).await?) })
     }
 }
--- a/crates/stepspur-scale/src/hollow_conductors/net.rs
+++ b/crates/stepspur-scale/src/hollow_conductors/net.rs
@@ -1,4 +1,4 @@
-//! A network for hollow conductors: the system's, with links that can be cut and bytes that are counted.
+//! Transport of hollow conductors: TCP with links that can be cut and counters of bytes.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -14,19 +14,19 @@
 use super::message::Bytes;
 use crate::gate::{Gate, Gated};
 
-/// The gates of all regions of a process.
+/// Gates of a process, one for each region, created on first use.
 #[derive(Debug, Default)]
 pub(super) struct Gates(Mutex<BTreeMap<String, Arc<Gate>>>);
 
 impl Gates {
-    /// The gate of a region.
-    pub(super) fn of(&self, region: &str) -> Arc<Gate> {
+    /// Gate of a region.
+    pub(super) fn for_region(&self, region: &str) -> Arc<Gate> {
         let mut gates = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         Arc::clone(gates.entry(region.to_owned()).or_default())
     }
 }
 
-/// Bytes of one conductor, over all its connections.
+/// Traffic counters of one conductor, over all its connections.
 #[derive(Debug, Default)]
 pub(super) struct Counters {
     read: AtomicU64,
@@ -36,7 +36,7 @@
 }
 
 impl Counters {
-    /// The counts now.
+    /// Current values of the counters.
     pub(super) fn bytes(&self) -> Bytes {
         Bytes {
             read: self.read.load(Ordering::Relaxed),
@@ -47,16 +47,16 @@
     }
 }
 
-/// The network of one conductor.
+/// Transport of one conductor. It can only connect, not listen.
 #[derive(Debug)]
-pub(super) struct GatedNet {
-    /// Its region's gate.
+pub(super) struct GatedTransport {
+    /// Gate of its region.
     pub gate: Arc<Gate>,
-    /// Its bytes.
+    /// Its traffic counters.
     pub counters: Arc<Counters>,
 }
 
-impl Transport for GatedNet {
+impl Transport for GatedTransport {
     fn listen(&self, _: SocketAddr) -> BoxFuture<'_, io::Result<Box<dyn Listener>>> {
         Box::pin(async { Err(io::Error::from(io::ErrorKind::Unsupported)) })
     }
@@ -65,25 +65,25 @@
         Box::pin(async move {
             self.gate.opened().await;
             let stream = Gated::new(Tcp.dial(to).await?, Arc::clone(&self.gate));
-            Ok(Box::new(Counted { stream, counters: Arc::clone(&self.counters) }) as Box<dyn Stream>)
+            Ok(Box::new(CountedStream { stream, counters: Arc::clone(&self.counters) }) as Box<dyn Stream>)
         })
     }
 }
 
-/// A connection whose bytes are counted.
-struct Counted {
+/// A connection that counts its bytes.
+struct CountedStream {
     stream: Gated<Box<dyn Stream>>,
     counters: Arc<Counters>,
 }
 
-fn count(bytes: &AtomicU64, calls: &AtomicU64, length: usize) {
+fn count_call(bytes: &AtomicU64, calls: &AtomicU64, length: usize) {
     if length > 0 {
         bytes.fetch_add(length as u64, Ordering::Relaxed);
         calls.fetch_add(1, Ordering::Relaxed);
     }
 }
 
-impl AsyncRead for Counted {
+impl AsyncRead for CountedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -91,12 +91,12 @@
     ) -> Poll<io::Result<()>> {
         let before = buffer.filled().len();
         let read = Pin::new(&mut self.stream).poll_read(context, buffer);
-        count(&self.counters.read, &self.counters.reads, buffer.filled().len() - before);
+        count_call(&self.counters.read, &self.counters.reads, buffer.filled().len() - before);
         read
     }
 }
 
-impl AsyncWrite for Counted {
+impl AsyncWrite for CountedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -104,7 +104,7 @@
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write(context, bytes);
         if let Poll::Ready(Ok(length)) = &written {
-            count(&self.counters.written, &self.counters.writes, *length);
+            count_call(&self.counters.written, &self.counters.writes, *length);
         }
         written
     }
--- a/crates/stepspur-scale/src/slopes/choose.rs
+++ b/crates/stepspur-scale/src/slopes/choose.rs
@@ -1,4 +1,5 @@
-//! What a proxy spends on a request by its table: the model's proxy, in this process and on one core.
+//! Measures the time a proxy needs to admit a request and choose a server, with the model's proxy in this
+//! process.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -10,32 +11,37 @@
 use super::result::{Metric, Values};
 use crate::hollow::servers::address_of;
 
-/// Requests between two looks at the clock of the whole, and between two reports.
-const BATCH: u64 = 500;
+/// Requests between two checks of the total time, and between two reports of the proxy.
+const REQUESTS_PER_BATCH: u64 = 500;
 const SERVER_PORT: u16 = 80;
 
-/// Measures a table of so many lines, each of three ways for `span`.
+/// Measures a table of `lines` servers: single requests timed one by one, then without and with a retry, each
+/// for `span`.
 ///
 /// # Errors
-/// If the proxy finds no server.
+/// If the proxy rejects a request or finds no server.
 pub(super) fn measure(lines: usize, seed: u64, span: Duration) -> anyhow::Result<Values> {
     let mut proxy = proxy(lines, seed);
-    let mut times = Histogram::<u64>::new_with_bounds(1, 1_000_000_000, 3)?;
-    let from = Instant::now();
+    let mut durations_ns = Histogram::<u64>::new_with_bounds(1, 1_000_000_000, 3)?;
+    let start = Instant::now();
     let mut requests = 0u64;
-    while from.elapsed() < span {
-        for _ in 0..BATCH {
+    while start.elapsed() < span {
+        for _ in 0..REQUESTS_PER_BATCH {
             requests += 1;
-            let at = Instant::now();
+            let request_start = Instant::now();
             request(&mut proxy, requests, false)?;
-            times.saturating_record(at.elapsed().as_nanos() as u64);
+            durations_ns.saturating_record(request_start.elapsed().as_nanos() as u64);
         }
         std::hint::black_box(proxy.report(requests));
     }
-    let once = mean_us(&mut proxy, false, span)?;
-    let twice = mean_us(&mut proxy, true, span)?;
-    let p99 = times.value_at_quantile(0.99) as f64 / 1e3;
-    Ok(Values::from([(Metric::ChooseUs, once), (Metric::ChooseP99Us, p99), (Metric::ChooseAgainUs, twice)]))
+    let single_us = mean_us(&mut proxy, false, span)?;
+    let retried_us = mean_us(&mut proxy, true, span)?;
+    let p99_us = durations_ns.value_at_quantile(0.99) as f64 / 1e3;
+    Ok(Values::from([
+        (Metric::ChooseUs, single_us),
+        (Metric::ChooseP99Us, p99_us),
+        (Metric::ChooseAgainUs, retried_us),
+    ]))
 }
 
 fn proxy(lines: usize, seed: u64) -> Proxy {
@@ -57,31 +63,33 @@
     proxy
 }
 
-/// A request: let in, sent to a server and answered; with `again` after a first try that never ran.
-fn request(proxy: &mut Proxy, now: u64, again: bool) -> anyhow::Result<()> {
-    let none = || anyhow::anyhow!("the proxy finds no server");
-    anyhow::ensure!(proxy.admit(now, 0), "the proxy lets nothing in");
-    let first = proxy.pick(now, &[]).ok_or_else(none)?;
-    if !again {
+/// Runs one request: admitted, sent to a server and answered. With `again`, the first attempt fails before it
+/// runs and is retried at another server.
+fn request(proxy: &mut Proxy, now: u64, with_retry: bool) -> anyhow::Result<()> {
+    let no_server = || anyhow::anyhow!("the proxy finds no server");
+    anyhow::ensure!(proxy.admit(now, 0), "the proxy rejects the request");
+    let first = proxy.pick(now, &[]).ok_or_else(no_server)?;
+    if !with_retry {
         proxy.note(now, first, Tried::Good, 20_000, Vec::new());
         return Ok(());
     }
     proxy.note(now, first, Tried::NeverRan, 100, Vec::new());
-    anyhow::ensure!(proxy.may_try_again(0, 1, Tried::NeverRan), "the proxy may not try again");
-    let second = proxy.pick(now, &[first]).ok_or_else(none)?;
+    anyhow::ensure!(proxy.may_try_again(0, 1, Tried::NeverRan), "the proxy allows no retry");
+    let second = proxy.pick(now, &[first]).ok_or_else(no_server)?;
     proxy.note(now, second, Tried::Good, 20_000, Vec::new());
     Ok(())
 }
 
-fn mean_us(proxy: &mut Proxy, again: bool, span: Duration) -> anyhow::Result<f64> {
-    let (from, mut requests) = (Instant::now(), 0u64);
-    while from.elapsed() < span {
-        for _ in 0..BATCH {
+fn mean_us(proxy: &mut Proxy, with_retry: bool, span: Duration) -> anyhow::Result<f64> {
+    let (start, mut requests) = (Instant::now(), 0u64);
+    while start.elapsed() < span {
+        for _ in 0..REQUESTS_PER_BATCH {
             requests += 1;
-            // A millisecond of the proxy's time each, so that what it keeps clear of comes back.
-            request(proxy, requests * 1_000, again)?;
+            // Advances the proxy's clock by a millisecond for each request, so that servers it avoids after
+            // failures become eligible again.
+            request(proxy, requests * 1_000, with_retry)?;
         }
         std::hint::black_box(proxy.report(requests));
     }
-    Ok(from.elapsed().as_secs_f64() * 1e6 / requests as f64)
+    Ok(start.elapsed().as_secs_f64() * 1e6 / requests as f64)
 }
--- a/crates/stepspur-scale/src/slopes/conductor.rs
+++ b/crates/stepspur-scale/src/slopes/conductor.rs
@@ -1,4 +1,4 @@
-//! One conductor: started, joined by hollow proxies, watched, drained at, killed and joined again.
+//! Measures one conductor with hollow proxies: start, steady state, drains, and restart after a kill.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -25,44 +25,46 @@
 use crate::traffic;
 use crate::usage;
 
-const EXAMPLE: &str = include_str!("../../../../examples/conductor.toml");
-/// Joins and orders are due in this time.
-const PATIENCE: Duration = Duration::from_secs(60);
-/// From the last join to the first look: the first decisions and probes are over.
-const SETTLE: Duration = Duration::from_millis(1_500);
-/// Between two drains: their lines come back as ordinary changes in their turn.
-const BETWEEN_DRAINS: Duration = Duration::from_millis(400);
-const DRAINS: usize = 3;
-/// The address port of servers that nobody dials.
+const EXAMPLE_CONFIG: &str = include_str!("../../../../examples/conductor.toml");
+/// Longest wait for proxies to join and for orders to arrive.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
+/// Wait between the last join and the steady-state measurement, so that first decisions and probes do not
+/// count.
+const SETTLE_TIME: Duration = Duration::from_millis(1_500);
+/// Wait between two drains, in which the drained servers return to the tables as ordinary changes.
+const DRAIN_INTERVAL: Duration = Duration::from_millis(400);
+/// Drains over which the mean is taken.
+const MEASURED_DRAINS: usize = 3;
+/// Port of servers that are listed but never connected to.
 const UNUSED_PORT: u16 = 80;
 
-/// What a conductor stands before.
+/// Size and load of one measurement.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Setup {
-    /// Servers listed.
+    /// Servers in the list.
     pub servers: usize,
-    /// Proxies joined.
+    /// Proxies that join.
     pub proxies: usize,
-    /// Requests a second that each proxy tells.
+    /// Requests per second that each proxy reports.
     pub requests_per_proxy: usize,
-    /// True: servers are probed.
+    /// Whether the conductor probes the servers. They then run as hollow servers.
     pub probing: bool,
-    /// True: drains, a kill and a rejoin are measured, too.
+    /// Whether to measure drains and a restart after a kill as well.
     pub events: bool,
-    /// How long it is watched.
+    /// Length of the steady-state measurement.
     pub window: Duration,
-    /// Where draws start.
+    /// Seed of the proxies' random numbers.
     pub seed: u64,
 }
 
-/// The list of servers, and the settings to start a conductor by.
+/// Environment of a measured conductor: its server list, its servers and its configuration.
 pub(crate) struct Bench {
     setup: Setup,
-    /// The settings.
+    /// Configuration of the conductor.
     pub config: Config,
-    /// Starts it.
+    /// Starts the conductor.
     pub launcher: Launcher,
-    /// The list.
+    /// Server list that the conductor polls.
     pub registry: Arc<Registry>,
     addresses: Arc<Vec<SocketAddr>>,
     hollow: Option<HollowServers>,
@@ -70,9 +72,9 @@
     tasks: TaskTracker,
 }
 
-/// Settings of a conductor on loopback, its orders not paced.
-pub(crate) fn settings() -> anyhow::Result<Config> {
-    let mut config: Config = toml::from_str(EXAMPLE).context("the example's settings")?;
+/// Configuration of a conductor on loopback: the example's, without probes and without pacing of orders.
+pub(crate) fn base_config() -> anyhow::Result<Config> {
+    let mut config: Config = toml::from_str(EXAMPLE_CONFIG).context("the example's settings")?;
     config.listen.address.set_port(0);
     config.status.address = None;
     config.probes.enabled = false;
@@ -83,7 +85,7 @@
     Ok(config)
 }
 
-/// The address of the server with this number where nobody dials servers.
+/// Address of the server with this number when no server runs.
 pub(crate) fn unused_address(number: usize) -> SocketAddr {
     SocketAddr::from((address_of(number), UNUSED_PORT))
 }
@@ -91,7 +93,7 @@
 /// Measures one conductor at one size.
 ///
 /// # Errors
-/// If it does not start, or proxies do not join in time.
+/// If the conductor does not start, or proxies do not join in time.
 pub(crate) async fn measure(program: PathBuf, setup: Setup) -> anyhow::Result<Values> {
     let bench = Bench::new(program, setup).await?;
     let measured = bench.measure().await;
@@ -100,17 +102,17 @@
 }
 
 impl Bench {
-    /// Serves a list of servers that are all ready. No conductor runs yet.
+    /// Starts serving a list in which all servers are ready. Does not start a conductor.
     ///
     /// # Errors
-    /// The system's, and settings that cannot be read.
+    /// If a socket cannot be opened or the example's configuration cannot be parsed.
     pub(crate) async fn new(program: PathBuf, setup: Setup) -> anyhow::Result<Self> {
         let registry = Registry::new(Arc::new(Trace::default()));
         let listener = TcpListener::bind((std::net::Ipv4Addr::LOCALHOST, 0)).await?;
         let address = listener.local_addr()?;
         let (stop, tasks) = (CancellationToken::new(), TaskTracker::new());
         tasks.spawn(Arc::clone(&registry).serve(0, listener, stop.clone()));
-        let mut config = settings()?;
+        let mut config = base_config()?;
         config.probes.enabled = setup.probing;
         config.fleet.proxies = setup.proxies.max(1) as u32;
         let poll = Duration::from_secs(10);
@@ -128,27 +130,27 @@
         Ok(bench)
     }
 
-    /// Lists these servers in a state, all at once.
+    /// Sets the state of these servers in a single change of the list.
     pub(crate) fn set_states(&self, servers: impl IntoIterator<Item = usize>, state: EndpointRecordState) {
-        self.registry.set(servers.into_iter().map(|number| self.node(number, state)));
+        self.registry.set(servers.into_iter().map(|number| self.record(number, state)));
     }
 
-    /// The address of the server with this number.
+    /// Address of the server with this number.
     pub(crate) fn address(&self, server: usize) -> SocketAddr {
         self.addresses[server]
     }
 
-    fn node(&self, number: usize, state: EndpointRecordState) -> EndpointRecord {
+    fn record(&self, number: usize, state: EndpointRecordState) -> EndpointRecord {
         let zones = &self.config.fleet.zones;
         let zone = zones[number % zones.len()].clone();
         EndpointRecord { address: self.addresses[number], zone, state, weight: 1.0, started_unix_ms: 0 }
     }
 
-    /// Joins all proxies and waits until they have their tables; changes of these are told where that is
-    /// wanted.
+    /// Joins all proxies and waits until each has a table. Later changes of their tables go to
+    /// `table_changes`.
     ///
     /// # Errors
-    /// Proxies that do not join in time.
+    /// If proxies do not join in time.
     pub(crate) async fn join(
         &self,
         conductor: SocketAddr,
@@ -163,7 +165,7 @@
             table_changes,
         };
         let mut proxies = HollowProxies::start(conductor, &settings).await?;
-        proxies.bound(PATIENCE).await?;
+        proxies.wait_until_bound(WAIT_TIMEOUT).await?;
         Ok(proxies)
     }
 
@@ -174,10 +176,10 @@
         let mut proxies = self.join(running.address, None).await?;
         values.insert(Metric::StartS, from.elapsed().as_secs_f64());
         values.insert(Metric::StartCpuS, usage::thread_cpu_time(pid(&running)?)?.as_secs_f64());
-        sleep(SETTLE).await;
-        self.watch(pid(&running)?, &proxies, &mut values).await?;
+        sleep(SETTLE_TIME).await;
+        self.measure_steady_state(pid(&running)?, &proxies, &mut values).await?;
         if self.setup.events && self.setup.proxies > 0 {
-            self.drain(pid(&running)?, &mut proxies, &mut values).await?;
+            self.measure_drains(pid(&running)?, &mut proxies, &mut values).await?;
             proxies.stop().await;
             running.kill().await;
             let from = Instant::now();
@@ -194,61 +196,73 @@
         Ok(values)
     }
 
-    /// What it spends while nothing happens but reports and probes.
-    async fn watch(&self, pid: u32, proxies: &HollowProxies, values: &mut Values) -> anyhow::Result<()> {
-        let probed = || self.hollow.as_ref().map_or((0, 0), |h| (h.probed().probes(), h.probed().bytes()));
+    /// Measures the conductor's cost in steady state, with reports and probes only.
+    async fn measure_steady_state(
+        &self,
+        pid: u32,
+        proxies: &HollowProxies,
+        values: &mut Values,
+    ) -> anyhow::Result<()> {
+        let probe_counters =
+            || self.hollow.as_ref().map_or((0, 0), |h| (h.probed().probes(), h.probed().bytes()));
         let connections = traffic::connections(pid).ok();
-        let (loopback, reports, probes) = (traffic::loopback()?, proxies.reports(), probed());
+        let (loopback, reports, probes) = (traffic::loopback()?, proxies.reports(), probe_counters());
         let (cpu, wakeups, from) = (usage::thread_cpu_time(pid)?, usage::wakeups(pid)?, Instant::now());
         sleep(self.setup.window).await;
-        let span = from.elapsed().as_secs_f64();
+        let seconds = from.elapsed().as_secs_f64();
         let cpu = (usage::thread_cpu_time(pid)?.saturating_sub(cpu)).as_secs_f64();
-        let woken = usage::wakeups(pid)?.saturating_sub(wakeups);
-        values.insert(Metric::CpuPercent, cpu / span * 100.0);
-        values.insert(Metric::WakesPerS, woken as f64 / span);
+        let wakeup_count = usage::wakeups(pid)?.saturating_sub(wakeups);
+        values.insert(Metric::CpuPercent, cpu / seconds * 100.0);
+        values.insert(Metric::WakesPerS, wakeup_count as f64 / seconds);
         values.insert(Metric::ResidentMib, usage::usage(pid)?.resident as f64 / f64::from(1 << 20));
         if let (Some(before), Ok(after)) = (connections, traffic::connections(pid)) {
-            let passed = traffic::traffic_between(&before, &after);
+            let traffic_passed = traffic::traffic_between(&before, &after);
             if !self.setup.probing {
-                values.insert(Metric::PayloadBytesPerS, passed.payload() as f64 / span);
-                values.insert(Metric::WireBytesPerS, passed.with_headers() as f64 / span);
+                values.insert(Metric::PayloadBytesPerS, traffic_passed.payload() as f64 / seconds);
+                values.insert(Metric::WireBytesPerS, traffic_passed.with_headers() as f64 / seconds);
             }
         }
-        values.insert(Metric::ReportsPerS, (proxies.reports() - reports) as f64 / span);
+        values.insert(Metric::ReportsPerS, (proxies.reports() - reports) as f64 / seconds);
         if self.setup.probing {
-            let (count, bytes) = probed();
+            let (count, bytes) = probe_counters();
             let (count, bytes) = (count - probes.0, bytes - probes.1);
-            values.insert(Metric::ProbesPerS, count as f64 / span);
-            values.insert(Metric::PayloadBytesPerS, bytes as f64 / span);
-            let wire = bytes + count * PROBE_HEADERS;
-            values.insert(Metric::WireBytesPerS, wire as f64 / span);
+            values.insert(Metric::ProbesPerS, count as f64 / seconds);
+            values.insert(Metric::PayloadBytesPerS, bytes as f64 / seconds);
+            let wire = bytes + count * PROBE_HEADER_BYTES;
+            values.insert(Metric::WireBytesPerS, wire as f64 / seconds);
         }
-        let carried = traffic::loopback()?.bytes - loopback.bytes;
-        values.insert(Metric::LoopbackBytesPerS, carried as f64 / span);
+        let loopback_bytes = traffic::loopback()?.bytes - loopback.bytes;
+        values.insert(Metric::LoopbackBytesPerS, loopback_bytes as f64 / seconds);
         Ok(())
     }
 
-    async fn drain(&self, pid: u32, proxies: &mut HollowProxies, values: &mut Values) -> anyhow::Result<()> {
+    /// Measures the CPU time and duration of draining one server of each zone, as the mean of several drains.
+    async fn measure_drains(
+        &self,
+        pid: u32,
+        proxies: &mut HollowProxies,
+        values: &mut Values,
+    ) -> anyhow::Result<()> {
         let zones = self.config.fleet.zones.len();
-        let (mut spent, mut took) = (Duration::ZERO, Duration::ZERO);
-        for round in 0..DRAINS {
-            let picked: Vec<usize> = (0..zones).map(|zone| round * zones + zone).collect();
-            let told = proxies.removals();
+        let (mut cpu_sum, mut latency_sum) = (Duration::ZERO, Duration::ZERO);
+        for drain in 0..MEASURED_DRAINS {
+            let drained: Vec<usize> = (0..zones).map(|zone| drain * zones + zone).collect();
+            let removals = proxies.removals();
             let (cpu, from) = (usage::thread_cpu_time(pid)?, Instant::now());
-            self.set_states(picked.clone(), EndpointRecordState::Draining);
-            proxies.removed(told + self.setup.proxies as u64, PATIENCE).await?;
-            took += from.elapsed();
-            spent += usage::thread_cpu_time(pid)?.saturating_sub(cpu);
-            self.set_states(picked, EndpointRecordState::Ready);
-            sleep(BETWEEN_DRAINS).await;
+            self.set_states(drained.clone(), EndpointRecordState::Draining);
+            proxies.wait_for_removals(removals + self.setup.proxies as u64, WAIT_TIMEOUT).await?;
+            latency_sum += from.elapsed();
+            cpu_sum += usage::thread_cpu_time(pid)?.saturating_sub(cpu);
+            self.set_states(drained, EndpointRecordState::Ready);
+            sleep(DRAIN_INTERVAL).await;
         }
-        let mean = |sum: Duration| sum.as_secs_f64() * 1e3 / DRAINS as f64;
-        values.insert(Metric::DrainCpuMs, mean(spent));
-        values.insert(Metric::DrainLastMs, mean(took));
+        let mean = |sum: Duration| sum.as_secs_f64() * 1e3 / MEASURED_DRAINS as f64;
+        values.insert(Metric::DrainCpuMs, mean(cpu_sum));
+        values.insert(Metric::DrainLastMs, mean(latency_sum));
         Ok(())
     }
 
-    /// Ends the list, and the servers if there are any.
+    /// Stops serving the list, and the hollow servers if there are any.
     pub(crate) async fn stop(self) {
         self.stop.cancel();
         self.tasks.close();
@@ -259,10 +273,10 @@
     }
 }
 
-/// IP and TCP headers of a probe's connection, in bytes, as reckoned: ten segments (three to open, two with
-/// data, each acknowledged apart or with the next, two ends with their acknowledgements), eight bytes more on
-/// the first two.
-pub(crate) const PROBE_HEADERS: u64 = 10 * traffic::HEADER_BYTES + 16;
+/// Estimated IP and TCP headers of one probe's connection, in bytes: ten segments (three to open, two with
+/// data, each acknowledged separately or with the next, two to close with their acknowledgements), and eight
+/// bytes more on the first two.
+pub(crate) const PROBE_HEADER_BYTES: u64 = 10 * traffic::HEADER_BYTES + 16;
 
 fn pid(running: &Running) -> anyhow::Result<u32> {
     running.pid().context("the conductor has ended")
--- a/crates/stepspur-scale/src/slopes/mod.rs
+++ b/crates/stepspur-scale/src/slopes/mod.rs
@@ -1,11 +1,12 @@
-//! `stepspur-scale slopes`: what one more of each thing costs the real program.
+//! `stepspur-scale slopes`: measures the marginal cost of servers, proxies and other quantities for the real
+//! program.
 //!
-//! Each slope has four sizes or more, each measured three times; a round takes all sizes once, so that what
-//! changes on the machine meanwhile does not fall on one size alone.
+//! Each slope has at least four sizes, each measured three times. A repeat measures every size once, so that
+//! changing load on the machine does not affect one size alone.
 
 mod choose;
 pub(crate) mod conductor;
-mod council;
+mod consensus;
 pub(crate) mod member;
 pub(crate) mod result;
 mod table;
@@ -23,25 +24,24 @@
 use result::{Name, Run, Slope, Slopes, Values};
 pub(crate) use table::{format_estimate, format_rounded};
 
-/// What is measured.
+/// Arguments of the command.
 #[derive(Debug, clap::Args)]
 pub(crate) struct SlopesArgs {
-    /// The smaller sizes, one repeat, short windows.
+    /// Measure only the smaller sizes, once, with short windows.
     #[arg(long)]
     quick: bool,
-    /// Where random draws start.
+    /// Seed of the random numbers.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Write the result as JSON to this file; with `--only`, slopes of the file that are not measured stay in
-    /// it.
+    /// Write the result as JSON to this file; with `--only`, other slopes in the file are preserved.
     #[arg(long)]
     json: Option<PathBuf>,
-    /// Only these slopes; may be given several times.
+    /// Measure only this slope; may be given several times.
     #[arg(long, value_enum)]
     only: Vec<Name>,
 }
 
-/// All slopes in the order of their running.
+/// All slopes, in the order of measurement.
 const ALL: [Name; 8] = [
     Name::Choose,
     Name::Servers,
@@ -52,18 +52,20 @@
     Name::Entries,
     Name::Tenants,
 ];
+/// Repeats of each size in a full run.
 const REPEATS: usize = 3;
-/// A conductor or council is watched for so long.
+/// Length of the steady-state measurement of a conductor or consensus group.
 const WINDOW: Duration = Duration::from_secs(3);
+/// The same with `--quick`.
 const QUICK_WINDOW: Duration = Duration::from_millis(500);
-/// A way of choosing is measured for such a part of the window.
-const CHOOSE_WINDOWS: u32 = 8;
-/// One repeat of one size ends after this, whatever becomes of it.
-const LONGEST_RUN: Duration = Duration::from_secs(90);
-/// Members beside the voters while entries are agreed on.
+/// The window is divided by this for each of the three measurements of choosing a server.
+const CHOOSE_WINDOW_DIVISOR: u32 = 8;
+/// Time limit for one repeat of one size.
+const RUN_TIMEOUT: Duration = Duration::from_secs(90);
+/// Followers beside the voters in the slope of entries.
 const ENTRIES_FOLLOWERS: usize = 2;
 
-/// The sizes of a slope, rising.
+/// The sizes of a slope, in ascending order.
 fn sizes(name: Name) -> &'static [usize] {
     match name {
         Name::Servers => &[20, 240, 2_400, 19_000],
@@ -77,13 +79,13 @@
     }
 }
 
-/// Runs the slopes, prints them, and writes them.
+/// Measures the selected slopes, prints them and writes the result file.
 ///
 /// # Errors
-/// If the program is not built, a run of a slope other than tenants fails, or the result cannot be written.
+/// If the program is not built, a measurement other than of tenants fails, or the result cannot be written.
 pub(crate) async fn run(args: SlopesArgs) -> anyhow::Result<()> {
     let (mut interrupt, mut terminate) = (signal(SignalKind::interrupt())?, signal(SignalKind::terminate())?);
-    // Whatever was started ends with the measuring that is dropped.
+    // Dropping the measurement ends every process that it started.
     tokio::select! {
         done = measure_all(&args) => done,
         _ = interrupt.recv() => anyhow::bail!("interrupted"),
@@ -93,7 +95,7 @@
 
 async fn measure_all(args: &SlopesArgs) -> anyhow::Result<()> {
     let program = program::stepspur()?;
-    let mut slopes = empty(args, &program)?;
+    let mut slopes = initial_result(args, &program)?;
     let names: Vec<Name> =
         ALL.into_iter().filter(|name| args.only.is_empty() || args.only.contains(name)).collect();
     for name in names {
@@ -110,9 +112,9 @@
     Ok(())
 }
 
-/// No slopes yet, or those of the file that is added to.
-fn empty(args: &SlopesArgs, program: &Path) -> anyhow::Result<Slopes> {
-    let kept = match &args.json {
+/// A result without slopes, or with `--only` the slopes that the file already holds.
+fn initial_result(args: &SlopesArgs, program: &Path) -> anyhow::Result<Slopes> {
+    let previous = match &args.json {
         Some(path) if !args.only.is_empty() && path.exists() => read(path)?.slopes,
         _ => Vec::new(),
     };
@@ -122,14 +124,14 @@
         program: String::from_utf8_lossy(&version.stdout).trim().to_owned(),
         seed: args.seed,
         quick: args.quick,
-        slopes: kept,
+        slopes: previous,
     })
 }
 
-/// Reads slopes that were written before.
+/// Reads a result file.
 ///
 /// # Errors
-/// If there is no such file, or it holds none.
+/// If the file cannot be read or parsed.
 pub(crate) fn read(path: &Path) -> anyhow::Result<Slopes> {
     let text = std::fs::read_to_string(path).with_context(|| path.display().to_string())?;
     serde_json::from_str(&text).with_context(|| path.display().to_string())
@@ -142,22 +144,23 @@
     let (mut runs, mut notes) = (Vec::new(), Vec::new());
     for repeat in 0..repeats {
         for size in sizes.clone() {
-            let measured = timeout(LONGEST_RUN, measure(args, program, name, size, repeat)).await;
+            let measured = timeout(RUN_TIMEOUT, measure(args, program, name, size, repeat)).await;
             let measured = measured.context("it took too long").and_then(|measured| measured);
-            let at = || format!("{} {}", name.counts(), size);
+            let label = || format!("{} {}", name.counts(), size);
             match measured {
                 Ok(values) => {
                     let load_average = usage::load_average()?;
-                    eprintln!("{}, repeat {repeat}, load {load_average:.1}", at());
+                    eprintln!("{}, repeat {repeat}, load {load_average:.1}", label());
                     runs.push(Run { x: size as f64, repeat, load_average, values });
                 }
-                // How far tenants go is itself what is measured.
-                Err(cause) if name == Name::Tenants => {
-                    notes.push(format!("{}: {cause:#}", at()));
+                // The largest number of tenants that works is itself a result, so a failure ends the slope
+                // with a note.
+                Err(error) if name == Name::Tenants => {
+                    notes.push(format!("{}: {error:#}", label()));
                     sizes.retain(|other| *other < size);
                     break;
                 }
-                Err(cause) => return Err(cause.context(at())),
+                Err(error) => return Err(error.context(label())),
             }
         }
     }
@@ -196,11 +199,11 @@
             let setup = Setup { servers: size, proxies: 0, probing: true, ..setup };
             conductor::measure(program, setup).await
         }
-        Name::Members => council::measure_members(program, size, window).await,
+        Name::Members => consensus::measure_members(program, size, window).await,
         Name::Entries => {
-            council::measure_entries(council::VOTERS + ENTRIES_FOLLOWERS, size as u32, window).await
+            consensus::measure_entries(consensus::VOTERS + ENTRIES_FOLLOWERS, size as u32, window).await
         }
         Name::Tenants => tenants::measure(program, size, window).await,
-        Name::Choose => choose::measure(size, seed, window / CHOOSE_WINDOWS),
+        Name::Choose => choose::measure(size, seed, window / CHOOSE_WINDOW_DIVISOR),
     }
 }
--- a/crates/stepspur-scale/src/slopes/result.rs
+++ b/crates/stepspur-scale/src/slopes/result.rs
@@ -1,4 +1,4 @@
-//! What a run of the slopes gives: points, fits, and what they were taken beside.
+//! Result of a run of the slopes, as stored in its JSON file.
 
 use std::collections::BTreeMap;
 
@@ -6,30 +6,30 @@
 
 use crate::fit::{self, Fit, Point};
 
-/// A thing that grows.
+/// A slope, named after the quantity that is varied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, clap::ValueEnum)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Name {
-    /// Servers that a conductor lists, probes off.
+    /// Servers in a conductor's list, without probes.
     Servers,
     /// Proxies that have joined a conductor.
     Proxies,
-    /// Requests a second that reports tell, one line each.
+    /// Requests per second in the reports, one line each.
     Reports,
-    /// Servers that a conductor probes once a second.
+    /// Servers that a conductor probes once per second.
     Probes,
-    /// Members of a council of three voters.
+    /// Members of a council with three voters.
     Members,
-    /// Entries that a council agrees on a second.
+    /// Entries that a council commits per second.
     Entries,
-    /// Tenants in a conductor's settings, each with an operator's rights.
+    /// Tenants in a conductor's settings, each with its own operator.
     Tenants,
-    /// Lines of the table by which a proxy chooses.
+    /// Servers in the table from which a proxy chooses.
     Choose,
 }
 
 impl Name {
-    /// What its sizes count.
+    /// Unit of the slope's sizes, as shown in tables.
     pub(crate) fn counts(self) -> &'static str {
         match self {
             Name::Servers => "servers listed",
@@ -44,72 +44,72 @@
     }
 }
 
-/// A thing that is measured.
+/// A measured quantity. The order of the variants is the order of rows in tables.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Metric {
-    /// Processor time, percent of a core.
+    /// CPU, in percent of a core.
     CpuPercent,
-    /// Resident memory, MiB.
+    /// Resident memory, in MiB.
     ResidentMib,
-    /// Payload both ways, bytes a second.
+    /// Payload in both directions, in bytes per second.
     PayloadBytesPerS,
-    /// Both ways with IP and TCP headers, bytes a second.
+    /// Traffic in both directions with IP and TCP headers, in bytes per second.
     WireBytesPerS,
-    /// Threads woken a second.
+    /// Thread wake-ups per second.
     WakesPerS,
-    /// Reports that came, a second.
+    /// Reports sent by the proxies per second.
     ReportsPerS,
-    /// Probes that were answered, a second.
+    /// Answered probes per second.
     ProbesPerS,
-    /// All that the loopback carried, of every process of the machine, bytes a second.
+    /// Loopback traffic of all processes of the machine, in bytes per second.
     LoopbackBytesPerS,
-    /// From a cold start until all proxies hold a table, seconds; of a council until a leader is known.
+    /// Seconds from a cold start until all proxies have a table; for a council, until a leader is known.
     StartS,
-    /// Processor time of that start, seconds.
+    /// CPU seconds of that start.
     StartCpuS,
-    /// From a start after a kill until all proxies hold a table again, seconds.
+    /// Seconds from the start after a kill until all proxies have a table again.
     RejoinS,
-    /// Processor time of it, seconds.
+    /// CPU seconds of that restart.
     RejoinCpuS,
-    /// Processor time of one drain in each zone, milliseconds.
+    /// CPU milliseconds of draining one server in each zone.
     DrainCpuMs,
-    /// From the list's change to the last proxy's order, milliseconds.
+    /// Milliseconds from the change of the list until the last proxy received the order.
     DrainLastMs,
-    /// Of the leader: as above.
+    /// CPU of the leader, in percent of a core.
     LeaderCpuPercent,
-    /// Of the leader.
+    /// Resident memory of the leader, in MiB.
     LeaderResidentMib,
-    /// Of the leader.
+    /// Payload of the leader in both directions, in bytes per second.
     LeaderPayloadBytesPerS,
-    /// Of the leader.
+    /// Traffic of the leader with IP and TCP headers, in bytes per second.
     LeaderWireBytesPerS,
-    /// Of a voter that does not lead, the mean of them.
+    /// CPU of a voter other than the leader, the mean over these voters, in percent of a core.
     VoterCpuPercent,
-    /// Of a voter that does not lead.
+    /// Traffic of a voter other than the leader with IP and TCP headers, mean, in bytes per second.
     VoterWireBytesPerS,
-    /// Of a member that only follows, the mean of them.
+    /// CPU of a member that only follows, the mean over these members, in percent of a core.
     FollowerCpuPercent,
-    /// Of a member that only follows.
+    /// Resident memory of a member that only follows, mean, in MiB.
     FollowerResidentMib,
-    /// Of a member that only follows.
+    /// Payload of a member that only follows in both directions, mean, in bytes per second.
     FollowerPayloadBytesPerS,
-    /// Of a member that only follows.
+    /// Traffic of a member that only follows with IP and TCP headers, mean, in bytes per second.
     FollowerWireBytesPerS,
-    /// Of a member that only follows.
+    /// Thread wake-ups per second of a member that only follows, mean.
     FollowerWakesPerS,
-    /// Entries that were agreed, a second.
+    /// Entries applied by the leader per second.
     AgreedPerS,
-    /// To let a request in, choose a server and note its answer, mean, microseconds.
+    /// Mean time to admit a request, choose a server and record its answer, in microseconds.
     ChooseUs,
-    /// The same, 99 in 100 are done in this, microseconds.
+    /// 99th percentile of the same time, in microseconds.
     ChooseP99Us,
-    /// The same with a second try at another server, mean, microseconds.
+    /// Mean of the same time with a retry at another server, in microseconds.
     ChooseAgainUs,
 }
 
 impl Metric {
-    /// What it is called in tables, with its unit.
+    /// Label with unit, as shown in tables.
     pub(crate) fn label(self) -> &'static str {
         match self {
             Metric::CpuPercent => "CPU, % of a core",
@@ -144,44 +144,45 @@
         }
     }
 
-    /// True: it rests on the wall's clock, so that builds beside the run make it worse.
+    /// Whether it is a wall-clock time, which other load on the machine increases.
     pub(crate) fn by_wall_clock(self) -> bool {
         use Metric::*;
         matches!(self, StartS | RejoinS | DrainLastMs | ChooseUs | ChooseP99Us | ChooseAgainUs)
     }
 }
 
-/// Measured things of one run.
+/// Measured values of one run.
 pub(crate) type Values = BTreeMap<Metric, f64>;
 
 /// One repeat of one size.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Run {
-    /// The size.
+    /// Size of the varied quantity.
     pub x: f64,
-    /// The repeat, from 0.
+    /// Index of the repeat, from 0.
     pub repeat: usize,
-    /// The machine's load average of a minute when it ended: runnable threads, its own among them.
+    /// The machine's one-minute load average at the end of the run, in runnable threads; includes the run's
+    /// own.
     pub load_average: f64,
-    /// What was measured.
+    /// Measured values.
     pub values: Values,
 }
 
-/// One slope.
+/// All runs of one slope and their fits.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Slope {
-    /// What grows.
+    /// The varied quantity.
     pub name: Name,
-    /// All repeats of all sizes.
+    /// One run for each repeat of each size.
     pub runs: Vec<Run>,
-    /// Fits by metric, worked out from the runs.
+    /// Fit of each metric, calculated from the runs.
     pub fits: BTreeMap<Metric, Fit>,
-    /// What could not be measured, and why.
+    /// Sizes that could not be measured, with the error.
     pub notes: Vec<String>,
 }
 
 impl Slope {
-    /// A slope of these runs, with its fits.
+    /// Builds a slope and calculates its fits.
     pub(crate) fn new(name: Name, runs: Vec<Run>, notes: Vec<String>) -> Self {
         let mut slope = Self { name, runs, fits: BTreeMap::new(), notes };
         let fits = slope.metrics().into_iter();
@@ -189,7 +190,7 @@
         slope
     }
 
-    /// What was measured in any run.
+    /// Metrics that at least one run has, in ascending order.
     pub(crate) fn metrics(&self) -> Vec<Metric> {
         let mut metrics: Vec<Metric> = self.runs.iter().flat_map(|run| run.values.keys().copied()).collect();
         metrics.sort();
@@ -197,7 +198,7 @@
         metrics
     }
 
-    /// The points of a metric.
+    /// The points of one metric over all runs that have it.
     pub(crate) fn points(&self, metric: Metric) -> Vec<Point> {
         let point = |run: &Run| {
             let y = *run.values.get(&metric)?;
@@ -206,7 +207,7 @@
         self.runs.iter().filter_map(point).collect()
     }
 
-    /// Its sizes, rising.
+    /// The measured sizes, in ascending order and without duplicates.
     pub(crate) fn sizes(&self) -> Vec<f64> {
         let mut sizes: Vec<f64> = self.runs.iter().map(|run| run.x).collect();
         sizes.sort_by(f64::total_cmp);
@@ -215,19 +216,19 @@
     }
 }
 
-/// All slopes of a run, and where they were taken.
+/// All slopes of a run, with the conditions of measurement.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Slopes {
-    /// Processors of the machine.
+    /// CPU cores available on the machine.
     pub cores: usize,
-    /// The version of the program, as it tells it.
+    /// Output of `stepspur --version`.
     pub program: String,
-    /// The seed.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// True: fewer sizes or repeats than a full run.
+    /// Whether fewer sizes and repeats were measured than in a full run.
     pub quick: bool,
-    /// The slopes.
+    /// Measured slopes, ordered by name.
     pub slopes: Vec<Slope>,
 }
 
--- a/crates/stepspur-scale/src/slopes/table.rs
+++ b/crates/stepspur-scale/src/slopes/table.rs
@@ -1,14 +1,14 @@
-//! A slope as a table on standard output.
+//! Prints a slope as a table to standard output.
 
 use super::result::Slope;
 use crate::fit::{self, Estimate};
 
-/// Prints the means of the repeats at each size, and the fits.
+/// Prints for each metric the mean at each size, the slope and the exponent, then load and notes.
 pub(super) fn print(slope: &Slope) {
     let sizes = slope.sizes();
     println!("\n{}", slope.name.counts());
-    let head: String = sizes.iter().map(|size| format!("{size:>14}")).collect();
-    println!("{:34}{head}{:>26}{:>18}", "", "more for one more", "exponent");
+    let header: String = sizes.iter().map(|size| format!("{size:>14}")).collect();
+    println!("{:34}{header}{:>26}{:>18}", "", "more for one more", "exponent");
     for metric in slope.metrics() {
         let points = slope.points(metric);
         let mean =
@@ -20,12 +20,12 @@
         println!("{:34}{means}{more:>26}{exponent:>18}", metric.label());
     }
     let loads = slope.runs.iter().map(|run| run.load_average);
-    let (least, most) = loads.fold((f64::MAX, 0f64), |(least, most), load| (least.min(load), most.max(load)));
-    println!("load of the machine beside it {least:.1} to {most:.1}");
+    let (min, max) = loads.fold((f64::MAX, 0f64), |(min, max), load| (min.min(load), max.max(load)));
+    println!("load of the machine beside it {min:.1} to {max:.1}");
     slope.notes.iter().for_each(|note| println!("not measured: {note}"));
 }
 
-/// A value with its half interval.
+/// Formats the mean with half the width of its interval, if it has one.
 pub(crate) fn format_estimate(estimate: Estimate) -> String {
     match estimate.half_width {
         None | Some(0.0) => format_rounded(estimate.mean),
@@ -33,11 +33,11 @@
     }
 }
 
-/// Three digits that count.
+/// Formats a value with three significant digits.
 pub(crate) fn format_rounded(value: f64) -> String {
     if value == 0.0 || !value.is_finite() {
         return format!("{value}");
     }
-    let places = (2 - value.abs().log10().floor() as i32).max(0) as usize;
-    if places > 8 { format!("{value:.2e}") } else { format!("{value:.places$}") }
+    let decimals = (2 - value.abs().log10().floor() as i32).max(0) as usize;
+    if decimals > 8 { format!("{value:.2e}") } else { format!("{value:.decimals$}") }
 }
--- a/crates/stepspur-scale/tests/program.rs
+++ b/crates/stepspur-scale/tests/program.rs
@@ -1,4 +1,4 @@
-//! The program `stepspur-scale`, as it is called.
+//! Runs the program `stepspur-scale` from its command line.
 
 use std::path::Path;
 use std::process::{Command, Output};
@@ -6,11 +6,11 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_stepspur-scale");
 const ROOT: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../..");
 
-fn call(program: &Path, args: &[&str]) -> Output {
+fn run(program: &Path, args: &[&str]) -> Output {
     Command::new(program).args(args).output().unwrap()
 }
 
-/// `stepspur` beside the program under test; built there if it was not yet.
+/// Builds `stepspur` beside the program under test, if it does not exist yet.
 fn build_stepspur() {
     if !Path::new(PROGRAM).with_file_name("stepspur").exists() {
         let cargo = std::env::var("CARGO").unwrap();
@@ -21,25 +21,25 @@
 }
 
 #[test]
-fn without_the_program_it_says_what_to_build() {
+fn missing_program_error_names_the_build_command() {
     let folder = tempfile::tempdir().unwrap();
     let alone = folder.path().join("stepspur-scale");
     std::fs::copy(PROGRAM, &alone).unwrap();
-    let called = call(&alone, &["slopes", "--quick", "--only", "probes"]);
-    assert!(!called.status.success());
-    let said = String::from_utf8(called.stderr).unwrap();
-    assert!(said.contains("cargo build --release -p stepspur-cli"), "{said}");
+    let output = run(&alone, &["slopes", "--quick", "--only", "probes"]);
+    assert!(!output.status.success());
+    let stderr = String::from_utf8(output.stderr).unwrap();
+    assert!(stderr.contains("cargo build --release -p stepspur-cli"), "{stderr}");
 }
 
 #[test]
-fn a_short_slope_of_a_real_conductor_is_measured_written_and_added_to() {
+fn quick_slopes_are_measured_and_merged_into_the_result_file() {
     build_stepspur();
     let folder = tempfile::tempdir().unwrap();
     let json = folder.path().join("slopes.json");
     let path = json.to_str().unwrap();
     for name in ["probes", "choose"] {
-        let called = call(Path::new(PROGRAM), &["slopes", "--quick", "--only", name, "--json", path]);
-        assert!(called.status.success(), "{}", String::from_utf8_lossy(&called.stderr));
+        let output = run(Path::new(PROGRAM), &["slopes", "--quick", "--only", name, "--json", path]);
+        assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     }
     let slopes: serde_json::Value = serde_json::from_slice(&std::fs::read(&json).unwrap()).unwrap();
     let names: Vec<_> = slopes["slopes"].as_array().unwrap().iter().map(|slope| &slope["name"]).collect();
@@ -57,15 +57,15 @@
 }
 
 #[test]
-fn a_page_without_its_markers_is_refused_and_stays_as_it_was() {
+fn page_without_markers_is_rejected_and_unchanged() {
     let folder = tempfile::tempdir().unwrap();
     let page = folder.path().join("page.md");
     std::fs::write(&page, "no markers\n").unwrap();
     let slopes = format!("{ROOT}/docs/capacity/slopes.json");
-    let called =
-        call(Path::new(PROGRAM), &["capacity", "--slopes", &slopes, "--page", page.to_str().unwrap()]);
-    assert!(!called.status.success());
-    let said = String::from_utf8(called.stderr).unwrap();
-    assert!(said.contains("<!-- slopes: begin -->"), "{said}");
+    let output =
+        run(Path::new(PROGRAM), &["capacity", "--slopes", &slopes, "--page", page.to_str().unwrap()]);
+    assert!(!output.status.success());
+    let stderr = String::from_utf8(output.stderr).unwrap();
+    assert!(stderr.contains("<!-- slopes: begin -->"), "{stderr}");
     assert_eq!(std::fs::read_to_string(&page).unwrap(), "no markers\n");
 }
