--- a/crates/stepspur-scale/src/capacity/failures.rs
+++ b/crates/stepspur-scale/src/capacity/failures.rs
@@ -1,4 +1,4 @@
-//! Load that failures and mass restarts put on each role.
+//! Load that failures and mass restarts put on each role, with an ordinary day for comparison.
 
 use super::cell::Cell;
 use super::figures::Figures;
@@ -37,21 +37,26 @@
     pub mechanism: &'static str,
 }
 
-/// Every failure with its load on a conductor that lists `with.servers` servers.
-pub(super) fn failure_loads(figures: Figures, with: &Assumptions) -> Vec<FailureLoad> {
-    let more_servers = figures.above(Name::Servers, Metric::DrainCpuMs, with.servers, PROXIES_SLOPE_SERVERS);
-    let drain = figures.at(Name::Proxies, Metric::DrainCpuMs, with.proxies).plus(more_servers);
+/// Every failure with its load on a conductor that lists `assumptions.servers` servers.
+pub(super) fn failure_loads(figures: Figures, assumptions: &Assumptions) -> Vec<FailureLoad> {
+    let more_servers = figures.cost_difference(
+        Name::Servers,
+        Metric::DrainCpuMs,
+        assumptions.servers,
+        PROXIES_SLOPE_SERVERS,
+    );
+    let drain = figures.at(Name::Proxies, Metric::DrainCpuMs, assumptions.proxies).plus(more_servers);
     let servers_of_zone = USERS.servers_per_zone();
-    let withdrawal_cpu_ms = |servers: f64| drain.times(servers.min(with.servers) / SERVERS_PER_DRAIN);
+    let withdrawal_cpu_ms = |servers: f64| drain.times(servers.min(assumptions.servers) / SERVERS_PER_DRAIN);
     let conductors_of_region = USERS.conductors / USERS.regions;
-    let suspect_probes_per_s = |servers: f64| Cell::counted(servers.min(with.servers) / 0.4);
-    let list_bytes = with.servers * entry_bytes();
+    let suspect_probes_per_s = |servers: f64| Cell::counted(servers.min(assumptions.servers) / 0.4);
+    let list_bytes = assumptions.servers * entry_bytes();
     // Lines of one table for each proxy: a zone's share of the listed servers, the message overhead, and 5
     // for the mark.
-    let table_lines =
-        with.proxies * (with.servers / USERS.zones.min(with.servers) + MESSAGE_OVERHEAD_LINES + 5.0);
-    let start_cost = |metric| figures.at(Name::Proxies, metric, with.proxies);
-    let list_changes_per_day = list_changes_per_s(with.servers) * DAY_S;
+    let table_lines = assumptions.proxies
+        * (assumptions.servers / USERS.zones.min(assumptions.servers) + MESSAGE_OVERHEAD_LINES + 5.0);
+    let start_cost = |metric| figures.at(Name::Proxies, metric, assumptions.proxies);
+    let list_changes_per_day = list_changes_per_s(assumptions.servers) * DAY_S;
     vec![
         FailureLoad {
             failure: "an ordinary day: 1,100 restarts, 110 failures",
@@ -74,7 +79,7 @@
         FailureLoad {
             failure: RACK_FAILURE,
             what: "each conductor that lists it: CPU",
-            figure: withdrawal_cpu_ms(with.rack),
+            figure: withdrawal_cpu_ms(assumptions.rack),
             unit: "ms",
             allowed: "none named",
             formula: "24 D/3; decided together it costs less",
@@ -83,7 +88,7 @@
         FailureLoad {
             failure: RACK_FAILURE,
             what: "each conductor that lists it: probes until they are withdrawn",
-            figure: suspect_probes_per_s(with.rack),
+            figure: suspect_probes_per_s(assumptions.rack),
             unit: "a second",
             allowed: "none named",
             formula: "24 / 0.4 s",
@@ -128,7 +133,7 @@
         FailureLoad {
             failure: "a region cut off for 5 minutes",
             what: "changes that it misses if the burst falls into it",
-            figure: Cell::counted(with.burst_per_s * with.burst_s),
+            figure: Cell::counted(assumptions.burst_per_s * assumptions.burst_s),
             unit: "changes",
             allowed: "in force within 5 s",
             formula: "10 · 60 s",
@@ -191,7 +196,7 @@
         FailureLoad {
             failure: "all conductors of a region start at once",
             what: "first probes, all conductors together",
-            figure: Cell::counted(conductors_of_region * with.servers),
+            figure: Cell::counted(conductors_of_region * assumptions.servers),
             unit: "a second",
             allowed: "none named",
             formula: "109 · S: before reports come each server is probed every second",
--- a/crates/stepspur-scale/src/capacity/figures.rs
+++ b/crates/stepspur-scale/src/capacity/figures.rs
@@ -22,7 +22,7 @@
 
     /// The difference of the metric between the sizes `x` and `other`, taken for each repeat, so that an
     /// offset that all sizes of a repeat share cancels out.
-    pub(super) fn above(&self, name: Name, metric: Metric, x: f64, other: f64) -> Cell {
+    pub(super) fn cost_difference(&self, name: Name, metric: Metric, x: f64, other: f64) -> Cell {
         if x == other {
             return Cell::counted(0.0);
         }
@@ -35,11 +35,11 @@
             Some(at(x)? - at(other)?)
         };
         let differences: Vec<f64> = (0..repeats).filter_map(difference).collect();
-        Estimate::of(&differences).map_or(Cell::NOT_KNOWN, Cell::derived)
+        Estimate::from_samples(&differences).map_or(Cell::NOT_KNOWN, Cell::derived)
     }
 
     /// The cost of one more unit of size, by the fitted line.
-    pub(super) fn more(&self, name: Name, metric: Metric) -> Cell {
+    pub(super) fn marginal_cost(&self, name: Name, metric: Metric) -> Cell {
         let fit = self.0.get(name).and_then(|slope| slope.fits.get(&metric));
         fit.map_or(Cell::NOT_KNOWN, |fit| Cell::derived(fit.slope))
     }
--- a/crates/stepspur-scale/src/capacity/gaps.rs
+++ b/crates/stepspur-scale/src/capacity/gaps.rs
@@ -117,11 +117,11 @@
 
 /// A conductor's costs against their limits, for one case of the servers that it lists.
 fn over_limit(figures: Figures, listed: ListScope) -> Vec<Gap> {
-    let with = Assumptions::with_servers(listed.servers());
-    let rows = roles::conductor(figures, &with);
+    let assumptions = Assumptions::with_servers(listed.servers());
+    let rows = roles::conductor(figures, &assumptions);
     let is_probes = |row: &Row| row.what == roles::PROBES;
     let is_control = |row: &Row| roles::CONTROL.contains(&row.what);
-    let conductors_per_server = USERS.conductors * with.servers / USERS.servers;
+    let conductors_per_server = USERS.conductors * assumptions.servers / USERS.servers;
     let target = |what: &str| format!("{what}, a conductor that lists {}", listed.label());
     let gap = |what: &str, cell: Cell, limit: f64, unit: &str, mechanism, cost: String| Gap {
         target: target(what),
--- a/crates/stepspur-scale/src/capacity/page.rs
+++ b/crates/stepspur-scale/src/capacity/page.rs
@@ -86,9 +86,9 @@
 pub(super) fn conductor(figures: Figures) -> String {
     let mut text = String::new();
     for listed in ListScope::ALL {
-        let with = Assumptions::with_servers(listed.servers());
+        let assumptions = Assumptions::with_servers(listed.servers());
         let _ = writeln!(text, "**It lists {}**\n", listed.label());
-        let rows = roles::conductor(figures, &with);
+        let rows = roles::conductor(figures, &assumptions);
         let mut table = Table::new(&ROLE_HEADERS[..CONDUCTOR_COLUMNS]);
         rows.iter().for_each(|row| table.row(&role_cells(row)[..CONDUCTOR_COLUMNS]));
         text += &table.0;
@@ -137,8 +137,8 @@
     let control = |row: &Row| roles::CONTROL.contains(&row.what);
     let with_probes = |row: &Row| control(row) || row.what == roles::PROBES;
     let mut table = String::new();
-    let mut line = |what: &str, of: &dyn Fn(&Row) -> bool| {
-        let known = |cell: fn(&Row) -> Cell| roles::sum_known(rows, of, cell).text();
+    let mut line = |what: &str, selected: &dyn Fn(&Row) -> bool| {
+        let known = |cell: fn(&Row) -> Cell| roles::sum_known(rows, selected, cell).text();
         let (bytes, cpu, memory) = (known(|row| row.bytes), known(|row| row.cpu), known(|row| row.memory));
         let _ = writeln!(table, "| **{what}** | | | | {bytes} | {cpu} | {memory} | |");
     };
@@ -239,8 +239,8 @@
         "memory in all, MiB",
         "and if it doubles",
     ]);
-    let cells = |with: &Assumptions| {
-        let rows = roles::conductor(figures, with);
+    let cells = |assumptions: &Assumptions| {
+        let rows = roles::conductor(figures, assumptions);
         let control = |row: &Row| roles::CONTROL.contains(&row.what) || row.what == roles::PROBES;
         [
             roles::sum(&rows, control, |row| row.bytes).text(),
@@ -250,16 +250,16 @@
     };
     let [bytes, cpu, memory] = cells(&assumed);
     table.row(&["**as taken**", "", &bytes, &cpu, &memory, ""]);
-    for (what, value, with) in doubled {
-        let [bytes, cpu, memory] = cells(&with);
-        table.row(&[what, &value, &bytes, &cpu, &memory, &side_effect(figures, &assumed, &with)]);
+    for (what, value, with_doubled) in doubled {
+        let [bytes, cpu, memory] = cells(&with_doubled);
+        table.row(&[what, &value, &bytes, &cpu, &memory, &side_effect(figures, &assumed, &with_doubled)]);
     }
     table.0
 }
 
 /// A conductor's CPU time when a rack fails, as text.
-fn rack_failure_cpu(figures: Figures, with: &Assumptions) -> String {
-    let loads = failures::failure_loads(figures, with);
+fn rack_failure_cpu(figures: Figures, assumptions: &Assumptions) -> String {
+    let loads = failures::failure_loads(figures, assumptions);
     loads
         .iter()
         .find(|row| row.failure == failures::RACK_FAILURE)
@@ -267,26 +267,27 @@
 }
 
 /// The effect of a doubled assumption that a conductor's ordinary costs do not show.
-fn side_effect(figures: Figures, assumed: &Assumptions, with: &Assumptions) -> String {
-    if with.burst_per_s != assumed.burst_per_s {
-        let leader =
-            |with: &Assumptions| figures.at(Name::Entries, Metric::LeaderCpuPercent, with.burst_per_s).text();
-        return format!("leader {} % of a core in the burst in place of {}", leader(with), leader(assumed));
+fn side_effect(figures: Figures, base: &Assumptions, doubled: &Assumptions) -> String {
+    if doubled.burst_per_s != base.burst_per_s {
+        let leader = |assumptions: &Assumptions| {
+            figures.at(Name::Entries, Metric::LeaderCpuPercent, assumptions.burst_per_s).text()
+        };
+        return format!("leader {} % of a core in the burst in place of {}", leader(doubled), leader(base));
     }
-    if with.rack != assumed.rack {
-        let cost = |with: &Assumptions| rack_failure_cpu(figures, with);
+    if doubled.rack != base.rack {
+        let cost = |assumptions: &Assumptions| rack_failure_cpu(figures, assumptions);
         return format!(
             "a lost rack costs a conductor {} ms of CPU in place of {}",
-            cost(with),
-            cost(assumed)
+            cost(doubled),
+            cost(base)
         );
     }
-    if with.zipf != assumed.zipf {
-        let part = |with: &Assumptions| format_rounded(with.largest_tenant() * 100.0);
+    if doubled.zipf != base.zipf {
+        let part = |assumptions: &Assumptions| format_rounded(assumptions.largest_tenant() * 100.0);
         return format!(
             "the largest tenant has {} % of the requests in place of {}; nothing is kept by tenant yet",
-            part(with),
-            part(assumed)
+            part(doubled),
+            part(base)
         );
     }
     String::new()
--- a/crates/stepspur-scale/src/capacity/predictions.rs
+++ b/crates/stepspur-scale/src/capacity/predictions.rs
@@ -41,8 +41,10 @@
     let servers = |metric, at: f64| figures.at(Name::Servers, metric, at);
     let members = |metric| figures.at(Name::Members, metric, 13.0);
     let probes = |metric, at: f64| figures.at(Name::Probes, metric, at);
-    let probes_per_server = figures.more(Name::Probes, Metric::ProbesPerS).mean().unwrap_or(f64::NAN);
-    let probe_bytes = figures.more(Name::Probes, Metric::WireBytesPerS).times(1.0 / probes_per_server);
+    let probes_per_server =
+        figures.marginal_cost(Name::Probes, Metric::ProbesPerS).mean().unwrap_or(f64::NAN);
+    let probe_bytes =
+        figures.marginal_cost(Name::Probes, Metric::WireBytesPerS).times(1.0 / probes_per_server);
     let exactly = |value: f64| (value, value);
     let counted = |what, stated, measured| Prediction { what, stated, measured, by_wall_clock: false };
     let timed = |what, stated, measured| Prediction { what, stated, measured, by_wall_clock: true };
--- a/crates/stepspur-scale/src/capacity/roles.rs
+++ b/crates/stepspur-scale/src/capacity/roles.rs
@@ -80,15 +80,17 @@
 }
 
 /// The cost of a conductor, one row for each activity.
-pub(super) fn conductor(figures: Figures, with: &Assumptions) -> Vec<Row> {
-    let Assumptions { proxies, servers, requests_per_s, .. } = *with;
+pub(super) fn conductor(figures: Figures, assumptions: &Assumptions) -> Vec<Row> {
+    let Assumptions { proxies, servers, requests_per_s, .. } = *assumptions;
     let proxies_cost = |metric| figures.at(Name::Proxies, metric, proxies);
-    let listed_servers_cost = |metric| figures.above(Name::Servers, metric, servers, PROXIES_SLOPE_SERVERS);
+    let listed_servers_cost =
+        |metric| figures.cost_difference(Name::Servers, metric, servers, PROXIES_SLOPE_SERVERS);
     let reported_requests = requests_per_s.max(MIN_MEASURED_REQUESTS_PER_S);
-    let reported =
-        |metric| figures.above(Name::Reports, metric, reported_requests, MIN_MEASURED_REQUESTS_PER_S);
+    let reported = |metric| {
+        figures.cost_difference(Name::Reports, metric, reported_requests, MIN_MEASURED_REQUESTS_PER_S)
+    };
     let probes = probes_per_s(servers, requests_per_s);
-    let per_server = |metric| figures.more(Name::Probes, metric);
+    let per_server = |metric| figures.marginal_cost(Name::Probes, metric);
     let per_call = |metric| per_server(metric).times(servers_per_probe(figures));
     let calls = 1.0 / LIST_POLL_TIMEOUT_S + list_changes_per_s(servers);
     let entries = Cell::counted(list_changes_per_s(servers) * entry_bytes());
@@ -190,7 +192,7 @@
 /// Servers for each probe per second in the slope of probes: converts its cost per server into a cost per
 /// probe.
 fn servers_per_probe(figures: Figures) -> f64 {
-    let probed_per_s = figures.more(Name::Probes, Metric::ProbesPerS).mean();
+    let probed_per_s = figures.marginal_cost(Name::Probes, Metric::ProbesPerS).mean();
     probed_per_s.filter(|each| *each > 0.0).map_or(f64::NAN, |each| 1.0 / each)
 }
 
@@ -207,28 +209,29 @@
 pub(super) const PROBES: &str = "probes";
 
 /// The sum of a column over the selected rows; not known if one of them is not known.
-pub(super) fn sum(rows: &[Row], of: impl Fn(&Row) -> bool, cell: impl Fn(&Row) -> Cell) -> Cell {
-    rows.iter().filter(|row| of(row)).map(cell).fold(Cell::counted(0.0), Cell::plus)
+pub(super) fn sum(rows: &[Row], selected: impl Fn(&Row) -> bool, cell: impl Fn(&Row) -> Cell) -> Cell {
+    rows.iter().filter(|row| selected(row)).map(cell).fold(Cell::counted(0.0), Cell::plus)
 }
 
 /// The sum of a column over the selected rows with known values; not known if there are none.
-pub(super) fn sum_known(rows: &[Row], of: &dyn Fn(&Row) -> bool, cell: fn(&Row) -> Cell) -> Cell {
-    let known = |row: &Row| of(row) && cell(row).mean().is_some();
+pub(super) fn sum_known(rows: &[Row], selected: &dyn Fn(&Row) -> bool, cell: fn(&Row) -> Cell) -> Cell {
+    let known = |row: &Row| selected(row) && cell(row).mean().is_some();
     if rows.iter().any(known) { sum(rows, known, cell) } else { Cell::NOT_KNOWN }
 }
 
 /// The cost of every role other than a conductor, one row each.
-pub(super) fn others(figures: Figures, with: &Assumptions) -> Vec<Row> {
+pub(super) fn others(figures: Figures, assumptions: &Assumptions) -> Vec<Row> {
     let member_cost = |metric| figures.at(Name::Members, metric, USERS.machines);
     let segments = |members, wire, payload| segments_per_s(figures, members, wire, payload);
-    let burst_cost = |metric| figures.at(Name::Entries, metric, with.burst_per_s);
-    let probers = USERS.conductors * with.servers / USERS.servers;
-    let probed_per_s = probers * probes_per_s(with.servers, with.requests_per_s) / with.servers;
-    let per_probe = |metric| figures.more(Name::Probes, metric).times(servers_per_probe(figures));
-    let calls = USERS.conductors * (1.0 / LIST_POLL_TIMEOUT_S + list_changes_per_s(with.servers));
-    let list_bytes = USERS.conductors * list_changes_per_s(with.servers) * entry_bytes();
+    let burst_cost = |metric| figures.at(Name::Entries, metric, assumptions.burst_per_s);
+    let probers = USERS.conductors * assumptions.servers / USERS.servers;
+    let probed_per_s =
+        probers * probes_per_s(assumptions.servers, assumptions.requests_per_s) / assumptions.servers;
+    let per_probe = |metric| figures.marginal_cost(Name::Probes, metric).times(servers_per_probe(figures));
+    let calls = USERS.conductors * (1.0 / LIST_POLL_TIMEOUT_S + list_changes_per_s(assumptions.servers));
+    let list_bytes = USERS.conductors * list_changes_per_s(assumptions.servers) * entry_bytes();
     let choose = figures.at(Name::Choose, Metric::ChooseUs, 40.0);
-    let rate = USERS.requests_per_conductor() / with.proxies;
+    let rate = USERS.requests_per_conductor() / assumptions.proxies;
     vec![
         Row {
             what: "voter",
@@ -256,8 +259,8 @@
         },
         Row {
             what: "leader, in the burst of changes",
-            entries: Cell::counted(with.burst_per_s * with.burst_s),
-            state_bytes: Cell::counted(with.burst_per_s * with.burst_s * COMMAND_BYTES),
+            entries: Cell::counted(assumptions.burst_per_s * assumptions.burst_s),
+            state_bytes: Cell::counted(assumptions.burst_per_s * assumptions.burst_s * COMMAND_BYTES),
             messages: Cell::NOT_KNOWN,
             bytes: burst_cost(Metric::LeaderWireBytesPerS),
             cpu: burst_cost(Metric::LeaderCpuPercent),
@@ -332,10 +335,10 @@
         },
         Row {
             what: "proxy, to choose",
-            entries: Cell::counted(with.servers),
+            entries: Cell::counted(assumptions.servers),
             state_bytes: Cell::NOT_KNOWN,
             messages: Cell::counted(1.0 + 2.0 / KEEP_ALIVE_INTERVAL_S),
-            bytes: figures.more(Name::Proxies, Metric::WireBytesPerS),
+            bytes: figures.marginal_cost(Name::Proxies, Metric::WireBytesPerS),
             cpu: choose.times(rate / 1e6 * 100.0),
             memory: Cell::NOT_KNOWN,
             mechanism: "its table; no request passes a conductor",
--- a/crates/stepspur-scale/src/drains/changes.rs
+++ b/crates/stepspur-scale/src/drains/changes.rs
@@ -38,8 +38,7 @@
 }
 
 impl Schedule {
-    /// Changes the levels of `classes` and the draining of `held`, a server that the measured drains do not
-    /// use.
+    /// Changes the levels of `classes` and the draining of `held_server`, which no measured drain uses.
     pub(super) fn new(classes: Vec<String>, held_server: SocketAddr) -> Self {
         Self { classes, held_server, generated: 0 }
     }
--- a/crates/stepspur-scale/src/drains/round.rs
+++ b/crates/stepspur-scale/src/drains/round.rs
@@ -31,7 +31,7 @@
 /// changes and the engine's periodic work.
 const MAX_PAUSE: Duration = Duration::from_millis(100);
 /// Requests per second that each proxy reports.
-const REQUESTS_PER_PROXY: usize = 1;
+const REQUESTS_PER_S_PER_PROXY: usize = 1;
 /// At most one in this many servers of a zone drains at a time; at the limit, all are set to ready again.
 const SERVERS_PER_DRAINING_SERVER: usize = 5;
 /// Capacity of the channel of table changes, for each proxy.
@@ -57,7 +57,7 @@
         Setup {
             servers: self.servers,
             proxies: self.proxies,
-            requests_per_proxy: REQUESTS_PER_PROXY,
+            requests_per_proxy: REQUESTS_PER_S_PER_PROXY,
             probing: false,
             events: false,
             window: Duration::ZERO,
@@ -159,7 +159,8 @@
     /// Drains servers while configuration changes are committed, then ends the round.
     ///
     /// # Errors
-    /// If a drain does not reach all proxies, or changes are not committed or, in the arm "on", do not reach all proxies.
+    /// If a drain does not reach all proxies, or changes are not committed or, in the arm "on", do not reach
+    /// all proxies.
     pub(super) async fn measure(mut self, changes: &mut Changes) -> anyhow::Result<Measured> {
         discarding_changes(&mut self.table_changes, changes.next()).await?;
         if self.arm == Arm::On {
@@ -244,7 +245,7 @@
         self.bench.config.fleet.zones.len()
     }
 
-    /// Waits until the conductor has polled its list more often than `polls` times.
+    /// Waits until the conductor has polled its list again since the count of polls was `polls`.
     async fn wait_for_poll(&mut self, polls: u64) -> anyhow::Result<()> {
         let polled = timeout(WAIT_TIMEOUT, self.bench.registry.polled(polls));
         discarding_changes(&mut self.table_changes, polled)
--- a/crates/stepspur-scale/src/fit.rs
+++ b/crates/stepspur-scale/src/fit.rs
@@ -38,7 +38,7 @@
     }
 
     /// Estimates the mean of one value per repeat; `None` without values.
-    pub(crate) fn of(values: &[f64]) -> Option<Self> {
+    pub(crate) fn from_samples(values: &[f64]) -> Option<Self> {
         if values.is_empty() {
             return None;
         }
@@ -125,16 +125,16 @@
     let repeats = if positive { by_repeat(points) } else { BTreeMap::new() };
     let exponents: Vec<f64> = repeats.values().filter_map(|points| exponent(points)).collect();
     Some(Fit {
-        intercept: Estimate::of(&intercepts)?,
-        slope: Estimate::of(&slopes)?,
-        exponent: Estimate::of(&exponents),
+        intercept: Estimate::from_samples(&intercepts)?,
+        slope: Estimate::from_samples(&slopes)?,
+        exponent: Estimate::from_samples(&exponents),
         r_squared: r_squared(points)?,
     })
 }
 
 /// The value at size `x` on the repeats' fitted lines.
 pub(crate) fn predict(points: &[Point], x: f64) -> Option<Estimate> {
-    Estimate::of(&lines(points).iter().map(|line| line.at(x)).collect::<Vec<_>>())
+    Estimate::from_samples(&lines(points).iter().map(|line| line.at(x)).collect::<Vec<_>>())
 }
 
 /// Interpolates linearly between the neighbouring sizes; `None` outside the measured range.
@@ -146,13 +146,13 @@
         Some(line.map_or(below.1, |line| line.at(x)))
     };
     let values: Vec<f64> = by_repeat(points).values().filter_map(interpolated).collect();
-    Estimate::of(&values)
+    Estimate::from_samples(&values)
 }
 
 /// The value measured at exactly size `x`; `None` if that size was not measured.
 pub(crate) fn measured(points: &[Point], x: f64) -> Option<Estimate> {
     let values = points.iter().filter(|point| point.x == x).map(|point| point.y);
-    Estimate::of(&values.collect::<Vec<_>>())
+    Estimate::from_samples(&values.collect::<Vec<_>>())
 }
 
 fn by_repeat(points: &[Point]) -> BTreeMap<usize, Vec<(f64, f64)>> {
--- a/crates/stepspur-scale/src/hollow/servers.rs
+++ b/crates/stepspur-scale/src/hollow/servers.rs
@@ -49,8 +49,8 @@
     tasks: TaskTracker,
 }
 
-/// Loopback address of the server with this number, from 127.16.0.1 on; 250 hosts in each of 250 blocks of a
-/// /16.
+/// Loopback address of the server with this number: 127.16.0.1 and following, 250 addresses in each /24 and
+/// 62,500 in each /16.
 pub(crate) fn address_of(number: usize) -> Ipv4Addr {
     Ipv4Addr::new(127, 16 + (number / 62_500) as u8, (number / 250 % 250) as u8, (number % 250 + 1) as u8)
 }
@@ -64,7 +64,7 @@
         if count > SERVERS_MOST {
             return Err(io::Error::new(
                 io::ErrorKind::InvalidInput,
-                "more hollow servers than one process can run",
+                "more hollow servers than a process holds",
             ));
         }
         let (stop, tasks) = (CancellationToken::new(), TaskTracker::new());
--- a/crates/stepspur-scale/src/hollow_conductors/mod.rs
+++ b/crates/stepspur-scale/src/hollow_conductors/mod.rs
@@ -27,7 +27,7 @@
 use message::{Command, Event, HollowConductor};
 use net::{Counters, GatedTransport, Gates};
 
-/// Capacity of the queue of events to the harness; engines block while it is full.
+/// Capacity of the queue of events to the harness, in events; engines block while it is full.
 const EVENT_QUEUE_CAPACITY: usize = 4_096;
 /// Default timeouts of a real conductor for connecting and writing.
 const DIAL_TIMEOUT: Duration = Duration::from_secs(2);
@@ -55,7 +55,7 @@
     process.send(Event::Ready).await?;
     let mut lines = BufReader::new(tokio::io::stdin()).lines();
     while let Some(line) = lines.next_line().await? {
-        let command = serde_json::from_str(&line).context("cannot parse a command")?;
+        let command = serde_json::from_str(&line).context("a command that cannot be read")?;
         process.handle(command).await?;
     }
     process.stop().await;
@@ -104,7 +104,7 @@
     }
 
     async fn send(&self, event: Event) -> anyhow::Result<()> {
-        self.events.send(event).await.context("the queue of events is closed")
+        self.events.send(event).await.context("nobody takes events")
     }
 
     async fn handle(&mut self, command: Command) -> anyhow::Result<()> {
@@ -192,7 +192,7 @@
 impl Running {
     async fn stop(self) -> (HollowConductor, MemoryStore, Arc<Counters>) {
         if tokio::time::timeout(STOP_TIMEOUT, self.subscriber.stop()).await.is_err() {
-            eprintln!("{} has not stopped in time", self.conductor.name);
+            eprintln!("{} has not stopped", self.conductor.name);
         }
         self.stop.cancel();
         self.tasks.wait().await;
--- a/crates/stepspur-scale/src/slopes/choose.rs
+++ b/crates/stepspur-scale/src/slopes/choose.rs
@@ -63,7 +63,7 @@
     proxy
 }
 
-/// Runs one request: admitted, sent to a server and answered. With `again`, the first attempt fails before it
+/// Runs one request: admitted, sent to a server and answered. With `with_retry`, the first attempt fails before it
 /// runs and is retried at another server.
 fn request(proxy: &mut Proxy, now: u64, with_retry: bool) -> anyhow::Result<()> {
     let no_server = || anyhow::anyhow!("the proxy finds no server");
