--- a/crates/stepspur-emulator/src/faults.rs
+++ b/crates/stepspur-emulator/src/faults.rs
@@ -1,4 +1,7 @@
 //! Faults of scenarios: given one by one or drawn from the seed, each with its time, its share and its scope.
+//!
+//! Doc comments of types with `JsonSchema` are published as descriptions in
+//! `rehearsals/scenario.schema.json`.
 
 use std::time::Duration;
 
@@ -11,147 +14,159 @@
 use crate::plan::{Lie, ServerPlan, Step, Trouble};
 use crate::scenario::Scenario;
 
-/// Kinds of faults.
+/// Kinds of faults, each with the keys that it takes. Kinds that affect a `share` of the servers also take
+/// `zone`, `cell`, `of_kind` and `server`.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// Traffic jumps: `times`.
+    /// The request rate is multiplied by `times`.
     Burst,
-    /// Part of the traffic moves to a zone: `zone`, `share`.
+    /// `share` of all requests enters through the proxies of `zone`.
     Shift,
-    /// Some requests of a class cost much more: `class`, `share`, `times`.
+    /// The work of `share` of the requests of `class` is multiplied by `times`.
     HeavyTail,
-    /// Servers are replaced by cold ones: `share` in all, `batch` at a time, each draining for `drain`.
+    /// `share` of the servers are replaced by cold ones of the same kinds, `batch` at a time and evenly over
+    /// the duration; each drains for `drain` before it stops.
     Release,
-    /// Servers restart within a second, and come back cold at the end: `share`, `zone`.
+    /// `share` of the servers stop at once, and start cold at the end; the same as `die`.
     MassRestart,
-    /// Cold servers join: `count` in all, `batch` at a time.
+    /// `count` cold servers join, `batch` at a time and evenly over the duration.
     Grow,
-    /// Servers die, and come back cold at the end.
+    /// `share` of the servers stop at once, and start cold at the end.
     Die,
-    /// Servers go silent, and come back cold at the end.
+    /// `share` of the servers become unresponsive (no reset, no answer), and restart cold at the end.
     Vanish,
-    /// Servers take requests and answer none.
+    /// `share` of the servers accept requests and answer none.
     Hang,
-    /// Servers fail a part of requests at once: `part`.
+    /// `share` of the servers fail `part` of their requests at once.
     FailFast,
-    /// Servers stand still for `pause` every `every`.
+    /// `share` of the servers repeatedly pause for `pause`, at intervals of `every`.
     Pauses,
-    /// Answers are lost: `part`.
+    /// `share` of the servers run `part` of their requests without the answers being delivered; no reset is
+    /// sent.
     AnswersLost,
-    /// Load reports are false: `times`.
+    /// `share` of the servers multiply all values of their load reports by `times`.
     FalseReports,
-    /// Servers accept fewer connections: `times`.
+    /// `share` of the servers have their connection limit divided by `times`.
     FewConnections,
-    /// New connections cost more: `times`, and take longer: `delay`.
+    /// On `share` of the servers, the work of a new connection is multiplied by `times`, and it takes longer
+    /// by `delay`.
     SlowHandshakes,
-    /// The node list is out of reach.
+    /// The node list is unavailable.
     ListDown,
-    /// The node list drops servers that live.
+    /// The node list omits `share` of the servers although they run.
     WrongList,
-    /// A zone is lost: `zone`, and with `proxies` its proxies' streams.
+    /// All servers of `zone` stop, and start cold at the end; with `proxies`, its proxies are cut off from
+    /// all conductors for that time.
     ZoneLoss,
-    /// A zone is cut off from the others: `zone`.
+    /// `zone` is cut off from all other zones.
     ZoneCut,
-    /// Nothing passes between `zone` and `to_zone`.
+    /// Nothing passes between `zone` and `to_zone`, in either direction.
     LinkCut,
-    /// The link between `zone` and `to_zone` is slow: `delay`, and loses `part`.
+    /// The link between `zone` and `to_zone` has the extra one-way delay `delay`, and loses `part` of all
+    /// chunks.
     SlowLink,
-    /// Orders reach proxies slower: `times`.
+    /// Orders take `times` as long to reach proxies.
     ChannelSlow,
-    /// Reports come later: `delay`.
+    /// Reports of proxies are delayed by `delay`.
     ReportsLate,
-    /// Proxies reach no conductor: `share`.
+    /// `share` of the proxies, of `zone` if it is set, cannot reach any conductor.
     CutOff,
-    /// Proxies read nothing: `share`.
+    /// `share` of the proxies, of `zone` if it is set, neither read from their streams nor send reports.
     ProxyStalls,
-    /// Conductors are killed outright, and started again at the end: `share`, all if not told.
+    /// `share` of the conductors, by default all, are killed together without notice, and started again at
+    /// the end.
     ConductorKill,
-    /// All conductors are told to end and started again, one after the other over the time.
+    /// All conductors are terminated (SIGTERM) and started again, one after the other and evenly over the
+    /// duration.
     ConductorRestart,
 }
 
-/// A fault of a scenario. Which keys a kind takes, its description says; others are refused.
+/// A fault of a scenario. The description of its kind names the keys that it takes; any other key is an
+/// error.
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// Its kind.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// From the day's begin.
+    /// Start of the fault, since the start of the traffic.
     #[serde(with = "humantime_serde")]
     #[schemars(with = "String")]
     pub at: Duration,
-    /// How long it lasts.
+    /// Duration of the fault; its targets recover at its end.
     #[serde(with = "humantime_serde")]
     #[schemars(with = "String")]
     pub lasts: Duration,
-    /// The part of servers, proxies or traffic that it strikes.
+    /// Share of the servers, proxies, conductors or requests that are affected, from 0 to 1; of servers,
+    /// proxies and conductors at least one. Not needed with `server`.
     pub share: Option<f64>,
-    /// Only those of this zone.
+    /// Zone that is affected; for faults of servers or proxies, only those of this zone. Default: all zones.
     pub zone: Option<String>,
-    /// Only servers of this cell of their zone, from 0.
+    /// Only servers of this cell of their zone: an index from 0, below `cells`. Default: all cells.
     pub cell: Option<usize>,
-    /// Only servers of this kind.
+    /// Only servers of the kind with this name. Default: all kinds.
     pub of_kind: Option<String>,
-    /// Only this server, by its place from 0.
+    /// Only this server: an index from 0, below `servers`. `share`, `zone`, `cell` and `of_kind` are then
+    /// ignored.
     pub server: Option<usize>,
-    /// The other end of a link.
+    /// Zone at the other end of a link; differs from `zone`.
     pub to_zone: Option<String>,
-    /// A class.
+    /// Class whose requests are affected.
     pub class: Option<String>,
-    /// A factor.
+    /// Factor or divisor that the kind applies; above 0.
     pub times: Option<f64>,
-    /// The part of requests that it strikes.
+    /// Share of requests, answers or chunks that are affected, from 0 to 1; default 0 for `slow_link`.
     pub part: Option<f64>,
-    /// Servers at a time.
+    /// Number of servers per batch; default 1 for `release`, all at once for `grow`.
     pub batch: Option<usize>,
-    /// Servers in all.
+    /// Total number of servers that join; more than 5000 count as 5000.
     pub count: Option<usize>,
-    /// How long a server drains.
+    /// How long each server drains before it stops; default 3 s.
     #[serde(default, with = "humantime_serde")]
     #[schemars(with = "Option<String>")]
     pub drain: Option<Duration>,
-    /// From pause to pause.
+    /// Mean time from the end of a pause to the start of the next.
     #[serde(default, with = "humantime_serde")]
     #[schemars(with = "Option<String>")]
     pub every: Option<Duration>,
-    /// How long a pause is.
+    /// Duration of each pause.
     #[serde(default, with = "humantime_serde")]
     #[schemars(with = "Option<String>")]
     pub pause: Option<Duration>,
-    /// How much later.
+    /// Extra delay; default 0 for `slow_handshakes`.
     #[serde(default, with = "humantime_serde")]
     #[schemars(with = "Option<String>")]
     pub delay: Option<Duration>,
-    /// Of a lost zone: its proxies, too.
+    /// True if the proxies of a lost zone lose their conductors, too; default false.
     pub proxies: Option<bool>,
 }
 
-/// Faults drawn from the scenario's seed.
+/// A group of faults drawn at random from the seed of the scenario.
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Draw {
-    /// Of these kinds.
+    /// Kinds to draw from, all equally likely; at least one.
     pub of: Vec<FaultKind>,
-    /// So many.
+    /// Number of faults to draw; at most 100.
     pub count: u32,
-    /// The first begins then at the earliest.
+    /// Earliest start of a fault, since the start of the traffic.
     #[serde(with = "humantime_serde")]
     #[schemars(with = "String")]
     pub from: Duration,
-    /// The last begins then at the latest.
+    /// Latest start of a fault, since the start of the traffic; not before `from`.
     #[serde(with = "humantime_serde")]
     #[schemars(with = "String")]
     pub until: Duration,
-    /// Each lasts so long at least.
+    /// Minimum duration of a fault.
     #[serde(with = "humantime_serde")]
     #[schemars(with = "String")]
     pub shortest: Duration,
-    /// ... and so long at most.
+    /// Maximum duration of a fault; not below `shortest`.
     #[serde(with = "humantime_serde")]
     #[schemars(with = "String")]
     pub longest: Duration,
-    /// The part of servers, proxies or traffic that each strikes, at most; 0.25 if not told.
+    /// Maximum share of the servers, proxies, conductors or requests that a fault affects; above 0, at most
+    /// 1, default 0.25.
     pub share_at_most: Option<f64>,
 }
 
--- a/crates/stepspur-emulator/src/plan.rs
+++ b/crates/stepspur-emulator/src/plan.rs
@@ -89,21 +89,22 @@
     }
 }
 
-/// What clients do.
+/// Behaviour of all clients: retries, timeouts and keys.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Clients {
-    /// Tries beyond the first.
+    /// Maximum number of client retries after the first try; default 1.
     pub retries: u32,
-    /// Wait between them.
+    /// Mean wait before a client retry, varied by up to 20%; default 100 ms.
     #[serde(with = "humantime_serde")]
     #[schemars(with = "String")]
     pub wait: Duration,
-    /// A try is given up after this part of the deadline.
+    /// Timeout of one try, as a share of the `deadline` of its class; default 0.6.
     pub try_share: f64,
-    /// Distinct keys; 0: none.
+    /// Number of distinct data keys that requests draw from; 0: requests have no key. Default 1000.
     pub keys: u64,
-    /// Their popularity falls by rank to this power.
+    /// Exponent of the Zipf distribution of the keys: the popularity of a key is its rank to the power of
+    /// minus this. Default 0.9.
     pub key_zipf: f64,
 }
 
@@ -113,33 +114,40 @@
     }
 }
 
-/// The rules' figures, for the judge and the servers.
+/// Limits of the five rules that every rehearsal checks, and the overload limit of cold servers.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
-    /// Rule 1: a joined proxy lacks a line no longer.
+    /// Rule 1: maximum time that a connected proxy may have no server to send to while its conductor lists a
+    /// warm one; 100 ms to 1 h, default 2500 ms.
     #[serde(with = "humantime_serde")]
     #[schemars(with = "String")]
     pub unserved_max: Duration,
-    /// Rule 3, and rule 4's knowledge of a start.
+    /// Rule 3: grace time after which a draining or removed server must receive no request. Rule 4: time
+    /// after which a proxy counts as informed of a server's start. 100 ms to 1 h, default 2 s.
     #[serde(with = "humantime_serde")]
     #[schemars(with = "String")]
     pub drain_grace: Duration,
-    /// Rule 4: warm after this at the latest.
+    /// Time after its start by which a server is warm: rule 1 counts only warm servers, and the conductors
+    /// (`fleet.cold`) limit the load of cold ones, for rule 4. At most 1 h, default 15 s. The servers
+    /// themselves use their own `cold`.
     #[serde(with = "humantime_serde")]
     #[schemars(with = "String")]
     pub cold: Duration,
-    /// Share of the capacity at a start, as the conductor is told.
+    /// Least share of its capacity that a server starts with, as configured in the conductors
+    /// (`fleet.start_capacity`); 0.01 to 1, default 0.3. The servers themselves use `cold_from`.
     pub start_capacity: f64,
-    /// A cold server falls over at this many times its present capacity ...
+    /// A cold server collapses if, within `fall_span`, it receives more work than this multiple of its
+    /// present capacity; 1 to 100, default 3.
     pub fall_multiple: f64,
-    /// ... over this span.
+    /// Time span over which the work of a cold server is summed for `fall_multiple`; default 3 s.
     #[serde(with = "humantime_serde")]
     #[schemars(with = "String")]
     pub fall_span: Duration,
-    /// True: a server that turned a request away may have begun it.
+    /// True if a rejection by a full server does not prove that the request never ran; default false.
     pub full_may_have_run: bool,
-    /// True: only a list that says draining binds.
+    /// True if only the state `draining` forbids the use of a server, not its absence from the node list;
+    /// default false.
     pub drain_binds_alone: bool,
 }
 
--- a/crates/stepspur-emulator/src/scenario.rs
+++ b/crates/stepspur-emulator/src/scenario.rs
@@ -52,168 +52,179 @@
     },
 }
 
-/// A day in a file.
+/// A rehearsal: fleet, traffic, faults and expectations. Durations are texts such as `1500ms` unless a key
+/// says otherwise; times count from the start of the traffic.
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Its name.
+    /// Name of the scenario, for reports.
     pub name: String,
-    /// What it is about, for people.
+    /// Summary of the scenario, for readers. Default: empty.
     #[serde(default)]
     pub about: String,
-    /// The paragraph of docs/on-call.md that it trains: its first, bold words.
+    /// The paragraph of docs/on-call.md that the scenario trains, given by its first words, which are bold
+    /// there. Default: none.
     #[serde(default)]
     pub trains: String,
-    /// Of all chance.
+    /// Seed of all random choices; default 1.
     #[serde(default = "default_seed")]
     pub seed: u64,
-    /// Time in which requests come.
+    /// Time during which clients send requests; at most 1 h.
     #[serde(with = "humantime_serde")]
     #[schemars(with = "String")]
     pub length: Duration,
-    /// Requests a second, without clients' repeats.
+    /// Mean requests per second of all clients, client retries not counted; above 0, at most 100000.
     pub rate: f64,
-    /// Factors of the rate from a second on.
+    /// Profile of the rate, as pairs in ascending order of time: from the time in seconds on, `rate` is
+    /// multiplied by the factor, until the next pair. Default: factor 1 throughout.
     #[serde(default)]
     pub shape: Vec<(f64, f64)>,
-    /// Zones; servers and proxies are dealt to them in turn.
+    /// Zones, 1 to 100; servers and proxies are assigned to them round robin.
     pub zones: Vec<Zone>,
-    /// Servers at the begin.
+    /// Number of servers that run from the start; 1 to 20000.
     pub servers: u32,
-    /// Cells (racks, partitions) in a zone; servers are dealt to them in turn.
+    /// Number of cells (racks, partitions) in each zone; its servers are assigned to them round robin. 1 to
+    /// 1000, default 1.
     #[serde(default = "default_cells")]
     pub cells: usize,
-    /// Kinds of servers.
+    /// Kinds of servers; at least one, with a share above 0.
     pub kinds: Vec<Kind>,
-    /// Proxies.
+    /// Number of proxies; 1 to 50000.
     pub proxies: u32,
-    /// Conductors: processes of their own that share nothing; proxies are dealt to them in turn.
+    /// Number of conductors, independent processes without shared state; proxies are assigned to them round
+    /// robin. 1 to 9, default 1.
     #[serde(default = "default_conductors")]
     pub conductors: u32,
-    /// How proxies behave.
+    /// Settings of all proxies.
     #[serde(default)]
     pub proxy: ProxyMake,
-    /// Request classes.
+    /// Request classes; at least one, with a share above 0.
     pub classes: Vec<Class>,
-    /// Clients.
+    /// Behaviour of all clients: retries, timeouts and keys.
     #[serde(default)]
     pub clients: Clients,
-    /// The node list tells changes so late.
+    /// Delay after which the node list shows a change; default 800 ms.
     #[serde(default = "default_list_delay", with = "humantime_serde")]
     #[schemars(with = "String")]
     pub list_delay: Duration,
-    /// The rules' figures.
+    /// Limits of the five rules that every rehearsal checks, and the overload limit of cold servers.
     #[serde(default)]
     pub rules: Rules,
-    /// Settings of the conductor beyond what follows from the above, as in its own file.
+    /// Settings of the conductors, in the format of their own file. They replace, key by key, those derived
+    /// from the scenario. Default: none.
     #[serde(default)]
     #[schemars(with = "serde_json::Map<String, serde_json::Value>")]
     pub conductor: toml::Table,
-    /// What goes wrong.
+    /// Faults, each with its own start and duration.
     #[serde(default, rename = "fault")]
     pub faults: Vec<Fault>,
-    /// Faults drawn from the seed, beside those told one by one.
+    /// Faults drawn at random from the seed, in addition to those of `fault`.
     #[serde(default, rename = "draw")]
     pub draws: Vec<Draw>,
-    /// Parts of the day that expectations name.
+    /// Named time spans that expectations refer to.
     #[serde(default, rename = "phase")]
     pub phases: Vec<Phase>,
-    /// What the users expect of the day, beside the five rules.
+    /// Expectations that the run must meet, in addition to the five rules.
     #[serde(default, rename = "expect")]
     pub expectations: Vec<Expect>,
 }
 
-/// A part of the day; a request belongs to the one in which it was asked.
+/// A named time span; a request belongs to a phase if the client first sends it within the span.
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Phase {
-    /// Its name.
+    /// Name of the phase, for the `phase` of expectations.
     pub name: String,
-    /// From the day's begin.
+    /// Start of the span, inclusive, since the start of the traffic.
     #[serde(with = "humantime_serde")]
     #[schemars(with = "String")]
     pub from: Duration,
-    /// To there.
+    /// End of the span, exclusive, since the start of the traffic; after `from`.
     #[serde(with = "humantime_serde")]
     #[schemars(with = "String")]
     pub until: Duration,
 }
 
-/// Bounds on what becomes of requests; shares are of those asked in the phase. One bound at least.
+/// Bounds on the results of requests; at least one bound is required. Shares, from 0 to 1, are of all
+/// requests of the class that belong to the phase. A bound that is not set is not checked.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Expect {
-    /// Of this class; else of all.
+    /// Class whose requests count; default: all classes.
     pub class: Option<String>,
-    /// Within this phase; else the whole day.
+    /// Phase whose requests count; default: the whole run.
     pub phase: Option<String>,
-    /// Answered within the aim: this share at least.
+    /// Minimum share of requests answered within the `aim` of their class.
     pub in_time_at_least: Option<f64>,
-    /// Answered after the aim: this share at most.
+    /// Maximum share of requests answered later than the `aim` of their class.
     pub late_at_most: Option<f64>,
-    /// Refused after all tries: this share at most.
+    /// Maximum share of requests that are refused after all client retries.
     pub refused_at_most: Option<f64>,
-    /// Failed, given up or refused: this share at most.
+    /// Maximum share of requests that fail, time out or are refused.
     pub lost_at_most: Option<f64>,
-    /// The 99th percentile of answers' times: this at most.
+    /// Maximum of the 99th percentile of the response times of answered requests.
     #[serde(default, with = "humantime_serde")]
     #[schemars(with = "Option<String>")]
     pub p99_at_most: Option<Duration>,
-    /// Servers that fell over in the whole day: so many at most.
+    /// Maximum number of collapses of servers from overload while cold, over the whole run; `class` and
+    /// `phase` do not apply.
     pub fallen_at_most: Option<u32>,
-    /// The longest time that a proxy was without a conductor, once it had one and until the last request was
-    /// asked: this at most.
+    /// Maximum time that any proxy may be without a conductor, from its first connection to one until the
+    /// last request is sent; `class` and `phase` do not apply.
     #[serde(default, with = "humantime_serde")]
     #[schemars(with = "Option<String>")]
     pub away_at_most: Option<Duration>,
 }
 
-/// A zone.
+/// A zone with its servers and proxies.
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Zone {
-    /// Its name.
+    /// Name of the zone.
     pub name: String,
-    /// Its part of the traffic, against others.
+    /// Share of the traffic that enters through the proxies of the zone, relative to the other zones; default
+    /// 1.
     #[serde(default = "default_weight")]
     pub share: f64,
 }
 
-/// A kind of servers.
+/// A kind of servers, with the same parameters except that the speed of each varies by up to 10%.
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Kind {
-    /// Its name.
+    /// Name of the kind, for the `of_kind` of faults.
     pub name: String,
-    /// Its part of the servers, against others.
+    /// Share of the servers that are of this kind, relative to the other kinds; default 1.
     #[serde(default = "default_weight")]
     pub share: f64,
-    /// Its listed weight.
+    /// Weight of each server in the node list; default 1.
     #[serde(default = "default_weight")]
     pub weight: f64,
-    /// Connections that it accepts.
+    /// Maximum number of connections of each server; replaces `server.connections`. Default 200.
     #[serde(default = "default_connections")]
     pub connections: usize,
-    /// Its make.
+    /// Parameters of the server model.
     #[serde(default)]
     pub server: server::Spec,
 }
 
-/// How proxies behave.
+/// Settings of all proxies.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct ProxyMake {
-    /// How they pick.
+    /// Load balancing algorithm; default `wheel`.
     pub pick: proxy::Pick,
-    /// They avoid a server after so many own failures in a row; 0: never.
+    /// Number of consecutive failed attempts of a proxy at a server after which it avoids the server; 0:
+    /// never. Default 5.
     pub avoid_after: u32,
-    /// For so long.
+    /// How long a proxy avoids a server; default 3 s.
     #[serde(with = "humantime_serde")]
     #[schemars(with = "String")]
     pub avoid_for: Duration,
-    /// Servers in a standing table.
+    /// Maximum number of servers in the standing table, which a proxy uses until its first order; default 10.
     pub standing: usize,
-    /// Wait before a broken stream is dialled again.
+    /// Wait before a proxy connects again after its stream to a conductor breaks; it doubles with each failed
+    /// pass over all conductors, up to eight times this value. Default 300 ms.
     #[serde(with = "humantime_serde")]
     #[schemars(with = "String")]
     pub redial: Duration,
@@ -231,47 +242,51 @@
     }
 }
 
-/// A class of requests.
+/// A class of requests with the same work, latency target and retry rules.
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// Its part of the requests, against others.
+    /// Share of the requests that are of this class, relative to the other classes; default 1.
     #[serde(default = "default_weight")]
     pub share: f64,
-    /// Mean work on a core of speed 1.
+    /// Mean work of a request, as time on a core of speed 1; above 0.
     #[serde(with = "humantime_serde")]
     #[schemars(with = "String")]
     pub work: Duration,
-    /// How it is spread about the mean.
+    /// Distribution of the work around its mean; default `log_normal`.
     #[serde(default)]
     pub form: Form,
-    /// Its coefficient of variation; an exponential form has 1 in any case.
+    /// Coefficient of variation (standard deviation over mean) of the work; above 0, at most 20, default 0.5.
+    /// Forms `constant` and `exponential` ignore it.
     #[serde(default = "default_cv")]
     pub cv: f64,
-    /// An answer within this time earns the full worth.
+    /// Latency target: an answer within this time counts with the full `worth`; 1 ms to 1 h.
     #[serde(with = "humantime_serde")]
     #[schemars(with = "String")]
     pub aim: Duration,
-    /// How long a client waits in all.
+    /// How long a client waits for an answer, including its retries; `aim` to 1 h.
     #[serde(with = "humantime_serde")]
     #[schemars(with = "String")]
     pub deadline: Duration,
-    /// Worth.
+    /// Priority weight: value of an answer within the latency target, relative to other classes; 0 to
+    /// 1000000, default 1.
     #[serde(default = "default_weight")]
     pub worth: f64,
-    /// Part of the worth of a late answer.
+    /// Share of `worth` that an answer after the latency target counts with, from 0 to 1; default 0.
     #[serde(default)]
     pub late_worth: f64,
-    /// What a repeat may do.
+    /// Effect of running a request twice: harmless (`read_like`), prevented by servers that deduplicate by
+    /// key (`idempotency_key`), or harmful (`non_idempotent`).
     #[schemars(schema_with = "effects")]
     pub effect: EffectConfig,
-    /// For keyed classes: who drops repeats.
+    /// For `idempotency_key`: the servers that share the record of keys and so drop repeats, all of them or
+    /// those of one zone or cell; default `all`.
     #[serde(default)]
     #[schemars(schema_with = "groups")]
     pub group: GroupConfig,
-    /// For keyed classes: for how long.
+    /// For `idempotency_key`: how long repeats of a request are dropped; at most 1 h, default 0.
     #[serde(default, with = "humantime_serde")]
     #[schemars(with = "String")]
     pub window: Duration,
--- a/crates/stepspur-model/src/proxy.rs
+++ b/crates/stepspur-model/src/proxy.rs
@@ -13,20 +13,21 @@
 
 use crate::Micros;
 
-// The doc comments of types that derive `JsonSchema` are the descriptions in the published schema of scenario
-// files, so they change only together with that schema.
+// The doc comments of types that derive `JsonSchema` are published as descriptions in
+// `rehearsals/scenario.schema.json`; after a change, update that file with the output of `rehearse --schema`.
 
-/// How a proxy picks a line.
+/// Load balancing algorithm of a proxy over the lines of its table, each a server with a weight.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[serde(rename_all = "snake_case")]
 pub enum Pick {
-    /// Evenly by weight.
+    /// Smooth weighted round robin.
     #[default]
     Wheel,
-    /// At random by weight.
+    /// Weighted random choice.
     Lottery,
-    /// Of two drawn at random by weight, the one with fewer own requests in hand for its weight.
+    /// Power of two choices: of two servers drawn at random by weight, the one with fewer requests in flight
+    /// from this proxy, relative to its weight.
     Two,
 }
 
--- a/crates/stepspur-model/src/server.rs
+++ b/crates/stepspur-model/src/server.rs
@@ -20,105 +20,114 @@
 
 use crate::Micros;
 
-// The doc comments of types that derive `JsonSchema` are the descriptions in the published schema of scenario
-// files, so they change only together with that schema.
+// The doc comments of types that derive `JsonSchema` are published as descriptions in
+// `rehearsals/scenario.schema.json`; after a change, update that file with the output of `rehearse --schema`.
 
-/// What a cancel does to a request in hand.
+/// Effect of a cancel on a request that the server holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[serde(rename_all = "snake_case")]
 pub enum Cancel {
-    /// Nothing: it is worked off.
+    /// No effect: the request completes.
     None,
-    /// It goes if it still waits.
+    /// The request is dropped if it is still queued.
     #[default]
     Queued,
-    /// It goes, in work or not.
+    /// The request is dropped, queued or in service.
     All,
 }
 
-/// What warms a server up.
+/// What the warm-up of a cold server depends on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[serde(rename_all = "snake_case")]
 pub enum WarmBy {
-    /// Time since its start: [`Spec::cold`].
+    /// Time since its start; `cold` is the time until it is warm.
     #[default]
     Time,
-    /// Requests answered since its start: [`Spec::cold_requests`].
+    /// Requests answered since its start; `cold_requests` is the number until it is warm.
     Requests,
 }
 
-/// What a server that drains does with what still comes.
+/// How a draining server handles new connections and requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[serde(rename_all = "snake_case")]
 pub enum Draining {
-    /// It closes idle connections and serves whatever comes until it is stopped.
+    /// It closes idle connections, and accepts connections and requests until it stops.
     #[default]
     Serves,
-    /// It closes idle connections, accepts none, and turns away what comes on those that are left.
+    /// It closes idle connections, accepts no new ones, and rejects requests on those still open.
     Refuses,
 }
 
-/// A server's make.
+/// Parameters of a server. Times are in microseconds; work is the time that it takes on a core of speed 1.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[serde(deny_unknown_fields, default)]
 pub struct Spec {
-    /// Cores.
+    /// Number of cores; default 2.
     pub cores: u32,
-    /// Work that a core does in a second, in seconds.
+    /// Speed of each core: seconds of work done per second. Default 1.
     pub speed: f64,
-    /// Requests in work at once; above `cores` they share.
+    /// Maximum number of requests in service; if there are more than `cores`, they share the cores evenly. At
+    /// least 1, default 8.
     pub slots: u32,
-    /// Requests that may wait.
+    /// Maximum number of queued requests; further ones are rejected. Default 32.
     pub room: u32,
-    /// Requests held beyond which it becomes less efficient.
+    /// Number of requests, queued or in service, above which efficiency falls; default 16.
     pub knee: f64,
-    /// How much: at `knee` times two it does 1 / (1 + `thrash`) of its work.
+    /// Loss of efficiency above `knee`: with n times `knee` requests, the speed is divided by 1 + `thrash` *
+    /// (n - 1). Default 0.1.
     pub thrash: f64,
-    /// Share of its capacity at a cold start.
+    /// Share of its capacity at a cold start, from 0 to 1; it rises linearly to 1 during warm-up. Default
+    /// 0.35.
     pub cold_from: f64,
-    /// What warms it up.
+    /// What the warm-up depends on; default `time`.
     pub warm_by: WarmBy,
-    /// Time until it is warm, microseconds.
+    /// For `warm_by` `time`: time from a cold start until it is warm, in microseconds; default 15 s.
     pub cold: Micros,
-    /// Requests until it is warm, by [`WarmBy::Requests`].
+    /// For `warm_by` `requests`: number of answered requests until it is warm; default 1000.
     pub cold_requests: u64,
-    /// It falls over when, while cold, work for more than this many times its present capacity comes...
+    /// A cold server collapses if, within `fall_span`, it receives more work than this multiple of its
+    /// present capacity; default 3. Scenarios set it by `rules.fall_multiple`.
     pub fall_multiple: f64,
-    /// ... within this span, microseconds.
+    /// Time span over which work is summed for `fall_multiple`, in microseconds; default 3 s. Scenarios set
+    /// it by `rules.fall_span`.
     pub fall_span: Micros,
-    /// What a cancel does.
+    /// Effect of a cancel on a request that it holds; default `queued`.
     pub cancel: Cancel,
-    /// Share of requests that fail at once for no reason.
+    /// Share of requests that fail at once and at random, from 0 to 1; default 0.
     pub error_rate: f64,
-    /// Connections that it accepts; 0: as many as come.
+    /// Maximum number of open connections; 0: unlimited. Default 0. Scenarios set it by `connections` of the
+    /// kind.
     pub connections: usize,
-    /// Work of a new connection, microseconds; done with its first request.
+    /// Work of a new connection, in microseconds, added to that of its first request; default 0.
     pub handshake_work: f64,
-    /// A connection without a request for so long is closed, microseconds; 0: never.
+    /// Idle timeout: time after which a connection without requests is closed, in microseconds; 0: never.
+    /// Default 0.
     pub idle: Micros,
-    /// What it does while it drains.
+    /// How it handles new connections and requests while it drains; default `serves`.
     pub draining: Draining,
-    /// It stands still every so often, microseconds, by itself ...
+    /// Mean time from the end of a pause to the start of the next, in microseconds; default 0.
     pub pause_every: Micros,
-    /// ... for so long, microseconds; 0: never.
+    /// Duration of each pause, during which no work is done, in microseconds; 0: no pauses. Default 0.
     pub pause: Micros,
-    /// Work of a probe, microseconds.
+    /// Work of a health probe, in microseconds; default 0.
     pub probe_work: f64,
-    /// Load reports are refreshed so often, microseconds.
+    /// Minimum time between two refreshes of the load report, in microseconds; default 500 ms.
     pub report_every: Micros,
-    /// A load report is shown so much later, microseconds.
+    /// Delay after which a refreshed load report is published, in microseconds; default 0.
     pub report_late: Micros,
-    /// Load reports are off by this standard deviation, as a share of the truth.
+    /// Standard deviation of the normally distributed error of load reports, as a share of the true value;
+    /// default 0.
     pub report_noise: f64,
-    /// Keys met within this span, microseconds, ...
+    /// Time span within which a repeated key reduces the work of a request, in microseconds; default 0.
     pub key_span: Micros,
-    /// ... need this share less work; 0: none.
+    /// Share by which a key repeated within `key_span` reduces the work, from 0 to 1; 0: no reduction.
+    /// Default 0.
     pub key_gain: f64,
-    /// Keys remembered at most.
+    /// Maximum number of keys remembered; default 1000.
     pub keys: usize,
 }
 
--- a/crates/stepspur-model/src/work.rs
+++ b/crates/stepspur-model/src/work.rs
@@ -4,19 +4,22 @@
 use rand_distr::{Distribution, Exp, LogNormal, Pareto};
 use serde::{Deserialize, Serialize};
 
-/// The form of a distribution of work.
+// The doc comments of types that derive `JsonSchema` are published as descriptions in
+// `rehearsals/scenario.schema.json`; after a change, update that file with the output of `rehearse --schema`.
+
+/// Family of a distribution of the work of requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[cfg_attr(feature = "schema", derive(schemars::JsonSchema))]
 #[serde(rename_all = "snake_case")]
 pub enum Form {
-    /// Always the mean.
+    /// Constant: every request needs the mean.
     Constant,
-    /// Exponential; its coefficient of variation is 1, whatever is asked for.
+    /// Exponential; its coefficient of variation is always 1, and a configured one is ignored.
     Exponential,
-    /// Log-normal.
+    /// Log-normal, with the configured coefficient of variation.
     #[default]
     LogNormal,
-    /// Pareto, whose tail falls by a power: most requests are small, a few are huge.
+    /// Pareto, with a power-law tail: most requests are small, a few are very large.
     Pareto,
 }
 
