--- a/crates/stepspur-conductor/src/engine/connect.rs
+++ b/crates/stepspur-conductor/src/engine/connect.rs
@@ -25,18 +25,18 @@
     pub(super) fresh: bool,
 }
 
-/// Why a `Hello` is rejected. The proxy receives the message.
+/// Why a `Hello` is rejected. The text of each variant is sent to the proxy as `Goodbye.detail`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 enum HelloError {
-    #[error("a Hello was already received on this stream")]
+    #[error("Hello came twice")]
     Repeated,
-    #[error("unsupported protocol version: this conductor supports version {VERSION}")]
+    #[error("this conductor speaks version {VERSION}")]
     UnsupportedVersion,
-    #[error("invalid proxy name: its length must be 1 to {MAX_NAME_BYTES} bytes")]
+    #[error("a name has 1 to {MAX_NAME_BYTES} bytes")]
     InvalidName,
-    #[error("unknown zone: the zone is not in this deployment's settings")]
+    #[error("not a zone of this fleet")]
     UnknownZone,
-    #[error("no proxy id is free: retry in {retry_after} us")]
+    #[error("no number is left")]
     NoFreeId { retry_after: Micros },
 }
 
--- a/crates/stepspur-conductor/src/engine/schedule.rs
+++ b/crates/stepspur-conductor/src/engine/schedule.rs
@@ -59,7 +59,8 @@
                 return;
             }
             match self.streams.stream(oldest.proxy) {
-                Some(stream) => self.terminate(now, stream, v1::Reason::Slow, "acknowledgement timeout"),
+                // The text is sent to the proxy as `Goodbye.detail`.
+                Some(stream) => self.terminate(now, stream, v1::Reason::Slow, "a mark stayed unanswered"),
                 None => self.pending_acks.remove(oldest.proxy),
             }
         }
