--- a/crates/stepspur-cli/src/keys.rs
+++ b/crates/stepspur-cli/src/keys.rs
@@ -62,8 +62,9 @@
     Revoke {
         #[command(flatten)]
         folder: KeyFolder,
-        /// Key id, authority file or `serial:HEX`.
-        what: String,
+        /// Id of a signing key or file name of an authority, both as `stepspur keys list` prints them, or
+        /// `serial:` and a certificate's serial number in hexadecimal.
+        target: String,
     },
     /// Issue a client certificate for `stepspur://TENANT/proxy/ZONE/NAME` or
     /// `stepspur://TENANT/operator/NAME`.
@@ -75,7 +76,7 @@
         /// Path without extension: writes OUT.pem and OUT.key.
         #[arg(long)]
         out: String,
-        /// Validity of the certificate.
+        /// Validity period of the certificate, such as `12h` or `30d`, from a minute before now.
         #[arg(long, default_value = "30d")]
         life: humantime::Duration,
     },
@@ -99,7 +100,7 @@
         /// A right: read_tables, join, report, read_status, change, administer. Default: a proxy's rights.
         #[arg(long = "right", value_parser = parse_right)]
         rights: Vec<Right>,
-        /// Validity of the token.
+        /// Validity period of the token, such as `15m` or `1h`, from now.
         #[arg(long, default_value = "1h")]
         life: humantime::Duration,
     },
@@ -125,9 +126,13 @@
     KeyId::try_from(format!("{prefix}-{}", at.as_millis())).map_err(anyhow::Error::msg)
 }
 
-/// Validity of a server certificate: two years.
+/// Validity period of a server certificate: two years.
 const SERVER_CERTIFICATE_LIFETIME: Duration = Duration::from_secs(86_400 * 365 * 2);
 
+/// How far the start of a certificate's validity lies before its issue, in seconds, for hosts whose clocks
+/// are behind.
+const CLOCK_SKEW_ALLOWANCE_SECONDS: u64 = 60;
+
 /// Runs a command of `stepspur keys`.
 pub(crate) fn keys(command: KeysCommand) -> anyhow::Result<ExitStatus> {
     match command {
@@ -167,20 +172,20 @@
             print_keys(&folder.dir)?;
         }
         KeysCommand::List { folder } => print_keys(&folder.dir)?,
-        KeysCommand::Revoke { folder, what } => {
+        KeysCommand::Revoke { folder, target } => {
             let mut manifest = read_manifest(&folder.dir)?;
             let mut found = false;
-            if let Some(serial) = what.strip_prefix("serial:") {
+            if let Some(serial) = target.strip_prefix("serial:") {
                 manifest.revoked_serials.push(serial.to_owned());
                 found = true;
             }
-            for key in manifest.signing.iter_mut().filter(|k| k.id.to_string() == what) {
+            for key in manifest.signing.iter_mut().filter(|k| k.id.to_string() == target) {
                 (key.state, found) = (KeyState::Revoked, true);
             }
-            for anchor in manifest.anchor.iter_mut().filter(|a| a.file == Path::new(&what)) {
+            for anchor in manifest.anchor.iter_mut().filter(|a| a.file == Path::new(&target)) {
                 (anchor.state, found) = (KeyState::Revoked, true);
             }
-            anyhow::ensure!(found, "no key, authority or serial number `{what}`");
+            anyhow::ensure!(found, "no key, authority or serial number `{target}`");
             write_manifest(&folder.dir, &manifest)?;
             print_keys(&folder.dir)?;
         }
@@ -193,8 +198,8 @@
                 |path: &Path| std::fs::read_to_string(path).with_context(|| path.display().to_string());
             let private_key = zeroize::Zeroizing::new(read(&file.with_extension("key"))?);
             let authority = Authority::load(&read(&file)?, &private_key)?;
-            // Valid from a minute ago, for hosts whose clocks are behind.
-            let issued = authority.issue(&Leaf::Caller(uri), unix_seconds() - 60, *life)?;
+            let issued =
+                authority.issue(&Leaf::Caller(uri), unix_seconds() - CLOCK_SKEW_ALLOWANCE_SECONDS, *life)?;
             let out = PathBuf::from(out);
             let name = out.file_name().and_then(|n| n.to_str()).context("--out must name a file")?;
             issued.save(out.parent().unwrap_or(Path::new("")), name)?;
@@ -215,7 +220,7 @@
     std::fs::write(dir.join(&file), authority.pem()).with_context(|| file.display().to_string())?;
     let issued: Issued = authority.issue(
         &Leaf::Server(addresses.to_vec()),
-        unix_seconds() - 60,
+        unix_seconds() - CLOCK_SKEW_ALLOWANCE_SECONDS,
         SERVER_CERTIFICATE_LIFETIME,
     )?;
     let server = format!("server-{name}");
--- a/crates/stepspur-conductor/src/engine/dispatch.rs
+++ b/crates/stepspur-conductor/src/engine/dispatch.rs
@@ -68,15 +68,15 @@
         Stats {
             sequence: self.sequence,
             connected: self.streams.connected(),
-            unassigned: self.tables.unassigned(),
+            unassigned: self.tables.unassigned_count(),
             known_proxies: self.proxy_ids.known(),
             servers: ServerCounts {
                 ready: self.endpoints.count(EndpointState::Ready),
                 draining: self.endpoints.count(EndpointState::Draining),
                 total: self.endpoints.len(),
             },
-            tables: self.tables.assigned_tables(),
-            ejected: self.tables.ejected(),
+            tables: self.tables.assigned_table_count(),
+            ejected: self.tables.ejected_count(),
             channel: self.channel.depth(),
             pending_acks: self.pending_acks.len(),
             pending_reports: self.reports.len(),
--- a/crates/stepspur-conductor/src/engine/tables.rs
+++ b/crates/stepspur-conductor/src/engine/tables.rs
@@ -41,7 +41,8 @@
     assigned: BTreeSet<ProxyId>,
     /// Servers whose ejection begins (true) or ends (false).
     ejections: BTreeMap<ServerId, bool>,
-    /// Nonce that proxies must acknowledge; `None` if no acknowledgement is requested.
+    /// Nonce to acknowledge; `None` if no acknowledgement is requested. Only the recipients of an update by
+    /// this decision receive it.
     nonce: Option<u16>,
 }
 
@@ -61,8 +62,10 @@
     unassigned: BTreeSet<ProxyId>,
     /// Servers that are ejected at connected proxies.
     ejected: BTreeSet<ServerId>,
-    /// Servers that have been listed as not ready, or with a start. If ejections persist, proxies may still
-    /// have them ejected by another conductor or by an earlier run of this one.
+    /// Servers that have been listed as draining or removed, or with a start time, or were omitted from a
+    /// complete list. A start time means a recent start or restart, so the server may have been ejected while
+    /// it was down. If ejections persist, proxies may still have these servers ejected by another conductor
+    /// or by an earlier run of this one.
     possibly_ejected: BTreeSet<ServerId>,
     /// True if proxies keep an ejection when they receive a new table.
     ejections_persist: bool,
@@ -76,7 +79,8 @@
         Self { admission_mode, ejections_persist, ..Self::default() }
     }
 
-    /// Records that a server is listed as not ready, or with a start.
+    /// Records that proxies may have a server ejected, as it is listed as draining or removed, or with a
+    /// start time, or is omitted from a complete list.
     pub(crate) fn mark_possibly_ejected(&mut self, server: ServerId) {
         self.possibly_ejected.insert(server);
     }
@@ -103,17 +107,17 @@
     }
 
     /// Returns the number of tables that are assigned to at least one proxy.
-    pub(crate) fn assigned_tables(&self) -> usize {
+    pub(crate) fn assigned_table_count(&self) -> usize {
         self.tables.values().filter(|table| !table.proxies.is_empty()).count()
     }
 
     /// Returns the number of ejected servers.
-    pub(crate) fn ejected(&self) -> usize {
+    pub(crate) fn ejected_count(&self) -> usize {
         self.ejected.len()
     }
 
     /// Returns the number of connected proxies without a table.
-    pub(crate) fn unassigned(&self) -> usize {
+    pub(crate) fn unassigned_count(&self) -> usize {
         self.unassigned.len()
     }
 
@@ -139,8 +143,8 @@
         updates
     }
 
-    /// Caps the admission ratio of a class at `ratio`, or lifts the cap if it is 1, and returns the updates
-    /// that this causes.
+    /// Caps the admission ratio of a class at `ratio`, or lifts the cap if it is 1 or more, and returns the
+    /// updates that this causes. A cap takes effect only if levels are ratios ([`AdmissionMode::Ratio`]).
     pub(crate) fn cap_admission(&mut self, class: ClassId, ratio: f32, now: Micros) -> Vec<AddressedUpdate> {
         if ratio < 1.0 {
             self.admission_caps.insert(class, ratio);
--- a/crates/stepspur-conductor/src/service/session/mod.rs
+++ b/crates/stepspur-conductor/src/service/session/mod.rs
@@ -33,8 +33,8 @@
 
 type FrameReader<R> = FramedRead<R, Frames<FromProxy, FromConductor>>;
 
-/// The time from the first message to a rejection. It is the same for every reason, so that the timing does
-/// not reveal the reason.
+/// Minimum time from the first message to a rejection with `NotAllowed`. It is the same for every cause of
+/// such a rejection, so that the timing does not reveal the cause. An invalid frame is rejected at once.
 const REJECTION_DELAY: Duration = Duration::from_millis(100);
 /// How long a peer may take to close its side of the connection after the last frame.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
@@ -44,12 +44,14 @@
 /// The state that all sessions of a conductor share.
 pub(super) struct SessionContext {
     pub(super) config: Arc<Config>,
+    /// The conductor's epoch: its start in microseconds since 1970. Proxies receive it in go-away messages.
     pub(super) epoch: u64,
     pub(super) engines: Arc<EnginesByTenant>,
     /// None if connections are not authenticated.
     pub(super) identity: Option<Arc<Identity>>,
-    /// `stop` ends streams that have not sent their first message. The engine closes the others with a
-    /// go-away message.
+    /// `stop` ends TLS handshakes and streams that have not sent their first message; the engine closes the
+    /// others with a go-away message. `kill` ends every stream and every rejection in progress, without
+    /// waiting for queued frames.
     pub(super) shutdown: Shutdown,
 }
 
@@ -159,8 +161,11 @@
         }
     }
 
-    /// Admits a proxy to the engine of its tenant, or returns none to reject it. The reason is written only
+    /// Admits a proxy to the engine of its tenant, or returns `None` to reject it. The reason is written only
     /// to the logs. A first message other than `Hello` is rejected without a log line.
+    ///
+    /// Without authentication there is a single engine, which serves every proxy and validates the first
+    /// message itself.
     fn admit(&self, first_message: &FromProxy, tls_peer: Option<TlsPeer>) -> Option<AdmittedProxy> {
         let (Some(identity), Some(TlsPeer { certificate, handshake })) = (&self.context.identity, tls_peer)
         else {
--- a/crates/stepspur-consensus-node/src/member_task.rs
+++ b/crates/stepspur-consensus-node/src/member_task.rs
@@ -25,8 +25,8 @@
 const MAX_PENDING_READS: usize = 1_024;
 /// The minimum delay before the next tick, so that a tick that is already due cannot cause a busy loop.
 const MIN_TICK_INTERVAL: Duration = Duration::from_millis(1);
-/// How long the task sleeps at most (one day) if the next tick is beyond the range of [`Instant`].
-const MAX_SLEEP: Duration = Duration::from_secs(86_400);
+/// How long the task sleeps (one day) if the time of the next tick is beyond the range of [`Instant`].
+const FALLBACK_SLEEP: Duration = Duration::from_secs(86_400);
 /// How long a shutdown waits for queued writes; storage that takes longer is abandoned as hanging.
 const STORAGE_CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
 
@@ -34,7 +34,8 @@
 pub(crate) struct Inputs {
     pub(crate) messages: mpsc::Receiver<ReceivedMessage>,
     pub(crate) requests: mpsc::Receiver<Request>,
-    /// A watch channel suffices: the newest progress covers all earlier writes.
+    /// Which writes to the storage are durable, and whether it has failed. A watch channel suffices: the
+    /// newest progress covers all earlier writes.
     pub(crate) writes: watch::Receiver<WriteProgress>,
     pub(crate) stop: CancellationToken,
 }
@@ -45,8 +46,10 @@
     pub(crate) member: Member<S>,
     pub(crate) clock: Clock,
     pub(crate) send_queues: BTreeMap<MemberId, Arc<SendQueue>>,
-    /// `None` for a member without stable storage, which applies committed entries but never votes.
+    /// `None` for a member that keeps nothing on disk. An attempted write then counts as a storage failure:
+    /// the member neither leads nor votes from then on, but still fetches and applies committed entries.
     pub(crate) storage: Option<Box<dyn WriteQueue>>,
+    /// The member's leases, which `NodeHandle::token` reads without a request to the task.
     pub(crate) leases: Arc<LeaseTable>,
     pub(crate) applied: watch::Sender<AppliedState>,
     /// Reads that wait for a read index, by request number.
@@ -78,9 +81,10 @@
 
     /// Waits for the next input and returns the member's outputs for it; `None` once stopped.
     ///
-    /// The branches are polled in a fixed order, so that the same events produce the same run. Requests
-    /// cannot starve the branches after them: their senders wait for answers, and `run` ticks the member
-    /// after any input if a tick is due.
+    /// The branches are polled in a fixed order, so that the same events produce the same run. Messages of
+    /// peers are handled only while no request is queued, so callers that propose commands faster than the
+    /// task handles them delay messages. Ticks are not delayed: `run` ticks the member after any input if a
+    /// tick is due.
     async fn next_outputs(&mut self, inputs: &mut Inputs) -> Option<Vec<MemberOutput>> {
         let next_tick = self.next_tick();
         tokio::select! {
@@ -102,7 +106,7 @@
     fn next_tick(&self) -> Instant {
         let earliest = Instant::now() + MIN_TICK_INTERVAL;
         let due = self.clock.instant(self.member.next_tick_at());
-        due.unwrap_or(earliest + MAX_SLEEP).max(earliest)
+        due.unwrap_or(earliest + FALLBACK_SLEEP).max(earliest)
     }
 
     fn handle_write_progress(&mut self, progress: WriteProgress) -> Vec<MemberOutput> {
--- a/crates/stepspur-consensus/src/replication.rs
+++ b/crates/stepspur-consensus/src/replication.rs
@@ -1,4 +1,5 @@
-//! Log replication: proposals, AppendEntries to followers, and the commit index (paper 5.3 and 5.4.2).
+//! Log replication: proposals, AppendEntries to followers, and the commit index (Raft paper, 5.3 and
+//! 5.4.2).
 
 use bytes::Bytes;
 
@@ -49,7 +50,8 @@
         Ok(index)
     }
 
-    /// Handles a leader's timeouts: check-quorum (thesis 6.2), heartbeats, and changes in progress.
+    /// Handles a leader's timeouts: check-quorum (Raft thesis, 6.2), heartbeats, and changes in
+    /// progress.
     pub(crate) fn tick_leader(&mut self) {
         let RaftRole::Leader(state) = &self.role else { return };
         if !self.is_quorum_alive(state) {
@@ -89,7 +91,8 @@
         self.confirm_reads();
     }
 
-    /// Sends new entries to every follower that has none awaiting a response.
+    /// Sends new entries to every follower that has none awaiting a response, and advances the commit
+    /// index if a majority of the voters has stored more entries.
     pub(crate) fn replicate(&mut self) {
         self.send_to_followers(SendMode::IfNew);
         self.maybe_commit();
@@ -166,7 +169,7 @@
         self.send(from, Message::AppendEntriesResponse(response));
     }
 
-    /// Appends a leader's entries if the log contains the entry before them (paper 5.3). Returns the
+    /// Appends a leader's entries if the log contains the entry before them (Raft paper, 5.3). Returns the
     /// response's `matched` and `index`.
     fn append_from_leader(&mut self, append: &AppendEntries) -> (bool, Index) {
         let base = self.log.base().index;
@@ -186,7 +189,7 @@
     }
 
     /// Returns the entry after which the leader sends next, when the log has no matching entry at `previous`:
-    /// the log's last one, or the one before the conflict (paper 5.3).
+    /// the log's last one, or the one before the conflict (Raft paper, 5.3).
     fn mismatch_hint(&self, previous: Index) -> Index {
         if previous > self.log.last_index() {
             self.log.last_index()
@@ -243,7 +246,7 @@
     }
 
     /// Commits the entries that a majority of the voters has stored, if the last of them is of the current
-    /// term. Entries of older terms are never committed by counting replicas alone (paper 5.4.2).
+    /// term. Entries of older terms are never committed by counting replicas alone (Raft paper, 5.4.2).
     pub(crate) fn maybe_commit(&mut self) {
         let RaftRole::Leader(state) = &self.role else { return };
         let voters = self.log.voters();
--- a/crates/stepspur-platform/src/connections.rs
+++ b/crates/stepspur-platform/src/connections.rs
@@ -1,5 +1,6 @@
-//! Limits on the file descriptors that connections use. A connection is pending until it has joined; pending
-//! connections are limited in number and time, so that idle ones cannot keep proxies from connecting.
+//! Limits on the file descriptors that connections use. A connection is pending until it has joined. The
+//! number of pending connections is limited, so that idle ones cannot keep proxies from connecting. Their
+//! time is limited by the handshake (`crate::handshake`), not here.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -15,8 +16,9 @@
 pub struct ConnectionLimits {
     /// Pending and joined connections together; further ones wait in the kernel's accept queue.
     pub total: usize,
-    /// Pending connections. Beyond this the oldest are evicted, each after [`MIN_PENDING_TIME`] at the
-    /// earliest.
+    /// Target for the number of pending connections, not a hard limit. While there would be more with the
+    /// next one counted in, connections that are being closed are evicted at once, then the oldest others,
+    /// each [`MIN_PENDING_TIME`] after its acceptance at the earliest.
     pub pending: usize,
 }
 
@@ -28,9 +30,12 @@
 const PENDING_LIMIT_RANGE: [usize; 2] = [8, 128];
 
 impl ConnectionLimits {
-    /// Limits for a process with this many descriptors and concurrent probes; `None` if none are left. All
-    /// proxies may connect to one conductor, and a collector of each zone, and some of them a second time
-    /// before the end of their old connection is noticed.
+    /// Divides the file descriptors of a process: [`RESERVED_DESCRIPTORS`] and one for each concurrent probe
+    /// are set aside, and connections may use all others (`total`). `pending` is two thirds of what then
+    /// remains beside one joined connection of each proxy and of each zone's collector, as all of them may
+    /// connect to one conductor, within [`PENDING_LIMIT_RANGE`]. The last third is for proxies that connect a
+    /// second time before the end of their old connection is noticed. `None` if `total` is not above
+    /// `pending`, so that pending connections could use every descriptor.
     pub fn new(descriptors: usize, probes: usize, proxies: u32, zones: usize) -> Option<Self> {
         let total = descriptors.checked_sub(RESERVED_DESCRIPTORS + probes)?;
         let joined = proxies as usize + zones;
@@ -40,8 +45,9 @@
     }
 }
 
-/// A pending connection is not evicted before this. A proxy sends its first message as soon as it is
-/// connected, so this is enough even on a busy core.
+/// Minimum time from acceptance to eviction of a pending connection that is not being closed. A proxy sends
+/// its first message as soon as it is connected; 200 ms suffice for it to arrive and be read even if the CPU
+/// is busy.
 pub(crate) const MIN_PENDING_TIME: Duration = Duration::from_millis(200);
 /// A joined connection that sent nothing for this long may be evicted when descriptors run out. Proxies
 /// report every second or two; one whose host failed sends neither a report nor a close.
@@ -69,15 +75,15 @@
 
     /// Waits until there is a descriptor for one more connection, and evicts others to get one.
     pub(crate) async fn wait_for_descriptor(&self) {
-        while let Some(retry_at) = self.try_reserve(Instant::now()) {
+        while let Some(retry_at) = self.evict_for_next(Instant::now()) {
             // The loop also retries after a timeout, as another connection may have become evictable by then.
             let _ = timeout_at(retry_at, self.released.notified()).await;
         }
     }
 
-    /// Evicts connections to make way for one more. `None` if there is a descriptor for it, else the time of
-    /// the next try.
-    fn try_reserve(&self, now: Instant) -> Option<Instant> {
+    /// Evicts connections to make way for one more. Returns `None` if there is a descriptor for that one,
+    /// else the time of the next try. It reserves nothing; [`Connections::add`] counts the new connection.
+    fn evict_for_next(&self, now: Instant) -> Option<Instant> {
         let mut open = self.open();
         open.evict_excess_pending(self.limits.pending, now);
         if open.len() < self.limits.total {
@@ -102,7 +108,8 @@
         }
     }
 
-    /// Moves a pending connection to the joined ones, which are not evicted while they are active.
+    /// Moves a pending connection to the joined ones. When descriptors run out, a joined connection is
+    /// evicted only while it is being closed, or after [`JOINED_IDLE_TIMEOUT`] without activity.
     pub(crate) fn mark_joined(&self, stream: StreamId, now: Instant) {
         let mut open = self.open();
         if let Some(connection) = open.pending.remove(&stream) {
--- a/crates/stepspur-platform/src/connections/tests.rs
+++ b/crates/stepspur-platform/src/connections/tests.rs
@@ -17,7 +17,7 @@
     /// Accepts `count` connections at once, `after` the start; there is a descriptor for each.
     fn accept(&mut self, count: usize, after: Duration) {
         for _ in 0..count {
-            assert_eq!(self.connections.try_reserve(self.start + after), None, "{}", self.tokens.len());
+            assert_eq!(self.connections.evict_for_next(self.start + after), None, "{}", self.tokens.len());
             let token = CancellationToken::new();
             self.connections.add(StreamId(self.tokens.len() as u64), self.start + after, token.clone());
             self.tokens.push(token);
@@ -25,7 +25,7 @@
     }
 
     fn is_full(&self, after: Duration) -> bool {
-        self.connections.try_reserve(self.start + after).is_some()
+        self.connections.evict_for_next(self.start + after).is_some()
     }
 
     /// Numbers of the evicted connections.
--- a/crates/stepspur-platform/src/discovery.rs
+++ b/crates/stepspur-platform/src/discovery.rs
@@ -38,8 +38,8 @@
 /// A watch that has not received its first complete line within this time, connecting included, fails.
 const FIRST_LINE_TIMEOUT: Duration = Duration::from_secs(4);
 /// A watch that received no complete line for this long is idle, and a replacement is opened beside it.
-/// Discovery sends a line every 2 s and treats a change as delivered after 6 s; opening the replacement takes
-/// part of that time.
+/// Discovery sends a line at least every 2 s, and assumes that a change has reached every watcher 6 s after
+/// it is made. The timeout leaves half of these 6 s to open the replacement.
 const WATCH_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 /// An idle watch is closed after this further time, even if bytes of an incomplete line still arrive.
 const IDLE_WATCH_CLOSE_TIMEOUT: Duration = Duration::from_secs(3);
@@ -91,6 +91,8 @@
     status: Status,
     #[serde(default)]
     weight: f64,
+    /// When the server's process last started, by the wall clock in milliseconds since 1970. If it is
+    /// missing, 0 or negative, the server counts as started long ago.
     #[serde(default)]
     since_ms: f64,
 }
--- a/crates/stepspur-replication/src/client.rs
+++ b/crates/stepspur-replication/src/client.rs
@@ -27,46 +27,50 @@
         /// How long to wait before a retry.
         after: Duration,
     },
-    /// The body is too large or the state machine is unknown. Nothing was proposed.
+    /// The body of a proposal is too large, or the state machine of a proposal or read is unknown or, for a
+    /// read, of another type. Nothing was proposed or read.
     #[error("invalid command: {0}")]
     InvalidCommand(#[from] InvalidCommand),
     /// The state machine rejected the command, at every member. Its state is unchanged.
     #[error("rejected by the state machine: {0}")]
     Refused(#[from] Rejection),
-    /// No outcome arrived in time. The operation may have taken effect, or may take effect later. It can be
-    /// proposed again with this id and still takes effect only once.
+    /// No outcome arrived in time, or the node stopped meanwhile. The operation may have taken effect, or may
+    /// take effect later. Its id serves as an idempotency key: proposed again with this id, the operation
+    /// takes effect at most once.
     #[error("the outcome of operation {0} is unknown")]
     Unknown(OperationId),
-    /// The operation was not applied, as it came so late that an earlier proposal of it might have been
-    /// applied and its outcome discarded.
+    /// This proposal was not applied, as more than [`MAX_OUTCOMES`](crate::MAX_OUTCOMES) entries have
+    /// followed the creation of the id. An earlier proposal of the same operation may have been applied, and
+    /// its outcome discarded.
     #[error("operation {0} is too old: the outcome of an earlier proposal may have been discarded")]
     TooOld(OperationId),
-    /// No leader responded in time, or this member did not apply the entries up to the read index in time.
-    #[error("no leader responded in time")]
+    /// A read did not complete in time: no leader responded, or this member did not apply the entries up to
+    /// the read index. Also returned if the member stops while the read waits for these entries.
+    #[error("the read did not complete in time: no leader responded, or this member is behind")]
     NoLeader,
     /// The member has stopped applying entries. Holds the reason.
     #[error("this member has stopped applying entries: {0}")]
     Stopped(String),
 }
 
-/// Why a command cannot be proposed.
+/// Why a command cannot be proposed, or a state machine cannot be read.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidCommand {
     /// The body is longer than [`MAX_BODY_BYTES`]. Holds its length in bytes.
     #[error("the body has {0} bytes, the limit is {MAX_BODY_BYTES}")]
     TooLarge(usize),
-    /// This member has no state machine with this id, or it is of another type than the caller expects.
+    /// This member has no state machine with this id, or a read expects it to be of another type.
     #[error("state machine {0} is not known at this member")]
     UnknownStateMachine(StateMachineId),
 }
 
-/// How recent the state is that a stale read has returned.
+/// How far the log was applied at a stale read, and for how long that has not changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StaleRead {
     /// The last entry that this member has applied.
     pub applied: Index,
-    /// The time since this member last applied an entry, by its own clock. Entries that were committed since
-    /// then may not be visible.
+    /// The time since `applied` or the member's halt reason last changed, or since the client was created, by
+    /// this member's clock. It is no bound on staleness: entries that were committed earlier may be missing.
     pub since: Duration,
 }
 
@@ -85,17 +89,18 @@
     last_applied: Arc<LastApplied>,
 }
 
-/// Records when the member last applied an entry. The recording task is aborted on drop.
+/// Records when the member's applied index or halt reason last changed. The recording task is aborted on
+/// drop.
 struct LastApplied {
     /// When the recording started.
     origin: Instant,
-    /// When the last entry was applied, in milliseconds since `origin`.
+    /// When the last change occurred, in milliseconds since `origin`; 0 before the first.
     millis: Arc<AtomicU64>,
     task: JoinHandle<()>,
 }
 
 impl LastApplied {
-    /// Starts to record the entries that a node applies.
+    /// Starts to record changes of a node's applied index and halt reason.
     fn record(node: &NodeHandle) -> Self {
         let origin = Instant::now();
         let millis = Arc::new(AtomicU64::new(0));
@@ -109,7 +114,7 @@
         Self { origin, millis, task }
     }
 
-    /// Returns the time since the last entry was applied, or since the recording started.
+    /// Returns the time since the last change, or since the recording started.
     fn elapsed(&self) -> Duration {
         let applied_after = Duration::from_millis(self.millis.load(Ordering::Relaxed));
         self.origin.elapsed().saturating_sub(applied_after)
@@ -154,22 +159,23 @@
         OperationId { member: self.node.id(), incarnation: self.incarnation, number, since }
     }
 
-    /// Proposes a command and waits for at most `within` until it is applied at this member. Returns the
-    /// answer of the state machine.
+    /// Proposes a command and waits for at most `timeout` until it is applied at this member. Returns the
+    /// answer of the state machine. The proposal counts toward the limit of `tenant`'s proposals in flight.
     ///
     /// # Errors
     /// [`ReplicationError::InvalidCommand`], [`ReplicationError::Full`] and [`ReplicationError::Stopped`] if
     /// nothing was proposed; [`ReplicationError::Refused`] and [`ReplicationError::TooOld`] if the operation
-    /// was rejected; [`ReplicationError::Unknown`] if the outcome did not arrive in time.
+    /// was rejected; [`ReplicationError::Unknown`] if the outcome did not arrive in time or the node
+    /// stopped meanwhile.
     pub async fn propose(
         &self,
         id: OperationId,
         state_machine: StateMachineId,
         tenant: &str,
         body: &[u8],
-        within: Duration,
+        timeout: Duration,
     ) -> Result<Vec<u8>, ReplicationError> {
-        let deadline = Instant::now() + within;
+        let deadline = Instant::now() + timeout;
         let version = self.check_command(state_machine, body)?;
         let _permit = self.acquire_permit(state_machine, tenant)?;
         self.check_running()?;
@@ -212,18 +218,19 @@
     }
 
     /// Calls `read` with a state machine that has applied all entries committed before this call
-    /// (linearizable read, Raft thesis 6.4). Waits for at most `within`.
+    /// (linearizable read, Raft thesis 6.4). Waits for at most `timeout`.
     ///
     /// # Errors
-    /// [`ReplicationError::NoLeader`] if the time has passed, [`ReplicationError::Stopped`] if the member has
-    /// stopped applying entries, [`ReplicationError::InvalidCommand`] if there is no such state machine.
+    /// [`ReplicationError::NoLeader`] if the read did not complete in time, [`ReplicationError::Stopped`] if
+    /// the member has stopped applying entries, [`ReplicationError::InvalidCommand`] if the state machine is
+    /// unknown or of another type.
     pub async fn read<S: ReplicatedStateMachine, T>(
         &self,
         state_machine: StateMachineId,
-        within: Duration,
+        timeout: Duration,
         read: impl FnOnce(&S) -> T,
     ) -> Result<T, ReplicationError> {
-        let deadline = Instant::now() + within;
+        let deadline = Instant::now() + timeout;
         let index = timeout_at(deadline, self.read_index()).await;
         let index = index.map_err(|_| ReplicationError::NoLeader)??;
         let mut progress = self.node.applied();
@@ -249,10 +256,10 @@
     }
 
     /// Calls `read` with a state machine as this member has applied it, without contacting the leader. Also
-    /// returns how recent that state is.
+    /// returns the applied index and when it last changed.
     ///
     /// # Errors
-    /// [`ReplicationError::InvalidCommand`] if there is no such state machine.
+    /// [`ReplicationError::InvalidCommand`] if the state machine is unknown or of another type.
     pub fn read_stale<S: ReplicatedStateMachine, T>(
         &self,
         state_machine: StateMachineId,
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -15,8 +15,8 @@
 pub(super) const RECOVERED_LATENCY_RATIO: f64 = 0.45;
 /// Latency ratio above which the fleet counts as overloaded.
 pub(super) const OVERLOADED_LATENCY_RATIO: f64 = 0.6;
-/// Latency ratio above which the fleet or a zone counts as congested: few attempts meet the latency
-/// objective.
+/// Latency ratio above which the fleet or a zone counts as congested. At 1 the mean latency at the server of
+/// the median attempt equals the shortest latency objective.
 pub(super) const CONGESTED_LATENCY_RATIO: f64 = 1.0;
 
 /// The latency ratio that a failed attempt counts as, instead of its own latency.
@@ -36,7 +36,7 @@
 
 /// Weight of one report in the moving average of the time that reports cover.
 const REPORT_PERIOD_GAIN: f64 = 0.05;
-/// Lower bound of the time that a report is assumed to cover.
+/// Lower bound of the time that a report is assumed to cover, in microseconds.
 const MIN_REPORT_PERIOD: Micros = 1_000_000;
 /// How long reports are assumed to be late after a gap in them.
 const LATE_REPORTS_DURATION: Micros = 10_000_000;
@@ -44,8 +44,8 @@
 /// Part by which the peak goodput decays in the time that two reports cover.
 const PEAK_GOODPUT_DECAY_RATIO: f64 = 0.05;
 
-/// /// Lower bound of the attempts for each successful one that are assumed. It is above 1 because reports
-/// show congestion late. While the fleet is not recovered, [`MAX_RETRY_AMPLIFICATION`] is assumed instead.
+/// Lower bound of the attempts for each successful one, while the fleet is recovered; else
+/// [`MAX_RETRY_AMPLIFICATION`] is the lower bound too. It is above 1 because reports show congestion late.
 pub(super) const MIN_RETRY_AMPLIFICATION: f64 = 2.5;
 /// Upper bound of the attempts for each successful one.
 const MAX_RETRY_AMPLIFICATION: f64 = 6.0;
@@ -55,42 +55,46 @@
 
 /// Load and latency of the fleet. Other modules only read it, except `responses_carry_load`.
 pub(super) struct FleetLoad {
-    /// Latency ratio at the server of the median attempt; 0 without recent reports.
+    /// Latency ratio at the server of the median attempt. Servers that are not ready, or are ejected in the
+    /// proxy's zone, are left out; 0 if no other server has recent reports.
     pub(super) current_latency_ratio: f64,
     /// The newest value of `current_latency_ratio` above 0; 0 before the first.
     pub(super) latency_ratio: f64,
-    /// Latency ratio of the median successful attempt, failed ones left out; 0 without recent reports.
+    /// Like `current_latency_ratio`, but of successful attempts only.
     pub(super) success_latency_ratio: f64,
-    /// Latency ratio of the median attempt of each zone's proxies; zones without recent reports have no
-    /// entry.
+    /// Like `current_latency_ratio`, for the proxies of each zone, but servers that are ejected there count.
+    /// A zone has no entry if no ready server has recent reports from it.
     pub(super) zone_latency_ratio: BTreeMap<ZoneId, f64>,
-    /// Decayed number of recent attempts.
+    /// Number of attempts in recent reports of all servers, decayed up to the last report of each server and
+    /// zone.
     pub(super) attempts: f64,
-    /// Decayed number of recent failed attempts.
+    /// Number of failed ones of these attempts, decayed alike.
     pub(super) errors: f64,
-    /// Attempts for each successful one, within bounds, times the factor by which the request rate exceeds a
-    /// surge.
+    /// Attempts for each successful one, within bounds, times the surge factor: the request rate as a
+    /// multiple of [`SURGE_RATIO`] times its mean, at least 1. The surge factor has no upper bound.
     pub(super) retry_amplification: f64,
     /// Until this time the latency ratio may be outdated, as there was a gap in reports.
     pub(super) late_reports_until: Micros,
-    /// Usual requests per second of each class at connected proxies, clients' retries of rejected requests
-    /// left out.
+    /// Usual requests per second of each class at connected proxies: the mean of reports from times without
+    /// shedding or overload, so that clients' retries of rejected requests are left out.
     pub(super) class_rates: Vec<f64>,
-    /// True: responses to attempts have carried load reports; else only health checks may.
+    /// True once a proxy's report has contained a server's load, which responses to attempts carry; until
+    /// then only health checks may provide it. It is never reset.
     pub(super) responses_carry_load: bool,
     /// Rate of the fleet's successful attempts.
     pub(super) goodput: Goodput,
     /// Requests per second at connected proxies, smoothed over [`MEAN_RATE_TIME_CONSTANT_MICROS`].
     mean_request_rate: f64,
-    /// Mean time that a report covers, in microseconds. It exceeds the report interval when reports are
-    /// delayed.
+    /// Moving average of the time that a report covers, from 0 at the start, in microseconds. It exceeds the
+    /// report interval when reports are delayed.
     mean_report_period_micros: f64,
 }
 
 /// Rate of successful attempts, with its peak.
 #[derive(Default)]
 pub(super) struct Goodput {
-    /// Smoothed rate, per second. It starts at 0, so that it is too low until a smoothing window has passed.
+    /// Smoothed rate, per second. It starts at 0, so that it is too low until a smoothing window has passed:
+    /// twice the mean time that a report covers, at least twice [`MIN_REPORT_PERIOD`].
     pub(super) per_second: f64,
     /// Decaying peak of the rate, per second, corrected for the start at 0.
     pub(super) peak_per_second: f64,
@@ -248,7 +252,8 @@
         }
     }
 
-    /// Adds a report to the sums of its server and zone and to the goodput.
+    /// Updates the mean report period and, for a known server with attempts, the sums of its server and zone,
+    /// the goodput and the time of the server's last success.
     pub(super) fn record_upstream_stats(&mut self, report: &UpstreamReport) {
         let mean_period = &mut self.load.mean_report_period_micros;
         *mean_period += REPORT_PERIOD_GAIN * (report.period as f64 - *mean_period);
--- a/src/policy/table_plan.rs
+++ b/src/policy/table_plan.rs
@@ -1,5 +1,9 @@
 //! The planned servers and weights of a table: its subset's servers, spill-over to other subsets, warm
 //! endpoints of other zones, and the fallback to all ready servers.
+//!
+//! A server is warming until the warm-up time of the settings has passed since its start: its capacity may
+//! still be reduced. It is in slow start while its weight rises to the full one, see
+//! [`Policy::slow_start_ratio`].
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,8 +15,9 @@
 /// A table with servers in slow start spills over to other subsets when its load, in server weight, is above
 /// this multiple of the weight of its servers.
 const SPILL_OVER_RATIO: f64 = 2.0;
-/// Number of warm servers of other zones that are added to the table of a subset with warming servers.
-const MIN_WARM_ENDPOINTS: usize = 2;
+/// Maximum number of warm servers of other zones that are added to the table of a subset with warming
+/// servers.
+const MAX_ADDED_WARM_ENDPOINTS: usize = 2;
 /// Upper bound of the weight of each such warm server, as a ratio of the table's total weight.
 const MAX_WARM_ENDPOINT_WEIGHT_RATIO: f64 = 0.05;
 /// Distance in the list of servers at which tables of consecutive numbers start to spill over, so that they
@@ -43,7 +48,9 @@
 pub(super) struct TablePlan {
     /// The table, which has the number of its subset.
     pub(super) table: TableId,
-    /// The weight of each server, above 0.
+    /// The weight of each server, on the scale of listed weights; only ratios within the table matter. It is
+    /// above 0: the merge of the endpoint list replaces other listed weights by 1, and the factors have lower
+    /// bounds above 0.
     pub(super) weights: BTreeMap<ServerId, f64>,
 }
 
@@ -106,12 +113,13 @@
         weights
     }
 
-    /// The usable servers of the subset. If they are too few, the usable servers of its siblings in other
-    /// zones are added, then those of other subsets. If no server is usable, the evidence against them is
-    /// ignored and all ready servers are used.
+    /// The usable servers of the subset. If they do not suffice ([`Policy::needs_spill_over`]), the usable
+    /// servers of its siblings in other zones are added, then those of other subsets. If no server is usable,
+    /// the table is in panic mode, as in Envoy: the failed health checks, ejections and warm-up holds that
+    /// exclude servers are ignored, and all ready servers are used.
     ///
     /// Guards against a table without usable servers, or only with servers in slow start. Cost: requests
-    /// cross zones.
+    /// cross zones, and in panic mode reach servers that may be unhealthy.
     fn choose_servers<'a>(&'a self, demand: &TableDemand<'a>) -> Vec<&'a Server> {
         let usable = demand.usable.iter().copied();
         let mut chosen: Vec<&Server> =
@@ -178,11 +186,11 @@
         weights: &mut BTreeMap<ServerId, f64>,
     ) {
         let total: f64 = weights.values().sum();
-        let share = warming_weight / MIN_WARM_ENDPOINTS as f64;
+        let share = warming_weight / MAX_ADDED_WARM_ENDPOINTS as f64;
         let weight = share.min(MAX_WARM_ENDPOINT_WEIGHT_RATIO * total);
         let warm = self.warm_servers_of_other_zones(demand, self.zone_of(demand.subset));
         let start = usize::from(demand.subset.0);
-        for server in warm.iter().cycle().skip(start).take(MIN_WARM_ENDPOINTS.min(warm.len())) {
+        for server in warm.iter().cycle().skip(start).take(MAX_ADDED_WARM_ENDPOINTS.min(warm.len())) {
             weights.entry(server.id()).or_insert(weight);
         }
     }
