--- a/crates/stepspur-cli/src/keys.rs
+++ b/crates/stepspur-cli/src/keys.rs
@@ -64,6 +64,7 @@
         folder: KeyFolder,
         /// Id of a signing key or file name of an authority, both as `stepspur keys list` prints them, or
         /// `serial:` and a certificate's serial number in hexadecimal.
+        #[arg(value_name = "WHAT")]
         target: String,
     },
     /// Issue a client certificate for `stepspur://TENANT/proxy/ZONE/NAME` or
--- a/crates/stepspur-conductor/src/engine/connect.rs
+++ b/crates/stepspur-conductor/src/engine/connect.rs
@@ -126,7 +126,12 @@
         }
         self.streams.connect(stream, proxy, zone);
         self.tables.add_proxy(proxy);
-        self.batch.push(Event::ProxyConnected { proxy, zone, rate, fresh });
+        self.batch.push(Event::ProxyConnected {
+            proxy,
+            zone,
+            usual_request_rate: rate,
+            has_only_static_tables: fresh,
+        });
         self.log(LogEvent::ProxyConnected { proxy: self.proxy_name(proxy), stream });
     }
 
--- a/crates/stepspur-conductor/src/engine/report_aggregator.rs
+++ b/crates/stepspur-conductor/src/engine/report_aggregator.rs
@@ -151,9 +151,19 @@
         ReportKey::Upstream { server, zone } => {
             let successes = sums.total - sums.errors;
             let latency = if successes > 0 { (sums.latency_sum / successes as f64) as Micros } else { 0 };
-            Event::UpstreamStats { server, zone, period, total, errors, latency, load: sums.load }
+            Event::UpstreamStats {
+                server,
+                zone,
+                period,
+                attempts: total,
+                failed_attempts: errors,
+                latency,
+                load: sums.load,
+            }
+        }
+        ReportKey::Client { proxy, class } => {
+            Event::ClientStats { proxy, class, period, requests: total, unanswered: errors }
         }
-        ReportKey::Client { proxy, class } => Event::ClientStats { proxy, class, period, total, errors },
     }
 }
 
--- a/crates/stepspur-conductor/src/engine/report_aggregator/tests.rs
+++ b/crates/stepspur-conductor/src/engine/report_aggregator/tests.rs
@@ -20,7 +20,9 @@
         let events = aggregator.take_due(now);
         assert!(events.len() <= 1 && aggregator.len() <= 2);
         for event in events {
-            let Event::UpstreamStats { total, period, latency, .. } = event else { panic!("{event:?}") };
+            let Event::UpstreamStats { attempts: total, period, latency, .. } = event else {
+                panic!("{event:?}")
+            };
             assert_eq!((latency, u64::from(total) * 100_000), (10, period));
             passed_on += total;
             longest_period = longest_period.max(period);
--- a/crates/stepspur-conductor/src/engine/reports.rs
+++ b/crates/stepspur-conductor/src/engine/reports.rs
@@ -139,7 +139,15 @@
             return;
         }
         let RequestCounts { total, errors } = attempts;
-        self.batch.push(Event::UpstreamStats { server, zone, period, total, errors, latency, load });
+        self.batch.push(Event::UpstreamStats {
+            server,
+            zone,
+            period,
+            attempts: total,
+            failed_attempts: errors,
+            latency,
+            load,
+        });
     }
 
     /// Passes a collector's counts of client requests on to the decision module; those of a proxy that is not
@@ -153,7 +161,7 @@
     ) {
         let RequestCounts { total, errors } = requests;
         if self.streams.stream(proxy).is_some() {
-            self.batch.push(Event::ClientStats { proxy, class, period, total, errors });
+            self.batch.push(Event::ClientStats { proxy, class, period, requests: total, unanswered: errors });
         }
     }
 
--- a/crates/stepspur-consensus/src/election.rs
+++ b/crates/stepspur-consensus/src/election.rs
@@ -1,5 +1,5 @@
-//! Leader election with pre-vote, and the transitions between follower, candidate and leader (paper 5.2 and
-//! 5.4; thesis 9.6).
+//! Leader election with pre-vote, and the transitions between follower, candidate and leader (Raft paper 5.2
+//! and 5.4; Raft thesis 9.6).
 
 use std::collections::BTreeSet;
 
@@ -17,7 +17,7 @@
 
 impl RaftNode {
     /// Restarts the election timer with a random duration between one and two election timeouts, which makes
-    /// split votes rare (paper 5.2).
+    /// split votes rare (Raft paper 5.2).
     pub(crate) fn reset_election_timeout(&mut self) {
         let timeout = self.settings.election_timeout;
         self.election_deadline = self.now + self.rng.random_range(timeout..=timeout * 2);
@@ -31,8 +31,8 @@
     }
 
     /// Returns true if the message requests a vote or pre-vote although this member has a live leader. Its
-    /// sender is probably removed or cut off from the leader, and would disrupt it (thesis 4.2.3). Candidates
-    /// of a leadership transfer are exempt (thesis 3.10).
+    /// sender is probably removed or cut off from the leader, and would disrupt it (Raft thesis 4.2.3).
+    /// Candidates of a leadership transfer are exempt (Raft thesis 3.10).
     pub(crate) fn ignores_vote_request(&self, message: &Message) -> bool {
         let requests_vote = matches!(
             message,
@@ -83,8 +83,8 @@
         true
     }
 
-    /// Asks the other voters for pre-votes, in the current term (thesis 9.6). A non-voter only restarts its
-    /// election timer.
+    /// Asks the other voters for pre-votes, in the current term (Raft thesis 9.6). A non-voter only restarts
+    /// its election timer.
     pub(crate) fn become_pre_candidate(&mut self) {
         self.reset_election_timeout();
         if !self.log.voters().contains(&self.id) {
@@ -97,7 +97,7 @@
         self.count_votes();
     }
 
-    /// Starts an election in the next term (paper 5.2).
+    /// Starts an election in the next term (Raft paper 5.2).
     fn become_candidate(&mut self, reason: CampaignReason) {
         self.enter_term(self.term.next(), reason.into());
         self.vote = Some(self.id);
@@ -113,7 +113,7 @@
     }
 
     /// Becomes the leader and appends an empty entry of its term, as entries of older terms can only be
-    /// committed together with one of the current term (paper 5.4.2 and 8).
+    /// committed together with one of the current term (Raft paper 5.4.2 and 8).
     fn become_leader(&mut self) {
         let first_index = self.log.last_index().next();
         let others = self.log.voters().iter().filter(|voter| **voter != self.id);
@@ -125,7 +125,7 @@
         self.start_heartbeat_round();
     }
 
-    /// Grants a pre-vote for a later term to a sender whose log is up to date (thesis 9.6). Nothing is
+    /// Grants a pre-vote for a later term to a sender whose log is up to date (Raft thesis 9.6). Nothing is
     /// recorded, so several senders may get one.
     pub(crate) fn handle_pre_vote_request(&mut self, from: MemberId, term: Term, last_log: LogPosition) {
         let granted = term > self.term && self.is_up_to_date(last_log);
@@ -146,7 +146,8 @@
     }
 
     /// Votes for a candidate of the current term if this member has not voted for another one and the
-    /// candidate's log is up to date (paper 5.2 and 5.4.1). The response waits until the vote is durable.
+    /// candidate's log is up to date (Raft paper 5.2 and 5.4.1). The response waits until the vote is
+    /// durable.
     pub(crate) fn handle_vote_request(&mut self, from: MemberId, term: Term, last_log: LogPosition) {
         let can_vote = self.vote.is_none_or(|vote| vote == from);
         let granted = term == self.term && can_vote && self.is_up_to_date(last_log);
@@ -169,7 +170,8 @@
         }
     }
 
-    /// Starts an election at once, without a pre-vote: the leader transfers its leadership (thesis 3.10).
+    /// Starts an election at once, without a pre-vote: the leader transfers its leadership (Raft thesis
+    /// 3.10).
     pub(crate) fn handle_timeout_now(&mut self, term: Term) {
         if term == self.term && self.log.voters().contains(&self.id) {
             self.become_candidate(CampaignReason::LeadershipTransfer);
@@ -202,7 +204,7 @@
         }
     }
 
-    /// Returns true if a log that ends with `last_log` is at least as up-to-date as this member's (paper
+    /// Returns true if a log that ends with `last_log` is at least as up-to-date as this member's (Raft paper
     /// 5.4.1).
     fn is_up_to_date(&self, last_log: LogPosition) -> bool {
         last_log >= self.log.last_position()
--- a/crates/stepspur-consensus/src/error.rs
+++ b/crates/stepspur-consensus/src/error.rs
@@ -17,7 +17,7 @@
     #[error("the command is larger than `command_max`")]
     CommandTooLarge,
     /// Another membership change or a leadership transfer is in progress, or the last change is not committed
-    /// yet. Overlapping changes could form two disjoint majorities (thesis 4.1).
+    /// yet. Overlapping changes could form two disjoint majorities (Raft thesis 4.1).
     #[error("another membership change or leadership transfer is in progress")]
     ChangeInProgress,
     /// The change adds a member that is already a voter, removes a member that is not a voter or is the only
--- a/crates/stepspur-consensus/src/ids.rs
+++ b/crates/stepspur-consensus/src/ids.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MemberId(pub u64);
 
-/// A Raft term, numbered from 0 upwards. A term has at most one leader (paper 5.2).
+/// A Raft term, numbered from 0 upwards. A term has at most one leader (Raft paper 5.2).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Term(pub u64);
 
@@ -21,8 +21,8 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Index(pub u64);
 
-/// An entry's term and index, ordered by term, then index, as elections compare logs (paper 5.4.1). Of two
-/// committed entries the later one has the higher position.
+/// An entry's term and index, ordered by term, then index, as elections compare logs (Raft paper 5.4.1). Of
+/// two committed entries the later one has the higher position.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LogPosition {
     /// The term of the leader that appended the entry.
--- a/crates/stepspur-consensus/src/leader_state.rs
+++ b/crates/stepspur-consensus/src/leader_state.rs
@@ -1,4 +1,4 @@
-//! A leader's volatile state (paper, figure 2).
+//! A leader's volatile state (Raft paper, figure 2).
 
 use std::collections::BTreeMap;
 
@@ -14,7 +14,7 @@
     /// up.
     pub(crate) followers: BTreeMap<MemberId, Progress>,
     /// The leader's first entry of its term. Once that is committed, the leader knows all committed entries
-    /// (paper 8).
+    /// (Raft paper 8).
     pub(crate) first_index: Index,
     /// The number of the current heartbeat round; 0 before the first one.
     pub(crate) round: u64,
@@ -26,7 +26,7 @@
     pub(crate) catch_up: Option<CatchUp>,
 }
 
-/// A leadership transfer in progress (thesis 3.10).
+/// A leadership transfer in progress (Raft thesis 3.10).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct LeadershipTransfer {
     /// The next leader.
@@ -35,7 +35,7 @@
     pub(crate) expires_at: Micros,
 }
 
-/// A member that catches up in rounds before it becomes a voter (thesis 4.2.1). A round replicates all
+/// A member that catches up in rounds before it becomes a voter (Raft thesis 4.2.1). A round replicates all
 /// entries that the leader's log has at the round's start.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct CatchUp {
--- a/crates/stepspur-consensus/src/lib.rs
+++ b/crates/stepspur-consensus/src/lib.rs
@@ -1,9 +1,9 @@
 //! A consensus group: a Raft log replicated between its members, and named roles, each of which at most one
 //! member may act on at a time.
 //!
-//! - [`RaftNode`] is a member's Raft state (Ongaro and Ousterhout 2014, "the paper"; Ongaro's thesis):
-//!   elections with pre-vote and check-quorum, replication, snapshots, membership changes of one voter at a
-//!   time, leadership transfer and linearizable reads.
+//! - [`RaftNode`] is a member's Raft state (Ongaro and Ousterhout 2014, "the Raft paper"; Ongaro's thesis,
+//!   "the Raft thesis"): elections with pre-vote and check-quorum, replication, snapshots, membership changes
+//!   of one voter at a time, leadership transfer and linearizable reads.
 //! - [`RoleTable`] is the replicated state of the roles: the holder of each role and its fencing token.
 //! - [`Member`] wraps a [`RaftNode`]. It votes or follows, holds roles under leases, and grants them while it
 //!   leads.
--- a/crates/stepspur-consensus/src/member/pending_request.rs
+++ b/crates/stepspur-consensus/src/member/pending_request.rs
@@ -12,7 +12,7 @@
 pub(super) enum RequestKind {
     /// Renews all leases of a holder.
     Renewal,
-    /// Requests a read index (thesis 6.4).
+    /// Requests a read index (Raft thesis 6.4).
     Read,
 }
 
--- a/crates/stepspur-consensus/src/member/reads.rs
+++ b/crates/stepspur-consensus/src/member/reads.rs
@@ -1,4 +1,4 @@
-//! Linearizable reads by the read index (thesis 6.4), and the responses to requests that wait for the
+//! Linearizable reads by the read index (Raft thesis 6.4), and the responses to requests that wait for the
 //! confirmation of the leadership.
 
 use std::collections::VecDeque;
--- a/crates/stepspur-consensus/src/membership.rs
+++ b/crates/stepspur-consensus/src/membership.rs
@@ -1,4 +1,4 @@
-//! Membership changes of one voter at a time, and leadership transfer (thesis 4.1, 4.2 and 3.10).
+//! Membership changes of one voter at a time, and leadership transfer (Raft thesis 4.1, 4.2 and 3.10).
 
 use crate::error::RequestError;
 use crate::ids::{Index, MemberId, Micros};
@@ -11,11 +11,11 @@
 use crate::raft_output::RaftOutput;
 use crate::raft_role::RaftRole;
 
-/// A new member must catch up within this many rounds of replication, or it is not added (thesis 4.2.1).
+/// A new member must catch up within this many rounds of replication, or it is not added (Raft thesis 4.2.1).
 const MAX_CATCH_UP_ROUNDS: u32 = 10;
 
 /// A change of the voters by one member. A second change may start only after the first one is committed
-/// (thesis 4.1).
+/// (Raft thesis 4.1).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MembershipChange {
     /// Adds a voter once it has caught up with the leader's log.
@@ -36,7 +36,7 @@
         self.advance_clock(now);
         // A leader must have committed an entry of its term first: otherwise an uncommitted change of an
         // earlier leader could overlap with this one, and two disjoint majorities could form (erratum to
-        // thesis 4.1).
+        // Raft thesis 4.1).
         if !self.is_leader() {
             return Err(RequestError::NotLeader(self.leader()));
         }
@@ -52,8 +52,8 @@
         Ok(())
     }
 
-    /// Transfers the leadership to a voter, which starts an election as soon as it has all entries (thesis
-    /// 3.10). Until then the leader rejects proposals, for at most one election timeout.
+    /// Transfers the leadership to a voter, which starts an election as soon as it has all entries (Raft
+    /// thesis 3.10). Until then the leader rejects proposals, for at most one election timeout.
     ///
     /// # Errors
     /// [`RequestError::NotLeader`], [`RequestError::ChangeInProgress`], and [`RequestError::InvalidChange`]
@@ -83,7 +83,7 @@
         state.catch_up.is_some() || state.transfer.is_some()
     }
 
-    /// Starts to replicate to a new member. It becomes a voter once it has caught up (thesis 4.2.1).
+    /// Starts to replicate to a new member. It becomes a voter once it has caught up (Raft thesis 4.2.1).
     fn add_voter(&mut self, member: MemberId) -> Result<(), RequestError> {
         if self.log.voters().contains(&member) {
             return Err(RequestError::InvalidChange);
@@ -107,7 +107,8 @@
     }
 
     /// Makes a new member a voter once one of its rounds took less than an election timeout. Ends the change
-    /// after [`MAX_CATCH_UP_ROUNDS`] rounds, or if a round takes that many election timeouts (thesis 4.2.1).
+    /// after [`MAX_CATCH_UP_ROUNDS`] rounds, or if a round takes that many election timeouts (Raft thesis
+    /// 4.2.1).
     pub(crate) fn update_catch_up(&mut self) {
         let now = self.now;
         let last_index = self.log.last_index();
@@ -143,7 +144,7 @@
     }
 
     /// Once a change of the voters is committed, a removed leader steps down, and a leader stops replicating
-    /// to removed members (thesis 4.2.2).
+    /// to removed members (Raft thesis 4.2.2).
     pub(crate) fn on_voters_committed(&mut self) {
         if self.log.voters_index() > self.commit {
             return;
@@ -158,7 +159,8 @@
         }
     }
 
-    /// Sends TimeoutNow to the target of a leadership transfer once its log has all entries (thesis 3.10).
+    /// Sends TimeoutNow to the target of a leadership transfer once its log has all entries (Raft thesis
+    /// 3.10).
     pub(crate) fn maybe_send_timeout_now(&mut self) {
         let RaftRole::Leader(state) = &self.role else { return };
         let Some(transfer) = state.transfer else { return };
--- a/crates/stepspur-consensus/src/message.rs
+++ b/crates/stepspur-consensus/src/message.rs
@@ -1,4 +1,4 @@
-//! Raft's RPCs as messages between members (paper, figures 2 and 13; thesis 9.6 and 3.10).
+//! Raft's RPCs as messages between members (Raft paper, figures 2 and 13; Raft thesis 9.6 and 3.10).
 
 use bytes::Bytes;
 
@@ -8,7 +8,7 @@
 /// A Raft message from one member to another. `term` is the sender's term unless stated otherwise.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Message {
-    /// Asks whether the receiver would vote for the sender. No term changes by it (thesis 9.6).
+    /// Asks whether the receiver would vote for the sender. No term changes by it (Raft thesis 9.6).
     PreVoteRequest {
         /// The term of the election that the sender would start.
         term: Term,
@@ -22,14 +22,14 @@
         /// Whether the sender would vote for the pre-candidate.
         granted: bool,
     },
-    /// Requests a vote (RequestVote RPC, paper 5.2 and 5.4).
+    /// Requests a vote (RequestVote RPC, Raft paper 5.2 and 5.4).
     VoteRequest {
         /// The candidate's term.
         term: Term,
         /// The last entry of the candidate's log.
         last_log: LogPosition,
-        /// True if the leader transferred its leadership to the candidate (thesis 3.10). Receivers then do
-        /// not ignore the request although they have a live leader (thesis 4.2.3).
+        /// True if the leader transferred its leadership to the candidate (Raft thesis 3.10). Receivers then
+        /// do not ignore the request although they have a live leader (Raft thesis 4.2.3).
         leadership_transfer: bool,
     },
     /// The response to [`Message::VoteRequest`].
@@ -39,22 +39,22 @@
         /// Whether the sender votes for the candidate.
         granted: bool,
     },
-    /// Entries of a leader's log, or a heartbeat (paper 5.3).
+    /// Entries of a leader's log, or a heartbeat (Raft paper 5.3).
     AppendEntries(AppendEntries),
     /// The response to [`Message::AppendEntries`].
     AppendEntriesResponse(AppendEntriesResponse),
-    /// A chunk of a leader's snapshot (paper 7).
+    /// A chunk of a leader's snapshot (Raft paper 7).
     InstallSnapshot(InstallSnapshot),
     /// The response to [`Message::InstallSnapshot`].
     InstallSnapshotResponse(InstallSnapshotResponse),
-    /// Makes the receiver start an election at once: the leader transfers its leadership (thesis 3.10).
+    /// Makes the receiver start an election at once: the leader transfers its leadership (Raft thesis 3.10).
     TimeoutNow {
         /// The leader's term.
         term: Term,
     },
 }
 
-/// Entries of a leader's log; a heartbeat if it has no entries (paper 5.3).
+/// Entries of a leader's log; a heartbeat if it has no entries (Raft paper 5.3).
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AppendEntries {
     /// The leader's term.
@@ -66,7 +66,7 @@
     /// The leader's commit index.
     pub commit: Index,
     /// The number of the leader's current heartbeat round. A response with this number shows that the sender
-    /// was the leader when it started the round, which confirms read requests (thesis 6.4).
+    /// was the leader when it started the round, which confirms read requests (Raft thesis 6.4).
     pub round: u64,
 }
 
@@ -84,7 +84,8 @@
     pub index: Index,
 }
 
-/// A chunk of a leader's snapshot, for a member that needs entries which the leader has compacted (paper 7).
+/// A chunk of a leader's snapshot, for a member that needs entries which the leader has compacted (Raft paper
+/// 7).
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct InstallSnapshot {
     /// The leader's term.
--- a/crates/stepspur-consensus/src/partial_snapshot.rs
+++ b/crates/stepspur-consensus/src/partial_snapshot.rs
@@ -1,4 +1,4 @@
-//! A snapshot that is being received in chunks (paper 7).
+//! A snapshot that is being received in chunks (Raft paper 7).
 
 use bytes::{Bytes, BytesMut};
 
--- a/crates/stepspur-consensus/src/peer_message.rs
+++ b/crates/stepspur-consensus/src/peer_message.rs
@@ -48,7 +48,7 @@
         /// The leader that the sender knows of, if any.
         leader: Option<MemberId>,
     },
-    /// To the leader: requests a read index (thesis 6.4).
+    /// To the leader: requests a read index (Raft thesis 6.4).
     ReadIndex {
         /// The number of the request.
         request: u64,
--- a/crates/stepspur-consensus/src/pending_reads.rs
+++ b/crates/stepspur-consensus/src/pending_reads.rs
@@ -1,4 +1,4 @@
-//! Read requests that wait for a leader's confirmation of its leadership (thesis 6.4).
+//! Read requests that wait for a leader's confirmation of its leadership (Raft thesis 6.4).
 
 use std::collections::VecDeque;
 
--- a/crates/stepspur-consensus/src/persistence.rs
+++ b/crates/stepspur-consensus/src/persistence.rs
@@ -31,11 +31,11 @@
         self.outputs.push_back(RaftOutput::Event(RaftEvent::Halted { reason: reason.into() }));
     }
 
-    /// Sends a message once all changes made so far are durable (paper 5.1: updated on stable storage before
-    /// responding to RPCs).
+    /// Sends a message once all changes made so far are durable (Raft paper 5.1: updated on stable storage
+    /// before responding to RPCs).
     ///
     /// A leader's entries and snapshot chunks are sent at once, in parallel with its own write: it counts its
-    /// own copy only when that is durable (thesis 10.2.1).
+    /// own copy only when that is durable (Raft thesis 10.2.1).
     pub(crate) fn send(&mut self, to: MemberId, message: Message) {
         let replicates = matches!(message, Message::AppendEntries(_) | Message::InstallSnapshot(_));
         let ready = if replicates && matches!(self.role, RaftRole::Leader(_)) {
--- a/crates/stepspur-consensus/src/persistent_state.rs
+++ b/crates/stepspur-consensus/src/persistent_state.rs
@@ -1,11 +1,11 @@
-//! A member's persistent state (paper, figure 2), and requests to write changes of it.
+//! A member's persistent state (Raft paper, figure 2), and requests to write changes of it.
 
 use std::sync::Arc;
 
 use crate::ids::{Index, MemberId, Term};
 use crate::raft_log::{Entry, RaftLog, Snapshot};
 
-/// A member's state in stable storage (paper, figure 2: persistent state).
+/// A member's state in stable storage (Raft paper, figure 2: persistent state).
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PersistentState {
     /// The current term (`currentTerm`).
--- a/crates/stepspur-consensus/src/progress.rs
+++ b/crates/stepspur-consensus/src/progress.rs
@@ -1,4 +1,4 @@
-//! A leader's record of a follower's log (paper, figure 2: `nextIndex` and `matchIndex`).
+//! A leader's record of a follower's log (Raft paper, figure 2: `nextIndex` and `matchIndex`).
 
 use crate::ids::{Index, Micros};
 
@@ -56,7 +56,7 @@
     }
 
     /// Records that the follower lacks the entry before those that were sent, and moves `next_index` back to
-    /// the entry after `hint` (paper 5.3). `last_index` is the leader's last entry.
+    /// the entry after `hint` (Raft paper 5.3). `last_index` is the leader's last entry.
     pub(crate) fn record_mismatch(&mut self, hint: Index, last_index: Index) {
         let retry_at = hint.next().min(self.next_index.previous()).min(last_index.next());
         // Entries that the follower is known to have stored are never sent again.
--- a/crates/stepspur-consensus/src/raft_event.rs
+++ b/crates/stepspur-consensus/src/raft_event.rs
@@ -37,7 +37,7 @@
         /// The voters after the change.
         voters: Voters,
     },
-    /// A member that was to become a voter did not catch up in time and is not added (thesis 4.2.1).
+    /// A member that was to become a voter did not catch up in time and is not added (Raft thesis 4.2.1).
     CatchUpFailed {
         /// The member that did not catch up.
         member: MemberId,
@@ -53,10 +53,10 @@
 /// Why a member became a candidate. The text is a field of the log event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CampaignReason {
-    /// The member received no message of a leader within its election timeout (paper 5.2).
+    /// The member received no message of a leader within its election timeout (Raft paper 5.2).
     #[error("no leader was heard of")]
     ElectionTimeout,
-    /// The leader transferred its leadership to the member (thesis 3.10).
+    /// The leader transferred its leadership to the member (Raft thesis 3.10).
     #[error("the leader handed its place over")]
     LeadershipTransfer,
 }
@@ -64,13 +64,13 @@
 /// Why a leader stepped down. The text is a field of the log event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StepDownReason {
-    /// The leader received a message of a higher term (paper 5.1).
+    /// The leader received a message of a higher term (Raft paper 5.1).
     #[error("a higher term")]
     HigherTerm,
-    /// No majority responded within an election timeout: check-quorum (thesis 6.2).
+    /// No majority responded within an election timeout: check-quorum (Raft thesis 6.2).
     #[error("no majority answers")]
     QuorumLost,
-    /// A committed membership change removed the leader from the voters (thesis 4.2.2).
+    /// A committed membership change removed the leader from the voters (Raft thesis 4.2.2).
     #[error("it votes no more")]
     RemovedFromVoters,
     /// A write takes longer than [`Settings::write_timeout`](crate::Settings::write_timeout).
--- a/crates/stepspur-consensus/src/raft_log.rs
+++ b/crates/stepspur-consensus/src/raft_log.rs
@@ -1,4 +1,4 @@
-//! The replicated log: a snapshot, and the entries after it (paper 5.3 and 7).
+//! The replicated log: a snapshot, and the entries after it (Raft paper 5.3 and 7).
 
 use std::collections::{BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -14,10 +14,10 @@
 /// The content of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Payload {
-    /// No content: the no-op entry that a leader appends at the start of its term (paper 8).
+    /// No content: the no-op entry that a leader appends at the start of its term (Raft paper 8).
     #[serde(rename = "Nothing")]
     Empty,
-    /// The voters from this entry on, committed or not (thesis 4.1).
+    /// The voters from this entry on, committed or not (Raft thesis 4.1).
     #[serde(rename = "Members")]
     Voters(Voters),
     /// A command for the roles or the state machine.
@@ -42,7 +42,7 @@
     }
 }
 
-/// The replicated state after an entry, which replaces all entries up to that one (paper 7).
+/// The replicated state after an entry, which replaces all entries up to that one (Raft paper 7).
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Snapshot {
     /// The last entry that the snapshot covers (`lastIncludedIndex`).
@@ -136,8 +136,8 @@
         entry
     }
 
-    /// Merges a leader's entries: removes a conflicting entry and all after it, and appends new ones (paper
-    /// 5.3). Returns the index of the first change; `None` if the log already has all of them.
+    /// Merges a leader's entries: removes a conflicting entry and all after it, and appends new ones (Raft
+    /// paper 5.3). Returns the index of the first change; `None` if the log already has all of them.
     pub fn merge(&mut self, entries: Vec<Entry>) -> Option<Index> {
         let mut changed = None;
         for entry in entries {
@@ -160,8 +160,8 @@
     }
 
     /// Replaces the entries that a snapshot covers. Later entries are retained if the log contains the
-    /// snapshot's last entry, otherwise all are removed (paper 7). An older snapshot than the current one is
-    /// ignored.
+    /// snapshot's last entry, otherwise all are removed (Raft paper 7). An older snapshot than the current
+    /// one is ignored.
     pub fn compact_to(&mut self, snapshot: Arc<Snapshot>) {
         if snapshot.index <= self.base.index {
             return;
@@ -176,7 +176,8 @@
         self.base = snapshot;
     }
 
-    /// Returns the current voters: those of the newest entry that sets them, committed or not (thesis 4.1).
+    /// Returns the current voters: those of the newest entry that sets them, committed or not (Raft thesis
+    /// 4.1).
     pub fn voters(&self) -> &Voters {
         self.voters_at(self.last_index())
     }
--- a/crates/stepspur-consensus/src/raft_node.rs
+++ b/crates/stepspur-consensus/src/raft_node.rs
@@ -21,7 +21,7 @@
 use crate::settings::Settings;
 use crate::write_tracker::WriteTracker;
 
-/// One member of a Raft group (paper, figure 2), without I/O.
+/// One member of a Raft group (Raft paper, figure 2), without I/O.
 #[derive(Clone, Debug)]
 pub struct RaftNode {
     pub(crate) id: MemberId,
@@ -115,7 +115,7 @@
     }
 
     /// Returns true if this member leads and has committed the first entry of its term. Before that it may
-    /// not know all committed entries (paper 8).
+    /// not know all committed entries (Raft paper 8).
     pub fn is_leader(&self) -> bool {
         matches!(&self.role, RaftRole::Leader(state) if self.commit >= state.first_index)
     }
--- a/crates/stepspur-consensus/src/raft_output.rs
+++ b/crates/stepspur-consensus/src/raft_output.rs
@@ -26,8 +26,8 @@
     Apply(Entry),
     /// Replace the state machine's state by a snapshot.
     RestoreSnapshot(Arc<Snapshot>),
-    /// A read request is confirmed (thesis 6.4): a majority has confirmed since the request that the member
-    /// leads. A read that has applied the entries up to `index` sees all that was committed before the
+    /// A read request is confirmed (Raft thesis 6.4): a majority has confirmed since the request that the
+    /// member leads. A read that has applied the entries up to `index` sees all that was committed before the
     /// request.
     ReadIndex {
         /// The confirmed request.
--- a/crates/stepspur-consensus/src/read_index.rs
+++ b/crates/stepspur-consensus/src/read_index.rs
@@ -1,4 +1,4 @@
-//! Linearizable reads without a log entry: the read index (thesis 6.4).
+//! Linearizable reads without a log entry: the read index (Raft thesis 6.4).
 
 use crate::error::RequestError;
 use crate::ids::Micros;
--- a/crates/stepspur-consensus/src/snapshot.rs
+++ b/crates/stepspur-consensus/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Log compaction by snapshots, and their transfer to members that need compacted entries (paper 7).
+//! Log compaction by snapshots, and their transfer to members that need compacted entries (Raft paper 7).
 
 use std::sync::Arc;
 
--- a/crates/stepspur-distribution/src/control/propose.rs
+++ b/crates/stepspur-distribution/src/control/propose.rs
@@ -58,7 +58,7 @@
             ReplicationError::Refused(rejection) => Self::Rejected(rejection.0),
             ReplicationError::Unknown(id) => Self::Unknown { id },
             ReplicationError::TooOld(id) => Self::TooOld { id },
-            ReplicationError::NoLeader => Self::Stopped("no leader answered".to_owned()),
+            ReplicationError::ReadTimeout => Self::Stopped("no leader answered".to_owned()),
             ReplicationError::Stopped(reason) => Self::Stopped(reason),
         }
     }
--- a/crates/stepspur-fault-tests/tests/scenarios.rs
+++ b/crates/stepspur-fault-tests/tests/scenarios.rs
@@ -252,7 +252,7 @@
     let member = scenario.member(&current).await;
     assert_eq!(
         scenario.cluster().read(member, &name, OPERATION_TIMEOUT).await,
-        Err(ReplicationError::NoLeader)
+        Err(ReplicationError::ReadTimeout)
     );
     let client = scenario.cluster().client(member);
     let stale_read = client
@@ -260,7 +260,7 @@
             counters.value(&name)
         });
     let (_, stale) = stale_read.expect("the state machine exists");
-    assert!(stale.since >= OPERATION_TIMEOUT, "{stale:?}");
+    assert!(stale.unchanged_for >= OPERATION_TIMEOUT, "{stale:?}");
 }
 
 #[then(regex = r"^(.+) halts with `(.+)`$")]
--- a/crates/stepspur-platform/src/config.rs
+++ b/crates/stepspur-platform/src/config.rs
@@ -316,14 +316,14 @@
             lines_per_s: f64::INFINITY,
             message_head: settings.message_overhead_lines,
             waiting_max: settings.max_pending_lines,
-            messages_max: settings.max_messages,
+            messages_max: settings.max_messages_per_window,
             message_window: Duration::from_micros(settings.message_window),
             mark_timeout: Duration::MAX,
             ..Channel::default()
         },
         reports: Reports { load_columns: settings.load_columns.clone(), ..Reports::default() },
         probes: Probes {
-            enabled: settings.health_checks,
+            enabled: settings.active_health_checks,
             path: path.to_owned(),
             concurrency: MAX_CONCURRENT_PROBES,
             ..Probes::default()
--- a/crates/stepspur-replication/src/client.rs
+++ b/crates/stepspur-replication/src/client.rs
@@ -47,7 +47,7 @@
     /// A read did not complete in time: no leader responded, or this member did not apply the entries up to
     /// the read index. Also returned if the member stops while the read waits for these entries.
     #[error("the read did not complete in time: no leader responded, or this member is behind")]
-    NoLeader,
+    ReadTimeout,
     /// The member has stopped applying entries. Holds the reason.
     #[error("this member has stopped applying entries: {0}")]
     Stopped(String),
@@ -71,7 +71,7 @@
     pub applied: Index,
     /// The time since `applied` or the member's halt reason last changed, or since the client was created, by
     /// this member's clock. It is no bound on staleness: entries that were committed earlier may be missing.
-    pub since: Duration,
+    pub unchanged_for: Duration,
 }
 
 /// Proposes commands to the state machines of a running member, and reads from them. Clones share their
@@ -221,9 +221,9 @@
     /// (linearizable read, Raft thesis 6.4). Waits for at most `timeout`.
     ///
     /// # Errors
-    /// [`ReplicationError::NoLeader`] if the read did not complete in time, [`ReplicationError::Stopped`] if
-    /// the member has stopped applying entries, [`ReplicationError::InvalidCommand`] if the state machine is
-    /// unknown or of another type.
+    /// [`ReplicationError::ReadTimeout`] if the read did not complete in time, [`ReplicationError::Stopped`]
+    /// if the member has stopped applying entries, [`ReplicationError::InvalidCommand`] if the state machine
+    /// is unknown or of another type.
     pub async fn read<S: ReplicatedStateMachine, T>(
         &self,
         state_machine: StateMachineId,
@@ -232,11 +232,11 @@
     ) -> Result<T, ReplicationError> {
         let deadline = Instant::now() + timeout;
         let index = timeout_at(deadline, self.read_index()).await;
-        let index = index.map_err(|_| ReplicationError::NoLeader)??;
+        let index = index.map_err(|_| ReplicationError::ReadTimeout)??;
         let mut progress = self.node.applied();
         let reached = progress.wait_for(|progress| progress.index >= index || progress.halt_reason.is_some());
         let reached = timeout_at(deadline, reached).await;
-        reached.map_err(|_| ReplicationError::NoLeader)?.map_err(|_| ReplicationError::NoLeader)?;
+        reached.map_err(|_| ReplicationError::ReadTimeout)?.map_err(|_| ReplicationError::ReadTimeout)?;
         self.check_running()?;
         self.inspect(state_machine, read)
     }
@@ -266,8 +266,8 @@
         read: impl FnOnce(&S) -> T,
     ) -> Result<(T, StaleRead), ReplicationError> {
         let applied = self.node.applied().borrow().index;
-        let since = self.last_applied.elapsed();
-        Ok((self.inspect(state_machine, read)?, StaleRead { applied, since }))
+        let unchanged_for = self.last_applied.elapsed();
+        Ok((self.inspect(state_machine, read)?, StaleRead { applied, unchanged_for }))
     }
 
     fn inspect<S: ReplicatedStateMachine, T>(
--- a/crates/stepspur-replication/src/registry.rs
+++ b/crates/stepspur-replication/src/registry.rs
@@ -102,9 +102,6 @@
 }
 
 /// Why an entry cannot be applied. The member halts before it.
-///
-/// `book` is an earlier word for a state machine; a fault test matches it in the text of
-/// `UnsupportedVersion`.
 #[derive(Debug, thiserror::Error)]
 enum ApplyError {
     #[error("the command has {0} bytes, the limit is {MAX_COMMAND_BYTES}")]
--- a/crates/stepspur-simulator-protocol/src/frame.rs
+++ b/crates/stepspur-simulator-protocol/src/frame.rs
@@ -148,7 +148,12 @@
             }
             7 => {
                 let rate = f64::from(f.f32("heft")?);
-                Event::ProxyConnected { rate, proxy: f.proxy()?, zone: f.zone()?, fresh: f.flag()? }
+                Event::ProxyConnected {
+                    usual_request_rate: rate,
+                    proxy: f.proxy()?,
+                    zone: f.zone()?,
+                    has_only_static_tables: f.flag()?,
+                }
             }
             8 => Event::ProxyDisconnected { proxy: f.proxy()? },
             9 => Event::Acknowledged {
@@ -162,8 +167,8 @@
                 let (zone, latency) = (f.zone()?, u64::from(f.u32("latencyUs")?));
                 Event::UpstreamStats {
                     period,
-                    total,
-                    errors,
+                    attempts: total,
+                    failed_attempts: errors,
                     zone,
                     latency,
                     server: f.server()?,
@@ -174,7 +179,13 @@
                 let period = u64::from(f.u32("periodLenUs")?);
                 let errors = f.u32("errors")?;
                 let (proxy, total) = (f.proxy()?, f.u32("total")?);
-                Event::ClientStats { period, errors, proxy, total, class: ClassId(f.u8("category")?) }
+                Event::ClientStats {
+                    period,
+                    unanswered: errors,
+                    proxy,
+                    requests: total,
+                    class: ClassId(f.u8("category")?),
+                }
             }
             12 => {
                 let (table, class) = (TableId(f.u16("setId")?), ClassId(f.u8("category")?));
@@ -184,7 +195,7 @@
                 Event::ShardTraffic { shard: table, class, total }
             }
             13 => Event::ShardAssignment { shard: TableId(f.u16("setId")?), granted: f.flag()? },
-            _ => Event::StoredLine {
+            _ => Event::StoredWeight {
                 shard: TableId(f.u16("setId")?),
                 server: f.server()?,
                 weight: f64::from(f.f32("heft")?),
--- a/crates/stepspur-simulator-protocol/tests/codec.rs
+++ b/crates/stepspur-simulator-protocol/tests/codec.rs
@@ -49,7 +49,16 @@
     else {
         panic!("{:?}", batch.records);
     };
-    let Event::UpstreamStats { server, zone, period, total, errors, latency, load } = stats else {
+    let Event::UpstreamStats {
+        server,
+        zone,
+        period,
+        attempts: total,
+        failed_attempts: errors,
+        latency,
+        load,
+    } = stats
+    else {
         panic!("{stats:?}")
     };
     assert_eq!(*server, ServerId([10, 18, 74, 7, 0x23, 0x2b]));
@@ -230,10 +239,10 @@
 fn unknown_settings_keys_are_ignored() {
     let set = parse_settings(settings_json().as_bytes()).unwrap();
     assert_eq!(
-        (set.zone_count, set.local_zone, set.admission_mode, set.max_messages),
+        (set.zone_count, set.local_zone, set.admission_mode, set.max_messages_per_window),
         (2, ZoneId(1), AdmissionMode::RequestsPerSecond, 12)
     );
-    assert!(set.poll_discovery && set.health_checks && !set.absence_is_advisory);
+    assert!(set.poll_discovery && set.active_health_checks && !set.absence_is_advisory);
     assert_eq!(set.classes[0].idempotency, Idempotency::Safe);
     assert_eq!((set.classes[1].dedup_scope, set.classes[1].dedup_window), (DedupScope::Cell, 6_000_000));
     assert!(set.classes[1].zone_local);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -97,7 +97,7 @@
     /// True: discovery sends updates only on request, so that it must be polled.
     pub poll_discovery: bool,
     /// True: servers are probed by active health checks.
-    pub health_checks: bool,
+    pub active_health_checks: bool,
     /// Names of the columns of a load report, in order.
     pub load_columns: Vec<String>,
     /// How proxies interpret admission levels.
@@ -107,17 +107,17 @@
     /// Capacity of the queue of the channel to the proxies, in lines.
     pub max_pending_lines: f64,
     /// The channel's nominal throughput, in lines per second.
-    pub lines_per_second: f64,
+    pub channel_lines_per_second: f64,
     /// Capacity that each message uses besides its lines, in lines.
     pub message_overhead_lines: f64,
     /// Upper bound of the messages to one proxy within `message_window`; 0: no limit.
-    pub max_messages: u32,
-    /// The period that `max_messages` applies to.
+    pub max_messages_per_window: u32,
+    /// The period that `max_messages_per_window` applies to.
     pub message_window: Micros,
     /// Number of connections that the server with the lowest limit accepts; 0: unknown.
     pub min_server_connections: f64,
     /// Upper bound of a message's delay from the channel to the proxy.
-    pub max_transit: Micros,
+    pub max_message_delay: Micros,
     /// Interval between the reports of a proxy.
     pub report_period: Micros,
     /// Number of shards; 0: the deployment is not sharded, and tables are by zone or shared.
@@ -125,7 +125,7 @@
     /// True: at most one server may get a shard's writes at a time.
     pub single_writer: bool,
     /// How long a proxy continues to write to a shard after it lost the shard's conductor instance.
-    pub orphan_write_period: Micros,
+    pub disconnected_write_period: Micros,
     /// Upper bound of the duration of a write to a shard.
     pub max_write_duration: Micros,
     /// Warm-up time: time after its start within which a server reaches its full capacity.
@@ -229,9 +229,9 @@
         /// The zone that it runs in.
         zone: ZoneId,
         /// Its usual traffic in requests per second, as given when it connects.
-        rate: f64,
+        usual_request_rate: f64,
         /// True: it has only its static tables, none from a conductor. The decisions do not use it.
-        fresh: bool,
+        has_only_static_tables: bool,
     },
     /// A proxy's stream to this instance has ended.
     ProxyDisconnected {
@@ -247,9 +247,9 @@
         /// Time that the report covers.
         period: Micros,
         /// Number of attempts.
-        total: u32,
+        attempts: u32,
         /// Number of failed attempts.
-        errors: u32,
+        failed_attempts: u32,
         /// Mean latency of the successful attempts; 0 if there are none.
         latency: Micros,
         /// Load report of the responses, with the columns of [`Settings::load_columns`]; empty if there is
@@ -265,9 +265,9 @@
         /// Time that the report covers; reports with 0 are ignored.
         period: Micros,
         /// Number of requests received.
-        total: u32,
+        requests: u32,
         /// Number of admitted requests that got no response; the decisions do not use it.
-        errors: u32,
+        unanswered: u32,
     },
     /// Requests of one class for a shard; the decisions do not use it.
     ShardTraffic {
@@ -286,7 +286,7 @@
         granted: bool,
     },
     /// A weight in a shard's table as persisted in the store, after its ownership was granted.
-    StoredLine {
+    StoredWeight {
         /// The shard.
         shard: TableId,
         /// The server.
--- a/src/policy/flow_control.rs
+++ b/src/policy/flow_control.rs
@@ -57,7 +57,8 @@
             return false;
         }
         let message_limit = self.message_limit(urgency);
-        if self.settings.max_messages > 0 && proxies.iter().any(|p| self.recent_messages(*p) >= message_limit)
+        if self.settings.max_messages_per_window > 0
+            && proxies.iter().any(|p| self.recent_messages(*p) >= message_limit)
         {
             return false;
         }
@@ -84,7 +85,7 @@
 
     /// Number of messages within the window from which on a change of this urgency must wait; at least 1.
     fn message_limit(&self, urgency: Urgency) -> u32 {
-        (f64::from(self.settings.max_messages) * urgency.limit_ratio()).max(1.0) as u32
+        (f64::from(self.settings.max_messages_per_window) * urgency.limit_ratio()).max(1.0) as u32
     }
 
     /// Number of messages that were sent to a proxy within the window.
@@ -97,10 +98,10 @@
     /// The interval between routine changes of a table, in microseconds, if each costs `cost` lines. It keeps
     /// all tables together within [`ROUTINE_THROUGHPUT_RATIO`] and each proxy within its message limit.
     fn routine_interval(&self, cost: f64, message_limit: u32) -> Micros {
-        let throughput = self.settings.lines_per_second.max(1.0) * ROUTINE_THROUGHPUT_RATIO;
+        let throughput = self.settings.channel_lines_per_second.max(1.0) * ROUTINE_THROUGHPUT_RATIO;
         let paced = cost * self.tables.len() as f64 / throughput * 1e6;
         let mut interval = MIN_ROUTINE_INTERVAL.max(paced as Micros);
-        if self.settings.max_messages > 0 {
+        if self.settings.max_messages_per_window > 0 {
             interval = interval.max(self.settings.message_window / u64::from(message_limit + 1));
         }
         interval
--- a/src/policy/health_check.rs
+++ b/src/policy/health_check.rs
@@ -193,7 +193,7 @@
     /// Sends the probes that are due. Cost: a hung server that gets no attempts may be detected
     /// [`MAX_PROBE_INTERVAL`] late.
     pub(super) fn send_probes(&mut self) {
-        if !self.settings.health_checks {
+        if !self.settings.active_health_checks {
             return;
         }
         let interval = self.probe_interval();
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -161,10 +161,20 @@
                 self.record_load_report(*server, load);
                 self.record_probe_result(*server, *outcome);
             }
-            Event::ProxyConnected { proxy, zone, rate, .. } => self.connect_proxy(*proxy, *zone, *rate),
+            Event::ProxyConnected { proxy, zone, usual_request_rate: rate, .. } => {
+                self.connect_proxy(*proxy, *zone, *rate)
+            }
             Event::ProxyDisconnected { proxy } => self.disconnect_proxy(*proxy),
             Event::Acknowledged { proxy, nonce, .. } => self.channel.acknowledge(*proxy, *nonce),
-            Event::UpstreamStats { server, zone, period, total, errors, latency, load } => {
+            Event::UpstreamStats {
+                server,
+                zone,
+                period,
+                attempts: total,
+                failed_attempts: errors,
+                latency,
+                load,
+            } => {
                 self.record_load_report(*server, load);
                 self.load.responses_carry_load |= !load.is_empty();
                 self.record_upstream_stats(&UpstreamReport {
@@ -176,11 +186,11 @@
                     latency: *latency,
                 });
             }
-            Event::ClientStats { proxy, class, period, total, .. } if *period > 0 => {
+            Event::ClientStats { proxy, class, period, requests: total, .. } if *period > 0 => {
                 self.record_client_stats(*proxy, *class, *period, *total);
             }
             Event::ShardAssignment { shard, granted } => self.apply_shard_assignment(*shard, *granted),
-            Event::StoredLine { shard, server, weight } => self.record_weight(*shard, *server, *weight),
+            Event::StoredWeight { shard, server, weight } => self.record_weight(*shard, *server, *weight),
             Event::ClientStats { .. }
             | Event::Timer { .. }
             | Event::ShardTraffic { .. }
--- a/src/policy/sharding.rs
+++ b/src/policy/sharding.rs
@@ -11,7 +11,7 @@
 
 impl Policy {
     /// Records that ownership of a shard is granted to this instance or revoked. In both cases its table is
-    /// cleared; after a grant the store's lines arrive as `Event::StoredLine`.
+    /// cleared; after a grant the store's lines arrive as `Event::StoredWeight`.
     pub(super) fn apply_shard_assignment(&mut self, shard: TableId, granted: bool) {
         self.tables_outdated = true;
         self.tables.remove(&shard);
@@ -62,7 +62,7 @@
         if !self.settings.single_writer {
             return 0;
         }
-        let longest_write = self.settings.orphan_write_period.max(self.settings.max_write_duration);
-        longest_write + self.settings.max_transit
+        let longest_write = self.settings.disconnected_write_period.max(self.settings.max_write_duration);
+        longest_write + self.settings.max_message_delay
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -31,13 +31,13 @@
         zone_count: 3,
         conductor_count: 1,
         classes: vec![class(Idempotency::Safe, 1.0), class(Idempotency::NonIdempotent, 5.0)],
-        health_checks: true,
+        active_health_checks: true,
         proxy_count: 6,
         max_pending_lines: 20_000.0,
-        lines_per_second: 10_000.0,
+        channel_lines_per_second: 10_000.0,
         message_overhead_lines: 6.0,
         message_window: 10 * SECOND,
-        max_transit: 500_000,
+        max_message_delay: 500_000,
         report_period: SECOND,
         warm_up: 16 * SECOND,
         collapse_ratio: 3.0,
@@ -56,7 +56,12 @@
 }
 
 pub(crate) fn proxy_connected(proxy: u16, zone: u16) -> Event {
-    Event::ProxyConnected { proxy: ProxyId(proxy), zone: ZoneId(zone), rate: 10.0, fresh: true }
+    Event::ProxyConnected {
+        proxy: ProxyId(proxy),
+        zone: ZoneId(zone),
+        usual_request_rate: 10.0,
+        has_only_static_tables: true,
+    }
 }
 
 /// A report of one second without a load report: attempts at server `n`, failed ones and mean latency.
@@ -66,8 +71,8 @@
         server: server_id(n),
         zone: ZoneId(zone),
         period: SECOND,
-        total,
-        errors,
+        attempts: total,
+        failed_attempts: errors,
         latency,
         load,
     }
@@ -75,7 +80,13 @@
 
 /// A report of one second: `total` requests of class 0 at a proxy.
 pub(crate) fn client_stats(proxy: u16, total: u32) -> Event {
-    Event::ClientStats { proxy: ProxyId(proxy), class: ClassId(0), period: SECOND, total, errors: 0 }
+    Event::ClientStats {
+        proxy: ProxyId(proxy),
+        class: ClassId(0),
+        period: SECOND,
+        requests: total,
+        unanswered: 0,
+    }
 }
 
 pub(crate) fn probe_result(n: u8, outcome: ProbeOutcome) -> Event {
--- a/tests/policy/admission.rs
+++ b/tests/policy/admission.rs
@@ -84,8 +84,8 @@
             server: server_id(n),
             zone: ZoneId(u16::from(n % 3)),
             period,
-            total: 20,
-            errors: 0,
+            attempts: 20,
+            failed_attempts: 0,
             latency,
             load: Vec::new(),
         };
@@ -128,8 +128,8 @@
                 server: server_id(n),
                 zone: ZoneId(u16::from(n % 3)),
                 period: SECOND,
-                total: 20,
-                errors,
+                attempts: 20,
+                failed_attempts: errors,
                 latency: 900_000,
                 load: vec![0.9, queue],
             };
--- a/tests/policy/publish.rs
+++ b/tests/policy/publish.rs
@@ -30,7 +30,7 @@
 
 #[test]
 fn messages_stay_within_the_window_limit_under_constant_change() {
-    let set = Settings { max_messages: 12, ..settings() };
+    let set = Settings { max_messages_per_window: 12, ..settings() };
     let mut harness = Harness::running(set, 15);
     for step in 0..160u64 {
         harness.now += 250_000;
--- a/tests/policy/sharding.rs
+++ b/tests/policy/sharding.rs
@@ -13,7 +13,7 @@
     let with_stored_line = harness.decide(&[
         endpoint_list(ListUpdate::Cached, &entries),
         Event::ShardAssignment { shard, granted: true },
-        Event::StoredLine { shard, server: server_id(0), weight },
+        Event::StoredWeight { shard, server: server_id(0), weight },
     ]);
     assert_eq!(count(&with_stored_line, |a| matches!(a, Action::SetWeight { .. })), 0);
     let after_drain = harness.decide(&[endpoint_list(
@@ -30,7 +30,7 @@
     let set = Settings {
         shard_count: 4,
         single_writer: true,
-        orphan_write_period: 2 * SECOND,
+        disconnected_write_period: 2 * SECOND,
         max_write_duration: 3 * SECOND,
         ..settings()
     };
@@ -39,7 +39,7 @@
     harness.decide(&[
         endpoint_list(ListUpdate::Cached, &[endpoint(0, 0), endpoint(1, 1)]),
         Event::ShardAssignment { shard, granted: true },
-        Event::StoredLine { shard, server: server_id(0), weight },
+        Event::StoredWeight { shard, server: server_id(0), weight },
     ]);
     harness.decide(&[endpoint_list(
         ListUpdate::Delta,
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -73,14 +73,14 @@
             Settings {
                 classes,
                 zone_count: zones,
-                max_messages,
-                lines_per_second: lines,
+                max_messages_per_window: max_messages,
+                channel_lines_per_second: lines,
                 max_pending_lines: lines * 1.5,
                 report_period: period,
                 collapse_ratio,
                 warm_up: warm_up_seconds * SECOND,
                 poll_discovery,
-                health_checks,
+                active_health_checks: health_checks,
                 absence_is_advisory,
                 admission_mode: [
                     AdmissionMode::Ratio,
@@ -129,8 +129,8 @@
             proxy: ProxyId(*proxy),
             class: ClassId(*class),
             period: *period,
-            total: *total,
-            errors: 0,
+            requests: *total,
+            unanswered: 0,
         },
     })
 }
@@ -179,7 +179,7 @@
                     }
                 }
                 Action::Probe { server } => {
-                    prop_assert!(set.health_checks && listed.contains_key(server));
+                    prop_assert!(set.active_health_checks && listed.contains_key(server));
                 }
                 Action::WatchEndpoints | Action::FetchEndpoints => prop_assert!(set.poll_discovery),
                 Action::SetTimer { after, .. } => prop_assert!(*after > 0),
@@ -188,10 +188,13 @@
                 Action::Log(_) => {}
             }
         }
-        if set.max_messages > 0 {
+        if set.max_messages_per_window > 0 {
             for times in harness.messages.values() {
                 let recent = times.iter().filter(|at| **at + set.message_window >= harness.now).count();
-                prop_assert!(recent <= set.max_messages as usize, "{recent} messages within the window");
+                prop_assert!(
+                    recent <= set.max_messages_per_window as usize,
+                    "{recent} messages within the window"
+                );
             }
         }
         actions_by_step.push(actions);
