--- a/crates/stepspur-cli/src/bench/rights.rs
+++ b/crates/stepspur-cli/src/bench/rights.rs
@@ -25,7 +25,7 @@
     let mut allowed = 0u32;
     for check in 0..CHECKS {
         let at = now + u64::from(check & 1);
-        allowed += u32::from(black_box(&grant).may(Right::Report, at).is_ok());
+        allowed += u32::from(black_box(&grant).check(Right::Report, at).is_ok());
     }
     let nanos = from.elapsed().as_nanos() as f64 / f64::from(CHECKS);
     anyhow::ensure!(allowed == CHECKS, "a valid right was refused");
--- a/crates/stepspur-cli/src/keys.rs
+++ b/crates/stepspur-cli/src/keys.rs
@@ -9,7 +9,7 @@
 use stepspur_identity::keys::{
     AnchorEntry, KeyError, KeyId, KeyState, ServerEntry, Signer, read_manifest, write_manifest, write_private,
 };
-use stepspur_identity::pki::{Authority, Issued, Leaf};
+use stepspur_identity::pki::{Authority, CertificateSubject, IssuedCertificate};
 use stepspur_identity::rights::{Right, Rights};
 use stepspur_identity::token::{Claims, UnverifiedToken, decode_unverified, issue};
 
@@ -199,8 +199,11 @@
                 |path: &Path| std::fs::read_to_string(path).with_context(|| path.display().to_string());
             let private_key = zeroize::Zeroizing::new(read(&file.with_extension("key"))?);
             let authority = Authority::load(&read(&file)?, &private_key)?;
-            let issued =
-                authority.issue(&Leaf::Caller(uri), unix_seconds() - CLOCK_SKEW_ALLOWANCE_SECONDS, *life)?;
+            let issued = authority.issue(
+                &CertificateSubject::Caller(uri),
+                unix_seconds() - CLOCK_SKEW_ALLOWANCE_SECONDS,
+                *life,
+            )?;
             let out = PathBuf::from(out);
             let name = out.file_name().and_then(|n| n.to_str()).context("--out must name a file")?;
             issued.save(out.parent().unwrap_or(Path::new("")), name)?;
@@ -219,8 +222,8 @@
     let file = PathBuf::from(format!("{name}.pem"));
     write_private(&dir.join(format!("{name}.key")), private_key.as_bytes())?;
     std::fs::write(dir.join(&file), authority.pem()).with_context(|| file.display().to_string())?;
-    let issued: Issued = authority.issue(
-        &Leaf::Server(addresses.to_vec()),
+    let issued: IssuedCertificate = authority.issue(
+        &CertificateSubject::Server(addresses.to_vec()),
         unix_seconds() - CLOCK_SKEW_ALLOWANCE_SECONDS,
         SERVER_CERTIFICATE_LIFETIME,
     )?;
--- a/crates/stepspur-cli/src/settings.rs
+++ b/crates/stepspur-cli/src/settings.rs
@@ -58,8 +58,10 @@
         let error = match layer.extract::<Config>() {
             Ok(config) => {
                 let reported: Vec<String> = errors.iter().map(|e| e.key.clone()).collect();
-                let bounds =
-                    config.faults().into_iter().map(|f| locations.error_at(&path_of(&f.key), f.what));
+                let bounds = config
+                    .invalid_settings()
+                    .into_iter()
+                    .map(|f| locations.error_at(&path_of(&f.key), f.what));
                 errors.extend(bounds.filter(|e| !reported.contains(&e.key)));
                 return if errors.is_empty() { Ok(config) } else { Err(errors) };
             }
--- a/crates/stepspur-cli/tests/restarts.rs
+++ b/crates/stepspur-cli/tests/restarts.rs
@@ -17,7 +17,7 @@
 use platform::{Caller, StandIn, file, list, load, node};
 use rules::Rules;
 use serde_json::{Value, json};
-use stepspur_conductor::config::EffectConfig;
+use stepspur_conductor::config::IdempotencyConfig;
 use stepspur_conductor::engine::{ServerCounts, Stats};
 use stepspur_platform::discovery::Answer;
 use stepspur_proto::v1;
@@ -91,7 +91,7 @@
         for entry in &answer.entries {
             checker.addresses.insert(entry.name.clone().unwrap(), entry.address);
         }
-        checker.rules.truth(now(), &answer.entries);
+        checker.rules.set_actual_states(now(), &answer.entries);
     }
 
     /// A proxy of the platform: it joins one conductor after the other, starting with its own, moves on when
@@ -106,13 +106,13 @@
                 continue;
             };
             let mut caller = Caller::over(socket);
-            self.checker().rules.joined(number as u64, now());
+            self.checker().rules.proxy_connected(number as u64, now());
             tokio::select! {
                 _ = self.stream(&mut caller, number, conductor, &mut table) => {}
                 () = self.stop.cancelled() => {}
             }
             let mut checker = self.checker();
-            checker.rules.left(number as u64);
+            checker.rules.proxy_disconnected(number as u64);
             checker.unacknowledged.remove(&(conductor, number));
             checker.conductor_of.remove(&number);
         }
@@ -190,7 +190,7 @@
         let withdrawal = |name: &String| v1::Withdrawal { server: address(name), out: true };
         let withdrawals = table.ejected.iter().map(withdrawal).collect();
         let order = v1::Order { table: Some(full_table), withdrawals, levels, ..Default::default() };
-        checker.rules.order(number as u64, now(), &order);
+        checker.rules.apply_update(number as u64, now(), &order);
         *checker.unacknowledged.entry((conductor, number)).or_default() += cost;
         let pending =
             checker.unacknowledged.iter().filter(|((of, _), _)| *of == conductor).map(|(_, cost)| cost);
@@ -206,7 +206,7 @@
             servers: ServerCounts { ready: SERVERS, draining: 0, total: servers },
             ..Stats::default()
         };
-        checker.rules.end(now(), &stats);
+        checker.rules.assert_satisfied(now(), &stats);
         assert!(checker.max_pending <= MAX_PENDING_LINES, "rule 5, short queue: {}", checker.max_pending);
     }
 
@@ -285,7 +285,7 @@
     // The platform requires 2 s and 2.4 s; about as much again allows for a busy machine.
     (config.fleet.drain_grace, config.fleet.unserved_max) = (Duration::from_secs(4), Duration::from_secs(5));
     config.fleet.cold = SLOW_START;
-    config.fleet.classes[0].effect = EffectConfig::ReadLike;
+    config.fleet.classes[0].effect = IdempotencyConfig::ReadLike;
     let checker = RuleChecker {
         rules: Rules::new(&config),
         addresses: BTreeMap::new(),
@@ -359,5 +359,5 @@
 /// True if some joined proxy may still send requests to this server.
 fn may_use(checker: &RuleChecker, name: &str) -> bool {
     let address = checker.addresses[name];
-    (0..PROXIES as u64).any(|number| checker.rules.held(number).contains_key(&address))
+    (0..PROXIES as u64).any(|number| checker.rules.usable_servers(number).contains_key(&address))
 }
--- a/crates/stepspur-conductor/src/config/fleet.rs
+++ b/crates/stepspur-conductor/src/config/fleet.rs
@@ -32,7 +32,7 @@
     /// How proxies interpret admission levels; default `share`.
     #[serde(default)]
     #[garde(skip)]
-    pub admit: AdmitConfig,
+    pub admit: AdmissionModeConfig,
     /// Number of connections that the smallest servers accept, default 0, up to 1,000,000. 0 means unknown:
     /// zones then get no subsets.
     #[serde(default)]
@@ -76,7 +76,7 @@
     pub name: String,
     /// What repeating a request may cause; required.
     #[garde(skip)]
-    pub effect: EffectConfig,
+    pub effect: IdempotencyConfig,
     /// Latency objective, within which a response has its full value; 1 ms to 1 h, required.
     #[serde(with = "humantime_serde")]
     #[garde(custom(between(Duration::from_millis(1), HOUR)))]
@@ -92,7 +92,7 @@
     /// Which servers drop repeats of a request with an idempotency key; default `all`.
     #[serde(default)]
     #[garde(skip)]
-    pub group: GroupConfig,
+    pub group: DedupScopeConfig,
     /// Deduplication window: how long servers drop repeats of a request with an idempotency key; default 0,
     /// up to 1 h.
     #[serde(default, with = "humantime_serde")]
@@ -107,7 +107,7 @@
 /// What repeating a request may cause, see [`stepspur::interface::Idempotency`].
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
-pub enum EffectConfig {
+pub enum IdempotencyConfig {
     /// Safe to repeat.
     ReadLike,
     /// Carries an idempotency key: the servers of `group` drop repeats within `window`.
@@ -119,7 +119,7 @@
 /// Which servers recognize repeats of a request, see [`stepspur::interface::DedupScope`].
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
-pub enum GroupConfig {
+pub enum DedupScopeConfig {
     /// All servers.
     #[default]
     All,
@@ -132,7 +132,7 @@
 /// How proxies interpret an admission level, see [`stepspur::interface::AdmissionMode`].
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
-pub enum AdmitConfig {
+pub enum AdmissionModeConfig {
     /// As the fraction of requests to admit.
     #[default]
     Share,
--- a/crates/stepspur-conductor/src/config/mod.rs
+++ b/crates/stepspur-conductor/src/config/mod.rs
@@ -1,8 +1,8 @@
 //! The conductor's settings, with defaults and bounds.
 //!
 //! Every key has a default except the fleet's `zones`, `proxies` and `classes`, the source, and some keys of
-//! optional groups. [`Config::faults`] returns every setting that is out of bounds; `examples/conductor.toml`
-//! shows every key.
+//! optional groups. [`Config::invalid_settings`] returns every setting that is out of bounds;
+//! `examples/conductor.toml` shows every key.
 //!
 //! Each group of settings has a module. `checks` has the checks that several groups share, and `settings`
 //! converts the settings into those of the decision module.
@@ -32,7 +32,7 @@
 use identity::{authenticated_or_loopback, tenants_are_authenticated};
 
 pub use channel::Channel;
-pub use fleet::{AdmitConfig, ClassConfig, EffectConfig, Fleet, GroupConfig};
+pub use fleet::{AdmissionModeConfig, ClassConfig, DedupScopeConfig, Fleet, IdempotencyConfig};
 pub use identity::Identity;
 pub use listen::Listen;
 pub use probes::Probes;
@@ -101,7 +101,7 @@
 
 impl Config {
     /// Returns all invalid settings; empty if the conductor may start.
-    pub fn faults(&self) -> Vec<InvalidSetting> {
+    pub fn invalid_settings(&self) -> Vec<InvalidSetting> {
         let mut invalid = Vec::new();
         if let Err(report) = self.validate() {
             for (key, what) in report.iter() {
--- a/crates/stepspur-conductor/src/config/settings.rs
+++ b/crates/stepspur-conductor/src/config/settings.rs
@@ -2,7 +2,7 @@
 
 use stepspur::interface::{AdmissionMode, DedupScope, Idempotency, RequestClass, Settings, ZoneId};
 
-use super::{AdmitConfig, ClassConfig, Config, EffectConfig, GroupConfig, micros};
+use super::{AdmissionModeConfig, ClassConfig, Config, DedupScopeConfig, IdempotencyConfig, micros};
 
 impl Config {
     /// Returns the settings of the decision module; durations are converted to microseconds. Sharding is off.
@@ -39,25 +39,25 @@
     }
 }
 
-fn admission_mode(admit: AdmitConfig) -> AdmissionMode {
+fn admission_mode(admit: AdmissionModeConfig) -> AdmissionMode {
     match admit {
-        AdmitConfig::Share => AdmissionMode::Ratio,
-        AdmitConfig::Rate => AdmissionMode::RequestsPerSecond,
-        AdmitConfig::Silent => AdmissionMode::Ignored,
+        AdmissionModeConfig::Share => AdmissionMode::Ratio,
+        AdmissionModeConfig::Rate => AdmissionMode::RequestsPerSecond,
+        AdmissionModeConfig::Silent => AdmissionMode::Ignored,
     }
 }
 
 fn request_class(class: &ClassConfig) -> RequestClass {
     RequestClass {
         idempotency: match class.effect {
-            EffectConfig::ReadLike => Idempotency::Safe,
-            EffectConfig::IdempotencyKey => Idempotency::IdempotencyKey,
-            EffectConfig::NonIdempotent => Idempotency::NonIdempotent,
+            IdempotencyConfig::ReadLike => Idempotency::Safe,
+            IdempotencyConfig::IdempotencyKey => Idempotency::IdempotencyKey,
+            IdempotencyConfig::NonIdempotent => Idempotency::NonIdempotent,
         },
         dedup_scope: match class.group {
-            GroupConfig::All => DedupScope::All,
-            GroupConfig::Zone => DedupScope::Zone,
-            GroupConfig::Cell => DedupScope::Cell,
+            DedupScopeConfig::All => DedupScope::All,
+            DedupScopeConfig::Zone => DedupScope::Zone,
+            DedupScopeConfig::Cell => DedupScope::Cell,
         },
         dedup_window: micros(class.window),
         latency_objective: micros(class.aim),
--- a/crates/stepspur-conductor/src/engine/dispatch.rs
+++ b/crates/stepspur-conductor/src/engine/dispatch.rs
@@ -32,7 +32,7 @@
             Input::ClientStats { proxy, class, period, requests } => {
                 self.handle_client_stats(proxy, class, period, requests);
             }
-            Input::InvalidMessage { by, what } => self.record_invalid_report(by, what),
+            Input::InvalidMessage { sender, reason } => self.record_invalid_report(sender, reason),
             Input::StreamEnded { stream } => self.handle_stream_end(now, stream),
             Input::StreamFailed { stream, reason, detail } => self.terminate(now, stream, reason, &detail),
         }
--- a/crates/stepspur-conductor/src/engine/endpoints/draft.rs
+++ b/crates/stepspur-conductor/src/engine/endpoints/draft.rs
@@ -51,6 +51,6 @@
     /// Adds a log event about an invalid entry.
     pub(super) fn log_invalid(&mut self, entry: &DiscoveredEndpoint, error: &InvalidEntry) {
         let server = entry.name.clone().unwrap_or_else(|| entry.address.to_string());
-        self.log.push(LogEvent::InvalidEntry { server, what: error.to_string() });
+        self.log.push(LogEvent::InvalidEntry { server, reason: error.to_string() });
     }
 }
--- a/crates/stepspur-conductor/src/engine/endpoints/merge.rs
+++ b/crates/stepspur-conductor/src/engine/endpoints/merge.rs
@@ -38,7 +38,7 @@
             Verdict::Accepted => update,
             Verdict::RemovalsWithheld { missing_ready } => {
                 let named = draft.listed.len();
-                draft.log.push(LogEvent::MassRemovalSuspected { lacking: missing_ready, named });
+                draft.log.push(LogEvent::MassRemovalSuspected { missing: missing_ready, listed: named });
                 ListUpdate::Delta
             }
         };
--- a/crates/stepspur-conductor/src/engine/input.rs
+++ b/crates/stepspur-conductor/src/engine/input.rs
@@ -136,9 +136,9 @@
     /// A message of a connected caller was invalid and has been skipped; it is counted and logged.
     InvalidMessage {
         /// Name of the sender, for the log.
-        by: String,
+        sender: String,
         /// Why the message is invalid.
-        what: String,
+        reason: String,
     },
     /// The peer or the connection ended a stream.
     StreamEnded {
--- a/crates/stepspur-conductor/src/engine/operate.rs
+++ b/crates/stepspur-conductor/src/engine/operate.rs
@@ -6,7 +6,7 @@
 
 use super::operation::{Operation, OperationError};
 use super::state::Engine;
-use crate::config::AdmitConfig;
+use crate::config::AdmissionModeConfig;
 
 impl Engine {
     /// Carries out an operation.
@@ -55,7 +55,7 @@
         if !(0.0..=1.0).contains(&ratio) {
             return Err(OperationError::InvalidRatio);
         }
-        if self.config.fleet.admit != AdmitConfig::Share {
+        if self.config.fleet.admit != AdmissionModeConfig::Share {
             return Err(OperationError::NotRatioBased);
         }
         let updates = self.tables.cap_admission(ClassId(index as u8), ratio as f32, now);
--- a/crates/stepspur-conductor/src/engine/output.rs
+++ b/crates/stepspur-conductor/src/engine/output.rs
@@ -72,21 +72,21 @@
         /// The sender's name, or its id if the protocol assigns ids.
         proxy: String,
         /// Why that part is invalid.
-        what: String,
+        reason: String,
     },
     /// Part of an entry of the endpoint list was invalid; the previous value, if any, remains in use.
     InvalidEntry {
         /// The server's name, or its address if the list does not name servers.
         server: String,
         /// Why that part is invalid.
-        what: String,
+        reason: String,
     },
     /// A complete list omitted too many ready servers; they are not removed until this is confirmed.
     MassRemovalSuspected {
         /// Number of ready servers that the list omits.
-        lacking: usize,
+        missing: usize,
         /// Number of servers that the list contains.
-        named: usize,
+        listed: usize,
     },
     /// The source of the endpoint list failed; the previous list remains in use.
     DiscoveryFailed,
--- a/crates/stepspur-conductor/src/engine/reports.rs
+++ b/crates/stepspur-conductor/src/engine/reports.rs
@@ -172,8 +172,8 @@
     }
 
     /// Counts and logs invalid input; `proxy` is the sender's name.
-    pub(super) fn record_invalid_report(&mut self, proxy: String, what: String) {
+    pub(super) fn record_invalid_report(&mut self, proxy: String, reason: String) {
         self.stats.invalid_inputs += 1;
-        self.log(LogEvent::InvalidReport { proxy, what });
+        self.log(LogEvent::InvalidReport { proxy, reason });
     }
 }
--- a/crates/stepspur-conductor/src/service/engine_handle.rs
+++ b/crates/stepspur-conductor/src/service/engine_handle.rs
@@ -55,15 +55,15 @@
     }
 
     /// Opens a stream before its proxy joins, and returns the queue of messages to write to it, or none if
-    /// the engine has ended. `cut` is cancelled if the queue would exceed `limits`.
+    /// the engine has ended. `abort` is cancelled if the queue would exceed `limits`.
     pub async fn open(
         &self,
         stream: StreamId,
         limits: QueueLimits,
-        cut: CancellationToken,
+        abort: CancellationToken,
     ) -> Option<SendQueueReceiver> {
         let (queue, outbound) = SendQueue::new(limits);
-        self.open_with(stream, queue, cut).await.then_some(outbound)
+        self.open_with(stream, queue, abort).await.then_some(outbound)
     }
 
     /// Opens a stream like [`EngineHandle::open`], with a queue from the caller. Returns false once the
--- a/crates/stepspur-conductor/src/service/engine_log.rs
+++ b/crates/stepspur-conductor/src/service/engine_log.rs
@@ -21,14 +21,14 @@
                 detail
             );
         }
-        LogEvent::InvalidReport { proxy, what } => {
-            tracing::warn!(event = "invalid_report", epoch, proxy, cause = what)
+        LogEvent::InvalidReport { proxy, reason } => {
+            tracing::warn!(event = "invalid_report", epoch, proxy, cause = reason)
         }
-        LogEvent::InvalidEntry { server, what } => {
-            tracing::warn!(event = "invalid_list_entry", epoch, %server, cause = what)
+        LogEvent::InvalidEntry { server, reason } => {
+            tracing::warn!(event = "invalid_list_entry", epoch, %server, cause = reason)
         }
-        LogEvent::MassRemovalSuspected { lacking, named } => {
-            tracing::warn!(event = "mass_removal_suspected", epoch, lacking, named);
+        LogEvent::MassRemovalSuspected { missing, listed } => {
+            tracing::warn!(event = "mass_removal_suspected", epoch, lacking = missing, named = listed);
         }
         LogEvent::DiscoveryFailed => tracing::warn!(event = "discovery_failed", epoch),
     }
--- a/crates/stepspur-conductor/src/service/operator/call.rs
+++ b/crates/stepspur-conductor/src/service/operator/call.rs
@@ -65,7 +65,7 @@
             .grant(self.connection.certificate, self.bearer_token.as_bytes())
             .map_err(|_| CallError::Denied)?;
         let peer = self.connection.peer;
-        if let Err(denied) = grant.may(right, unix_now()) {
+        if let Err(denied) = grant.check(right, unix_now()) {
             identity.record_rejection(&grant, peer, name, denied);
             return Err(CallError::Denied);
         }
@@ -108,7 +108,7 @@
 
     /// Whether the caller may read and change the data of all tenants.
     pub(super) fn is_administrator(&self) -> bool {
-        self.grant.may(Right::Administer, unix_now()).is_ok()
+        self.grant.check(Right::Administer, unix_now()).is_ok()
     }
 
     /// Records a change and its result in the audit log, and responds once the entry is synced to disk. The
--- a/crates/stepspur-conductor/src/service/session/mod.rs
+++ b/crates/stepspur-conductor/src/service/session/mod.rs
@@ -182,8 +182,9 @@
             }
         };
         let now = unix_now();
-        let may_join =
-            grant.may_join(&hello.name, &hello.zone, now).and_then(|()| grant.may(Right::ReadTables, now));
+        let may_join = grant
+            .check_join(&hello.name, &hello.zone, now)
+            .and_then(|()| grant.check(Right::ReadTables, now));
         if let Err(denied) = may_join {
             identity.record_rejection(&grant, self.peer, "join", denied);
             return None;
--- a/crates/stepspur-conductor/src/service/start.rs
+++ b/crates/stepspur-conductor/src/service/start.rs
@@ -38,7 +38,7 @@
     /// See [`StartError`]: settings are out of bounds, an address cannot be listened on, or a file cannot be
     /// used.
     pub async fn start(config: Config, source: Box<dyn ServiceDiscovery>) -> Result<Self, StartError> {
-        let invalid_settings = config.faults();
+        let invalid_settings = config.invalid_settings();
         if !invalid_settings.is_empty() {
             return Err(StartError::Config(invalid_settings));
         }
--- a/crates/stepspur-conductor/src/service/stream_grant.rs
+++ b/crates/stepspur-conductor/src/service/stream_grant.rs
@@ -57,7 +57,7 @@
 
     /// Returns whether the grant has the right now. A rejection of `call` is logged and audited.
     pub(super) fn may(&self, right: Right, call: &str) -> bool {
-        self.allowed(self.grant.may(right, unix_now()), call)
+        self.allowed(self.grant.check(right, unix_now()), call)
     }
 
     /// Replaces the grant by one from a newer token of the same caller. Returns false and records the
--- a/crates/stepspur-conductor/tests/common/closing.rs
+++ b/crates/stepspur-conductor/tests/common/closing.rs
@@ -10,16 +10,16 @@
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The addresses of the two ends of a connection, read while it is open: first the peer's, then this side's.
-pub(crate) struct Ends([SocketAddr; 2]);
+pub(crate) struct ConnectionEnds([SocketAddr; 2]);
 
-impl Ends {
+impl ConnectionEnds {
     /// Reads the addresses of an open connection.
     pub(crate) fn of(stream: &TcpStream) -> Self {
         Self([stream.peer_addr().unwrap(), stream.local_addr().unwrap()])
     }
 
     /// Waits until the conductor has closed its end, and fails if the connection was reset.
-    pub(crate) async fn closed_in_order(self, stream: &TcpStream) {
+    pub(crate) async fn assert_orderly_close(self, stream: &TcpStream) {
         let (deadline, mut poll_interval) =
             (Instant::now() + CLOSE_TIMEOUT, interval(Duration::from_millis(5)));
         // A closed end has no row, or a row in the state TIME_WAIT (06).
@@ -32,7 +32,7 @@
 
     /// The bytes sent to the conductor that it has not read: those in this side's send queue and in the
     /// conductor's receive queue.
-    pub(crate) fn unread(&self) -> u64 {
+    pub(crate) fn unread_bytes(&self) -> u64 {
         let queue = |ends, column| {
             let row = self.row(ends)?;
             u64::from_str_radix(row.split([' ', ':']).nth(column)?, 16).ok()
--- a/crates/stepspur-conductor/tests/common/engine_harness.rs
+++ b/crates/stepspur-conductor/tests/common/engine_harness.rs
@@ -53,7 +53,7 @@
 
     /// Changes the actual states of servers and sends a list with these states.
     pub(crate) fn change_list(&mut self, update: ListUpdate, entries: Vec<DiscoveredEndpoint>) {
-        self.rules.truth(self.now, &entries);
+        self.rules.set_actual_states(self.now, &entries);
         self.send_list(update, entries);
     }
 
@@ -69,13 +69,13 @@
 
     /// Connects a proxy on a new stream.
     pub(crate) fn connect(&mut self, stream: u64, name: &str, zone: &str) {
-        self.rules.joined(stream, self.now);
+        self.rules.proxy_connected(stream, self.now);
         self.send_frame(stream, hello(name, zone));
     }
 
     /// Ends a proxy's stream.
     pub(crate) fn disconnect(&mut self, stream: u64) {
-        self.rules.left(stream);
+        self.rules.proxy_disconnected(stream);
         self.engine.handle(self.now, Input::StreamEnded { stream: StreamId(stream) });
     }
 
@@ -106,7 +106,7 @@
         match output {
             Output::Send { stream, frame } => self.receive(stream, &frame),
             Output::Close { stream, reason, .. } => {
-                self.rules.left(stream.0);
+                self.rules.proxy_disconnected(stream.0);
                 self.closed.push((stream, reason));
             }
             Output::Log(event) => self.log.push(event),
@@ -125,7 +125,7 @@
         let frame: FromConductor = split_frame(frame).unwrap();
         assert_eq!(frame.epoch, EPOCH);
         let Some(from_conductor::Kind::Order(order)) = frame.kind else { return };
-        self.rules.order(stream.0, self.now, &order);
+        self.rules.apply_update(stream.0, self.now, &order);
         if let Some(nonce) = order.mark {
             self.unacknowledged.push((stream, nonce));
         }
@@ -133,12 +133,12 @@
 
     /// Returns the servers that a proxy may send requests to.
     pub(crate) fn usable_servers(&self, stream: u64) -> BTreeSet<SocketAddr> {
-        self.rules.held(stream).into_keys().collect()
+        self.rules.usable_servers(stream).into_keys().collect()
     }
 
     /// Ends a test: runs the engine for another second and checks the five rules.
     pub(crate) fn finish(mut self) {
         self.run_for(SECOND);
-        self.rules.end(self.now, &self.engine.stats());
+        self.rules.assert_satisfied(self.now, &self.engine.stats());
     }
 }
--- a/crates/stepspur-conductor/tests/common/mod.rs
+++ b/crates/stepspur-conductor/tests/common/mod.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use stepspur::interface::{EndpointState, ServerId};
-use stepspur_conductor::config::{Channel, ClassConfig, Config, EffectConfig, Fleet, Source};
+use stepspur_conductor::config::{Channel, ClassConfig, Config, Fleet, IdempotencyConfig, Source};
 use stepspur_conductor::engine::{DiscoveredEndpoint, ProbeTarget};
 use stepspur_proto::{FromProxy, VERSION, from_proxy, v1};
 
@@ -32,7 +32,10 @@
         my_zone: None,
         conductors: 1,
         proxies: 20,
-        classes: vec![class("read", EffectConfig::ReadLike), class("write", EffectConfig::NonIdempotent)],
+        classes: vec![
+            class("read", IdempotencyConfig::ReadLike),
+            class("write", IdempotencyConfig::NonIdempotent),
+        ],
         admit: Default::default(),
         connections_min: 0,
         cold: Duration::from_secs(10),
--- a/crates/stepspur-conductor/tests/common/peer.rs
+++ b/crates/stepspur-conductor/tests/common/peer.rs
@@ -87,7 +87,7 @@
         *grace *= 10;
     }
     let mut rules = Rules::new(&settings);
-    rules.truth(now(), &nodes(servers));
+    rules.set_actual_states(now(), &nodes(servers));
     Arc::new(Mutex::new(rules))
 }
 
@@ -108,7 +108,7 @@
         }
     };
     let stats = timeout(STEP_TIMEOUT, settled).await.expect("the conductor settles in time");
-    rules.lock().unwrap().end(now(), &stats);
+    rules.lock().unwrap().assert_satisfied(now(), &stats);
     timeout(STEP_TIMEOUT, conductor.stop()).await.expect("every task ends");
 }
 
@@ -129,7 +129,7 @@
         key: u64,
     ) -> Self {
         let mut proxy = Self::join(conductor, name).await;
-        rules.lock().unwrap().joined(key, now());
+        rules.lock().unwrap().proxy_connected(key, now());
         proxy.rules = Some((Arc::clone(rules), key));
         proxy
     }
@@ -141,7 +141,7 @@
         self.epoch = frame.epoch;
         if let Some(from_conductor::Kind::Order(order)) = &frame.kind {
             if let Some((rules, key)) = &self.rules {
-                rules.lock().unwrap().order(*key, now(), order);
+                rules.lock().unwrap().apply_update(*key, now(), order);
             }
             if let Some(table) = &order.table {
                 self.table = table.lines.iter().map(|l| address_of(&l.server).unwrap()).collect();
@@ -191,7 +191,7 @@
 impl Drop for Proxy {
     fn drop(&mut self) {
         if let Some((rules, key)) = &self.rules {
-            rules.lock().unwrap().left(*key);
+            rules.lock().unwrap().proxy_disconnected(*key);
         }
     }
 }
--- a/crates/stepspur-conductor/tests/common/rules.rs
+++ b/crates/stepspur-conductor/tests/common/rules.rs
@@ -13,7 +13,7 @@
 
 use stepspur::interface::EndpointState;
 use stepspur_conductor::Config;
-use stepspur_conductor::config::EffectConfig;
+use stepspur_conductor::config::IdempotencyConfig;
 use stepspur_conductor::engine::{DiscoveredEndpoint, Stats};
 use stepspur_proto::{address_of, v1};
 
@@ -101,7 +101,7 @@
     }
 
     /// Sets the actual states of servers.
-    pub(crate) fn truth(&mut self, now: u64, entries: &[DiscoveredEndpoint]) {
+    pub(crate) fn set_actual_states(&mut self, now: u64, entries: &[DiscoveredEndpoint]) {
         for entry in entries {
             let known = self.servers.get(&entry.address).copied();
             let out_since = known.and_then(|t| t.out_since).unwrap_or(now);
@@ -113,18 +113,18 @@
     }
 
     /// Records that a proxy has connected.
-    pub(crate) fn joined(&mut self, stream: u64, now: u64) {
+    pub(crate) fn proxy_connected(&mut self, stream: u64, now: u64) {
         let table = ProxyTable { connected_at: now, unserved_since: Some(now), ..ProxyTable::default() };
         self.proxies.insert(stream, table);
     }
 
     /// Records that a proxy's stream has ended.
-    pub(crate) fn left(&mut self, stream: u64) {
+    pub(crate) fn proxy_disconnected(&mut self, stream: u64) {
         self.proxies.remove(&stream);
     }
 
     /// Applies an update at a proxy and checks rules 1 to 4.
-    pub(crate) fn order(&mut self, stream: u64, now: u64, order: &v1::Order) {
+    pub(crate) fn apply_update(&mut self, stream: u64, now: u64, order: &v1::Order) {
         self.check_retries(order);
         self.proxies.entry(stream).or_default().apply(order);
         self.check(now);
@@ -137,9 +137,9 @@
             let class = &self.config.fleet.classes[level.class as usize];
             let retries = matches!(level.resend(), v1::Resend::Once | v1::Resend::Twice);
             let is_safe = match class.effect {
-                EffectConfig::ReadLike => true,
-                EffectConfig::IdempotencyKey => class.deadline <= class.window,
-                EffectConfig::NonIdempotent => false,
+                IdempotencyConfig::ReadLike => true,
+                IdempotencyConfig::IdempotencyKey => class.deadline <= class.window,
+                IdempotencyConfig::NonIdempotent => false,
             };
             if retries && !is_safe {
                 self.violations.insert(format!("2, no second effect: `{}` is retried", class.name));
@@ -148,7 +148,7 @@
     }
 
     /// Returns the servers that a proxy may send requests to, with their weights.
-    pub(crate) fn held(&self, stream: u64) -> BTreeMap<SocketAddr, f64> {
+    pub(crate) fn usable_servers(&self, stream: u64) -> BTreeMap<SocketAddr, f64> {
         self.proxies.get(&stream).map(|table| table.usable().collect()).unwrap_or_default()
     }
 
@@ -216,7 +216,7 @@
     }
 
     /// Ends a test: fails if a rule was violated or state of an ended stream is left.
-    pub(crate) fn end(&mut self, now: u64, stats: &Stats) {
+    pub(crate) fn assert_satisfied(&mut self, now: u64, stats: &Stats) {
         self.check(now);
         let limits = &self.config.channel;
         let max_messages = if limits.messages_max > 0 { limits.messages_max as usize } else { usize::MAX };
--- a/crates/stepspur-conductor/tests/engine.rs
+++ b/crates/stepspur-conductor/tests/engine.rs
@@ -240,10 +240,10 @@
     harness.run_for(SECOND / 2);
     assert!(!harness.usable_servers(1).contains(&address(1)), "no requests at first");
     harness.run_for(4 * SECOND);
-    let weight = harness.rules.held(1)[&address(1)];
+    let weight = harness.rules.usable_servers(1)[&address(1)];
     assert!(weight < 0.6, "a reduced weight while it warms up: {weight}");
     harness.run_for(30 * SECOND);
-    assert!(harness.rules.held(1)[&address(1)] > 0.9, "full weight after the warm-up");
+    assert!(harness.rules.usable_servers(1)[&address(1)] > 0.9, "full weight after the warm-up");
     harness.finish();
 }
 
--- a/crates/stepspur-conductor/tests/faults/endpoint_list.rs
+++ b/crates/stepspur-conductor/tests/faults/endpoint_list.rs
@@ -77,7 +77,7 @@
     assert!((1..5).all(|k| harness.usable_servers(k).len() == 4), "not confirmed yet");
     harness.run_for(2 * SECOND);
     harness.send_list(ListUpdate::Full, vec![]);
-    harness.rules.truth(harness.now, &removed(0..8));
+    harness.rules.set_actual_states(harness.now, &removed(0..8));
     harness.run_for(5 * SECOND);
     assert!((1..5).all(|k| harness.usable_servers(k).is_empty()));
     harness.change_list(ListUpdate::Full, nodes(8));
@@ -128,7 +128,7 @@
     let mut invalid = nodes(8);
     (invalid[0].zone, invalid[2].zone) = ("A".into(), "closed".into());
     invalid[2].state = EndpointState::Draining;
-    harness.rules.truth(harness.now, &invalid[2..3]);
+    harness.rules.set_actual_states(harness.now, &invalid[2..3]);
     harness.send_list(ListUpdate::Full, invalid);
     harness.run_for(3 * SECOND);
     assert!(harness.usable_servers(1).contains(&address(0)), "the known zone remains in use");
--- a/crates/stepspur-conductor/tests/faults/event_order.rs
+++ b/crates/stepspur-conductor/tests/faults/event_order.rs
@@ -26,9 +26,9 @@
         }
         harness.run_for(SECOND / 2);
     }
-    assert!(harness.rules.held(1).get(&address(0)).is_none_or(|w| *w < 0.6), "still warming up");
+    assert!(harness.rules.usable_servers(1).get(&address(0)).is_none_or(|w| *w < 0.6), "still warming up");
     harness.run_for(20 * SECOND);
-    assert!(harness.rules.held(1)[&address(0)] > 0.9, "warm after its warm-up time");
+    assert!(harness.rules.usable_servers(1)[&address(0)] > 0.9, "warm after its warm-up time");
     harness.finish();
 }
 
@@ -42,7 +42,7 @@
     (stale[0].started, stale[0].state) = (harness.now - 100 * SECOND, EndpointState::Draining);
     harness.send_list(ListUpdate::Full, stale);
     harness.run_for(20 * SECOND);
-    assert!(harness.rules.held(1)[&address(0)] > 0.9);
+    assert!(harness.rules.usable_servers(1)[&address(0)] > 0.9);
     harness.finish();
 }
 
@@ -85,13 +85,13 @@
             [restart.clone(), entry_with_state(2, EndpointState::Draining)].concat(),
         );
         harness.send_list(ListUpdate::Delta, removed([4]));
-        harness.rules.truth(harness.now, &removed([4]));
+        harness.rules.set_actual_states(harness.now, &removed([4]));
         harness.run_for(2 * SECOND);
     }
     assert!(
-        harness.rules.held(1)[&address(0)] > 0.9,
+        harness.rules.usable_servers(1)[&address(0)] > 0.9,
         "a repeated entry does not restart the warm-up: {:?}",
-        harness.rules.held(1)
+        harness.rules.usable_servers(1)
     );
     assert_eq!(harness.engine.stats().servers, ServerCounts { ready: 6, draining: 1, total: 8 });
     harness.finish();
--- a/crates/stepspur-conductor/tests/faults/fixture.rs
+++ b/crates/stepspur-conductor/tests/faults/fixture.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use stepspur::interface::{EndpointState, ListUpdate};
-use stepspur_conductor::config::{Config, EffectConfig};
+use stepspur_conductor::config::{Config, IdempotencyConfig};
 use stepspur_conductor::engine::{DiscoveredEndpoint, LogEvent};
 
 use crate::common::engine_harness::{EngineHarness, SECOND};
@@ -18,7 +18,7 @@
     for (name, window) in [("save", 3), ("pay", 1)] {
         let mut class = set.fleet.classes[0].clone();
         class.name = name.into();
-        class.effect = EffectConfig::IdempotencyKey;
+        class.effect = IdempotencyConfig::IdempotencyKey;
         class.window = Duration::from_secs(window);
         set.fleet.classes.push(class);
     }
--- a/crates/stepspur-conductor/tests/faults/invalid_values.rs
+++ b/crates/stepspur-conductor/tests/faults/invalid_values.rs
@@ -36,8 +36,8 @@
         harness.send_list(ListUpdate::Full, extreme);
         harness.run_for(5 * SECOND);
         assert!((1..5).all(|k| !harness.usable_servers(k).is_empty()), "weight {weight}");
-        let all: f64 = harness.rules.held(1).values().sum();
-        assert!(harness.rules.held(1).values().all(|w| *w < 0.999 * all), "weight {weight}");
+        let all: f64 = harness.rules.usable_servers(1).values().sum();
+        assert!(harness.rules.usable_servers(1).values().all(|w| *w < 0.999 * all), "weight {weight}");
     }
     harness.finish();
 }
@@ -53,9 +53,9 @@
         harness.run_for(2 * SECOND);
     }
     assert!(
-        harness.rules.held(1)[&address(0)] > 0.9,
+        harness.rules.usable_servers(1)[&address(0)] > 0.9,
         "full weight after its warm-up time: {:?}",
-        harness.rules.held(1)
+        harness.rules.usable_servers(1)
     );
     harness.finish();
 }
@@ -80,7 +80,7 @@
 fn a_list_that_names_a_server_twice_keeps_its_drain() {
     let mut harness = running(four_classes());
     let twice = [entry_with_state(2, EndpointState::Draining), nodes(8)].concat();
-    harness.rules.truth(harness.now, &twice[..1]);
+    harness.rules.set_actual_states(harness.now, &twice[..1]);
     harness.send_list(ListUpdate::Full, twice);
     harness.run_for(5 * SECOND);
     assert!(!harness.usable_servers(1).contains(&address(2)));
@@ -94,7 +94,7 @@
     let mut harness = running(four_classes());
     let mut set = four_classes();
     set.channel.waiting_max = 10.0;
-    assert!(set.faults().iter().any(|f| f.key == "channel"), "{:?}", set.faults());
+    assert!(set.invalid_settings().iter().any(|f| f.key == "channel"), "{:?}", set.invalid_settings());
     harness.run_for(SECOND);
     harness.finish();
 }
@@ -122,20 +122,20 @@
 fn a_start_listed_after_the_wall_clock_was_set_back_warms_up() {
     let mut harness = running(four_classes());
     let back = 500 * SECOND;
-    harness.rules.truth(harness.now, &[restarted(0, harness.now)]);
+    harness.rules.set_actual_states(harness.now, &[restarted(0, harness.now)]);
     harness.engine.handle(harness.now, Input::WallClock { unix: harness.now - back });
     // One start, listed twice by clocks that differ slightly.
     for _ in 0..2 {
         harness.send_list(ListUpdate::Delta, vec![restarted(0, harness.now - back)]);
         harness.run_for(SECOND / 2);
         assert!(
-            harness.rules.held(1).get(&address(0)).is_none_or(|w| *w < 0.3),
+            harness.rules.usable_servers(1).get(&address(0)).is_none_or(|w| *w < 0.3),
             "{:?}",
-            harness.rules.held(1)
+            harness.rules.usable_servers(1)
         );
     }
     harness.run_for(20 * SECOND);
-    assert!(harness.rules.held(1)[&address(0)] > 0.9);
+    assert!(harness.rules.usable_servers(1)[&address(0)] > 0.9);
     harness.finish();
 }
 
--- a/crates/stepspur-conductor/tests/faults/random_faults.rs
+++ b/crates/stepspur-conductor/tests/faults/random_faults.rs
@@ -100,7 +100,7 @@
             0 => self.harness.disconnect(stream),
             _ => self.harness.send_frame(stream, hello("again", "a")),
         }
-        self.harness.rules.left(stream);
+        self.harness.rules.proxy_disconnected(stream);
     }
 
     fn answer_probe(&mut self, k: usize) {
--- a/crates/stepspur-conductor/tests/faults/tables.rs
+++ b/crates/stepspur-conductor/tests/faults/tables.rs
@@ -39,7 +39,7 @@
 fn an_operators_drain_outlasts_a_list_in_the_same_batch() {
     let mut harness = running(four_classes());
     harness.engine.operate(harness.now, Operation::Drain { server: address(2), on: true }).unwrap();
-    harness.rules.truth(harness.now, &entry_with_state(2, EndpointState::Draining));
+    harness.rules.set_actual_states(harness.now, &entry_with_state(2, EndpointState::Draining));
     harness.send_list(ListUpdate::Full, nodes(8));
     harness.run_for(3 * SECOND);
     assert!(!harness.usable_servers(1).contains(&address(2)), "the override outlasts the list");
@@ -78,7 +78,7 @@
     let mut harness = running(four_classes());
     let server = address(2);
     harness.engine.operate(harness.now, Operation::Withdraw { server, on: true }).unwrap();
-    harness.rules.truth(harness.now, &entry_with_state(2, EndpointState::Removed));
+    harness.rules.set_actual_states(harness.now, &entry_with_state(2, EndpointState::Removed));
     harness.run_for(SECOND);
     // Lifting a drain that was not requested does not lift the removal.
     harness.engine.operate(harness.now, Operation::Drain { server, on: false }).unwrap();
@@ -86,7 +86,7 @@
     harness.run_for(4 * SECOND);
     assert!(!harness.usable_servers(1).contains(&server), "removed");
     harness.engine.operate(harness.now, Operation::Withdraw { server, on: false }).unwrap();
-    harness.rules.truth(harness.now, &entry_with_state(2, EndpointState::Ready));
+    harness.rules.set_actual_states(harness.now, &entry_with_state(2, EndpointState::Ready));
     harness.run_for(4 * SECOND);
     assert!(harness.usable_servers(1).contains(&server), "used again");
     harness.finish();
--- a/crates/stepspur-conductor/tests/faults_service.rs
+++ b/crates/stepspur-conductor/tests/faults_service.rs
@@ -102,7 +102,7 @@
     let (file, conductor, rules, mut proxy) = start_with_proxy("loss", settings, 4).await;
     let removed: Vec<_> =
         (1..4).flat_map(|k| with_state(nodes(4), k, EndpointState::Removed).into_iter().nth(k)).collect();
-    rules.lock().unwrap().truth(common::peer::now(), &removed);
+    rules.lock().unwrap().set_actual_states(common::peer::now(), &removed);
     file.write(&endpoint_list(1, None));
     read_during(&mut proxy, tokio::time::sleep(Duration::from_millis(300))).await;
     assert_eq!(proxy.table.len(), 4, "the removal is not confirmed yet");
@@ -392,7 +392,10 @@
         tokio::time::sleep(Duration::from_millis(60)).await;
     }
     file.write(&endpoint_list(8, Some(2)));
-    rules.lock().unwrap().truth(common::peer::now(), &with_state(nodes(8), 2, EndpointState::Draining));
+    rules
+        .lock()
+        .unwrap()
+        .set_actual_states(common::peer::now(), &with_state(nodes(8), 2, EndpointState::Draining));
     proxy.read_until(|table| table.len() == 3 && !table.contains(&address(2))).await;
     let ping = from_proxy::Kind::Ping(v1::Ping { token: 1 });
     proxy.frames.send(FromProxy::new(0, 0, ping)).await.unwrap();
--- a/crates/stepspur-conductor/tests/identity/join.rs
+++ b/crates/stepspur-conductor/tests/identity/join.rs
@@ -4,7 +4,7 @@
 
 use rcgen::{BasicConstraints, CertificateParams, DnType, IsCa, Issuer, KeyPair, SanType};
 use stepspur_identity::keys::{AnchorEntry, KeyState, write_manifest};
-use stepspur_identity::pki::{Authority, Leaf};
+use stepspur_identity::pki::{Authority, CertificateSubject};
 use stepspur_identity::rights::{Right, Rights};
 use stepspur_identity::tls;
 use stepspur_proto::{from_proxy, v1};
@@ -75,14 +75,15 @@
     let conductor = keys.start(keys.config()).await;
     let address = conductor.address();
     let (other, _) = Authority::new("other").unwrap();
-    let own =
-        other.issue(&Leaf::Caller("stepspur://north/proxy/a/p".into()), now() - 60, lifetime()).unwrap();
+    let own = other
+        .issue(&CertificateSubject::Caller("stepspur://north/proxy/a/p".into()), now() - 60, lifetime())
+        .unwrap();
     let untrusted =
         tls::client_config(&[keys.authority.anchor().unwrap()], Some(own.for_tls().unwrap())).unwrap();
     assert_eq!(Proxy::join(address, untrusted, "p", "a", Vec::new()).await.0, Join::Closed);
     let expired = keys
         .authority
-        .issue(&Leaf::Caller("stepspur://north/proxy/a/p".into()), now() - 7200, lifetime())
+        .issue(&CertificateSubject::Caller("stepspur://north/proxy/a/p".into()), now() - 7200, lifetime())
         .unwrap();
     let expired_client =
         tls::client_config(&[keys.authority.anchor().unwrap()], Some(expired.for_tls().unwrap())).unwrap();
--- a/crates/stepspur-conductor/tests/identity/rotation.rs
+++ b/crates/stepspur-conductor/tests/identity/rotation.rs
@@ -5,7 +5,7 @@
 
 use stepspur_identity::cert;
 use stepspur_identity::keys::{KeyId, KeyState, Signer};
-use stepspur_identity::pki::{Authority, Leaf};
+use stepspur_identity::pki::{Authority, CertificateSubject};
 use stepspur_identity::rights::Rights;
 use stepspur_identity::tls;
 use stepspur_proto::{from_conductor, from_proxy, v1};
@@ -109,7 +109,11 @@
     }
     // A client of the retiring authority that trusts the new one; its certificate is still valid.
     let uri = "stepspur://north/proxy/a/old";
-    let own = first.issue(&Leaf::Caller(uri.into()), now() - 60, lifetime()).unwrap().for_tls().unwrap();
+    let own = first
+        .issue(&CertificateSubject::Caller(uri.into()), now() - 60, lifetime())
+        .unwrap()
+        .for_tls()
+        .unwrap();
     let retiring = tls::client_config(&[keys.authority.anchor().unwrap()], Some(own)).unwrap();
     assert_eq!(Proxy::join(address, retiring.clone(), "old", "a", Vec::new()).await.0, Join::Admitted(6));
     assert!(traffic.iter().all(|stream| !stream.is_finished()), "a stream was lost by the rotation");
@@ -146,8 +150,12 @@
     let address = conductor.address();
     let client = |name: &str| {
         let uri = format!("stepspur://north/proxy/a/{name}");
-        let own =
-            keys.authority.issue(&Leaf::Caller(uri), now() - 60, lifetime()).unwrap().for_tls().unwrap();
+        let own = keys
+            .authority
+            .issue(&CertificateSubject::Caller(uri), now() - 60, lifetime())
+            .unwrap()
+            .for_tls()
+            .unwrap();
         let serial = cert::parse_caller(&own.0[0]).unwrap().serial;
         (tls::client_config(&[keys.authority.anchor().unwrap()], Some(own)).unwrap(), serial)
     };
--- a/crates/stepspur-conductor/tests/identity/support.rs
+++ b/crates/stepspur-conductor/tests/identity/support.rs
@@ -11,7 +11,7 @@
 use stepspur_conductor::source::FileSource;
 use stepspur_conductor::{Conductor, Config};
 use stepspur_identity::keys::{AnchorEntry, KeyId, KeyState, Manifest, ServerEntry, Signer, write_manifest};
-use stepspur_identity::pki::{Authority, Leaf};
+use stepspur_identity::pki::{Authority, CertificateSubject};
 use stepspur_identity::rights::Rights;
 use stepspur_identity::tls::{self, ClientCertificates};
 use stepspur_identity::token::{Claims, issue};
@@ -72,8 +72,10 @@
     /// Adds the present authority to the trusted ones, and issues the server's certificate by it.
     pub(crate) fn trust(&mut self, name: &str) {
         std::fs::write(self.folder.join(format!("{name}.pem")), self.authority.pem()).unwrap();
-        let server =
-            self.authority.issue(&Leaf::Server(vec![[127, 0, 0, 1].into()]), now() - 60, lifetime()).unwrap();
+        let server = self
+            .authority
+            .issue(&CertificateSubject::Server(vec![[127, 0, 0, 1].into()]), now() - 60, lifetime())
+            .unwrap();
         server.save(&self.folder, &format!("server-{name}")).unwrap();
         self.manifest
             .anchor
@@ -126,7 +128,10 @@
     /// The TLS configuration of a client. It presents a certificate for this URI, or none.
     pub(crate) fn client(&self, uri: Option<&str>) -> Arc<ClientConfig> {
         let own = uri.map(|uri| {
-            let issued = self.authority.issue(&Leaf::Caller(uri.into()), now() - 60, lifetime()).unwrap();
+            let issued = self
+                .authority
+                .issue(&CertificateSubject::Caller(uri.into()), now() - 60, lifetime())
+                .unwrap();
             issued.for_tls().unwrap()
         });
         tls::client_config(&[self.authority.anchor().unwrap()], own).unwrap()
--- a/crates/stepspur-conductor/tests/overrides.rs
+++ b/crates/stepspur-conductor/tests/overrides.rs
@@ -20,7 +20,7 @@
 /// Sends the first list, in which the overridden server is ready whatever its actual state, and connects a
 /// proxy of its zone.
 fn send_first_list(harness: &mut EngineHarness, actual: EndpointState) {
-    harness.rules.truth(harness.now, &with_state(nodes(COUNT), OVERRIDDEN, actual));
+    harness.rules.set_actual_states(harness.now, &with_state(nodes(COUNT), OVERRIDDEN, actual));
     harness.send_list(ListUpdate::Full, nodes(COUNT));
     harness.connect(1, "p", "a");
 }
@@ -46,7 +46,7 @@
         }
         assert!(!harness.usable_servers(1).is_empty(), "the proxy has a table");
         harness.engine.operate(harness.now, override_server(state, false)).unwrap();
-        harness.rules.truth(harness.now, &nodes(COUNT));
+        harness.rules.set_actual_states(harness.now, &nodes(COUNT));
         harness.run_for(5 * SECOND);
         assert!(is_used(&harness), "{state:?}: used again");
         harness.finish();
@@ -63,7 +63,9 @@
     harness.run_for(SECOND);
     harness.engine.operate(harness.now, override_server(OverrideState::Draining, true)).unwrap();
     harness.run_for(SECOND);
-    harness.rules.truth(harness.now, &with_state(nodes(COUNT), OVERRIDDEN, EndpointState::Draining));
+    harness
+        .rules
+        .set_actual_states(harness.now, &with_state(nodes(COUNT), OVERRIDDEN, EndpointState::Draining));
     harness.send_list(ListUpdate::Full, nodes(COUNT));
     for _ in 0..50 {
         harness.run_for(SECOND / 10);
--- a/crates/stepspur-conductor/tests/service.rs
+++ b/crates/stepspur-conductor/tests/service.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use common::closing::Ends;
+use common::closing::ConnectionEnds;
 use common::peer::{EndpointListFile, Proxy, STEP_TIMEOUT, endpoint_list, start};
 use common::{address, config};
 use futures_util::SinkExt;
@@ -183,7 +183,7 @@
     settings.fleet.classes[0].deadline = Duration::from_millis(1);
     settings.listen.address = ([10, 0, 0, 1], 7400).into();
     settings.probes.path = "load".into();
-    let keys: Vec<_> = settings.faults().into_iter().map(|fault| fault.key).collect();
+    let keys: Vec<_> = settings.invalid_settings().into_iter().map(|fault| fault.key).collect();
     let expected =
         ["fleet.my_zone", "fleet.classes[0].deadline", "listen.address", "probes.path"].map(String::from);
     assert_eq!(BTreeSet::from_iter(keys), BTreeSet::from(expected));
@@ -202,19 +202,19 @@
     let conductor = start(settings, &nodes).await;
     let flood = vec![0xff; 200 << 10];
     let mut unknown_peer = TcpStream::connect(conductor.address()).await.unwrap();
-    let ends = Ends::of(&unknown_peer);
+    let ends = ConnectionEnds::of(&unknown_peer);
     unknown_peer.write_all(&flood).await.unwrap();
     let mut response = Vec::new();
     timeout(STEP_TIMEOUT, unknown_peer.read_to_end(&mut response)).await.unwrap().unwrap();
     assert!(response.len() > 4);
     unknown_peer.shutdown().await.unwrap();
-    ends.closed_in_order(&unknown_peer).await;
+    ends.assert_orderly_close(&unknown_peer).await;
     let mut joined = Proxy::join(&conductor, "p").await;
     joined.read_until(|table| table.len() == 4).await;
-    let ends = Ends::of(joined.frames.get_ref());
+    let ends = ConnectionEnds::of(joined.frames.get_ref());
     joined.frames.get_mut().write_all(&flood).await.unwrap();
     assert_eq!(joined.read_to_end().await, Some(v1::Reason::BadFrame));
     joined.frames.get_mut().shutdown().await.unwrap();
-    ends.closed_in_order(joined.frames.get_ref()).await;
+    ends.assert_orderly_close(joined.frames.get_ref()).await;
     conductor.stop().await;
 }
--- a/crates/stepspur-emulator/src/identity.rs
+++ b/crates/stepspur-emulator/src/identity.rs
@@ -9,7 +9,7 @@
 use stepspur_identity::keys::{
     AnchorEntry, KeyError, KeyId, KeyState, Manifest, ServerEntry, Signer, write_manifest,
 };
-use stepspur_identity::pki::{Authority, Leaf};
+use stepspur_identity::pki::{Authority, CertificateSubject};
 use stepspur_identity::rights::Rights;
 use stepspur_identity::tls::{self, ClientCertificates};
 use stepspur_identity::token::{Claims, issue};
@@ -45,7 +45,8 @@
         std::fs::create_dir_all(&folder).map_err(write_error)?;
         let (authority, _) = Authority::new("rehearsal")?;
         std::fs::write(folder.join("ca.pem"), authority.pem()).map_err(write_error)?;
-        let server = authority.issue(&Leaf::Server(vec![[127, 0, 0, 1].into()]), now() - 60, ONE_DAY)?;
+        let server =
+            authority.issue(&CertificateSubject::Server(vec![[127, 0, 0, 1].into()]), now() - 60, ONE_DAY)?;
         server.save(&folder, "server")?;
         let id = KeyId::try_from("day".to_owned()).map_err(|error| KeyError::new(Path::new("day"), error))?;
         let signer = Signer::new(id);
@@ -86,7 +87,7 @@
     /// If `zone` or `name` cannot be part of a URI.
     pub fn client(&self, zone: &str, name: &str) -> Result<Arc<ClientConfig>, KeyError> {
         let uri = format!("stepspur://{TENANT}/proxy/{zone}/{name}");
-        let certificate = self.authority.issue(&Leaf::Caller(uri), now() - 60, ONE_DAY)?;
+        let certificate = self.authority.issue(&CertificateSubject::Caller(uri), now() - 60, ONE_DAY)?;
         tls::client_config(&[self.authority.anchor()?], Some(certificate.for_tls()?))
     }
 
--- a/crates/stepspur-emulator/src/judge.rs
+++ b/crates/stepspur-emulator/src/judge.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use serde::Serialize;
-use stepspur_conductor::config::{EffectConfig, GroupConfig};
+use stepspur_conductor::config::{DedupScopeConfig, IdempotencyConfig};
 use stepspur_conductor::source::{EndpointRecord, EndpointRecordState};
 use stepspur_model::Micros;
 use stepspur_proto::{address_of, v1};
@@ -88,7 +88,7 @@
     /// Largest share of ready servers whose absence from a full list counts as their removal.
     loss_max: f64,
     /// By class: effect of a repeat, who deduplicates repeats, and for how long in microseconds.
-    effects: Vec<(EffectConfig, GroupConfig, Micros)>,
+    effects: Vec<(IdempotencyConfig, DedupScopeConfig, Micros)>,
     /// The zone of each server.
     zones: BTreeMap<SocketAddr, String>,
 }
@@ -451,19 +451,19 @@
             Came::Known => false,
             Came::Full => self.figures.full_may_have_run,
         };
-        if may_have_run && effect != EffectConfig::ReadLike {
+        if may_have_run && effect != IdempotencyConfig::ReadLike {
             earlier.push((at, arrival.server));
         }
         let Some((ran_at, ran)) = first.filter(|_| attempt > 0) else { return };
         let zone = |server| self.figures.zones.get(server);
         let covered = match (effect, group) {
-            (EffectConfig::ReadLike, _) => true,
-            (EffectConfig::NonIdempotent, _) => false,
-            (EffectConfig::IdempotencyKey, GroupConfig::All) => at <= ran_at + window,
-            (EffectConfig::IdempotencyKey, GroupConfig::Zone) => {
+            (IdempotencyConfig::ReadLike, _) => true,
+            (IdempotencyConfig::NonIdempotent, _) => false,
+            (IdempotencyConfig::IdempotencyKey, DedupScopeConfig::All) => at <= ran_at + window,
+            (IdempotencyConfig::IdempotencyKey, DedupScopeConfig::Zone) => {
                 at <= ran_at + window && zone(&arrival.server) == zone(&ran)
             }
-            (EffectConfig::IdempotencyKey, GroupConfig::Cell) => {
+            (IdempotencyConfig::IdempotencyKey, DedupScopeConfig::Cell) => {
                 arrival.server == ran && at <= ran_at + window
             }
         };
@@ -486,7 +486,7 @@
         class: usize,
     ) {
         let effect = self.figures.effects.get(class).map(|(effect, ..)| *effect);
-        if effect.is_none_or(|effect| effect == EffectConfig::ReadLike) {
+        if effect.is_none_or(|effect| effect == IdempotencyConfig::ReadLike) {
             return;
         }
         let (id, client_try, attempt) = request;
--- a/crates/stepspur-emulator/src/node.rs
+++ b/crates/stepspur-emulator/src/node.rs
@@ -13,7 +13,7 @@
 use hyper_util::rt::TokioIo;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use stepspur_conductor::config::{EffectConfig, GroupConfig};
+use stepspur_conductor::config::{DedupScopeConfig, IdempotencyConfig};
 use stepspur_model::Micros;
 use stepspur_model::memory::Memory;
 use stepspur_model::server::{Ails, Ask, Conn, Job, Load, Offer, Server, WarmBy};
@@ -88,7 +88,7 @@
 pub struct Memories {
     /// By class: who shares a memory, and how long it remembers in microseconds. `None` for classes without
     /// keys.
-    groups: Vec<Option<(GroupConfig, Micros)>>,
+    groups: Vec<Option<(DedupScopeConfig, Micros)>>,
     /// By class and group: the requests that were seen.
     by_group: Mutex<BTreeMap<(usize, usize), Memory>>,
 }
@@ -100,7 +100,8 @@
     /// Creates empty memories for the classes of a plan.
     pub fn new(plan: &Plan) -> Self {
         let keyed = plan.classes.iter().map(|c| {
-            (c.effect == EffectConfig::IdempotencyKey).then_some((c.group, c.window.as_micros() as Micros))
+            (c.effect == IdempotencyConfig::IdempotencyKey)
+                .then_some((c.group, c.window.as_micros() as Micros))
         });
         Self { groups: keyed.collect(), by_group: Mutex::default() }
     }
@@ -109,9 +110,9 @@
     fn with<T>(&self, class: usize, node: &Node, update: impl FnOnce(&mut Memory) -> T) -> Option<T> {
         let (group, window) = self.groups.get(class).copied().flatten()?;
         let group_key = match group {
-            GroupConfig::All => 0,
-            GroupConfig::Zone => node.zone,
-            GroupConfig::Cell => node.index,
+            DedupScopeConfig::All => 0,
+            DedupScopeConfig::Zone => node.zone,
+            DedupScopeConfig::Cell => node.index,
         };
         let mut by_group = lock(&self.by_group);
         Some(update(
--- a/crates/stepspur-emulator/src/plan.rs
+++ b/crates/stepspur-emulator/src/plan.rs
@@ -11,7 +11,7 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use stepspur_conductor::Config;
-use stepspur_conductor::config::{EffectConfig, GroupConfig};
+use stepspur_conductor::config::{DedupScopeConfig, IdempotencyConfig};
 use stepspur_model::serve::Repeat;
 use stepspur_model::work::{Form, Work};
 use stepspur_model::{proxy, server};
@@ -66,9 +66,9 @@
     /// Share of the value that a late answer has, from 0 to 1.
     pub late_worth: f64,
     /// Effect of running a request twice.
-    pub effect: EffectConfig,
+    pub effect: IdempotencyConfig,
     /// For classes with idempotency keys: the group of servers that deduplicates repeats.
-    pub group: GroupConfig,
+    pub group: DedupScopeConfig,
     /// For classes with idempotency keys: how long repeats are deduplicated.
     pub window: Duration,
 }
@@ -77,9 +77,9 @@
     /// Whether and for how long a client may repeat a request.
     pub fn repeat(&self) -> Repeat {
         match self.effect {
-            EffectConfig::ReadLike => Repeat::Harmless,
-            EffectConfig::IdempotencyKey => Repeat::Within(self.window.as_micros() as u64),
-            EffectConfig::NonIdempotent => Repeat::Harmful,
+            IdempotencyConfig::ReadLike => Repeat::Harmless,
+            IdempotencyConfig::IdempotencyKey => Repeat::Within(self.window.as_micros() as u64),
+            IdempotencyConfig::NonIdempotent => Repeat::Harmful,
         }
     }
 
--- a/crates/stepspur-emulator/src/replay.rs
+++ b/crates/stepspur-emulator/src/replay.rs
@@ -9,7 +9,9 @@
 use std::time::Duration;
 
 use serde::Deserialize;
-use stepspur_conductor::config::{AdmitConfig, ClassConfig, EffectConfig, Fleet, GroupConfig};
+use stepspur_conductor::config::{
+    AdmissionModeConfig, ClassConfig, DedupScopeConfig, Fleet, IdempotencyConfig,
+};
 use stepspur_model::work::Form;
 use stepspur_model::{proxy, server};
 use stepspur_proto::v1;
@@ -481,7 +483,11 @@
             conductors: 1,
             proxies: self.proxies.len() as u32,
             classes: day.classes.iter().map(class).collect(),
-            admit: if day.fam.admit == "rate" { AdmitConfig::Rate } else { AdmitConfig::Share },
+            admit: if day.fam.admit == "rate" {
+                AdmissionModeConfig::Rate
+            } else {
+                AdmissionModeConfig::Share
+            },
             connections_min: (self.tier().conn_cap_per_core * f64::from(cores)) as u32,
             cold: rules.cold,
             start_capacity: rules.start_capacity,
@@ -650,14 +656,14 @@
         worth: class.worth,
         late_worth: class.late_worth,
         effect: match class.effect.as_str() {
-            "safe" => EffectConfig::ReadLike,
-            "keyed" => EffectConfig::IdempotencyKey,
-            _ => EffectConfig::NonIdempotent,
+            "safe" => IdempotencyConfig::ReadLike,
+            "keyed" => IdempotencyConfig::IdempotencyKey,
+            _ => IdempotencyConfig::NonIdempotent,
         },
         group: match class.group.as_str() {
-            "zone" => GroupConfig::Zone,
-            "cell" => GroupConfig::Cell,
-            _ => GroupConfig::All,
+            "zone" => DedupScopeConfig::Zone,
+            "cell" => DedupScopeConfig::Cell,
+            _ => DedupScopeConfig::All,
         },
         window: from_micros(class.window),
     }
--- a/crates/stepspur-emulator/src/run/setup.rs
+++ b/crates/stepspur-emulator/src/run/setup.rs
@@ -131,7 +131,7 @@
             config.listen.plain_on_loopback = false;
             config.identity = Some(keys.config());
         }
-        if let Some(fault) = config.faults().first() {
+        if let Some(fault) = config.invalid_settings().first() {
             return Err(RunError::Config(format!("{}: {}", fault.key, fault.what)));
         }
         Ok((config, keys))
--- a/crates/stepspur-emulator/src/scenario.rs
+++ b/crates/stepspur-emulator/src/scenario.rs
@@ -12,7 +12,9 @@
 use schemars::{JsonSchema, Schema, SchemaGenerator, json_schema};
 use serde::{Deserialize, Serialize};
 use stepspur_conductor::Config;
-use stepspur_conductor::config::{AdmitConfig, ClassConfig, EffectConfig, Fleet, GroupConfig, Source};
+use stepspur_conductor::config::{
+    AdmissionModeConfig, ClassConfig, DedupScopeConfig, Fleet, IdempotencyConfig, Source,
+};
 use stepspur_model::work::Form;
 use stepspur_model::{proxy, server};
 use stepspur_proto::v1;
@@ -280,12 +282,12 @@
     /// Effect of running a request twice: harmless (`read_like`), prevented by servers that deduplicate by
     /// key (`idempotency_key`), or harmful (`non_idempotent`).
     #[schemars(schema_with = "effects")]
-    pub effect: EffectConfig,
+    pub effect: IdempotencyConfig,
     /// For `idempotency_key`: the servers that share the record of keys and so drop repeats, all of them or
     /// those of one zone or cell; default `all`.
     #[serde(default)]
     #[schemars(schema_with = "groups")]
-    pub group: GroupConfig,
+    pub group: DedupScopeConfig,
     /// For `idempotency_key`: how long repeats of a request are dropped; at most 1 h, default 0.
     #[serde(default, with = "humantime_serde")]
     #[schemars(with = "String")]
@@ -547,7 +549,7 @@
             conductors: 1,
             proxies: self.proxies,
             classes: self.classes.iter().map(class).collect(),
-            admit: AdmitConfig::Share,
+            admit: AdmissionModeConfig::Share,
             connections_min: min_connections as u32,
             cold: self.rules.cold,
             start_capacity: self.rules.start_capacity,
@@ -599,7 +601,7 @@
     merge_tables(&mut table, overrides);
     let config: Config =
         table.try_into().map_err(|e: toml::de::Error| format!("conductor: {}", e.message()))?;
-    let faults = config.faults();
+    let faults = config.invalid_settings();
     match faults.first() {
         Some(fault) => Err(format!("conductor.{}: {}", fault.key, fault.what)),
         None => Ok(config),
--- a/crates/stepspur-emulator/tests/days.rs
+++ b/crates/stepspur-emulator/tests/days.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use stepspur_conductor::config::EffectConfig;
+use stepspur_conductor::config::IdempotencyConfig;
 use stepspur_emulator::judge::Rule;
 use stepspur_emulator::plan::{Plan, Strike, Trouble};
 use stepspur_emulator::scenario::{self, BAD_DAY, Scenario};
@@ -65,7 +65,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn resending_writes_is_found_as_a_violation_of_rule_2() {
     let mut plan = plan("");
-    plan.config.fleet.classes[1].effect = EffectConfig::ReadLike;
+    plan.config.fleet.classes[1].effect = IdempotencyConfig::ReadLike;
     let trouble = Trouble::LoseAnswers(vec![0, 1, 2, 3, 4, 5], 0.1, true);
     plan.strikes =
         vec![Strike { name: String::new(), at: Duration::ZERO, lasts: Duration::from_secs(9), trouble }];
--- a/crates/stepspur-emulator/tests/judge.rs
+++ b/crates/stepspur-emulator/tests/judge.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use stepspur_conductor::config::{EffectConfig, GroupConfig};
+use stepspur_conductor::config::{DedupScopeConfig, IdempotencyConfig};
 use stepspur_conductor::source::{EndpointRecord, EndpointRecordState};
 use stepspur_emulator::judge::{Figures, Rule, judge};
 use stepspur_emulator::plan::Plan;
@@ -127,14 +127,14 @@
     assert_eq!(violated_rules(unchanged, vec![(100, arrived(0, 1, (7, 0, 1), 1, 1.0, Taken))]), []);
     // With idempotency keys a repeat is allowed within the window and the group.
     for (group, window_ms, is_violation) in [
-        (GroupConfig::All, 100, false),
-        (GroupConfig::All, 99, true),
-        (GroupConfig::Zone, 100, true),
-        (GroupConfig::Cell, 100, true),
+        (DedupScopeConfig::All, 100, false),
+        (DedupScopeConfig::All, 99, true),
+        (DedupScopeConfig::Zone, 100, true),
+        (DedupScopeConfig::Cell, 100, true),
     ] {
         let keyed = |p: &mut Plan| {
             let class = &mut p.classes[1];
-            (class.effect, class.group) = (EffectConfig::IdempotencyKey, group);
+            (class.effect, class.group) = (IdempotencyConfig::IdempotencyKey, group);
             class.window = std::time::Duration::from_millis(window_ms);
         };
         assert_eq!(
@@ -151,7 +151,7 @@
 fn rule_2_two_effects_of_one_try_are_found_despite_deduplication_settings() {
     let keyed = |p: &mut Plan| {
         let class = &mut p.classes[1];
-        (class.effect, class.group) = (EffectConfig::IdempotencyKey, GroupConfig::All);
+        (class.effect, class.group) = (IdempotencyConfig::IdempotencyKey, DedupScopeConfig::All);
         class.window = std::time::Duration::from_secs(10);
     };
     let ran = |k: u8, client_try, attempt, class| Event::Ran {
--- a/crates/stepspur-identity/src/grant.rs
+++ b/crates/stepspur-identity/src/grant.rs
@@ -166,7 +166,7 @@
     ///
     /// # Errors
     /// [`Denied::Expired`] or [`Denied::MissingRight`].
-    pub fn may(&self, right: Right, now: Micros) -> Result<(), Denied> {
+    pub fn check(&self, right: Right, now: Micros) -> Result<(), Denied> {
         if now >= self.expires_at {
             return Err(Denied::Expired);
         }
@@ -176,9 +176,9 @@
     /// Checks that the caller may join now as the proxy of this name in this zone.
     ///
     /// # Errors
-    /// The errors of [`Grant::may`], and [`Denied::NameOrZone`].
-    pub fn may_join(&self, name: &str, zone: &str, now: Micros) -> Result<(), Denied> {
-        self.may(Right::Join, now)?;
+    /// The errors of [`Grant::check`], and [`Denied::NameOrZone`].
+    pub fn check_join(&self, name: &str, zone: &str, now: Micros) -> Result<(), Denied> {
+        self.check(Right::Join, now)?;
         let zone_matches = self.caller.zone.as_ref().is_none_or(|own| own == zone);
         if self.caller.name == name && zone_matches { Ok(()) } else { Err(Denied::NameOrZone) }
     }
--- a/crates/stepspur-identity/src/pki.rs
+++ b/crates/stepspur-identity/src/pki.rs
@@ -21,7 +21,7 @@
 
 /// The subject of a leaf certificate.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Leaf {
+pub enum CertificateSubject {
     /// A conductor that listens on these addresses.
     Server(Vec<IpAddr>),
     /// A caller, identified by a URI of the form that [`crate::cert`] describes.
@@ -29,14 +29,14 @@
 }
 
 /// An issued certificate and its private key, in PEM.
-pub struct Issued {
+pub struct IssuedCertificate {
     /// The certificate, without the authority's.
     pub certificates: String,
     /// The private key. It is erased from memory when dropped.
     pub key: Zeroizing<String>,
 }
 
-impl Issued {
+impl IssuedCertificate {
     /// Writes the certificate to `NAME.pem` and the key to `NAME.key`, which only its owner may read. An
     /// existing key is never overwritten.
     ///
@@ -114,26 +114,31 @@
     ///
     /// # Errors
     /// The caller's URI is invalid, or the key or certificate cannot be generated.
-    pub fn issue(&self, leaf: &Leaf, not_before_s: u64, lifetime: Duration) -> Result<Issued, KeyError> {
+    pub fn issue(
+        &self,
+        leaf: &CertificateSubject,
+        not_before_s: u64,
+        lifetime: Duration,
+    ) -> Result<IssuedCertificate, KeyError> {
         let mut params = leaf_params(leaf).map_err(generate_error)?;
         params.not_before = rcgen::date_time_ymd(1970, 1, 1) + Duration::from_secs(not_before_s);
         params.not_after = params.not_before + lifetime;
         let key = KeyPair::generate().map_err(generate_error)?;
         let certificate = params.signed_by(&key, &self.issuer).map_err(generate_error)?;
-        Ok(Issued { certificates: certificate.pem(), key: Zeroizing::new(key.serialize_pem()) })
+        Ok(IssuedCertificate { certificates: certificate.pem(), key: Zeroizing::new(key.serialize_pem()) })
     }
 }
 
 /// Sets the key usages and the subject alternative names of a leaf certificate.
-fn leaf_params(leaf: &Leaf) -> Result<CertificateParams, rcgen::Error> {
+fn leaf_params(leaf: &CertificateSubject) -> Result<CertificateParams, rcgen::Error> {
     let mut params = CertificateParams::default();
     params.key_usages = vec![KeyUsagePurpose::DigitalSignature];
     match leaf {
-        Leaf::Server(addresses) => {
+        CertificateSubject::Server(addresses) => {
             params.extended_key_usages = vec![ExtendedKeyUsagePurpose::ServerAuth];
             params.subject_alt_names = addresses.iter().map(|address| SanType::IpAddress(*address)).collect();
         }
-        Leaf::Caller(uri) => {
+        CertificateSubject::Caller(uri) => {
             params.extended_key_usages = vec![ExtendedKeyUsagePurpose::ClientAuth];
             params.subject_alt_names = vec![SanType::URI(uri.as_str().try_into()?)];
         }
--- a/crates/stepspur-identity/tests/grant.rs
+++ b/crates/stepspur-identity/tests/grant.rs
@@ -63,9 +63,9 @@
     for held in Right::ALL {
         let grant = issuer.grant_of_token(|claims| claims.rights = only(held));
         for required in Right::ALL {
-            assert_eq!(grant.may(required, NOW).is_ok(), held == required, "{held:?} {required:?}");
+            assert_eq!(grant.check(required, NOW).is_ok(), held == required, "{held:?} {required:?}");
         }
-        assert_eq!(grant.may(held, EXPIRES_AT), Err(Denied::Expired));
+        assert_eq!(grant.check(held, EXPIRES_AT), Err(Denied::Expired));
     }
 }
 
@@ -74,11 +74,11 @@
 fn may_join_allows_only_own_name_and_zone() {
     let issuer = Issuer::new("grant-join");
     let both = issuer.grant_of_both(|_| {}).unwrap();
-    assert_eq!(both.may_join("p-1", "a", NOW), Ok(()));
-    assert_eq!(both.may_join("p-2", "a", NOW), Err(Denied::NameOrZone));
-    assert_eq!(both.may_join("p-1", "b", NOW), Err(Denied::NameOrZone), "a certificate for another zone");
+    assert_eq!(both.check_join("p-1", "a", NOW), Ok(()));
+    assert_eq!(both.check_join("p-2", "a", NOW), Err(Denied::NameOrZone));
+    assert_eq!(both.check_join("p-1", "b", NOW), Err(Denied::NameOrZone), "a certificate for another zone");
     let reader = issuer.grant_of_both(|claims| claims.rights = only(Right::ReadStatus)).unwrap();
-    assert_eq!(reader.may_join("p-1", "a", NOW), Err(Denied::MissingRight));
+    assert_eq!(reader.check_join("p-1", "a", NOW), Err(Denied::MissingRight));
 }
 
 /// A stolen token must not be usable with the certificate of a different caller.
@@ -111,7 +111,7 @@
     let issuer = Issuer::new("grant-renew");
     let mut grant = issuer.grant_of_both(|_| {}).unwrap();
     grant.renew(issuer.grant_of_token(|claims| claims.exp += 600)).unwrap();
-    assert!(grant.may(Right::Join, EXPIRES_AT).is_ok());
+    assert!(grant.check(Right::Join, EXPIRES_AT).is_ok());
     assert_eq!(grant.caller().zone.as_deref(), Some("a"));
     let of_other_caller = issuer.grant_of_token(|claims| claims.sub = "p-2".into());
     assert_eq!(grant.renew(of_other_caller), Err(Denied::CallerMismatch));
--- a/crates/stepspur-platform/src/config.rs
+++ b/crates/stepspur-platform/src/config.rs
@@ -12,7 +12,7 @@
 use stepspur::interface::{AdmissionMode, Settings};
 use stepspur_conductor::Config;
 use stepspur_conductor::config::{
-    Channel, ClassConfig, EffectConfig, Fleet, Listen, MassRemovalGuard, Probes, Reports, Source,
+    Channel, ClassConfig, Fleet, IdempotencyConfig, Listen, MassRemovalGuard, Probes, Reports, Source,
 };
 
 use crate::connections::ConnectionLimits;
@@ -280,7 +280,7 @@
     let classes = names.request_classes.iter().zip(&settings.classes).map(|(named, class)| ClassConfig {
         name: named.name.clone(),
         // Only the name matters here: the decision module reads classes from the platform's settings.
-        effect: EffectConfig::NonIdempotent,
+        effect: IdempotencyConfig::NonIdempotent,
         aim: Duration::from_micros(class.latency_objective),
         deadline: Duration::from_micros(class.deadline),
         worth: class.priority_weight,
@@ -295,9 +295,9 @@
         proxies: settings.proxy_count,
         classes: classes.collect(),
         admit: match settings.admission_mode {
-            AdmissionMode::Ratio => stepspur_conductor::config::AdmitConfig::Share,
-            AdmissionMode::RequestsPerSecond => stepspur_conductor::config::AdmitConfig::Rate,
-            AdmissionMode::Ignored => stepspur_conductor::config::AdmitConfig::Silent,
+            AdmissionMode::Ratio => stepspur_conductor::config::AdmissionModeConfig::Share,
+            AdmissionMode::RequestsPerSecond => stepspur_conductor::config::AdmissionModeConfig::Rate,
+            AdmissionMode::Ignored => stepspur_conductor::config::AdmissionModeConfig::Silent,
         },
         connections_min: 0,
         cold: Duration::from_micros(settings.warm_up),
--- a/crates/stepspur-platform/src/listener.rs
+++ b/crates/stepspur-platform/src/listener.rs
@@ -267,7 +267,7 @@
             PeerRole::Collector => "a collector".to_owned(),
             PeerRole::Proxy { proxy, .. } => proxy.0.to_string(),
         };
-        Input::InvalidMessage { by, what }
+        Input::InvalidMessage { sender: by, reason: what }
     }
 }
 
--- a/crates/stepspur-platform/tests/connection_close.rs
+++ b/crates/stepspur-platform/tests/connection_close.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use closing::Ends;
+use closing::ConnectionEnds;
 use common::{Caller, StandIn, TIMEOUT, file, list, load, node};
 use serde_json::{Value, json};
 use stepspur_conductor::Conductor;
@@ -137,13 +137,13 @@
     ];
     for (what, first) in cases {
         let mut peer = TcpStream::connect(conductor.address()).await.unwrap();
-        let ends = Ends::of(&peer);
+        let ends = ConnectionEnds::of(&peer);
         peer.write_all(format!("{first}{flood}").as_bytes()).await.unwrap();
         let text = read_to_end(&mut peer).await;
         let rejection: Value = serde_json::from_str(&text).expect(what);
         assert_eq!(rejection["@type"], "reject", "{what}");
         peer.shutdown().await.unwrap();
-        ends.closed_in_order(&peer).await;
+        ends.assert_orderly_close(&peer).await;
     }
     conductor.stop().await;
 }
@@ -248,10 +248,10 @@
     old.write_all(&b"{\"@type\":\"hb\"}\n".repeat(64)).await.unwrap();
     let mut newer = Caller::connect_proxy(conductor.address(), 0).await;
     newer.apply_until(0, |p| p.full_tables == 1).await;
-    let ends = Ends::of(&old);
+    let ends = ConnectionEnds::of(&old);
     read_to_end(&mut old).await;
     old.shutdown().await.unwrap();
-    ends.closed_in_order(&old).await;
+    ends.assert_orderly_close(&old).await;
     discovery.change(&[node(0, "draining", 0)]);
     newer.apply_until(0, |p| !p.may_use("s-0000")).await;
     wait_stats(&conductor, |s| s.connected == 1).await;
@@ -321,7 +321,7 @@
     let _proxy = join_without_reading(&conductor, 0).await;
     timeout(TIMEOUT, is_blocked.recv()).await.expect("the engine is blocked");
     let mut collector = TcpStream::connect(conductor.address()).await.unwrap();
-    let ends = Ends::of(&collector);
+    let ends = ConnectionEnds::of(&collector);
     let report = json!({"@type": "upstream_stats", "zone": "a", "server": "none", "tries": 1, "failed": 1, "span_ms": 1.0});
     let report = format!("{report}\n");
     let (length, written) = (report.len() as u64, Arc::new(AtomicU64::new(0)));
@@ -336,8 +336,10 @@
     });
     // The conductor has read one report more than the queue holds, so the reader waits for the engine.
     let (deadline, mut ticks) = (Instant::now() + TIMEOUT, interval(Duration::from_millis(5)));
-    while written.load(Ordering::SeqCst).saturating_sub(ends.unread()) < (ENGINE_QUEUE_LENGTH + 1) * length {
-        assert!(Instant::now() < deadline, "{} of {}", ends.unread(), written.load(Ordering::SeqCst));
+    while written.load(Ordering::SeqCst).saturating_sub(ends.unread_bytes())
+        < (ENGINE_QUEUE_LENGTH + 1) * length
+    {
+        assert!(Instant::now() < deadline, "{} of {}", ends.unread_bytes(), written.load(Ordering::SeqCst));
         ticks.tick().await;
     }
     drop(gate);
--- a/crates/stepspur-platform/tests/rules.rs
+++ b/crates/stepspur-platform/tests/rules.rs
@@ -13,7 +13,7 @@
 use serde_json::Value;
 use stepspur::interface::{ListUpdate, ProxyId, ZoneId};
 use stepspur_conductor::Config;
-use stepspur_conductor::config::EffectConfig;
+use stepspur_conductor::config::IdempotencyConfig;
 use stepspur_conductor::engine::{Engine, Input, Output, StreamId};
 use stepspur_platform::discovery::Answer;
 use stepspur_platform::protocol::PlatformProtocol;
@@ -57,7 +57,7 @@
         // Only the checker uses these values.
         config.fleet.drain_grace = Duration::from_secs(2);
         config.fleet.unserved_max = Duration::from_millis(2400);
-        config.fleet.classes[0].effect = EffectConfig::ReadLike;
+        config.fleet.classes[0].effect = IdempotencyConfig::ReadLike;
         let (now, rules) = (1000 * SECOND, Rules::new(&config));
         let (addresses, ejected) = (BTreeMap::new(), BTreeMap::new());
         Self { engine: engine(&config, now), config, now, rules, addresses, ejected, restored: 0 }
@@ -69,7 +69,7 @@
         for entry in &list.entries {
             self.addresses.insert(entry.name.clone().unwrap(), entry.address);
         }
-        self.rules.truth(self.now, &list.entries);
+        self.rules.set_actual_states(self.now, &list.entries);
         self.engine.handle(self.now, Input::EndpointList { update: kind, entries: list.entries });
     }
 
@@ -77,7 +77,7 @@
     fn join_all(&mut self, fresh: bool) {
         for proxy in 0..PROXIES {
             let (stream, proxy, zone) = (StreamId(proxy.into()), ProxyId(proxy), ZoneId(proxy % 2));
-            self.rules.joined(stream.0, self.now);
+            self.rules.proxy_connected(stream.0, self.now);
             self.engine.handle(self.now, Input::ProxyConnected { stream, proxy, zone, rate: 10.0, fresh });
         }
     }
@@ -148,12 +148,12 @@
         } else {
             order.lines = lines;
         }
-        self.rules.order(stream.0, self.now, &order);
+        self.rules.apply_update(stream.0, self.now, &order);
     }
 
     /// Kills the conductor and starts it again with a known list. Proxies keep their tables and join again.
     fn restart(&mut self, known: &[Value]) {
-        (0..u64::from(PROXIES)).for_each(|stream| self.rules.left(stream));
+        (0..u64::from(PROXIES)).for_each(|stream| self.rules.proxy_disconnected(stream));
         self.now += SECOND;
         self.engine = engine(&self.config, self.now);
         self.list(ListUpdate::Cached, known);
@@ -195,10 +195,10 @@
     let server = simulation.addresses["s-0006"];
     for proxy in (0..u64::from(PROXIES)).step_by(2) {
         assert!(
-            simulation.rules.held(proxy).contains_key(&server),
+            simulation.rules.usable_servers(proxy).contains_key(&server),
             "{proxy} still ejects it: {:?}",
             simulation.ejected[&proxy]
         );
     }
-    simulation.rules.end(simulation.now, &simulation.engine.stats());
+    simulation.rules.assert_satisfied(simulation.now, &simulation.engine.stats());
 }
--- a/crates/stepspur-scale/src/fleet/operators.rs
+++ b/crates/stepspur-scale/src/fleet/operators.rs
@@ -17,7 +17,7 @@
 use stepspur_distribution::document::Change;
 use stepspur_distribution::version::Version;
 use stepspur_identity::keys::{AnchorEntry, KeyId, KeyState, Manifest, ServerEntry, Signer, write_manifest};
-use stepspur_identity::pki::{Authority, Leaf};
+use stepspur_identity::pki::{Authority, CertificateSubject};
 use stepspur_identity::rights::{Right, Rights};
 use stepspur_identity::tls;
 use stepspur_identity::token::{Claims, issue};
@@ -60,7 +60,7 @@
         std::fs::write(folder.join("ca.pem"), authority.pem())?;
         let addresses = control.iter().map(SocketAddr::ip).collect();
         authority
-            .issue(&Leaf::Server(addresses), unix_seconds() - 60, CREDENTIAL_LIFETIME)?
+            .issue(&CertificateSubject::Server(addresses), unix_seconds() - 60, CREDENTIAL_LIFETIME)?
             .save(folder, "server")?;
         let id = KeyId::try_from("scale".to_owned()).map_err(anyhow::Error::msg)?;
         let signer = Signer::new(id);
--- a/crates/stepspur-simulation/src/baseline.rs
+++ b/crates/stepspur-simulation/src/baseline.rs
@@ -4,7 +4,7 @@
 use std::hash::{Hash, Hasher};
 
 use serde::{Deserialize, Serialize};
-use stepspur_conductor::config::EffectConfig;
+use stepspur_conductor::config::IdempotencyConfig;
 use stepspur_emulator::plan::Plan;
 use stepspur_model::proxy::Pick;
 use stepspur_proto::v1;
@@ -75,7 +75,7 @@
     pub(crate) fn levels(plan: &Plan) -> Vec<v1::Level> {
         let level = |(class, c): (usize, &stepspur_emulator::plan::ClassPlan)| {
             let resend = match c.effect {
-                EffectConfig::ReadLike => v1::Resend::Once,
+                IdempotencyConfig::ReadLike => v1::Resend::Once,
                 _ if plan.rules.full_may_have_run => v1::Resend::Never,
                 _ => v1::Resend::Unsent,
             };
--- a/crates/stepspur-simulation/src/world/attempts.rs
+++ b/crates/stepspur-simulation/src/world/attempts.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use stepspur_conductor::config::{EffectConfig, GroupConfig};
+use stepspur_conductor::config::{DedupScopeConfig, IdempotencyConfig};
 use stepspur_emulator::trace::{Arrival, Came, Event, RequestId};
 use stepspur_model::Micros;
 use stepspur_model::memory::Memory;
@@ -224,15 +224,15 @@
     /// idempotency keys.
     fn memory_group(&self, server: usize, class: usize) -> Option<usize> {
         let class = &self.plan.classes[class];
-        (class.effect == EffectConfig::IdempotencyKey).then(|| self.group(server, class.group))
+        (class.effect == IdempotencyConfig::IdempotencyKey).then(|| self.group(server, class.group))
     }
 
     /// Returns the number of a server's group within the fleet, by the scope of the group.
-    fn group(&self, server: usize, group: GroupConfig) -> usize {
+    fn group(&self, server: usize, group: DedupScopeConfig) -> usize {
         match group {
-            GroupConfig::All => 0,
-            GroupConfig::Zone => self.plan.servers[server].zone,
-            GroupConfig::Cell => server,
+            DedupScopeConfig::All => 0,
+            DedupScopeConfig::Zone => self.plan.servers[server].zone,
+            DedupScopeConfig::Cell => server,
         }
     }
 
