--- a/crates/stepspur-conductor/src/service/distribution/apply.rs
+++ b/crates/stepspur-conductor/src/service/distribution/apply.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use stepspur_consensus_node::BoxFuture;
-use stepspur_distribution::document::{Document, Key, Setting, Target, WHOLE_PPM};
+use stepspur_distribution::document::{Document, FULL_LEVEL_PPM, Key, Setting, Target};
 use stepspur_distribution::subscriber::{DocumentApplier, DocumentNotApplied};
 use stepspur_distribution::version::Version;
 use tokio::sync::Mutex;
@@ -169,7 +169,7 @@
 fn set_operation(target: &Target, setting: Setting) -> Result<Operation, ApplyError> {
     match (target, setting) {
         (Target::Class(class), Setting::LevelPpm(ppm)) => {
-            Ok(Operation::Level { class: class.clone(), share: f64::from(ppm) / f64::from(WHOLE_PPM) })
+            Ok(Operation::Level { class: class.clone(), share: f64::from(ppm) / f64::from(FULL_LEVEL_PPM) })
         }
         (Target::Server(server), setting) => Ok(override_operation(*server, override_state(setting)?, true)),
         _ => Err(ApplyError::Mismatch),
--- a/crates/stepspur-conductor/src/service/distribution/consensus_member.rs
+++ b/crates/stepspur-conductor/src/service/distribution/consensus_member.rs
@@ -36,7 +36,7 @@
     async fn start_replicated(consensus: &ConsensusConfig, seed: u64) -> Result<Self, StartError> {
         let configuration: Box<dyn ReplicatedStateMachine> = Box::new(ConfigurationState::default());
         let registry = StateMachineRegistry::new([configuration]);
-        let node = Arc::new(consensus.start_with(seed, registry.clone()).await?);
+        let node = Arc::new(consensus.start_with_state_machine(seed, registry.clone()).await?);
         // The incarnation must differ between starts of the conductor, so that operation ids are unique.
         let incarnation = RandomState::new().hash_one(seed);
         let limits = ProposalLimits::default();
--- a/crates/stepspur-conductor/src/service/operator/configuration.rs
+++ b/crates/stepspur-conductor/src/service/operator/configuration.rs
@@ -181,7 +181,7 @@
             StatusCode::UNPROCESSABLE_ENTITY
         }
         ProposeError::TooOld { .. } => StatusCode::CONFLICT,
-        ProposeError::Unknown { .. } | ProposeError::Full { .. } | ProposeError::Stopped(_) => {
+        ProposeError::Unknown { .. } | ProposeError::TooManyInFlight { .. } | ProposeError::Stopped(_) => {
             StatusCode::SERVICE_UNAVAILABLE
         }
     };
@@ -203,7 +203,7 @@
         RolloutStatusError::UnknownVersion { .. } => {
             (StatusCode::NOT_FOUND, Json(json!({ "result": error.to_string() })))
         }
-        RolloutStatusError::NoAnswer(_) => {
+        RolloutStatusError::ReadFailed(_) => {
             (StatusCode::SERVICE_UNAVAILABLE, Json(json!({ "result": error.to_string() })))
         }
     }
--- a/crates/stepspur-consensus-node/src/config.rs
+++ b/crates/stepspur-consensus-node/src/config.rs
@@ -163,7 +163,7 @@
     /// # Errors
     /// See [`StartError`].
     pub async fn start(&self, seed: u64) -> Result<NodeHandle, StartError> {
-        self.start_with(seed, ()).await
+        self.start_with_state_machine(seed, ()).await
     }
 
     /// As [`ConsensusConfig::start`], with a replicated state machine. `state` is its state in a new group,
@@ -171,13 +171,14 @@
     ///
     /// # Errors
     /// See [`StartError`].
-    pub async fn start_with<S: StateMachine + Send + Sync + 'static>(
+    pub async fn start_with_state_machine<S: StateMachine + Send + Sync + 'static>(
         &self,
         seed: u64,
         state: S,
     ) -> Result<NodeHandle, StartError> {
         let storage = self.open_storage().await;
-        NodeHandle::start_on(Arc::new(Tcp), self.settings(), storage, seed ^ self.id, state).await
+        NodeHandle::start_with_environment(Arc::new(Tcp), self.settings(), storage, seed ^ self.id, state)
+            .await
     }
 
     /// Opens the state file. If that fails, logs the cause and returns `None`.
--- a/crates/stepspur-consensus-node/src/handle.rs
+++ b/crates/stepspur-consensus-node/src/handle.rs
@@ -56,7 +56,7 @@
         seed: u64,
     ) -> Result<Self, StartError> {
         let storage = storage.map(|(store, stored)| (Box::new(store) as Box<dyn Storage>, stored));
-        Self::start_on(Arc::new(Tcp), settings, storage, seed, ()).await
+        Self::start_with_environment(Arc::new(Tcp), settings, storage, seed, ()).await
     }
 
     /// As [`NodeHandle::start`], on any transport and storage. `state` is the replicated state machine as it
@@ -64,7 +64,7 @@
     ///
     /// # Errors
     /// See [`StartError`].
-    pub async fn start_on<S: StateMachine + Send + Sync + 'static>(
+    pub async fn start_with_environment<S: StateMachine + Send + Sync + 'static>(
         transport: Arc<dyn Transport>,
         settings: Settings,
         storage: Option<(Box<dyn Storage>, PersistentState)>,
--- a/crates/stepspur-consensus-node/src/schema/member.rs
+++ b/crates/stepspur-consensus-node/src/schema/member.rs
@@ -16,7 +16,7 @@
             Kind::Renewed(v1::PeerRenewed { number: request, applied: applied.0 })
         }
         PeerMessage::Propose { request, command } => Kind::Order(v1::PeerOrder { number: request, command }),
-        PeerMessage::NotLeader { request, leader } => {
+        PeerMessage::RequestRejected { request, leader } => {
             Kind::Elsewhere(v1::PeerElsewhere { number: request, leader: encode_leader(leader) })
         }
         PeerMessage::ReadIndex { request } => Kind::Read(v1::PeerRead { number: request }),
@@ -28,7 +28,7 @@
             let entries = entry::encode_entries(entries);
             Kind::Fetched(v1::PeerFetched { entries, leader: encode_leader(leader) })
         }
-        PeerMessage::CommittedState { index, state, leader } => {
+        PeerMessage::CommittedSnapshot { index, state, leader } => {
             let leader = encode_leader(leader);
             Kind::FetchedState(v1::PeerFetchedState { index: index.0, state, leader })
         }
@@ -60,7 +60,7 @@
 }
 
 pub(super) fn decode_not_leader(not_leader: &v1::PeerElsewhere) -> PeerMessage {
-    PeerMessage::NotLeader { request: not_leader.number, leader: not_leader.leader.map(MemberId) }
+    PeerMessage::RequestRejected { request: not_leader.number, leader: not_leader.leader.map(MemberId) }
 }
 
 pub(super) fn decode_read_response(response: &v1::PeerReadAt) -> PeerMessage {
@@ -77,7 +77,7 @@
 }
 
 pub(super) fn decode_state(response: v1::PeerFetchedState) -> PeerMessage {
-    PeerMessage::CommittedState {
+    PeerMessage::CommittedSnapshot {
         index: Index(response.index),
         state: response.state,
         leader: response.leader.map(MemberId),
--- a/crates/stepspur-consensus-node/src/schema/raft.rs
+++ b/crates/stepspur-consensus-node/src/schema/raft.rs
@@ -83,7 +83,7 @@
     v1::PeerAppended {
         term: response.term.0,
         round: response.round,
-        matched: response.matched,
+        matched: response.success,
         index: response.index.0,
     }
 }
@@ -92,7 +92,7 @@
     Message::AppendEntriesResponse(AppendEntriesResponse {
         term: Term(response.term),
         round: response.round,
-        matched: response.matched,
+        success: response.matched,
         index: Index(response.index),
     })
 }
@@ -103,7 +103,7 @@
         covers: encode_position(chunk.last_included),
         voters: Some(encode_voters(&chunk.voters)),
         offset: chunk.offset,
-        part: chunk.bytes,
+        part: chunk.data,
         last: chunk.done,
         round: chunk.round,
     }
@@ -117,7 +117,7 @@
         last_included,
         voters: decode_voters(voters),
         offset: chunk.offset,
-        bytes: chunk.part,
+        data: chunk.part,
         done: chunk.last,
         round: chunk.round,
     }))
--- a/crates/stepspur-consensus-node/tests/schema.rs
+++ b/crates/stepspur-consensus-node/tests/schema.rs
@@ -50,8 +50,8 @@
 }
 
 fn append_entries_response() -> impl Strategy<Value = Message> {
-    (term(), any::<u64>(), any::<bool>(), index()).prop_map(|(term, round, matched, index)| {
-        Message::AppendEntriesResponse(AppendEntriesResponse { term, round, matched, index })
+    (term(), any::<u64>(), any::<bool>(), index()).prop_map(|(term, round, success, index)| {
+        Message::AppendEntriesResponse(AppendEntriesResponse { term, round, success, index })
     })
 }
 
@@ -61,7 +61,15 @@
         let (offset, round, done, bytes) = chunk;
         let voters = [MemberId(voter)].into();
         let bytes = bytes.into();
-        Message::InstallSnapshot(InstallSnapshot { term, last_included, voters, offset, bytes, done, round })
+        Message::InstallSnapshot(InstallSnapshot {
+            term,
+            last_included,
+            voters,
+            offset,
+            data: bytes,
+            done,
+            round,
+        })
     })
 }
 
@@ -104,7 +112,7 @@
 }
 
 fn committed_state() -> impl Strategy<Value = PeerMessage> {
-    (index(), any::<Vec<u8>>(), leader()).prop_map(|(index, state, leader)| PeerMessage::CommittedState {
+    (index(), any::<Vec<u8>>(), leader()).prop_map(|(index, state, leader)| PeerMessage::CommittedSnapshot {
         index,
         state: state.into(),
         leader,
@@ -118,7 +126,7 @@
         renewal(),
         (request(), index()).prop_map(|(request, applied)| PeerMessage::LeasesRenewed { request, applied }),
         proposal(),
-        (request(), leader()).prop_map(|(request, leader)| PeerMessage::NotLeader { request, leader }),
+        (request(), leader()).prop_map(|(request, leader)| PeerMessage::RequestRejected { request, leader }),
         request().prop_map(|request| PeerMessage::ReadIndex { request }),
         (request(), index()).prop_map(|(request, index)| PeerMessage::ReadIndexResponse { request, index }),
         index().prop_map(|from| PeerMessage::Fetch { from }),
--- a/crates/stepspur-consensus-node/tests/shutdown.rs
+++ b/crates/stepspur-consensus-node/tests/shutdown.rs
@@ -131,7 +131,7 @@
     let settings = settings(1, [(own_id, SocketAddr::from(([127, 0, 0, 1], 1)))].into());
     let storage: (Box<dyn Storage>, PersistentState) =
         (Box::new(HangingStorage), RaftNode::bootstrap([own_id].into()));
-    let node = NodeHandle::start_on(Arc::new(Disconnected), settings, Some(storage), 1, ())
+    let node = NodeHandle::start_with_environment(Arc::new(Disconnected), settings, Some(storage), 1, ())
         .await
         .expect("the member starts");
     // The member becomes a candidate. Its vote for itself is queued and never becomes durable.
--- a/crates/stepspur-consensus-storage/src/store.rs
+++ b/crates/stepspur-consensus-storage/src/store.rs
@@ -60,7 +60,7 @@
             term: state.term,
             vote: state.vote,
             snapshot: Some(Arc::clone(state.log.base())),
-            first_index: None,
+            truncate_from: None,
             entries: state.log.entries_from(Index(0), usize::MAX),
         }])?;
         Ok(store)
--- a/crates/stepspur-consensus-storage/src/tables.rs
+++ b/crates/stepspur-consensus-storage/src/tables.rs
@@ -59,7 +59,7 @@
             self.put(SNAPSHOT, snapshot.as_ref())?;
             self.log.retain_in(..=snapshot.index.0, |_, _| false)?;
         }
-        if let Some(first) = request.first_index {
+        if let Some(first) = request.truncate_from {
             self.log.retain_in(first.0.., |_, _| false)?;
         }
         for entry in &request.entries {
--- a/crates/stepspur-consensus-storage/tests/store.rs
+++ b/crates/stepspur-consensus-storage/tests/store.rs
@@ -35,7 +35,7 @@
     let base = stored.log.base().index.0;
     let last = stored.log.last_index().0;
     let mut write =
-        WriteRequest { number, term, vote, snapshot: None, first_index: None, entries: Vec::new() };
+        WriteRequest { number, term, vote, snapshot: None, truncate_from: None, entries: Vec::new() };
     let mut first = last + 1;
     match rng.random_range(0..6) {
         0 => first = rng.random_range(base + 1..=last + 1),
@@ -49,7 +49,7 @@
         }
         _ => {}
     }
-    write.first_index = Some(Index(first));
+    write.truncate_from = Some(Index(first));
     for index in first..first + rng.random_range(0..4) {
         let payload = match rng.random_range(0..4) {
             0 => Payload::Empty,
@@ -305,13 +305,13 @@
             index += 1;
             let payload = Payload::Command(Bytes::from(vec![round as u8; 1_000]));
             let entry = Entry { index: Index(index), term: Term(1), payload };
-            let first_index = Some(entry.index);
+            let truncate_from = Some(entry.index);
             writes.push(WriteRequest {
                 number,
                 term: Term(1),
                 vote: None,
                 snapshot: None,
-                first_index,
+                truncate_from,
                 entries: vec![entry],
             });
         }
@@ -323,7 +323,7 @@
             term: Term(1),
             vote: None,
             snapshot,
-            first_index: None,
+            truncate_from: None,
             entries: Vec::new(),
         });
         writes.chunks(7).for_each(|batch| store.write(batch).expect("written"));
@@ -360,7 +360,7 @@
             term,
             vote,
             snapshot: None,
-            first_index: None,
+            truncate_from: None,
             entries: Vec::new(),
         };
         store.write(&[write]).expect("written");
--- a/crates/stepspur-consensus/src/fencing.rs
+++ b/crates/stepspur-consensus/src/fencing.rs
@@ -42,7 +42,7 @@
     }
 
     /// Returns the number of orders rejected so far.
-    pub fn rejected(&self) -> u64 {
+    pub fn rejected_count(&self) -> u64 {
         self.rejected
     }
 }
--- a/crates/stepspur-consensus/src/member.rs
+++ b/crates/stepspur-consensus/src/member.rs
@@ -203,7 +203,7 @@
                 self.lease_holder.on_granted(request, applied);
             }
             PeerMessage::Propose { request, command } => self.handle_proposal(from, request, command),
-            PeerMessage::NotLeader { request, leader } => self.handle_not_leader(request, leader),
+            PeerMessage::RequestRejected { request, leader } => self.handle_not_leader(request, leader),
             PeerMessage::ReadIndex { request } => self.handle_read(from, request),
             PeerMessage::ReadIndexResponse { request, index } => {
                 self.leader_hint = Some(from);
@@ -213,7 +213,7 @@
             PeerMessage::CommittedEntries { entries, leader } => {
                 self.handle_committed_entries(from, entries, leader);
             }
-            PeerMessage::CommittedState { index, state, leader } => {
+            PeerMessage::CommittedSnapshot { index, state, leader } => {
                 self.handle_committed_state(from, index, &state, leader);
             }
         }
@@ -265,6 +265,6 @@
     /// Rejects a request of another member and names the leader, if known.
     fn send_not_leader(&mut self, to: MemberId, request: u64) {
         let leader = self.raft.leader();
-        self.send(to, PeerMessage::NotLeader { request, leader });
+        self.send(to, PeerMessage::RequestRejected { request, leader });
     }
 }
--- a/crates/stepspur-consensus/src/member/following.rs
+++ b/crates/stepspur-consensus/src/member/following.rs
@@ -103,7 +103,7 @@
         } else {
             let index = self.roles.applied();
             let state = self.encode_snapshot();
-            self.send(follower, PeerMessage::CommittedState { index, state, leader });
+            self.send(follower, PeerMessage::CommittedSnapshot { index, state, leader });
             index.next()
         };
         // A voter without a leader receives no new entries, so the follower must fetch from another one.
--- a/crates/stepspur-consensus/src/message.rs
+++ b/crates/stepspur-consensus/src/message.rs
@@ -78,8 +78,8 @@
     /// The heartbeat round of the request.
     pub round: u64,
     /// Whether the sender's log contains the request's `previous` entry.
-    pub matched: bool,
-    /// If `matched`, the last entry known to match the leader's log, otherwise the entry after which the
+    pub success: bool,
+    /// If `success`, the last entry known to match the leader's log, otherwise the entry after which the
     /// leader sends next.
     pub index: Index,
 }
@@ -97,7 +97,7 @@
     /// The offset of this chunk in the snapshot, in bytes.
     pub offset: u64,
     /// The bytes of this chunk.
-    pub bytes: Bytes,
+    pub data: Bytes,
     /// True for the last chunk.
     pub done: bool,
     /// The number of the leader's current heartbeat round, as in [`AppendEntries::round`].
--- a/crates/stepspur-consensus/src/peer_message.rs
+++ b/crates/stepspur-consensus/src/peer_message.rs
@@ -42,7 +42,7 @@
     },
     /// Rejects a request: the sender is not the leader, has too many requests pending, or does not renew the
     /// leases of a member that receives no responses.
-    NotLeader {
+    RequestRejected {
         /// The number of the request.
         request: u64,
         /// The leader that the sender knows of, if any.
@@ -74,7 +74,7 @@
         leader: Option<MemberId>,
     },
     /// The response to a fetch of entries that the log no longer has: the whole replicated state.
-    CommittedState {
+    CommittedSnapshot {
         /// The last entry that the snapshot covers.
         index: Index,
         /// The roles and the state machine, encoded as in a Raft snapshot.
--- a/crates/stepspur-consensus/src/persistence.rs
+++ b/crates/stepspur-consensus/src/persistence.rs
@@ -59,7 +59,7 @@
             term: self.term,
             vote: self.vote,
             snapshot: changes.snapshot.then(|| Arc::clone(self.log.base())),
-            first_index: changes.first_index,
+            truncate_from: changes.first_index,
             entries: changes.first_index.map_or(Vec::new(), entries),
         };
         // The write precedes the other outputs of this step, as they may depend on it.
--- a/crates/stepspur-consensus/src/persistent_state.rs
+++ b/crates/stepspur-consensus/src/persistent_state.rs
@@ -30,8 +30,8 @@
     /// A new snapshot, which replaces the entries that it covers; `None` if it has not changed.
     pub snapshot: Option<Arc<Snapshot>>,
     /// Stored entries with this index or a higher one are removed; `None` if no entry has changed.
-    pub first_index: Option<Index>,
-    /// Entries to append after the removal, the first of them at `first_index`.
+    pub truncate_from: Option<Index>,
+    /// Entries to append after the removal, the first of them at `truncate_from`.
     pub entries: Vec<Entry>,
 }
 
@@ -41,7 +41,7 @@
         let base = write.snapshot.as_ref().unwrap_or(self.log.base());
         let stored = self.log.entries_from(Index(0), usize::MAX).into_iter();
         let remaining = stored.filter(|entry| {
-            entry.index > base.index && write.first_index.is_none_or(|first| entry.index < first)
+            entry.index > base.index && write.truncate_from.is_none_or(|first| entry.index < first)
         });
         let appended = write.entries.iter().filter(|entry| entry.index > base.index).cloned();
         Self {
--- a/crates/stepspur-consensus/src/replication.rs
+++ b/crates/stepspur-consensus/src/replication.rs
@@ -160,17 +160,17 @@
     /// Handles entries or a heartbeat of a leader. A message of an older term is rejected, and the sender
     /// learns the current term by the response.
     pub(crate) fn handle_append_entries(&mut self, from: MemberId, append: AppendEntries) {
-        let (matched, index) = if self.follow_leader(append.term, from) {
+        let (success, index) = if self.follow_leader(append.term, from) {
             self.append_from_leader(&append)
         } else {
             (false, self.log.last_index())
         };
-        let response = AppendEntriesResponse { term: self.term, round: append.round, matched, index };
+        let response = AppendEntriesResponse { term: self.term, round: append.round, success, index };
         self.send(from, Message::AppendEntriesResponse(response));
     }
 
     /// Appends a leader's entries if the log contains the entry before them (Raft paper, 5.3). Returns the
-    /// response's `matched` and `index`.
+    /// response's `success` and `index`.
     fn append_from_leader(&mut self, append: &AppendEntries) -> (bool, Index) {
         let base = self.log.base().index;
         let previous = append.previous;
@@ -222,7 +222,7 @@
         let RaftRole::Leader(state) = &mut self.role else { return };
         let Some(progress) = state.followers.get_mut(&from) else { return };
         progress.record_response(response.round, self.now);
-        if response.matched {
+        if response.success {
             progress.record_match(response.index);
         } else {
             progress.record_mismatch(response.index, last_index);
--- a/crates/stepspur-consensus/src/snapshot.rs
+++ b/crates/stepspur-consensus/src/snapshot.rs
@@ -46,7 +46,7 @@
             last_included: base.position(),
             voters: base.voters.clone(),
             offset: start as u64,
-            bytes: base.state.slice(start..end),
+            data: base.state.slice(start..end),
             done: end == size,
             round: *round,
         }))
@@ -72,7 +72,7 @@
         let mut partial = known.unwrap_or_else(|| PartialSnapshot::new(chunk.last_included));
         let expected = chunk.offset == partial.size();
         if expected {
-            partial.append(&chunk.bytes);
+            partial.append(&chunk.data);
         }
         let size = partial.size();
         if !(expected && chunk.done) {
--- a/crates/stepspur-distribution/src/control/propose.rs
+++ b/crates/stepspur-distribution/src/control/propose.rs
@@ -24,7 +24,7 @@
     TooLarge(String),
     /// Too many proposals are in flight: nothing was proposed.
     #[error("too many proposals are in flight; retry after {after:?}")]
-    Full {
+    TooManyInFlight {
         /// The time to wait before a retry.
         after: Duration,
     },
@@ -53,10 +53,10 @@
 impl From<ReplicationError> for ProposeError {
     fn from(error: ReplicationError) -> Self {
         match error {
-            ReplicationError::Full { after } => Self::Full { after },
+            ReplicationError::TooManyInFlight { after } => Self::TooManyInFlight { after },
             ReplicationError::InvalidCommand(invalid) => Self::TooLarge(invalid.to_string()),
-            ReplicationError::Refused(rejection) => Self::Rejected(rejection.0),
-            ReplicationError::Unknown(id) => Self::Unknown { id },
+            ReplicationError::Rejected(rejection) => Self::Rejected(rejection.0),
+            ReplicationError::UnknownOutcome(id) => Self::Unknown { id },
             ReplicationError::TooOld(id) => Self::TooOld { id },
             ReplicationError::ReadTimeout => Self::Stopped("no leader answered".to_owned()),
             ReplicationError::Stopped(reason) => Self::Stopped(reason),
@@ -111,7 +111,7 @@
     within: Duration,
 ) -> Result<Applied, ProposeError> {
     command.check()?;
-    let id = id.unwrap_or_else(|| replication.new_id());
+    let id = id.unwrap_or_else(|| replication.new_operation_id());
     let answer = replication.propose(id, CONFIGURATION, tenant, &command.encode(), within).await?;
     Ok(Applied { id, answer })
 }
--- a/crates/stepspur-distribution/src/control/rollout_status.rs
+++ b/crates/stepspur-distribution/src/control/rollout_status.rs
@@ -73,7 +73,7 @@
     },
     /// The linearizable read failed.
     #[error(transparent)]
-    NoAnswer(#[from] ReplicationError),
+    ReadFailed(#[from] ReplicationError),
 }
 
 fn describe_leader(leader: Option<u64>) -> String {
--- a/crates/stepspur-distribution/src/document.rs
+++ b/crates/stepspur-distribution/src/document.rs
@@ -15,7 +15,7 @@
 /// Maximum number of tenants in an interest, over all its services.
 pub const MAX_TENANTS: usize = 10_000;
 /// An admission level of 100%, in millionths.
-pub const WHOLE_PPM: u32 = 1_000_000;
+pub const FULL_LEVEL_PPM: u32 = 1_000_000;
 
 /// Which conductors a document applies to. An omitted field means all.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -166,7 +166,7 @@
     #[error("a server drains or is withdrawn, a class has a level")]
     SettingMismatch,
     /// An admission level is above 100%.
-    #[error("a level lies between 0 and {WHOLE_PPM} millionths")]
+    #[error("a level lies between 0 and {FULL_LEVEL_PPM} millionths")]
     LevelTooHigh,
     /// A message lacks a field, or the field cannot be parsed.
     #[error("{0} is missing or cannot be read")]
@@ -216,7 +216,7 @@
         }
         match (&self.target, self.setting) {
             (_, None) | (Target::Server(_), Some(Setting::Draining | Setting::Withdrawn)) => Ok(()),
-            (Target::Class(_), Some(Setting::LevelPpm(ppm))) if ppm <= WHOLE_PPM => Ok(()),
+            (Target::Class(_), Some(Setting::LevelPpm(ppm))) if ppm <= FULL_LEVEL_PPM => Ok(()),
             (Target::Class(_), Some(Setting::LevelPpm(_))) => Err(DocumentError::LevelTooHigh),
             _ => Err(DocumentError::SettingMismatch),
         }
--- a/crates/stepspur-distribution/tests/control/common.rs
+++ b/crates/stepspur-distribution/tests/control/common.rs
@@ -115,7 +115,9 @@
     let voters: BTreeSet<_> = (1..=cluster.voters).map(MemberId).collect();
     let disk = (id <= cluster.voters)
         .then(|| Image::new(member, RaftNode::bootstrap(voters), Duration::from_millis(2)).open());
-    let node = NodeHandle::start_on(wire.of(member), settings, disk, id, registry.clone()).await.unwrap();
+    let node = NodeHandle::start_with_environment(wire.of(member), settings, disk, id, registry.clone())
+        .await
+        .unwrap();
     ReplicationClient::new(Arc::new(node), registry, ProposalLimits::default(), id)
 }
 
--- a/crates/stepspur-fault-tests/src/cluster.rs
+++ b/crates/stepspur-fault-tests/src/cluster.rs
@@ -157,7 +157,8 @@
         ]);
         let disk = node.disk.as_ref().map(Image::open);
         let handle =
-            NodeHandle::start_on(self.wire.of(id), node_settings, disk, seed, registry.clone()).await;
+            NodeHandle::start_with_environment(self.wire.of(id), node_settings, disk, seed, registry.clone())
+                .await;
         let handle = Arc::new(handle.expect("the member starts"));
         let client = ReplicationClient::new(handle, registry, ProposalLimits::default(), incarnation);
         self.nodes.entry(id).and_modify(|n| n.running = Some(client));
@@ -237,7 +238,7 @@
         amount: u32,
         within: Duration,
     ) -> Result<u32, ReplicationError> {
-        let id = self.client(member).new_id();
+        let id = self.client(member).new_operation_id();
         self.add_with_id(id, member, name, amount, within).await
     }
 
@@ -280,7 +281,7 @@
     ) -> Option<usize> {
         let response = result.as_ref().ok().map(|value| (at - self.started_at, *value));
         // Operations that were surely not applied, and reads without a response, constrain no order.
-        let is_relevant = response.is_some() || matches!(result, Err(ReplicationError::Unknown(_)));
+        let is_relevant = response.is_some() || matches!(result, Err(ReplicationError::UnknownOutcome(_)));
         is_relevant.then(|| self.history.record(name, Operation { op, invoked_at, response }))
     }
 
--- a/crates/stepspur-fault-tests/src/distribution/fleet.rs
+++ b/crates/stepspur-fault-tests/src/distribution/fleet.rs
@@ -262,14 +262,16 @@
         loop {
             let member = self.control_ids()[self.random_below(CONTROL_REGIONS.len() as u64) as usize];
             if let Some((client, control)) = &self.controls[&member].running {
-                let id = *id.get_or_insert_with(|| client.new_id());
+                let id = *id.get_or_insert_with(|| client.new_operation_id());
                 match control.propose(Some(id), changes.clone(), REQUEST_TIMEOUT).await {
                     Ok(version) => {
                         self.checker().record_committed(version, changes);
                         return version;
                     }
                     Err(
-                        ProposeError::Unknown { .. } | ProposeError::Full { .. } | ProposeError::Stopped(_),
+                        ProposeError::Unknown { .. }
+                        | ProposeError::TooManyInFlight { .. }
+                        | ProposeError::Stopped(_),
                     ) => {}
                     Err(error) => panic!("the proposal is refused: {error}"),
                 }
@@ -288,7 +290,7 @@
         let changes = self.random_changes();
         let proposal_time = Duration::from_millis(self.random_below(12));
         let (client, control) = self.controls[&id].running.as_ref().expect("the control member runs");
-        let operation = client.new_id();
+        let operation = client.new_operation_id();
         let proposal =
             timeout(proposal_time, control.propose(Some(operation), changes.clone(), REQUEST_TIMEOUT));
         // The outcome does not matter: the operation is proposed again under its id.
--- a/crates/stepspur-fault-tests/src/distribution/node.rs
+++ b/crates/stepspur-fault-tests/src/distribution/node.rs
@@ -83,7 +83,9 @@
             max_frame_bytes: MAX_PEER_FRAME_BYTES,
         };
         let disk = self.disk.as_ref().map(Image::open);
-        let handle = NodeHandle::start_on(Arc::clone(&net), settings, disk, seed, registry.clone()).await;
+        let handle =
+            NodeHandle::start_with_environment(Arc::clone(&net), settings, disk, seed, registry.clone())
+                .await;
         let handle = Arc::new(handle.expect("the member starts"));
         let client = ReplicationClient::new(handle, registry, ProposalLimits::default(), seed);
         let settings = ControlSettings {
--- a/crates/stepspur-fault-tests/tests/processes.rs
+++ b/crates/stepspur-fault-tests/tests/processes.rs
@@ -81,8 +81,14 @@
         let registry =
             StateMachineRegistry::new([Box::new(Counters::new(1)) as Box<dyn ReplicatedStateMachine>]);
         let disk: (Box<dyn Storage>, _) = (Box::new(store), stored);
-        let node =
-            NodeHandle::start_on(Arc::new(Tcp), settings, Some(disk), incarnation, registry.clone()).await;
+        let node = NodeHandle::start_with_environment(
+            Arc::new(Tcp),
+            settings,
+            Some(disk),
+            incarnation,
+            registry.clone(),
+        )
+        .await;
         let node = Arc::new(node.expect("the member starts"));
         let client =
             ReplicationClient::new(Arc::clone(&node), registry, ProposalLimits::default(), incarnation);
@@ -102,7 +108,7 @@
         let response =
             |result: Result<u32, ReplicationError>| result.map_or(Response::Unknown, Response::Sum);
         let response = match serde_json::from_str(&line).expect("a request") {
-            Request::Id => Response::Id(client.new_id()),
+            Request::Id => Response::Id(client.new_operation_id()),
             Request::Add(id, name, amount) => {
                 response(stepspur_fault_tests::add(&client, id, &name, amount, OPERATION_TIMEOUT).await)
             }
--- a/crates/stepspur-fault-tests/tests/random.rs
+++ b/crates/stepspur-fault-tests/tests/random.rs
@@ -53,7 +53,8 @@
             tokio::spawn(async move {
                 let result = match amount {
                     Some(amount) => {
-                        stepspur_fault_tests::add(&client, client.new_id(), name, amount, within).await
+                        stepspur_fault_tests::add(&client, client.new_operation_id(), name, amount, within)
+                            .await
                     }
                     None => stepspur_fault_tests::read(&client, name, within).await,
                 };
--- a/crates/stepspur-fault-tests/tests/scenarios.rs
+++ b/crates/stepspur-fault-tests/tests/scenarios.rs
@@ -108,7 +108,7 @@
 #[when(regex = r"^(.+) adds (\d+) to `(\w+)`$")]
 async fn adds(scenario: &mut Scenario, current: String, amount: u32, name: String) {
     let member = scenario.member(&current).await;
-    let id = scenario.cluster().client(member).new_id();
+    let id = scenario.cluster().client(member).new_operation_id();
     scenario.add(id, member, &name, amount).await;
 }
 
@@ -127,7 +127,8 @@
     let client = scenario.cluster().client(leader);
     for _ in MAX_RECORDED_ADDITIONS..times {
         let result =
-            stepspur_fault_tests::add(&client, client.new_id(), &name, amount, OPERATION_TIMEOUT).await;
+            stepspur_fault_tests::add(&client, client.new_operation_id(), &name, amount, OPERATION_TIMEOUT)
+                .await;
         result.expect("the addition is accepted");
     }
 }
@@ -217,7 +218,7 @@
 #[then(regex = r"^the outcome is unknown$")]
 async fn outcome_is_unknown(scenario: &mut Scenario) {
     let (id, .., result) = scenario.last.as_ref().expect("an operation was proposed");
-    assert_eq!(*result, Err(ReplicationError::Unknown(*id)));
+    assert_eq!(*result, Err(ReplicationError::UnknownOutcome(*id)));
 }
 
 #[then(regex = r"^it is rejected with `(.+)`$")]
--- a/crates/stepspur-replication/src/client.rs
+++ b/crates/stepspur-replication/src/client.rs
@@ -23,7 +23,7 @@
 pub enum ReplicationError {
     /// Too many proposals of the state machine or the tenant are in flight. Nothing was proposed.
     #[error("too many proposals are in flight; retry after {after:?}")]
-    Full {
+    TooManyInFlight {
         /// How long to wait before a retry.
         after: Duration,
     },
@@ -33,12 +33,12 @@
     InvalidCommand(#[from] InvalidCommand),
     /// The state machine rejected the command, at every member. Its state is unchanged.
     #[error("rejected by the state machine: {0}")]
-    Refused(#[from] Rejection),
+    Rejected(#[from] Rejection),
     /// No outcome arrived in time, or the node stopped meanwhile. The operation may have taken effect, or may
     /// take effect later. Its id serves as an idempotency key: proposed again with this id, the operation
     /// takes effect at most once.
     #[error("the outcome of operation {0} is unknown")]
-    Unknown(OperationId),
+    UnknownOutcome(OperationId),
     /// This proposal was not applied, as more than [`MAX_OUTCOMES`](crate::MAX_OUTCOMES) entries have
     /// followed the creation of the id. An earlier proposal of the same operation may have been applied, and
     /// its outcome discarded.
@@ -153,20 +153,20 @@
     }
 
     /// Returns a new operation id. Retain it to propose the operation again after an unknown outcome.
-    pub fn new_id(&self) -> OperationId {
+    pub fn new_operation_id(&self) -> OperationId {
         let number = self.next_operation.fetch_add(1, Ordering::Relaxed);
-        let since = self.node.applied().borrow().index;
-        OperationId { member: self.node.id(), incarnation: self.incarnation, number, since }
+        let created_at_index = self.node.applied().borrow().index;
+        OperationId { member: self.node.id(), incarnation: self.incarnation, number, created_at_index }
     }
 
     /// Proposes a command and waits for at most `timeout` until it is applied at this member. Returns the
     /// answer of the state machine. The proposal counts toward the limit of `tenant`'s proposals in flight.
     ///
     /// # Errors
-    /// [`ReplicationError::InvalidCommand`], [`ReplicationError::Full`] and [`ReplicationError::Stopped`] if
-    /// nothing was proposed; [`ReplicationError::Refused`] and [`ReplicationError::TooOld`] if the operation
-    /// was rejected; [`ReplicationError::Unknown`] if the outcome did not arrive in time or the node
-    /// stopped meanwhile.
+    /// [`ReplicationError::InvalidCommand`], [`ReplicationError::TooManyInFlight`] and
+    /// [`ReplicationError::Stopped`] if nothing was proposed; [`ReplicationError::Rejected`] and
+    /// [`ReplicationError::TooOld`] if the operation was rejected; [`ReplicationError::UnknownOutcome`] if
+    /// the outcome did not arrive in time or the node stopped meanwhile.
     pub async fn propose(
         &self,
         id: OperationId,
@@ -183,9 +183,9 @@
         let mut waiter = self.registry.wait_for_outcome(id);
         match timeout_at(deadline, self.propose_until_applied(&command, &mut waiter)).await {
             Ok(Some(Outcome::Done(answer))) => Ok(answer),
-            Ok(Some(Outcome::Refused(rejection))) => Err(rejection.into()),
+            Ok(Some(Outcome::Rejected(rejection))) => Err(rejection.into()),
             Ok(Some(Outcome::TooOld)) => Err(ReplicationError::TooOld(id)),
-            Ok(None) | Err(_) => Err(ReplicationError::Unknown(id)),
+            Ok(None) | Err(_) => Err(ReplicationError::UnknownOutcome(id)),
         }
     }
 
@@ -203,7 +203,7 @@
         tenant: &str,
     ) -> Result<ProposalPermit, ReplicationError> {
         let permit = self.limiter.try_acquire(state_machine, tenant);
-        permit.ok_or(ReplicationError::Full { after: self.limits.retry_after })
+        permit.ok_or(ReplicationError::TooManyInFlight { after: self.limits.retry_after })
     }
 
     /// Repeats the proposal at each retry interval until it is applied at this member. The operation id makes
--- a/crates/stepspur-replication/src/command.rs
+++ b/crates/stepspur-replication/src/command.rs
@@ -28,12 +28,13 @@
     /// The last entry that the member had applied when it created the id. An operation is rejected as too old
     /// once more than [`MAX_OUTCOMES`](crate::MAX_OUTCOMES) entries have followed, as its outcome may have
     /// been discarded by then.
-    pub since: Index,
+    #[serde(rename = "since")]
+    pub created_at_index: Index,
 }
 
 impl fmt::Display for OperationId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}-{:x}-{}@{}", self.member, self.incarnation, self.number, self.since)
+        write!(f, "{}-{:x}-{}@{}", self.member, self.incarnation, self.number, self.created_at_index)
     }
 }
 
@@ -59,7 +60,7 @@
         member: MemberId(u64::from_str_radix(member, 16).ok()?),
         incarnation: u64::from_str_radix(incarnation, 16).ok()?,
         number: number.parse().ok()?,
-        since: Index(since.parse().ok()?),
+        created_at_index: Index(since.parse().ok()?),
     })
 }
 
@@ -82,7 +83,8 @@
     /// The operation was applied. Holds the state machine's answer.
     Done(Vec<u8>),
     /// The state machine rejected the operation, and its state is unchanged.
-    Refused(Rejection),
+    #[serde(rename = "Refused")]
+    Rejected(Rejection),
     /// The operation was not applied, as it came so late that an earlier proposal of it might have been
     /// applied and its outcome discarded.
     TooOld,
--- a/crates/stepspur-replication/src/command/tests.rs
+++ b/crates/stepspur-replication/src/command/tests.rs
@@ -8,7 +8,8 @@
     for (member, incarnation, number, since) in
         [(1, 0, 0, 0), (26, u64::MAX, 17, 4_711), (u64::MAX, 10, u64::MAX, u64::MAX)]
     {
-        let id = OperationId { member: MemberId(member), incarnation, number, since: Index(since) };
+        let id =
+            OperationId { member: MemberId(member), incarnation, number, created_at_index: Index(since) };
         assert_eq!(id.to_string().parse(), Ok(id));
     }
 }
@@ -25,7 +26,7 @@
 /// A changed encoding could not read the log entries of earlier versions.
 #[test]
 fn command_encoded_has_the_stored_bytes() {
-    let id = OperationId { member: MemberId(1), incarnation: 7, number: 2, since: Index(0) };
+    let id = OperationId { member: MemberId(1), incarnation: 7, number: 2, created_at_index: Index(0) };
     let command = Command { id, state_machine: StateMachineId(1), version: 1, body: b"x".to_vec() };
     assert_eq!(command.encode()[..], [1, 1, 7, 2, 0, 1, 1, 1, 120]);
 }
--- a/crates/stepspur-replication/src/registry.rs
+++ b/crates/stepspur-replication/src/registry.rs
@@ -208,7 +208,7 @@
         self.applied = position.index;
         let outcome = if let Some(recorded) = self.outcomes.get(&command.id) {
             recorded.clone()
-        } else if position.index.0 > command.id.since.0 + MAX_OUTCOMES {
+        } else if position.index.0 > command.id.created_at_index.0 + MAX_OUTCOMES {
             Outcome::TooOld
         } else {
             let outcome = apply_command(state_machine, position, &command);
@@ -223,8 +223,8 @@
 
     /// Discards the outcomes of operations that were applied more than [`MAX_OUTCOMES`] entries ago.
     ///
-    /// No repeated proposal can need them: an operation is rejected after entry `since + MAX_OUTCOMES`, and
-    /// its first entry came after `since`.
+    /// No repeated proposal can need them: an operation is rejected after entry `created_at_index +
+    /// MAX_OUTCOMES`, and its first entry came after `created_at_index`.
     fn discard_old_outcomes(&mut self, applied: Index) {
         let is_old = |operation: &mut CompletedOperation| operation.index.0 + MAX_OUTCOMES < applied.0;
         while let Some(operation) = self.completed.pop_front_if(is_old) {
@@ -331,7 +331,7 @@
     match state_machine.apply(position, command.version, &command.body) {
         Ok(answer) => Outcome::Done(answer.iter().copied().take(MAX_OUTCOME_BYTES).collect()),
         Err(Rejection(reason)) => {
-            Outcome::Refused(Rejection(reason.chars().take(MAX_REJECTION_CHARS).collect()))
+            Outcome::Rejected(Rejection(reason.chars().take(MAX_REJECTION_CHARS).collect()))
         }
     }
 }
--- a/crates/stepspur-replication/src/registry/tests.rs
+++ b/crates/stepspur-replication/src/registry/tests.rs
@@ -36,7 +36,7 @@
 }
 
 fn operation(number: u64) -> OperationId {
-    OperationId { member: MemberId(1), incarnation: 7, number, since: Index(0) }
+    OperationId { member: MemberId(1), incarnation: 7, number, created_at_index: Index(0) }
 }
 
 fn command(id: OperationId) -> Vec<u8> {
--- a/crates/stepspur-scale/src/fleet/orders.rs
+++ b/crates/stepspur-scale/src/fleet/orders.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
-use stepspur_distribution::document::{Change, Setting, Target, WHOLE_PPM};
+use stepspur_distribution::document::{Change, FULL_LEVEL_PPM, Setting, Target};
 
 use super::history::{Micros, SubscriberId};
 
@@ -41,7 +41,7 @@
                 let level = match change.setting {
                     Some(Setting::LevelPpm(level)) => level,
                     Some(_) => return false,
-                    None => WHOLE_PPM,
+                    None => FULL_LEVEL_PPM,
                 };
                 class == wanted && (ppm - f64::from(level)).abs() <= SHARE_ROUNDING_PPM
             }
