--- a/crates/stepspur-cli/src/bench/bare_writes.rs
+++ b/crates/stepspur-cli/src/bench/bare_writes.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use stepspur_emulator::Announcement;
 use stepspur_emulator::usage::Usage;
-use stepspur_proto::{FromConductor, frame, from_conductor, v1};
+use stepspur_proto::{FromConductor, encode_frame, from_conductor, v1};
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader, Lines};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::process::{Child, ChildStdin, ChildStdout, Command};
@@ -127,7 +127,7 @@
     let line = v1::Line { server: Some(address.into()), weight: 0.0 };
     let order = v1::Order { lines: vec![line], mark: Some(77), decided_us: 1 << 50, ..Default::default() };
     let order = FromConductor::new(1 << 50, 1000, from_conductor::Kind::Order(order));
-    Ok(frame(&order, MAX_PLAIN_FRAME_BYTES)?)
+    Ok(encode_frame(&order, MAX_PLAIN_FRAME_BYTES)?)
 }
 
 /// Runs the writer's process. It has a task for each socket; a line on standard input wakes all tasks, and
--- a/crates/stepspur-cli/src/bench/churn.rs
+++ b/crates/stepspur-cli/src/bench/churn.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use stepspur_conductor::source::EndpointRecordState;
-use stepspur_proto::frame;
+use stepspur_proto::encode_frame;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
@@ -96,7 +96,7 @@
     while Instant::now() < end {
         session += 1;
         let length = session_length(number as u64, session);
-        let Ok(hello) = frame(&conductor.hello(number), MAX_PLAIN_FRAME_BYTES) else { return };
+        let Ok(hello) = encode_frame(&conductor.hello(number), MAX_PLAIN_FRAME_BYTES) else { return };
         let Ok(mut socket) = TcpStream::connect(address).await else {
             sleep(REDIAL_PAUSE).await;
             continue;
--- a/crates/stepspur-cli/src/bench/conductor.rs
+++ b/crates/stepspur-cli/src/bench/conductor.rs
@@ -14,7 +14,7 @@
 use stepspur_emulator::scenario::{BAD_DAY, Scenario};
 use stepspur_emulator::trace::Trace;
 use stepspur_emulator::usage::Usage;
-use stepspur_proto::{FromProxy, VERSION, frame, from_proxy, v1};
+use stepspur_proto::{FromProxy, VERSION, encode_frame, from_proxy, v1};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 use tokio::task::JoinSet;
@@ -110,7 +110,7 @@
     ) -> anyhow::Result<JoinSet<()>> {
         let mut streams = JoinSet::new();
         for number in 0..proxies {
-            let hello = frame(&self.hello(number), MAX_PLAIN_FRAME_BYTES)?;
+            let hello = encode_frame(&self.hello(number), MAX_PLAIN_FRAME_BYTES)?;
             let socket = TcpStream::connect(address).await?;
             streams.spawn(follow(socket, hello, observer.clone()));
         }
--- a/crates/stepspur-cli/src/bench/joins.rs
+++ b/crates/stepspur-cli/src/bench/joins.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use stepspur_emulator::identity::DayKeys;
-use stepspur_proto::{frame, from_proxy};
+use stepspur_proto::{encode_frame, from_proxy};
 use tokio::net::{TcpSocket, TcpStream};
 use tokio::sync::{Semaphore, mpsc};
 use tokio::task::JoinSet;
@@ -71,7 +71,7 @@
 /// Clients that join over plain TCP.
 fn plain_clients(conductor: &BenchConductor, proxies: usize) -> anyhow::Result<Vec<Client>> {
     let client = |number| {
-        let hello = frame(&conductor.hello(number), MAX_PLAIN_FRAME_BYTES)?;
+        let hello = encode_frame(&conductor.hello(number), MAX_PLAIN_FRAME_BYTES)?;
         Ok(Client { hello, tls: None })
     };
     (0..proxies).map(client).collect()
@@ -102,7 +102,7 @@
         if let Some(from_proxy::Kind::Hello(hello)) = &mut hello.kind {
             hello.credentials = keys.token(zone, name).into();
         }
-        Ok(Client { hello: frame(&hello, MAX_HELLO_BYTES)?, tls: Some(tls.clone()) })
+        Ok(Client { hello: encode_frame(&hello, MAX_HELLO_BYTES)?, tls: Some(tls.clone()) })
     };
     proxies.iter().enumerate().map(client).collect()
 }
--- a/crates/stepspur-cli/src/bench/stream.rs
+++ b/crates/stepspur-cli/src/bench/stream.rs
@@ -2,7 +2,7 @@
 
 use anyhow::Context;
 use bytes::Bytes;
-use stepspur_proto::{FromConductor, FromProxy, frame, from_conductor, from_proxy, split_frame, v1};
+use stepspur_proto::{FromConductor, FromProxy, decode_frame, encode_frame, from_conductor, from_proxy, v1};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
@@ -60,7 +60,7 @@
     while let Some((read, at)) = read_frame(&mut stream, &mut buffer).await {
         if let Some(answer) = answer_to(&read) {
             let answer = FromProxy::new(read.epoch, read.sequence, answer);
-            let Ok(answer) = frame(&answer, MAX_PLAIN_FRAME_BYTES) else { return };
+            let Ok(answer) = encode_frame(&answer, MAX_PLAIN_FRAME_BYTES) else { return };
             if stream.write_all(&answer).await.is_err() {
                 return;
             }
@@ -85,7 +85,7 @@
     buffer.resize(LENGTH_BYTES + u32::from_be_bytes(length) as usize, 0);
     stream.read_exact(&mut buffer[LENGTH_BYTES..]).await.ok()?;
     let at = Instant::now();
-    Some((split_frame::<FromConductor>(buffer).ok()?, at))
+    Some((decode_frame::<FromConductor>(buffer).ok()?, at))
 }
 
 /// The answer that the protocol requires to a frame, if any.
--- a/crates/stepspur-conductor/src/config/listen.rs
+++ b/crates/stepspur-conductor/src/config/listen.rs
@@ -72,7 +72,7 @@
             queue: 4096,
             proxies_max: 20_000,
             number_rest: Duration::from_secs(60),
-            largest_frame: stepspur_proto::LARGEST_FRAME,
+            largest_frame: stepspur_proto::DEFAULT_MAX_FRAME_BYTES,
             largest_first_frame: 8192,
             hello_timeout: Duration::from_secs(5),
             keepalive: Duration::from_secs(5),
--- a/crates/stepspur-conductor/src/engine/connect.rs
+++ b/crates/stepspur-conductor/src/engine/connect.rs
@@ -1,7 +1,7 @@
 //! Connects and disconnects proxies, and closes streams.
 
 use stepspur::interface::{Event, Micros, ProxyId, ZoneId};
-use stepspur_proto::{FromConductor, VERSION, frame, from_conductor, v1};
+use stepspur_proto::{FromConductor, VERSION, encode_frame, from_conductor, v1};
 
 use super::input::StreamId;
 use super::output::{LogEvent, Output};
@@ -172,7 +172,7 @@
     /// Sends a frame at once, without queueing it in the channel.
     pub(super) fn reply(&mut self, stream: StreamId, kind: from_conductor::Kind) {
         let message = FromConductor::new(self.epoch, self.sequence, kind);
-        if let Ok(frame) = frame(&message, usize::MAX) {
+        if let Ok(frame) = encode_frame(&message, usize::MAX) {
             self.outputs.push_back(Output::Send { stream, frame });
         }
     }
--- a/crates/stepspur-conductor/src/engine/framed_protocol.rs
+++ b/crates/stepspur-conductor/src/engine/framed_protocol.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use stepspur::interface::{RetryPolicy, ServerId};
-use stepspur_proto::{FrameError, FromConductor, frame, from_conductor, v1};
+use stepspur_proto::{FrameError, FromConductor, encode_frame, from_conductor, v1};
 
 use super::protocol::{GoAway, ProxyProtocol, UpdateStamp};
 use super::proxy_update::{AdmissionLevel, ClassAdmission, EjectionChange, ProxyUpdate, ServerWeight};
@@ -33,16 +33,16 @@
         order.mark = update.nonce.map(u32::from);
         order.decided_us = update.decided_at;
         let kind = from_conductor::Kind::Order(order);
-        frame(&FromConductor::new(stamp.epoch, stamp.sequence, kind), max_size)
+        encode_frame(&FromConductor::new(stamp.epoch, stamp.sequence, kind), max_size)
     }
 
     fn go_away(&self, stamp: UpdateStamp, go_away: GoAway<'_>) -> Bytes {
         let GoAway { reason, detail, retry_after } = go_away;
-        let mut message = FromConductor::goodbye(stamp.epoch, stamp.sequence, reason, detail);
+        let mut message = FromConductor::go_away(stamp.epoch, stamp.sequence, reason, detail);
         if let Some(from_conductor::Kind::Goodbye(goodbye)) = &mut message.kind {
             goodbye.retry_after_us = retry_after;
         }
-        frame(&message, usize::MAX).unwrap_or_default()
+        encode_frame(&message, usize::MAX).unwrap_or_default()
     }
 }
 
--- a/crates/stepspur-conductor/src/engine/reports.rs
+++ b/crates/stepspur-conductor/src/engine/reports.rs
@@ -1,7 +1,7 @@
 //! Validates load reports of proxies and collectors and passes them on.
 
 use stepspur::interface::{ClassId, Event, Micros, ProxyId, ServerId, ZoneId};
-use stepspur_proto::{address_of, v1};
+use stepspur_proto::{server_address, v1};
 
 use super::input::RequestCounts;
 use super::output::LogEvent;
@@ -89,7 +89,7 @@
         span: TimeSpan,
     ) -> Result<(ServerId, ReportSums), InvalidReport> {
         let v1::Met { total, errors, latency_us, .. } = upstream;
-        let address = address_of(&upstream.server).ok();
+        let address = server_address(&upstream.server).ok();
         let server = address.and_then(|address| self.endpoints.server_at(address));
         let server = server.ok_or(InvalidReport::UnknownServer)?;
         if !upstream.load.iter().all(|value| value.is_finite() && *value >= 0.0) {
--- a/crates/stepspur-conductor/src/service/session/mod.rs
+++ b/crates/stepspur-conductor/src/service/session/mod.rs
@@ -12,7 +12,7 @@
 use stepspur_identity::cert::CertCaller;
 use stepspur_identity::grant::Denied;
 use stepspur_identity::rights::Right;
-use stepspur_proto::{Frames, FromConductor, FromProxy, frame, from_proxy, v1};
+use stepspur_proto::{Frames, FromConductor, FromProxy, encode_frame, from_proxy, v1};
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep_until, timeout};
@@ -131,7 +131,7 @@
             }
             FirstMessage::NotReceived => return,
         };
-        reader.decoder_mut().set_largest(listen.largest_frame);
+        reader.decoder_mut().set_max_frame_bytes(listen.largest_frame);
         let received_at = Instant::now();
         let Some(admitted) = self.admit(&hello, tls_peer) else {
             sleep_until(received_at + REJECTION_DELAY).await;
@@ -277,8 +277,8 @@
         R: AsyncRead + Unpin,
         W: AsyncWrite + Unpin,
     {
-        let go_away = FromConductor::goodbye(self.context.epoch, 0, reason, detail);
-        let last_frame: Bytes = frame(&go_away, usize::MAX).unwrap_or_default();
+        let go_away = FromConductor::go_away(self.context.epoch, 0, reason, detail);
+        let last_frame: Bytes = encode_frame(&go_away, usize::MAX).unwrap_or_default();
         let linger_timeout = self.context.config.listen.write_timeout.min(LINGER_TIMEOUT);
         tokio::select! {
             () = lingering_close(reader.into_inner(), write, &last_frame, linger_timeout) => {}
--- a/crates/stepspur-conductor/src/service/session/reader.rs
+++ b/crates/stepspur-conductor/src/service/session/reader.rs
@@ -8,7 +8,7 @@
 use futures_util::StreamExt;
 use stepspur_identity::grant::Denied;
 use stepspur_identity::rights::Right;
-use stepspur_proto::{FrameError, FromConductor, FromProxy, frame, from_conductor, from_proxy, v1};
+use stepspur_proto::{FrameError, FromConductor, FromProxy, encode_frame, from_conductor, from_proxy, v1};
 use tokio::io::AsyncRead;
 use tokio::sync::watch;
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep_until};
@@ -154,7 +154,7 @@
 fn announce_expiry(queue: &WeakSendQueue, epoch: u64, remaining_us: u64) {
     let notice = from_conductor::Kind::Expiring(v1::Expiring { in_us: remaining_us });
     let Some(queue) = queue.upgrade() else { return };
-    if let Ok(frame) = frame(&FromConductor::new(epoch, 0, notice), usize::MAX) {
+    if let Ok(frame) = encode_frame(&FromConductor::new(epoch, 0, notice), usize::MAX) {
         let _ = queue.try_send(OutboundMessage::Frame(frame));
     }
 }
--- a/crates/stepspur-conductor/src/service/session/writer.rs
+++ b/crates/stepspur-conductor/src/service/session/writer.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use stepspur_proto::{FromConductor, frame, from_conductor, v1};
+use stepspur_proto::{FromConductor, encode_frame, from_conductor, v1};
 use tokio::io::{AsyncWrite, AsyncWriteExt};
 use tokio::time::timeout;
 
@@ -50,7 +50,7 @@
             queue,
             keepalive: listen.keepalive,
             write_timeout: listen.write_timeout,
-            ping: frame(&ping, usize::MAX).unwrap_or_default(),
+            ping: encode_frame(&ping, usize::MAX).unwrap_or_default(),
             batch: BytesMut::new(),
         }
     }
--- a/crates/stepspur-conductor/tests/common/engine_harness.rs
+++ b/crates/stepspur-conductor/tests/common/engine_harness.rs
@@ -6,7 +6,7 @@
 use stepspur::interface::ListUpdate;
 use stepspur_conductor::config::Config;
 use stepspur_conductor::engine::{DiscoveredEndpoint, Engine, Input, LogEvent, Output, StreamId};
-use stepspur_proto::{FromConductor, FromProxy, from_conductor, from_proxy, split_frame, v1};
+use stepspur_proto::{FromConductor, FromProxy, decode_frame, from_conductor, from_proxy, v1};
 
 use super::hello;
 use super::rules::Rules;
@@ -122,7 +122,7 @@
 
     /// Applies a frame at a proxy.
     fn receive(&mut self, stream: StreamId, frame: &[u8]) {
-        let frame: FromConductor = split_frame(frame).unwrap();
+        let frame: FromConductor = decode_frame(frame).unwrap();
         assert_eq!(frame.epoch, EPOCH);
         let Some(from_conductor::Kind::Order(order)) = frame.kind else { return };
         self.rules.apply_update(stream.0, self.now, &order);
--- a/crates/stepspur-conductor/tests/common/peer.rs
+++ b/crates/stepspur-conductor/tests/common/peer.rs
@@ -9,7 +9,7 @@
 use futures_util::{SinkExt, StreamExt};
 use stepspur_conductor::source::FileSource;
 use stepspur_conductor::{Conductor, Config};
-use stepspur_proto::{Frames, FromConductor, FromProxy, address_of, from_conductor, from_proxy, v1};
+use stepspur_proto::{Frames, FromConductor, FromProxy, from_conductor, from_proxy, server_address, v1};
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 use tokio_util::codec::Framed;
@@ -144,10 +144,10 @@
                 rules.lock().unwrap().apply_update(*key, now(), order);
             }
             if let Some(table) = &order.table {
-                self.table = table.lines.iter().map(|l| address_of(&l.server).unwrap()).collect();
+                self.table = table.lines.iter().map(|l| server_address(&l.server).unwrap()).collect();
             }
             for line in &order.lines {
-                let server = address_of(&line.server).unwrap();
+                let server = server_address(&line.server).unwrap();
                 if line.weight > 0.0 {
                     self.table.insert(server)
                 } else {
--- a/crates/stepspur-conductor/tests/common/rules.rs
+++ b/crates/stepspur-conductor/tests/common/rules.rs
@@ -15,7 +15,7 @@
 use stepspur_conductor::Config;
 use stepspur_conductor::config::IdempotencyConfig;
 use stepspur_conductor::engine::{DiscoveredEndpoint, Stats};
-use stepspur_proto::{address_of, v1};
+use stepspur_proto::{server_address, v1};
 
 /// Assumed utilization of the deployment, as a fraction of its capacity, for rule 4.
 const UTILIZATION: f64 = 0.75;
@@ -59,7 +59,7 @@
         }
         let of_table = order.table.iter().flat_map(|table| &table.lines);
         for line in order.lines.iter().chain(of_table) {
-            let server = address_of(&line.server).expect("a line names a server");
+            let server = server_address(&line.server).expect("a line names a server");
             assert!(line.weight.is_finite() && line.weight >= 0.0, "a weight of {}", line.weight);
             if line.weight > 0.0 {
                 self.weights.insert(server, line.weight);
@@ -68,7 +68,7 @@
             }
         }
         for withdrawal in withdrawals {
-            let server = address_of(&withdrawal.server).expect("an ejection names a server");
+            let server = server_address(&withdrawal.server).expect("an ejection names a server");
             if withdrawal.out {
                 self.ejected.insert(server);
             } else {
--- a/crates/stepspur-conductor/tests/engine.rs
+++ b/crates/stepspur-conductor/tests/engine.rs
@@ -9,7 +9,7 @@
 use proptest::prelude::*;
 use stepspur::interface::{EndpointState, ListUpdate, ProbeOutcome};
 use stepspur_conductor::engine::{DiscoveredEndpoint, Input, LogEvent, Output, ServerCounts, StreamId};
-use stepspur_proto::{FromProxy, from_proxy, split_frame, v1};
+use stepspur_proto::{FromProxy, decode_frame, from_proxy, v1};
 
 /// Guards against a proxy without a table, and against one that continues to use a draining server.
 #[test]
@@ -364,7 +364,7 @@
 fn decode_body(body: &[u8]) -> Result<FromProxy, stepspur_proto::FrameError> {
     let mut frame = (body.len() as u32).to_be_bytes().to_vec();
     frame.extend_from_slice(body);
-    split_frame(&frame)
+    decode_frame(&frame)
 }
 
 proptest! {
--- a/crates/stepspur-conductor/tests/faults_service.rs
+++ b/crates/stepspur-conductor/tests/faults_service.rs
@@ -19,7 +19,7 @@
     DiscoveryFuture, DiscoveryRequest, EndpointFeed, FileSource, HttpSource, ServiceDiscovery,
 };
 use stepspur_conductor::{Conductor, Config};
-use stepspur_proto::{FromConductor, FromProxy, from_proxy, split_frame, v1};
+use stepspur_proto::{FromConductor, FromProxy, decode_frame, from_proxy, v1};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
@@ -278,9 +278,9 @@
     let mut settings = config();
     settings.listen.hello_timeout = Duration::from_millis(300);
     let (_file, conductor, rules, mut good) = start_with_proxy("receipt", settings, 8).await;
-    let hello = stepspur_proto::frame(&hello("left", "a"), usize::MAX).unwrap();
+    let hello = stepspur_proto::encode_frame(&hello("left", "a"), usize::MAX).unwrap();
     let hello_and_part = [&hello[..], &[0, 0, 0, 9, 1]].concat();
-    let unknown_zone = stepspur_proto::frame(&common::hello("left", "nowhere"), usize::MAX).unwrap();
+    let unknown_zone = stepspur_proto::encode_frame(&common::hello("left", "nowhere"), usize::MAX).unwrap();
     let invalid = [0, 0, 0, 3, 0xff, 0xff, 0xff];
     let mut open_sockets = Vec::new();
     for (bytes, closes) in [
@@ -333,7 +333,7 @@
     }
     let file = EndpointListFile::new("partway", &list);
     let conductor = start(settings, &file).await;
-    let hello = stepspur_proto::frame(&hello("p", "a"), usize::MAX).unwrap();
+    let hello = stepspur_proto::encode_frame(&hello("p", "a"), usize::MAX).unwrap();
     let table_queued = async || {
         while conductor.stats().await.unwrap().messages == 0 {
             tokio::time::sleep(Duration::from_millis(10)).await
@@ -353,7 +353,7 @@
                 let size =
                     4 + u32::from_be_bytes([unparsed[0], unparsed[1], unparsed[2], unparsed[3]]) as usize;
                 let Some(frame) = unparsed.get(..size) else { break };
-                split_frame::<FromConductor>(frame).expect("only complete frames, except for the last");
+                decode_frame::<FromConductor>(frame).expect("only complete frames, except for the last");
                 unparsed = &unparsed[size..];
             }
         }
--- a/crates/stepspur-conductor/tests/service.rs
+++ b/crates/stepspur-conductor/tests/service.rs
@@ -104,7 +104,7 @@
         let mut slow = Proxy::join(&conductor, "slow").await;
         good.read_until(|table| table.len() == 6).await;
         let ping = from_proxy::Kind::Ping(v1::Ping { token: u64::MAX });
-        let pings = stepspur_proto::frame(&FromProxy::new(0, 0, ping), 99).unwrap().repeat(1000);
+        let pings = stepspur_proto::encode_frame(&FromProxy::new(0, 0, ping), 99).unwrap().repeat(1000);
         // A full queue ends the stream during the flood; a write timeout ends it after the flood.
         let flood = tokio::spawn(async move {
             for _ in 0..2_000 {
--- a/crates/stepspur-consensus-node/tests/schema.rs
+++ b/crates/stepspur-consensus-node/tests/schema.rs
@@ -8,7 +8,7 @@
 };
 use stepspur_consensus_node::{InvalidPeerMessage, PeerField, PeerFrame};
 use stepspur_proto::v1::{self, from_peer::Kind};
-use stepspur_proto::{LARGEST_FRAME, frame, split_frame};
+use stepspur_proto::{DEFAULT_MAX_FRAME_BYTES, decode_frame, encode_frame};
 
 fn term() -> impl Strategy<Value = Term> {
     any::<u64>().prop_map(Term)
@@ -140,8 +140,8 @@
     #[test]
     fn encoded_message_decodes_unchanged(from in any::<u64>(), to in any::<u64>(), message in message()) {
         let sent = PeerFrame { from: MemberId(from), to: MemberId(to), message };
-        let bytes = frame(&v1::FromPeer::from(sent.clone()), LARGEST_FRAME).unwrap();
-        let received = PeerFrame::try_from(split_frame::<v1::FromPeer>(&bytes).unwrap()).unwrap();
+        let bytes = encode_frame(&v1::FromPeer::from(sent.clone()), DEFAULT_MAX_FRAME_BYTES).unwrap();
+        let received = PeerFrame::try_from(decode_frame::<v1::FromPeer>(&bytes).unwrap()).unwrap();
         prop_assert_eq!(received, sent);
     }
 
@@ -150,7 +150,7 @@
     fn arbitrary_bytes_are_decoded_without_a_panic(bytes in any::<Vec<u8>>()) {
         let mut framed = (bytes.len() as u32).to_be_bytes().to_vec();
         framed.extend(bytes);
-        if let Ok(frame) = split_frame::<v1::FromPeer>(&framed) {
+        if let Ok(frame) = decode_frame::<v1::FromPeer>(&framed) {
             let _ = PeerFrame::try_from(frame);
         }
     }
--- a/crates/stepspur-distribution/src/control/connection.rs
+++ b/crates/stepspur-distribution/src/control/connection.rs
@@ -8,7 +8,7 @@
 use futures_util::StreamExt;
 use stepspur_consensus_node::Stream;
 use stepspur_proto::v1::{FromControl, FromSubscriber};
-use stepspur_proto::{FrameError, Frames, frame};
+use stepspur_proto::{FrameError, Frames, encode_frame};
 use tokio::io::{AsyncReadExt, AsyncWriteExt, ReadHalf, WriteHalf};
 use tokio::time::{Instant, timeout};
 use tokio_util::codec::FramedRead;
@@ -95,7 +95,7 @@
     pub(super) async fn next(&mut self, limit: Duration) -> Result<FromSubscriber, ConnectionError> {
         let next = timeout(limit, self.0.next()).await.map_err(|_| ConnectionError::ReadTimeout(limit))?;
         let frame = next.ok_or(ConnectionError::Closed)??;
-        self.0.decoder_mut().set_largest(MAX_LATER_FRAME_BYTES);
+        self.0.decoder_mut().set_max_frame_bytes(MAX_LATER_FRAME_BYTES);
         Ok(frame)
     }
 
@@ -113,7 +113,7 @@
 impl FrameWriter {
     /// Writes a frame, within [`WRITE_TIMEOUT`].
     pub(super) async fn write(&mut self, message: &FromControl) -> Result<(), ConnectionError> {
-        let bytes = frame(message, MAX_WRITTEN_FRAME_BYTES)?;
+        let bytes = encode_frame(message, MAX_WRITTEN_FRAME_BYTES)?;
         let written = timeout(WRITE_TIMEOUT, self.half.write_all(&bytes)).await;
         written.map_err(|_| ConnectionError::WriteTimeout(WRITE_TIMEOUT))?.map_err(FrameError::from)?;
         self.bytes_written.fetch_add(bytes.len() as u64, Ordering::Relaxed);
--- a/crates/stepspur-distribution/src/control/messages.rs
+++ b/crates/stepspur-distribution/src/control/messages.rs
@@ -20,7 +20,7 @@
 /// Maximum length of each later frame that is read, and of each summary that is written, in bytes.
 pub(super) const MAX_LATER_FRAME_BYTES: usize = 512 << 10;
 /// Maximum length of a frame to a subscriber, in bytes.
-pub(super) const MAX_WRITTEN_FRAME_BYTES: usize = stepspur_proto::LARGEST_FRAME;
+pub(super) const MAX_WRITTEN_FRAME_BYTES: usize = stepspur_proto::DEFAULT_MAX_FRAME_BYTES;
 
 fn frame(kind: from_control::Kind) -> FromControl {
     FromControl { kind: Some(kind) }
--- a/crates/stepspur-distribution/src/control/reporter.rs
+++ b/crates/stepspur-distribution/src/control/reporter.rs
@@ -6,7 +6,7 @@
 
 use stepspur_consensus_node::Stream;
 use stepspur_proto::v1::{ControlSummary, FromSubscriber};
-use stepspur_proto::{FrameError, frame, from_subscriber};
+use stepspur_proto::{FrameError, encode_frame, from_subscriber};
 use tokio::io::AsyncWriteExt;
 use tokio::time::{MissedTickBehavior, interval, timeout};
 use tokio_util::sync::CancellationToken;
@@ -136,7 +136,7 @@
 
 async fn write(stream: &mut Box<dyn Stream>, part: ControlSummary) -> Result<(), ReportError> {
     let message = FromSubscriber { kind: Some(from_subscriber::Kind::Summary(part)) };
-    let bytes = frame(&message, MAX_LATER_FRAME_BYTES)?;
+    let bytes = encode_frame(&message, MAX_LATER_FRAME_BYTES)?;
     let written = timeout(LEADER_TIMEOUT, stream.write_all(&bytes)).await;
     written.map_err(|_| ReportError::WriteTimeout)?.map_err(ReportError::Write)
 }
--- a/crates/stepspur-distribution/src/control/summary_encoder/tests.rs
+++ b/crates/stepspur-distribution/src/control/summary_encoder/tests.rs
@@ -50,7 +50,7 @@
         let expected = (now.evaluated_version, now.by_name.clone());
         let parts = encoder.encode_changes(now);
         assert_eq!((parts.len(), names(&parts[0]), parts[0].whole), (1, changed_count, false));
-        let bytes = stepspur_proto::frame(&parts[0], 1 << 20).unwrap().len();
+        let bytes = stepspur_proto::encode_frame(&parts[0], 1 << 20).unwrap().len();
         assert!(changed_count > 0 || bytes < 40, "{bytes} bytes");
         collector.add(at, parts[0].clone()).unwrap();
         assert_eq!(known(&collector), Some(expected));
--- a/crates/stepspur-distribution/src/subscriber/settings.rs
+++ b/crates/stepspur-distribution/src/subscriber/settings.rs
@@ -61,7 +61,7 @@
         }
         self.interest = self.interest.sorted()?;
         let subscribe = messages::subscribe(&self.name, &self.interest, Version::NONE, Version::NONE, true);
-        stepspur_proto::frame(&subscribe, MAX_FRAME_BYTES)?;
+        stepspur_proto::encode_frame(&subscribe, MAX_FRAME_BYTES)?;
         Ok(self)
     }
 }
--- a/crates/stepspur-distribution/tests/subscriber/common.rs
+++ b/crates/stepspur-distribution/tests/subscriber/common.rs
@@ -14,7 +14,9 @@
     DocumentApplier, DocumentNotApplied, Subscriber, SubscriberSettings, SubscriberStatus,
 };
 use stepspur_distribution::version::{Version, version_of};
-use stepspur_proto::{Frames, FromControl, FromSubscriber, LARGEST_FRAME, from_control, from_subscriber, v1};
+use stepspur_proto::{
+    DEFAULT_MAX_FRAME_BYTES, Frames, FromControl, FromSubscriber, from_control, from_subscriber, v1,
+};
 use tokio::io::{DuplexStream, duplex};
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, timeout};
@@ -100,7 +102,7 @@
             .expect("a connection in time")
             .expect("the network exists");
         let mut connection = ControlConnection {
-            frames: Framed::new(stream, Frames::new(LARGEST_FRAME)),
+            frames: Framed::new(stream, Frames::new(DEFAULT_MAX_FRAME_BYTES)),
             subscribe: v1::ConfigSubscribe::default(),
         };
         match connection.receive().await {
--- a/crates/stepspur-emulator/src/judge.rs
+++ b/crates/stepspur-emulator/src/judge.rs
@@ -12,7 +12,7 @@
 use stepspur_conductor::config::{DedupScopeConfig, IdempotencyConfig};
 use stepspur_conductor::source::{EndpointRecord, EndpointRecordState};
 use stepspur_model::Micros;
-use stepspur_proto::{address_of, v1};
+use stepspur_proto::{server_address, v1};
 
 use crate::plan::Plan;
 use crate::trace::{Arrival, Came, Event, RequestId};
@@ -289,12 +289,12 @@
         let (messages_max, window) = self.figures.messages;
         let view = self.proxies.entry(proxy).or_default();
         if let Some(table) = &order.table {
-            view.table = table.lines.iter().filter_map(|l| address_of(&l.server).ok()).collect();
+            view.table = table.lines.iter().filter_map(|l| server_address(&l.server).ok()).collect();
             let out = table.withdrawals.iter().filter(|w| w.out);
-            view.withdrawn = out.filter_map(|w| address_of(&w.server).ok()).collect();
+            view.withdrawn = out.filter_map(|w| server_address(&w.server).ok()).collect();
         }
         for line in &order.lines {
-            let Ok(server) = address_of(&line.server) else { continue };
+            let Ok(server) = server_address(&line.server) else { continue };
             if line.weight > 0.0 {
                 view.table.insert(server)
             } else {
@@ -302,7 +302,7 @@
             };
         }
         for withdrawal in &order.withdrawals {
-            let Ok(server) = address_of(&withdrawal.server) else { continue };
+            let Ok(server) = server_address(&withdrawal.server) else { continue };
             if withdrawal.out {
                 view.withdrawn.insert(server)
             } else {
--- a/crates/stepspur-emulator/src/proxy.rs
+++ b/crates/stepspur-emulator/src/proxy.rs
@@ -257,7 +257,7 @@
                 Either::Right(stream)
             }
         };
-        let mut stream: Stream = Framed::new(socket, Frames::new(stepspur_proto::LARGEST_FRAME));
+        let mut stream: Stream = Framed::new(socket, Frames::new(stepspur_proto::DEFAULT_MAX_FRAME_BYTES));
         let (epoch, sequence, fresh) = {
             let model = lock(&self.model);
             let (epoch, sequence) = model.newest();
@@ -336,7 +336,7 @@
         let FromConductor { epoch, sequence, kind } = frame;
         let answer = match kind {
             Some(from_conductor::Kind::Order(order)) => {
-                let lines = order.cost() as f64 + self.message_head;
+                let lines = order.line_count() as f64 + self.message_head;
                 if slow > 1.0 {
                     let takes = lines / self.lines_per_s * (slow - 1.0);
                     tokio::time::sleep(Duration::from_secs_f64(takes.min(5.0))).await;
--- a/crates/stepspur-model/src/proxy.rs
+++ b/crates/stepspur-model/src/proxy.rs
@@ -9,7 +9,7 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use stepspur_proto::{address_of, v1};
+use stepspur_proto::{server_address, v1};
 
 use crate::Micros;
 
@@ -193,7 +193,7 @@
     /// not finite, is removed.
     fn apply_changes(&mut self, lines: &[v1::Line], levels: &[v1::Level], withdrawals: &[v1::Withdrawal]) {
         for line in lines {
-            let Ok(server) = address_of(&line.server) else { continue };
+            let Ok(server) = server_address(&line.server) else { continue };
             let weight = f64::from(line.weight);
             match (self.line_index(server), weight > 0.0 && weight.is_finite()) {
                 (Ok(at), true) => self.lines[at].weight = weight,
@@ -213,7 +213,7 @@
             }
         }
         for withdrawal in withdrawals {
-            let Ok(server) = address_of(&withdrawal.server) else { continue };
+            let Ok(server) = server_address(&withdrawal.server) else { continue };
             if withdrawal.out {
                 self.withdrawn.insert(server)
             } else {
--- a/crates/stepspur-platform/src/protocol.rs
+++ b/crates/stepspur-platform/src/protocol.rs
@@ -98,7 +98,7 @@
             parts.push(Part::default());
         }
         if parts.len() > MAX_PARTS {
-            return Err(FrameError::TooLarge { size: parts.len(), largest: MAX_PARTS });
+            return Err(FrameError::TooLarge { size: parts.len(), max: MAX_PARTS });
         }
         let last = parts.len() - 1;
         parts[0].full = update.complete_table.is_some();
--- a/crates/stepspur-proto/src/address.rs
+++ b/crates/stepspur-proto/src/address.rs
@@ -50,6 +50,6 @@
 ///
 /// # Errors
 /// [`InvalidAddress::Missing`] if the field is absent, or the error of the conversion.
-pub fn address_of(server: &Option<Server>) -> Result<SocketAddr, InvalidAddress> {
+pub fn server_address(server: &Option<Server>) -> Result<SocketAddr, InvalidAddress> {
     server.as_ref().ok_or(InvalidAddress::Missing)?.try_into()
 }
--- a/crates/stepspur-proto/src/frame.rs
+++ b/crates/stepspur-proto/src/frame.rs
@@ -11,18 +11,18 @@
 pub const LENGTH_FIELD_BYTES: usize = 4;
 
 /// Default maximum length of a frame's body, in bytes: about 50,000 lines of a table.
-pub const LARGEST_FRAME: usize = 1 << 20;
+pub const DEFAULT_MAX_FRAME_BYTES: usize = 1 << 20;
 
 /// Why the bytes of a stream are not valid frames. It ends only that stream.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
     /// The body is larger than the limit.
-    #[error("a frame of {size} bytes is larger than {largest}")]
+    #[error("a frame of {size} bytes is larger than {max}")]
     TooLarge {
         /// Length of the body, in bytes.
         size: usize,
         /// Maximum length, in bytes.
-        largest: usize,
+        max: usize,
     },
     /// The stream ended inside a frame.
     #[error("the stream ended inside a frame, {received} bytes after its start")]
@@ -41,24 +41,24 @@
 /// Encodes one message as a frame, including its length field.
 ///
 /// # Errors
-/// [`FrameError::TooLarge`] if the body is larger than `largest` bytes.
-pub fn frame(message: &impl Message, largest: usize) -> Result<Bytes, FrameError> {
+/// [`FrameError::TooLarge`] if the body is larger than `max_frame_bytes` bytes.
+pub fn encode_frame(message: &impl Message, max_frame_bytes: usize) -> Result<Bytes, FrameError> {
     let size = message.encoded_len();
-    if size > largest || u32::try_from(size).is_err() {
-        return Err(FrameError::TooLarge { size, largest });
+    if size > max_frame_bytes || u32::try_from(size).is_err() {
+        return Err(FrameError::TooLarge { size, max: max_frame_bytes });
     }
     let mut out = BytesMut::with_capacity(LENGTH_FIELD_BYTES + size);
     out.put_u32(size as u32);
-    message.encode(&mut out).map_err(|_| FrameError::TooLarge { size, largest })?;
+    message.encode(&mut out).map_err(|_| FrameError::TooLarge { size, max: max_frame_bytes })?;
     Ok(out.freeze())
 }
 
-/// Decodes the message in one complete frame, as encoded by [`frame`].
+/// Decodes the message in one complete frame, as encoded by [`encode_frame`].
 ///
 /// # Errors
 /// [`FrameError::Truncated`] if bytes are missing or left over, [`FrameError::Malformed`] if the body cannot
 /// be decoded.
-pub fn split_frame<M: Message + Default>(frame: &[u8]) -> Result<M, FrameError> {
+pub fn decode_frame<M: Message + Default>(frame: &[u8]) -> Result<M, FrameError> {
     let truncated = FrameError::Truncated { received: frame.len() };
     let Some((head, body)) = frame.split_first_chunk::<LENGTH_FIELD_BYTES>() else { return Err(truncated) };
     if u32::from_be_bytes(*head) as usize != body.len() {
@@ -70,19 +70,19 @@
 /// The codec of one side of a connection: decodes messages `In` and encodes messages `Out`.
 #[derive(Debug)]
 pub struct Frames<In, Out> {
-    largest: usize,
+    max_frame_bytes: usize,
     kinds: PhantomData<fn(In) -> Out>,
 }
 
 impl<In, Out> Frames<In, Out> {
-    /// Creates a codec with a maximum body length of `largest` bytes in both directions.
-    pub fn new(largest: usize) -> Self {
-        Self { largest, kinds: PhantomData }
+    /// Creates a codec with a maximum body length of `max_frame_bytes` bytes in both directions.
+    pub fn new(max_frame_bytes: usize) -> Self {
+        Self { max_frame_bytes, kinds: PhantomData }
     }
 
-    /// Changes the maximum body length to `largest` bytes, for all later frames.
-    pub fn set_largest(&mut self, largest: usize) {
-        self.largest = largest;
+    /// Changes the maximum body length to `max_frame_bytes` bytes, for all later frames.
+    pub fn set_max_frame_bytes(&mut self, max_frame_bytes: usize) {
+        self.max_frame_bytes = max_frame_bytes;
     }
 }
 
@@ -94,8 +94,8 @@
         let Some(head) = from.first_chunk::<LENGTH_FIELD_BYTES>() else { return Ok(None) };
         let size = u32::from_be_bytes(*head) as usize;
         // Checked before any memory is reserved for the body.
-        if size > self.largest {
-            return Err(FrameError::TooLarge { size, largest: self.largest });
+        if size > self.max_frame_bytes {
+            return Err(FrameError::TooLarge { size, max: self.max_frame_bytes });
         }
         if from.len() < LENGTH_FIELD_BYTES + size {
             from.reserve(LENGTH_FIELD_BYTES + size - from.len());
@@ -117,7 +117,7 @@
     type Error = FrameError;
 
     fn encode(&mut self, message: Out, into: &mut BytesMut) -> Result<(), FrameError> {
-        into.extend_from_slice(&frame(&message, self.largest)?);
+        into.extend_from_slice(&encode_frame(&message, self.max_frame_bytes)?);
         Ok(())
     }
 }
--- a/crates/stepspur-proto/src/lib.rs
+++ b/crates/stepspur-proto/src/lib.rs
@@ -11,8 +11,10 @@
 mod address;
 mod frame;
 
-pub use address::{InvalidAddress, address_of};
-pub use frame::{FrameError, Frames, LARGEST_FRAME, LENGTH_FIELD_BYTES, frame, split_frame};
+pub use address::{InvalidAddress, server_address};
+pub use frame::{
+    DEFAULT_MAX_FRAME_BYTES, FrameError, Frames, LENGTH_FIELD_BYTES, decode_frame, encode_frame,
+};
 
 /// The message types that are generated from `proto/proxy.proto`.
 #[allow(missing_docs, clippy::doc_lazy_continuation)]
@@ -42,7 +44,7 @@
     }
 
     /// Creates the last frame of a conductor, without a minimum time before the proxy reconnects.
-    pub fn goodbye(epoch: u64, sequence: u64, reason: v1::Reason, detail: impl Into<String>) -> Self {
+    pub fn go_away(epoch: u64, sequence: u64, reason: v1::Reason, detail: impl Into<String>) -> Self {
         let goodbye = v1::Goodbye { reason: reason.into(), detail: detail.into(), retry_after_us: 0 };
         Self::new(epoch, sequence, from_conductor::Kind::Goodbye(goodbye))
     }
@@ -51,7 +53,7 @@
 impl v1::Order {
     /// The size of the order in lines, as the model of the channel counts it, without the message head: one
     /// for each line, level and withdrawal, one for a complete table, one for a mark.
-    pub fn cost(&self) -> usize {
+    pub fn line_count(&self) -> usize {
         let table = |t: &v1::Table| 1 + t.lines.len() + t.levels.len() + t.withdrawals.len();
         let whole = self.table.as_ref().map_or(0, table);
         let changes = self.lines.len() + self.levels.len() + self.withdrawals.len();
--- a/crates/stepspur-proto/tests/frames.rs
+++ b/crates/stepspur-proto/tests/frames.rs
@@ -6,7 +6,7 @@
 use prost::Message;
 use stepspur_proto::v1::*;
 use stepspur_proto::{
-    FrameError, Frames, FromConductor, FromProxy, frame, from_conductor, from_proxy, split_frame,
+    FrameError, Frames, FromConductor, FromProxy, decode_frame, encode_frame, from_conductor, from_proxy,
 };
 use tokio_util::codec::{Decoder, Encoder};
 
@@ -32,22 +32,27 @@
 fn documented_frames_equal_the_encoded_ones() {
     let page = include_str!("../../../docs/protocol.md").replace(' ', "");
     let applied = FromProxy::new(3, 17, from_proxy::Kind::Applied(Applied { mark: 5, took_us: 250 }));
-    let goodbye = FromConductor::goodbye(3, 18, Reason::Replaced, "p-7 again");
-    let expected = [frame(&hello(), 99), frame(&order(1), 99), frame(&applied, 99), frame(&goodbye, 99)];
+    let goodbye = FromConductor::go_away(3, 18, Reason::Replaced, "p-7 again");
+    let expected = [
+        encode_frame(&hello(), 99),
+        encode_frame(&order(1), 99),
+        encode_frame(&applied, 99),
+        encode_frame(&goodbye, 99),
+    ];
     for bytes in expected {
         let bytes = hex(&bytes.unwrap());
         assert!(page.contains(&bytes), "docs/protocol.md does not show {bytes}");
     }
 }
 
-/// A frame of exactly the maximum length is accepted. One that is a byte larger is rejected by the encoder and,
-/// before any of its body is buffered, by the decoder: a peer must not be able to claim more memory.
+/// A frame of exactly the maximum length is accepted. One that is a byte larger is rejected by the encoder
+/// and, before any of its body is buffered, by the decoder: a peer must not be able to claim more memory.
 #[test]
 fn a_frame_of_the_maximum_length_is_accepted_and_a_larger_one_rejected() {
     let message = order(20);
     let size = message.encoded_len();
-    let mut wire = BytesMut::from(&frame(&message, size).unwrap()[..]);
-    assert!(matches!(frame(&message, size - 1), Err(FrameError::TooLarge { .. })));
+    let mut wire = BytesMut::from(&encode_frame(&message, size).unwrap()[..]);
+    assert!(matches!(encode_frame(&message, size - 1), Err(FrameError::TooLarge { .. })));
     let mut too_small = Side::<FromConductor, FromProxy>::new(size - 1);
     assert!(matches!(too_small.decode(&mut wire.clone()), Err(FrameError::TooLarge { .. })));
     let mut large_enough = Side::<FromConductor, FromProxy>::new(size);
@@ -114,13 +119,13 @@
         let mut reader = Side::<FromProxy, FromConductor>::new(4096);
         let mut buffer = BytesMut::from(&bytes[..]);
         while let Ok(Some(_)) = reader.decode(&mut buffer) {}
-        let _ = split_frame::<FromProxy>(&bytes);
+        let _ = decode_frame::<FromProxy>(&bytes);
     }
 
     /// A stream that ends inside a frame is an error, not a silent end.
     #[test]
     fn a_truncated_frame_is_an_error(message in any_message(), kept_share in 0.0f64..1.0) {
-        let whole = frame(&message, 1 << 20).unwrap();
+        let whole = encode_frame(&message, 1 << 20).unwrap();
         let length = 1 + ((whole.len() - 2) as f64 * kept_share) as usize;
         let mut reader = Side::<FromConductor, FromProxy>::new(1 << 20);
         let end = reader.decode_eof(&mut BytesMut::from(&whole[..length]));
--- a/crates/stepspur-scale/src/fleet/proxies.rs
+++ b/crates/stepspur-scale/src/fleet/proxies.rs
@@ -13,7 +13,8 @@
 use futures_util::{SinkExt, StreamExt};
 use stepspur_distribution::document::{Change, Target};
 use stepspur_proto::{
-    Frames, FromConductor, FromProxy, LARGEST_FRAME, VERSION, address_of, from_conductor, from_proxy, v1,
+    DEFAULT_MAX_FRAME_BYTES, Frames, FromConductor, FromProxy, VERSION, from_conductor, from_proxy,
+    server_address, v1,
 };
 use tokio::net::TcpStream;
 use tokio::sync::watch;
@@ -160,7 +161,7 @@
 async fn run_stream(address: SocketAddr, name: &str, zone: &str, log: &OrderLog) -> anyhow::Result<()> {
     let socket = TcpStream::connect(address).await?;
     socket.set_nodelay(true)?;
-    let mut frames = Framed::new(socket, Frames::<FromConductor, FromProxy>::new(LARGEST_FRAME));
+    let mut frames = Framed::new(socket, Frames::<FromConductor, FromProxy>::new(DEFAULT_MAX_FRAME_BYTES));
     let hello = v1::Hello {
         version: VERSION,
         name: name.into(),
@@ -240,11 +241,11 @@
             withdrawals.splice(0..0, full_table.withdrawals);
         }
         for line in lines {
-            let Ok(server) = address_of(&line.server) else { continue };
+            let Ok(server) = server_address(&line.server) else { continue };
             self.weights.insert(server, line.weight);
         }
         for withdrawal in withdrawals {
-            let Ok(server) = address_of(&withdrawal.server) else { continue };
+            let Ok(server) = server_address(&withdrawal.server) else { continue };
             match withdrawal.out {
                 true => self.withdrawn.insert(server),
                 false => self.withdrawn.remove(&server),
--- a/crates/stepspur-scale/src/fleet/proxies/tests.rs
+++ b/crates/stepspur-scale/src/fleet/proxies/tests.rs
@@ -4,7 +4,9 @@
 use std::time::Duration;
 
 use futures_util::{SinkExt, StreamExt};
-use stepspur_proto::{Frames, FromConductor, FromProxy, LARGEST_FRAME, from_conductor, from_proxy, v1};
+use stepspur_proto::{
+    DEFAULT_MAX_FRAME_BYTES, Frames, FromConductor, FromProxy, from_conductor, from_proxy, v1,
+};
 use tokio::net::TcpListener;
 use tokio::time::timeout;
 use tokio_util::codec::Framed;
@@ -50,7 +52,7 @@
     let address = listener.local_addr().unwrap();
     let proxy = tokio::spawn(async move { run_stream(address, "p", "a", &OrderLog::default()).await });
     let (socket, _) = timeout(TEST_TIMEOUT, listener.accept()).await.unwrap().unwrap();
-    let mut frames = Framed::new(socket, Frames::<FromProxy, FromConductor>::new(LARGEST_FRAME));
+    let mut frames = Framed::new(socket, Frames::<FromProxy, FromConductor>::new(DEFAULT_MAX_FRAME_BYTES));
     let hello = timeout(TEST_TIMEOUT, frames.next()).await.expect("in time").unwrap().unwrap().kind;
     assert!(matches!(hello, Some(from_proxy::Kind::Hello(_))));
     let welcome = v1::Welcome { keepalive_us: 100_000, ..Default::default() };
--- a/crates/stepspur-scale/src/fleet/relay.rs
+++ b/crates/stepspur-scale/src/fleet/relay.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 use futures_util::{FutureExt, SinkExt, StreamExt};
-use stepspur_proto::{FrameError, Frames, FromControl, LARGEST_FRAME, from_control, v1};
+use stepspur_proto::{DEFAULT_MAX_FRAME_BYTES, FrameError, Frames, FromControl, from_control, v1};
 use tokio::io::{AsyncWriteExt, Interest, ReadHalf, WriteHalf};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Semaphore;
@@ -172,8 +172,8 @@
     to: WriteHalf<GatedStream>,
     addresses: &AddressMap,
 ) -> Result<(), FrameError> {
-    let mut frames = FramedRead::new(from, Frames::<FromControl, FromControl>::new(LARGEST_FRAME));
-    let mut to = FramedWrite::new(to, Frames::<FromControl, FromControl>::new(LARGEST_FRAME));
+    let mut frames = FramedRead::new(from, Frames::<FromControl, FromControl>::new(DEFAULT_MAX_FRAME_BYTES));
+    let mut to = FramedWrite::new(to, Frames::<FromControl, FromControl>::new(DEFAULT_MAX_FRAME_BYTES));
     while let Some(frame) = frames.next().await {
         to.send(addresses.rewritten(frame?)).await?;
     }
--- a/crates/stepspur-scale/src/fleet/relay/tests.rs
+++ b/crates/stepspur-scale/src/fleet/relay/tests.rs
@@ -4,7 +4,9 @@
 use std::time::Duration;
 
 use futures_util::{SinkExt, StreamExt};
-use stepspur_proto::{Frames, FromControl, FromSubscriber, LARGEST_FRAME, from_control, from_subscriber, v1};
+use stepspur_proto::{
+    DEFAULT_MAX_FRAME_BYTES, Frames, FromControl, FromSubscriber, from_control, from_subscriber, v1,
+};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 use tokio_util::codec::Framed;
@@ -42,12 +44,12 @@
 
     async fn dial(&self) -> Conductor {
         let socket = TcpStream::connect(self.relay.control()[0].address).await.unwrap();
-        Framed::new(socket, Frames::new(LARGEST_FRAME))
+        Framed::new(socket, Frames::new(DEFAULT_MAX_FRAME_BYTES))
     }
 
     async fn accept(&self) -> Control {
         let (socket, _) = timeout(TEST_TIMEOUT, self.members[0].accept()).await.unwrap().unwrap();
-        Framed::new(socket, Frames::new(LARGEST_FRAME))
+        Framed::new(socket, Frames::new(DEFAULT_MAX_FRAME_BYTES))
     }
 
     /// Opens a connection over which one frame has passed in each direction.
--- a/crates/stepspur-scale/src/hollow/proxies.rs
+++ b/crates/stepspur-scale/src/hollow/proxies.rs
@@ -13,8 +13,8 @@
 use rand_chacha::ChaCha8Rng;
 use stepspur_proto::v1;
 use stepspur_proto::{
-    FrameError, Frames, FromConductor, FromProxy, LARGEST_FRAME, VERSION, address_of, from_conductor,
-    from_proxy,
+    DEFAULT_MAX_FRAME_BYTES, FrameError, Frames, FromConductor, FromProxy, VERSION, from_conductor,
+    from_proxy, server_address,
 };
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, watch};
@@ -98,7 +98,7 @@
             tasks.spawn(async move {
                 tokio::select! {
                     () = stop.cancelled() => {}
-                    _ = proxy.run(Framed::new(socket, Frames::new(LARGEST_FRAME))) => {}
+                    _ = proxy.run(Framed::new(socket, Frames::new(DEFAULT_MAX_FRAME_BYTES))) => {}
                 }
             });
         }
@@ -228,7 +228,7 @@
             return;
         };
         for line in &order.lines {
-            let Ok(server) = address_of(&line.server) else { continue };
+            let Ok(server) = server_address(&line.server) else { continue };
             let change = TableChange { proxy: self.number, server, used: line.weight > 0.0, at };
             // The receiver is dropped at the end of the measurement.
             let _ = table_changes.send(change).await;
--- a/crates/stepspur-simulation/src/world/conductors.rs
+++ b/crates/stepspur-simulation/src/world/conductors.rs
@@ -7,7 +7,7 @@
 use stepspur_conductor::engine::{Engine, Input, Output, StreamId};
 use stepspur_emulator::trace::Event;
 use stepspur_model::Micros;
-use stepspur_proto::{FromConductor, split_frame};
+use stepspur_proto::{FromConductor, decode_frame};
 
 use super::World;
 use super::schedule::{ConductorIncarnation, Scheduled};
@@ -133,7 +133,7 @@
         if let Some((_, decoded)) = self.decoded.as_ref().filter(|(cached, _)| is_same(cached)) {
             return Some(Arc::clone(decoded));
         }
-        let decoded = Arc::new(split_frame::<FromConductor>(&frame).ok()?);
+        let decoded = Arc::new(decode_frame::<FromConductor>(&frame).ok()?);
         self.decoded = Some((frame, Arc::clone(&decoded)));
         Some(decoded)
     }
--- a/crates/stepspur-simulation/src/world/streams.rs
+++ b/crates/stepspur-simulation/src/world/streams.rs
@@ -142,7 +142,7 @@
         // Over a slow channel, frames are read one after the other, in proportion to their lines.
         let channel = &self.config.channel;
         let lines = match &frame.kind {
-            Some(from_conductor::Kind::Order(order)) => order.cost() as f64 + channel.message_head,
+            Some(from_conductor::Kind::Order(order)) => order.line_count() as f64 + channel.message_head,
             _ => 0.0,
         };
         let read_time_s = lines / channel.lines_per_s * (state.impairment.slow - 1.0).max(0.0);
@@ -180,7 +180,7 @@
 
     /// Applies an order and acknowledges its mark, if it carries one.
     fn apply_order(&mut self, proxy: usize, stream: StreamId, frame: &FromConductor, order: &v1::Order) {
-        let lines = order.cost() as f64 + self.config.channel.message_head;
+        let lines = order.line_count() as f64 + self.config.channel.message_head;
         self.orders += 1;
         let mark = self.proxies[proxy].model.apply(frame.epoch, frame.sequence, order);
         if self.options.judged {
