--- a/crates/stepspur-cli/src/platform.rs
+++ b/crates/stepspur-cli/src/platform.rs
@@ -6,7 +6,7 @@
 use anyhow::Context;
 use stepspur_conductor::Conductor;
 use stepspur_emulator::Announcement;
-use stepspur_platform::{PlatformConfig, front};
+use stepspur_platform::{PlatformConfig, protocol_server};
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::watch;
 
@@ -33,7 +33,8 @@
     };
     let (discovery, newest_discovery) = watch::channel(config.discovery);
     let name = config.name.clone();
-    let mut conductor = Conductor::start_protocol_server(front(config.clone(), newest_discovery)).await?;
+    let mut conductor =
+        Conductor::start_protocol_server(protocol_server(config.clone(), newest_discovery)).await?;
     let (listening, status, epoch) = (conductor.address(), conductor.status_address(), conductor.epoch());
     println!("{}", serde_json::to_string(&Announcement { listening, status, epoch })?);
     tracing::info!(event = "serving", name);
@@ -75,7 +76,7 @@
                 Some(()) = sighup.recv() => {}
             }
         };
-        for place in reloaded.refused {
+        for place in reloaded.restart_required {
             tracing::warn!(event = "reload_rejected", place, cause = "it takes a restart to change this");
         }
         let address = reloaded.discovery;
--- a/crates/stepspur-cli/tests/restarts.rs
+++ b/crates/stepspur-cli/tests/restarts.rs
@@ -14,12 +14,12 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, SystemTime};
 
-use platform::{Caller, StandIn, file, list, load, node};
+use platform::{FakeDiscovery, TestPeer, file, list, load, node};
 use rules::Rules;
 use serde_json::{Value, json};
 use stepspur_conductor::config::IdempotencyConfig;
 use stepspur_conductor::engine::{ServerCounts, Stats};
-use stepspur_platform::discovery::Answer;
+use stepspur_platform::discovery::EndpointListUpdate;
 use stepspur_proto::v1;
 use tokio::net::TcpStream;
 use tokio::process::{Child, Command};
@@ -86,7 +86,7 @@
 
     /// Records the real states of servers from now on.
     fn set_server_states(&self, nodes: &[Value]) {
-        let answer: Answer = serde_json::from_value(list(1, true, nodes)).unwrap();
+        let answer: EndpointListUpdate = serde_json::from_value(list(1, true, nodes)).unwrap();
         let mut checker = self.checker();
         for entry in &answer.entries {
             checker.addresses.insert(entry.name.clone().unwrap(), entry.address);
@@ -105,7 +105,7 @@
                 tokio::task::yield_now().await;
                 continue;
             };
-            let mut caller = Caller::over(socket);
+            let mut caller = TestPeer::from_stream(socket);
             self.checker().rules.proxy_connected(number as u64, now());
             tokio::select! {
                 _ = self.stream(&mut caller, number, conductor, &mut table) => {}
@@ -121,7 +121,7 @@
     /// Runs one stream of a proxy until it ends.
     async fn stream(
         &self,
-        caller: &mut Caller,
+        caller: &mut TestPeer,
         number: usize,
         conductor: usize,
         table: &mut ProxyTable,
@@ -129,7 +129,7 @@
         let zone = ["a", "b"][number % 2];
         let fresh = table.weights.is_empty();
         caller
-            .say(&json!({"@type": "attach", "proxy": number, "zone": zone, "weight": 5.0, "fresh": fresh}))
+            .send(&json!({"@type": "attach", "proxy": number, "zone": zone, "weight": 5.0, "fresh": fresh}))
             .await;
         let (mut cost, mut levels) = (MESSAGE_HEAD, Vec::new());
         loop {
@@ -168,7 +168,7 @@
             self.check_table(number, conductor, table, std::mem::take(&mut levels), cost);
             cost = MESSAGE_HEAD;
             if let Some(mark) = part["nonce_out"].as_u64() {
-                caller.say(&json!({"@type": "done", "proxy": number, "mark": mark, "took_ms": 1.0})).await;
+                caller.send(&json!({"@type": "done", "proxy": number, "mark": mark, "took_ms": 1.0})).await;
                 self.checker().unacknowledged.remove(&(conductor, number));
             }
         }
@@ -236,8 +236,8 @@
         loop {
             look.tick().await;
             let Ok(socket) = TcpStream::connect(address).await else { continue };
-            let mut caller = Caller::over(socket);
-            caller.say(&json!({"@type": "hb"})).await;
+            let mut caller = TestPeer::from_stream(socket);
+            caller.send(&json!({"@type": "hb"})).await;
             if caller.next().await == Some(json!({"@type": "hb_ok"})) {
                 return;
             }
@@ -270,7 +270,7 @@
 #[tokio::test]
 async fn conductors_restarted_in_turn_while_servers_are_replaced_and_discovery_moves_keep_the_rules() {
     let mut nodes: Vec<Value> = (0..SERVERS).map(|k| node(k, "ready", 0)).collect();
-    let discoveries = [StandIn::start(&nodes).await, StandIn::start(&nodes).await];
+    let discoveries = [FakeDiscovery::start(&nodes).await, FakeDiscovery::start(&nodes).await];
     let folder = tempfile::tempdir().unwrap();
     let paths: Vec<_> = (0..CONDUCTORS).map(|k| folder.path().join(format!("n{k}.json"))).collect();
     // Addresses that only this test process uses, so that a conductor has the same one after a restart.
@@ -317,7 +317,7 @@
                 assert!(Instant::now() < deadline, "each conductor calls the new discovery");
                 look.tick().await;
             }
-            discoveries[0].die();
+            discoveries[0].close();
         }
         // A server drains, and the conductor is ended before all proxies can have received the order.
         let change = |nodes: &[Value]| {
--- a/crates/stepspur-platform/src/config.rs
+++ b/crates/stepspur-platform/src/config.rs
@@ -16,7 +16,7 @@
 };
 
 use crate::connections::ConnectionLimits;
-use crate::discovery::Answer;
+use crate::discovery::EndpointListUpdate;
 use crate::message::Catalog;
 
 /// Why a configuration cannot be used.
@@ -75,7 +75,7 @@
     /// Seed of the random numbers; 0 by default.
     pub seed: u64,
     /// Endpoint list as last known, which is used until discovery responds; may be empty.
-    pub known: Answer,
+    pub known_endpoints: EndpointListUpdate,
     /// Configuration of the conductor's tasks.
     pub conductor: Config,
     /// Settings of the decision module.
@@ -96,7 +96,7 @@
     seed: String,
     limits: Limits,
     #[serde(default)]
-    known: Answer,
+    known: EndpointListUpdate,
     #[serde(borrow)]
     settings: &'a RawValue,
 }
@@ -144,7 +144,7 @@
     pub discovery: SocketAddr,
     /// Paths of changed values that need a restart, such as `settings.rules.coldUs`. The old values stay in
     /// force.
-    pub refused: Vec<String>,
+    pub restart_required: Vec<String>,
 }
 
 impl PlatformConfig {
@@ -189,14 +189,14 @@
         let connection_limits = connection_limits
             .ok_or_else(|| value("limits.sockets", "leaves no file descriptor for connections"))?;
         let name = file.name.or_else(|| env("LB_NAME")).ok_or(ConfigError::Missing("LB_NAME"))?;
-        let (known, discovery) = (file.known, discovery);
+        let (known_endpoints, discovery) = (file.known, discovery);
         Ok(Self {
             path,
             fixed,
             name,
             discovery,
             seed,
-            known,
+            known_endpoints,
             conductor,
             settings,
             catalog,
@@ -215,15 +215,15 @@
         let reloaded: ReloadedValues = serde_json::from_slice(&text).map_err(parse)?;
         let fixed: StartupValues = serde_json::from_slice(&text).map_err(parse)?;
         let discovery = resolve_address(reloaded.discovery, "LB_DISCOVERY", &env)?;
-        let mut refused = Vec::new();
+        let mut restart_required = Vec::new();
         let pairs = [
             ("name", &self.fixed.name, &fixed.name),
             ("listen", &self.fixed.listen, &fixed.listen),
             ("limits", &self.fixed.limits, &fixed.limits),
             ("settings", &self.fixed.settings, &fixed.settings),
         ];
-        pairs.into_iter().for_each(|(path, old, new)| changed_paths(path, old, new, &mut refused));
-        Ok(Reloaded { discovery, refused })
+        pairs.into_iter().for_each(|(path, old, new)| changed_paths(path, old, new, &mut restart_required));
+        Ok(Reloaded { discovery, restart_required })
     }
 }
 
--- a/crates/stepspur-platform/src/discovery.rs
+++ b/crates/stepspur-platform/src/discovery.rs
@@ -47,7 +47,7 @@
 /// An endpoint list, or changes to one, as discovery and the configuration file encode it. Entries that
 /// cannot be parsed are not in `entries`; `malformed` and `unnamed` account for them.
 #[derive(Clone, Debug, Default)]
-pub struct Answer {
+pub struct EndpointListUpdate {
     /// Version of the list, as discovery counts it.
     pub index: u64,
     /// True for the complete list, false for changes to an earlier version.
@@ -60,7 +60,7 @@
     pub unnamed: usize,
 }
 
-impl<'de> Deserialize<'de> for Answer {
+impl<'de> Deserialize<'de> for EndpointListUpdate {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         #[derive(Deserialize)]
         struct RawList {
@@ -69,7 +69,7 @@
             endpoints: Vec<Value>,
         }
         let RawList { index, snapshot, endpoints } = RawList::deserialize(deserializer)?;
-        let mut list = Answer { index, snapshot, ..Answer::default() };
+        let mut list = EndpointListUpdate { index, snapshot, ..EndpointListUpdate::default() };
         for endpoint in endpoints {
             let name = endpoint.get("name").and_then(Value::as_str);
             let name =
@@ -141,7 +141,7 @@
 #[derive(Debug)]
 enum CallEvent {
     /// A complete list, or changes to one.
-    List(Answer),
+    List(EndpointListUpdate),
     /// The first line of a watch was empty: the held list is current.
     Unchanged,
     /// A watch received no complete line for [`WATCH_IDLE_TIMEOUT`].
@@ -204,7 +204,11 @@
 impl Discovery {
     /// Follows discovery at the current value of `address`, starting from the list `known`. `ready` becomes
     /// true once a call has succeeded or failed, at most 4 s after the first one started.
-    pub fn new(address: watch::Receiver<SocketAddr>, known: &Answer, ready: watch::Sender<bool>) -> Self {
+    pub fn new(
+        address: watch::Receiver<SocketAddr>,
+        known: &EndpointListUpdate,
+        ready: watch::Sender<bool>,
+    ) -> Self {
         let by_name = |entry: &DiscoveredEndpoint| Some((entry.name.clone()?, entry.clone()));
         let index = (known.snapshot && !known.entries.is_empty()).then_some(known.index);
         let valid_entries = known.entries.iter().filter_map(by_name).collect();
@@ -337,7 +341,7 @@
     /// the call continued, is not superseded: discovery has restarted its version count. Nor is a complete
     /// list from another address than that of the held version, since each discovery counts versions for
     /// itself.
-    fn is_superseded(&self, list: &Answer, address: SocketAddr, seen: Option<u64>) -> bool {
+    fn is_superseded(&self, list: &EndpointListUpdate, address: SocketAddr, seen: Option<u64>) -> bool {
         let other_address = self.index_from.is_some_and(|from| from != address);
         let older = seen <= Some(list.index) && Some(list.index) < self.index;
         older && !(other_address && list.snapshot)
@@ -345,8 +349,8 @@
 
     /// Passes a list or changes on to the engine, and reports a failure for changes to a list that is not
     /// held.
-    async fn apply_list(&mut self, list: Answer, address: SocketAddr, feed: &EndpointFeed) {
-        let Answer { index, snapshot, mut entries, malformed, unnamed } = list;
+    async fn apply_list(&mut self, list: EndpointListUpdate, address: SocketAddr, feed: &EndpointFeed) {
+        let EndpointListUpdate { index, snapshot, mut entries, malformed, unnamed } = list;
         if !malformed.is_empty() || unnamed > 0 {
             tracing::warn!(event = "invalid_list_entries", named = malformed.len(), nameless = unnamed);
         }
--- a/crates/stepspur-platform/src/lib.rs
+++ b/crates/stepspur-platform/src/lib.rs
@@ -30,9 +30,9 @@
 
 /// Assembles what the conductor needs to serve the platform. Discovery is queried at the current value of
 /// `discovery`.
-pub fn front(config: PlatformConfig, discovery: watch::Receiver<SocketAddr>) -> ProtocolServer {
-    let (ready, is_ready) = watch::channel(!config.known.entries.is_empty());
-    let source = discovery::Discovery::new(discovery, &config.known, ready);
+pub fn protocol_server(config: PlatformConfig, discovery: watch::Receiver<SocketAddr>) -> ProtocolServer {
+    let (ready, is_ready) = watch::channel(!config.known_endpoints.entries.is_empty());
+    let source = discovery::Discovery::new(discovery, &config.known_endpoints, ready);
     let listener =
         listener::PlatformListener::new(config.catalog.clone(), config.connection_limits, is_ready);
     ProtocolServer {
@@ -41,7 +41,7 @@
         seed: config.seed,
         protocol: Box::new(protocol::PlatformProtocol::new(config.catalog.classes)),
         parse_load_report: message::parse_probe_load,
-        cached_endpoints: config.known.entries,
+        cached_endpoints: config.known_endpoints.entries,
         source: Box::new(source),
         listener: Box::new(listener),
         shutdown_grace: SHUTDOWN_GRACE,
--- a/crates/stepspur-platform/tests/common/mod.rs
+++ b/crates/stepspur-platform/tests/common/mod.rs
@@ -9,7 +9,7 @@
 
 use serde_json::{Value, json};
 use stepspur_conductor::Conductor;
-use stepspur_platform::{PlatformConfig, front};
+use stepspur_platform::{PlatformConfig, protocol_server};
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader, Lines};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpStream};
@@ -66,10 +66,10 @@
 pub(crate) async fn start(file: &Value) -> (Conductor, watch::Sender<SocketAddr>) {
     let config = load(file);
     let (sender, discovery_address) = watch::channel(config.discovery);
-    (Conductor::start_protocol_server(front(config, discovery_address)).await.unwrap(), sender)
+    (Conductor::start_protocol_server(protocol_server(config, discovery_address)).await.unwrap(), sender)
 }
 
-/// How a [`StandIn`] responds to calls.
+/// How a [`FakeDiscovery`] responds to calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Behavior {
     /// Responds as discovery does.
@@ -96,7 +96,7 @@
 
 /// A discovery server that serves its list by itself, as [`Behavior`] says.
 #[derive(Clone, Debug)]
-pub(crate) struct StandIn {
+pub(crate) struct FakeDiscovery {
     pub address: SocketAddr,
     state: Arc<Mutex<DiscoveryState>>,
     /// Version of the list, for the watches.
@@ -104,7 +104,7 @@
     tasks: Arc<Mutex<JoinSet<()>>>,
 }
 
-impl StandIn {
+impl FakeDiscovery {
     pub(crate) async fn start(nodes: &[Value]) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let nodes = nodes.iter().map(|n| (n["name"].as_str().unwrap().to_owned(), n.clone())).collect();
@@ -141,7 +141,7 @@
     }
 
     /// Closes every connection and accepts no more.
-    pub(crate) fn die(&self) {
+    pub(crate) fn close(&self) {
         self.tasks.lock().unwrap().abort_all();
     }
 
@@ -228,7 +228,7 @@
 }
 
 /// A client of the conductor and, if it joins as a proxy, the table that it holds.
-pub(crate) struct Caller {
+pub(crate) struct TestPeer {
     read: Lines<BufReader<OwnedReadHalf>>,
     write: OwnedWriteHalf,
     /// Weights above 0 by server name.
@@ -241,12 +241,12 @@
     pub nonces: Vec<u64>,
 }
 
-impl Caller {
+impl TestPeer {
     pub(crate) async fn connect(address: SocketAddr) -> Self {
-        Self::over(TcpStream::connect(address).await.unwrap())
+        Self::from_stream(TcpStream::connect(address).await.unwrap())
     }
 
-    pub(crate) fn over(socket: TcpStream) -> Self {
+    pub(crate) fn from_stream(socket: TcpStream) -> Self {
         let (read, write) = socket.into_split();
         let (weights, ejected) = (BTreeMap::new(), BTreeSet::new());
         Self {
@@ -264,12 +264,12 @@
         let mut proxy = Self::connect(address).await;
         let zone = ["a", "b"][number % 2];
         proxy
-            .say(&json!({"@type": "attach", "proxy": number, "zone": zone, "weight": 20.0, "fresh": true}))
+            .send(&json!({"@type": "attach", "proxy": number, "zone": zone, "weight": 20.0, "fresh": true}))
             .await;
         proxy
     }
 
-    pub(crate) async fn say(&mut self, message: &Value) {
+    pub(crate) async fn send(&mut self, message: &Value) {
         self.send_bytes(format!("{message}\n").as_bytes()).await;
     }
 
@@ -297,7 +297,7 @@
             self.apply_part(&part);
             if let Some(nonce) = part["nonce_out"].as_u64() {
                 self.nonces.push(nonce);
-                self.say(&json!({"@type": "done", "proxy": number, "mark": nonce, "took_ms": 3.5})).await;
+                self.send(&json!({"@type": "done", "proxy": number, "mark": nonce, "took_ms": 3.5})).await;
             }
             if part["continued"] != true {
                 return Some(());
--- a/crates/stepspur-platform/tests/connection_close.rs
+++ b/crates/stepspur-platform/tests/connection_close.rs
@@ -11,12 +11,12 @@
 
 use bytes::Bytes;
 use closing::ConnectionEnds;
-use common::{Caller, StandIn, TIMEOUT, file, list, load, node};
+use common::{FakeDiscovery, TIMEOUT, TestPeer, file, list, load, node};
 use serde_json::{Value, json};
 use stepspur_conductor::Conductor;
 use stepspur_conductor::engine::{GoAway, ProxyProtocol, ProxyUpdate, ServerIds, Stats, UpdateStamp};
-use stepspur_platform::front;
 use stepspur_platform::protocol::PlatformProtocol;
+use stepspur_platform::protocol_server;
 use stepspur_proto::FrameError;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpSocket, TcpStream};
@@ -79,15 +79,15 @@
 const ENGINE_QUEUE_LENGTH: u64 = 16_384;
 
 /// Starts a conductor with 4 servers, updates padded by `padding` bytes, and a long shutdown grace time.
-async fn start(padding: usize) -> (Conductor, StandIn) {
-    let discovery = StandIn::start(&(0..4).map(|k| node(k, "ready", 0)).collect::<Vec<_>>()).await;
+async fn start(padding: usize) -> (Conductor, FakeDiscovery) {
+    let discovery = FakeDiscovery::start(&(0..4).map(|k| node(k, "ready", 0)).collect::<Vec<_>>()).await;
     let config = load(&file(discovery.address, 8, 256, &list(0, true, &[])));
     let (_, discovery_address) = watch::channel(config.discovery);
     let protocol = PlatformProtocol::new(config.catalog.classes.clone());
-    let mut front = front(config, discovery_address);
-    front.protocol = Box::new(PaddedProtocol(protocol, padding));
-    front.shutdown_grace = TIMEOUT;
-    let conductor = Conductor::start_protocol_server(front).await.unwrap();
+    let mut server = protocol_server(config, discovery_address);
+    server.protocol = Box::new(PaddedProtocol(protocol, padding));
+    server.shutdown_grace = TIMEOUT;
+    let conductor = Conductor::start_protocol_server(server).await.unwrap();
     wait_stats(&conductor, |s| s.servers.ready == 4).await;
     (conductor, discovery)
 }
@@ -180,13 +180,13 @@
 /// Guards against a shutdown that is delayed beyond its grace time by a proxy that neither reads nor closes.
 #[tokio::test]
 async fn a_shutdown_ends_after_its_grace_time() {
-    let discovery = StandIn::start(&[node(0, "ready", 0)]).await;
+    let discovery = FakeDiscovery::start(&[node(0, "ready", 0)]).await;
     let config = load(&file(discovery.address, 8, 256, &list(0, true, &[])));
     let (_, discovery_address) = watch::channel(config.discovery);
     let protocol = PlatformProtocol::new(config.catalog.classes.clone());
-    let mut front = front(config, discovery_address);
-    front.protocol = Box::new(PaddedProtocol(protocol, OVER_SOCKET_BUFFERS));
-    let conductor = Conductor::start_protocol_server(front).await.unwrap();
+    let mut server = protocol_server(config, discovery_address);
+    server.protocol = Box::new(PaddedProtocol(protocol, OVER_SOCKET_BUFFERS));
+    let conductor = Conductor::start_protocol_server(server).await.unwrap();
     wait_stats(&conductor, |s| s.servers.ready == 1).await;
     let proxy = join_without_reading(&conductor, 0).await;
     timeout(TIMEOUT, proxy.peek(&mut [0; 1])).await.expect("an update begins").unwrap();
@@ -246,7 +246,7 @@
     wait_stats(&conductor, |s| s.connected == 1 && s.unassigned == 0).await;
     // Bytes that the conductor may not have read when it closes the old stream.
     old.write_all(&b"{\"@type\":\"hb\"}\n".repeat(64)).await.unwrap();
-    let mut newer = Caller::connect_proxy(conductor.address(), 0).await;
+    let mut newer = TestPeer::connect_proxy(conductor.address(), 0).await;
     newer.apply_until(0, |p| p.full_tables == 1).await;
     let ends = ConnectionEnds::of(&old);
     read_to_end(&mut old).await;
@@ -280,7 +280,7 @@
         }
         drop(proxy);
         // Another proxy joins afterwards; once it is connected, it must be the only one.
-        let mut last = Caller::connect_proxy(conductor.address(), 4).await;
+        let mut last = TestPeer::connect_proxy(conductor.address(), 4).await;
         last.apply_until(4, |p| p.full_tables == 1).await;
         wait_stats(&conductor, |s| s.connected == 1 && s.pending_acks == 0).await;
         drop(last);
@@ -309,14 +309,14 @@
 /// Guards against dropped inputs while the engine is blocked and its queue is full: readers must wait.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn inputs_wait_while_the_engine_queue_is_full() {
-    let discovery = StandIn::start(&[node(0, "ready", 0)]).await;
+    let discovery = FakeDiscovery::start(&[node(0, "ready", 0)]).await;
     let config = load(&file(discovery.address, 8, 256, &list(0, true, &[])));
     let (_, discovery_address) = watch::channel(config.discovery);
     let ((gate, is_open), (blocked, mut is_blocked)) = (std::sync::mpsc::channel(), mpsc::channel(1));
     let protocol = PlatformProtocol::new(config.catalog.classes.clone());
-    let mut front = front(config, discovery_address);
-    front.protocol = Box::new(GatedProtocol(protocol, Mutex::new(is_open), blocked));
-    let conductor = Conductor::start_protocol_server(front).await.unwrap();
+    let mut server = protocol_server(config, discovery_address);
+    server.protocol = Box::new(GatedProtocol(protocol, Mutex::new(is_open), blocked));
+    let conductor = Conductor::start_protocol_server(server).await.unwrap();
     wait_stats(&conductor, |s| s.servers.ready == 1).await;
     let _proxy = join_without_reading(&conductor, 0).await;
     timeout(TIMEOUT, is_blocked.recv()).await.expect("the engine is blocked");
--- a/crates/stepspur-platform/tests/discovery.rs
+++ b/crates/stepspur-platform/tests/discovery.rs
@@ -9,7 +9,7 @@
 use stepspur::interface::{EndpointState, ListUpdate};
 use stepspur_conductor::engine::Input;
 use stepspur_conductor::source::{DiscoveryRequest, EndpointFeed, FeedDriver, ServiceDiscovery};
-use stepspur_platform::discovery::{Answer, Discovery};
+use stepspur_platform::discovery::{Discovery, EndpointListUpdate};
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinSet;
 use tokio::time::timeout;
@@ -25,7 +25,7 @@
 }
 
 impl Client {
-    fn start(address: SocketAddr, known: Answer) -> Self {
+    fn start(address: SocketAddr, known: EndpointListUpdate) -> Self {
         let (address, address_receiver) = watch::channel(address);
         let (is_ready, ready) = watch::channel(false);
         let (feed, FeedDriver { requests, updates }) = EndpointFeed::new(CancellationToken::new());
@@ -37,7 +37,7 @@
 
     /// Starts a client with an established watch that has received this list.
     async fn with_watch(script: &ScriptedDiscovery, first: &Value) -> (Self, Call) {
-        let mut client = Self::start(script.address, Answer::default());
+        let mut client = Self::start(script.address, EndpointListUpdate::default());
         client.requests.send(DiscoveryRequest::Watch).await.unwrap();
         let mut watch = script.next().await.send_head().await;
         watch.send_line(first).await;
@@ -127,7 +127,7 @@
 #[tokio::test]
 async fn calls_in_progress_when_the_address_changes_are_repeated_at_the_new_address() {
     let (old, new) = (ScriptedDiscovery::start().await, ScriptedDiscovery::start().await);
-    let mut client = Client::start(old.address, Answer::default());
+    let mut client = Client::start(old.address, EndpointListUpdate::default());
     client.requests.send(DiscoveryRequest::Watch).await.unwrap();
     client.requests.send(DiscoveryRequest::Fetch).await.unwrap();
     let old_calls = [old.next().await, old.next().await];
@@ -213,7 +213,7 @@
 async fn a_hanging_first_call_fails_and_the_client_becomes_ready() {
     let hang = async |stage: usize| {
         let script = ScriptedDiscovery::start().await;
-        let mut client = Client::start(script.address, Answer::default());
+        let mut client = Client::start(script.address, EndpointListUpdate::default());
         client.requests.send(DiscoveryRequest::Watch).await.unwrap();
         let call = script.next().await;
         let mut endless_line = JoinSet::new();
--- a/crates/stepspur-platform/tests/idle_connections.rs
+++ b/crates/stepspur-platform/tests/idle_connections.rs
@@ -5,7 +5,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-use common::{Caller, StandIn, TIMEOUT, file, list, node, start};
+use common::{FakeDiscovery, TIMEOUT, TestPeer, file, list, node, start};
 use serde_json::Value;
 use stepspur_conductor::Conductor;
 use tokio::io::AsyncReadExt;
@@ -16,9 +16,9 @@
 const PROMPT_JOIN: Duration = Duration::from_millis(650);
 
 /// Starts a conductor for 20 proxies with 4 servers and this many descriptors.
-async fn start_conductor(descriptors: usize) -> (Conductor, StandIn) {
+async fn start_conductor(descriptors: usize) -> (Conductor, FakeDiscovery) {
     let nodes: Vec<Value> = (0..4).map(|k| node(k, "ready", 0)).collect();
-    let discovery = StandIn::start(&nodes).await;
+    let discovery = FakeDiscovery::start(&nodes).await;
     let (conductor, _) = start(&file(discovery.address, 20, descriptors, &list(1, true, &nodes))).await;
     (conductor, discovery)
 }
@@ -69,7 +69,7 @@
     let address = conductor.address();
     let started = Instant::now();
     let idle = idle_connections(address, 800);
-    let mut proxy = Caller::connect_proxy(address, 0).await;
+    let mut proxy = TestPeer::connect_proxy(address, 0).await;
     timeout(TIMEOUT, proxy.apply_until(0, |p| p.full_tables == 1)).await.expect("a table");
     assert!(started.elapsed() < PROMPT_JOIN, "{:?} behind 800 idle connections", started.elapsed());
     assert_eq!(accept_queue_length(address), 0, "the accept queue is empty");
@@ -91,7 +91,7 @@
             flood.extend(idle_connections(address, 40));
         }
         let started = Instant::now();
-        let mut caller = Caller::connect_proxy(address, proxy).await;
+        let mut caller = TestPeer::connect_proxy(address, proxy).await;
         timeout(TIMEOUT, caller.apply_until(proxy, |p| p.full_tables == 1)).await.expect("a table");
         assert!(started.elapsed() < PROMPT_JOIN, "proxy {proxy}: {:?}", started.elapsed());
         flood.drain(..flood.len().saturating_sub(800));
@@ -107,7 +107,7 @@
     let address = conductor.address();
     let started = Instant::now();
     let idle = idle_connections(address, 300);
-    let mut proxy = Caller::connect_proxy(address, 0).await;
+    let mut proxy = TestPeer::connect_proxy(address, 0).await;
     timeout(TIMEOUT, proxy.apply_until(0, |p| p.full_tables == 1)).await.expect("a table");
     // 64 descriptors, 200 ms each: 300 connections are accepted after one second.
     assert!(
--- a/crates/stepspur-platform/tests/isolation.rs
+++ b/crates/stepspur-platform/tests/isolation.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeSet;
 
-use common::{Caller, StandIn, start};
+use common::{FakeDiscovery, TestPeer, start};
 use serde_json::{Value, json};
 use stepspur_conductor::Conductor;
 
@@ -49,7 +49,7 @@
             "group": 0, "status": status, "weight": self.scale, "since_ms": 0})
     }
 
-    fn file(&self, discovery: &StandIn) -> Value {
+    fn file(&self, discovery: &FakeDiscovery) -> Value {
         let us = |micros: f64| (micros * self.scale).round();
         let class = |(k, name): (usize, &&str)| {
             let effect = ["read_like", "non_idempotent"][k % 2];
@@ -74,16 +74,16 @@
 /// A customer's conductor, its discovery server and its proxies.
 struct Deployment<'a> {
     customer: &'a Customer,
-    discovery: StandIn,
+    discovery: FakeDiscovery,
     conductor: Conductor,
-    proxies: Vec<Caller>,
+    proxies: Vec<TestPeer>,
 }
 
 impl<'a> Deployment<'a> {
     async fn start(customer: &'a Customer) -> Self {
         let servers: Vec<Value> =
             (0..2 * customer.zones.len()).map(|k| customer.server(k, "ready")).collect();
-        let discovery = StandIn::start(&servers).await;
+        let discovery = FakeDiscovery::start(&servers).await;
         let (conductor, _) = start(&customer.file(&discovery)).await;
         Self { customer, discovery, conductor, proxies: Vec::new() }
     }
@@ -92,9 +92,9 @@
     async fn join(&mut self) {
         let (number, zones) = (self.proxies.len(), self.customer.zones);
         let zone = zones[number % zones.len()];
-        let mut proxy = Caller::connect(self.conductor.address()).await;
+        let mut proxy = TestPeer::connect(self.conductor.address()).await;
         proxy
-            .say(&json!({"@type": "attach", "proxy": number, "zone": zone, "weight": 3.0, "fresh": true}))
+            .send(&json!({"@type": "attach", "proxy": number, "zone": zone, "weight": 3.0, "fresh": true}))
             .await;
         proxy.apply_until(number, |p| p.full_tables == 1).await;
         self.proxies.push(proxy);
@@ -117,9 +117,9 @@
             json!({"@type": "telemetry", "zone": zone}),
             json!({"@type": "attach", "proxy": number, "zone": self.customer.zones[0], "weight": 1.0, "fresh": true}),
         ] {
-            let mut caller = Caller::connect(self.conductor.address()).await;
-            caller.say(&first).await;
-            caller.say(&json!({"@type": "hb"})).await;
+            let mut caller = TestPeer::connect(self.conductor.address()).await;
+            caller.send(&first).await;
+            caller.send(&json!({"@type": "hb"})).await;
             // A proxy that has joined may get its table before or after the reply to its heartbeat.
             let reply = loop {
                 match caller.next().await {
@@ -130,12 +130,12 @@
             replies.push(reply);
         }
         let before = self.conductor.stats().await.unwrap().invalid_inputs;
-        let mut collector = Caller::connect(self.conductor.address()).await;
-        collector.say(&json!({"@type": "telemetry", "zone": self.customer.zones[0]})).await;
+        let mut collector = TestPeer::connect(self.conductor.address()).await;
+        collector.send(&json!({"@type": "telemetry", "zone": self.customer.zones[0]})).await;
         collector
-            .say(&json!({"@type": "client_stats", "proxy": 0, "class": class, "tries": 1, "failed": 0, "span_ms": 1.0}))
+            .send(&json!({"@type": "client_stats", "proxy": 0, "class": class, "tries": 1, "failed": 0, "span_ms": 1.0}))
             .await;
-        collector.say(&json!({"@type": "hb"})).await;
+        collector.send(&json!({"@type": "hb"})).await;
         replies.push(collector.next().await);
         replies.push(Some(json!(self.conductor.stats().await.unwrap().invalid_inputs - before)));
         replies
--- a/crates/stepspur-platform/tests/messages.rs
+++ b/crates/stepspur-platform/tests/messages.rs
@@ -10,7 +10,7 @@
 };
 use stepspur_platform::PlatformConfig;
 use stepspur_platform::config::ConfigError;
-use stepspur_platform::discovery::Answer;
+use stepspur_platform::discovery::EndpointListUpdate;
 use stepspur_platform::message::{
     Catalog, LineBuffer, MAX_MESSAGE_BYTES, Message, MessageError, parse_probe_load,
 };
@@ -130,7 +130,7 @@
     fn any_bytes_are_parsed_without_a_panic(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
         let _ = catalog().parse(&bytes);
         let _ = parse_probe_load(&["q".to_owned()], &bytes);
-        let _: Result<Answer, _> = serde_json::from_slice(&bytes);
+        let _: Result<EndpointListUpdate, _> = serde_json::from_slice(&bytes);
     }
 
     /// Lines do not depend on how the bytes are split into reads, which may be single bytes.
@@ -183,7 +183,7 @@
     }
 
     fn list(&mut self, kind: ListUpdate, nodes: &[Value]) {
-        let list: Answer = serde_json::from_value(common::list(1, true, nodes)).unwrap();
+        let list: EndpointListUpdate = serde_json::from_value(common::list(1, true, nodes)).unwrap();
         self.engine.handle(self.now, Input::EndpointList { update: kind, entries: list.entries });
     }
 
@@ -340,7 +340,7 @@
     moved[0]["address"] = json!("127.0.0.9:9");
     simulation.list(ListUpdate::Full, &moved);
     assert_eq!(simulation.engine.stats().servers, ServerCounts { ready: 2, draining: 0, total: 2 });
-    let partly_valid: Answer = serde_json::from_value(common::list(
+    let partly_valid: EndpointListUpdate = serde_json::from_value(common::list(
         3,
         true,
         &[json!({"name": "s-9", "status": "odd"}), json!({"zone": "a"}), json!(7), moved[0].clone()],
@@ -408,6 +408,6 @@
     for (file, port) in [(&without_address, 7), (&with_address, 1), (&without_address, 7)] {
         std::fs::write(&path, file.to_string()).unwrap();
         let reloaded = config.reload(env).unwrap();
-        assert_eq!((reloaded.discovery.port(), reloaded.refused.len()), (port, 0));
+        assert_eq!((reloaded.discovery.port(), reloaded.restart_required.len()), (port, 0));
     }
 }
--- a/crates/stepspur-platform/tests/probes.rs
+++ b/crates/stepspur-platform/tests/probes.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use common::{Caller, StandIn, TIMEOUT, file, list, node, start};
+use common::{FakeDiscovery, TIMEOUT, TestPeer, file, list, node, start};
 use serde_json::Value;
 use stepspur_conductor::Conductor;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -121,11 +121,11 @@
         node_at(others[1].address, 3, "ready"),
         node_at(failing.address, 4, "ready"),
     ];
-    let discovery = StandIn::start(&nodes).await;
+    let discovery = FakeDiscovery::start(&nodes).await;
     let mut file = file(discovery.address, 4, 256, &list(0, true, &[]));
     file["settings"]["permissions"]["probing"] = true.into();
     let (conductor, _move) = start(&file).await;
-    let mut proxy = Caller::connect_proxy(conductor.address(), 0).await;
+    let mut proxy = TestPeer::connect_proxy(conductor.address(), 0).await;
     proxy.apply_until(0, |p| p.may_use("s-0000") && !p.may_use("s-0004")).await;
 
     shared.set_response(ProbeResponse::Manual);
--- a/crates/stepspur-platform/tests/rules.rs
+++ b/crates/stepspur-platform/tests/rules.rs
@@ -15,7 +15,7 @@
 use stepspur_conductor::Config;
 use stepspur_conductor::config::IdempotencyConfig;
 use stepspur_conductor::engine::{Engine, Input, Output, StreamId};
-use stepspur_platform::discovery::Answer;
+use stepspur_platform::discovery::EndpointListUpdate;
 use stepspur_platform::protocol::PlatformProtocol;
 use stepspur_proto::v1;
 
@@ -65,7 +65,7 @@
 
     /// Sends a list to the engine, and to the checker as the true state.
     fn list(&mut self, kind: ListUpdate, nodes: &[Value]) {
-        let list: Answer = serde_json::from_value(common::list(1, true, nodes)).unwrap();
+        let list: EndpointListUpdate = serde_json::from_value(common::list(1, true, nodes)).unwrap();
         for entry in &list.entries {
             self.addresses.insert(entry.name.clone().unwrap(), entry.address);
         }
--- a/crates/stepspur-platform/tests/service.rs
+++ b/crates/stepspur-platform/tests/service.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use common::{Behavior, Caller, StandIn, TIMEOUT, file, list, node, start};
+use common::{Behavior, FakeDiscovery, TIMEOUT, TestPeer, file, list, node, start};
 use serde_json::{Value, json};
 use stepspur_conductor::Conductor;
 use stepspur_conductor::engine::Stats;
@@ -35,11 +35,11 @@
 
 #[tokio::test]
 async fn proxies_get_their_table_and_every_drain_within_two_seconds() {
-    let discovery = StandIn::start(&nodes(8)).await;
+    let discovery = FakeDiscovery::start(&nodes(8)).await;
     let (conductor, _discovery_address) = start(&file(discovery.address, 8, 256, &empty_list())).await;
     let mut proxies = Vec::new();
     for k in 0..8 {
-        proxies.push(Caller::connect_proxy(conductor.address(), k).await);
+        proxies.push(TestPeer::connect_proxy(conductor.address(), k).await);
     }
     for (k, proxy) in proxies.iter_mut().enumerate() {
         proxy.apply_until(k, |p| p.full_tables == 1).await;
@@ -60,11 +60,11 @@
 /// list.
 #[tokio::test]
 async fn the_known_list_is_served_while_discovery_is_down() {
-    let discovery = StandIn::start(&nodes(6)).await;
+    let discovery = FakeDiscovery::start(&nodes(6)).await;
     discovery.set_behavior(Behavior::Unavailable);
     let (conductor, _discovery_address) =
         start(&file(discovery.address, 4, 256, &list(1, true, &nodes(4)))).await;
-    let mut proxy = Caller::connect_proxy(conductor.address(), 1).await;
+    let mut proxy = TestPeer::connect_proxy(conductor.address(), 1).await;
     proxy.apply_until(1, |p| p.full_tables == 1 && p.may_use("s-0001")).await;
     // The decision module is notified of each failed call and retries until one succeeds.
     discovery.set_behavior(Behavior::Normal);
@@ -75,16 +75,16 @@
 /// Guards against a conductor that reports itself ready by answering heartbeats before it has a list.
 #[tokio::test]
 async fn heartbeats_are_not_answered_before_there_is_a_list() {
-    let discovery = StandIn::start(&nodes(2)).await;
+    let discovery = FakeDiscovery::start(&nodes(2)).await;
     discovery.set_behavior(Behavior::NoResponse);
     let (conductor, _discovery_address) = start(&file(discovery.address, 4, 256, &empty_list())).await;
-    let mut early = Caller::connect(conductor.address()).await;
-    early.say(&json!({"@type": "hb"})).await;
+    let mut early = TestPeer::connect(conductor.address()).await;
+    early.send(&json!({"@type": "hb"})).await;
     assert_eq!(early.next().await.map(|line| line["@type"].clone()), Some(json!("reject")));
     discovery.set_behavior(Behavior::Normal);
     wait_stats(&conductor, |s| s.servers.ready == 2).await;
-    let mut later = Caller::connect(conductor.address()).await;
-    later.say(&json!({"@type": "hb"})).await;
+    let mut later = TestPeer::connect(conductor.address()).await;
+    later.send(&json!({"@type": "hb"})).await;
     assert_eq!(later.next().await, Some(json!({"@type": "hb_ok"})));
     conductor.stop().await;
 }
@@ -94,7 +94,7 @@
 #[tokio::test]
 async fn a_failed_watch_is_opened_again_and_the_list_stays_meanwhile() {
     for behavior in [Behavior::PartialLine, Behavior::IdleAfterFirstLine, Behavior::NoResponse] {
-        let discovery = StandIn::start(&nodes(4)).await;
+        let discovery = FakeDiscovery::start(&nodes(4)).await;
         discovery.set_behavior(behavior);
         let (conductor, _discovery_address) =
             start(&file(discovery.address, 4, 256, &list(1, true, &nodes(3)))).await;
@@ -117,9 +117,9 @@
 /// Guards against streams that end, and changes that are missed, when the address of discovery changes.
 #[tokio::test]
 async fn streams_continue_when_the_discovery_address_changes() {
-    let (old, new) = (StandIn::start(&nodes(4)).await, StandIn::start(&nodes(4)).await);
+    let (old, new) = (FakeDiscovery::start(&nodes(4)).await, FakeDiscovery::start(&nodes(4)).await);
     let (conductor, discovery_address) = start(&file(old.address, 4, 256, &empty_list())).await;
-    let mut proxy = Caller::connect_proxy(conductor.address(), 0).await;
+    let mut proxy = TestPeer::connect_proxy(conductor.address(), 0).await;
     proxy.apply_until(0, |p| p.full_tables == 1).await;
     discovery_address.send_replace(new.address);
     let deadline = Instant::now() + TIMEOUT;
@@ -127,7 +127,7 @@
         assert!(Instant::now() < deadline);
         sleep(Duration::from_millis(10)).await;
     }
-    old.die();
+    old.close();
     new.change(&[node(0, "draining", 0)]);
     proxy.apply_until(0, |p| !p.may_use("s-0000")).await;
     assert_eq!((proxy.full_tables, conductor.stats().await.unwrap().connected), (1, 1), "the same stream");
@@ -138,7 +138,7 @@
 /// or a close within 3 s, and none counts as a proxy.
 #[tokio::test]
 async fn peers_that_do_not_join_are_rejected() {
-    let discovery = StandIn::start(&nodes(4)).await;
+    let discovery = FakeDiscovery::start(&nodes(4)).await;
     let (conductor, _discovery_address) = start(&file(discovery.address, 20, 256, &empty_list())).await;
     wait_stats(&conductor, |s| s.servers.ready == 4).await;
     let endless = vec![b'x'; 1 << 20];
@@ -157,7 +157,7 @@
         ("silence", b""),
     ];
     for (what, bytes) in cases {
-        let mut peer = Caller::connect(conductor.address()).await;
+        let mut peer = TestPeer::connect(conductor.address()).await;
         let started = Instant::now();
         peer.send_bytes(bytes).await;
         let reply = peer.next().await;
@@ -171,16 +171,16 @@
 /// Guards against proxies that cannot join because idle connections hold most descriptors.
 #[tokio::test]
 async fn hundreds_of_idle_connections_do_not_keep_proxies_from_joining() {
-    let discovery = StandIn::start(&nodes(4)).await;
+    let discovery = FakeDiscovery::start(&nodes(4)).await;
     let (conductor, _discovery_address) = start(&file(discovery.address, 20, 100, &empty_list())).await;
     wait_stats(&conductor, |s| s.servers.ready == 4).await;
     let started = Instant::now();
     let mut connections = Vec::new();
     for _ in 0..300 {
-        connections.push(Caller::connect(conductor.address()).await);
+        connections.push(TestPeer::connect(conductor.address()).await);
     }
     for k in 0..20 {
-        let mut proxy = Caller::connect_proxy(conductor.address(), k).await;
+        let mut proxy = TestPeer::connect_proxy(conductor.address(), k).await;
         timeout(TIMEOUT, proxy.apply_until(k, |p| p.full_tables == 1)).await.expect("a table in time");
         connections.push(proxy);
     }
@@ -197,22 +197,22 @@
 /// one that continues after bytes that are not a message.
 #[tokio::test]
 async fn malformed_messages_are_skipped_and_unreadable_bytes_end_the_stream() {
-    let discovery = StandIn::start(&nodes(4)).await;
+    let discovery = FakeDiscovery::start(&nodes(4)).await;
     let (conductor, _discovery_address) = start(&file(discovery.address, 4, 256, &empty_list())).await;
-    let mut proxy = Caller::connect_proxy(conductor.address(), 0).await;
+    let mut proxy = TestPeer::connect_proxy(conductor.address(), 0).await;
     proxy.apply_until(0, |p| p.full_tables == 1).await;
     wait_stats(&conductor, |s| s.pending_acks == 0).await;
-    proxy.say(&json!({"@type": "done", "proxy": 0, "mark": "x", "took_ms": 1})).await;
-    proxy.say(&json!({"@type": "done", "proxy": 1, "mark": 1, "took_ms": 1})).await;
-    proxy.say(&json!({"@type": "client_stats", "proxy": 0, "class": "none", "tries": 1, "failed": 0, "span_ms": 1})).await;
-    proxy.say(&json!({"@type": "hb"})).await;
+    proxy.send(&json!({"@type": "done", "proxy": 0, "mark": "x", "took_ms": 1})).await;
+    proxy.send(&json!({"@type": "done", "proxy": 1, "mark": 1, "took_ms": 1})).await;
+    proxy.send(&json!({"@type": "client_stats", "proxy": 0, "class": "none", "tries": 1, "failed": 0, "span_ms": 1})).await;
+    proxy.send(&json!({"@type": "hb"})).await;
     assert_eq!(proxy.next().await, Some(json!({"@type": "hb_ok"})));
     wait_stats(&conductor, |s| s.connected == 1 && s.invalid_inputs == 3).await;
     proxy.send_bytes(b"\x00\x01 nothing\n").await;
     wait_stats(&conductor, |s| s.connected == 0).await;
-    let mut collector = Caller::connect(conductor.address()).await;
-    collector.say(&json!({"@type": "telemetry", "zone": "a"})).await;
-    collector.say(&json!({"@type": "upstream_stats", "zone": "a", "server": "s-0000", "tries": 0})).await;
+    let mut collector = TestPeer::connect(conductor.address()).await;
+    collector.send(&json!({"@type": "telemetry", "zone": "a"})).await;
+    collector.send(&json!({"@type": "upstream_stats", "zone": "a", "server": "s-0000", "tries": 0})).await;
     wait_stats(&conductor, |s| s.invalid_inputs == 4).await;
     collector.send_bytes(b"garbage\n").await;
     assert_eq!(collector.next().await, None, "nothing is written to a collector");
@@ -228,13 +228,13 @@
 /// servers are replaced; 400 replacements in a few seconds make them visible.
 #[tokio::test]
 async fn replaced_streams_and_servers_leak_nothing() {
-    let discovery = StandIn::start(&nodes(4)).await;
+    let discovery = FakeDiscovery::start(&nodes(4)).await;
     let (conductor, _discovery_address) = start(&file(discovery.address, 4, 64, &empty_list())).await;
-    let mut proxy = Caller::connect_proxy(conductor.address(), 0).await;
+    let mut proxy = TestPeer::connect_proxy(conductor.address(), 0).await;
     proxy.apply_until(0, |p| p.full_tables == 1).await;
     let before = descriptors();
     for round in 0..400 {
-        let mut newer = Caller::connect_proxy(conductor.address(), 0).await;
+        let mut newer = TestPeer::connect_proxy(conductor.address(), 0).await;
         newer.apply_until(0, |p| p.full_tables == 1).await;
         // The old stream is closed by whichever end first notices that it was replaced.
         drop(std::mem::replace(&mut proxy, newer));
