--- a/crates/stepspur-consensus-node/tests/process_group/mod.rs
+++ b/crates/stepspur-consensus-node/tests/process_group/mod.rs
@@ -100,7 +100,7 @@
             roles: self.roles.clone(),
         };
         let mut child = Command::new(std::env::current_exe().expect("this test"))
-            .args(["--exact", "child_that_is_a_member", "--nocapture", "--test-threads=1"])
+            .args(["--exact", "member_process_entry_point", "--nocapture", "--test-threads=1"])
             .env(CHILD_VARIABLE, serde_json::to_string(&settings).expect("encoded"))
             .stdout(Stdio::piped())
             .stderr(Stdio::null())
--- a/crates/stepspur-consensus-node/tests/process_group/relay.rs
+++ b/crates/stepspur-consensus-node/tests/process_group/relay.rs
@@ -16,11 +16,11 @@
 pub(crate) enum Mode {
     /// All bytes are forwarded.
     #[default]
-    Pass,
+    Forward,
     /// Connections stay open, but nothing is forwarded, as in a network partition.
-    Silent,
+    Blackhole,
     /// Connections are closed, including new ones.
-    Down,
+    Closed,
 }
 
 /// The mode and the target of a relay.
@@ -67,14 +67,14 @@
         self.0.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits while the mode is [`Mode::Silent`]. Returns `None` in mode [`Mode::Down`], otherwise the target,
-    /// which is `None` until it is known.
+    /// Waits while the mode is [`Mode::Blackhole`]. Returns `None` in mode [`Mode::Closed`], otherwise the
+    /// target, which is `None` until it is known.
     fn wait_while_silent(&self) -> Option<Option<SocketAddr>> {
         let mut route = self.lock();
-        while route.mode == Mode::Silent {
+        while route.mode == Mode::Blackhole {
             route = self.0.1.wait(route).unwrap_or_else(PoisonError::into_inner);
         }
-        (route.mode != Mode::Down).then_some(route.to)
+        (route.mode != Mode::Closed).then_some(route.to)
     }
 
     /// Forwards one connection until it ends or the mode closes it. Connects to the target at the first byte.
--- a/crates/stepspur-consensus-node/tests/processes.rs
+++ b/crates/stepspur-consensus-node/tests/processes.rs
@@ -48,7 +48,7 @@
 /// Not a test by itself: the main function of a member's process, which sends orders under every role that it
 /// holds.
 #[test]
-fn child_that_is_a_member() {
+fn member_process_entry_point() {
     let Ok(child) = std::env::var(CHILD_VARIABLE) else { return };
     let child: ChildSettings = serde_json::from_str(&child).expect("settings");
     let storage = match Store::open(&child.state) {
@@ -144,13 +144,13 @@
 fn holder_with_links_in_one_direction_is_replaced() {
     let group = ProcessGroup::new(3, &["probe/a"]);
     let first = group.receiver.wait_for_holder("probe/a", 0, &[]);
-    group.set_outbound(first.member, Mode::Silent);
+    group.set_outbound(first.member, Mode::Blackhole);
     let second = group.receiver.wait_for_holder("probe/a", first.token, &[first.member]);
-    group.set_outbound(first.member, Mode::Pass);
+    group.set_outbound(first.member, Mode::Forward);
     group.receiver.wait_for_leader(first.member, &[]);
-    group.set_inbound(second.member, Mode::Silent);
+    group.set_inbound(second.member, Mode::Blackhole);
     let third = group.receiver.wait_for_holder("probe/a", second.token, &[second.member]);
-    group.set_inbound(second.member, Mode::Pass);
+    group.set_inbound(second.member, Mode::Forward);
     group.receiver.wait_for_leader(second.member, &[second.member]);
     group.receiver.wait_for_holder("probe/a", third.token - 1, &[]);
     assert_eq!(group.receiver.rejected(), 0, "two members acted at once");
@@ -221,11 +221,11 @@
     let flapping = leader % 3 + 1;
     let before = group.receiver.wait_for_reports(leader, 1);
     for _ in 0..12 {
-        group.set_outbound(flapping, Mode::Down);
-        group.set_inbound(flapping, Mode::Down);
+        group.set_outbound(flapping, Mode::Closed);
+        group.set_inbound(flapping, Mode::Closed);
         group.receiver.wait_for_reports(leader, 2);
-        group.set_outbound(flapping, Mode::Pass);
-        group.set_inbound(flapping, Mode::Pass);
+        group.set_outbound(flapping, Mode::Forward);
+        group.set_inbound(flapping, Mode::Forward);
         group.receiver.wait_for_reports(leader, 2);
     }
     group.receiver.wait_for_leader(flapping, &[]);
--- a/crates/stepspur-distribution/tests/control/common.rs
+++ b/crates/stepspur-distribution/tests/control/common.rs
@@ -13,7 +13,7 @@
 use stepspur_distribution::control::{Control, ControlMember, ControlSettings, RolloutStatus};
 use stepspur_distribution::document::{Change, Document, Scope, Setting, Target};
 use stepspur_distribution::version::{Version, version_of};
-use stepspur_fault_tests::{Image, Wire};
+use stepspur_fault_tests::{ConsensusNetwork, MemoryDisk};
 use stepspur_proto::v1::{self, FromControl, FromSubscriber};
 use stepspur_proto::{Frames, from_control, from_subscriber};
 use stepspur_replication::{ProposalLimits, ReplicatedStateMachine, ReplicationClient, StateMachineRegistry};
@@ -72,7 +72,7 @@
 /// A consensus group whose members are all control members. The first ones are voters.
 pub(crate) struct Cluster {
     pub network: MemoryNetwork,
-    pub wire: Wire,
+    pub wire: ConsensusNetwork,
     pub controls: BTreeMap<u64, Control>,
     replication: BTreeMap<u64, ReplicationClient>,
     settings: ClusterSettings,
@@ -97,12 +97,12 @@
     SocketAddr::from(([127, 0, 0, 1], 20_000 + id as u16))
 }
 
-async fn replication(wire: &Wire, id: u64, cluster: ClusterSettings) -> ReplicationClient {
+async fn replication(wire: &ConsensusNetwork, id: u64, cluster: ClusterSettings) -> ReplicationClient {
     let member = MemberId(id);
     let settings = Settings {
         id: member,
-        listen: Wire::address(member),
-        peers: (1..=cluster.members).map(MemberId).map(|id| (id, Wire::address(id))).collect(),
+        listen: ConsensusNetwork::address(member),
+        peers: (1..=cluster.members).map(MemberId).map(|id| (id, ConsensusNetwork::address(id))).collect(),
         consensus: stepspur_consensus::Settings::default(),
         role_prefixes: Vec::new(),
         role_weight: 1.0,
@@ -114,16 +114,17 @@
     ]);
     let voters: BTreeSet<_> = (1..=cluster.voters).map(MemberId).collect();
     let disk = (id <= cluster.voters)
-        .then(|| Image::new(member, RaftNode::bootstrap(voters), Duration::from_millis(2)).open());
-    let node = NodeHandle::start_with_environment(wire.of(member), settings, disk, id, registry.clone())
-        .await
-        .unwrap();
+        .then(|| MemoryDisk::new(member, RaftNode::bootstrap(voters), Duration::from_millis(2)).open());
+    let node =
+        NodeHandle::start_with_environment(wire.transport_of(member), settings, disk, id, registry.clone())
+            .await
+            .unwrap();
     ReplicationClient::new(Arc::new(node), registry, ProposalLimits::default(), id)
 }
 
 impl Cluster {
     pub(crate) async fn start(settings: ClusterSettings) -> Self {
-        let (network, wire) = (MemoryNetwork::default(), Wire::default());
+        let (network, wire) = (MemoryNetwork::default(), ConsensusNetwork::default());
         let mut cluster =
             Self { network, wire, controls: BTreeMap::new(), replication: BTreeMap::new(), settings };
         for id in 1..=settings.members {
--- a/crates/stepspur-distribution/tests/control/rollout_status.rs
+++ b/crates/stepspur-distribution/tests/control/rollout_status.rs
@@ -55,8 +55,8 @@
 /// continue.
 fn disconnect_from_group(cluster: &Cluster, id: u64) {
     for other in cluster.controls.keys().filter(|other| **other != id) {
-        cluster.wire.silence(MemberId(id), MemberId(*other), true);
-        cluster.wire.silence(MemberId(*other), MemberId(id), true);
+        cluster.wire.set_blocked(MemberId(id), MemberId(*other), true);
+        cluster.wire.set_blocked(MemberId(*other), MemberId(id), true);
     }
 }
 
--- a/crates/stepspur-fault-tests/src/cluster.rs
+++ b/crates/stepspur-fault-tests/src/cluster.rs
@@ -15,9 +15,9 @@
 use tokio::time::{Instant, sleep};
 
 use crate::counters::{Add, COUNTERS, Counters};
-use crate::disk::Image;
+use crate::disk::MemoryDisk;
 use crate::history::{History, Op, Operation};
-use crate::net::Wire;
+use crate::net::ConsensusNetwork;
 
 /// Size and limits of a cluster.
 #[derive(Clone, Debug)]
@@ -40,7 +40,7 @@
 
 struct Node {
     /// `None` for learners.
-    disk: Option<Image>,
+    disk: Option<MemoryDisk>,
     /// `None` while the member is killed.
     running: Option<ReplicationClient>,
     /// Version of the state machine from the next start on.
@@ -51,7 +51,7 @@
 pub struct Cluster {
     settings: ClusterSettings,
     nodes: BTreeMap<MemberId, Node>,
-    wire: Wire,
+    wire: ConsensusNetwork,
     rng: ChaCha8Rng,
     started_at: Instant,
     history: History,
@@ -71,12 +71,13 @@
         let voters: std::collections::BTreeSet<_> = ids.clone().take(settings.voters as usize).collect();
         let node = |id| {
             let bootstrapped_disk =
-                || Image::new(id, RaftNode::bootstrap(voters.clone()), DISK_WRITE_LATENCY);
+                || MemoryDisk::new(id, RaftNode::bootstrap(voters.clone()), DISK_WRITE_LATENCY);
             Node { disk: voters.contains(&id).then(bootstrapped_disk), running: None, version: 1 }
         };
         let nodes = ids.map(|id| (id, node(id))).collect();
         let (rng, started_at) = (ChaCha8Rng::seed_from_u64(seed), Instant::now());
-        let (wire, history, history_indices) = (Wire::default(), History::default(), BTreeMap::new());
+        let (wire, history, history_indices) =
+            (ConsensusNetwork::default(), History::default(), BTreeMap::new());
         let mut cluster = Self { settings, nodes, wire, rng, started_at, history, history_indices };
         for id in cluster.ids() {
             cluster.start_member(id).await;
@@ -95,7 +96,7 @@
     }
 
     /// The network between the members.
-    pub fn wire(&self) -> &Wire {
+    pub fn wire(&self) -> &ConsensusNetwork {
         &self.wire
     }
 
@@ -121,7 +122,7 @@
     ///
     /// # Panics
     /// If the member is a learner, which has no disk.
-    pub fn disk(&self, id: MemberId) -> &Image {
+    pub fn disk(&self, id: MemberId) -> &MemoryDisk {
         self.nodes[&id].disk.as_ref().expect("the member is a voter")
     }
 
@@ -142,8 +143,8 @@
         };
         let node_settings = Settings {
             id,
-            listen: Wire::address(id),
-            peers: self.ids().into_iter().map(|id| (id, Wire::address(id))).collect(),
+            listen: ConsensusNetwork::address(id),
+            peers: self.ids().into_iter().map(|id| (id, ConsensusNetwork::address(id))).collect(),
             consensus: consensus_settings,
             role_prefixes: Vec::new(),
             role_weight: 1.0,
@@ -155,10 +156,15 @@
         let registry = StateMachineRegistry::new([
             Box::new(Counters::new(node.version)) as Box<dyn ReplicatedStateMachine>
         ]);
-        let disk = node.disk.as_ref().map(Image::open);
-        let handle =
-            NodeHandle::start_with_environment(self.wire.of(id), node_settings, disk, seed, registry.clone())
-                .await;
+        let disk = node.disk.as_ref().map(MemoryDisk::open);
+        let handle = NodeHandle::start_with_environment(
+            self.wire.transport_of(id),
+            node_settings,
+            disk,
+            seed,
+            registry.clone(),
+        )
+        .await;
         let handle = Arc::new(handle.expect("the member starts"));
         let client = ReplicationClient::new(handle, registry, ProposalLimits::default(), incarnation);
         self.nodes.entry(id).and_modify(|n| n.running = Some(client));
@@ -182,15 +188,15 @@
     /// Sets whether a member is partitioned from all others.
     pub fn set_partitioned(&self, id: MemberId, partitioned: bool) {
         for other in self.ids() {
-            self.wire.silence(id, other, partitioned);
-            self.wire.silence(other, id, partitioned);
+            self.wire.set_blocked(id, other, partitioned);
+            self.wire.set_blocked(other, id, partitioned);
         }
     }
 
     /// Ends all partitions and delays of the network, and restores the latency of all disks.
     pub fn heal(&self) {
         for (from, to) in self.ids().into_iter().flat_map(|a| self.ids().into_iter().map(move |b| (a, b))) {
-            self.wire.silence(from, to, false);
+            self.wire.set_blocked(from, to, false);
             self.wire.set_delay(from, to, Duration::ZERO);
         }
         self.nodes
--- a/crates/stepspur-fault-tests/src/disk.rs
+++ b/crates/stepspur-fault-tests/src/disk.rs
@@ -28,12 +28,12 @@
 
 /// The disk of one member. Clones share it.
 #[derive(Clone, Debug)]
-pub struct Image {
+pub struct MemoryDisk {
     member: MemberId,
     state: Arc<Mutex<State>>,
 }
 
-impl Image {
+impl MemoryDisk {
     /// Creates a disk with this content, on which each write takes the time `write_latency`.
     pub fn new(member: MemberId, stored: PersistentState, write_latency: Duration) -> Self {
         Self {
@@ -89,7 +89,7 @@
 
 /// The disk as one incarnation of its member has it.
 struct OpenDisk {
-    disk: Image,
+    disk: MemoryDisk,
     incarnation: u64,
 }
 
--- a/crates/stepspur-fault-tests/src/distribution/node.rs
+++ b/crates/stepspur-fault-tests/src/distribution/node.rs
@@ -19,7 +19,7 @@
 use super::checker::{Checker, SubscriberState};
 use super::engine::Engine;
 use super::network::{Host, Network};
-use crate::disk::Image;
+use crate::disk::MemoryDisk;
 
 /// Interval of keep-alive frames that control members announce to subscribers.
 pub(crate) const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
@@ -37,7 +37,7 @@
     pub(crate) id: u64,
     pub(crate) host: Host,
     /// `None` if it has no vote.
-    pub(crate) disk: Option<Image>,
+    pub(crate) disk: Option<MemoryDisk>,
     /// `None` while it is killed.
     pub(crate) running: Option<(ReplicationClient, Control)>,
 }
@@ -55,7 +55,7 @@
 impl ControlNode {
     /// Creates a member that does not run yet.
     pub(crate) fn new(id: u64, region: &str, voters: &BTreeSet<MemberId>) -> Self {
-        let disk = || Image::new(MemberId(id), RaftNode::bootstrap(voters.clone()), DISK_WRITE_LATENCY);
+        let disk = || MemoryDisk::new(MemberId(id), RaftNode::bootstrap(voters.clone()), DISK_WRITE_LATENCY);
         Self {
             id,
             host: Host { region: region.to_owned(), name: format!("control-{id}") },
@@ -82,7 +82,7 @@
             io_timeout: IO_TIMEOUT,
             max_frame_bytes: MAX_PEER_FRAME_BYTES,
         };
-        let disk = self.disk.as_ref().map(Image::open);
+        let disk = self.disk.as_ref().map(MemoryDisk::open);
         let handle =
             NodeHandle::start_with_environment(Arc::clone(&net), settings, disk, seed, registry.clone())
                 .await;
--- a/crates/stepspur-fault-tests/src/lib.rs
+++ b/crates/stepspur-fault-tests/src/lib.rs
@@ -15,6 +15,6 @@
 
 pub use cluster::{Cluster, ClusterSettings, add, read};
 pub use counters::{COUNTERS, Counters};
-pub use disk::{Image, StoredState};
+pub use disk::{MemoryDisk, StoredState};
 pub use history::{History, Op, Operation};
-pub use net::Wire;
+pub use net::ConsensusNetwork;
--- a/crates/stepspur-fault-tests/src/net.rs
+++ b/crates/stepspur-fault-tests/src/net.rs
@@ -37,9 +37,9 @@
 
 /// The network between all members. Clones share it.
 #[derive(Clone, Default)]
-pub struct Wire(Arc<Mutex<NetworkState>>);
+pub struct ConsensusNetwork(Arc<Mutex<NetworkState>>);
 
-impl Wire {
+impl ConsensusNetwork {
     fn network(&self) -> MutexGuard<'_, NetworkState> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -61,7 +61,7 @@
     }
 
     /// Sets whether all bytes from one member to the other are held back, without an error at either end.
-    pub fn silence(&self, from: MemberId, to: MemberId, blocked: bool) {
+    pub fn set_blocked(&self, from: MemberId, to: MemberId, blocked: bool) {
         self.update_link(from, to, |link| link.blocked = blocked);
     }
 
@@ -76,13 +76,13 @@
     }
 
     /// The transport through which a member uses the network.
-    pub fn of(&self, member: MemberId) -> Arc<dyn Transport> {
+    pub fn transport_of(&self, member: MemberId) -> Arc<dyn Transport> {
         Arc::new(MemberTransport { wire: self.clone(), member })
     }
 }
 
 struct MemberTransport {
-    wire: Wire,
+    wire: ConsensusNetwork,
     member: MemberId,
 }
 
--- a/crates/stepspur-fault-tests/tests/processes.rs
+++ b/crates/stepspur-fault-tests/tests/processes.rs
@@ -55,7 +55,7 @@
 /// Not a test of its own: the process of a member, which serves clients. Returns at once unless started as a
 /// child.
 #[test]
-fn child_that_is_a_member() {
+fn member_process_entry_point() {
     let Ok(settings) = std::env::var(CHILD_VARIABLE) else { return };
     let child: ChildSettings = serde_json::from_str(&settings).expect("valid child settings");
     let (store, stored) = Store::open(&child.state).expect("the store opens");
@@ -223,9 +223,9 @@
         match fault {
             "leader killed" => group.kill(leader),
             "leader stopped" => group.signal(leader, "-STOP"),
-            "leader's outbound links blocked" => group.set_outbound(leader, Mode::Silent),
-            "leader's inbound links blocked" => group.set_inbound(leader, Mode::Silent),
-            "leader's outbound links down" => group.set_outbound(leader, Mode::Down),
+            "leader's outbound links blocked" => group.set_outbound(leader, Mode::Blackhole),
+            "leader's inbound links blocked" => group.set_inbound(leader, Mode::Blackhole),
+            "leader's outbound links down" => group.set_outbound(leader, Mode::Closed),
             _ => {
                 (1..=3).for_each(|m| group.kill(m));
                 (1..=3).for_each(|m| group.start(m));
@@ -241,8 +241,8 @@
             }
             "leader stopped" => group.signal(leader, "-CONT"),
             _ => (1..=3).for_each(|m| {
-                group.set_outbound(m, Mode::Pass);
-                group.set_inbound(m, Mode::Pass);
+                group.set_outbound(m, Mode::Forward);
+                group.set_inbound(m, Mode::Forward);
             }),
         }
         let mut history = History::default();
--- a/crates/stepspur-fault-tests/tests/random.rs
+++ b/crates/stepspur-fault-tests/tests/random.rs
@@ -24,7 +24,7 @@
         let other = MemberId(1 + cluster.random_below(settings.voters));
         match cluster.random_below(8) {
             0 => cluster.set_partitioned(voter, true),
-            1 => cluster.wire().silence(voter, other, true),
+            1 => cluster.wire().set_blocked(voter, other, true),
             2 => cluster.wire().set_delay(voter, other, Duration::from_millis(150)),
             3 => cluster.disk(voter).set_write_latency(Duration::from_millis(400)),
             4 => cluster.wire().reset(voter, other),
--- a/crates/stepspur-fault-tests/tests/scenarios.rs
+++ b/crates/stepspur-fault-tests/tests/scenarios.rs
@@ -150,7 +150,7 @@
 async fn receives_nothing(scenario: &mut Scenario, current: String, name: String) {
     let member = scenario.name_member(&current, &name).await;
     let cluster = scenario.cluster();
-    cluster.ids().into_iter().for_each(|other| cluster.wire().silence(other, member, true));
+    cluster.ids().into_iter().for_each(|other| cluster.wire().set_blocked(other, member, true));
 }
 
 #[when(regex = r"^(.+), called (.+), is killed$")]
