--- a/crates/stepspur-cli/src/bench/conductor.rs
+++ b/crates/stepspur-cli/src/bench/conductor.rs
@@ -95,7 +95,7 @@
     pub(super) async fn start_with_list(&self) -> anyhow::Result<Running> {
         let polls = self.registry.polls();
         let running = self.start().await?;
-        timeout(WAIT_TIMEOUT, self.registry.polled(polls))
+        timeout(WAIT_TIMEOUT, self.registry.wait_until_polled(polls))
             .await
             .context("the conductor did not read the list of servers in time")?;
         Ok(running)
--- a/crates/stepspur-cli/src/bench/drain.rs
+++ b/crates/stepspur-cli/src/bench/drain.rs
@@ -84,7 +84,7 @@
     let polls = conductor.registry.polls();
     conductor.set_states(drained, EndpointRecordState::Ready);
     wait_weighted(observations, args.proxies).await?;
-    timeout(WAIT_TIMEOUT, conductor.registry.polled(polls))
+    timeout(WAIT_TIMEOUT, conductor.registry.wait_until_polled(polls))
         .await
         .context("the conductor did not read the list again in time")?;
     Ok(cpu_s)
--- a/crates/stepspur-cli/src/bench/joins.rs
+++ b/crates/stepspur-cli/src/bench/joins.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use stepspur_emulator::identity::DayKeys;
+use stepspur_emulator::identity::TestIdentity;
 use stepspur_proto::{encode_frame, from_proxy};
 use tokio::net::{TcpSocket, TcpStream};
 use tokio::sync::{Semaphore, mpsc};
@@ -56,7 +56,7 @@
     );
     let mut conductor = BenchConductor::new(args).await?;
     first_joins(&conductor, "plain TCP", &plain_clients(&conductor, args.proxies)?).await?;
-    let keys = DayKeys::new()?;
+    let keys = TestIdentity::new()?;
     conductor.config.listen.plain_on_loopback = false;
     conductor.config.identity = Some(keys.config());
     let proxies = proxy_identities(&conductor, &keys, args.proxies)?;
@@ -80,7 +80,7 @@
 /// Creates a certificate for each proxy.
 fn proxy_identities(
     conductor: &BenchConductor,
-    keys: &DayKeys,
+    keys: &TestIdentity,
     proxies: usize,
 ) -> anyhow::Result<Vec<ProxyIdentity>> {
     let identity = |number| {
@@ -94,7 +94,7 @@
 /// Tokens expire soon: each measurement issues new ones.
 fn clients_with_tokens(
     conductor: &BenchConductor,
-    keys: &DayKeys,
+    keys: &TestIdentity,
     proxies: &[ProxyIdentity],
 ) -> anyhow::Result<Vec<Client>> {
     let client = |(number, ProxyIdentity { name, zone, tls }): (usize, &ProxyIdentity)| {
@@ -123,7 +123,7 @@
 /// Measures joins with TLS sessions to resume, without and with a flood of half-open connections.
 async fn rejoins(
     conductor: &BenchConductor,
-    keys: &DayKeys,
+    keys: &TestIdentity,
     proxies: &[ProxyIdentity],
 ) -> anyhow::Result<()> {
     let running = conductor.start().await?;
--- a/crates/stepspur-cli/src/bench/rights.rs
+++ b/crates/stepspur-cli/src/bench/rights.rs
@@ -4,7 +4,7 @@
 use std::time::{Instant, SystemTime};
 
 use anyhow::Context;
-use stepspur_emulator::identity::DayKeys;
+use stepspur_emulator::identity::TestIdentity;
 use stepspur_identity::grant::Grant;
 use stepspur_identity::keys::KeySet;
 use stepspur_identity::rights::Right;
@@ -14,7 +14,7 @@
 const CHECKS: u32 = 10_000_000;
 
 /// Checks a right many times and prints the mean time of one check.
-pub(super) fn print_cost(keys: &DayKeys) -> anyhow::Result<()> {
+pub(super) fn print_cost(keys: &TestIdentity) -> anyhow::Result<()> {
     let set = KeySet::load(&keys.config().folder)?;
     let token = keys.token("north", "p0");
     let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH)?.as_micros() as u64;
--- a/crates/stepspur-cli/src/fleet.rs
+++ b/crates/stepspur-cli/src/fleet.rs
@@ -9,7 +9,7 @@
 use stepspur_emulator::replay;
 use stepspur_emulator::scenario::Scenario;
 use stepspur_report::{Chart, Line, Page, Table};
-use stepspur_simulation::experiment::{ArmResult, Estimate, ExperimentError, Lab};
+use stepspur_simulation::experiment::{ArmResult, Estimate, ExperimentError, ExperimentRunner};
 use stepspur_simulation::{Options, run};
 
 use crate::ExitStatus;
@@ -74,7 +74,7 @@
             "service {:.4}; {} orders; {} servers fell over",
             outcome.service, outcome.orders, outcome.fallen
         );
-        for violation in &outcome.breaks {
+        for violation in &outcome.violations {
             println!("BROKEN  {} ({} times): {}", violation.rule.words(), violation.times, violation.what);
         }
         let [total_s, engine_s] = outcome.took_s;
@@ -84,7 +84,7 @@
             100.0 * engine_s / total_s.max(1e-9)
         );
     }
-    Ok(if outcome.breaks.is_empty() { ExitStatus::Success } else { ExitStatus::RuleViolated })
+    Ok(if outcome.violations.is_empty() { ExitStatus::Success } else { ExitStatus::RuleViolated })
 }
 
 /// Arguments of `stepspur experiment`.
@@ -109,8 +109,8 @@
 /// Plays all runs of an experiment that have no result yet, and prints the results.
 pub(crate) fn experiment(args: &ExperimentArgs) -> anyhow::Result<ExitStatus> {
     let results = args.results.clone().unwrap_or_else(|| args.file.with_extension("results.jsonl"));
-    let lab = match Lab::open(&args.file, &results) {
-        Ok(lab) => lab,
+    let runner = match ExperimentRunner::open(&args.file, &results) {
+        Ok(runner) => runner,
         Err(error @ ExperimentError::Io { .. }) => return Err(error.into()),
         Err(error) => {
             eprintln!("stepspur: {error}");
@@ -118,25 +118,25 @@
         }
     };
     let threads = args.threads.or(std::thread::available_parallelism().ok().map(|n| n.get())).unwrap_or(1);
-    let (arms, max_runs) = (lab.experiment().arms.len() as u64, lab.experiment().most);
-    let bar = ProgressBar::new(arms * max_runs).with_position(lab.finished() as u64);
+    let (arms, max_runs) = (runner.experiment().arms.len() as u64, runner.experiment().most);
+    let bar = ProgressBar::new(arms * max_runs).with_position(runner.finished() as u64);
     bar.set_style(
         ProgressStyle::with_template("{bar:30} {pos}/{len} runs at most, {eta} left  {msg}")
             .unwrap_or_else(|_| ProgressStyle::default_bar()),
     );
     bar.enable_steady_tick(Duration::from_millis(500));
-    let arm_results = lab.play(threads, &|finished| {
+    let arm_results = runner.play(threads, &|finished| {
         bar.inc(1);
         bar.set_message(format!("{} seed {}", finished.arm, finished.seed));
     })?;
     bar.finish_and_clear();
     if let Some(path) = &args.report {
-        write_report(path, &lab, &arm_results)?;
+        write_report(path, &runner, &arm_results)?;
     }
     if args.json {
         println!("{}", serde_json::to_string_pretty(&arm_results)?);
     } else {
-        print(&lab, &arm_results);
+        print(&runner, &arm_results);
     }
     Ok(if arm_results.iter().any(|arm| !arm.crashed.is_empty()) {
         ExitStatus::Failure
@@ -186,8 +186,8 @@
 }
 
 /// Prints the results as an aligned text table.
-fn print(lab: &Lab, arms: &[ArmResult]) {
-    println!("{} (modelled servers; 95% intervals)", lab.experiment().name);
+fn print(runner: &ExperimentRunner, arms: &[ArmResult]) {
+    println!("{} (modelled servers; 95% intervals)", runner.experiment().name);
     let rows: Vec<[String; 10]> =
         std::iter::once(HEADS.map(String::from)).chain(arms.iter().map(row)).collect();
     let width = |k: usize| rows.iter().map(|r| r[k].chars().count()).max().unwrap_or(0);
@@ -199,8 +199,8 @@
 }
 
 /// Writes an HTML page with the table of results and a chart of service by arm.
-fn write_report(path: &Path, lab: &Lab, arms: &[ArmResult]) -> anyhow::Result<()> {
-    let experiment = lab.experiment();
+fn write_report(path: &Path, runner: &ExperimentRunner, arms: &[ArmResult]) -> anyhow::Result<()> {
+    let experiment = runner.experiment();
     let point = |(k, arm): (usize, &ArmResult)| {
         let Estimate { mean, t_half, .. } = arm.service?;
         Some(Line {
--- a/crates/stepspur-cli/src/model_bench.rs
+++ b/crates/stepspur-cli/src/model_bench.rs
@@ -7,7 +7,7 @@
 use rand_distr::{Distribution, Exp};
 use serde::Serialize;
 use stepspur_emulator::usage::Usage;
-use stepspur_model::server::{Ask, Job, Server, Spec};
+use stepspur_model::server::{Job, Request, Server, Spec};
 use stepspur_model::work::{Form, Work};
 
 use crate::ExitStatus;
@@ -48,7 +48,7 @@
                 events += 1;
             }
         }
-        server.offer(now, Job(k), Ask { work: work.sample(&mut rng), key: None, conn });
+        server.offer(now, Job(k), Request { work: work.sample(&mut rng), key: None, conn });
         events += 1;
     }
     events as f64 / start.elapsed().as_secs_f64()
@@ -61,7 +61,7 @@
     for server in &mut servers {
         for k in 0..requests {
             let conn = server.connect(0);
-            server.offer(0, Job(k), Ask { work: 1e9, key: None, conn });
+            server.offer(0, Job(k), Request { work: 1e9, key: None, conn });
         }
     }
     let after = Usage::of(std::process::id())?.rss_kib;
--- a/crates/stepspur-cli/src/play.rs
+++ b/crates/stepspur-cli/src/play.rs
@@ -46,9 +46,9 @@
     if check {
         for plan in plans {
             let (servers, proxies) = (plan.servers.len(), plan.proxies.len());
-            println!("{}: {servers} servers, {proxies} proxies, {} faults", plan.name, plan.strikes.len());
-            for strike in &plan.strikes {
-                println!("  {} for {:.1} s", strike.name, strike.lasts.as_secs_f64());
+            println!("{}: {servers} servers, {proxies} proxies, {} faults", plan.name, plan.faults.len());
+            for fault in &plan.faults {
+                println!("  {} for {:.1} s", fault.name, fault.duration.as_secs_f64());
             }
         }
         return Ok(ExitStatus::Success);
@@ -64,7 +64,7 @@
     }
     let summary = Summary::of(&reports);
     let worst = reports.iter().min_by(|a, b| {
-        let rank = |r: &Report| (r.kept(), r.met());
+        let rank = |r: &Report| (r.rules_kept(), r.expectations_met());
         rank(a).cmp(&rank(b)).then(a.service.total_cmp(&b.service))
     });
     if let Some(worst) = worst {
@@ -115,7 +115,7 @@
     } else {
         print(&report);
     }
-    Ok(match (&report.void, report.kept(), report.met()) {
+    Ok(match (&report.void, report.rules_kept(), report.expectations_met()) {
         (Some(_), ..) => ExitStatus::Void,
         (None, false, _) => ExitStatus::RuleViolated,
         (None, true, false) => ExitStatus::ExpectationNotMet,
@@ -190,9 +190,9 @@
     // The bar is full at 2 requests in progress per core, in hundredths.
     let bars: Vec<_> = zones.iter().map(|_| line("{bar:20} {msg}", 200)).collect();
     while updates.changed().await.is_ok() {
-        let Progress { elapsed, tallies, troubles, sample } = updates.borrow_and_update().clone();
+        let Progress { elapsed, tallies, active_faults, sample } = updates.borrow_and_update().clone();
         progress.set_position(elapsed.as_secs().min(length.as_secs()));
-        progress.set_message(troubles.join(", "));
+        progress.set_message(active_faults.join(", "));
         let count = |t: &Tally| {
             format!(
                 "{} {}/{} in time, {} late, {} refused or failed",
@@ -232,10 +232,10 @@
     let terminal = std::io::stderr().is_terminal();
     let mut last_printed = 0;
     while updates.changed().await.is_ok() {
-        let Progress { elapsed, tallies, troubles, .. } = updates.borrow_and_update().clone();
+        let Progress { elapsed, tallies, active_faults, .. } = updates.borrow_and_update().clone();
         let requests: u64 = tallies.iter().map(|t| t.asked).sum();
         let in_time: u64 = tallies.iter().map(|t| t.in_time).sum();
-        let text = format!("{in_time} of {requests} in time  {}", troubles.join(", "));
+        let text = format!("{in_time} of {requests} in time  {}", active_faults.join(", "));
         let second = elapsed.as_secs().min(length.as_secs());
         bar.set_position(second);
         bar.set_message(text.clone());
--- a/crates/stepspur-cli/tests/cli.rs
+++ b/crates/stepspur-cli/tests/cli.rs
@@ -194,6 +194,6 @@
     for identity in [false, true] {
         let plan = Plan { identity, ..scenario.plan("small").unwrap() };
         let report = play(plan, Launcher::Program(PROGRAM.into()), None).await.unwrap();
-        assert!((report.kept() || report.void.is_some()) && report.orders > 0, "{report:#?}");
+        assert!((report.rules_kept() || report.void.is_some()) && report.orders > 0, "{report:#?}");
     }
 }
--- a/crates/stepspur-cli/tests/fleet.rs
+++ b/crates/stepspur-cli/tests/fleet.rs
@@ -20,8 +20,8 @@
     if let Some(cause) = &report.void {
         return eprintln!("void: {cause}");
     }
-    assert!(report.kept(), "{:#?}", report.rules);
-    assert!(report.met(), "{:#?}", report.expectations);
+    assert!(report.rules_kept(), "{:#?}", report.rules);
+    assert!(report.expectations_met(), "{:#?}", report.expectations);
     assert!(report.orders >= report.size.1, "at least one order for each proxy: {}", report.orders);
 }
 
--- a/crates/stepspur-conductor/src/engine/endpoints/merge.rs
+++ b/crates/stepspur-conductor/src/engine/endpoints/merge.rs
@@ -37,8 +37,8 @@
         let update = match self.mass_removal.check(update, &ready_before, &draft.listed, now) {
             Verdict::Accepted => update,
             Verdict::RemovalsWithheld { missing_ready } => {
-                let named = draft.listed.len();
-                draft.log.push(LogEvent::MassRemovalSuspected { missing: missing_ready, listed: named });
+                let listed = draft.listed.len();
+                draft.log.push(LogEvent::MassRemovalSuspected { missing: missing_ready, listed });
                 ListUpdate::Delta
             }
         };
--- a/crates/stepspur-emulator/src/clients.rs
+++ b/crates/stepspur-emulator/src/clients.rs
@@ -8,7 +8,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde::Serialize;
-use stepspur_model::serve::{Answer, client_repeats};
+use stepspur_model::serve::{Response, client_repeats};
 use tokio::time::{Instant, sleep, sleep_until};
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
@@ -16,7 +16,7 @@
 use crate::plan::{ClassPlan, Plan};
 use crate::proxy::{ClientRequest, Proxy};
 use crate::trace::{RequestId, lock};
-use crate::traffic::{Drawn, Traffic, Weather};
+use crate::traffic::{DrawnRequest, Traffic, TrafficFaults};
 
 /// Results of the requests of a class. Serialized into reports.
 #[derive(Clone, Debug, Default, Serialize)]
@@ -150,15 +150,15 @@
         class: usize,
         sent_at: Duration,
         took: Duration,
-        answer: Answer,
+        answer: Response,
         repeats: u32,
     ) {
         let in_time = took <= plan.aim;
         let kind = match answer {
-            Answer::Good if in_time => 0,
-            Answer::Good => 1,
-            Answer::Refused | Answer::NeverRan => 2,
-            Answer::Failed => 3,
+            Response::Good if in_time => 0,
+            Response::Good => 1,
+            Response::Refused | Response::NeverRan => 2,
+            Response::Failed => 3,
         };
         let second = sent_at.as_secs() as usize;
         if self.seconds.len() <= second {
@@ -172,7 +172,7 @@
             tally.asked += 1;
             tally.repeats += u64::from(repeats);
             *[&mut tally.in_time, &mut tally.late, &mut tally.refused, &mut tally.failed][kind] += 1;
-            if answer == Answer::Good {
+            if answer == Response::Good {
                 times.saturating_record(took.as_micros() as u64);
             }
         }
@@ -186,7 +186,7 @@
     plan: Arc<Plan>,
     proxies: Vec<Arc<Proxy>>,
     /// Traffic faults in effect.
-    pub traffic_faults: Mutex<Weather>,
+    pub traffic_faults: Mutex<TrafficFaults>,
     /// Results so far.
     pub outcomes: Mutex<Outcomes>,
     tasks: TaskTracker,
@@ -233,7 +233,7 @@
             }
             next += 1;
             let Some(drawn) = traffic.draw(&lock(&self.traffic_faults)) else { continue };
-            let Drawn { class, key, work, .. } = drawn;
+            let DrawnRequest { class, key, work, .. } = drawn;
             let (id, aim, until) = (RequestId(next), self.plan.classes[class].aim, Instant::now());
             let request = ClientRequest { id, client_try: 0, class, key, work, aim, until };
             let (clients, proxy) = (Arc::clone(&self), Arc::clone(&self.proxies[drawn.proxy]));
@@ -258,7 +258,7 @@
         let started = Instant::now();
         let end = started + class.deadline;
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let (mut client_try, mut answer) = (0, Answer::Refused);
+        let (mut client_try, mut answer) = (0, Response::Refused);
         while client_try <= clients.retries && Instant::now() < end {
             if client_try > 0 {
                 sleep(clients.wait.mul_f64(rng.random_range(0.8..1.2))).await;
--- a/crates/stepspur-emulator/src/faults.rs
+++ b/crates/stepspur-emulator/src/faults.rs
@@ -11,7 +11,7 @@
 use schemars::JsonSchema;
 use serde::Deserialize;
 
-use crate::plan::{Lie, ServerPlan, Step, Trouble};
+use crate::plan::{FalseReport, FaultAction, ServerPlan, Step};
 use crate::scenario::Scenario;
 
 /// Kinds of faults, each with the keys that it takes. Kinds that affect a `share` of the servers also take
@@ -237,7 +237,7 @@
         fault: &Fault,
         servers: &mut Vec<ServerPlan>,
         rng: &mut ChaCha8Rng,
-    ) -> Trouble {
+    ) -> FaultAction {
         let zone = self.zone(&fault.zone);
         let times = fault.times.unwrap_or(1.0);
         let part = fault.part.unwrap_or(1.0);
@@ -259,11 +259,11 @@
             sample_share((0..servers.len()).filter(within).collect(), share, rng)
         };
         match fault.kind {
-            FaultKind::Burst => Trouble::Burst(times),
-            FaultKind::Shift => Trouble::Shift(zone.unwrap_or(0), share),
+            FaultKind::Burst => FaultAction::Burst(times),
+            FaultKind::Shift => FaultAction::Shift(zone.unwrap_or(0), share),
             FaultKind::HeavyTail => {
                 let class = self.classes.iter().position(|c| Some(&c.name) == fault.class.as_ref());
-                Trouble::HeavyTail(class.unwrap_or(0), share, times)
+                FaultAction::HeavyTail(class.unwrap_or(0), share, times)
             }
             FaultKind::Release => {
                 let mut stop = targets(servers, rng);
@@ -285,48 +285,52 @@
                     stop: Vec::new(),
                     start: start.to_vec(),
                 };
-                Trouble::Release(Duration::ZERO, batches.enumerate().map(step).collect())
+                FaultAction::Release(Duration::ZERO, batches.enumerate().map(step).collect())
             }
-            FaultKind::MassRestart | FaultKind::Die => Trouble::Die(targets(servers, rng)),
-            FaultKind::Vanish => Trouble::Vanish(targets(servers, rng)),
-            FaultKind::Hang => Trouble::Hang(targets(servers, rng)),
-            FaultKind::FailFast => Trouble::Fail(targets(servers, rng), part),
+            FaultKind::MassRestart | FaultKind::Die => FaultAction::Die(targets(servers, rng)),
+            FaultKind::Vanish => FaultAction::Vanish(targets(servers, rng)),
+            FaultKind::Hang => FaultAction::Hang(targets(servers, rng)),
+            FaultKind::FailFast => FaultAction::Fail(targets(servers, rng), part),
             FaultKind::Pauses => {
                 let (every, pause) = (fault.every.unwrap_or_default(), fault.pause.unwrap_or_default());
-                Trouble::Pause(targets(servers, rng), every, pause)
+                FaultAction::Pause(targets(servers, rng), every, pause)
+            }
+            FaultKind::AnswersLost => FaultAction::LoseAnswers(targets(servers, rng), part, false),
+            FaultKind::FalseReports => {
+                FaultAction::FalseReports(targets(servers, rng), FalseReport::Times(times), 1.0)
+            }
+            FaultKind::FewConnections => FaultAction::FewConnections(targets(servers, rng), times),
+            FaultKind::SlowHandshakes => FaultAction::SlowHandshakes(targets(servers, rng), times, delay),
+            FaultKind::ListDown => FaultAction::ListDown,
+            FaultKind::WrongList => FaultAction::WrongList(targets(servers, rng)),
+            FaultKind::ZoneLoss => FaultAction::LoseZone(zone.unwrap_or(0), fault.proxies.unwrap_or(false)),
+            FaultKind::ZoneCut => FaultAction::CutZone(zone.unwrap_or(0)),
+            FaultKind::LinkCut => {
+                FaultAction::CutLink(zone.unwrap_or(0), self.zone(&fault.to_zone).unwrap_or(0))
             }
-            FaultKind::AnswersLost => Trouble::LoseAnswers(targets(servers, rng), part, false),
-            FaultKind::FalseReports => Trouble::FalseReports(targets(servers, rng), Lie::Times(times), 1.0),
-            FaultKind::FewConnections => Trouble::FewConnections(targets(servers, rng), times),
-            FaultKind::SlowHandshakes => Trouble::SlowHandshakes(targets(servers, rng), times, delay),
-            FaultKind::ListDown => Trouble::ListDown,
-            FaultKind::WrongList => Trouble::WrongList(targets(servers, rng)),
-            FaultKind::ZoneLoss => Trouble::LoseZone(zone.unwrap_or(0), fault.proxies.unwrap_or(false)),
-            FaultKind::ZoneCut => Trouble::CutZone(zone.unwrap_or(0)),
-            FaultKind::LinkCut => Trouble::CutLink(zone.unwrap_or(0), self.zone(&fault.to_zone).unwrap_or(0)),
             FaultKind::SlowLink => {
                 let to = self.zone(&fault.to_zone).unwrap_or(0);
-                Trouble::SlowLink(zone.unwrap_or(0), to, delay, fault.part.unwrap_or(0.0))
+                FaultAction::SlowLink(zone.unwrap_or(0), to, delay, fault.part.unwrap_or(0.0))
             }
-            FaultKind::ChannelSlow => Trouble::SlowChannel(times),
-            FaultKind::ReportsLate => Trouble::LateReports(delay),
+            FaultKind::ChannelSlow => FaultAction::SlowChannel(times),
+            FaultKind::ReportsLate => FaultAction::LateReports(delay),
             FaultKind::CutOff | FaultKind::ProxyStalls => {
                 let within = |k: &usize| zone.is_none_or(|zone| k % self.zones.len() == zone);
                 let proxies = sample_share((0..self.proxies as usize).filter(within).collect(), share, rng);
                 match fault.kind {
-                    FaultKind::CutOff => Trouble::CutOff(proxies),
-                    _ => Trouble::Stall(proxies),
+                    FaultKind::CutOff => FaultAction::CutOff(proxies),
+                    _ => FaultAction::Stall(proxies),
                 }
             }
             FaultKind::ConductorKill => {
                 let all: Vec<usize> = (0..self.conductors as usize).collect();
-                Trouble::KillConductor(match fault.share {
+                FaultAction::KillConductor(match fault.share {
                     Some(share) => sample_share(all, share, rng),
                     None => all,
                 })
             }
             FaultKind::ConductorRestart => {
-                Trouble::RestartConductors((0..self.conductors as usize).collect())
+                FaultAction::RestartConductors((0..self.conductors as usize).collect())
             }
         }
     }
@@ -339,7 +343,7 @@
         stop: Vec<usize>,
         servers: &mut Vec<ServerPlan>,
         rng: &mut ChaCha8Rng,
-    ) -> Trouble {
+    ) -> FaultAction {
         let batches = stop.chunks(fault.batch.unwrap_or(1).max(1));
         let gap = fault.lasts / (batches.len() as u32).max(1);
         let mut steps = Vec::new();
@@ -356,7 +360,7 @@
                 start: (first..servers.len()).collect(),
             });
         }
-        Trouble::Release(fault.drain.unwrap_or(Duration::from_secs(3)), steps)
+        FaultAction::Release(fault.drain.unwrap_or(Duration::from_secs(3)), steps)
     }
 }
 
--- a/crates/stepspur-emulator/src/identity.rs
+++ b/crates/stepspur-emulator/src/identity.rs
@@ -16,7 +16,7 @@
 use tokio_rustls::rustls::ClientConfig;
 
 /// The keys of a rehearsal. Tokens expire during it, so that proxies must renew them on their streams.
-pub struct DayKeys {
+pub struct TestIdentity {
     /// Holds the manifest and certificates; deleted when dropped.
     folder: PathBuf,
     authority: Authority,
@@ -33,7 +33,7 @@
     SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_secs()
 }
 
-impl DayKeys {
+impl TestIdentity {
     /// Creates new keys in a new folder.
     ///
     /// # Errors
@@ -110,7 +110,7 @@
 /// Lifetime of certificates, and the longest token lifetime that conductors accept.
 const ONE_DAY: Duration = Duration::from_secs(86_400);
 
-impl Drop for DayKeys {
+impl Drop for TestIdentity {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
--- a/crates/stepspur-emulator/src/judge.rs
+++ b/crates/stepspur-emulator/src/judge.rs
@@ -15,7 +15,7 @@
 use stepspur_proto::{server_address, v1};
 
 use crate::plan::Plan;
-use crate::trace::{Arrival, Came, Event, RequestId};
+use crate::trace::{Arrival, ArrivalOutcome, Event, RequestId};
 
 /// One of the five rules. Serialized by name into reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
@@ -52,7 +52,7 @@
 
 /// The violations of one rule: how many, and the first one.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Break {
+pub struct Violation {
     /// The rule that was broken.
     pub rule: Rule,
     /// Number of violations.
@@ -65,7 +65,7 @@
 
 /// The limits that the rules are checked against, and the facts about classes and servers that they need.
 #[derive(Clone, Debug)]
-pub struct Figures {
+pub struct RuleLimits {
     /// Rule 1: maximum time that a connected proxy may be without a server, in microseconds.
     unserved_max: Micros,
     /// Rules 3 and 4: time to act on a list that a conductor received, in microseconds.
@@ -93,7 +93,7 @@
     zones: BTreeMap<SocketAddr, String>,
 }
 
-impl Figures {
+impl RuleLimits {
     /// Takes the limits from a plan; `zones` maps each server to its zone.
     pub fn new(plan: &Plan, zones: BTreeMap<SocketAddr, String>) -> Self {
         let rules = &plan.rules;
@@ -121,8 +121,8 @@
 
 /// Checks events, which must be ordered by time, and returns the violations by rule. `begin` is when the
 /// first request was due.
-pub fn judge(figures: &Figures, begin: Micros, events: &[(Micros, Event)]) -> Vec<Break> {
-    let mut checker = RuleChecker { figures, begin, ..RuleChecker::new(figures) };
+pub fn judge(limits: &RuleLimits, begin: Micros, events: &[(Micros, Event)]) -> Vec<Violation> {
+    let mut checker = RuleChecker { limits, begin, ..RuleChecker::new(limits) };
     for (at, event) in events {
         checker.observe(*at, event);
     }
@@ -187,7 +187,7 @@
 
 /// State of the checks while events are replayed in order.
 struct RuleChecker<'a> {
-    figures: &'a Figures,
+    limits: &'a RuleLimits,
     begin: Micros,
     proxies: BTreeMap<usize, ProxyView>,
     /// Proxies that are connected, read, and have no server to pick. Kept apart because every event checks
@@ -204,13 +204,13 @@
     may_have_run: BTreeMap<(RequestId, u32), Vec<(Micros, SocketAddr)>>,
     /// By conductor: changes of the number of waiting lines, with their time and the cause of an increase.
     queued_lines: BTreeMap<usize, Vec<(Micros, f64, String)>>,
-    violations: BTreeMap<Rule, Break>,
+    violations: BTreeMap<Rule, Violation>,
 }
 
 impl<'a> RuleChecker<'a> {
-    fn new(figures: &'a Figures) -> Self {
+    fn new(limits: &'a RuleLimits) -> Self {
         Self {
-            figures,
+            limits,
             begin: 0,
             proxies: BTreeMap::new(),
             unserved: BTreeSet::new(),
@@ -226,7 +226,7 @@
     /// Counts a violation; only the first one of each rule keeps its time and description.
     fn record_violation(&mut self, rule: Rule, at: Micros, what: String) {
         let at_s = at.saturating_sub(self.begin) as f64 * 1e-6;
-        self.violations.entry(rule).or_insert(Break { rule, times: 0, at_s, what }).times += 1;
+        self.violations.entry(rule).or_insert(Violation { rule, times: 0, at_s, what }).times += 1;
     }
 
     fn observe(&mut self, at: Micros, event: &Event) {
@@ -286,7 +286,7 @@
 
     /// Updates the table of a proxy, and checks the message limit of rule 5.
     fn apply_order(&mut self, at: Micros, proxy: usize, order: &v1::Order, lines: f64) {
-        let (messages_max, window) = self.figures.messages;
+        let (messages_max, window) = self.limits.messages;
         let view = self.proxies.entry(proxy).or_default();
         if let Some(table) = &order.table {
             view.table = table.lines.iter().filter_map(|l| server_address(&l.server).ok()).collect();
@@ -336,7 +336,7 @@
     fn apply_list(&mut self, at: Micros, conductor: usize, whole: bool, nodes: &[EndpointRecord]) {
         let known = self.listed_servers.entry(conductor).or_default();
         let listed_now: BTreeSet<_> = nodes.iter().map(|n| n.address).collect();
-        if whole && !self.figures.drain_binds_alone {
+        if whole && !self.limits.drain_binds_alone {
             let ready: Vec<_> = known
                 .iter()
                 .filter(|(_, t)| t.state == EndpointRecordState::Ready)
@@ -345,7 +345,7 @@
             let missing = ready.iter().filter(|a| !listed_now.contains(a)).count();
             // A list that lacks more than `loss_max` is taken for a fault of the list, not for removals: see
             // docs/running.md.
-            if missing as f64 <= self.figures.loss_max * ready.len() as f64 {
+            if missing as f64 <= self.limits.loss_max * ready.len() as f64 {
                 for (_, listed) in known.iter_mut().filter(|(a, _)| !listed_now.contains(a)) {
                     if listed.state != EndpointRecordState::Gone {
                         (listed.state, listed.state_listed_at) = (EndpointRecordState::Gone, at);
@@ -377,12 +377,12 @@
             return;
         }
         let warm =
-            |t: &ListedServer| t.state == EndpointRecordState::Ready && t.started + self.figures.cold <= at;
+            |t: &ListedServer| t.state == EndpointRecordState::Ready && t.started + self.limits.cold <= at;
         let has_warm_server =
             |conductor: &usize| self.listed_servers.get(conductor).is_some_and(|t| t.values().any(warm));
         let has_warm_server: BTreeSet<usize> =
             self.listed_servers.keys().copied().filter(has_warm_server).collect();
-        let max = self.figures.unserved_max;
+        let max = self.limits.unserved_max;
         let mut expired = Vec::new();
         for proxy in &self.unserved {
             let Some(view) = self.proxies.get_mut(proxy) else { continue };
@@ -424,12 +424,12 @@
         let binds = match listed.state {
             EndpointRecordState::Ready => false,
             EndpointRecordState::Draining => true,
-            EndpointRecordState::Gone => !self.figures.drain_binds_alone,
+            EndpointRecordState::Gone => !self.limits.drain_binds_alone,
         };
         let reading = self.proxies.get(&arrival.proxy).filter(|p| p.reads);
         let Some(joined) = reading.and_then(|p| p.joined_at) else { return };
         let since = listed.state_listed_at.max(joined);
-        if binds && at > since + self.figures.drain_grace {
+        if binds && at > since + self.limits.drain_grace {
             let late = (at - since) as f64 * 1e-6;
             let (request, server, proxy) = (arrival.request.0.0, arrival.server, arrival.proxy);
             let what = format!(
@@ -443,19 +443,19 @@
     /// unless the class allows repeats or the servers deduplicate them.
     fn check_resend(&mut self, at: Micros, arrival: &Arrival) {
         let (request, client_try, attempt) = arrival.request;
-        let Some((effect, group, window)) = self.figures.effects.get(arrival.class).copied() else { return };
+        let Some((effect, group, window)) = self.limits.effects.get(arrival.class).copied() else { return };
         let earlier = self.may_have_run.entry((request, client_try)).or_default();
         let first = earlier.first().copied();
         let may_have_run = match arrival.came {
-            Came::Taken | Came::Failed | Came::Fallen => true,
-            Came::Known => false,
-            Came::Full => self.figures.full_may_have_run,
+            ArrivalOutcome::Taken | ArrivalOutcome::Failed | ArrivalOutcome::Fallen => true,
+            ArrivalOutcome::Known => false,
+            ArrivalOutcome::Full => self.limits.full_may_have_run,
         };
         if may_have_run && effect != IdempotencyConfig::ReadLike {
             earlier.push((at, arrival.server));
         }
         let Some((ran_at, ran)) = first.filter(|_| attempt > 0) else { return };
-        let zone = |server| self.figures.zones.get(server);
+        let zone = |server| self.limits.zones.get(server);
         let covered = match (effect, group) {
             (IdempotencyConfig::ReadLike, _) => true,
             (IdempotencyConfig::NonIdempotent, _) => false,
@@ -485,7 +485,7 @@
         request: (RequestId, u32, u32),
         class: usize,
     ) {
-        let effect = self.figures.effects.get(class).map(|(effect, ..)| *effect);
+        let effect = self.limits.effects.get(class).map(|(effect, ..)| *effect);
         if effect.is_none_or(|effect| effect == IdempotencyConfig::ReadLike) {
             return;
         }
@@ -510,7 +510,7 @@
         if cold_server.cold.is_some_and(|cold| at > cold_server.started + cold) {
             return;
         }
-        let grace = self.figures.drain_grace;
+        let grace = self.limits.drain_grace;
         let listed = listed.filter(|t| t.started + 1_000_000 > cold_server.started);
         let view = self.proxies.get(&arrival.proxy).filter(|p| p.joined_at.is_some());
         let sender_knew = listed.is_some_and(|t| {
@@ -520,17 +520,15 @@
             })
         });
         cold_server.recent_work.push_back((at, arrival.work, sender_knew));
-        let from = at.saturating_sub(self.figures.fall_span);
+        let from = at.saturating_sub(self.limits.fall_span);
         while cold_server.recent_work.front().is_some_and(|(arrived, ..)| *arrived < from) {
             cold_server.recent_work.pop_front();
         }
         let Some(cold) = cold_server.cold else { return };
         let age = (at - cold_server.started) as f64 / cold.max(1) as f64;
         let capacity_share = (cold_server.cold_from + (1.0 - cold_server.cold_from) * age).min(1.0);
-        let budget = self.figures.fall_multiple
-            * cold_server.capacity
-            * capacity_share
-            * self.figures.fall_span as f64;
+        let budget =
+            self.limits.fall_multiple * cold_server.capacity * capacity_share * self.limits.fall_span as f64;
         let all: f64 = cold_server.recent_work.iter().map(|p| p.1).sum();
         if all > budget && !cold_server.fell {
             cold_server.fell = true;
@@ -575,12 +573,12 @@
         let (mut waiting, mut worst) = (0.0, None::<(f64, Micros, String)>);
         for (at, change, what) in lines {
             waiting += change;
-            if waiting > self.figures.waiting_max && worst.as_ref().is_none_or(|w| w.0 < waiting) {
+            if waiting > self.limits.waiting_max && worst.as_ref().is_none_or(|w| w.0 < waiting) {
                 worst = Some((waiting, at, what));
             }
         }
         if let Some((most, at, what)) = worst {
-            let max = self.figures.waiting_max;
+            let max = self.limits.waiting_max;
             self.record_violation(
                 Rule::Queue,
                 at,
--- a/crates/stepspur-emulator/src/node.rs
+++ b/crates/stepspur-emulator/src/node.rs
@@ -16,7 +16,7 @@
 use stepspur_conductor::config::{DedupScopeConfig, IdempotencyConfig};
 use stepspur_model::Micros;
 use stepspur_model::memory::Memory;
-use stepspur_model::server::{Ails, Ask, Conn, Job, Load, Offer, Server, WarmBy};
+use stepspur_model::server::{self, Conn, Faults, Job, Load, Offer, Server, WarmBy};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::{Notify, oneshot, watch};
@@ -24,9 +24,9 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::links::{Link, Links};
-use crate::plan::{Lie, Plan, ServerPlan};
+use crate::plan::{FalseReport, Plan, ServerPlan};
 use crate::relay;
-use crate::trace::{Arrival, Came, Event, RequestId, Trace, lock};
+use crate::trace::{Arrival, ArrivalOutcome, Event, RequestId, Trace, lock};
 
 /// HTTP headers between emulated proxies and servers.
 pub mod header {
@@ -48,7 +48,7 @@
 #[derive(Clone, Copy, Debug)]
 struct NodeFaults {
     /// Faults that the model plays.
-    ails: Ails,
+    model_faults: Faults,
     /// True if it answers no request and no connection attempt.
     silent: bool,
     /// Share of responses that are lost, from 0 to 1.
@@ -56,8 +56,8 @@
     /// True if a lost response resets the connection; otherwise the client waits in vain.
     by_reset: bool,
     /// How load reports are falsified; `None` if they are true.
-    false_report: Option<Lie>,
-    /// The load when the false reports began, which `Lie::Stuck` repeats.
+    false_report: Option<FalseReport>,
+    /// The load when the false reports began, which `FalseReport::Stuck` repeats.
     stuck_load: Load,
     /// The connection limit is divided by this.
     connections_divisor: f64,
@@ -69,7 +69,7 @@
 
 /// What the model did with a request, and how to answer it.
 struct Offered {
-    came: Came,
+    came: ArrivalOutcome,
     /// If it was accepted: its job, the incarnation that runs it, and the channel for its result.
     accepted: Option<(Job, u64, oneshot::Receiver<bool>)>,
     /// True if a fault drops its response ...
@@ -186,7 +186,7 @@
         let socket = bind(SocketAddr::from(([127, 0, 0, 1], 0)))?;
         let address = socket.local_addr()?;
         let faults = NodeFaults {
-            ails: Ails::default(),
+            model_faults: Faults::default(),
             silent: false,
             lost_answer_share: 0.0,
             by_reset: false,
@@ -253,7 +253,7 @@
 
     /// True if it failed from overload; it answers every request with 502 until it is started again.
     pub fn has_fallen(&self) -> bool {
-        lock(&self.state).server.fallen()
+        lock(&self.state).server.collapsed()
     }
 
     /// True while it is not yet warm.
@@ -269,8 +269,8 @@
             self.drop_requests(&mut state);
             let seed = state.rng.random();
             state.server = Server::new(self.plan.spec.clone(), seed, now, false);
-            let ails = state.faults.ails;
-            state.server.ail(now, ails);
+            let model_faults = state.faults.model_faults;
+            state.server.set_faults(now, model_faults);
         }
         let spec = &self.plan.spec;
         self.trace.note(Event::ServerStarted {
@@ -288,11 +288,11 @@
     }
 
     /// Changes the faults that the model plays.
-    pub fn change_faults(&self, change: impl FnOnce(&mut Ails)) {
+    pub fn change_faults(&self, change: impl FnOnce(&mut Faults)) {
         let mut state = lock(&self.state);
-        change(&mut state.faults.ails);
-        let ails = state.faults.ails;
-        state.server.ail(self.trace.now(), ails);
+        change(&mut state.faults.model_faults);
+        let model_faults = state.faults.model_faults;
+        state.server.set_faults(self.trace.now(), model_faults);
         drop(state);
         self.model_changed.notify_one();
     }
@@ -309,7 +309,7 @@
     }
 
     /// Falsifies its load reports; `None` ends that.
-    pub fn set_false_reports(&self, false_report: Option<Lie>) {
+    pub fn set_false_reports(&self, false_report: Option<FalseReport>) {
         let mut state = lock(&self.state);
         state.faults.stuck_load = state.server.load(self.trace.now());
         state.faults.false_report = false_report;
@@ -483,11 +483,11 @@
         };
         arrival.came = came;
         let immediate_answer = match came {
-            Came::Known => Some(plain(StatusCode::OK)),
-            Came::Full => Some(never_ran()),
-            Came::Failed => Some(plain(StatusCode::INTERNAL_SERVER_ERROR)),
-            Came::Fallen => Some(plain(StatusCode::BAD_GATEWAY)),
-            Came::Taken => None,
+            ArrivalOutcome::Known => Some(plain(StatusCode::OK)),
+            ArrivalOutcome::Full => Some(never_ran()),
+            ArrivalOutcome::Failed => Some(plain(StatusCode::INTERNAL_SERVER_ERROR)),
+            ArrivalOutcome::Fallen => Some(plain(StatusCode::BAD_GATEWAY)),
+            ArrivalOutcome::Taken => None,
         };
         self.trace.note(Event::Arrived(arrival));
         self.model_changed.notify_one();
@@ -509,33 +509,33 @@
     fn offer(&self, state: &mut State, arrival: &mut Arrival, conn: Conn, key: Option<u64>) -> Offered {
         let now = self.trace.now();
         let id = arrival.request.0.0;
-        if self.memories.with(arrival.class, self, |memory| memory.meet(now, id)) == Some(true) {
-            return Offered { came: Came::Known, accepted: None, lost: false, by_reset: false };
+        if self.memories.with(arrival.class, self, |memory| memory.record_arrival(now, id)) == Some(true) {
+            return Offered { came: ArrivalOutcome::Known, accepted: None, lost: false, by_reset: false };
         }
         state.last_job += 1;
         let job = Job(state.last_job);
-        let fell = state.server.fallen();
+        let fell = state.server.collapsed();
         // The recorded work includes the handshake, so that rule 4 counts the same work as the model.
         let handshake_work = if state.server.is_new(conn) { self.plan.spec.handshake_work } else { 0.0 };
         let extra_work = handshake_work * (state.faults.handshake_work_factor - 1.0);
-        let ask = Ask { work: arrival.work + extra_work, key, conn: Some(conn) };
+        let ask = server::Request { work: arrival.work + extra_work, key, conn: Some(conn) };
         let offer = state.server.offer(now, job, ask);
         arrival.work += handshake_work + extra_work;
-        if state.server.fallen() && !fell {
+        if state.server.collapsed() && !fell {
             self.trace.note(Event::Fell { server: self.address });
         }
         let came = match offer {
-            Offer::Taken => Came::Taken,
-            Offer::Full => Came::Full,
-            Offer::Failed => Came::Failed,
-            Offer::Fallen => Came::Fallen,
+            Offer::Accepted => ArrivalOutcome::Taken,
+            Offer::Rejected => ArrivalOutcome::Full,
+            Offer::Failed => ArrivalOutcome::Failed,
+            Offer::Collapsed => ArrivalOutcome::Fallen,
         };
         let lose = state.faults.lost_answer_share;
         let lost = lose > 0.0 && state.rng.random_bool(lose.min(1.0));
-        if came != Came::Taken {
+        if came != ArrivalOutcome::Taken {
             self.memories.with(arrival.class, self, |memory| memory.forget(id));
         }
-        let accepted = (came == Came::Taken).then(|| {
+        let accepted = (came == ArrivalOutcome::Taken).then(|| {
             let running = Running { request: arrival.request, class: arrival.class };
             state.running.insert(job, running);
             let (to, done) = oneshot::channel();
@@ -553,9 +553,9 @@
             let (false_report, stuck_load) = (state.faults.false_report, state.faults.stuck_load);
             report.map(|load| match false_report {
                 None => load,
-                Some(Lie::Stuck) => stuck_load,
-                Some(Lie::Busy) => Load { rif: 50.0, q: 40.0, busy: 1.0, ..load },
-                Some(Lie::Times(times)) => Load {
+                Some(FalseReport::Stuck) => stuck_load,
+                Some(FalseReport::Busy) => Load { rif: 50.0, q: 40.0, busy: 1.0, ..load },
+                Some(FalseReport::Times(times)) => Load {
                     rif: load.rif * times,
                     q: load.q * times,
                     busy: load.busy * times,
@@ -704,6 +704,6 @@
         request: (id, client_try, attempt),
         class: usize::try_from(number(request, header::CLASS)?).ok()?,
         work: number(request, header::WORK)? as f64,
-        came: Came::Taken,
+        came: ArrivalOutcome::Taken,
     })
 }
--- a/crates/stepspur-emulator/src/plan.rs
+++ b/crates/stepspur-emulator/src/plan.rs
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 use stepspur_conductor::Config;
 use stepspur_conductor::config::{DedupScopeConfig, IdempotencyConfig};
-use stepspur_model::serve::Repeat;
+use stepspur_model::serve::RepeatSafety;
 use stepspur_model::work::{Form, Work};
 use stepspur_model::{proxy, server};
 
@@ -75,11 +75,11 @@
 
 impl ClassPlan {
     /// Whether and for how long a client may repeat a request.
-    pub fn repeat(&self) -> Repeat {
+    pub fn repeat(&self) -> RepeatSafety {
         match self.effect {
-            IdempotencyConfig::ReadLike => Repeat::Harmless,
-            IdempotencyConfig::IdempotencyKey => Repeat::Within(self.window.as_micros() as u64),
-            IdempotencyConfig::NonIdempotent => Repeat::Harmful,
+            IdempotencyConfig::ReadLike => RepeatSafety::Safe,
+            IdempotencyConfig::IdempotencyKey => RepeatSafety::SafeWithin(self.window.as_micros() as u64),
+            IdempotencyConfig::NonIdempotent => RepeatSafety::Unsafe,
         }
     }
 
@@ -179,7 +179,7 @@
 
 /// How load reports are falsified.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Lie {
+pub enum FalseReport {
     /// All values are multiplied by this factor.
     Times(f64),
     /// The report repeats the load from the start of the fault.
@@ -190,7 +190,7 @@
 
 /// A fault with its targets. Servers, proxies, zones, classes and conductors are given by index.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Trouble {
+pub enum FaultAction {
     /// The request rate is multiplied by this factor.
     Burst(f64),
     /// Zone, share: this share of all requests comes through the zone.
@@ -215,7 +215,7 @@
     /// (true) or in silence.
     LoseAnswers(Vec<usize>, f64, bool),
     /// Servers, falsification, factor: load reports are false, and the servers are slower by this factor.
-    FalseReports(Vec<usize>, Lie, f64),
+    FalseReports(Vec<usize>, FalseReport, f64),
     /// Servers, divisor: the connection limit is divided by this.
     FewConnections(Vec<usize>, f64),
     /// Servers, factor, delay: new connections cost the servers more work by this factor, and take longer by
@@ -253,24 +253,24 @@
 
 /// A scheduled fault.
 #[derive(Clone, Debug)]
-pub struct Strike {
+pub struct ScheduledFault {
     /// Name for reports and display: its kind and start.
     pub name: String,
     /// Start, since the first request is due.
     pub at: Duration,
     /// Duration; targets recover at its end.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// The fault and its targets.
-    pub trouble: Trouble,
+    pub trouble: FaultAction,
 }
 
-impl Strike {
+impl ScheduledFault {
     /// True if the fault applies before any conductor starts and any proxy joins.
     pub fn from_the_start(&self) -> bool {
         self.at.is_zero()
             && !matches!(
                 self.trouble,
-                Trouble::Release(..) | Trouble::KillConductor(_) | Trouble::RestartConductors(_)
+                FaultAction::Release(..) | FaultAction::KillConductor(_) | FaultAction::RestartConductors(_)
             )
     }
 }
@@ -316,7 +316,7 @@
     /// Settings of the conductors; their addresses and node list sources are set at the start.
     pub config: Config,
     /// Faults with their times.
-    pub strikes: Vec<Strike>,
+    pub faults: Vec<ScheduledFault>,
     /// Named time spans that expectations refer to.
     pub phases: Vec<(String, Range<Duration>)>,
     /// Expectations beside the rules.
--- a/crates/stepspur-emulator/src/proxy.rs
+++ b/crates/stepspur-emulator/src/proxy.rs
@@ -14,8 +14,8 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use stepspur_identity::keys::KeyError;
-use stepspur_model::proxy::{Proxy as Model, Spec, Tried};
-use stepspur_model::serve::{Answer, Next, Serving};
+use stepspur_model::proxy::{AttemptResult, Proxy as Model, Spec};
+use stepspur_model::serve::{Next, Response, Serving};
 use stepspur_proto::{Frames, FromConductor, FromProxy, VERSION, from_conductor, from_proxy, v1};
 use tokio::net::TcpStream;
 use tokio::sync::watch;
@@ -27,7 +27,7 @@
 use tokio_util::either::Either;
 use tokio_util::sync::CancellationToken;
 
-use crate::identity::DayKeys;
+use crate::identity::TestIdentity;
 use crate::node::header;
 use crate::plan::Plan;
 use crate::relay::{self, Dial, source_address};
@@ -91,7 +91,7 @@
     /// Requests per second of this proxy if all proxies had the same rate.
     usual_rate: f64,
     /// The keys of the rehearsal and the TLS client; `None` if streams are plain.
-    identity: Option<(Arc<DayKeys>, TlsConnector)>,
+    identity: Option<(Arc<TestIdentity>, TlsConnector)>,
 }
 
 type Stream = Framed<Either<TcpStream, TlsStream<TcpStream>>, Frames<FromConductor, FromProxy>>;
@@ -111,7 +111,7 @@
         index: usize,
         standing: Vec<SocketAddr>,
         trace: Arc<Trace>,
-        keys: Option<Arc<DayKeys>>,
+        keys: Option<Arc<TestIdentity>>,
     ) -> Result<Self, KeyError> {
         let zone = plan.proxies[index].zone;
         let source = source_address(zone, index);
@@ -164,14 +164,14 @@
     }
 
     /// Serves a client's try: sends attempts one after the other, as the model decides.
-    pub async fn serve(&self, request: ClientRequest) -> Answer {
+    pub async fn serve(&self, request: ClientRequest) -> Response {
         let until = self.trace.at(request.until);
         let aim = request.aim.as_micros() as u64;
         let (mut serving, mut next) =
             Serving::begin(&mut lock(&self.model), self.trace.now(), request.class, aim, until);
         loop {
             match next {
-                Next::Tell(answer) => return answer,
+                Next::Respond(answer) => return answer,
                 Next::Send { server, until } => {
                     let until = self.trace.instant(until);
                     let end = self.attempt(request, server, serving.attempts() - 1, until).await;
@@ -189,7 +189,7 @@
         server: SocketAddr,
         attempt: usize,
         until: Instant,
-    ) -> Tried {
+    ) -> AttemptResult {
         let id = format!("{}/{}/{attempt}", request.id.0, request.client_try);
         let mut http_request = Request::get(format!("http://{server}/request"))
             .header(header::REQUEST, id)
@@ -199,14 +199,14 @@
         if let Some(key) = request.key {
             http_request = http_request.header(header::KEY, key);
         }
-        let Ok(http_request) = http_request.body(Empty::new()) else { return Tried::NeverRan };
+        let Ok(http_request) = http_request.body(Empty::new()) else { return AttemptResult::NeverRan };
         match tokio::time::timeout_at(until, self.client.request(http_request)).await {
-            Ok(Ok(answer)) if answer.status() == StatusCode::OK => Tried::Good,
+            Ok(Ok(answer)) if answer.status() == StatusCode::OK => AttemptResult::Success,
             Ok(Ok(answer)) if answer.headers().contains_key(header::NEVER_RAN) && !self.full_may_have_run => {
-                Tried::NeverRan
+                AttemptResult::NeverRan
             }
-            Ok(Err(error)) if error.is_connect() => Tried::NeverRan,
-            _ => Tried::MayHaveRun,
+            Ok(Err(error)) if error.is_connect() => AttemptResult::NeverRan,
+            _ => AttemptResult::MayHaveRun,
         }
     }
 
--- a/crates/stepspur-emulator/src/registry.rs
+++ b/crates/stepspur-emulator/src/registry.rs
@@ -83,7 +83,7 @@
 
     /// Waits until a long poll after the first `after` ones holds the newest version and waits for the next
     /// change. Its conductor has then read all earlier changes, and receives the next one at once.
-    pub async fn polled(&self, after: u64) {
+    pub async fn wait_until_polled(&self, after: u64) {
         let version = lock(&self.state).version;
         let mut waiting = self.waiting.subscribe();
         // Cannot fail: `self` owns the sender.
--- a/crates/stepspur-emulator/src/replay.rs
+++ b/crates/stepspur-emulator/src/replay.rs
@@ -16,7 +16,9 @@
 use stepspur_model::{proxy, server};
 use stepspur_proto::v1;
 
-use crate::plan::{ClassPlan, Clients, Lie, Plan, ProxyPlan, Rules, ServerPlan, Step, Strike, Trouble};
+use crate::plan::{
+    ClassPlan, Clients, FalseReport, FaultAction, Plan, ProxyPlan, Rules, ScheduledFault, ServerPlan, Step,
+};
 use crate::scenario::conductor_config;
 
 /// Running servers, proxies and requests per second that a small machine can run without falling behind.
@@ -329,7 +331,7 @@
 
     fn finish(mut self) -> Result<Replayed, ReplayError> {
         let day = self.day;
-        let strikes = day.troubles.iter().flat_map(|t| self.scheduled_faults(t)).collect();
+        let scheduled_faults = day.troubles.iter().flat_map(|t| self.scheduled_faults(t)).collect();
         let mut left_out_by_sockets = Vec::new();
         // The file lists a zone for each conductor.
         let in_zone = |zone: &u32| (*zone as usize) % day.zones.len();
@@ -372,7 +374,7 @@
                 avoid_after: day.fam.ejects,
                 avoid_for: day.fam.eject as u64,
                 classes: day.classes.len(),
-                usual_resend: v1::Resend::try_from(day.fam.usual_how).unwrap_or_default(),
+                default_retry_policy: v1::Resend::try_from(day.fam.usual_how).unwrap_or_default(),
             },
             standing: day.fam.standing,
             redial: from_micros(day.fam.redial),
@@ -395,7 +397,7 @@
             conductor_zone: conductor_zones.first().copied().unwrap_or(0),
             rules: self.rules(),
             config: self.config()?,
-            strikes,
+            faults: scheduled_faults,
             phases: Vec::new(),
             expectations: Vec::new(),
             trains: String::new(),
@@ -517,7 +519,7 @@
     }
 
     /// Converts a fault and its time. If it cannot be played, returns nothing and adds it to `left_out`.
-    fn scheduled_faults(&mut self, fault: &DayFault) -> Vec<Strike> {
+    fn scheduled_faults(&mut self, fault: &DayFault) -> Vec<ScheduledFault> {
         let servers = self.retained(&fault.on);
         if !fault.on.is_empty() && servers.is_empty() {
             let what = format!("trouble `{}`: none of its servers remains at this scale", fault.kind);
@@ -533,83 +535,100 @@
         let name = format!("{} at {:.0} s", fault.kind, fault.at * 1e-6);
         // A shift is permanent: `len` is only the time until it is complete.
         let lasts = if fault.kind == "shift" { self.day.length } else { fault.len };
-        let mut strikes =
-            vec![Strike { name, at: from_micros(fault.at), lasts: from_micros(lasts), trouble: converted }];
+        let mut scheduled_faults = vec![ScheduledFault {
+            name,
+            at: from_micros(fault.at),
+            duration: from_micros(lasts),
+            trouble: converted,
+        }];
         if fault.kind == "grow" {
-            let growth_traffic = Trouble::Burst(1.0 + (fault.size - 1.0).max(0.0) * fault.extra);
+            let growth_traffic = FaultAction::Burst(1.0 + (fault.size - 1.0).max(0.0) * fault.extra);
             let name = "traffic follows growth".to_owned();
             let at = from_micros(fault.at + fault.len);
-            strikes.push(Strike { name, at, lasts: from_micros(self.day.length), trouble: growth_traffic });
+            scheduled_faults.push(ScheduledFault {
+                name,
+                at,
+                duration: from_micros(self.day.length),
+                trouble: growth_traffic,
+            });
         }
-        strikes
+        scheduled_faults
     }
 
     /// Converts the kind of a fault; `None` if the emulator cannot play it. `how` is the variant, empty for
     /// the usual one. Zones and classes in `which` wrap around.
-    fn convert_fault(&mut self, fault: &DayFault, how: &str, servers: Vec<usize>) -> Option<Trouble> {
+    fn convert_fault(&mut self, fault: &DayFault, how: &str, servers: Vec<usize>) -> Option<FaultAction> {
         let (day, size, extra) = (self.day, fault.size, fault.extra);
         let zones = day.zones.len();
         let zone = fault.which % zones;
         let aim = day.classes.iter().map(|c| c.aim).fold(f64::INFINITY, f64::min);
         let seconds = |s: f64| Duration::from_secs_f64(s.clamp(0.0, 60.0));
         Some(match (fault.kind.as_str(), how) {
-            ("burst", _) => Trouble::Burst(size),
+            ("burst", _) => FaultAction::Burst(size),
             ("shift", "mix") => {
                 let work = |k: &usize| day.classes[*k].work;
                 let heaviest = (0..day.classes.len()).max_by(|a, b| work(a).total_cmp(&work(b)))?;
-                Trouble::Mix(heaviest, size.clamp(0.0, 1.0))
+                FaultAction::Mix(heaviest, size.clamp(0.0, 1.0))
             }
-            ("shift", _) => Trouble::Shift(zone, size.clamp(0.0, 1.0)),
-            ("heavy_tail", _) => Trouble::HeavyTail(fault.which % day.classes.len(), extra, size),
-            ("deploy", _) => Trouble::Release(seconds(extra), self.steps(fault)),
-            ("grow", _) => Trouble::Release(Duration::ZERO, self.steps(fault)),
-            ("mass_restart", "silence") | ("vanish", _) => Trouble::Vanish(servers),
-            ("mass_restart", _) => Trouble::Die(servers),
-            ("hang", _) => Trouble::Hang(servers),
-            ("fast_errors", _) => Trouble::Fail(servers, size.clamp(0.0, 1.0)),
-            ("pauses", _) => Trouble::Pause(servers, seconds(extra.max(0.01)), from_micros(size * 1e3)),
-            ("answer_lost", how) => Trouble::LoseAnswers(servers, size.clamp(0.0, 1.0), how == "reset"),
+            ("shift", _) => FaultAction::Shift(zone, size.clamp(0.0, 1.0)),
+            ("heavy_tail", _) => FaultAction::HeavyTail(fault.which % day.classes.len(), extra, size),
+            ("deploy", _) => FaultAction::Release(seconds(extra), self.steps(fault)),
+            ("grow", _) => FaultAction::Release(Duration::ZERO, self.steps(fault)),
+            ("mass_restart", "silence") | ("vanish", _) => FaultAction::Vanish(servers),
+            ("mass_restart", _) => FaultAction::Die(servers),
+            ("hang", _) => FaultAction::Hang(servers),
+            ("fast_errors", _) => FaultAction::Fail(servers, size.clamp(0.0, 1.0)),
+            ("pauses", _) => FaultAction::Pause(servers, seconds(extra.max(0.01)), from_micros(size * 1e3)),
+            ("answer_lost", how) => FaultAction::LoseAnswers(servers, size.clamp(0.0, 1.0), how == "reset"),
             ("false_reports", how) => {
                 let lie = match how {
-                    "zero" => Lie::Times(0.0),
-                    "stuck" => Lie::Stuck,
-                    "busy" => Lie::Busy,
-                    _ => Lie::Times(size),
+                    "zero" => FalseReport::Times(0.0),
+                    "stuck" => FalseReport::Stuck,
+                    "busy" => FalseReport::Busy,
+                    _ => FalseReport::Times(size),
                 };
-                Trouble::FalseReports(servers, lie, extra.max(1.0))
+                FaultAction::FalseReports(servers, lie, extra.max(1.0))
             }
             ("conn_squeeze", _) => {
                 let cap = size * self.proxies.len() as f64 / self.servers.len().max(1) as f64 + 1.0;
                 let min_cores = day.tiers[0].kinds.iter().map(|k| k.cores).min()?;
-                Trouble::FewConnections(
+                FaultAction::FewConnections(
                     servers,
                     (day.tiers[0].conn_cap_per_core * f64::from(min_cores) / cap).max(1.0),
                 )
             }
             ("handshake_slow", _) => {
-                Trouble::SlowHandshakes(servers, extra.max(1.0), from_micros(size * 1e3))
+                FaultAction::SlowHandshakes(servers, extra.max(1.0), from_micros(size * 1e3))
             }
-            ("discovery_down", _) => Trouble::ListDown,
-            ("wrong_list", "shrink") => Trouble::WrongList(servers),
-            ("wrong_list", "empty") => Trouble::WrongList((0..self.servers.len()).collect()),
-            ("wrong_list", "ghosts") => Trouble::Ghosts(servers.len().max(1)),
+            ("discovery_down", _) => FaultAction::ListDown,
+            ("wrong_list", "shrink") => FaultAction::WrongList(servers),
+            ("wrong_list", "empty") => FaultAction::WrongList((0..self.servers.len()).collect()),
+            ("wrong_list", "ghosts") => FaultAction::Ghosts(servers.len().max(1)),
             ("zone_loss", _) if extra > 0.5 => {
                 let within = |(old, new): (&usize, &usize)| (day.servers[*old].zone == zone).then_some(*new);
-                Trouble::Vanish(self.servers.iter().filter_map(within).collect())
+                FaultAction::Vanish(self.servers.iter().filter_map(within).collect())
             }
-            ("zone_loss", _) => Trouble::LoseZone(zone, size > 0.5),
-            ("zone_cut", _) => Trouble::CutZone(zone),
+            ("zone_loss", _) => FaultAction::LoseZone(zone, size > 0.5),
+            ("zone_cut", _) => FaultAction::CutZone(zone),
             // A pair of zones is encoded as `first * zones + second`.
             ("slow_link", "pair") if fault.which / zones < zones && fault.which / zones != zone => {
-                Trouble::SlowLink(fault.which / zones, zone, from_micros(size * aim), extra.clamp(0.0, 1.0))
-            }
-            ("slow_link", _) if zones > 1 => {
-                Trouble::SlowLink(zone, (zone + 1) % zones, from_micros(size * aim), extra.clamp(0.0, 1.0))
+                FaultAction::SlowLink(
+                    fault.which / zones,
+                    zone,
+                    from_micros(size * aim),
+                    extra.clamp(0.0, 1.0),
+                )
             }
-            ("origin_slow", _) => Trouble::SlowChannel(size),
-            ("report_late", _) => Trouble::LateReports(seconds(size)),
+            ("slow_link", _) if zones > 1 => FaultAction::SlowLink(
+                zone,
+                (zone + 1) % zones,
+                from_micros(size * aim),
+                extra.clamp(0.0, 1.0),
+            ),
+            ("origin_slow", _) => FaultAction::SlowChannel(size),
+            ("report_late", _) => FaultAction::LateReports(seconds(size)),
             // The file does not say how many proxies: just under half is the most that was seen.
-            ("counter_down", _) => Trouble::CutOff((0..self.proxies.len()).step_by(2).collect()),
+            ("counter_down", _) => FaultAction::CutOff((0..self.proxies.len()).step_by(2).collect()),
             _ => return None,
         })
     }
--- a/crates/stepspur-emulator/src/run/evaluation.rs
+++ b/crates/stepspur-emulator/src/run/evaluation.rs
@@ -9,8 +9,8 @@
 use super::world::World;
 use super::{Recording, expectations};
 use crate::clients::Outcomes;
-use crate::judge::{Figures, Rule, judge};
-use crate::plan::{Plan, Strike};
+use crate::judge::{Rule, RuleLimits, judge};
+use crate::plan::{Plan, ScheduledFault};
 use crate::series::{self, Series};
 use crate::trace::{Event, lock};
 
@@ -34,7 +34,7 @@
             .collect(),
         expectations: expectations::check(plan, &outcomes, &measured),
         fallen: measured.fallen,
-        bands: plan.strikes.iter().map(|strike| fault_band(plan, strike)).collect(),
+        bands: plan.faults.iter().map(|fault| fault_band(plan, fault)).collect(),
         pace: pace(plan, recording),
         cpu_s: [recording.cpu_s, *lock(&world.conductor_cpu_s)],
         series: series(world, recording, &outcomes),
@@ -47,8 +47,8 @@
 fn verdicts(world: &World, recording: &Recording) -> Vec<Verdict> {
     let zones: BTreeMap<_, _> =
         world.nodes.iter().map(|node| (node.address, world.plan.zones[node.zone].0.clone())).collect();
-    let figures = Figures::new(&world.plan, zones);
-    let violations = judge(&figures, recording.begin(), &recording.events);
+    let limits = RuleLimits::new(&world.plan, zones);
+    let violations = judge(&limits, recording.begin(), &recording.events);
     let verdict = |rule: Rule| {
         let broken = violations.iter().find(|broken| broken.rule == rule).cloned();
         Verdict { rule, kept: broken.is_none(), broken }
@@ -58,10 +58,10 @@
 
 /// A fault's name with its start and end in seconds since the first request was due. The end is capped at the
 /// end of the plan.
-fn fault_band(plan: &Plan, strike: &Strike) -> (String, Range<f64>) {
-    let begin = strike.at.as_secs_f64();
-    let end = (begin + strike.lasts.as_secs_f64()).min(plan.length.as_secs_f64().max(begin));
-    (strike.name.clone(), begin..end)
+fn fault_band(plan: &Plan, fault: &ScheduledFault) -> (String, Range<f64>) {
+    let begin = fault.at.as_secs_f64();
+    let end = (begin + fault.duration.as_secs_f64()).min(plan.length.as_secs_f64().max(begin));
+    (fault.name.clone(), begin..end)
 }
 
 /// Planned length over the time it took to send all requests: below 1 if the machine fell behind.
--- a/crates/stepspur-emulator/src/run/faults.rs
+++ b/crates/stepspur-emulator/src/run/faults.rs
@@ -11,7 +11,7 @@
 
 use super::world::World;
 use crate::node::Node;
-use crate::plan::{Lie, Strike, Trouble};
+use crate::plan::{FalseReport, FaultAction, ScheduledFault};
 use crate::proxy::{Proxy, ProxyFaults};
 use crate::trace::lock;
 
@@ -21,47 +21,47 @@
 impl World {
     /// Applies the faults that are in effect before any conductor starts.
     pub(super) async fn begin_initial_faults(self: &Arc<Self>) {
-        for strike in self.plan.strikes.iter().filter(|strike| strike.from_the_start()) {
-            self.set_fault(&strike.trouble, true).await;
+        for fault in self.plan.faults.iter().filter(|fault| fault.from_the_start()) {
+            self.set_fault(&fault.trouble, true).await;
         }
     }
 
     /// Starts a task for each fault of the plan; the tasks end when the returned set is shut down.
     pub(super) fn schedule_faults(self: &Arc<Self>, begin: Instant) -> JoinSet<()> {
         let mut tasks = JoinSet::new();
-        for strike in &self.plan.strikes {
-            tasks.spawn(Arc::clone(self).run_fault(strike.clone(), begin));
+        for fault in &self.plan.faults {
+            tasks.spawn(Arc::clone(self).run_fault(fault.clone(), begin));
         }
         tasks
     }
 
     /// Runs one fault from its start to its end, and lists it among the active faults meanwhile.
-    async fn run_fault(self: Arc<Self>, strike: Strike, day_begin: Instant) {
-        let begin = day_begin + strike.at;
+    async fn run_fault(self: Arc<Self>, fault: ScheduledFault, day_begin: Instant) {
+        let begin = day_begin + fault.at;
         sleep_until(begin).await;
-        lock(&self.active_faults).push(strike.name.clone());
-        match &strike.trouble {
-            Trouble::Release(drain, steps) => self.release(*drain, steps, begin).await,
-            Trouble::RestartConductors(conductors) => {
-                self.restart_in_turn(conductors, begin, strike.lasts).await;
+        lock(&self.active_faults).push(fault.name.clone());
+        match &fault.trouble {
+            FaultAction::Release(drain, steps) => self.release(*drain, steps, begin).await,
+            FaultAction::RestartConductors(conductors) => {
+                self.restart_in_turn(conductors, begin, fault.duration).await;
             }
-            _ => self.run_lasting_fault(&strike, begin).await,
+            _ => self.run_lasting_fault(&fault, begin).await,
         }
-        remove_first(&mut lock(&self.active_faults), &strike.name);
+        remove_first(&mut lock(&self.active_faults), &fault.name);
     }
 
     /// Applies a fault at its start and reverts it at its end.
-    async fn run_lasting_fault(self: &Arc<Self>, strike: &Strike, begin: Instant) {
-        if !strike.from_the_start() {
-            self.set_fault(&strike.trouble, true).await;
+    async fn run_lasting_fault(self: &Arc<Self>, fault: &ScheduledFault, begin: Instant) {
+        if !fault.from_the_start() {
+            self.set_fault(&fault.trouble, true).await;
         }
-        sleep_until(begin + strike.lasts).await;
-        self.set_fault(&strike.trouble, false).await;
+        sleep_until(begin + fault.duration).await;
+        self.set_fault(&fault.trouble, false).await;
     }
 
-    /// Restarts conductors one after the other, at even intervals over `lasts`.
-    async fn restart_in_turn(&self, conductors: &[usize], begin: Instant, lasts: Duration) {
-        let interval = lasts / (conductors.len() as u32).max(1);
+    /// Restarts conductors one after the other, at even intervals over `duration`.
+    async fn restart_in_turn(&self, conductors: &[usize], begin: Instant, duration: Duration) {
+        let interval = duration / (conductors.len() as u32).max(1);
         for (position, conductor) in conductors.iter().enumerate() {
             sleep_until(begin + interval * position as u32).await;
             self.restart_conductor(*conductor).await;
@@ -69,73 +69,79 @@
     }
 
     /// Applies (`on`) or reverts a fault.
-    async fn set_fault(self: &Arc<Self>, fault: &Trouble, on: bool) {
+    async fn set_fault(self: &Arc<Self>, fault: &FaultAction, on: bool) {
         match fault {
-            Trouble::Burst(_) | Trouble::Shift(..) | Trouble::Mix(..) | Trouble::HeavyTail(..) => {
+            FaultAction::Burst(_)
+            | FaultAction::Shift(..)
+            | FaultAction::Mix(..)
+            | FaultAction::HeavyTail(..) => {
                 self.set_traffic_fault(fault, on);
             }
-            Trouble::Die(servers) => self.set_stopped(servers, on),
-            Trouble::Vanish(servers) => self.set_silent(servers, on),
-            Trouble::Hang(_)
-            | Trouble::Fail(..)
-            | Trouble::Pause(..)
-            | Trouble::LoseAnswers(..)
-            | Trouble::FalseReports(..)
-            | Trouble::FewConnections(..)
-            | Trouble::SlowHandshakes(..) => self.set_server_fault(fault, on),
-            Trouble::ListDown => self.registry.down(on),
-            Trouble::WrongList(servers) => self.hide_from_list(servers, on),
-            Trouble::Ghosts(count) => self.list_nonexistent(*count, on),
-            Trouble::LoseZone(zone, with_proxies) => self.lose_zone(*zone, *with_proxies, on),
-            Trouble::CutZone(zone) => self.links.cut(*zone, on),
-            Trouble::CutLink(a, b) => self.links.cut_link(*a, *b, on),
-            Trouble::SlowLink(a, b, delay, loss) => self.links.slow(*a, *b, *delay, *loss, on),
-            Trouble::SlowChannel(_) | Trouble::LateReports(_) | Trouble::CutOff(_) | Trouble::Stall(_) => {
+            FaultAction::Die(servers) => self.set_stopped(servers, on),
+            FaultAction::Vanish(servers) => self.set_silent(servers, on),
+            FaultAction::Hang(_)
+            | FaultAction::Fail(..)
+            | FaultAction::Pause(..)
+            | FaultAction::LoseAnswers(..)
+            | FaultAction::FalseReports(..)
+            | FaultAction::FewConnections(..)
+            | FaultAction::SlowHandshakes(..) => self.set_server_fault(fault, on),
+            FaultAction::ListDown => self.registry.down(on),
+            FaultAction::WrongList(servers) => self.hide_from_list(servers, on),
+            FaultAction::Ghosts(count) => self.list_nonexistent(*count, on),
+            FaultAction::LoseZone(zone, with_proxies) => self.lose_zone(*zone, *with_proxies, on),
+            FaultAction::CutZone(zone) => self.links.cut(*zone, on),
+            FaultAction::CutLink(a, b) => self.links.cut_link(*a, *b, on),
+            FaultAction::SlowLink(a, b, delay, loss) => self.links.slow(*a, *b, *delay, *loss, on),
+            FaultAction::SlowChannel(_)
+            | FaultAction::LateReports(_)
+            | FaultAction::CutOff(_)
+            | FaultAction::Stall(_) => {
                 self.set_proxy_fault(fault, on);
             }
-            Trouble::KillConductor(conductors) => self.set_killed(conductors, on).await,
+            FaultAction::KillConductor(conductors) => self.set_killed(conductors, on).await,
             // These two span their whole duration: see `run_fault`.
-            Trouble::Release(..) | Trouble::RestartConductors(_) => {}
+            FaultAction::Release(..) | FaultAction::RestartConductors(_) => {}
         }
     }
 
-    fn set_traffic_fault(&self, fault: &Trouble, on: bool) {
+    fn set_traffic_fault(&self, fault: &FaultAction, on: bool) {
         let mut traffic_faults = lock(&self.clients.traffic_faults);
         match fault {
-            Trouble::Burst(factor) => toggle(&mut traffic_faults.bursts, *factor, on),
-            Trouble::Shift(zone, share) => toggle(&mut traffic_faults.shifts, (*zone, *share), on),
-            Trouble::Mix(class, share) => toggle(&mut traffic_faults.mixes, (*class, *share), on),
-            Trouble::HeavyTail(class, share, factor) => {
+            FaultAction::Burst(factor) => toggle(&mut traffic_faults.bursts, *factor, on),
+            FaultAction::Shift(zone, share) => toggle(&mut traffic_faults.shifts, (*zone, *share), on),
+            FaultAction::Mix(class, share) => toggle(&mut traffic_faults.mixes, (*class, *share), on),
+            FaultAction::HeavyTail(class, share, factor) => {
                 toggle(&mut traffic_faults.tails, (*class, *share, *factor), on);
             }
             _ => {}
         }
     }
 
-    fn set_server_fault(&self, fault: &Trouble, on: bool) {
+    fn set_server_fault(&self, fault: &FaultAction, on: bool) {
         let share = |share: f64| if on { share } else { 0.0 };
         let factor = |factor: f64| if on { factor } else { 1.0 };
         match fault {
-            Trouble::Hang(servers) => {
+            FaultAction::Hang(servers) => {
                 self.each_node(servers, |node| node.change_faults(|faults| faults.hangs = on))
             }
-            Trouble::Fail(servers, part) => {
+            FaultAction::Fail(servers, part) => {
                 self.each_node(servers, |node| node.change_faults(|faults| faults.fails = share(*part)));
             }
-            Trouble::Pause(servers, every, pause) => {
+            FaultAction::Pause(servers, every, pause) => {
                 let pauses = on.then_some((micros(*every), micros(*pause)));
                 self.each_node(servers, |node| node.change_faults(|faults| faults.pauses = pauses));
             }
-            Trouble::LoseAnswers(servers, part, by_reset) => {
+            FaultAction::LoseAnswers(servers, part, by_reset) => {
                 self.each_node(servers, |node| node.set_lost_answers(share(*part), *by_reset));
             }
-            Trouble::FalseReports(servers, false_report, slowdown) => {
+            FaultAction::FalseReports(servers, false_report, slowdown) => {
                 self.set_false_reports(servers, on.then_some(*false_report), share(slowdown - 1.0));
             }
-            Trouble::FewConnections(servers, divisor) => {
+            FaultAction::FewConnections(servers, divisor) => {
                 self.each_node(servers, |node| node.set_connections_divisor(factor(*divisor)));
             }
-            Trouble::SlowHandshakes(servers, work, delay) => {
+            FaultAction::SlowHandshakes(servers, work, delay) => {
                 let delay = if on { *delay } else { Duration::ZERO };
                 self.each_node(servers, |node| node.set_slow_handshakes(factor(*work), delay));
             }
@@ -147,25 +153,25 @@
         self.nodes_at(servers).for_each(change);
     }
 
-    fn set_false_reports(&self, servers: &[usize], false_report: Option<Lie>, slower: f64) {
+    fn set_false_reports(&self, servers: &[usize], false_report: Option<FalseReport>, slower: f64) {
         for node in self.nodes_at(servers) {
             node.set_false_reports(false_report);
             node.change_faults(|faults| faults.slower = slower);
         }
     }
 
-    fn set_proxy_fault(&self, fault: &Trouble, on: bool) {
+    fn set_proxy_fault(&self, fault: &FaultAction, on: bool) {
         match fault {
-            Trouble::SlowChannel(factor) => {
+            FaultAction::SlowChannel(factor) => {
                 let slow = if on { *factor } else { 0.0 };
                 self.each_proxy(|faults| faults.slow = slow);
             }
-            Trouble::LateReports(by) => {
+            FaultAction::LateReports(by) => {
                 let late = if on { *by } else { Duration::ZERO };
                 self.each_proxy(|faults| faults.late = late);
             }
-            Trouble::CutOff(proxies) => self.proxies_at(proxies).for_each(|proxy| set_cut_off(proxy, on)),
-            Trouble::Stall(proxies) => {
+            FaultAction::CutOff(proxies) => self.proxies_at(proxies).for_each(|proxy| set_cut_off(proxy, on)),
+            FaultAction::Stall(proxies) => {
                 self.proxies_at(proxies).for_each(|proxy| proxy.change_faults(|faults| faults.stalled = on));
             }
             _ => {}
--- a/crates/stepspur-emulator/src/run/report.rs
+++ b/crates/stepspur-emulator/src/run/report.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 
 use crate::clients::Tally;
-use crate::judge::{Break, Rule};
+use crate::judge::{Rule, Violation};
 use crate::series::{Sample, Series};
 
 /// State of a running rehearsal, for display.
@@ -17,7 +17,7 @@
     /// Results of requests so far, by class.
     pub tallies: Vec<Tally>,
     /// Names of the faults in effect.
-    pub troubles: Vec<String>,
+    pub active_faults: Vec<String>,
     /// The latest sample of servers and proxies.
     pub sample: Sample,
 }
@@ -31,7 +31,7 @@
     pub kept: bool,
     /// The first violation, if any.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub broken: Option<Break>,
+    pub broken: Option<Violation>,
 }
 
 /// An expectation and whether it was met.
@@ -92,12 +92,12 @@
 
 impl Report {
     /// True if no rule was broken.
-    pub fn kept(&self) -> bool {
+    pub fn rules_kept(&self) -> bool {
         self.rules.iter().all(|r| r.kept)
     }
 
     /// True if all expectations were met.
-    pub fn met(&self) -> bool {
+    pub fn expectations_met(&self) -> bool {
         self.expectations.iter().all(|e| e.met)
     }
 }
--- a/crates/stepspur-emulator/src/run/sampling.rs
+++ b/crates/stepspur-emulator/src/run/sampling.rs
@@ -49,10 +49,10 @@
 
     fn progress(&self, begin: Instant) -> Progress {
         let tallies = lock(&self.clients.outcomes).tallies();
-        let troubles = lock(&self.active_faults).clone();
+        let active_faults = lock(&self.active_faults).clone();
         let elapsed = Instant::now().saturating_duration_since(begin);
         let sample = lock(&self.samples).last().cloned().unwrap_or_default();
-        Progress { elapsed, tallies, troubles, sample }
+        Progress { elapsed, tallies, active_faults, sample }
     }
 
     /// Takes a sample every [`STEP`].
--- a/crates/stepspur-emulator/src/run/setup.rs
+++ b/crates/stepspur-emulator/src/run/setup.rs
@@ -19,7 +19,7 @@
 use super::error::RunError;
 use super::world::World;
 use crate::clients::ClientPool;
-use crate::identity::DayKeys;
+use crate::identity::TestIdentity;
 use crate::launch::Launcher;
 use crate::links::Links;
 use crate::node::{Memories, Node};
@@ -121,12 +121,12 @@
     }
 
     /// The settings of the conductors without their node lists, and the keys if the plan uses TLS identities.
-    fn conductor_config(&self) -> Result<(Config, Option<Arc<DayKeys>>), RunError> {
+    fn conductor_config(&self) -> Result<(Config, Option<Arc<TestIdentity>>), RunError> {
         let mut config = self.plan.config.clone();
         config.listen.address = SocketAddr::from(ANY_PORT);
         config.status.address = None;
         config.fleet.conductors = config.fleet.conductors.max(self.plan.conductors as u32);
-        let keys = if self.plan.identity { Some(Arc::new(DayKeys::new()?)) } else { None };
+        let keys = if self.plan.identity { Some(Arc::new(TestIdentity::new()?)) } else { None };
         if let Some(keys) = &keys {
             config.listen.plain_on_loopback = false;
             config.identity = Some(keys.config());
@@ -140,7 +140,7 @@
     fn make_proxies(
         &self,
         nodes: &[Arc<Node>],
-        keys: Option<Arc<DayKeys>>,
+        keys: Option<Arc<TestIdentity>>,
     ) -> Result<Vec<Arc<Proxy>>, KeyError> {
         let mut rng = ChaCha8Rng::seed_from_u64(self.plan.seed ^ STANDING_TABLE_SEED);
         let make = |index: usize| {
--- a/crates/stepspur-emulator/src/scenario.rs
+++ b/crates/stepspur-emulator/src/scenario.rs
@@ -20,7 +20,7 @@
 use stepspur_proto::v1;
 
 use crate::faults::{Draw, Fault};
-use crate::plan::{ClassPlan, Clients, Plan, ProxyPlan, Rules, ServerPlan, Strike};
+use crate::plan::{ClassPlan, Clients, Plan, ProxyPlan, Rules, ScheduledFault, ServerPlan};
 
 /// The scenario that `stepspur rehearse` runs if none is given.
 pub const BAD_DAY: &str = include_str!("../../../rehearsals/bad-day.toml");
@@ -402,12 +402,12 @@
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed);
         let mut servers: Vec<ServerPlan> =
             (0..self.servers as usize).map(|k| self.server(k, true, &mut rng)).collect();
-        let mut strikes = Vec::new();
+        let mut scheduled_faults = Vec::new();
         let drawn: Vec<Fault> = self.draws.iter().enumerate().flat_map(|(k, d)| d.faults(k, self)).collect();
         for fault in self.faults.iter().chain(&drawn) {
             let trouble = self.resolve_fault(fault, &mut servers, &mut rng);
             let name = format!("{} at {:.1} s", fault.kind.word(), fault.at.as_secs_f64());
-            strikes.push(Strike { name, at: fault.at, lasts: fault.lasts, trouble });
+            scheduled_faults.push(ScheduledFault { name, at: fault.at, duration: fault.lasts, trouble });
         }
         let proxy = |k: usize| ProxyPlan { zone: k % self.zones.len(), weight: 1.0 };
         Ok(Plan {
@@ -422,7 +422,7 @@
                 avoid_after: self.proxy.avoid_after,
                 avoid_for: self.proxy.avoid_for.as_micros() as u64,
                 classes: self.classes.len(),
-                usual_resend: v1::Resend::Never,
+                default_retry_policy: v1::Resend::Never,
             },
             standing: self.proxy.standing,
             redial: self.proxy.redial,
@@ -435,7 +435,7 @@
             conductors: self.conductors as usize,
             rules: self.rules.clone(),
             config,
-            strikes,
+            faults: scheduled_faults,
             phases: self.phases.iter().map(|p| (p.name.clone(), p.from..p.until)).collect(),
             expectations: self.expectations.clone(),
             trains: self.trains.clone(),
--- a/crates/stepspur-emulator/src/trace.rs
+++ b/crates/stepspur-emulator/src/trace.rs
@@ -15,7 +15,7 @@
 
 /// What a server did with a request that reached it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Came {
+pub enum ArrivalOutcome {
     /// Accepted: it may have run.
     Taken,
     /// Refused without running it, because the server was full.
@@ -42,7 +42,7 @@
     /// Work that it costs, in microseconds of a core of speed 1; includes the handshake of a new connection.
     pub work: f64,
     /// What the server did with it.
-    pub came: Came,
+    pub came: ArrivalOutcome,
 }
 
 /// Something that crossed a socket, or that the emulator did itself.
--- a/crates/stepspur-emulator/src/traffic.rs
+++ b/crates/stepspur-emulator/src/traffic.rs
@@ -13,7 +13,7 @@
 
 /// Traffic faults in effect.
 #[derive(Clone, Debug, Default)]
-pub struct Weather {
+pub struct TrafficFaults {
     /// Factors that the request rate is multiplied by.
     pub bursts: Vec<f64>,
     /// Zone and share: this share of all requests comes through the zone.
@@ -26,7 +26,7 @@
 
 /// A request as drawn, before it is sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Drawn {
+pub struct DrawnRequest {
     /// Index of the proxy that it is sent through.
     pub proxy: usize,
     /// Index of its class.
@@ -97,20 +97,20 @@
     }
 
     /// Requests per second, `at_s` seconds after the first request was due.
-    pub fn rate(&self, faults: &Weather, at_s: f64) -> f64 {
+    pub fn rate(&self, faults: &TrafficFaults, at_s: f64) -> f64 {
         let shape = &self.plan.shape;
         let factor = shape.iter().rev().find(|(from, _)| *from <= at_s).map_or(1.0, |(_, factor)| *factor);
         self.plan.rate * factor * faults.bursts.iter().product::<f64>()
     }
 
     /// Seconds until the next request, at most 10, so that a change of the rate takes effect soon.
-    pub fn gap(&mut self, faults: &Weather, at_s: f64) -> f64 {
+    pub fn gap(&mut self, faults: &TrafficFaults, at_s: f64) -> f64 {
         let rate = self.rate(faults, at_s).max(1e-3);
         Exp::new(rate).map_or(1.0, |gap| gap.sample(&mut self.rng)).min(10.0)
     }
 
     /// Draws the next request; `None` if all classes, zones or proxies of the zone have weight 0.
-    pub fn draw(&mut self, faults: &Weather) -> Option<Drawn> {
+    pub fn draw(&mut self, faults: &TrafficFaults) -> Option<DrawnRequest> {
         let rng = &mut self.rng;
         let class = self.classes.draw(rng)?;
         let mixed = faults.mixes.iter().find(|(_, part)| rng.random_bool(part.clamp(0.0, 1.0)));
@@ -129,6 +129,6 @@
             }
         }
         let key = self.keys.map(|d| d.sample(rng) as u64);
-        Some(Drawn { proxy, class, key, work, seed: rng.random() })
+        Some(DrawnRequest { proxy, class, key, work, seed: rng.random() })
     }
 }
--- a/crates/stepspur-emulator/tests/days.rs
+++ b/crates/stepspur-emulator/tests/days.rs
@@ -6,7 +6,7 @@
 
 use stepspur_conductor::config::IdempotencyConfig;
 use stepspur_emulator::judge::Rule;
-use stepspur_emulator::plan::{Plan, Strike, Trouble};
+use stepspur_emulator::plan::{FaultAction, Plan, ScheduledFault};
 use stepspur_emulator::scenario::{self, BAD_DAY, Scenario};
 use stepspur_emulator::{Launcher, Report, play, replay};
 
@@ -23,7 +23,7 @@
 /// True if no rule was broken. A void run, on a machine that is too slow, proves nothing about the rules and
 /// must not fail the test.
 fn rules_hold_or_void(report: &Report) -> bool {
-    report.kept() || report.void.is_some()
+    report.rules_kept() || report.void.is_some()
 }
 
 /// Guards against faults that are handled one by one but not together: a release, hanging servers, proxies
@@ -66,9 +66,13 @@
 async fn resending_writes_is_found_as_a_violation_of_rule_2() {
     let mut plan = plan("");
     plan.config.fleet.classes[1].effect = IdempotencyConfig::ReadLike;
-    let trouble = Trouble::LoseAnswers(vec![0, 1, 2, 3, 4, 5], 0.1, true);
-    plan.strikes =
-        vec![Strike { name: String::new(), at: Duration::ZERO, lasts: Duration::from_secs(9), trouble }];
+    let trouble = FaultAction::LoseAnswers(vec![0, 1, 2, 3, 4, 5], 0.1, true);
+    plan.faults = vec![ScheduledFault {
+        name: String::new(),
+        at: Duration::ZERO,
+        duration: Duration::from_secs(9),
+        trouble,
+    }];
     let report = run_plan(plan).await;
     let once = report.rules.iter().find(|r| r.rule == Rule::Once).unwrap();
     assert!(!once.kept && once.broken.as_ref().unwrap().what.contains("may have run it"), "{once:?}");
@@ -79,7 +83,7 @@
 #[test]
 fn all_scenario_files_are_valid_and_cover_the_on_call_page() {
     let plan = Scenario::parse("bad day", BAD_DAY).unwrap().plan("bad day").unwrap();
-    assert!(plan.strikes.len() >= 6 && plan.servers.len() > 18);
+    assert!(plan.faults.len() >= 6 && plan.servers.len() > 18);
     let mut trained_paragraphs = BTreeSet::new();
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/../../rehearsals");
     for file in std::fs::read_dir(folder).unwrap() {
@@ -119,20 +123,21 @@
 #[test]
 fn drawn_faults_depend_on_the_seed() {
     let text = include_str!("../../../rehearsals/drawn.toml");
-    let strikes = |seed| {
+    let scheduled_faults = |seed| {
         let mut scenario = Scenario::parse("drawn", text).unwrap();
         scenario.seed = seed;
-        format!("{:?}", scenario.plan("drawn").unwrap().strikes)
+        format!("{:?}", scenario.plan("drawn").unwrap().faults)
     };
-    assert_eq!(strikes(5), strikes(5));
-    assert_ne!(strikes(5), strikes(6));
+    assert_eq!(scheduled_faults(5), scheduled_faults(5));
+    assert_ne!(scheduled_faults(5), scheduled_faults(6));
     for seed in 0..200 {
         let mut scenario = Scenario::parse("drawn", text).unwrap();
         scenario.seed = seed;
         let plan = scenario.plan("drawn").unwrap();
-        assert_eq!(plan.strikes.len(), 8);
-        let within = |s: &Strike| s.at >= Duration::from_secs(4) && s.lasts <= Duration::from_secs(9);
-        assert!(plan.strikes.iter().all(within));
+        assert_eq!(plan.faults.len(), 8);
+        let within =
+            |s: &ScheduledFault| s.at >= Duration::from_secs(4) && s.duration <= Duration::from_secs(9);
+        assert!(plan.faults.iter().all(within));
     }
 }
 
@@ -148,7 +153,7 @@
     let targets = |scope: &str| {
         let text = format!("{fleet}\n[[fault]]\nkind = \"hang\"\nat = \"1s\"\nlasts = \"1s\"\n{scope}");
         let plan = Scenario::parse("F", &text).unwrap().plan("F").unwrap();
-        let Trouble::Hang(servers) = plan.strikes.last().unwrap().trouble.clone() else { panic!() };
+        let FaultAction::Hang(servers) = plan.faults.last().unwrap().trouble.clone() else { panic!() };
         (servers, plan)
     };
     for (scope, count) in cases {
@@ -231,7 +236,7 @@
     let replayed = replay::read(&day_file(troubles).to_string(), Some(0.25)).unwrap();
     assert!(replayed.left_out.iter().any(|what| what.contains("meteor")), "{:?}", replayed.left_out);
     let plan = replayed.plan;
-    assert_eq!((plan.proxies.len(), plan.strikes.len()), (16, 2));
+    assert_eq!((plan.proxies.len(), plan.faults.len()), (16, 2));
     assert!(
         (9..=14).contains(&plan.servers.len()) && plan.rate > 20.0,
         "{} {}",
@@ -253,7 +258,7 @@
             "on": [], "which": 1, "steps": [], "how": how}]);
         let replayed = replay::read(&day_file(trouble).to_string(), None).unwrap();
         assert!(!replayed.left_out.iter().any(|what| what.contains(kind)), "{:?}", replayed.left_out);
-        assert!(!replayed.plan.strikes.is_empty(), "{kind}");
+        assert!(!replayed.plan.faults.is_empty(), "{kind}");
     }
 }
 
--- a/crates/stepspur-emulator/tests/emulator.rs
+++ b/crates/stepspur-emulator/tests/emulator.rs
@@ -12,9 +12,9 @@
 use stepspur_emulator::plan::Plan;
 use stepspur_emulator::relay::{Dial, carry, source_address};
 use stepspur_emulator::scenario::Scenario;
-use stepspur_emulator::trace::{Came, Event, Trace};
+use stepspur_emulator::trace::{ArrivalOutcome, Event, Trace};
 use stepspur_emulator::{Launcher, Report, play, report};
-use stepspur_model::server::{Ask, Job, Server, Spec};
+use stepspur_model::server::{Job, Request, Server, Spec};
 use stepspur_model::work::{Form, Work};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::{Instant, timeout};
@@ -34,7 +34,7 @@
 /// True if no rule was broken and all expectations were met. A void run, on a machine that is too slow,
 /// proves nothing and must not fail the test.
 fn passes_or_void(report: &Report) -> bool {
-    report.void.is_some() || report.kept() && report.met()
+    report.void.is_some() || report.rules_kept() && report.expectations_met()
 }
 
 /// Guards against faults that break a rule or lose more requests than expected: each fault runs in a small
@@ -80,7 +80,7 @@
     let mut to_repeat = Vec::new();
     while let Some(run) = runs.join_next().await {
         let (name, report, fault) = run.unwrap();
-        assert!(report.void.is_some() || report.kept(), "{name}: {:#?}", report.rules);
+        assert!(report.void.is_some() || report.rules_kept(), "{name}: {:#?}", report.rules);
         assert!(report.classes.iter().all(|c| c.asked > 10) && !report.series.samples.is_empty(), "{name}");
         to_repeat.extend((!passes_or_void(&report)).then_some((name, fault)));
     }
@@ -117,7 +117,7 @@
     };
     let guarded = run_plan(plan_with(true)).await;
     assert!(
-        guarded.void.is_some() || guarded.kept() && guarded.fallen == 0,
+        guarded.void.is_some() || guarded.rules_kept() && guarded.fallen == 0,
         "{} {:#?}",
         guarded.fallen,
         guarded.rules
@@ -190,9 +190,9 @@
     let ran = events.iter().filter(|(_, e)| matches!(e, Event::Ran { .. })).count();
     assert_eq!(ran, 2, "{events:?}");
     let zones = [(node.address, "a".to_owned())].into();
-    let figures = stepspur_emulator::judge::Figures::new(&plan(""), zones);
-    let breaks = stepspur_emulator::judge::judge(&figures, 0, &events);
-    assert!(breaks.iter().any(|b| b.rule == Rule::Once), "{breaks:?}");
+    let limits = stepspur_emulator::judge::RuleLimits::new(&plan(""), zones);
+    let violations = stepspur_emulator::judge::judge(&limits, 0, &events);
+    assert!(violations.iter().any(|b| b.rule == Rule::Once), "{violations:?}");
 }
 
 /// Guards against links that do not act as configured: a slow link must delay a request by its round trips, a
@@ -217,7 +217,7 @@
     links.cut_link(1, 0, false);
     stop.cancel();
     let arrived = trace.take().into_iter().filter_map(|(_, e)| match e {
-        Event::Arrived(a) if a.came == Came::Taken => Some(a.request.0.0),
+        Event::Arrived(a) if a.came == ArrivalOutcome::Taken => Some(a.request.0.0),
         _ => None,
     });
     assert_eq!(arrived.collect::<Vec<_>>(), [1, 2, 3, 5]);
@@ -265,7 +265,7 @@
     };
     for (k, (at, work)) in arrivals.iter().enumerate() {
         collect(&mut server, *at);
-        server.offer(*at, Job(k as u64), Ask::of(*work));
+        server.offer(*at, Job(k as u64), Request::of(*work));
     }
     collect(&mut server, u64::MAX);
     let (node, _, _, stop) = start_node(spec).await;
--- a/crates/stepspur-emulator/tests/judge.rs
+++ b/crates/stepspur-emulator/tests/judge.rs
@@ -7,10 +7,10 @@
 
 use stepspur_conductor::config::{DedupScopeConfig, IdempotencyConfig};
 use stepspur_conductor::source::{EndpointRecord, EndpointRecordState};
-use stepspur_emulator::judge::{Figures, Rule, judge};
+use stepspur_emulator::judge::{Rule, RuleLimits, judge};
 use stepspur_emulator::plan::Plan;
 use stepspur_emulator::scenario::Scenario;
-use stepspur_emulator::trace::{Arrival, Came, Event, RequestId};
+use stepspur_emulator::trace::{Arrival, ArrivalOutcome, Event, RequestId};
 use stepspur_proto::v1;
 
 const MS: u64 = 1000;
@@ -42,7 +42,14 @@
     Event::Order { proxy, epoch: 1, order: Arc::new(order), lines: 10.0 }
 }
 
-fn arrived(proxy: usize, k: u8, request: (u64, u32, u32), class: usize, work: f64, came: Came) -> Event {
+fn arrived(
+    proxy: usize,
+    k: u8,
+    request: (u64, u32, u32),
+    class: usize,
+    work: f64,
+    came: ArrivalOutcome,
+) -> Event {
     let request = (RequestId(request.0), request.1, request.2);
     Event::Arrived(Arrival { server: server(k), proxy, request, class, work, came })
 }
@@ -65,10 +72,10 @@
     let mut plan = plan();
     change(&mut plan);
     let zones = BTreeMap::from([(server(1), "b".to_owned()), (server(2), "a".to_owned())]);
-    let figures = Figures::new(&plan, zones);
+    let limits = RuleLimits::new(&plan, zones);
     let events: Vec<_> =
         initial_events().into_iter().chain(events).map(|(at, e)| (BEGIN + at * MS, e)).collect();
-    judge(&figures, BEGIN, &events).iter().map(|b| b.rule).collect()
+    judge(&limits, BEGIN, &events).iter().map(|b| b.rule).collect()
 }
 
 fn unchanged(_: &mut Plan) {}
@@ -103,7 +110,7 @@
 
 #[test]
 fn rule_2_a_request_that_may_have_run_is_not_sent_again() {
-    use Came::*;
+    use ArrivalOutcome::*;
     let twice = |first, class| {
         vec![
             (100, arrived(0, 1, (7, 0, 0), class, 1.0, first)),
@@ -177,7 +184,7 @@
     let after = |state, at| {
         vec![
             (100, list_sent(false, &[node(1, state, 0)])),
-            (at, arrived(0, 1, (7, 0, 0), 0, 1.0, Came::Taken)),
+            (at, arrived(0, 1, (7, 0, 0), 0, 1.0, ArrivalOutcome::Taken)),
         ]
     };
     for state in [EndpointRecordState::Draining, EndpointRecordState::Gone] {
@@ -204,7 +211,7 @@
     // A full list without one of two servers removes it; a list without both is taken for a fault of the
     // list.
     let lacks = |nodes: &[EndpointRecord]| {
-        vec![(100, list_sent(true, nodes)), (3000, arrived(0, 1, (7, 0, 0), 0, 1.0, Came::Taken))]
+        vec![(100, list_sent(true, nodes)), (3000, arrived(0, 1, (7, 0, 0), 0, 1.0, ArrivalOutcome::Taken))]
     };
     assert_eq!(violated_rules(unchanged, lacks(&[node(2, EndpointRecordState::Ready, 0)])), [Rule::Drain]);
     assert_eq!(violated_rules(unchanged, lacks(&[])), []);
@@ -229,7 +236,9 @@
             events.push((102, Event::Down { proxy: 0 }));
         }
         events.push((103, order(0, 102, &[(1, 1.0)])));
-        events.extend((0..10).map(|k| (200 + k, arrived(0, 1, (k, 0, 0), 0, work / 10.0, Came::Taken))));
+        events.extend(
+            (0..10).map(|k| (200 + k, arrived(0, 1, (k, 0, 0), 0, work / 10.0, ArrivalOutcome::Taken))),
+        );
         events
     };
     assert_eq!(violated_rules(unchanged, start(4_500_000.0, true)), []);
--- a/crates/stepspur-emulator/tests/registry.rs
+++ b/crates/stepspur-emulator/tests/registry.rs
@@ -58,24 +58,24 @@
     registry.set([ready(1)]);
     let full = get_list(list, None).await;
     assert_eq!((full.version, registry.polls()), (1, 0), "a request without `since` is not a long poll");
-    assert!(!is_over(registry.polled(0)).await);
+    assert!(!is_over(registry.wait_until_polled(0)).await);
 
     let first = tokio::spawn(get_list(list, Some(1)));
-    timeout(WAIT_LIMIT, registry.polled(0)).await.unwrap();
+    timeout(WAIT_LIMIT, registry.wait_until_polled(0)).await.unwrap();
     assert_eq!(registry.polls(), 1);
-    assert!(is_over(registry.polled(0)).await, "the long poll still waits");
+    assert!(is_over(registry.wait_until_polled(0)).await, "the long poll still waits");
 
     // A change answers the poll, so that no poll holds the new version until the next request.
     registry.set([ready(2)]);
     assert_eq!(first.await.unwrap().version, 2);
-    assert!(!is_over(registry.polled(0)).await);
+    assert!(!is_over(registry.wait_until_polled(0)).await);
     let late = get_list(list, Some(1)).await;
     assert_eq!((late.version, registry.polls()), (2, 1), "an older version is answered at once");
-    assert!(!is_over(registry.polled(0)).await);
+    assert!(!is_over(registry.wait_until_polled(0)).await);
     let second = tokio::spawn(get_list(list, Some(2)));
-    timeout(WAIT_LIMIT, registry.polled(1)).await.unwrap();
+    timeout(WAIT_LIMIT, registry.wait_until_polled(1)).await.unwrap();
     assert_eq!(registry.polls(), 2);
-    assert!(!is_over(registry.polled(2)).await, "only a later poll counts");
+    assert!(!is_over(registry.wait_until_polled(2)).await, "only a later poll counts");
 
     stop.cancel();
     serving.await.unwrap();
--- a/crates/stepspur-emulator/tests/tenants.rs
+++ b/crates/stepspur-emulator/tests/tenants.rs
@@ -5,7 +5,7 @@
 
 use stepspur_conductor::config::Tenant;
 use stepspur_conductor::{Conductor, Config, source};
-use stepspur_emulator::identity::DayKeys;
+use stepspur_emulator::identity::TestIdentity;
 
 const EXAMPLE: &str = include_str!("../../../examples/conductor.toml");
 /// Maximum resident memory of a tenant without proxies, in bytes.
@@ -18,7 +18,7 @@
     line.trim().trim_end_matches("kB").trim().parse::<u64>().unwrap() << 10
 }
 
-fn config(keys: &DayKeys, tenants: usize) -> Config {
+fn config(keys: &TestIdentity, tenants: usize) -> Config {
     let mut config: Config = toml::from_str(EXAMPLE).unwrap();
     config.listen.address = ([127, 0, 0, 1], 0).into();
     config.status.address = None;
@@ -32,7 +32,7 @@
 /// once held the settings of all tenants, and 1,000 tenants took 2.4 GB.
 #[tokio::test]
 async fn memory_per_tenant_does_not_grow_with_their_number() {
-    let keys = DayKeys::new().unwrap();
+    let keys = TestIdentity::new().unwrap();
     let few = config(&keys, 50);
     let many = config(&keys, 400);
     let mut running = Vec::new();
--- a/crates/stepspur-model/src/memory.rs
+++ b/crates/stepspur-model/src/memory.rs
@@ -27,7 +27,7 @@
 
     /// Records the arrival of a request. Returns true for a duplicate within the window, which must have no
     /// effect. A duplicate does not extend the window.
-    pub fn meet(&mut self, now: Micros, request: u64) -> bool {
+    pub fn record_arrival(&mut self, now: Micros, request: u64) -> bool {
         let oldest_valid = now.saturating_sub(self.window);
         while self.order.front().is_some_and(|(at, _)| *at < oldest_valid || self.seen.len() > self.capacity)
         {
--- a/crates/stepspur-model/src/proxy.rs
+++ b/crates/stepspur-model/src/proxy.rs
@@ -43,14 +43,14 @@
     /// Number of request classes.
     pub classes: usize,
     /// Retry policy of a class for which no level was ordered.
-    pub usual_resend: v1::Resend,
+    pub default_retry_policy: v1::Resend,
 }
 
 /// The result of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Tried {
+pub enum AttemptResult {
     /// Answered successfully.
-    Good,
+    Success,
     /// Failed, and it never ran: no connection, or a rejection that proves it.
     NeverRan,
     /// Any other failure: it may have run.
@@ -312,13 +312,20 @@
     /// Records the result of an attempt, its latency `took` in microseconds, and the server's load report
     /// (empty if there is none). Attempts cancelled by the client say nothing about the server and are not
     /// recorded.
-    pub fn note(&mut self, now: Micros, server: SocketAddr, tried: Tried, took: Micros, load: Vec<f32>) {
+    pub fn record_result(
+        &mut self,
+        now: Micros,
+        server: SocketAddr,
+        tried: AttemptResult,
+        took: Micros,
+        load: Vec<f32>,
+    ) {
         if let Ok(at) = self.line_index(server) {
             self.lines[at].in_flight = self.lines[at].in_flight.saturating_sub(1);
         }
         let stats = self.upstream.entry(server).or_default();
         stats.total = stats.total.saturating_add(1);
-        if tried == Tried::Good {
+        if tried == AttemptResult::Success {
             stats.time += took;
         } else {
             stats.errors = stats.errors.saturating_add(1);
@@ -326,7 +333,7 @@
         if !load.is_empty() {
             stats.load = load;
         }
-        if tried == Tried::Good {
+        if tried == AttemptResult::Success {
             self.fails.remove(&server);
             return;
         }
@@ -341,7 +348,7 @@
     }
 
     /// Counts an admitted request that got no successful answer.
-    pub fn unanswered(&mut self, class: usize) {
+    pub fn count_failure(&mut self, class: usize) {
         if let Some(class) = self.classes.get_mut(class) {
             class.errors += 1;
         }
@@ -350,15 +357,15 @@
     /// Returns the retry policy in force for a class.
     fn resend(&self, class: usize) -> v1::Resend {
         let level = self.classes.get(class).and_then(|c| c.level.as_ref());
-        level.map_or(self.spec.usual_resend, |level| level.resend())
+        level.map_or(self.spec.default_retry_policy, |level| level.resend())
     }
 
     /// Returns true if the retry policy of the class allows another attempt after `tries` attempts, the last
     /// of which had this result.
-    pub fn may_try_again(&self, class: usize, tries: u32, tried: Tried) -> bool {
+    pub fn may_try_again(&self, class: usize, tries: u32, tried: AttemptResult) -> bool {
         match (self.resend(class), tried) {
-            (_, Tried::Good) | (v1::Resend::Never, _) => false,
-            (v1::Resend::Unsent, tried) => tries < 2 && tried == Tried::NeverRan,
+            (_, AttemptResult::Success) | (v1::Resend::Never, _) => false,
+            (v1::Resend::Unsent, tried) => tries < 2 && tried == AttemptResult::NeverRan,
             (v1::Resend::Once, _) => tries < 2,
             (v1::Resend::Twice, _) => tries < 3,
         }
@@ -367,7 +374,7 @@
     /// Returns true if attempt number `tries` may be retried even though it may have run, so that it can be
     /// given a short timeout.
     pub fn may_be_retried(&self, class: usize, tries: u32) -> bool {
-        self.may_try_again(class, tries, Tried::MayHaveRun)
+        self.may_try_again(class, tries, AttemptResult::MayHaveRun)
     }
 
     /// Returns true if the table has a line that is not withdrawn.
--- a/crates/stepspur-model/src/serve.rs
+++ b/crates/stepspur-model/src/serve.rs
@@ -6,11 +6,11 @@
 use std::net::SocketAddr;
 
 use crate::Micros;
-use crate::proxy::{Proxy, Tried};
+use crate::proxy::{AttemptResult, Proxy};
 
 /// The result that a proxy returns to a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum Response {
     /// Answered successfully.
     Good,
     /// Rejected before any attempt, by the admission level or because the table has no usable server.
@@ -32,7 +32,7 @@
         until: Micros,
     },
     /// Return this result to the client.
-    Tell(Answer),
+    Respond(Response),
 }
 
 /// One client request that a proxy serves, with its attempts so far.
@@ -67,14 +67,14 @@
             Self { class, objective, deadline, sent: now, tried: Vec::new(), may_have_run: false };
         let next = match proxy.admit(now, class) {
             true => serving.send(proxy, now),
-            false => Next::Tell(Answer::Refused),
+            false => Next::Respond(Response::Refused),
         };
         (serving, next)
     }
 
     fn send(&mut self, proxy: &mut Proxy, now: Micros) -> Next {
         let Some(server) = proxy.pick(now, &self.tried) else {
-            return Next::Tell(if self.may_have_run { Answer::Failed } else { Answer::Refused });
+            return Next::Respond(if self.may_have_run { Response::Failed } else { Response::Refused });
         };
         let may_be_retried = proxy.may_be_retried(self.class, self.tried.len() as u32 + 1);
         let timeout = if may_be_retried {
@@ -93,38 +93,38 @@
     }
 
     /// Records the result of the current attempt and returns the next step.
-    pub fn ended(&mut self, proxy: &mut Proxy, now: Micros, end: Tried) -> Next {
-        let Some(server) = self.tried.last().copied() else { return Next::Tell(Answer::Refused) };
-        self.may_have_run |= end == Tried::MayHaveRun;
-        proxy.note(now, server, end, now.saturating_sub(self.sent), Vec::new());
-        if end == Tried::Good {
-            return Next::Tell(Answer::Good);
+    pub fn ended(&mut self, proxy: &mut Proxy, now: Micros, end: AttemptResult) -> Next {
+        let Some(server) = self.tried.last().copied() else { return Next::Respond(Response::Refused) };
+        self.may_have_run |= end == AttemptResult::MayHaveRun;
+        proxy.record_result(now, server, end, now.saturating_sub(self.sent), Vec::new());
+        if end == AttemptResult::Success {
+            return Next::Respond(Response::Good);
         }
         if proxy.may_try_again(self.class, self.tried.len() as u32, end) && now < self.deadline {
             return self.send(proxy, now);
         }
-        proxy.unanswered(self.class);
-        Next::Tell(if self.may_have_run { Answer::Failed } else { Answer::NeverRan })
+        proxy.count_failure(self.class);
+        Next::Respond(if self.may_have_run { Response::Failed } else { Response::NeverRan })
     }
 }
 
 /// Whether a client may safely repeat a request that may already have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RepeatSafety {
     /// Always safe: the request has no side effects.
-    Harmless,
+    Safe,
     /// Safe within this many microseconds of the first try, while servers still deduplicate it.
-    Within(Micros),
+    SafeWithin(Micros),
     /// Unsafe: the request may take effect twice.
-    Harmful,
+    Unsafe,
 }
 
 /// Returns true if a client may repeat a request after this result, `since` microseconds after its first try.
 /// A request that must not run twice is repeated only after a result that proves that it never ran.
-pub fn client_repeats(answer: Answer, repeat: Repeat, since: Micros) -> bool {
+pub fn client_repeats(answer: Response, repeat: RepeatSafety, since: Micros) -> bool {
     match (answer, repeat) {
-        (Answer::Good, _) | (Answer::Failed, Repeat::Harmful) => false,
-        (Answer::Failed, Repeat::Within(window)) => since < window,
+        (Response::Good, _) | (Response::Failed, RepeatSafety::Unsafe) => false,
+        (Response::Failed, RepeatSafety::SafeWithin(window)) => since < window,
         _ => true,
     }
 }
--- a/crates/stepspur-model/src/server.rs
+++ b/crates/stepspur-model/src/server.rs
@@ -183,7 +183,7 @@
 
 /// A request as it is offered to a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Ask {
+pub struct Request {
     /// Its work, in microseconds on a core of speed 1.
     pub work: f64,
     /// Key of the data that it reads; a recently used key reduces the work by [`Spec::key_gain`].
@@ -192,7 +192,7 @@
     pub conn: Option<Conn>,
 }
 
-impl Ask {
+impl Request {
     /// Creates a request with this work and neither key nor connection.
     pub fn of(work: f64) -> Self {
         Self { work, ..Self::default() }
@@ -203,18 +203,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Offer {
     /// Accepted; [`Server::poll`] returns its completion.
-    Taken,
+    Accepted,
     /// Rejected because the queue is full or the server drains; it never ran.
-    Full,
-    /// Failed at once, by [`Spec::error_rate`] or [`Ails::fails`].
+    Rejected,
+    /// Failed at once, by [`Spec::error_rate`] or [`Faults::fails`].
     Failed,
     /// The server has collapsed, and every request that it held is lost.
-    Fallen,
+    Collapsed,
 }
 
 /// The completion of an accepted request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Done {
+pub struct Completion {
     /// The request that completed.
     pub job: Job,
     /// True if it was answered; false if it was lost when the server collapsed.
@@ -236,7 +236,7 @@
 
 /// The faults that are injected into a server at present.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Ails {
+pub struct Faults {
     /// Accepts requests and works on none.
     pub hangs: bool,
     /// Share of requests that fail at once, from 0 to 1, in addition to [`Spec::error_rate`].
@@ -285,17 +285,17 @@
     in_service: usize,
     /// The queue: requests without a slot, with their work in microseconds.
     waiting: VecDeque<(Job, f64)>,
-    faults: Ails,
+    faults: Faults,
     paused_until: Micros,
     next_pause: Micros,
     /// Work that arrived within `Spec::fall_span` while cold: arrival time and work, in microseconds.
     cold_work: VecDeque<(Micros, f64)>,
     cold_work_sum: f64,
-    fallen: bool,
+    collapsed: bool,
     /// Time of the last use of each remembered key.
     keys: BTreeMap<u64, Micros>,
     key_order: VecDeque<(Micros, u64)>,
-    done: VecDeque<Done>,
+    done: VecDeque<Completion>,
     conns: BTreeMap<Conn, OpenConn>,
     /// Connections without a request, by the time since which they are idle.
     idle: BTreeSet<(Micros, Conn)>,
@@ -328,12 +328,12 @@
             held: BTreeMap::new(),
             in_service: 0,
             waiting: VecDeque::new(),
-            faults: Ails::default(),
+            faults: Faults::default(),
             paused_until: 0,
             next_pause: 0,
             cold_work: VecDeque::new(),
             cold_work_sum: 0.0,
-            fallen: false,
+            collapsed: false,
             keys: BTreeMap::new(),
             key_order: VecDeque::new(),
             done: VecDeque::new(),
@@ -379,8 +379,8 @@
     }
 
     /// Returns true if the server has collapsed. It does not recover by itself.
-    pub fn fallen(&self) -> bool {
-        self.fallen
+    pub fn collapsed(&self) -> bool {
+        self.collapsed
     }
 
     /// Returns the number of requests queued or in service.
@@ -401,7 +401,7 @@
     }
 
     /// Replaces the injected faults from now on.
-    pub fn ail(&mut self, now: Micros, faults: Ails) {
+    pub fn set_faults(&mut self, now: Micros, faults: Faults) {
         self.advance(now);
         let rescheduled = faults.pauses != self.faults.pauses;
         self.faults = faults;
@@ -416,7 +416,7 @@
         self.advance(now);
         let full = self.spec.connections > 0 && self.conns.len() >= self.spec.connections;
         let refuses = self.drains && self.spec.draining == Draining::Refuses;
-        if full || refuses || self.fallen {
+        if full || refuses || self.collapsed {
             return None;
         }
         self.next_conn += 1;
@@ -507,15 +507,15 @@
     }
 
     /// Offers a request to the server. The outcome decides whether it runs, is queued, or ends at once.
-    pub fn offer(&mut self, now: Micros, job: Job, ask: Ask) -> Offer {
+    pub fn offer(&mut self, now: Micros, job: Job, ask: Request) -> Offer {
         self.advance(now);
-        if self.fallen {
-            return Offer::Fallen;
+        if self.collapsed {
+            return Offer::Collapsed;
         }
         let gain = if ask.key.is_some_and(|key| self.touch_key(key)) { self.spec.key_gain } else { 0.0 };
         let work = ask.work * (1.0 - gain) + self.take_handshake_work(ask.conn);
         if self.add_cold_work(work) {
-            return Offer::Fallen;
+            return Offer::Collapsed;
         }
         let fails = self.spec.error_rate + self.faults.fails;
         if fails > 0.0 && self.rng.random_bool(fails.min(1.0)) {
@@ -524,7 +524,7 @@
         let full = self.in_service >= self.spec.slots.max(1) as usize;
         let refuses = self.drains && self.spec.draining == Draining::Refuses;
         if refuses || full && self.waiting.len() >= self.spec.room as usize {
-            return Offer::Full;
+            return Offer::Rejected;
         }
         self.held.insert(job, HeldJob { since: now, conn: ask.conn, cancelled: false });
         if let Some(conn) = ask.conn {
@@ -535,7 +535,7 @@
         } else {
             self.start_service(job, work);
         }
-        Offer::Taken
+        Offer::Accepted
     }
 
     /// Returns the handshake work, in microseconds, that the first request on a connection adds to its own.
@@ -607,7 +607,7 @@
     }
 
     /// Returns the next request that has completed by now.
-    pub fn poll(&mut self, now: Micros) -> Option<Done> {
+    pub fn poll(&mut self, now: Micros) -> Option<Completion> {
         self.advance(now);
         self.done.pop_front()
     }
@@ -616,7 +616,7 @@
     /// server hangs, pauses or has collapsed.
     pub fn probe(&mut self, now: Micros) -> Option<Load> {
         self.advance(now);
-        if self.fallen || self.faults.hangs || now < self.paused_until {
+        if self.collapsed || self.faults.hangs || now < self.paused_until {
             return None;
         }
         self.add_cold_work(self.spec.probe_work);
@@ -683,15 +683,16 @@
         if self.cold_work_sum <= budget {
             return false;
         }
-        self.fallen = true;
+        self.collapsed = true;
         self.closed.extend(std::mem::take(&mut self.conns).into_keys());
         self.idle.clear();
         self.waiting.clear();
         self.running.clear();
         self.in_service = 0;
         let lost = std::mem::take(&mut self.held);
-        self.done
-            .extend(lost.into_iter().filter(|(_, r)| !r.cancelled).map(|(job, _)| Done { job, good: false }));
+        self.done.extend(
+            lost.into_iter().filter(|(_, r)| !r.cancelled).map(|(job, _)| Completion { job, good: false }),
+        );
         true
     }
 
@@ -725,7 +726,7 @@
     /// Advances the model to `now`.
     fn advance(&mut self, now: Micros) {
         while self.now < now {
-            if self.faults.hangs || self.fallen || self.in_service == 0 && self.pauses().is_none() {
+            if self.faults.hangs || self.collapsed || self.in_service == 0 && self.pauses().is_none() {
                 self.now = now;
                 return;
             }
@@ -763,7 +764,7 @@
                 self.answered += 1;
                 self.in_service -= 1;
                 self.latency += 0.2 * ((self.now - running.since) as f64 - self.latency);
-                self.done.push_back(Done { job, good: true });
+                self.done.push_back(Completion { job, good: true });
             }
             self.fill_slots();
         }
--- a/crates/stepspur-model/tests/models.rs
+++ b/crates/stepspur-model/tests/models.rs
@@ -5,8 +5,10 @@
 
 use proptest::prelude::*;
 use stepspur_model::memory::Memory;
-use stepspur_model::proxy::{self, Pick, Proxy, Tried};
-use stepspur_model::server::{Ails, Ask, Cancel, Done, Draining, Job, Offer, Server, Spec, WarmBy};
+use stepspur_model::proxy::{self, AttemptResult, Pick, Proxy};
+use stepspur_model::server::{
+    Cancel, Completion, Draining, Faults, Job, Offer, Request, Server, Spec, WarmBy,
+};
 use stepspur_proto::v1;
 
 /// A server with one slot for each core, an unlimited queue and no loss of efficiency under load.
@@ -15,7 +17,7 @@
 }
 
 /// Runs a server until the given time and returns the completions.
-fn run_until(server: &mut Server, until: u64) -> Vec<Done> {
+fn run_until(server: &mut Server, until: u64) -> Vec<Completion> {
     let mut done = Vec::new();
     while let Some(at) = server.next_at().filter(|at| *at <= until) {
         done.extend(std::iter::from_fn(|| server.poll(at)));
@@ -31,17 +33,17 @@
     for (warm, falls) in [(false, true), (true, false)] {
         let mut server = Server::new(Spec::default(), 1, 1_000_000, warm);
         let offers: Vec<_> =
-            (0..400).map(|k| server.offer(1_000_000 + k * 5_000, Job(k), Ask::of(100_000.0))).collect();
-        assert_eq!((server.fallen(), offers.contains(&Offer::Fallen)), (falls, falls));
-        assert!(offers.contains(&Offer::Full) || falls);
-        assert_eq!(server.offer(100_000_000, Job(999), Ask::of(1.0)) == Offer::Fallen, falls);
+            (0..400).map(|k| server.offer(1_000_000 + k * 5_000, Job(k), Request::of(100_000.0))).collect();
+        assert_eq!((server.collapsed(), offers.contains(&Offer::Collapsed)), (falls, falls));
+        assert!(offers.contains(&Offer::Rejected) || falls);
+        assert_eq!(server.offer(100_000_000, Job(999), Request::of(1.0)) == Offer::Collapsed, falls);
     }
     // Load within its present capacity lets a cold server warm up.
     let mut gently_loaded = Server::new(Spec::default(), 1, 1_000_000, false);
     for k in 0..200 {
         let now = 1_000_000 + k * 100_000;
         run_until(&mut gently_loaded, now);
-        assert_eq!(gently_loaded.offer(now, Job(k), Ask::of(50_000.0)), Offer::Taken);
+        assert_eq!(gently_loaded.offer(now, Job(k), Request::of(50_000.0)), Offer::Accepted);
     }
     assert_eq!(gently_loaded.warmth(21_000_000), 1.0);
 }
@@ -49,17 +51,17 @@
 #[test]
 fn hangs_and_pauses_delay_work_and_cancel_drops_it_by_mode() {
     let mut server = Server::new(plain(1), 1, 0, true);
-    server.offer(0, Job(1), Ask::of(1000.0));
-    server.ail(500, Ails { hangs: true, ..Ails::default() });
+    server.offer(0, Job(1), Request::of(1000.0));
+    server.set_faults(500, Faults { hangs: true, ..Faults::default() });
     assert_eq!((server.next_at(), server.poll(1_000_000), server.probe(1_000_000)), (None, None, None));
-    server.ail(1_000_000, Ails::default());
+    server.set_faults(1_000_000, Faults::default());
     assert_eq!(run_until(&mut server, 1_000_500).len(), 1, "the accepted request continues after the hang");
-    server.ail(2_000_000, Ails { pauses: Some((1, 300_000)), ..Ails::default() });
-    server.offer(2_000_010, Job(2), Ask::of(1000.0));
+    server.set_faults(2_000_000, Faults { pauses: Some((1, 300_000)), ..Faults::default() });
+    server.offer(2_000_010, Job(2), Request::of(1000.0));
     assert!(run_until(&mut server, 2_200_000).is_empty(), "the server is paused");
     for (cancel, left) in [(Cancel::None, 2), (Cancel::Queued, 1), (Cancel::All, 0)] {
         let mut server = Server::new(Spec { cancel, ..plain(1) }, 1, 0, true);
-        (0..2).for_each(|k| _ = server.offer(0, Job(k), Ask::of(1000.0)));
+        (0..2).for_each(|k| _ = server.offer(0, Job(k), Request::of(1000.0)));
         (0..2).rev().for_each(|k| _ = server.cancel(10, Job(k)));
         assert_eq!(run_until(&mut server, 10_000).len(), left, "{cancel:?}");
     }
@@ -75,7 +77,7 @@
     let mut by_requests = Server::new(by(WarmBy::Requests), 1, 1_000_000, false);
     assert_eq!(by_requests.warmth(100_000_000), 0.4);
     for k in 0..10 {
-        by_requests.offer(100_000_000 + k * 100_000, Job(k), Ask::of(1000.0));
+        by_requests.offer(100_000_000 + k * 100_000, Job(k), Request::of(1000.0));
         run_until(&mut by_requests, 100_000_000 + (k + 1) * 100_000);
     }
     assert_eq!(by_requests.warmth(102_000_000), 1.0);
@@ -89,7 +91,7 @@
     let mut server = Server::new(spec.clone(), 1, 0, true);
     let (one, two) = (server.connect(0).unwrap(), server.connect(0).unwrap());
     assert!(server.connect(0).is_none());
-    let ask = Ask { work: 1000.0, key: None, conn: Some(one) };
+    let ask = Request { work: 1000.0, key: None, conn: Some(one) };
     server.offer(0, Job(1), ask);
     assert!(run_until(&mut server, 1499).is_empty() && run_until(&mut server, 1501).len() == 1);
     server.offer(2000, Job(2), ask);
@@ -100,15 +102,15 @@
     );
     assert_eq!((server.closed(13_002), server.connections()), (Some(one), 0));
     for (draining, connects, offer) in
-        [(Draining::Serves, true, Offer::Taken), (Draining::Refuses, false, Offer::Full)]
+        [(Draining::Serves, true, Offer::Accepted), (Draining::Refuses, false, Offer::Rejected)]
     {
         let mut server = Server::new(Spec { draining, ..spec.clone() }, 1, 0, true);
         let (busy, idle) = (server.connect(0).unwrap(), server.connect(0).unwrap());
-        server.offer(0, Job(1), Ask { conn: Some(busy), ..ask });
+        server.offer(0, Job(1), Request { conn: Some(busy), ..ask });
         server.drain(10);
         assert_eq!((server.closed(10), server.closed(10)), (Some(idle), None));
         assert_eq!(server.connect(10).is_some(), connects);
-        assert_eq!(server.offer(10, Job(2), Ask { conn: Some(busy), ..ask }), offer);
+        assert_eq!(server.offer(10, Job(2), Request { conn: Some(busy), ..ask }), offer);
         assert!(!server.drained());
         assert!(
             !run_until(&mut server, 100_000).is_empty() && server.drained(),
@@ -122,10 +124,10 @@
     let late = Spec { report_every: 1000, report_late: 5000, ..plain(1) };
     let mut server = Server::new(late, 1, 0, true);
     assert_eq!(server.load(0).rif, 0.0);
-    (0..3).for_each(|k| _ = server.offer(10, Job(k), Ask::of(1e6)));
+    (0..3).for_each(|k| _ = server.offer(10, Job(k), Request::of(1e6)));
     assert_eq!([500, 1500, 5500, 6600].map(|at| server.load(at).rif), [0.0, 0.0, 0.0, 3.0]);
     let mut noisy = Server::new(Spec { report_every: 1, report_noise: 0.3, ..plain(1) }, 1, 0, true);
-    (0..50).for_each(|k| _ = noisy.offer(0, Job(k), Ask::of(1e9)));
+    (0..50).for_each(|k| _ = noisy.offer(0, Job(k), Request::of(1e9)));
     let reported: Vec<f64> = (1..2000).map(|at| noisy.load(at).rif).collect();
     let mean = reported.iter().sum::<f64>() / reported.len() as f64;
     let deviation = (reported.iter().map(|s| (s - 50.0).powi(2)).sum::<f64>() / reported.len() as f64).sqrt();
@@ -136,13 +138,13 @@
 fn memory_deduplicates_within_its_window_and_forgets_cancelled_requests() {
     let mut memory = Memory::new(1000, 2);
     assert_eq!(
-        [(0, 7), (500, 7), (1000, 7), (1001, 7)].map(|(at, r)| memory.meet(at, r)),
+        [(0, 7), (500, 7), (1000, 7), (1001, 7)].map(|(at, r)| memory.record_arrival(at, r)),
         [false, true, true, false]
     );
     memory.forget(7);
-    assert!(!memory.meet(1002, 7));
-    (1..=3).for_each(|r| _ = memory.meet(1003, r));
-    assert!(memory.len() <= 3 && memory.meet(1004, 3), "the oldest requests are dropped first");
+    assert!(!memory.record_arrival(1002, 7));
+    (1..=3).for_each(|r| _ = memory.record_arrival(1003, r));
+    assert!(memory.len() <= 3 && memory.record_arrival(1004, 3), "the oldest requests are dropped first");
 }
 
 fn address(k: u16) -> SocketAddr {
@@ -150,8 +152,13 @@
 }
 
 fn new_proxy(pick: Pick, standing: u16) -> Proxy {
-    let spec =
-        proxy::Spec { pick, avoid_after: 3, avoid_for: 1000, classes: 2, usual_resend: v1::Resend::Never };
+    let spec = proxy::Spec {
+        pick,
+        avoid_after: 3,
+        avoid_for: 1000,
+        classes: 2,
+        default_retry_policy: v1::Resend::Never,
+    };
     Proxy::new(spec, 5, (0..standing).map(address), 0)
 }
 
@@ -193,12 +200,12 @@
     proxy.apply(1, 1, &v1::Order { table: Some(first), ..Default::default() });
     let picked = proxy.pick(0, &[]).unwrap();
     proxy.apply(1, 2, &order(&[(1, 0.0), (2, 1.0)], false));
-    proxy.note(5, picked, Tried::MayHaveRun, 5, vec![]);
-    assert!(proxy.may_try_again(0, 1, Tried::MayHaveRun));
+    proxy.record_result(5, picked, AttemptResult::MayHaveRun, 5, vec![]);
+    assert!(proxy.may_try_again(0, 1, AttemptResult::MayHaveRun));
     assert_eq!(proxy.pick(5, &[picked]), Some(address(2)));
     let never = v1::Level { class: 0, resend: v1::Resend::Never.into(), admit: None };
     proxy.apply(1, 3, &v1::Order { levels: vec![never], ..Default::default() });
-    assert!(!proxy.may_try_again(0, 1, Tried::MayHaveRun));
+    assert!(!proxy.may_try_again(0, 1, AttemptResult::MayHaveRun));
     let report = proxy.report(10);
     assert_eq!(
         report.met.iter().map(|m| (m.total, m.errors)).collect::<Vec<_>>(),
@@ -210,7 +217,7 @@
 /// Every retry policy with every result of an attempt, after one and after two attempts.
 #[test]
 fn retries_follow_the_ordered_policy() {
-    use Tried::*;
+    use AttemptResult::*;
     use v1::Resend::*;
     let policies = [(Never, 0b0000_0000), (Unsent, 0b0000_0001), (Once, 0b0000_0011), (Twice, 0b0000_1111)];
     for (resend, allowed) in policies {
@@ -227,7 +234,7 @@
                 "{resend:?} {tries} {tried:?}"
             );
         }
-        assert!(!proxy.may_try_again(1, 1, Good) && !proxy.may_try_again(0, 1, NeverRan));
+        assert!(!proxy.may_try_again(1, 1, Success) && !proxy.may_try_again(0, 1, NeverRan));
     }
 }
 
@@ -249,7 +256,7 @@
 fn a_server_is_avoided_for_a_while_after_consecutive_failures() {
     let mut proxy = new_proxy(Pick::Wheel, 2);
     for _ in 0..3 {
-        proxy.note(10, address(0), Tried::MayHaveRun, 5, vec![]);
+        proxy.record_result(10, address(0), AttemptResult::MayHaveRun, 5, vec![]);
     }
     assert!((0..4).all(|_| proxy.pick(11, &[]) == Some(address(1))));
     assert_eq!(proxy.pick(11, &[address(1)]), Some(address(0)), "an avoided server is better than none");
@@ -291,15 +298,15 @@
             now += wait;
             let pauses = (fault == 1).then_some((50_000, 20_000));
             let ask =
-                Ask { work, key: Some(work as u64 % 7), conn: server.connect(now).filter(|_| fault == 4) };
-            server.ail(
+                Request { work, key: Some(work as u64 % 7), conn: server.connect(now).filter(|_| fault == 4) };
+            server.set_faults(
                 now,
-                Ails { hangs: fault == 2, fails: if fault == 3 { 0.5 } else { 0.0 }, pauses, ..Ails::default() },
+                Faults { hangs: fault == 2, fails: if fault == 3 { 0.5 } else { 0.0 }, pauses, ..Faults::default() },
             );
             ended.extend(run_until(&mut server, now));
-            taken += usize::from(server.offer(now, Job(k as u64), ask) == Offer::Taken);
+            taken += usize::from(server.offer(now, Job(k as u64), ask) == Offer::Accepted);
         }
-        server.ail(now, Ails::default());
+        server.set_faults(now, Faults::default());
         ended.extend(run_until(&mut server, now + 1_000_000_000));
         ended.sort_by_key(|d| d.job);
         let all = ended.len();
--- a/crates/stepspur-model/tests/theory.rs
+++ b/crates/stepspur-model/tests/theory.rs
@@ -8,7 +8,7 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp};
 use statrs::distribution::{ContinuousCDF, StudentsT};
-use stepspur_model::server::{Ask, Job, Offer, Server, Spec};
+use stepspur_model::server::{Job, Offer, Request, Server, Spec};
 use stepspur_model::work::{Form, Work};
 
 /// Mean work of a request, in microseconds.
@@ -48,7 +48,7 @@
             last_change = until;
             let work = work.sample(&mut rng);
             sent.insert(Job(k), (until, work));
-            assert_eq!(server.offer(until, Job(k), Ask::of(work)), Offer::Taken);
+            assert_eq!(server.offer(until, Job(k), Request::of(work)), Offer::Accepted);
         }
     }
     assert_eq!((server.held(), sent.len()), (0, 0));
--- a/crates/stepspur-platform/src/listener.rs
+++ b/crates/stepspur-platform/src/listener.rs
@@ -262,12 +262,12 @@
         }
     }
 
-    fn invalid_message(&self, role: PeerRole, what: String) -> Input {
-        let by = match role {
+    fn invalid_message(&self, role: PeerRole, reason: String) -> Input {
+        let sender = match role {
             PeerRole::Collector => "a collector".to_owned(),
             PeerRole::Proxy { proxy, .. } => proxy.0.to_string(),
         };
-        Input::InvalidMessage { sender: by, reason: what }
+        Input::InvalidMessage { sender, reason }
     }
 }
 
--- a/crates/stepspur-scale/src/drains/round.rs
+++ b/crates/stepspur-scale/src/drains/round.rs
@@ -247,7 +247,7 @@
 
     /// Waits until the conductor has polled its list again since the count of polls was `polls`.
     async fn wait_for_poll(&mut self, polls: u64) -> anyhow::Result<()> {
-        let polled = timeout(WAIT_TIMEOUT, self.bench.registry.polled(polls));
+        let polled = timeout(WAIT_TIMEOUT, self.bench.registry.wait_until_polled(polls));
         discarding_changes(&mut self.table_changes, polled)
             .await
             .context("the conductor no longer polls the server list")
--- a/crates/stepspur-scale/src/slopes/choose.rs
+++ b/crates/stepspur-scale/src/slopes/choose.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use hdrhistogram::Histogram;
-use stepspur_model::proxy::{Pick, Proxy, Spec, Tried};
+use stepspur_model::proxy::{AttemptResult, Pick, Proxy, Spec};
 use stepspur_proto::v1;
 
 use super::result::{Metric, Values};
@@ -50,7 +50,7 @@
         avoid_after: 3,
         avoid_for: 1_000_000,
         classes: 3,
-        usual_resend: v1::Resend::Once,
+        default_retry_policy: v1::Resend::Once,
     };
     let mut proxy = Proxy::new(spec, seed, [], 0);
     proxy.welcome(1);
@@ -63,20 +63,20 @@
     proxy
 }
 
-/// Runs one request: admitted, sent to a server and answered. With `with_retry`, the first attempt fails before it
-/// runs and is retried at another server.
+/// Runs one request: admitted, sent to a server and answered. With `with_retry`, the first attempt fails
+/// before it runs and is retried at another server.
 fn request(proxy: &mut Proxy, now: u64, with_retry: bool) -> anyhow::Result<()> {
     let no_server = || anyhow::anyhow!("the proxy finds no server");
     anyhow::ensure!(proxy.admit(now, 0), "the proxy rejects the request");
     let first = proxy.pick(now, &[]).ok_or_else(no_server)?;
     if !with_retry {
-        proxy.note(now, first, Tried::Good, 20_000, Vec::new());
+        proxy.record_result(now, first, AttemptResult::Success, 20_000, Vec::new());
         return Ok(());
     }
-    proxy.note(now, first, Tried::NeverRan, 100, Vec::new());
-    anyhow::ensure!(proxy.may_try_again(0, 1, Tried::NeverRan), "the proxy allows no retry");
+    proxy.record_result(now, first, AttemptResult::NeverRan, 100, Vec::new());
+    anyhow::ensure!(proxy.may_try_again(0, 1, AttemptResult::NeverRan), "the proxy allows no retry");
     let second = proxy.pick(now, &[first]).ok_or_else(no_server)?;
-    proxy.note(now, second, Tried::Good, 20_000, Vec::new());
+    proxy.record_result(now, second, AttemptResult::Success, 20_000, Vec::new());
     Ok(())
 }
 
--- a/crates/stepspur-scale/src/slopes/tenants.rs
+++ b/crates/stepspur-scale/src/slopes/tenants.rs
@@ -6,7 +6,7 @@
 use anyhow::Context;
 use stepspur_conductor::config::{Source, Tenant};
 use stepspur_emulator::Launcher;
-use stepspur_emulator::identity::DayKeys;
+use stepspur_emulator::identity::TestIdentity;
 use stepspur_identity::keys::{Manifest, OperatorEntry, write_manifest};
 use stepspur_identity::rights::Right;
 use tokio::time::{Instant, sleep};
@@ -31,7 +31,7 @@
     let node =
         |number: usize| format!("[[node]]\naddress = \"127.16.0.{}:80\"\nzone = \"north\"\n", number + 1);
     std::fs::write(&nodes, (0..SERVERS_PER_TENANT).map(node).collect::<String>())?;
-    let keys = DayKeys::new()?;
+    let keys = TestIdentity::new()?;
     let mut config = base_config()?;
     let identity = keys.config();
     write_operator_rights(&identity.folder, tenants)?;
--- a/crates/stepspur-simulation/examples/day.rs
+++ b/crates/stepspur-simulation/examples/day.rs
@@ -12,7 +12,7 @@
         let plan = scenario.plan(&path.display().to_string())?;
         let outcome = run(&plan, &Options::default());
         let broken: Vec<String> =
-            outcome.breaks.iter().map(|b| format!("{:?} x{}: {}", b.rule, b.times, b.what)).collect();
+            outcome.violations.iter().map(|b| format!("{:?} x{}: {}", b.rule, b.times, b.what)).collect();
         let virtual_s = scenario.length.as_secs_f64();
         println!(
             "{:24} service {:.3}  fallen {}  {:.0} times the clock ({:.0}% engine)  {}",
--- a/crates/stepspur-simulation/src/experiment.rs
+++ b/crates/stepspur-simulation/src/experiment.rs
@@ -221,7 +221,7 @@
 
 /// An experiment that is ready to run, with the results that are already finished.
 #[derive(Debug)]
-pub struct Lab {
+pub struct ExperimentRunner {
     experiment: Experiment,
     /// Scenarios by arm.
     scenarios: Vec<Scenario>,
@@ -249,7 +249,7 @@
     }
 }
 
-impl Lab {
+impl ExperimentRunner {
     /// Reads an experiment, and its finished runs from the file `results`.
     ///
     /// # Errors
@@ -386,7 +386,7 @@
                 service: outcome.service,
                 p99_ms: outcome.classes.iter().map(|t| t.answer_ms[1]).collect(),
                 lost: lost as f64 / outcome.asked.max(1) as f64,
-                broken: outcome.breaks.len(),
+                broken: outcome.violations.len(),
                 fallen: outcome.fallen,
                 orders: outcome.orders,
             })
--- a/crates/stepspur-simulation/src/world/attempts.rs
+++ b/crates/stepspur-simulation/src/world/attempts.rs
@@ -3,11 +3,11 @@
 use std::net::SocketAddr;
 
 use stepspur_conductor::config::{DedupScopeConfig, IdempotencyConfig};
-use stepspur_emulator::trace::{Arrival, Came, Event, RequestId};
+use stepspur_emulator::trace::{Arrival, ArrivalOutcome, Event, RequestId};
 use stepspur_model::Micros;
 use stepspur_model::memory::Memory;
-use stepspur_model::proxy::Tried;
-use stepspur_model::server::{Ask, Conn, Job, Offer};
+use stepspur_model::proxy::AttemptResult;
+use stepspur_model::server::{Conn, Job, Offer, Request};
 
 use super::schedule::{AttemptId, Scheduled};
 use super::state::Attempt;
@@ -73,7 +73,7 @@
 
     /// Ends an attempt that never reached its server, after the given time in microseconds.
     fn never_ran(&mut self, id: AttemptId, after: Micros) {
-        self.schedule.push(self.now + after, Scheduled::AttemptEnds(id, Tried::NeverRan));
+        self.schedule.push(self.now + after, Scheduled::AttemptEnds(id, AttemptResult::NeverRan));
     }
 
     /// Takes an idle connection to a server that is still open, the most recently used first.
@@ -176,7 +176,7 @@
 
     /// Offers a request to its server, unless the request is a duplicate. Returns the outcome, and true if
     /// the server collapsed under the request.
-    fn offer_request(&mut self, arrival: &ArrivingAttempt) -> (Came, bool) {
+    fn offer_request(&mut self, arrival: &ArrivingAttempt) -> (ArrivalOutcome, bool) {
         let ArrivingAttempt { id, server, class, .. } = *arrival;
         let group = self.memory_group(server, class);
         let window = micros(self.plan.classes[class].window);
@@ -185,23 +185,23 @@
                 .entry((class, group))
                 .or_insert_with(|| Memory::new(window, MAX_REMEMBERED_REQUESTS))
         });
-        if memory.map(|memory| memory.meet(self.now, id.request)) == Some(true) {
-            return (Came::Known, false);
+        if memory.map(|memory| memory.record_arrival(self.now, id.request)) == Some(true) {
+            return (ArrivalOutcome::Known, false);
         }
         self.next_job += 1;
         let job = Job(self.next_job);
         let model = &mut self.servers[server].model;
-        let was_collapsed = model.fallen();
+        let was_collapsed = model.collapsed();
         let work = arrival.work + arrival.extra_handshake_work;
-        let offer = model.offer(self.now, job, Ask { work, key: arrival.key, conn: arrival.conn });
-        let collapsed = model.fallen() && !was_collapsed;
+        let offer = model.offer(self.now, job, Request { work, key: arrival.key, conn: arrival.conn });
+        let collapsed = model.collapsed() && !was_collapsed;
         let came = match offer {
-            Offer::Taken => Came::Taken,
-            Offer::Full => Came::Full,
-            Offer::Failed => Came::Failed,
-            Offer::Fallen => Came::Fallen,
+            Offer::Accepted => ArrivalOutcome::Taken,
+            Offer::Rejected => ArrivalOutcome::Full,
+            Offer::Failed => ArrivalOutcome::Failed,
+            Offer::Collapsed => ArrivalOutcome::Fallen,
         };
-        if came == Came::Taken {
+        if came == ArrivalOutcome::Taken {
             self.track_job(arrival, job);
         } else if let Some(memory) = group.and_then(|group| self.memories.get_mut(&(class, group))) {
             memory.forget(id.request);
@@ -245,26 +245,26 @@
     }
 
     /// Returns the result that a proxy gets at once; `None` if the server has accepted the request.
-    fn immediate_result(&self, came: Came) -> Option<Tried> {
+    fn immediate_result(&self, came: ArrivalOutcome) -> Option<AttemptResult> {
         match came {
-            Came::Known => Some(Tried::Good),
-            Came::Full if self.plan.rules.full_may_have_run => Some(Tried::MayHaveRun),
-            Came::Full => Some(Tried::NeverRan),
-            Came::Failed | Came::Fallen => Some(Tried::MayHaveRun),
-            Came::Taken => None,
+            ArrivalOutcome::Known => Some(AttemptResult::Success),
+            ArrivalOutcome::Full if self.plan.rules.full_may_have_run => Some(AttemptResult::MayHaveRun),
+            ArrivalOutcome::Full => Some(AttemptResult::NeverRan),
+            ArrivalOutcome::Failed | ArrivalOutcome::Fallen => Some(AttemptResult::MayHaveRun),
+            ArrivalOutcome::Taken => None,
         }
     }
 
     /// Handles the result of an attempt at its proxy. The connection is reused unless the attempt may have
     /// run.
-    pub(super) fn attempt_ended(&mut self, id: AttemptId, end: Tried) {
+    pub(super) fn attempt_ended(&mut self, id: AttemptId, end: AttemptResult) {
         let request = self.requests.get_mut(&id.request);
         let Some(request) = request.filter(|request| request.serial == id.serial) else { return };
         let proxy = &mut self.proxies[request.drawn.proxy];
         if let Some(Attempt { server, incarnation, conn: Some(conn), .. }) = request.attempt.take() {
             let idle = proxy.idle.entry(server).or_default();
             let state = &mut self.servers[server];
-            if end != Tried::MayHaveRun
+            if end != AttemptResult::MayHaveRun
                 && idle.len() < MAX_IDLE_CONNECTIONS
                 && state.incarnation == incarnation
             {
@@ -289,7 +289,7 @@
         {
             self.cancel(&attempt);
         }
-        self.attempt_ended(id, Tried::MayHaveRun);
+        self.attempt_ended(id, AttemptResult::MayHaveRun);
     }
 
     /// Cancels an attempt at its server and closes its connection.
--- a/crates/stepspur-simulation/src/world/faults.rs
+++ b/crates/stepspur-simulation/src/world/faults.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use stepspur_conductor::source::EndpointRecordState;
-use stepspur_emulator::plan::Trouble;
+use stepspur_emulator::plan::FaultAction;
 
 use super::schedule::Scheduled;
 use super::{World, micros};
@@ -15,26 +15,32 @@
     /// Begins or ends a fault, given by its index in the plan.
     pub(super) fn toggle_fault(&mut self, number: usize, on: bool) {
         let plan = Arc::clone(&self.plan);
-        let fault = &plan.strikes[number].trouble;
+        let fault = &plan.faults[number].trouble;
         match fault {
-            Trouble::Burst(_) | Trouble::Shift(..) | Trouble::Mix(..) | Trouble::HeavyTail(..) => {
+            FaultAction::Burst(_)
+            | FaultAction::Shift(..)
+            | FaultAction::Mix(..)
+            | FaultAction::HeavyTail(..) => {
                 self.toggle_traffic(fault, on);
             }
-            Trouble::Release(_, steps) => {
+            FaultAction::Release(_, steps) => {
                 for (step, planned) in steps.iter().enumerate() {
                     let at = self.now + micros(planned.at);
                     self.schedule.push(at, Scheduled::ReleaseDrains(number, step));
                 }
             }
-            Trouble::ListDown | Trouble::WrongList(_) | Trouble::Ghosts(_) => self.toggle_list(fault, on),
-            Trouble::CutZone(_) | Trouble::CutLink(..) | Trouble::SlowLink(..) => {
-                self.toggle_links(fault, on);
+            FaultAction::ListDown | FaultAction::WrongList(_) | FaultAction::Ghosts(_) => {
+                self.toggle_list(fault, on)
             }
-            Trouble::LoseZone(zone, with_proxies) => self.toggle_zone(*zone, *with_proxies, on),
-            Trouble::SlowChannel(_) | Trouble::LateReports(_) | Trouble::CutOff(_) | Trouble::Stall(_) => {
-                self.toggle_proxies(fault, on)
+            FaultAction::CutZone(_) | FaultAction::CutLink(..) | FaultAction::SlowLink(..) => {
+                self.toggle_links(fault, on);
             }
-            Trouble::KillConductor(_) | Trouble::RestartConductors(_) => {
+            FaultAction::LoseZone(zone, with_proxies) => self.toggle_zone(*zone, *with_proxies, on),
+            FaultAction::SlowChannel(_)
+            | FaultAction::LateReports(_)
+            | FaultAction::CutOff(_)
+            | FaultAction::Stall(_) => self.toggle_proxies(fault, on),
+            FaultAction::KillConductor(_) | FaultAction::RestartConductors(_) => {
                 self.toggle_conductors(fault, on);
             }
             _ => self.toggle_servers(fault, on),
@@ -42,12 +48,12 @@
     }
 
     /// Begins or ends a change of the traffic.
-    fn toggle_traffic(&mut self, fault: &Trouble, on: bool) {
+    fn toggle_traffic(&mut self, fault: &FaultAction, on: bool) {
         match fault {
-            Trouble::Burst(by) => toggle(&mut self.weather.bursts, *by, on),
-            Trouble::Shift(zone, share) => toggle(&mut self.weather.shifts, (*zone, *share), on),
-            Trouble::Mix(class, share) => toggle(&mut self.weather.mixes, (*class, *share), on),
-            Trouble::HeavyTail(class, share, by) => {
+            FaultAction::Burst(by) => toggle(&mut self.weather.bursts, *by, on),
+            FaultAction::Shift(zone, share) => toggle(&mut self.weather.shifts, (*zone, *share), on),
+            FaultAction::Mix(class, share) => toggle(&mut self.weather.mixes, (*class, *share), on),
+            FaultAction::HeavyTail(class, share, by) => {
                 toggle(&mut self.weather.tails, (*class, *share, *by), on);
             }
             _ => {}
@@ -55,22 +61,24 @@
     }
 
     /// Begins or ends a fault of servers.
-    fn toggle_servers(&mut self, fault: &Trouble, on: bool) {
+    fn toggle_servers(&mut self, fault: &FaultAction, on: bool) {
         let share = |share: f64| if on { share } else { 0.0 };
         let factor_if_on = |factor: f64| if on { factor } else { 1.0 };
         match fault {
-            Trouble::Die(servers) => self.stop_or_start(servers, on),
-            Trouble::Vanish(servers) => servers.iter().for_each(|server| self.vanish(*server, on)),
-            Trouble::Hang(servers) => self.change_faults(servers, |faults| faults.hangs = on),
-            Trouble::Fail(servers, part) => self.change_faults(servers, |faults| faults.fails = share(*part)),
-            Trouble::Pause(servers, every, pause) => {
+            FaultAction::Die(servers) => self.stop_or_start(servers, on),
+            FaultAction::Vanish(servers) => servers.iter().for_each(|server| self.vanish(*server, on)),
+            FaultAction::Hang(servers) => self.change_faults(servers, |faults| faults.hangs = on),
+            FaultAction::Fail(servers, part) => {
+                self.change_faults(servers, |faults| faults.fails = share(*part))
+            }
+            FaultAction::Pause(servers, every, pause) => {
                 let pauses = on.then_some((micros(*every), micros(*pause)));
                 self.change_faults(servers, |faults| faults.pauses = pauses);
             }
-            Trouble::LoseAnswers(servers, part, by_reset) => {
+            FaultAction::LoseAnswers(servers, part, by_reset) => {
                 servers.iter().for_each(|k| self.servers[*k].lost_answers = (share(*part), *by_reset));
             }
-            Trouble::FalseReports(servers, false_report, slower) => {
+            FaultAction::FalseReports(servers, false_report, slower) => {
                 for server in servers {
                     let state = &mut self.servers[*server];
                     state.stuck_report = state.model.load(self.now);
@@ -78,12 +86,12 @@
                 }
                 self.change_faults(servers, |faults| faults.slower = share(slower - 1.0));
             }
-            Trouble::FewConnections(servers, divisor) => {
+            FaultAction::FewConnections(servers, divisor) => {
                 servers
                     .iter()
                     .for_each(|k| self.servers[*k].connection_limit_divisor = factor_if_on(*divisor));
             }
-            Trouble::SlowHandshakes(servers, factor, delay) => {
+            FaultAction::SlowHandshakes(servers, factor, delay) => {
                 let delay = if on { micros(*delay) } else { 0 };
                 servers
                     .iter()
@@ -106,19 +114,19 @@
     }
 
     /// Begins or ends a fault of the server list.
-    fn toggle_list(&mut self, fault: &Trouble, on: bool) {
+    fn toggle_list(&mut self, fault: &FaultAction, on: bool) {
         match fault {
-            Trouble::Ghosts(many) => {
+            FaultAction::Ghosts(many) => {
                 self.ghosts = if on { *many } else { 0 };
                 self.notify_list_change(Vec::new());
             }
-            Trouble::ListDown => {
+            FaultAction::ListDown => {
                 self.list_down = on;
                 if on {
                     self.notify_list_change(Vec::new());
                 }
             }
-            Trouble::WrongList(servers) => {
+            FaultAction::WrongList(servers) => {
                 servers.iter().for_each(|server| self.servers[*server].unlisted = on);
                 self.notify_list_change(servers.clone());
             }
@@ -127,17 +135,17 @@
     }
 
     /// Begins or ends a fault of the links between zones.
-    fn toggle_links(&mut self, fault: &Trouble, on: bool) {
+    fn toggle_links(&mut self, fault: &FaultAction, on: bool) {
         match fault {
-            Trouble::CutZone(zone) => {
+            FaultAction::CutZone(zone) => {
                 self.links.cut(*zone, on);
                 self.break_cut_streams();
             }
-            Trouble::CutLink(a, b) => {
+            FaultAction::CutLink(a, b) => {
                 self.links.cut_link(*a, *b, on);
                 self.break_cut_streams();
             }
-            Trouble::SlowLink(a, b, delay, loss) => self.links.slow(*a, *b, *delay, *loss, on),
+            FaultAction::SlowLink(a, b, delay, loss) => self.links.slow(*a, *b, *delay, *loss, on),
             _ => {}
         }
     }
@@ -158,36 +166,36 @@
     }
 
     /// Begins or ends a fault of proxies.
-    fn toggle_proxies(&mut self, fault: &Trouble, on: bool) {
+    fn toggle_proxies(&mut self, fault: &FaultAction, on: bool) {
         match fault {
-            Trouble::SlowChannel(by) => {
+            FaultAction::SlowChannel(by) => {
                 let slow = if on { *by } else { 0.0 };
                 self.proxies.iter_mut().for_each(|proxy| proxy.impairment.slow = slow);
             }
-            Trouble::LateReports(by) => {
+            FaultAction::LateReports(by) => {
                 let late = self.options.reports_late + if on { micros(*by) } else { 0 };
                 self.proxies.iter_mut().for_each(|proxy| proxy.impairment.late = late);
             }
-            Trouble::CutOff(proxies) => proxies.iter().for_each(|proxy| self.cut_off(*proxy, on)),
-            Trouble::Stall(proxies) => proxies.iter().for_each(|proxy| self.stall(*proxy, on)),
+            FaultAction::CutOff(proxies) => proxies.iter().for_each(|proxy| self.cut_off(*proxy, on)),
+            FaultAction::Stall(proxies) => proxies.iter().for_each(|proxy| self.stall(*proxy, on)),
             _ => {}
         }
     }
 
     /// Begins or ends a fault of conductors. A baseline has none.
-    fn toggle_conductors(&mut self, fault: &Trouble, on: bool) {
+    fn toggle_conductors(&mut self, fault: &FaultAction, on: bool) {
         if self.options.baseline.is_some() {
             return;
         }
         match fault {
-            Trouble::KillConductor(conductors) => {
+            FaultAction::KillConductor(conductors) => {
                 for conductor in conductors {
                     if on { self.kill_conductor(*conductor) } else { self.start_conductor(*conductor) }
                 }
             }
             // In virtual time a restart takes no time, and all conductors restart at the beginning of the
             // fault.
-            Trouble::RestartConductors(conductors) => {
+            FaultAction::RestartConductors(conductors) => {
                 for conductor in conductors.iter().filter(|_| on) {
                     self.kill_conductor(*conductor);
                     self.start_conductor(*conductor);
@@ -200,7 +208,7 @@
     /// Begins a step of a release: its old servers drain, its new ones start.
     pub(super) fn begin_release_step(&mut self, number: usize, step: usize) {
         let plan = Arc::clone(&self.plan);
-        let Trouble::Release(drain, steps) = &plan.strikes[number].trouble else { return };
+        let FaultAction::Release(drain, steps) = &plan.faults[number].trouble else { return };
         let Some(planned) = steps.get(step) else { return };
         planned.stop.iter().for_each(|server| self.drain_server(*server));
         planned.start.iter().for_each(|server| self.start_server(*server));
@@ -211,7 +219,7 @@
     /// Ends a step of a release: its old servers stop.
     pub(super) fn end_release_step(&mut self, number: usize, step: usize) {
         let plan = Arc::clone(&self.plan);
-        let Trouble::Release(_, steps) = &plan.strikes[number].trouble else { return };
+        let FaultAction::Release(_, steps) = &plan.faults[number].trouble else { return };
         let Some(planned) = steps.get(step) else { return };
         planned.stop.iter().for_each(|server| self.stop_server(*server));
     }
--- a/crates/stepspur-simulation/src/world/mod.rs
+++ b/crates/stepspur-simulation/src/world/mod.rs
@@ -28,11 +28,11 @@
 use serde::Serialize;
 use stepspur_conductor::Config;
 use stepspur_emulator::clients::{Outcomes, Tally};
-use stepspur_emulator::judge::{Break, Figures, judge};
+use stepspur_emulator::judge::{RuleLimits, Violation, judge};
 use stepspur_emulator::links::Links;
-use stepspur_emulator::plan::{Plan, Trouble};
+use stepspur_emulator::plan::{FaultAction, Plan};
 use stepspur_emulator::trace::Event;
-use stepspur_emulator::traffic::{Traffic, Weather};
+use stepspur_emulator::traffic::{Traffic, TrafficFaults};
 use stepspur_model::Micros;
 use stepspur_model::memory::Memory;
 use stepspur_proto::FromConductor;
@@ -91,7 +91,8 @@
     /// Mean response time in milliseconds, over all classes.
     pub mean_ms: f64,
     /// Violations of the rules; empty if there was none, or if [`Options::judged`] is off.
-    pub breaks: Vec<Break>,
+    #[serde(rename = "breaks")]
+    pub violations: Vec<Violation>,
     /// Number of servers that collapsed under load.
     pub fallen: usize,
     /// Number of requests, without client repeats.
@@ -141,7 +142,7 @@
     proxies: Vec<ProxyState>,
     conductors: Vec<ConductorState>,
     traffic: Traffic,
-    weather: Weather,
+    weather: TrafficFaults,
     links: Links,
     /// True while the server list is unavailable.
     list_down: bool,
@@ -197,11 +198,11 @@
 
     fn schedule_faults(&mut self) {
         let plan = Arc::clone(&self.plan);
-        for (number, strike) in plan.strikes.iter().enumerate() {
-            let at = if strike.from_the_start() { START_TIME } else { self.begin + micros(strike.at) };
+        for (number, fault) in plan.faults.iter().enumerate() {
+            let at = if fault.from_the_start() { START_TIME } else { self.begin + micros(fault.at) };
             self.schedule.push(at, Scheduled::ToggleFault(number, true));
-            if !matches!(strike.trouble, Trouble::Release(..)) {
-                let end = self.begin + micros(strike.at + strike.lasts);
+            if !matches!(fault.trouble, FaultAction::Release(..)) {
+                let end = self.begin + micros(fault.at + fault.duration);
                 self.schedule.push(end, Scheduled::ToggleFault(number, false));
             }
         }
@@ -261,14 +262,14 @@
     }
 
     fn finish(self, started_at: Instant) -> Outcome {
-        let breaks = if self.options.judged { self.judge_events() } else { Vec::new() };
+        let violations = if self.options.judged { self.judge_events() } else { Vec::new() };
         let classes = self.outcomes.tallies();
         Outcome {
             service: self.outcomes.service(),
             mean_ms: self.outcomes.mean_ms(),
             asked: classes.iter().map(|tally| tally.asked).sum(),
             classes,
-            breaks,
+            violations,
             fallen: self.fallen,
             orders: self.orders,
             events: self.schedule.count(),
@@ -277,10 +278,10 @@
     }
 
     /// Checks the recorded events against the rules.
-    fn judge_events(&self) -> Vec<Break> {
+    fn judge_events(&self) -> Vec<Violation> {
         let zone = |server: usize| self.plan.zones[self.plan.servers[server].zone].0.clone();
         let zones = (0..self.servers.len()).map(|server| (address(server), zone(server)));
-        let limits = Figures::new(&self.plan, zones.collect());
+        let limits = RuleLimits::new(&self.plan, zones.collect());
         judge(&limits, self.begin, &self.events)
     }
 }
--- a/crates/stepspur-simulation/src/world/probes.rs
+++ b/crates/stepspur-simulation/src/world/probes.rs
@@ -4,13 +4,13 @@
 
 use stepspur::interface::ProbeOutcome;
 use stepspur_conductor::engine::{Input, ProbeTarget};
-use stepspur_emulator::plan::Lie;
+use stepspur_emulator::plan::FalseReport;
 use stepspur_model::server::Load;
 
 use super::schedule::{Probe, Scheduled};
 use super::{World, micros, server_index};
 
-/// The load that a server reports under [`Lie::Busy`], apart from its true latency.
+/// The load that a server reports under [`FalseReport::Busy`], apart from its true latency.
 const FALSE_BUSY_LOAD: Load = Load { rif: 50.0, q: 40.0, busy: 1.0, lat_ms: 0.0 };
 
 impl World {
@@ -69,9 +69,9 @@
         let state = &self.servers[server];
         match state.false_report {
             None => load,
-            Some(Lie::Stuck) => state.stuck_report,
-            Some(Lie::Busy) => Load { lat_ms: load.lat_ms, ..FALSE_BUSY_LOAD },
-            Some(Lie::Times(times)) => Load {
+            Some(FalseReport::Stuck) => state.stuck_report,
+            Some(FalseReport::Busy) => Load { lat_ms: load.lat_ms, ..FALSE_BUSY_LOAD },
+            Some(FalseReport::Times(times)) => Load {
                 rif: load.rif * times,
                 q: load.q * times,
                 busy: load.busy * times,
--- a/crates/stepspur-simulation/src/world/requests.rs
+++ b/crates/stepspur-simulation/src/world/requests.rs
@@ -5,7 +5,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use stepspur_model::Micros;
-use stepspur_model::serve::{Answer, Next, Serving, client_repeats};
+use stepspur_model::serve::{Next, Response, Serving, client_repeats};
 
 use super::schedule::Scheduled;
 use super::state::RequestState;
@@ -54,14 +54,14 @@
     /// Carries out the next step that a proxy has decided on for a request.
     pub(super) fn proceed(&mut self, id: u64, next: Next) {
         match next {
-            Next::Tell(answer) => self.end_try(id, answer),
+            Next::Respond(answer) => self.end_try(id, answer),
             Next::Send { server, until } => self.start_attempt(id, server, until),
         }
     }
 
     /// Handles the result of a client's try: the client repeats the request after a backoff, or the request
     /// ends.
-    fn end_try(&mut self, id: u64, answer: Answer) {
+    fn end_try(&mut self, id: u64, answer: Response) {
         let now = self.now;
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.client_try += 1;
--- a/crates/stepspur-simulation/src/world/schedule.rs
+++ b/crates/stepspur-simulation/src/world/schedule.rs
@@ -6,7 +6,7 @@
 use stepspur_conductor::engine::{ProbeTarget, StreamId};
 use stepspur_conductor::source::EndpointRecordState;
 use stepspur_model::Micros;
-use stepspur_model::proxy::Tried;
+use stepspur_model::proxy::AttemptResult;
 use stepspur_model::server::Load;
 use stepspur_proto::{FromConductor, FromProxy};
 
@@ -45,7 +45,7 @@
     /// An attempt reaches its server.
     AttemptArrives(AttemptId),
     /// The result of an attempt reaches its proxy.
-    AttemptEnds(AttemptId, Tried),
+    AttemptEnds(AttemptId, AttemptResult),
     /// An attempt reaches its timeout or the deadline of the client's try.
     AttemptTimeout(AttemptId),
     /// A server's model has a completion or a state change due.
--- a/crates/stepspur-simulation/src/world/servers.rs
+++ b/crates/stepspur-simulation/src/world/servers.rs
@@ -6,8 +6,8 @@
 use stepspur_conductor::source::EndpointRecordState;
 use stepspur_emulator::trace::Event;
 use stepspur_model::Micros;
-use stepspur_model::proxy::Tried;
-use stepspur_model::server::{Ails, Done, Server, WarmBy};
+use stepspur_model::proxy::AttemptResult;
+use stepspur_model::server::{Completion, Faults, Server, WarmBy};
 
 use super::schedule::{AttemptId, Scheduled};
 use super::{World, address, micros};
@@ -43,7 +43,7 @@
     }
 
     /// Handles a completed job: its effect, and the response to its proxy.
-    fn finish_job(&mut self, server: usize, done: &Done) {
+    fn finish_job(&mut self, server: usize, done: &Completion) {
         if let Some((request, class)) = self.servers[server].running.remove(&done.job) {
             if done.good {
                 self.record_event(Event::Ran { server: address(server), request, class });
@@ -64,10 +64,10 @@
         let (from, to) = (self.plan.servers[server].zone, self.proxies[request.drawn.proxy].zone);
         let Some(delay) = self.delay(from, to) else { return };
         let end = match (lost, good) {
-            (true, _) if by_reset => Tried::MayHaveRun,
+            (true, _) if by_reset => AttemptResult::MayHaveRun,
             (true, _) => return,
-            (false, true) => Tried::Good,
-            (false, false) => Tried::MayHaveRun,
+            (false, true) => AttemptResult::Success,
+            (false, false) => AttemptResult::MayHaveRun,
         };
         self.schedule.push(self.now + delay, Scheduled::AttemptEnds(id, end));
     }
@@ -79,7 +79,7 @@
         let spec = &self.plan.servers[server].spec;
         let state = &mut self.servers[server];
         state.model = Server::new(spec.clone(), self.rng.random(), now, false);
-        state.model.ail(now, state.faults);
+        state.model.set_faults(now, state.faults);
         (state.up, state.wake_at) = (true, Micros::MAX);
         let started = Event::ServerStarted {
             server: address(server),
@@ -114,7 +114,7 @@
         let running: BTreeSet<(usize, u64)> = running.collect();
         for id in lost {
             let at = self.now + self.options.near;
-            self.schedule.push(at, Scheduled::AttemptEnds(id, Tried::MayHaveRun));
+            self.schedule.push(at, Scheduled::AttemptEnds(id, AttemptResult::MayHaveRun));
         }
         for (class, request) in running {
             self.forget_request(server, class, request);
@@ -129,11 +129,11 @@
     }
 
     /// Changes the faults injected into servers.
-    pub(super) fn change_faults(&mut self, servers: &[usize], change: impl Fn(&mut Ails)) {
+    pub(super) fn change_faults(&mut self, servers: &[usize], change: impl Fn(&mut Faults)) {
         for server in servers {
             let state = &mut self.servers[*server];
             change(&mut state.faults);
-            state.model.ail(self.now, state.faults);
+            state.model.set_faults(self.now, state.faults);
             self.schedule_server(*server);
         }
     }
--- a/crates/stepspur-simulation/src/world/setup.rs
+++ b/crates/stepspur-simulation/src/world/setup.rs
@@ -12,7 +12,7 @@
 use stepspur_emulator::links::Links;
 use stepspur_emulator::plan::{Plan, ProxyPlan};
 use stepspur_emulator::trace::Event;
-use stepspur_emulator::traffic::{Traffic, Weather};
+use stepspur_emulator::traffic::{Traffic, TrafficFaults};
 use stepspur_model::Micros;
 use stepspur_model::proxy::{Proxy, Spec};
 use stepspur_model::server::Server;
@@ -60,7 +60,7 @@
             rng,
             servers,
             proxies: proxies.into_iter().map(|(proxy, _)| proxy).collect(),
-            weather: Weather::default(),
+            weather: TrafficFaults::default(),
             links: Links::default(),
             list_down: false,
             ghosts: 0,
--- a/crates/stepspur-simulation/src/world/state.rs
+++ b/crates/stepspur-simulation/src/world/state.rs
@@ -6,13 +6,13 @@
 use rand_chacha::ChaCha8Rng;
 use stepspur_conductor::engine::{Engine, StreamId};
 use stepspur_conductor::source::EndpointRecordState;
-use stepspur_emulator::plan::Lie;
+use stepspur_emulator::plan::FalseReport;
 use stepspur_emulator::trace::RequestId;
-use stepspur_emulator::traffic::Drawn;
+use stepspur_emulator::traffic::DrawnRequest;
 use stepspur_model::Micros;
 use stepspur_model::proxy::Proxy;
 use stepspur_model::serve::Serving;
-use stepspur_model::server::{Ails, Conn, Job, Load, Server};
+use stepspur_model::server::{Conn, Faults, Job, Load, Server};
 use stepspur_proto::FromConductor;
 
 use super::schedule::AttemptId;
@@ -31,14 +31,14 @@
     /// Accepted jobs by their request, the client's try, the attempt in it, and the class. Entries stay when
     /// the client has given up, because the job still takes effect.
     pub running: HashMap<Job, ((RequestId, u32, u32), usize)>,
-    pub faults: Ails,
+    pub faults: Faults,
     /// True while its machine is down: nothing answers, not even with a reset.
     pub unresponsive: bool,
     /// The share of responses that is lost, and true if each loss is a connection reset.
     pub lost_answers: (f64, bool),
     /// How its load reports are wrong; `None` if they are right.
-    pub false_report: Option<Lie>,
-    /// The load that it reports under [`Lie::Stuck`].
+    pub false_report: Option<FalseReport>,
+    /// The load that it reports under [`FalseReport::Stuck`].
     pub stuck_report: Load,
     /// Its connection limit is divided by this; 1 leaves it as planned.
     pub connection_limit_divisor: f64,
@@ -59,7 +59,7 @@
             wake_at: Micros::MAX,
             jobs: HashMap::new(),
             running: HashMap::new(),
-            faults: Ails::default(),
+            faults: Faults::default(),
             unresponsive: false,
             lost_answers: (0.0, false),
             false_report: None,
@@ -150,7 +150,7 @@
 
 /// A client request in progress.
 pub(super) struct RequestState {
-    pub drawn: Drawn,
+    pub drawn: DrawnRequest,
     /// When the client first sent it.
     pub sent_at: Micros,
     /// When the client gives up for good.
--- a/crates/stepspur-simulation/tests/experiment.rs
+++ b/crates/stepspur-simulation/tests/experiment.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::Mutex;
 
-use stepspur_simulation::experiment::{ExperimentError, Finished, Lab, estimate};
+use stepspur_simulation::experiment::{ExperimentError, ExperimentRunner, Finished, estimate};
 use tempfile::TempDir;
 
 /// Writes an experiment with these arms and its scenario to a temporary directory. Returns the directory and
@@ -25,9 +25,9 @@
 
 /// Runs an experiment and returns the runs that were simulated now, and the results.
 fn run_experiment(file: &Path, results: &Path, threads: usize) -> (Vec<Finished>, String) {
-    let lab = Lab::open(file, results).unwrap();
+    let runner = ExperimentRunner::open(file, results).unwrap();
     let finished = Mutex::new(Vec::new());
-    let found = lab.play(threads, &|f| finished.lock().unwrap().push(f.clone())).unwrap();
+    let found = runner.play(threads, &|f| finished.lock().unwrap().push(f.clone())).unwrap();
     (finished.into_inner().unwrap(), format!("{found:?}"))
 }
 
@@ -52,7 +52,7 @@
     let (again, _) = run_experiment(&file, &results, 2);
     assert!(again.len() == 4 && again.iter().all(|f| f.arm == "b"));
     std::fs::write(&results, "{\"key\": 3}\n").unwrap();
-    let error = Lab::open(&file, &results).unwrap_err();
+    let error = ExperimentRunner::open(&file, &results).unwrap_err();
     assert!(matches!(error, ExperimentError::Results { line: 1, .. }), "{error}");
 }
 
@@ -73,7 +73,7 @@
         })
         .collect();
     std::fs::write(&results, crashed.concat()).unwrap();
-    let found = Lab::open(&file, &results).unwrap().results();
+    let found = ExperimentRunner::open(&file, &results).unwrap().results();
     assert_eq!((found[1].runs, found[1].crashed.as_slice(), found[0].runs), (3, [2].as_slice(), 4));
 }
 
@@ -90,7 +90,7 @@
     ];
     for (arms, expected) in cases {
         let (_folder, file, results) = write_experiment(arms);
-        let error = Lab::open(&file, &results).unwrap_err().to_string();
+        let error = ExperimentRunner::open(&file, &results).unwrap_err().to_string();
         assert!(error.contains(expected), "error {error:?} for the arms {arms:?}");
     }
 }
@@ -117,8 +117,8 @@
     let same =
         "[[arm]]\nname = \"a\"\n[[arm]]\nname = \"b\"\n[arm.scenario]\nabout = \"only the words differ\"\n";
     let (_folder, file, results) = write_experiment(same);
-    let lab = Lab::open(&file, &results).unwrap();
-    let found = lab.play(4, &|_| {}).unwrap();
+    let runner = ExperimentRunner::open(&file, &results).unwrap();
+    let found = runner.play(4, &|_| {}).unwrap();
     let difference = found[1].difference.unwrap();
     assert_eq!((difference.mean, difference.t_half), (0.0, 0.0), "the same seed gives the same run");
 }
--- a/crates/stepspur-simulation/tests/world.rs
+++ b/crates/stepspur-simulation/tests/world.rs
@@ -29,8 +29,8 @@
 
 /// Formats all deterministic parts of an outcome, that is, all but the wall-clock times.
 fn fingerprint(outcome: &Outcome) -> String {
-    let Outcome { classes, service, breaks, fallen, asked, orders, events, .. } = outcome;
-    format!("{classes:?} {service} {breaks:?} {fallen} {asked} {orders} {events}")
+    let Outcome { classes, service, violations, fallen, asked, orders, events, .. } = outcome;
+    format!("{classes:?} {service} {violations:?} {fallen} {asked} {orders} {events}")
 }
 
 #[test]
@@ -55,7 +55,7 @@
     for path in names.filter(|p| p.extension().is_some_and(|e| e == "toml") && !p.ends_with("fleet.toml")) {
         let scenario = Scenario::read(&path).unwrap();
         let outcome = run_plan(&scenario.plan("day").unwrap());
-        assert!(outcome.breaks.is_empty(), "{}: {:#?}", scenario.name, outcome.breaks);
+        assert!(outcome.violations.is_empty(), "{}: {:#?}", scenario.name, outcome.violations);
         let finished: u64 = outcome.classes.iter().map(|t| t.in_time + t.late + t.refused + t.failed).sum();
         let expected = scenario.rate * scenario.length.as_secs_f64();
         assert_eq!(finished, outcome.asked, "{}", scenario.name);
@@ -80,7 +80,7 @@
     };
     assert_eq!(run_plan(&restart_plan(true)).fallen, 0);
     let unguarded = run_plan(&restart_plan(false));
-    assert!(unguarded.fallen > 0 && unguarded.breaks.iter().any(|b| b.rule == Rule::Fresh));
+    assert!(unguarded.fallen > 0 && unguarded.violations.iter().any(|b| b.rule == Rule::Fresh));
 }
 
 /// A fleet that grows during the run, with one to three conductors of which one is killed: no rule is
@@ -92,7 +92,7 @@
             s.faults.extend(scenario("release-and-growth").faults.into_iter().filter(|f| f.count.is_some()));
         });
         let outcome = run(&plan, &Options { conductors, ..Options::default() });
-        assert!(outcome.breaks.is_empty() && outcome.service > 0.97, "{conductors}: {outcome:#?}");
+        assert!(outcome.violations.is_empty() && outcome.service > 0.97, "{conductors}: {outcome:#?}");
     }
 }
 
--- a/crates/stepspur-simulator-protocol/src/frame.rs
+++ b/crates/stepspur-simulator-protocol/src/frame.rs
@@ -147,13 +147,9 @@
                 Event::PeerMessage
             }
             7 => {
-                let rate = f64::from(f.f32("heft")?);
-                Event::ProxyConnected {
-                    usual_request_rate: rate,
-                    proxy: f.proxy()?,
-                    zone: f.zone()?,
-                    has_only_static_tables: f.flag()?,
-                }
+                let usual_request_rate = f64::from(f.f32("heft")?);
+                let (proxy, zone, has_only_static_tables) = (f.proxy()?, f.zone()?, f.flag()?);
+                Event::ProxyConnected { proxy, zone, usual_request_rate, has_only_static_tables }
             }
             8 => Event::ProxyDisconnected { proxy: f.proxy()? },
             9 => Event::Acknowledged {
@@ -163,12 +159,12 @@
             },
             10 => {
                 let period = u64::from(f.u32("periodLenUs")?);
-                let (total, errors) = (f.u32("total")?, f.u32("errors")?);
+                let (attempts, failed_attempts) = (f.u32("total")?, f.u32("errors")?);
                 let (zone, latency) = (f.zone()?, u64::from(f.u32("latencyUs")?));
                 Event::UpstreamStats {
                     period,
-                    attempts: total,
-                    failed_attempts: errors,
+                    attempts,
+                    failed_attempts,
                     zone,
                     latency,
                     server: f.server()?,
@@ -177,15 +173,9 @@
             }
             11 => {
                 let period = u64::from(f.u32("periodLenUs")?);
-                let errors = f.u32("errors")?;
-                let (proxy, total) = (f.proxy()?, f.u32("total")?);
-                Event::ClientStats {
-                    period,
-                    unanswered: errors,
-                    proxy,
-                    requests: total,
-                    class: ClassId(f.u8("category")?),
-                }
+                let unanswered = f.u32("errors")?;
+                let (proxy, requests) = (f.proxy()?, f.u32("total")?);
+                Event::ClientStats { period, unanswered, proxy, requests, class: ClassId(f.u8("category")?) }
             }
             12 => {
                 let (table, class) = (TableId(f.u16("setId")?), ClassId(f.u8("category")?));
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -161,33 +161,25 @@
                 self.record_load_report(*server, load);
                 self.record_probe_result(*server, *outcome);
             }
-            Event::ProxyConnected { proxy, zone, usual_request_rate: rate, .. } => {
-                self.connect_proxy(*proxy, *zone, *rate)
+            Event::ProxyConnected { proxy, zone, usual_request_rate, .. } => {
+                self.connect_proxy(*proxy, *zone, *usual_request_rate)
             }
             Event::ProxyDisconnected { proxy } => self.disconnect_proxy(*proxy),
             Event::Acknowledged { proxy, nonce, .. } => self.channel.acknowledge(*proxy, *nonce),
-            Event::UpstreamStats {
-                server,
-                zone,
-                period,
-                attempts: total,
-                failed_attempts: errors,
-                latency,
-                load,
-            } => {
+            Event::UpstreamStats { server, zone, period, attempts, failed_attempts, latency, load } => {
                 self.record_load_report(*server, load);
                 self.load.responses_carry_load |= !load.is_empty();
                 self.record_upstream_stats(&UpstreamReport {
                     server: *server,
                     zone: *zone,
                     period: *period,
-                    attempts: *total,
-                    errors: *errors,
+                    attempts: *attempts,
+                    errors: *failed_attempts,
                     latency: *latency,
                 });
             }
-            Event::ClientStats { proxy, class, period, requests: total, .. } if *period > 0 => {
-                self.record_client_stats(*proxy, *class, *period, *total);
+            Event::ClientStats { proxy, class, period, requests, .. } if *period > 0 => {
+                self.record_client_stats(*proxy, *class, *period, *requests);
             }
             Event::ShardAssignment { shard, granted } => self.apply_shard_assignment(*shard, *granted),
             Event::StoredWeight { shard, server, weight } => self.record_weight(*shard, *server, *weight),
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -137,7 +137,7 @@
 
 /// Runs the steps, checks the actions of each, and returns them.
 fn run_steps(set: &Settings, steps: &[Step]) -> Result<Vec<Vec<Action>>, TestCaseError> {
-    let mut harness = Harness::new(set.clone());
+    let (mut harness, max_messages) = (Harness::new(set.clone()), set.max_messages_per_window as usize);
     let mut listed: BTreeMap<ServerId, EndpointState> = BTreeMap::new();
     let mut actions_by_step = Vec::new();
     for step in steps {
@@ -188,13 +188,10 @@
                 Action::Log(_) => {}
             }
         }
-        if set.max_messages_per_window > 0 {
+        if max_messages > 0 {
             for times in harness.messages.values() {
                 let recent = times.iter().filter(|at| **at + set.message_window >= harness.now).count();
-                prop_assert!(
-                    recent <= set.max_messages_per_window as usize,
-                    "{recent} messages within the window"
-                );
+                prop_assert!(recent <= max_messages, "{recent} messages within the window");
             }
         }
         actions_by_step.push(actions);
