--- a/crates/stepspur-consensus-node/src/schema.rs
+++ b/crates/stepspur-consensus-node/src/schema.rs
@@ -52,7 +52,7 @@
         Kind::Renew(renewal) => member::decode_renewal(renewal)?,
         Kind::Renewed(response) => member::decode_renewal_response(&response),
         Kind::Order(proposal) => member::decode_proposal(proposal),
-        Kind::Elsewhere(not_leader) => member::decode_not_leader(&not_leader),
+        Kind::Elsewhere(rejected) => member::decode_request_rejected(&rejected),
         Kind::Read(read) => PeerMessage::ReadIndex { request: read.number },
         Kind::ReadAt(response) => member::decode_read_response(&response),
         Kind::Fetch(fetch) => member::decode_fetch(&fetch),
--- a/crates/stepspur-consensus-node/src/schema/member.rs
+++ b/crates/stepspur-consensus-node/src/schema/member.rs
@@ -59,8 +59,8 @@
     PeerMessage::Propose { request: proposal.number, command: proposal.command }
 }
 
-pub(super) fn decode_not_leader(not_leader: &v1::PeerElsewhere) -> PeerMessage {
-    PeerMessage::RequestRejected { request: not_leader.number, leader: not_leader.leader.map(MemberId) }
+pub(super) fn decode_request_rejected(rejected: &v1::PeerElsewhere) -> PeerMessage {
+    PeerMessage::RequestRejected { request: rejected.number, leader: rejected.leader.map(MemberId) }
 }
 
 pub(super) fn decode_read_response(response: &v1::PeerReadAt) -> PeerMessage {
--- a/crates/stepspur-consensus/src/member.rs
+++ b/crates/stepspur-consensus/src/member.rs
@@ -203,7 +203,7 @@
                 self.lease_holder.on_granted(request, applied);
             }
             PeerMessage::Propose { request, command } => self.handle_proposal(from, request, command),
-            PeerMessage::RequestRejected { request, leader } => self.handle_not_leader(request, leader),
+            PeerMessage::RequestRejected { request, leader } => self.handle_request_rejected(request, leader),
             PeerMessage::ReadIndex { request } => self.handle_read(from, request),
             PeerMessage::ReadIndexResponse { request, index } => {
                 self.leader_hint = Some(from);
@@ -214,7 +214,7 @@
                 self.handle_committed_entries(from, entries, leader);
             }
             PeerMessage::CommittedSnapshot { index, state, leader } => {
-                self.handle_committed_state(from, index, &state, leader);
+                self.handle_committed_snapshot(from, index, &state, leader);
             }
         }
         self.take_outputs()
@@ -237,7 +237,7 @@
     }
 
     /// Handles the rejection of a request by another member, which may name the leader.
-    fn handle_not_leader(&mut self, request: u64, leader: Option<MemberId>) {
+    fn handle_request_rejected(&mut self, request: u64, leader: Option<MemberId>) {
         if request >= FIRST_READ_REQUEST {
             self.outputs.push(MemberOutput::ReadCompleted { request, index: None });
         } else {
@@ -263,7 +263,7 @@
     }
 
     /// Rejects a request of another member and names the leader, if known.
-    fn send_not_leader(&mut self, to: MemberId, request: u64) {
+    fn send_request_rejected(&mut self, to: MemberId, request: u64) {
         let leader = self.raft.leader();
         self.send(to, PeerMessage::RequestRejected { request, leader });
     }
--- a/crates/stepspur-consensus/src/member/following.rs
+++ b/crates/stepspur-consensus/src/member/following.rs
@@ -65,7 +65,7 @@
     }
 
     /// Restores a snapshot of the replicated state, sent in response to a fetch.
-    pub(super) fn handle_committed_state(
+    pub(super) fn handle_committed_snapshot(
         &mut self,
         from: MemberId,
         index: Index,
--- a/crates/stepspur-consensus/src/member/proposals.rs
+++ b/crates/stepspur-consensus/src/member/proposals.rs
@@ -63,7 +63,7 @@
     /// Handles a proposal that another member has forwarded. A rejection is answered, an acceptance is not.
     pub(super) fn handle_proposal(&mut self, from: MemberId, request: u64, command: Bytes) {
         if self.raft.propose(self.now, command).is_err() {
-            self.send_not_leader(from, request);
+            self.send_request_rejected(from, request);
         }
         self.process_raft_outputs();
     }
--- a/crates/stepspur-consensus/src/member/reads.rs
+++ b/crates/stepspur-consensus/src/member/reads.rs
@@ -47,7 +47,7 @@
         if from == self.raft.id() {
             self.outputs.push(MemberOutput::ReadCompleted { request, index: None });
         } else {
-            self.send_not_leader(from, request);
+            self.send_request_rejected(from, request);
         }
     }
 
@@ -68,7 +68,7 @@
         match pending.kind {
             RequestKind::Read => self.reject_read(pending.from, pending.request),
             RequestKind::Renewal if pending.from != self.raft.id() => {
-                self.send_not_leader(pending.from, pending.request);
+                self.send_request_rejected(pending.from, pending.request);
             }
             RequestKind::Renewal => {}
         }
--- a/crates/stepspur-consensus/src/member/renewals.rs
+++ b/crates/stepspur-consensus/src/member/renewals.rs
@@ -50,7 +50,7 @@
         preferences: RolePreferences,
     ) {
         if request.saturating_sub(last_answered) > self.max_unanswered_renewals() {
-            self.send_not_leader(from, request);
+            self.send_request_rejected(from, request);
         } else {
             self.accept_renewal(from, request, preferences);
         }
@@ -80,7 +80,7 @@
                     last_index,
                 });
             }
-            Err(_) if from != self.raft.id() => self.send_not_leader(from, request),
+            Err(_) if from != self.raft.id() => self.send_request_rejected(from, request),
             Err(_) => {}
         }
         self.process_raft_outputs();
--- a/crates/stepspur-replication/src/registry.rs
+++ b/crates/stepspur-replication/src/registry.rs
@@ -223,8 +223,8 @@
 
     /// Discards the outcomes of operations that were applied more than [`MAX_OUTCOMES`] entries ago.
     ///
-    /// No repeated proposal can need them: an operation is rejected after entry `created_at_index +
-    /// MAX_OUTCOMES`, and its first entry came after `created_at_index`.
+    /// No repeated proposal can need them: an operation is rejected after entry
+    /// `created_at_index + MAX_OUTCOMES`, and its first entry came after `created_at_index`.
     fn discard_old_outcomes(&mut self, applied: Index) {
         let is_old = |operation: &mut CompletedOperation| operation.index.0 + MAX_OUTCOMES < applied.0;
         while let Some(operation) = self.completed.pop_front_if(is_old) {
