--- a/crates/stepspur-consensus-node/src/peer_link.rs
+++ b/crates/stepspur-consensus-node/src/peer_link.rs
@@ -73,7 +73,12 @@
             match timeout(self.io_timeout, frames.send(message)).await.map_err(timed_out)? {
                 // The message is dropped: the codec has written nothing, so the connection stays usable.
                 Err(FrameError::TooLarge { size, max }) => {
-                    tracing::error!(event = "peer_message_too_large", to = %self.address, size, largest = max);
+                    tracing::error!(
+                        event = "peer_message_too_large",
+                        to = %self.address,
+                        size,
+                        largest = max
+                    );
                 }
                 sent => sent?,
             }
--- a/crates/stepspur-model/tests/models.rs
+++ b/crates/stepspur-model/tests/models.rs
@@ -297,12 +297,10 @@
         for (k, (wait, work, fault)) in offers.into_iter().enumerate() {
             now += wait;
             let pauses = (fault == 1).then_some((50_000, 20_000));
-            let ask =
-                Request { work, key: Some(work as u64 % 7), conn: server.connect(now).filter(|_| fault == 4) };
-            server.set_faults(
-                now,
-                Faults { hangs: fault == 2, fails: if fault == 3 { 0.5 } else { 0.0 }, pauses, ..Faults::default() },
-            );
+            let conn = server.connect(now).filter(|_| fault == 4);
+            let ask = Request { work, key: Some(work as u64 % 7), conn };
+            let fails = if fault == 3 { 0.5 } else { 0.0 };
+            server.set_faults(now, Faults { hangs: fault == 2, fails, pauses, ..Faults::default() });
             ended.extend(run_until(&mut server, now));
             taken += usize::from(server.offer(now, Job(k as u64), ask) == Offer::Accepted);
         }
