--- a/crates/stepspur-cli/src/bench/joins.rs
+++ b/crates/stepspur-cli/src/bench/joins.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use stepspur_emulator::identity::DayKeys;
-use stepspur_proto::{frame, from_proxy};
+use stepspur_emulator::identity::TestIdentity;
+use stepspur_proto::{encode_frame, from_proxy};
 use tokio::net::{TcpSocket, TcpStream};
 use tokio::sync::{Semaphore, mpsc};
 use tokio::task::JoinSet;
@@ -56,7 +56,7 @@
     );
     let mut conductor = BenchConductor::new(args).await?;
     first_joins(&conductor, "plain TCP", &plain_clients(&conductor, args.proxies)?).await?;
-    let keys = DayKeys::new()?;
+    let keys = TestIdentity::new()?;
     conductor.config.listen.plain_on_loopback = false;
     conductor.config.identity = Some(keys.config());
     let proxies = proxy_identities(&conductor, &keys, args.proxies)?;
@@ -71,7 +71,7 @@
 /// Clients that join over plain TCP.
 fn plain_clients(conductor: &BenchConductor, proxies: usize) -> anyhow::Result<Vec<Client>> {
     let client = |number| {
-        let hello = frame(&conductor.hello(number), MAX_PLAIN_FRAME_BYTES)?;
+        let hello = encode_frame(&conductor.hello(number), MAX_PLAIN_FRAME_BYTES)?;
         Ok(Client { hello, tls: None })
     };
     (0..proxies).map(client).collect()
@@ -80,7 +80,7 @@
 /// Creates a certificate for each proxy.
 fn proxy_identities(
     conductor: &BenchConductor,
-    keys: &DayKeys,
+    keys: &TestIdentity,
     proxies: usize,
 ) -> anyhow::Result<Vec<ProxyIdentity>> {
     let identity = |number| {
@@ -94,7 +94,7 @@
 /// Tokens expire soon: each measurement issues new ones.
 fn clients_with_tokens(
     conductor: &BenchConductor,
-    keys: &DayKeys,
+    keys: &TestIdentity,
     proxies: &[ProxyIdentity],
 ) -> anyhow::Result<Vec<Client>> {
     let client = |(number, ProxyIdentity { name, zone, tls }): (usize, &ProxyIdentity)| {
@@ -102,7 +102,7 @@
         if let Some(from_proxy::Kind::Hello(hello)) = &mut hello.kind {
             hello.credentials = keys.token(zone, name).into();
         }
-        Ok(Client { hello: frame(&hello, MAX_HELLO_BYTES)?, tls: Some(tls.clone()) })
+        Ok(Client { hello: encode_frame(&hello, MAX_HELLO_BYTES)?, tls: Some(tls.clone()) })
     };
     proxies.iter().enumerate().map(client).collect()
 }
@@ -123,7 +123,7 @@
 /// Measures joins with TLS sessions to resume, without and with a flood of half-open connections.
 async fn rejoins(
     conductor: &BenchConductor,
-    keys: &DayKeys,
+    keys: &TestIdentity,
     proxies: &[ProxyIdentity],
 ) -> anyhow::Result<()> {
     let running = conductor.start().await?;
--- a/crates/stepspur-cli/src/bench/rights.rs
+++ b/crates/stepspur-cli/src/bench/rights.rs
@@ -4,7 +4,7 @@
 use std::time::{Instant, SystemTime};
 
 use anyhow::Context;
-use stepspur_emulator::identity::DayKeys;
+use stepspur_emulator::identity::TestIdentity;
 use stepspur_identity::grant::Grant;
 use stepspur_identity::keys::KeySet;
 use stepspur_identity::rights::Right;
@@ -14,7 +14,7 @@
 const CHECKS: u32 = 10_000_000;
 
 /// Checks a right many times and prints the mean time of one check.
-pub(super) fn print_cost(keys: &DayKeys) -> anyhow::Result<()> {
+pub(super) fn print_cost(keys: &TestIdentity) -> anyhow::Result<()> {
     let set = KeySet::load(&keys.config().folder)?;
     let token = keys.token("north", "p0");
     let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH)?.as_micros() as u64;
@@ -25,7 +25,7 @@
     let mut allowed = 0u32;
     for check in 0..CHECKS {
         let at = now + u64::from(check & 1);
-        allowed += u32::from(black_box(&grant).may(Right::Report, at).is_ok());
+        allowed += u32::from(black_box(&grant).check(Right::Report, at).is_ok());
     }
     let nanos = from.elapsed().as_nanos() as f64 / f64::from(CHECKS);
     anyhow::ensure!(allowed == CHECKS, "a valid right was refused");
--- a/crates/stepspur-cli/tests/restarts.rs
+++ b/crates/stepspur-cli/tests/restarts.rs
@@ -14,12 +14,12 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, SystemTime};
 
-use platform::{Caller, StandIn, file, list, load, node};
+use platform::{FakeDiscovery, TestPeer, file, list, load, node};
 use rules::Rules;
 use serde_json::{Value, json};
-use stepspur_conductor::config::EffectConfig;
+use stepspur_conductor::config::IdempotencyConfig;
 use stepspur_conductor::engine::{ServerCounts, Stats};
-use stepspur_platform::discovery::Answer;
+use stepspur_platform::discovery::EndpointListUpdate;
 use stepspur_proto::v1;
 use tokio::net::TcpStream;
 use tokio::process::{Child, Command};
@@ -86,12 +86,12 @@
 
     /// Records the real states of servers from now on.
     fn set_server_states(&self, nodes: &[Value]) {
-        let answer: Answer = serde_json::from_value(list(1, true, nodes)).unwrap();
+        let answer: EndpointListUpdate = serde_json::from_value(list(1, true, nodes)).unwrap();
         let mut checker = self.checker();
         for entry in &answer.entries {
             checker.addresses.insert(entry.name.clone().unwrap(), entry.address);
         }
-        checker.rules.truth(now(), &answer.entries);
+        checker.rules.set_actual_states(now(), &answer.entries);
     }
 
     /// A proxy of the platform: it joins one conductor after the other, starting with its own, moves on when
@@ -105,14 +105,14 @@
                 tokio::task::yield_now().await;
                 continue;
             };
-            let mut caller = Caller::over(socket);
-            self.checker().rules.joined(number as u64, now());
+            let mut caller = TestPeer::from_stream(socket);
+            self.checker().rules.proxy_connected(number as u64, now());
             tokio::select! {
                 _ = self.stream(&mut caller, number, conductor, &mut table) => {}
                 () = self.stop.cancelled() => {}
             }
             let mut checker = self.checker();
-            checker.rules.left(number as u64);
+            checker.rules.proxy_disconnected(number as u64);
             checker.unacknowledged.remove(&(conductor, number));
             checker.conductor_of.remove(&number);
         }
@@ -121,7 +121,7 @@
     /// Runs one stream of a proxy until it ends.
     async fn stream(
         &self,
-        caller: &mut Caller,
+        caller: &mut TestPeer,
         number: usize,
         conductor: usize,
         table: &mut ProxyTable,
@@ -129,7 +129,7 @@
         let zone = ["a", "b"][number % 2];
         let fresh = table.weights.is_empty();
         caller
-            .say(&json!({"@type": "attach", "proxy": number, "zone": zone, "weight": 5.0, "fresh": fresh}))
+            .send(&json!({"@type": "attach", "proxy": number, "zone": zone, "weight": 5.0, "fresh": fresh}))
             .await;
         let (mut cost, mut levels) = (MESSAGE_HEAD, Vec::new());
         loop {
@@ -168,7 +168,7 @@
             self.check_table(number, conductor, table, std::mem::take(&mut levels), cost);
             cost = MESSAGE_HEAD;
             if let Some(mark) = part["nonce_out"].as_u64() {
-                caller.say(&json!({"@type": "done", "proxy": number, "mark": mark, "took_ms": 1.0})).await;
+                caller.send(&json!({"@type": "done", "proxy": number, "mark": mark, "took_ms": 1.0})).await;
                 self.checker().unacknowledged.remove(&(conductor, number));
             }
         }
@@ -190,7 +190,7 @@
         let withdrawal = |name: &String| v1::Withdrawal { server: address(name), out: true };
         let withdrawals = table.ejected.iter().map(withdrawal).collect();
         let order = v1::Order { table: Some(full_table), withdrawals, levels, ..Default::default() };
-        checker.rules.order(number as u64, now(), &order);
+        checker.rules.apply_update(number as u64, now(), &order);
         *checker.unacknowledged.entry((conductor, number)).or_default() += cost;
         let pending =
             checker.unacknowledged.iter().filter(|((of, _), _)| *of == conductor).map(|(_, cost)| cost);
@@ -206,7 +206,7 @@
             servers: ServerCounts { ready: SERVERS, draining: 0, total: servers },
             ..Stats::default()
         };
-        checker.rules.end(now(), &stats);
+        checker.rules.assert_satisfied(now(), &stats);
         assert!(checker.max_pending <= MAX_PENDING_LINES, "rule 5, short queue: {}", checker.max_pending);
     }
 
@@ -236,8 +236,8 @@
         loop {
             look.tick().await;
             let Ok(socket) = TcpStream::connect(address).await else { continue };
-            let mut caller = Caller::over(socket);
-            caller.say(&json!({"@type": "hb"})).await;
+            let mut caller = TestPeer::from_stream(socket);
+            caller.send(&json!({"@type": "hb"})).await;
             if caller.next().await == Some(json!({"@type": "hb_ok"})) {
                 return;
             }
@@ -270,7 +270,7 @@
 #[tokio::test]
 async fn conductors_restarted_in_turn_while_servers_are_replaced_and_discovery_moves_keep_the_rules() {
     let mut nodes: Vec<Value> = (0..SERVERS).map(|k| node(k, "ready", 0)).collect();
-    let discoveries = [StandIn::start(&nodes).await, StandIn::start(&nodes).await];
+    let discoveries = [FakeDiscovery::start(&nodes).await, FakeDiscovery::start(&nodes).await];
     let folder = tempfile::tempdir().unwrap();
     let paths: Vec<_> = (0..CONDUCTORS).map(|k| folder.path().join(format!("n{k}.json"))).collect();
     // Addresses that only this test process uses, so that a conductor has the same one after a restart.
@@ -285,7 +285,7 @@
     // The platform requires 2 s and 2.4 s; about as much again allows for a busy machine.
     (config.fleet.drain_grace, config.fleet.unserved_max) = (Duration::from_secs(4), Duration::from_secs(5));
     config.fleet.cold = SLOW_START;
-    config.fleet.classes[0].effect = EffectConfig::ReadLike;
+    config.fleet.classes[0].effect = IdempotencyConfig::ReadLike;
     let checker = RuleChecker {
         rules: Rules::new(&config),
         addresses: BTreeMap::new(),
@@ -317,7 +317,7 @@
                 assert!(Instant::now() < deadline, "each conductor calls the new discovery");
                 look.tick().await;
             }
-            discoveries[0].die();
+            discoveries[0].close();
         }
         // A server drains, and the conductor is ended before all proxies can have received the order.
         let change = |nodes: &[Value]| {
@@ -359,5 +359,5 @@
 /// True if some joined proxy may still send requests to this server.
 fn may_use(checker: &RuleChecker, name: &str) -> bool {
     let address = checker.addresses[name];
-    (0..PROXIES as u64).any(|number| checker.rules.held(number).contains_key(&address))
+    (0..PROXIES as u64).any(|number| checker.rules.usable_servers(number).contains_key(&address))
 }
--- a/crates/stepspur-conductor/src/config/settings.rs
+++ b/crates/stepspur-conductor/src/config/settings.rs
@@ -2,7 +2,7 @@
 
 use stepspur::interface::{AdmissionMode, DedupScope, Idempotency, RequestClass, Settings, ZoneId};
 
-use super::{AdmitConfig, ClassConfig, Config, EffectConfig, GroupConfig, micros};
+use super::{AdmissionModeConfig, ClassConfig, Config, DedupScopeConfig, IdempotencyConfig, micros};
 
 impl Config {
     /// Returns the settings of the decision module; durations are converted to microseconds. Sharding is off.
@@ -15,21 +15,21 @@
             conductor_count: fleet.conductors,
             classes: fleet.classes.iter().map(request_class).collect(),
             poll_discovery: true,
-            health_checks: self.probes.enabled,
+            active_health_checks: self.probes.enabled,
             load_columns: self.reports.load_columns.clone(),
             admission_mode: admission_mode(fleet.admit),
             proxy_count: fleet.proxies,
             max_pending_lines: self.channel.waiting_max,
-            lines_per_second: self.channel.lines_per_s,
+            channel_lines_per_second: self.channel.lines_per_s,
             message_overhead_lines: self.channel.message_head,
-            max_messages: self.channel.messages_max,
+            max_messages_per_window: self.channel.messages_max,
             message_window: micros(self.channel.message_window),
             min_server_connections: f64::from(fleet.connections_min),
-            max_transit: micros(self.channel.transit_max),
+            max_message_delay: micros(self.channel.transit_max),
             report_period: micros(self.reports.every),
             shard_count: 0,
             single_writer: false,
-            orphan_write_period: 0,
+            disconnected_write_period: 0,
             max_write_duration: 0,
             warm_up: micros(fleet.cold),
             collapse_ratio: fleet.fall_multiple,
@@ -39,25 +39,25 @@
     }
 }
 
-fn admission_mode(admit: AdmitConfig) -> AdmissionMode {
+fn admission_mode(admit: AdmissionModeConfig) -> AdmissionMode {
     match admit {
-        AdmitConfig::Share => AdmissionMode::Ratio,
-        AdmitConfig::Rate => AdmissionMode::RequestsPerSecond,
-        AdmitConfig::Silent => AdmissionMode::Ignored,
+        AdmissionModeConfig::Share => AdmissionMode::Ratio,
+        AdmissionModeConfig::Rate => AdmissionMode::RequestsPerSecond,
+        AdmissionModeConfig::Silent => AdmissionMode::Ignored,
     }
 }
 
 fn request_class(class: &ClassConfig) -> RequestClass {
     RequestClass {
         idempotency: match class.effect {
-            EffectConfig::ReadLike => Idempotency::Safe,
-            EffectConfig::IdempotencyKey => Idempotency::IdempotencyKey,
-            EffectConfig::NonIdempotent => Idempotency::NonIdempotent,
+            IdempotencyConfig::ReadLike => Idempotency::Safe,
+            IdempotencyConfig::IdempotencyKey => Idempotency::IdempotencyKey,
+            IdempotencyConfig::NonIdempotent => Idempotency::NonIdempotent,
         },
         dedup_scope: match class.group {
-            GroupConfig::All => DedupScope::All,
-            GroupConfig::Zone => DedupScope::Zone,
-            GroupConfig::Cell => DedupScope::Cell,
+            DedupScopeConfig::All => DedupScope::All,
+            DedupScopeConfig::Zone => DedupScope::Zone,
+            DedupScopeConfig::Cell => DedupScope::Cell,
         },
         dedup_window: micros(class.window),
         latency_objective: micros(class.aim),
--- a/crates/stepspur-conductor/src/engine/connect.rs
+++ b/crates/stepspur-conductor/src/engine/connect.rs
@@ -1,7 +1,7 @@
 //! Connects and disconnects proxies, and closes streams.
 
 use stepspur::interface::{Event, Micros, ProxyId, ZoneId};
-use stepspur_proto::{FromConductor, VERSION, frame, from_conductor, v1};
+use stepspur_proto::{FromConductor, VERSION, encode_frame, from_conductor, v1};
 
 use super::input::StreamId;
 use super::output::{LogEvent, Output};
@@ -126,7 +126,12 @@
         }
         self.streams.connect(stream, proxy, zone);
         self.tables.add_proxy(proxy);
-        self.batch.push(Event::ProxyConnected { proxy, zone, rate, fresh });
+        self.batch.push(Event::ProxyConnected {
+            proxy,
+            zone,
+            usual_request_rate: rate,
+            has_only_static_tables: fresh,
+        });
         self.log(LogEvent::ProxyConnected { proxy: self.proxy_name(proxy), stream });
     }
 
@@ -167,7 +172,7 @@
     /// Sends a frame at once, without queueing it in the channel.
     pub(super) fn reply(&mut self, stream: StreamId, kind: from_conductor::Kind) {
         let message = FromConductor::new(self.epoch, self.sequence, kind);
-        if let Ok(frame) = frame(&message, usize::MAX) {
+        if let Ok(frame) = encode_frame(&message, usize::MAX) {
             self.outputs.push_back(Output::Send { stream, frame });
         }
     }
--- a/crates/stepspur-conductor/src/engine/reports.rs
+++ b/crates/stepspur-conductor/src/engine/reports.rs
@@ -1,7 +1,7 @@
 //! Validates load reports of proxies and collectors and passes them on.
 
 use stepspur::interface::{ClassId, Event, Micros, ProxyId, ServerId, ZoneId};
-use stepspur_proto::{address_of, v1};
+use stepspur_proto::{server_address, v1};
 
 use super::input::RequestCounts;
 use super::output::LogEvent;
@@ -89,7 +89,7 @@
         span: TimeSpan,
     ) -> Result<(ServerId, ReportSums), InvalidReport> {
         let v1::Met { total, errors, latency_us, .. } = upstream;
-        let address = address_of(&upstream.server).ok();
+        let address = server_address(&upstream.server).ok();
         let server = address.and_then(|address| self.endpoints.server_at(address));
         let server = server.ok_or(InvalidReport::UnknownServer)?;
         if !upstream.load.iter().all(|value| value.is_finite() && *value >= 0.0) {
@@ -139,7 +139,15 @@
             return;
         }
         let RequestCounts { total, errors } = attempts;
-        self.batch.push(Event::UpstreamStats { server, zone, period, total, errors, latency, load });
+        self.batch.push(Event::UpstreamStats {
+            server,
+            zone,
+            period,
+            attempts: total,
+            failed_attempts: errors,
+            latency,
+            load,
+        });
     }
 
     /// Passes a collector's counts of client requests on to the decision module; those of a proxy that is not
@@ -153,7 +161,7 @@
     ) {
         let RequestCounts { total, errors } = requests;
         if self.streams.stream(proxy).is_some() {
-            self.batch.push(Event::ClientStats { proxy, class, period, total, errors });
+            self.batch.push(Event::ClientStats { proxy, class, period, requests: total, unanswered: errors });
         }
     }
 
@@ -164,8 +172,8 @@
     }
 
     /// Counts and logs invalid input; `proxy` is the sender's name.
-    pub(super) fn record_invalid_report(&mut self, proxy: String, what: String) {
+    pub(super) fn record_invalid_report(&mut self, proxy: String, reason: String) {
         self.stats.invalid_inputs += 1;
-        self.log(LogEvent::InvalidReport { proxy, what });
+        self.log(LogEvent::InvalidReport { proxy, reason });
     }
 }
--- a/crates/stepspur-consensus-node/tests/schema.rs
+++ b/crates/stepspur-consensus-node/tests/schema.rs
@@ -8,7 +8,7 @@
 };
 use stepspur_consensus_node::{InvalidPeerMessage, PeerField, PeerFrame};
 use stepspur_proto::v1::{self, from_peer::Kind};
-use stepspur_proto::{LARGEST_FRAME, frame, split_frame};
+use stepspur_proto::{DEFAULT_MAX_FRAME_BYTES, decode_frame, encode_frame};
 
 fn term() -> impl Strategy<Value = Term> {
     any::<u64>().prop_map(Term)
@@ -50,8 +50,8 @@
 }
 
 fn append_entries_response() -> impl Strategy<Value = Message> {
-    (term(), any::<u64>(), any::<bool>(), index()).prop_map(|(term, round, matched, index)| {
-        Message::AppendEntriesResponse(AppendEntriesResponse { term, round, matched, index })
+    (term(), any::<u64>(), any::<bool>(), index()).prop_map(|(term, round, success, index)| {
+        Message::AppendEntriesResponse(AppendEntriesResponse { term, round, success, index })
     })
 }
 
@@ -61,7 +61,15 @@
         let (offset, round, done, bytes) = chunk;
         let voters = [MemberId(voter)].into();
         let bytes = bytes.into();
-        Message::InstallSnapshot(InstallSnapshot { term, last_included, voters, offset, bytes, done, round })
+        Message::InstallSnapshot(InstallSnapshot {
+            term,
+            last_included,
+            voters,
+            offset,
+            data: bytes,
+            done,
+            round,
+        })
     })
 }
 
@@ -104,7 +112,7 @@
 }
 
 fn committed_state() -> impl Strategy<Value = PeerMessage> {
-    (index(), any::<Vec<u8>>(), leader()).prop_map(|(index, state, leader)| PeerMessage::CommittedState {
+    (index(), any::<Vec<u8>>(), leader()).prop_map(|(index, state, leader)| PeerMessage::CommittedSnapshot {
         index,
         state: state.into(),
         leader,
@@ -118,7 +126,7 @@
         renewal(),
         (request(), index()).prop_map(|(request, applied)| PeerMessage::LeasesRenewed { request, applied }),
         proposal(),
-        (request(), leader()).prop_map(|(request, leader)| PeerMessage::NotLeader { request, leader }),
+        (request(), leader()).prop_map(|(request, leader)| PeerMessage::RequestRejected { request, leader }),
         request().prop_map(|request| PeerMessage::ReadIndex { request }),
         (request(), index()).prop_map(|(request, index)| PeerMessage::ReadIndexResponse { request, index }),
         index().prop_map(|from| PeerMessage::Fetch { from }),
@@ -132,8 +140,8 @@
     #[test]
     fn encoded_message_decodes_unchanged(from in any::<u64>(), to in any::<u64>(), message in message()) {
         let sent = PeerFrame { from: MemberId(from), to: MemberId(to), message };
-        let bytes = frame(&v1::FromPeer::from(sent.clone()), LARGEST_FRAME).unwrap();
-        let received = PeerFrame::try_from(split_frame::<v1::FromPeer>(&bytes).unwrap()).unwrap();
+        let bytes = encode_frame(&v1::FromPeer::from(sent.clone()), DEFAULT_MAX_FRAME_BYTES).unwrap();
+        let received = PeerFrame::try_from(decode_frame::<v1::FromPeer>(&bytes).unwrap()).unwrap();
         prop_assert_eq!(received, sent);
     }
 
@@ -142,7 +150,7 @@
     fn arbitrary_bytes_are_decoded_without_a_panic(bytes in any::<Vec<u8>>()) {
         let mut framed = (bytes.len() as u32).to_be_bytes().to_vec();
         framed.extend(bytes);
-        if let Ok(frame) = split_frame::<v1::FromPeer>(&framed) {
+        if let Ok(frame) = decode_frame::<v1::FromPeer>(&framed) {
             let _ = PeerFrame::try_from(frame);
         }
     }
--- a/crates/stepspur-emulator/src/scenario.rs
+++ b/crates/stepspur-emulator/src/scenario.rs
@@ -12,13 +12,15 @@
 use schemars::{JsonSchema, Schema, SchemaGenerator, json_schema};
 use serde::{Deserialize, Serialize};
 use stepspur_conductor::Config;
-use stepspur_conductor::config::{AdmitConfig, ClassConfig, EffectConfig, Fleet, GroupConfig, Source};
+use stepspur_conductor::config::{
+    AdmissionModeConfig, ClassConfig, DedupScopeConfig, Fleet, IdempotencyConfig, Source,
+};
 use stepspur_model::work::Form;
 use stepspur_model::{proxy, server};
 use stepspur_proto::v1;
 
 use crate::faults::{Draw, Fault};
-use crate::plan::{ClassPlan, Clients, Plan, ProxyPlan, Rules, ServerPlan, Strike};
+use crate::plan::{ClassPlan, Clients, Plan, ProxyPlan, Rules, ScheduledFault, ServerPlan};
 
 /// The scenario that `stepspur rehearse` runs if none is given.
 pub const BAD_DAY: &str = include_str!("../../../rehearsals/bad-day.toml");
@@ -280,12 +282,12 @@
     /// Effect of running a request twice: harmless (`read_like`), prevented by servers that deduplicate by
     /// key (`idempotency_key`), or harmful (`non_idempotent`).
     #[schemars(schema_with = "effects")]
-    pub effect: EffectConfig,
+    pub effect: IdempotencyConfig,
     /// For `idempotency_key`: the servers that share the record of keys and so drop repeats, all of them or
     /// those of one zone or cell; default `all`.
     #[serde(default)]
     #[schemars(schema_with = "groups")]
-    pub group: GroupConfig,
+    pub group: DedupScopeConfig,
     /// For `idempotency_key`: how long repeats of a request are dropped; at most 1 h, default 0.
     #[serde(default, with = "humantime_serde")]
     #[schemars(with = "String")]
@@ -400,12 +402,12 @@
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed);
         let mut servers: Vec<ServerPlan> =
             (0..self.servers as usize).map(|k| self.server(k, true, &mut rng)).collect();
-        let mut strikes = Vec::new();
+        let mut scheduled_faults = Vec::new();
         let drawn: Vec<Fault> = self.draws.iter().enumerate().flat_map(|(k, d)| d.faults(k, self)).collect();
         for fault in self.faults.iter().chain(&drawn) {
             let trouble = self.resolve_fault(fault, &mut servers, &mut rng);
             let name = format!("{} at {:.1} s", fault.kind.word(), fault.at.as_secs_f64());
-            strikes.push(Strike { name, at: fault.at, lasts: fault.lasts, trouble });
+            scheduled_faults.push(ScheduledFault { name, at: fault.at, duration: fault.lasts, trouble });
         }
         let proxy = |k: usize| ProxyPlan { zone: k % self.zones.len(), weight: 1.0 };
         Ok(Plan {
@@ -420,7 +422,7 @@
                 avoid_after: self.proxy.avoid_after,
                 avoid_for: self.proxy.avoid_for.as_micros() as u64,
                 classes: self.classes.len(),
-                usual_resend: v1::Resend::Never,
+                default_retry_policy: v1::Resend::Never,
             },
             standing: self.proxy.standing,
             redial: self.proxy.redial,
@@ -433,7 +435,7 @@
             conductors: self.conductors as usize,
             rules: self.rules.clone(),
             config,
-            strikes,
+            faults: scheduled_faults,
             phases: self.phases.iter().map(|p| (p.name.clone(), p.from..p.until)).collect(),
             expectations: self.expectations.clone(),
             trains: self.trains.clone(),
@@ -547,7 +549,7 @@
             conductors: 1,
             proxies: self.proxies,
             classes: self.classes.iter().map(class).collect(),
-            admit: AdmitConfig::Share,
+            admit: AdmissionModeConfig::Share,
             connections_min: min_connections as u32,
             cold: self.rules.cold,
             start_capacity: self.rules.start_capacity,
@@ -599,7 +601,7 @@
     merge_tables(&mut table, overrides);
     let config: Config =
         table.try_into().map_err(|e: toml::de::Error| format!("conductor: {}", e.message()))?;
-    let faults = config.faults();
+    let faults = config.invalid_settings();
     match faults.first() {
         Some(fault) => Err(format!("conductor.{}: {}", fault.key, fault.what)),
         None => Ok(config),
--- a/crates/stepspur-fault-tests/tests/processes.rs
+++ b/crates/stepspur-fault-tests/tests/processes.rs
@@ -55,7 +55,7 @@
 /// Not a test of its own: the process of a member, which serves clients. Returns at once unless started as a
 /// child.
 #[test]
-fn child_that_is_a_member() {
+fn member_process_entry_point() {
     let Ok(settings) = std::env::var(CHILD_VARIABLE) else { return };
     let child: ChildSettings = serde_json::from_str(&settings).expect("valid child settings");
     let (store, stored) = Store::open(&child.state).expect("the store opens");
@@ -81,8 +81,14 @@
         let registry =
             StateMachineRegistry::new([Box::new(Counters::new(1)) as Box<dyn ReplicatedStateMachine>]);
         let disk: (Box<dyn Storage>, _) = (Box::new(store), stored);
-        let node =
-            NodeHandle::start_on(Arc::new(Tcp), settings, Some(disk), incarnation, registry.clone()).await;
+        let node = NodeHandle::start_with_environment(
+            Arc::new(Tcp),
+            settings,
+            Some(disk),
+            incarnation,
+            registry.clone(),
+        )
+        .await;
         let node = Arc::new(node.expect("the member starts"));
         let client =
             ReplicationClient::new(Arc::clone(&node), registry, ProposalLimits::default(), incarnation);
@@ -102,7 +108,7 @@
         let response =
             |result: Result<u32, ReplicationError>| result.map_or(Response::Unknown, Response::Sum);
         let response = match serde_json::from_str(&line).expect("a request") {
-            Request::Id => Response::Id(client.new_id()),
+            Request::Id => Response::Id(client.new_operation_id()),
             Request::Add(id, name, amount) => {
                 response(stepspur_fault_tests::add(&client, id, &name, amount, OPERATION_TIMEOUT).await)
             }
@@ -217,9 +223,9 @@
         match fault {
             "leader killed" => group.kill(leader),
             "leader stopped" => group.signal(leader, "-STOP"),
-            "leader's outbound links blocked" => group.set_outbound(leader, Mode::Silent),
-            "leader's inbound links blocked" => group.set_inbound(leader, Mode::Silent),
-            "leader's outbound links down" => group.set_outbound(leader, Mode::Down),
+            "leader's outbound links blocked" => group.set_outbound(leader, Mode::Blackhole),
+            "leader's inbound links blocked" => group.set_inbound(leader, Mode::Blackhole),
+            "leader's outbound links down" => group.set_outbound(leader, Mode::Closed),
             _ => {
                 (1..=3).for_each(|m| group.kill(m));
                 (1..=3).for_each(|m| group.start(m));
@@ -235,8 +241,8 @@
             }
             "leader stopped" => group.signal(leader, "-CONT"),
             _ => (1..=3).for_each(|m| {
-                group.set_outbound(m, Mode::Pass);
-                group.set_inbound(m, Mode::Pass);
+                group.set_outbound(m, Mode::Forward);
+                group.set_inbound(m, Mode::Forward);
             }),
         }
         let mut history = History::default();
--- a/crates/stepspur-fault-tests/tests/scenarios.rs
+++ b/crates/stepspur-fault-tests/tests/scenarios.rs
@@ -108,7 +108,7 @@
 #[when(regex = r"^(.+) adds (\d+) to `(\w+)`$")]
 async fn adds(scenario: &mut Scenario, current: String, amount: u32, name: String) {
     let member = scenario.member(&current).await;
-    let id = scenario.cluster().client(member).new_id();
+    let id = scenario.cluster().client(member).new_operation_id();
     scenario.add(id, member, &name, amount).await;
 }
 
@@ -127,7 +127,8 @@
     let client = scenario.cluster().client(leader);
     for _ in MAX_RECORDED_ADDITIONS..times {
         let result =
-            stepspur_fault_tests::add(&client, client.new_id(), &name, amount, OPERATION_TIMEOUT).await;
+            stepspur_fault_tests::add(&client, client.new_operation_id(), &name, amount, OPERATION_TIMEOUT)
+                .await;
         result.expect("the addition is accepted");
     }
 }
@@ -149,7 +150,7 @@
 async fn receives_nothing(scenario: &mut Scenario, current: String, name: String) {
     let member = scenario.name_member(&current, &name).await;
     let cluster = scenario.cluster();
-    cluster.ids().into_iter().for_each(|other| cluster.wire().silence(other, member, true));
+    cluster.ids().into_iter().for_each(|other| cluster.wire().set_blocked(other, member, true));
 }
 
 #[when(regex = r"^(.+), called (.+), is killed$")]
@@ -217,7 +218,7 @@
 #[then(regex = r"^the outcome is unknown$")]
 async fn outcome_is_unknown(scenario: &mut Scenario) {
     let (id, .., result) = scenario.last.as_ref().expect("an operation was proposed");
-    assert_eq!(*result, Err(ReplicationError::Unknown(*id)));
+    assert_eq!(*result, Err(ReplicationError::UnknownOutcome(*id)));
 }
 
 #[then(regex = r"^it is rejected with `(.+)`$")]
@@ -252,7 +253,7 @@
     let member = scenario.member(&current).await;
     assert_eq!(
         scenario.cluster().read(member, &name, OPERATION_TIMEOUT).await,
-        Err(ReplicationError::NoLeader)
+        Err(ReplicationError::ReadTimeout)
     );
     let client = scenario.cluster().client(member);
     let stale_read = client
@@ -260,7 +261,7 @@
             counters.value(&name)
         });
     let (_, stale) = stale_read.expect("the state machine exists");
-    assert!(stale.since >= OPERATION_TIMEOUT, "{stale:?}");
+    assert!(stale.unchanged_for >= OPERATION_TIMEOUT, "{stale:?}");
 }
 
 #[then(regex = r"^(.+) halts with `(.+)`$")]
