--- a/crates/stepspur-disruption-budget/src/budget.rs
+++ b/crates/stepspur-disruption-budget/src/budget.rs
@@ -16,9 +16,11 @@
     /// Fraction of the fleet's capacity that may be out of service at once: above 0, at most 1.
     #[serde(rename = "fleet_part")]
     pub max_fleet_fraction: f64,
-    /// A permit expires when it is not renewed for this long. A new holder grants nothing for as long.
+    /// Time in microseconds after which a permit expires unless it is renewed. A new leader grants nothing
+    /// for as long.
     pub lease: Micros,
-    /// Nothing is granted while the server list is older than this: servers may have failed since.
+    /// Maximum age of the server list in microseconds. Nothing is granted while it is older: servers may have
+    /// failed since.
     #[serde(rename = "list_age_max")]
     pub max_list_age: Micros,
     /// Maximum number of waiting requests of all tools together.
@@ -69,12 +71,12 @@
     }
 }
 
-/// Identifies a request and its permit. Ids increase over requests and over holders.
+/// Identifies a request and its permit. Ids increase over requests and over leaders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct PermitId {
-    /// Fencing token of the holder that received the request.
+    /// Fencing token of the leader that received the request.
     pub token: u64,
-    /// Sequence number among the requests of this holder, from 1.
+    /// Sequence number among the requests of this leader, from 1.
     #[serde(rename = "count")]
     pub sequence: u64,
 }
@@ -108,8 +110,8 @@
     Expired {
         /// The expired permit.
         permit: Permit,
-        /// Its servers that are still not ready, or no longer listed, because the tool did not bring them
-        /// back.
+        /// Its servers that, at this tick, are listed as not ready or are no longer listed. The tool may have
+        /// died before it restored them. Ready servers that still warm up are not included.
         still_out: Vec<String>,
     },
 }
@@ -145,13 +147,13 @@
 /// Absolute tolerance for rounding errors where sums of capacity are compared.
 const SUM_TOLERANCE: f64 = 1e-9;
 
-/// Grants permits to restart servers, on behalf of one holder.
+/// Grants permits to restart servers, on behalf of one leader.
 #[derive(Clone, Debug)]
 pub struct DisruptionBudget {
     settings: Settings,
     token: u64,
     sequence: u64,
-    /// Nothing is granted before this time: unknown permits of a former holder may still be active.
+    /// Nothing is granted before this time: unknown permits of a former leader may still be active.
     grants_from: Micros,
     fleet: Fleet,
     permits: BTreeMap<PermitId, ActivePermit>,
@@ -159,7 +161,7 @@
 }
 
 impl DisruptionBudget {
-    /// Creates the budget of a new holder, identified by its fencing token. Only the first holder ever may
+    /// Creates the budget of a new leader, identified by its fencing token. Only the first leader ever may
     /// grant `at_once`; every later one waits for one lease, in which the permits of its predecessor expire.
     pub fn new(settings: Settings, token: u64, at_once: bool, now: Micros) -> Self {
         let grants_from = if at_once { now } else { now.saturating_add(settings.lease) };
@@ -174,7 +176,8 @@
         }
     }
 
-    /// Replaces the whole list of servers.
+    /// Replaces the whole list of servers. `now` becomes the time of the list, from which
+    /// [`Settings::max_list_age`] counts.
     pub fn update_servers(&mut self, now: Micros, servers: BTreeMap<String, Server>) {
         self.fleet.update(now, servers);
     }
@@ -185,7 +188,8 @@
         self.fleet.set_removal_suspected(zone, suspected);
     }
 
-    /// All active permits, sorted by id.
+    /// All active permits, granted or taken over, sorted by id. An expired one is included until the next
+    /// [`DisruptionBudget::tick`].
     pub fn active_permits(&self) -> impl Iterator<Item = &ActivePermit> {
         self.permits.values()
     }
@@ -224,7 +228,7 @@
     }
 
     /// Renews a permit, which must match in id, tool and servers, and returns its new expiry. A permit of a
-    /// former holder is taken over while this holder grants nothing yet; afterwards it may have expired
+    /// former leader is taken over while this leader grants nothing yet; afterwards it may have expired
     /// unnoticed and is refused.
     ///
     /// # Errors
@@ -238,9 +242,9 @@
             held.expires_at = expires_at;
             return Ok(expires_at);
         }
-        let is_from_former_holder = permit.id.token < self.token && now < self.grants_from;
+        let is_from_former_leader = permit.id.token < self.token && now < self.grants_from;
         let server_count = permit.servers.len();
-        if is_from_former_holder
+        if is_from_former_leader
             && server_count > 0
             && server_count <= self.settings.max_request_servers
             && !self.permits.contains_key(&permit.id)
--- a/crates/stepspur-disruption-budget/src/lib.rs
+++ b/crates/stepspur-disruption-budget/src/lib.rs
@@ -7,9 +7,9 @@
 //!   still out.
 //! - Requests are granted in order of arrival, but tools with fewer servers under permit go first. Later
 //!   requests do not overtake one that does not fit yet in its zones.
-//! - One conductor at a time runs the budget. Permits carry its fencing token. A new holder grants nothing
-//!   until every permit of its predecessor has expired, and takes over the permits that are renewed until
-//!   then.
+//! - The leader is the conductor process that runs the budget and holds the fencing token; there is one at a
+//!   time. Permits carry its token. A new leader grants nothing until every permit of its predecessor has
+//!   expired, and takes over the permits that are renewed until then.
 //!
 //! Sans-IO: events and the current time are inputs; granted and expired permits are returned. docs/gate.md
 //! has the design.
@@ -24,5 +24,5 @@
 };
 pub use fleet::{Fleet, Server};
 
-/// A time or a duration, in microseconds of the holder's monotonic clock.
+/// A time or a duration, in microseconds of the leader's monotonic clock.
 pub type Micros = u64;
--- a/crates/stepspur-disruption-budget/tests/budget.rs
+++ b/crates/stepspur-disruption-budget/tests/budget.rs
@@ -1,5 +1,5 @@
 //! The disruption budget with release tools that die, flood it with requests or compete, and with changing
-//! holders.
+//! leaders.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn a_new_holder_waits_for_unknown_permits_to_expire_and_takes_over_renewed_ones() {
+fn a_new_leader_waits_for_unknown_permits_to_expire_and_takes_over_renewed_ones() {
     let mut former = budget();
     former.request("alive", names("a", 0..3)).unwrap();
     let alive = permit(&former.tick(0));
@@ -152,7 +152,7 @@
     let mut next = DisruptionBudget::new(settings(), 9, false, 0);
     next.update_servers(0, servers());
     let waiting = next.request("new", names("a", 10..13)).unwrap();
-    assert!(waiting > silent.id, "ids increase over holders");
+    assert!(waiting > silent.id, "ids increase over leaders");
     assert_eq!(next.renew(4 * SECOND, &alive), Ok(14 * SECOND));
     assert_eq!(next.tick(10 * SECOND - 1), [], "an unknown permit may still be active");
     assert_eq!(next.tick(10 * SECOND), [], "3 servers of the renewed permit and 3 more exceed 5");
@@ -161,7 +161,7 @@
     assert_eq!(
         next.renew(SECOND, &forged),
         Err(RequestError::UnknownPermit),
-        "a holder takes over no unknown permit with its own token"
+        "a leader takes over no unknown permit with its own token"
     );
     next.release(alive.id).unwrap();
     assert_eq!(granted(&next.tick(11 * SECOND)), [waiting]);
--- a/crates/stepspur-distribution/src/control/progress_table.rs
+++ b/crates/stepspur-distribution/src/control/progress_table.rs
@@ -153,8 +153,8 @@
         }
     }
 
-    /// Evaluates the versions that were applied since the last call, and wakes the subscribers that they
-    /// concern.
+    /// Evaluates the versions that this member's copy of the configuration has applied since the last call,
+    /// and wakes the attached subscribers that they concern.
     pub(super) fn evaluate(&self) {
         let mut inner = self.inner();
         let from = inner.evaluated_version;
@@ -170,7 +170,8 @@
         inner.evaluated_version = from.max(head);
     }
 
-    /// The states of all subscribers. Removes detached ones that are no longer registered.
+    /// The states of all subscribers that are attached to this member or detached from it. Removes detached
+    /// ones that are no longer registered.
     pub(super) fn states(&self) -> SubscriberStates {
         let mut inner = self.inner();
         let states = self.configuration.read(|state| {
--- a/crates/stepspur-distribution/src/subscriber/scope_task.rs
+++ b/crates/stepspur-distribution/src/subscriber/scope_task.rs
@@ -1,5 +1,8 @@
 //! The scope task, which owns a subscriber's documents: it stores each update, applies it, and publishes the
 //! progress.
+//!
+//! A covered version is one up to which, as the control member reports, no document of the subscriber's
+//! interest has changed since the last update. It advances the subscriber's version, but no document.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -56,7 +59,8 @@
         }
     }
 
-    /// Subscribes to the progress.
+    /// Returns a receiver of the stored and applied versions and the failed documents; it is notified of each
+    /// change.
     pub(super) fn progress(&self) -> watch::Receiver<Progress> {
         self.progress.subscribe()
     }
@@ -179,7 +183,8 @@
     }
 
     /// Advances the applied version to the stored one unless a document has failed, and publishes the
-    /// progress.
+    /// progress. The stored version may be a covered version that is not on disk yet; all documents up to it
+    /// are.
     fn publish_progress(&mut self) {
         let stored_version = self.cache.version();
         if !self.applier.has_failed() {
--- a/crates/stepspur-distribution/src/subscriber/update.rs
+++ b/crates/stepspur-distribution/src/subscriber/update.rs
@@ -20,7 +20,7 @@
     Delta { from: Version, to: Version, documents: Vec<Document> },
     /// All documents of the interest.
     Snapshot(Snapshot),
-    /// No document changed between the last update and this version.
+    /// No document of the interest changed between the last update and this version.
     Covered(Version),
 }
 
@@ -51,7 +51,8 @@
 /// How far a subscriber has stored and applied the configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct Progress {
-    /// All changes of its interest up to this version are stored.
+    /// All changes of its interest up to this version are stored. The number itself may be that of a covered
+    /// version that is not on disk yet.
     pub(super) stored_version: Version,
     /// All changes of its interest up to this version are applied.
     pub(super) applied_version: Version,
--- a/crates/stepspur-emulator/src/clients.rs
+++ b/crates/stepspur-emulator/src/clients.rs
@@ -29,13 +29,16 @@
     pub in_time: u64,
     /// Answered after the latency target.
     pub late: u64,
-    /// Refused after all client retries.
+    /// Ended without running: the result of the last client try was a refusal by the proxy, or a failure that
+    /// proves that no server ran it.
     pub refused: u64,
-    /// Failed or timed out.
+    /// Failed or timed out in the last client try, so that a server may have run it.
     pub failed: u64,
     /// Number of client retries.
     pub repeats: u64,
-    /// Response times of answered requests, in milliseconds: p50, p99, maximum.
+    /// Response times of answered requests, in time or late, in milliseconds: p50, p99, maximum; 0 without
+    /// answers. Measured from the first client try, with the waits between tries. Times above 60 s count as
+    /// about 60 s.
     pub answer_ms: [f64; 3],
 }
 
@@ -125,7 +128,8 @@
         results.tally(class)
     }
 
-    /// Mean response time over all classes, in milliseconds; 0 without answers.
+    /// Mean response time of answered requests over all classes, in milliseconds; 0 without answers. Measured
+    /// as [`Tally::answer_ms`].
     pub fn mean_ms(&self) -> f64 {
         let all = self.whole.0.iter().map(|(_, times)| (times.mean() * times.len() as f64, times.len()));
         let (sum, count) = all.fold((0.0, 0), |(sum, count), (s, m)| (sum + s, count + m));
@@ -137,13 +141,15 @@
         &self.seconds
     }
 
-    /// Value of answered requests over value of all requests, from 0 to 1; 1 without requests.
+    /// Service score: value of answered requests over value of all requests, from 0 to 1; 1 without requests.
+    /// A late answer counts with the `late_worth` of its class, a share of its value.
     pub fn service(&self) -> f64 {
         if self.worth.1 > 0.0 { self.worth.0 / self.worth.1 } else { 1.0 }
     }
 
-    /// Records the final result of a request. `sent_at` is its start since the first request was due, `took`
-    /// the time until its final answer, `repeats` the number of client retries.
+    /// Records the final result of a request. `sent_at` is the time of its first client try since the
+    /// start of the plan, `took` the time from then until its final answer, `repeats` the number of client
+    /// retries.
     pub fn note(
         &mut self,
         plan: &ClassPlan,
@@ -190,7 +196,8 @@
     /// Results so far.
     pub outcomes: Mutex<Outcomes>,
     tasks: TaskTracker,
-    /// How long after its due time the last request was sent.
+    /// How far sending was behind schedule when it stopped: the time since the due time of the first request
+    /// that was not sent, or since the end of the plan if that is earlier; 0 if that time was still ahead.
     fell_behind: Mutex<Duration>,
 }
 
@@ -245,7 +252,9 @@
         within_limit
     }
 
-    /// How long after its due time the last request was sent: how far the machine fell behind.
+    /// How far sending was behind schedule when it stopped: the time since the due time of the first request
+    /// that was not sent, or since the end of the plan if that is earlier; 0 if that time was still ahead. A
+    /// large value means that the machine is too slow for the plan. Set once sending has stopped; 0 before.
     pub fn fell_behind(&self) -> Duration {
         *lock(&self.fell_behind)
     }
--- a/crates/stepspur-emulator/src/judge.rs
+++ b/crates/stepspur-emulator/src/judge.rs
@@ -2,7 +2,13 @@
 //!
 //! The checker rebuilds each proxy's table from the frames that the proxy read, with code of its own, so that
 //! a fault in the shared code cannot hide a violation. Of a conductor it knows only which node lists it
-//! received. All times are from the clock of the emulator.
+//! received.
+//!
+//! Event times are microseconds since the Unix epoch, on the clock of the emulator, or on the virtual clock
+//! of a simulation. Decision times come from the orders, start times of listed servers from the node lists.
+//!
+//! A line is the unit of size of an order: each table entry, admission level and withdrawal counts as one, a
+//! complete table and a mark as one more each, and each message as `message_head` more.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -21,9 +27,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rule {
-    /// Rule 1: a connected proxy has a server to send to.
+    /// Rule 1: no proxy that is connected and reads its stream is without a server to pick for longer than
+    /// `unserved_max`, while the list of its conductor has a warm server that is ready.
     Route,
-    /// Rule 2: no request takes effect twice.
+    /// Rule 2: within one client try no two attempts run, and none is sent after one that may have run. A
+    /// class that allows repeats is exempt; where the servers deduplicate repeats, a further attempt may be
+    /// sent, but must not run.
     Once,
     /// Rule 3: draining and removed servers receive no requests after the grace time.
     Drain,
@@ -55,11 +64,14 @@
 pub struct Violation {
     /// The rule that was broken.
     pub rule: Rule,
-    /// Number of violations.
+    /// Number of recorded violations. Each conductor counts at most once for its waiting lines.
     pub times: usize,
-    /// Time of the first violation, in seconds since the first request was due.
+    /// Time of the first recorded violation, in seconds since the start of the plan. For waiting lines: the
+    /// time of the longest queue of the first conductor over the limit. They are checked last, so an excess
+    /// of messages is recorded before them.
     pub at_s: f64,
-    /// Description of the first violation, with its request, proxy and server where there are any.
+    /// Description of the violation that `at_s` refers to, with its request, proxy and server where there are
+    /// any.
     pub what: String,
 }
 
@@ -72,9 +84,9 @@
     drain_grace: Micros,
     /// Time after its start from which a server counts as warm, in microseconds.
     cold: Micros,
-    /// Rule 4: a cold server may receive this many times its present capacity ...
+    /// Rule 4: work that a cold server may receive within `fall_span`, as a multiple of its present capacity.
     fall_multiple: f64,
-    /// ... over this time, in microseconds.
+    /// Rule 4: time span over which the work of a cold server is summed, in microseconds.
     fall_span: Micros,
     /// Rule 2: true if a request that a full server refused may have run.
     full_may_have_run: bool,
@@ -85,7 +97,8 @@
     /// Rule 5: maximum number of orders per proxy (0: unlimited), and the window that they are counted in, in
     /// microseconds.
     messages: (u32, Micros),
-    /// Largest share of ready servers whose absence from a full list counts as their removal.
+    /// Largest share of ready servers, from 0 to 1, whose absence from a full list counts as their removal.
+    /// The absence of more is taken for a fault of the list.
     loss_max: f64,
     /// By class: effect of a repeat, who deduplicates repeats, and for how long in microseconds.
     effects: Vec<(IdempotencyConfig, DedupScopeConfig, Micros)>,
@@ -119,8 +132,8 @@
     span.as_micros() as Micros
 }
 
-/// Checks events, which must be ordered by time, and returns the violations by rule. `begin` is when the
-/// first request was due.
+/// Checks events, which must be ordered by time, and returns the violations by rule. `begin` is the
+/// start of the plan, in microseconds since the Unix epoch.
 pub fn judge(limits: &RuleLimits, begin: Micros, events: &[(Micros, Event)]) -> Vec<Violation> {
     let mut checker = RuleChecker { limits, begin, ..RuleChecker::new(limits) };
     for (at, event) in events {
@@ -343,8 +356,8 @@
                 .map(|(a, _)| *a)
                 .collect();
             let missing = ready.iter().filter(|a| !listed_now.contains(a)).count();
-            // A list that lacks more than `loss_max` is taken for a fault of the list, not for removals: see
-            // docs/running.md.
+            // Guards against mass removal: a full list that lacks more than the share `loss_max` of the ready
+            // servers is taken for a fault of the list, so that no missing server counts as removed.
             if missing as f64 <= self.limits.loss_max * ready.len() as f64 {
                 for (_, listed) in known.iter_mut().filter(|(a, _)| !listed_now.contains(a)) {
                     if listed.state != EndpointRecordState::Gone {
--- a/crates/stepspur-emulator/src/proxy.rs
+++ b/crates/stepspur-emulator/src/proxy.rs
@@ -46,8 +46,7 @@
     pub key: Option<u64>,
     /// Work that it costs, in microseconds of a core of speed 1.
     pub work: f64,
-    /// Latency target of the class; the wait of an attempt that may be followed by another is a multiple of
-    /// it.
+    /// Latency target of the class; the timeout of an attempt that may be retried is a multiple of it.
     pub aim: Duration,
     /// When the client abandons this try.
     pub until: Instant,
@@ -60,7 +59,8 @@
     pub cut_off: u32,
     /// True if it neither reads nor sends on its stream.
     pub stalled: bool,
-    /// Factor by which orders take longer; 0 or 1 means no delay.
+    /// Factor by which the proxy takes longer to read an order than the channel's `lines_per_s` allows. Up to
+    /// 1: no delay. Above: `slow` - 1 times the order's time on the channel is added, at most 5 s.
     pub slow: f64,
     /// Delay of its reports.
     pub late: Duration,
@@ -148,7 +148,8 @@
         })
     }
 
-    /// Reads its table and admission levels.
+    /// Calls `read` with the model, which holds its table and admission levels, and returns the result. The
+    /// model stays locked meanwhile.
     pub fn with_model<T>(&self, read: impl FnOnce(&Model) -> T) -> T {
         read(&lock(&self.model))
     }
@@ -181,8 +182,9 @@
         }
     }
 
-    /// Sends one attempt to a server. A refusal or a failed connection is known not to have run; all else may
-    /// have.
+    /// Sends one attempt to a server. A failed connection proves that the attempt never ran, and so does a
+    /// refusal that the server marks as such, unless `full_may_have_run` is set. An attempt that fails in any
+    /// other way may have run.
     async fn attempt(
         &self,
         request: ClientRequest,
--- a/crates/stepspur-emulator/src/run/mod.rs
+++ b/crates/stepspur-emulator/src/run/mod.rs
@@ -78,7 +78,8 @@
     events: Vec<(Micros, Event)>,
     /// False if sending stopped early because too many requests were in flight.
     requests_fit: bool,
-    /// How long after its due time the last request was sent.
+    /// How far sending was behind schedule when it stopped: the time since the due time of the first request
+    /// that was not sent, or since the end of the plan if that is earlier; 0 if that time was still ahead.
     fell_behind: Duration,
     /// CPU time of this process while requests were sent and answered, in seconds.
     cpu_s: f64,
--- a/crates/stepspur-fault-tests/src/cluster.rs
+++ b/crates/stepspur-fault-tests/src/cluster.rs
@@ -65,7 +65,8 @@
 const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 impl Cluster {
-    /// Starts all members, on a runtime with a paused clock.
+    /// Starts all members. The caller's Tokio runtime must have a paused clock, so that waits and latencies
+    /// take virtual time.
     pub async fn start(seed: u64, settings: ClusterSettings) -> Self {
         let ids = (1..=settings.voters + settings.learners).map(MemberId);
         let voters: std::collections::BTreeSet<_> = ids.clone().take(settings.voters as usize).collect();
@@ -233,7 +234,9 @@
         }
     }
 
-    /// Proposes an addition to a counter at a member, and records its outcome in the history.
+    /// Proposes an addition to a counter at a member, and waits at most `within` for its outcome. The history
+    /// records it with its response, or without one if the outcome is unknown; an addition that surely had no
+    /// effect is not recorded.
     ///
     /// # Errors
     /// See [`ReplicationError`].
@@ -248,7 +251,8 @@
         self.add_with_id(id, member, name, amount, within).await
     }
 
-    /// As [`Cluster::add`], under an id that may have been proposed before.
+    /// As [`Cluster::add`], under an id that may have been proposed before. If the history has the operation
+    /// already, a response is added to it, and an error is not recorded.
     ///
     /// # Errors
     /// See [`ReplicationError`].
@@ -275,8 +279,10 @@
         result
     }
 
-    /// Records an operation of a client of the test, whose response came at `at`. Returns its index in the
-    /// history; `None` for a read without a response and for an addition that surely had no effect.
+    /// Records an operation that a client of the test invoked `invoked_at` after the start and that ended at
+    /// `at` with `result`. Recorded are operations with a response, and, without one, those of unknown
+    /// outcome. Returns the index in the history; `None` for a read without a response and for an addition
+    /// that surely had no effect.
     pub fn record_at(
         &mut self,
         name: &str,
@@ -296,7 +302,8 @@
         self.started_at.elapsed()
     }
 
-    /// Reads a counter at a member, linearizably, and records the response in the history.
+    /// Reads a counter at a member, linearizably, with the timeout `within`, and records the response in the
+    /// history. A read without a response is not recorded.
     ///
     /// # Errors
     /// See [`ReplicationError`].
@@ -331,7 +338,8 @@
     }
 }
 
-/// Adds an amount to a counter through a member's client and returns the new value.
+/// Adds an amount to a counter through a member's client, with the timeout `within`, and returns the new
+/// value.
 ///
 /// # Errors
 /// See [`ReplicationError`].
@@ -347,7 +355,7 @@
     Ok(u32::from_be_bytes(response.as_slice().try_into().expect("the response is a value of four bytes")))
 }
 
-/// Reads a counter through a member's client, linearizably.
+/// Reads a counter through a member's client, linearizably, with the timeout `within`.
 ///
 /// # Errors
 /// See [`ReplicationError`].
--- a/crates/stepspur-model/src/server.rs
+++ b/crates/stepspur-model/src/server.rs
@@ -317,7 +317,8 @@
 const TICKS_PER_US: f64 = 100.0;
 
 impl Server {
-    /// Creates a server that is warm, or one that starts cold at `now`.
+    /// Creates a server that is warm, or one that starts cold at `now`. A cold start needs `now` above 0,
+    /// because a start time of 0 marks a warm server.
     pub fn new(spec: Spec, seed: u64, now: Micros, warm: bool) -> Self {
         let mut server = Self {
             rng: ChaCha8Rng::seed_from_u64(seed),
@@ -450,8 +451,8 @@
         self.conns.len()
     }
 
-    /// Returns the next connection that the server has closed by now: idle for longer than [`Spec::idle`], or
-    /// idle while the server drains.
+    /// Returns the next connection that the server has closed by now: idle for at least [`Spec::idle`], idle
+    /// while the server drains, or open when the server collapsed.
     pub fn closed(&mut self, now: Micros) -> Option<Conn> {
         self.advance(now);
         if self.spec.idle > 0 || self.drains {
@@ -606,7 +607,7 @@
         Some(if self.warmth(self.now) < 1.0 { at.min(self.now + WARM_UP_STEP) } else { at })
     }
 
-    /// Returns the next request that has completed by now.
+    /// Returns the next request that has been answered by now, or was lost when the server collapsed.
     pub fn poll(&mut self, now: Micros) -> Option<Completion> {
         self.advance(now);
         self.done.pop_front()
@@ -625,7 +626,8 @@
         Some(self.load(now))
     }
 
-    /// Returns the load report published now: refreshed, delayed and noisy as the [`Spec`] says.
+    /// Returns the load report published now: refreshed, delayed and noisy as the [`Spec`] says. All values
+    /// are 0 until the first report is published.
     pub fn load(&mut self, now: Micros) -> Load {
         if self.reports.back().is_none_or(|(at, _)| now >= at + self.spec.report_every) {
             let busy = (self.in_service as f64 / f64::from(self.spec.cores.max(1))).min(1.0);
--- a/crates/stepspur-simulation/src/world/attempts.rs
+++ b/crates/stepspur-simulation/src/world/attempts.rs
@@ -17,7 +17,7 @@
 const MAX_IDLE_CONNECTIONS: usize = 16;
 /// Connect timeout of a proxy, in microseconds.
 const CONNECT_TIMEOUT: Micros = 300_000;
-/// Largest number of requests that a group of servers remembers for deduplication.
+/// Largest number of requests that a group of servers remembers for deduplication, for each class.
 const MAX_REMEMBERED_REQUESTS: usize = 1_000_000;
 
 /// An attempt at the moment it arrives at its server.
@@ -38,7 +38,8 @@
 }
 
 impl World {
-    /// Sends an attempt from a proxy to a server, on an idle connection or a new one.
+    /// Sends an attempt from a proxy to a server, on an idle connection or a new one. Without a result by
+    /// `until`, the attempt times out.
     pub(super) fn start_attempt(&mut self, request_id: u64, to: SocketAddr, until: Micros) {
         let Some(request) = self.requests.get_mut(&request_id) else { return };
         request.serial += 1;
@@ -255,8 +256,8 @@
         }
     }
 
-    /// Handles the result of an attempt at its proxy. The connection is reused unless the attempt may have
-    /// run.
+    /// Handles the result of an attempt at its proxy. The connection goes back to the idle pool, unless the
+    /// attempt may have run, the pool is full ([`MAX_IDLE_CONNECTIONS`]) or the server has restarted.
     pub(super) fn attempt_ended(&mut self, id: AttemptId, end: AttemptResult) {
         let request = self.requests.get_mut(&id.request);
         let Some(request) = request.filter(|request| request.serial == id.serial) else { return };
