--- a/crates/stepspur-cli/src/bench/bare_writes.rs
+++ b/crates/stepspur-cli/src/bench/bare_writes.rs
@@ -1,4 +1,5 @@
-//! The baseline: a process whose tasks, one per socket, write the bytes of a drain's order and read the answers.
+//! The baseline: a process whose tasks, one per socket, write the bytes of a drain's order and read the
+//! answers.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::process::Stdio;
@@ -23,8 +24,8 @@
 use super::{MAX_PLAIN_FRAME_BYTES, OBSERVATION_CAPACITY, WAIT_TIMEOUT};
 use crate::ExitStatus;
 
-/// Pause between two rounds, in which the writer reads the last answers. The writer does not report when it has read
-/// them, because that work would distort the baseline.
+/// Pause between two rounds, in which the writer reads the last answers. The writer does not report when it
+/// has read them, because that work would distort the baseline.
 const PAUSE_BETWEEN_WRITES: Duration = Duration::from_millis(100);
 /// Size of the buffer for an answer, in bytes.
 const MAX_ANSWER_BYTES: usize = 256;
@@ -130,8 +131,8 @@
     Ok(frame(&order, MAX_PLAIN_FRAME_BYTES)?)
 }
 
-/// Runs the writer's process. It has a task for each socket; a line on standard input wakes all tasks, and each writes
-/// the order and reads the answer.
+/// Runs the writer's process. It has a task for each socket; a line on standard input wakes all tasks, and
+/// each writes the order and reads the answer.
 pub(super) async fn write(bytes: usize, sockets: usize) -> anyhow::Result<ExitStatus> {
     let order = drain_order()?;
     anyhow::ensure!(
--- a/crates/stepspur-cli/src/bench/churn.rs
+++ b/crates/stepspur-cli/src/bench/churn.rs
@@ -1,5 +1,5 @@
-//! Measures the conductor's memory while proxies join and leave; one session in twenty reads nothing. The memory must
-//! stay flat.
+//! Measures the conductor's memory while proxies join and leave; one session in twenty reads nothing. The
+//! memory must stay flat.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/stepspur-cli/src/bench/conductor.rs
+++ b/crates/stepspur-cli/src/bench/conductor.rs
@@ -140,7 +140,8 @@
     config.status.address = None;
     config.probes.enabled = false;
     config.fleet.proxies = args.proxies as u32;
-    // Without a minimum of connections all proxies of a zone get the same table, so a drain reaches each of them.
+    // Without a minimum of connections all proxies of a zone get the same table, so a drain reaches each of
+    // them.
     config.fleet.connections_min = 0;
     config.channel.lines_per_s = args.lines_per_s;
     config.channel.waiting_max = UNLIMITED_WAITING_LINES;
--- a/crates/stepspur-cli/src/bench/drain.rs
+++ b/crates/stepspur-cli/src/bench/drain.rs
@@ -1,4 +1,5 @@
-//! Measures how fast drains of servers reach proxies, and how fast all proxies rejoin after the conductor is killed.
+//! Measures how fast drains of servers reach proxies, and how fast all proxies rejoin after the conductor is
+//! killed.
 
 use std::time::Duration;
 
@@ -15,7 +16,8 @@
 use super::times::DeliveryTimes;
 use super::{OBSERVATION_CAPACITY, WAIT_TIMEOUT};
 
-/// Pause between the last join and the measurement of memory, so that memory used only by the joins is returned.
+/// Pause between the last join and the measurement of memory, so that memory used only by the joins is
+/// returned.
 const MEMORY_SETTLE_TIME: Duration = Duration::from_secs(3);
 
 /// Results of drains and a rejoin.
@@ -40,7 +42,8 @@
     pub cpu_s: f64,
 }
 
-/// Drains servers in consecutive rounds, then kills the conductor, restarts it and lets all proxies join again.
+/// Drains servers in consecutive rounds, then kills the conductor, restarts it and lets all proxies join
+/// again.
 pub(super) async fn measure(args: &BenchArgs) -> anyhow::Result<Drains> {
     let conductor = BenchConductor::new(args).await?;
     let running = conductor.start_with_list().await?;
@@ -64,8 +67,8 @@
     Ok(Drains { times, cpu_s, before, with_proxies, rejoin })
 }
 
-/// Drains one server of each zone at once, and returns the conductor's processor time in seconds. Returns when the
-/// servers are back in all tables and the conductor waits for the next change.
+/// Drains one server of each zone at once, and returns the conductor's processor time in seconds. Returns
+/// when the servers are back in all tables and the conductor waits for the next change.
 async fn drain(
     args: &BenchArgs,
     conductor: &BenchConductor,
--- a/crates/stepspur-cli/src/bench/joins.rs
+++ b/crates/stepspur-cli/src/bench/joins.rs
@@ -1,5 +1,5 @@
-//! Measures joins of all proxies: over plain TCP, over mutual TLS with tokens, with resumed TLS sessions, and during a
-//! flood of half-open connections.
+//! Measures joins of all proxies: over plain TCP, over mutual TLS with tokens, with resumed TLS sessions, and
+//! during a flood of half-open connections.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,7 +25,8 @@
 const CONCURRENT_HANDSHAKES: usize = 64;
 /// The largest `Hello` frame of a proxy with a token, in bytes.
 const MAX_HELLO_BYTES: usize = 8192;
-/// Pause between the end of all streams and their rejoin: nothing signals when the conductor has cleaned up after them.
+/// Pause between the end of all streams and their rejoin: nothing signals when the conductor has cleaned up
+/// after them.
 const CLEANUP_PAUSE: Duration = Duration::from_secs(1);
 /// Connections of the flood, which never finish their handshakes.
 const HALF_OPEN_CONNECTIONS: u32 = 500;
--- a/crates/stepspur-cli/src/bench/mod.rs
+++ b/crates/stepspur-cli/src/bench/mod.rs
@@ -1,8 +1,8 @@
 //! `stepspur bench`: measures how fast orders reach many proxies, against a baseline of bare socket writes.
 //!
-//! The conductor runs in a process of its own; proxies are plain streams in this process that keep no table. The
-//! baseline, in the same run, is another process whose tasks write the same bytes to as many sockets and read the same
-//! answers.
+//! The conductor runs in a process of its own; proxies are plain streams in this process that keep no table.
+//! The baseline, in the same run, is another process whose tasks write the same bytes to as many sockets and
+//! read the same answers.
 
 mod bare_writes;
 mod churn;
--- a/crates/stepspur-cli/src/bench/stream.rs
+++ b/crates/stepspur-cli/src/bench/stream.rs
@@ -1,4 +1,5 @@
-//! A proxy's stream: answers marks and pings, keeps no table, and reports what it reads to the measuring task.
+//! A proxy's stream: answers marks and pings, keeps no table, and reports what it reads to the measuring
+//! task.
 
 use anyhow::Context;
 use bytes::Bytes;
@@ -73,7 +74,8 @@
     }
 }
 
-/// The next frame and the time at which it was read. None if the stream has ended or the bytes are no valid frame.
+/// The next frame and the time at which it was read. None if the stream has ended or the bytes are no valid
+/// frame.
 async fn read_frame<S: AsyncRead + Unpin>(
     stream: &mut S,
     buffer: &mut Vec<u8>,
--- a/crates/stepspur-cli/src/keys.rs
+++ b/crates/stepspur-cli/src/keys.rs
@@ -1,4 +1,5 @@
-//! `stepspur keys` and `stepspur token`: manage the folder of keys and certificates, issue and inspect tokens.
+//! `stepspur keys` and `stepspur token`: manage the folder of keys and certificates, issue and inspect
+//! tokens.
 
 use std::net::IpAddr;
 use std::path::{Path, PathBuf};
@@ -39,8 +40,8 @@
         #[arg(long, default_value = "127.0.0.1")]
         address: Vec<IpAddr>,
     },
-    /// Rotate signing keys by one step: the next key becomes active and the active one retires. Without a next key,
-    /// create one: run the command again once every conductor has reloaded.
+    /// Rotate signing keys by one step: the next key becomes active and the active one retires. Without a
+    /// next key, create one; run the command again once every conductor has reloaded.
     Rotate {
         #[command(flatten)]
         folder: KeyFolder,
@@ -65,7 +66,8 @@
         /// Key id, authority file or `serial:HEX`.
         what: String,
     },
-    /// Issue a client certificate for `stepspur://TENANT/proxy/ZONE/NAME` or `stepspur://TENANT/operator/NAME`.
+    /// Issue a client certificate for `stepspur://TENANT/proxy/ZONE/NAME` or
+    /// `stepspur://TENANT/operator/NAME`.
     Cert {
         #[command(flatten)]
         folder: KeyFolder,
@@ -95,7 +97,8 @@
         /// The only zone that the caller may join; any zone by default.
         #[arg(long)]
         zone: Option<String>,
-        /// A right: read_tables, join, report, read_status, change, administer. By default, the rights of a proxy.
+        /// A right: read_tables, join, report, read_status, change, administer. By default, the rights of a
+        /// proxy.
         #[arg(long = "right", value_parser = parse_right)]
         rights: Vec<Right>,
         /// Validity of the token.
@@ -192,6 +195,7 @@
                 |path: &Path| std::fs::read_to_string(path).with_context(|| path.display().to_string());
             let private_key = zeroize::Zeroizing::new(read(&file.with_extension("key"))?);
             let authority = Authority::load(&read(&file)?, &private_key)?;
+            // Valid from a minute ago, for hosts whose clocks are behind.
             let issued = authority.issue(&Leaf::Caller(uri), unix_seconds() - 60, *life)?;
             let out = PathBuf::from(out);
             let name = out.file_name().and_then(|n| n.to_str()).context("--out must name a file")?;
--- a/crates/stepspur-cli/src/model_bench.rs
+++ b/crates/stepspur-cli/src/model_bench.rs
@@ -1,4 +1,5 @@
-//! `stepspur bench --model`: measures the server model alone, on one core: events per second, and memory per server.
+//! `stepspur bench --model`: measures the server model alone, on one core: events per second, and memory per
+//! server.
 
 use std::time::Instant;
 
@@ -15,7 +16,8 @@
 /// The results; field names are keys of the JSON output.
 #[derive(Debug, Serialize)]
 struct Measured {
-    /// Pairs of load (utilization of a server of four cores) and arrivals and completions simulated per second.
+    /// Pairs of load (utilization of a server of four cores) and arrivals and completions simulated per
+    /// second.
     events_per_s: Vec<(f64, f64)>,
     /// Resident memory of a server in KiB: idle, and with 20 requests and 20 connections.
     server_kib: [f64; 2],
@@ -30,7 +32,8 @@
     Spec { cores: 4, slots: 8, room: 1000, handshake_work: 500.0, idle: 1_000_000, ..Spec::default() }
 }
 
-/// Simulates one server at a utilization, and gives the arrivals and completions per second of wall clock time.
+/// Simulates one server at a utilization, and gives the arrivals and completions per second of wall clock
+/// time.
 fn events_per_s(load: f64) -> f64 {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let work = Work { form: Form::LogNormal, mean: 10_000.0, cv: 1.0 };
@@ -71,8 +74,8 @@
 
 /// Runs all measurements and prints the results.
 pub(crate) fn bench(json: bool) -> anyhow::Result<ExitStatus> {
-    // Memory first, and the smaller case before the larger: otherwise a measurement would reuse memory that an earlier
-    // one has freed, and resident memory would not grow.
+    // Memory first, and the smaller case before the larger: otherwise a measurement would reuse memory that
+    // an earlier one has freed, and resident memory would not grow.
     let server_kib = [server_kib(0)?, server_kib(20)?];
     let loads = [0.3, 0.7, 0.95];
     let measured = Measured { events_per_s: loads.map(|l| (l, events_per_s(l))).to_vec(), server_kib };
--- a/crates/stepspur-cli/src/play.rs
+++ b/crates/stepspur-cli/src/play.rs
@@ -176,8 +176,8 @@
     }
 }
 
-/// Shows a progress bar, lines for outcomes and admission levels, and a bar for each zone, redrawn four times a
-/// second.
+/// Shows a progress bar, lines for outcomes and admission levels, and a bar for each zone, redrawn four times
+/// a second.
 async fn show_details(length: Duration, zones: Vec<String>, mut updates: watch::Receiver<Progress>) {
     let display = MultiProgress::new();
     let line = |template: &str, length: u64| {
--- a/crates/stepspur-cli/src/settings.rs
+++ b/crates/stepspur-cli/src/settings.rs
@@ -1,5 +1,5 @@
-//! Loads a conductor's settings from three layers: file, environment, flags. Reports all errors at once, each with its
-//! location.
+//! Loads a conductor's settings from three layers: file, environment, flags. Reports all errors at once, each
+//! with its location.
 
 use std::path::Path;
 
@@ -15,8 +15,8 @@
 /// An error in the settings and its location; the field names are keys of the JSON output.
 #[derive(Clone, Debug, Serialize, PartialEq)]
 pub(crate) struct SettingsError {
-    /// `file:line`. `or a layer above` follows where the key is not in the file: the environment or a flag sets it, or
-    /// it is missing.
+    /// `file:line`. `or a layer above` follows where the key is not in the file: the environment or a flag
+    /// sets it, or it is missing.
     pub place: String,
     /// The key's path, such as `fleet.proxies`; empty for an error of the whole file.
     pub key: String,
@@ -50,8 +50,8 @@
     }
     let mut dict: Dict = figment.extract().map_err(|error| file_error(error.to_string()))?;
     let mut errors: Vec<SettingsError> = Vec::new();
-    // Serde stops at the first error. It is recorded and its value replaced by the example's; then the settings are
-    // extracted again, to find the next error.
+    // Serde stops at the first error. It is recorded and its value replaced by the example's; then the
+    // settings are extracted again, to find the next error.
     let example: Dict = Figment::from(Toml::string(EXAMPLE)).extract().unwrap_or_default();
     while errors.len() < MAX_ERRORS {
         let layer = Figment::from(Serialized::from(&dict, Profile::Default));
@@ -120,7 +120,8 @@
     }
 }
 
-/// Replaces the value at a path, or removes it where there is no replacement. False if nothing could be changed.
+/// Replaces the value at a path, or removes it where there is no replacement. False if nothing could be
+/// changed.
 fn replace_value(dict: &mut Dict, path: &[String], replacement: Option<Value>) -> bool {
     match (path, replacement) {
         ([], _) => false,
@@ -185,8 +186,8 @@
         SettingsError { place, key, what }
     }
 
-    /// The byte offset of the key and true, or that of the deepest table on its path that the file has and false.
-    /// None if the file has neither.
+    /// The byte offset of the key and true, or that of the deepest table on its path that the file has and
+    /// false. None if the file has neither.
     fn find_key(&self, path: &[String]) -> Option<(usize, bool)> {
         let mut table = self.table.get_ref();
         let mut found = None;
